--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -5,10 +5,9 @@
 from contextlib import ExitStack
 from unittest import mock
 
+from loopback_network import reserve_loopback_network
 from lapisgrade.lab.answers import MUTANTS, Found, Try, play
 
-NET = 222  # 127.222 and on are these tests' machines
-
 
 class Answers(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
@@ -18,17 +17,19 @@
     async def test_an_answer_ends_its_own_request_or_none_and_what_may_run_once_runs_once(self) -> None:
         for seed in range(3):
             with self.subTest(seed=seed):
-                found = await play(seed, NET + seed)
+                network = self.enterContext(reserve_loopback_network())
+                found = await play(seed, network.number)
                 self.assertEqual(found.wrong(), [])
                 statuses = [each.status for each in found.tries.values()]
                 self.assertGreater(statuses.count(200), 50)
 
     async def test_each_wrong_version_is_found(self) -> None:
-        for number, (name, patches) in enumerate(MUTANTS.items()):
+        for name, patches in MUTANTS.items():
             with self.subTest(name=name), ExitStack() as stack:
                 for where, what, bad in patches:
                     stack.enter_context(mock.patch.object(where, what, bad))
-                found = await play(9, NET + 5 + number)
+                network = stack.enter_context(reserve_loopback_network())
+                found = await play(9, network.number)
                 self.assertGreater(len(found.wrong()), 0, f"{name} was not found")
 
 
--- a/tests/gateway/test_control_processes.py
+++ b/tests/gateway/test_control_processes.py
@@ -7,17 +7,17 @@
 import unittest
 from random import Random
 
+from loopback_network import reserve_loopback_network
 from lapisgrade.lab.partitions import control
-from lapisgrade.lab.partitions.control import CASES, NET, play
+from lapisgrade.lab.partitions.control import play
 
 PART = 0.12  # of the long cuts and of the hundreds of changes
 
 
 class Processes(unittest.IsolatedAsyncioTestCase):
     async def played(self, case: str) -> control.Found:
-        net = NET + 30 + list(CASES).index(case)
-        with tempfile.TemporaryDirectory() as folder:
-            found = await play(case, net, folder, Random(7), PART)
+        with tempfile.TemporaryDirectory() as folder, reserve_loopback_network() as network:
+            found = await play(case, network.number, folder, Random(7), PART)
         self.assertEqual(found.wrong, [])
         self.assertGreater(found.acknowledged, 10)
         self.assertGreater(found.reads, 10)
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from loopback_network import reserve_loopback_network
 from lapisgrade.net.http import Message
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.local_cluster import SAMPLE, Links, LocalCluster, ask, told
@@ -25,11 +26,9 @@
 class Whole(unittest.IsolatedAsyncioTestCase):
     """Each test has a site of its own, on loopback addresses of its own."""
 
-    net = 100
-
     async def asyncSetUp(self) -> None:
-        Whole.net += 1
-        self.site = LocalCluster(net=Whole.net)
+        network = self.enterContext(reserve_loopback_network())
+        self.site = LocalCluster(net=network.number)
         await self.site.__aenter__()
         self.addAsyncCleanup(self.site.__aexit__)
 
@@ -237,6 +236,7 @@
 class SteppingClock(unittest.IsolatedAsyncioTestCase):
     async def test_the_time_of_day_may_step_by_hours_and_nothing_goes_by_it(self):
         chance, real = Random(1), time.time
+        network = self.enterContext(reserve_loopback_network())
 
         def stepping() -> float:
             return real() + chance.choice((-9_000, -3, 0, 5, 40_000))
@@ -245,7 +245,7 @@
             mock.patch("time.time", stepping),
             mock.patch("time.time_ns", lambda: int(stepping() * 1e9)),
         ):
-            async with LocalCluster(net=177) as site:
+            async with LocalCluster(net=network.number) as site:
                 await site.served()
                 answers = [status(await site.get(name, "/stock/1", KEY)) for name in site.names * 5]
                 change = {"Ver": 2, "Base": 1, "Upsert": {}, "Del": {"Routes": ["r-claim"]}}
--- a/tests/gateway/test_onboarding.py
+++ b/tests/gateway/test_onboarding.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from loopback_network import reserve_loopback_network
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.cli import onboarding
 from lapisgrade.gateway.cli.onboarding import OperatorClient, behind, plan
@@ -97,11 +98,12 @@
 
 
 class Applied(unittest.IsolatedAsyncioTestCase):
-    async def served(self, net: int) -> LocalCluster:
-        return await (await self.enterAsyncContext(LocalCluster(net=net))).served()
+    async def served(self) -> LocalCluster:
+        network = self.enterContext(reserve_loopback_network())
+        return await (await self.enterAsyncContext(LocalCluster(net=network.number))).served()
 
     async def test_from_a_ticket_to_the_first_calls_and_back(self) -> None:
-        site, said = await self.served(87), []
+        site, said = await self.served(), []
         client = OperatorClient(site.ctl, said.append)
         self.assertEqual(await client.apply(text(), 5.0), 0)
         self.assertEqual(
@@ -127,7 +129,7 @@
         self.assertEqual(said[-1], "  against it: tenant gabes is not there")
 
     async def test_two_operators_at_once_both_come_through(self) -> None:
-        site = await self.served(88)
+        site = await self.served()
         other = {**TICKET, "Name": "lagos", "Apikeys": ["key-of-lagos"], "Ports": []}
         offices = [OperatorClient(site.ctl, lambda line: None) for _ in range(2)]
         got = await asyncio.gather(
@@ -138,7 +140,7 @@
         self.assertEqual([each["Name"] for each in shown["Tenants"][1:]].sort(), ["gabes", "lagos"].sort())
 
     async def test_a_tenant_comes_in_among_350_routes_more(self) -> None:
-        site = await self.served(90)
+        site = await self.served()
         rules = [
             {
                 "Name": f"r-{each}",
@@ -162,7 +164,7 @@
             self.assertEqual([each.head.status_code for each in got], [200, 200])
 
     async def test_a_proxy_out_of_touch_promises_what_the_others_serve_and_refuses_nobody(self) -> None:
-        site = await self.served(89)
+        site = await self.served()
         silent = site.proxies["m3"]
 
         call = silent.rpc.call
--- a/tests/gateway/test_processes.py
+++ b/tests/gateway/test_processes.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from loopback_network import reserve_loopback_network
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.gateway.cli.onboarding import OperatorClient
@@ -67,6 +68,7 @@
 class FirstTrain(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
+        self.network = self.enterContext(reserve_loopback_network())
 
     async def onboard(self, fleet: Fleet, fault=None) -> Calls:
         """Bring the tenant in under calls at every proxy, with a fault as the change is sent."""
@@ -82,13 +84,13 @@
         return calls
 
     async def test_calm_all_proxies_take_it_within_a_moment_and_pulls_go_on(self) -> None:
-        async with Fleet(91, self.folder) as fleet:
+        async with Fleet(self.network.number, self.folder) as fleet:
             calls = await self.onboard(fleet)
             self.assertLess(max(calls.first.values()) - min(calls.first.values()), 0.5)
             self.assertEqual(Counter(status for status, _ in calls.pulls), {200: len(calls.pulls)})
 
     async def test_a_proxy_frozen_over_the_moment_promises_when_it_wakes(self) -> None:
-        async with Fleet(92, self.folder) as fleet:
+        async with Fleet(self.network.number, self.folder) as fleet:
 
             async def freeze() -> None:
                 fleet.send("proxy", "m3", signal.SIGSTOP)
@@ -99,7 +101,7 @@
             self.assertGreater(calls.first["m3"] - min(calls.first.values()), 0.2)
 
     async def test_the_leader_killed_as_the_change_is_sent(self) -> None:
-        async with Fleet(93, self.folder) as fleet:
+        async with Fleet(self.network.number, self.folder) as fleet:
             leader = await fleet.leader()
 
             async def kill() -> None:
@@ -123,7 +125,7 @@
             self.assertEqual(calls.wrong, [])
 
     async def test_a_proxy_killed_and_started_anew_while_it_comes_into_force(self) -> None:
-        async with Fleet(94, self.folder) as fleet:
+        async with Fleet(self.network.number, self.folder) as fleet:
 
             async def again() -> None:
                 fleet.send("proxy", "m2", signal.SIGKILL)
@@ -135,11 +137,12 @@
 
 class EarlyWord(unittest.IsolatedAsyncioTestCase):
     async def test_a_sighup_while_it_starts_ends_nothing_and_the_settings_are_read_again(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
+        with tempfile.TemporaryDirectory() as folder, reserve_loopback_network() as network:
+            ip = network.host(9)
             path = os.path.join(folder, "settings.json")
             os.mkfifo(path)  # whoever reads waits for us to write
-            told = {"Hostname": "m1", "Ip": "127.98.0.9", "Az": "z", "Bind": {"Ctl": "127.98.0.9:8407"},
-                    "Portrange": [7660, 7675], "Peers": ["127.98.0.9:8407"]}  # fmt: skip
+            told = {"Hostname": "m1", "Ip": ip, "Az": "z", "Bind": {"Ctl": f"{ip}:8407"},
+                    "Portrange": [7660, 7675], "Peers": [f"{ip}:8407"]}  # fmt: skip
 
             running = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "lapisgrade.gateway", "controller", f"--settings={path}",
--- a/tests/gateway/test_rejoin.py
+++ b/tests/gateway/test_rejoin.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from loopback_network import reserve_loopback_network
 from lapisgrade.lab.partitions import cuts, rejoin
 from lapisgrade.lab.partitions.fleet import Stamped
 from lapisgrade.gateway.http_client import told
@@ -29,8 +30,9 @@
 
 
 class OnBothSides(unittest.IsolatedAsyncioTestCase):
-    async def site(self, net: int) -> LocalCluster:
-        site = await self.enterAsyncContext(LocalCluster(net=net))
+    async def site(self) -> LocalCluster:
+        network = self.enterContext(reserve_loopback_network())
+        site = await self.enterAsyncContext(LocalCluster(net=network.number))
         return await site.served({**SAMPLE, "Pools": POOLS})
 
     def client(self, site: LocalCluster, name: str, said: list[str]) -> DraftClient:
@@ -56,7 +58,7 @@
         return next(rule for rule in table.made.ports[0].policy if rule.name == "r-claim")
 
     async def test_one_route_that_keeps_both_and_the_tool_s_words(self) -> None:
-        site = await self.site(95)
+        site = await self.site()
         await self.alone(site, "m3")
         status, said = await self.drafted(site, "m3", edit(Action={"Svc": "reparation"}))
         name = said[0].split()[1]
@@ -88,7 +90,7 @@
         await site.until(lambda: not site.controllers["m3"].draft_store.kept)
 
     async def test_the_same_field_both_ways_is_told_and_settled_or_dropped(self) -> None:
-        site = await self.site(96)
+        site = await self.site()
         await self.alone(site, "m3")
         _, said = await self.drafted(site, "m3", edit(Prio=3, Action={"Svc": "reparation"}))
         name = said[0].split()[1]
@@ -122,7 +124,7 @@
         self.assertEqual(await client.drafts(), 0)
 
     async def test_a_copy_on_a_neighbour_s_disk_outlives_the_draft_s_own(self) -> None:
-        site = await self.site(97)
+        site = await self.site()
         while not site.controllers["m3"].node.leader:
             await asyncio.sleep(0.02)
         # Two of three on this side, but neither may lead: drafts are kept all the same.
@@ -140,7 +142,7 @@
         self.assertEqual(self.rule(site, "m2").prio, 0)
 
     async def test_three_sides_and_a_leader_lost_in_the_merge(self) -> None:
-        site = await self.site(89)
+        site = await self.site()
         links = Links(site)
         links.part("m1"), links.part("m2"), links.part("m3")
         await site.until(lambda: not any(controller._leads() for controller in site.controllers.values()))
@@ -167,7 +169,7 @@
         self.assertEqual(len(site.controllers[leader].state_machine.state.seen), 3)
 
     async def test_a_break_that_opens_again_during_the_merge_merges_once(self) -> None:
-        site = await self.site(90)
+        site = await self.site()
         links = Links(site)
         links.part("m3")
         await site.until(lambda: any(site.controllers[each]._leads() for each in ("m1", "m2")))
@@ -191,7 +193,7 @@
         )
 
     async def test_what_is_no_draft_is_refused_in_plain_words(self) -> None:
-        site = await self.site(98)
+        site = await self.site()
         for text, wrong in (
             (edit(Action={"Svc": "nowhere"}), "service 'nowhere' is not in Pools"),
             (edit(), "nothing would change"),
@@ -215,11 +217,11 @@
     async def test_links_cut_between_processes_and_one_route_that_keeps_both(self) -> None:
         cases = ("cut-off", "one-way", "opens-again", "leader-lost")
 
-        async def one(net: int, case: str) -> rejoin.Found:
-            with tempfile.TemporaryDirectory() as folder:
-                return await rejoin.play(case, net, folder, Random(net))
+        async def one(seed: int, case: str) -> rejoin.Found:
+            with tempfile.TemporaryDirectory() as folder, reserve_loopback_network() as network:
+                return await rejoin.play(case, network.number, folder, Random(seed))
 
-        for found in await asyncio.gather(*(one(100 + net, case) for net, case in enumerate(cases))):
+        for found in await asyncio.gather(*(one(100 + number, case) for number, case in enumerate(cases))):
             with self.subTest(found.case):
                 self.assertEqual((found.wrong, found.urgent_failed), ([], 0))
                 self.assertGreater(found.claims, 30)
@@ -266,20 +268,22 @@
 class Severed(unittest.TestCase):
     """What the plays rest on: cuts that hold words up, and let them through late and in order."""
 
-    HERE, THERE = "127.90.9.1", "127.90.9.2"
+    def setUp(self) -> None:
+        network = self.enterContext(reserve_loopback_network())
+        self.here, self.there = network.host(1), network.host(2)
 
     def played(self, steps) -> None:
         with tempfile.TemporaryDirectory() as folder:
             self.file = Path(folder) / "cuts.json"
             self.file.write_text("[]")
             loop = cuts.Loop()
-            loop.cuts = self.cuts = cuts.Cuts(self.file, self.HERE)
+            loop.cuts = self.cuts = cuts.Cuts(self.file, self.here)
 
             async def run() -> None:
                 ends: list[Heard] = []
-                server = await loop.create_server(lambda: ends.append(Heard()) or ends[-1], self.THERE, 0)
+                server = await loop.create_server(lambda: ends.append(Heard()) or ends[-1], self.there, 0)
                 async with asyncio.timeout(10.0):
-                    await steps(loop, self.THERE, server.sockets[0].getsockname()[1], ends)
+                    await steps(loop, self.there, server.sockets[0].getsockname()[1], ends)
                 server.close()
 
             try:
@@ -301,14 +305,14 @@
             here, own = await loop.create_connection(Heard, host, port)
             here.write(b"1")
             await self.until(lambda: ends and ends[0].got == b"1")
-            self.cut((self.HERE, self.THERE), (self.THERE, self.HERE))
+            self.cut((self.here, self.there), (self.there, self.here))
             here.write(b"2"), here.write(b"3"), ends[0].transport.write(b"a")
             dialling = loop.create_task(loop.create_connection(Heard, host, port))
             await self.until(lambda: self.cuts.ends and next(iter(self.cuts.ends))._come)
             self.assertEqual((own.got, ends[0].got, dialling.done()), (b"", b"1", False))
             self.cut()
             await self.until(lambda: own.got == b"a" and ends[0].got == b"123" and dialling.done())
-            self.cut((self.THERE, self.HERE))  # one way: what we say gets there, what comes back doesn't
+            self.cut((self.there, self.here))  # one way: what we say gets there, what comes back doesn't
             here.write(b"4"), ends[0].transport.write(b"b")
             await self.until(lambda: ends[0].got == b"1234" and any(each._come for each in self.cuts.ends))
             self.assertEqual(own.got, b"a")
@@ -319,7 +323,7 @@
         async def steps(loop, host, port, ends) -> None:
             here, own = await loop.create_connection(Heard, host, port)
             await self.until(lambda: ends)
-            self.cut((self.HERE, self.THERE), (self.THERE, self.HERE))
+            self.cut((self.here, self.there), (self.there, self.here))
             here.write(b"late")
             await self.until(lambda: own.lost)
             self.assertFalse(ends[0].lost)
--- a/tests/gateway/test_request_rules.py
+++ b/tests/gateway/test_request_rules.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from loopback_network import reserve_loopback_network
 from lapisgrade.gateway.local_cluster import SAMPLE, Links, LocalCluster, ask
 from lapisgrade.net.http import Message
 
@@ -24,11 +25,9 @@
 
 
 class Requests(unittest.IsolatedAsyncioTestCase):
-    net = 180
-
     async def asyncSetUp(self) -> None:
-        Requests.net += 1
-        self.site = LocalCluster(net=Requests.net)
+        network = self.enterContext(reserve_loopback_network())
+        self.site = LocalCluster(net=network.number)
         await self.site.__aenter__()
         self.addAsyncCleanup(self.site.__aexit__)
 
@@ -88,7 +87,8 @@
 
 class Unconfigured(unittest.IsolatedAsyncioTestCase):
     async def test_denied_a_proxy_that_knows_no_configuration_promises_and_refuses_nobody(self) -> None:
-        async with LocalCluster(net=178) as site:
+        network = self.enterContext(reserve_loopback_network())
+        async with LocalCluster(net=network.number) as site:
             await site.until(lambda: site.proxies["m1"].client_front._server)
             got = await site.get("m1", "/stock/1", KEY, tries=1)
             self.assertEqual(status(got), 503)
@@ -96,7 +96,8 @@
 
     async def test_config_a_read_is_no_older_than_the_last_acknowledgement_or_gets_503(self) -> None:
         """Also at a machine that is cut off: it knows of no majority, and answers no older version."""
-        async with LocalCluster(net=179) as site:
+        network = self.enterContext(reserve_loopback_network())
+        async with LocalCluster(net=network.number) as site:
             await site.served()
             links = Links(site)
             links.part("m3")
--- a/tests/gateway/test_toolbox.py
+++ b/tests/gateway/test_toolbox.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from loopback_network import reserve_loopback_network
 from lapisgrade.gateway import __main__ as program
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.cli import rollout, check
@@ -285,7 +286,8 @@
 
 class OnASite(unittest.IsolatedAsyncioTestCase):
     async def test_a_plan_says_what_then_happens(self) -> None:
-        async with LocalCluster(net=86) as site:
+        network = self.enterContext(reserve_loopback_network())
+        async with LocalCluster(net=network.number) as site:
             await site.served()
             current, where = await OperatorClient(site.ctl, lambda line: None).show()
             rule = {**SAMPLE["Ports"][0]["Policy"][1]}
@@ -303,14 +305,15 @@
 
 
 class Lost(unittest.IsolatedAsyncioTestCase):
-    async def served(self, net: int) -> LocalCluster:
-        return await (await self.enterAsyncContext(LocalCluster(net=net))).served()
+    async def served(self) -> LocalCluster:
+        network = self.enterContext(reserve_loopback_network())
+        return await (await self.enterAsyncContext(LocalCluster(net=network.number))).served()
 
     def client(self, site: LocalCluster) -> OperatorClient:
         return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
 
     async def test_what_is_told_of_a_loss_is_what_then_happens(self) -> None:
-        site = await self.served(85)
+        site = await self.served()
         current, where = await self.client(site).show()
         conf = configuration.read(current)
         keeper = owner_of("sfax", site.names)
@@ -338,7 +341,7 @@
         self.assertEqual(await site.put({**change, "Ver": 3, "Base": 2}, "conf.update"), 0)
 
     async def test_what_programs_read_is_json(self) -> None:
-        site = await self.served(82)
+        site = await self.served()
         where = f"--ctl={site.ip['m1']}:{CTL}"
         status = {"Newest", "InForce", "Proxies", "Servers", "Leader", "Term", "Voters"}
         for word, names in (("status", status), ("drafts", {"Leader", "Newest", "Drafts"})):
@@ -348,7 +351,7 @@
             self.assertEqual((child.returncode, set(json.loads(out))), (0, names))
 
     async def test_a_rolling_restart_goes_machine_by_machine_and_nothing_is_refused(self) -> None:
-        site, said, answers = await self.served(84), [], []
+        site, said, answers = await self.served(), [], []
 
         async def restart(name: str) -> int:
             for part in (site.controllers[name], site.proxies[name]):
@@ -373,7 +376,7 @@
         self.assertEqual(set(answers), {200})
 
     async def test_a_rolling_restart_stops_at_the_machine_that_is_not_back(self) -> None:
-        site, said = await self.served(83), []
+        site, said = await self.served(), []
 
         async def restart(name: str) -> int:
             await site.kill(site.proxies[name])
