--- a/Makefile
+++ b/Makefile
@@ -19,7 +19,7 @@
 	.venv/bin/ruff format --check .
 
 test: build
-	$(PY) -m pytest
+	$(PY) -m pytest -n logical --maxprocesses 8 --dist worksteal
 
 check: lint test
 
