--- a/lapisgrade/gateway/consensus/election.py
+++ b/lapisgrade/gateway/consensus/election.py
@@ -2,7 +2,7 @@
 
 from lapisgrade.gateway.consensus.messages import RequestVote, RequestVoteReply, TimeoutNow
 from lapisgrade.gateway.consensus.records import HardState
-from lapisgrade.gateway.consensus.state import ELECTION, NodeState, Role
+from lapisgrade.gateway.consensus.state import ELECTION_TIMEOUT_US, NodeState, Role
 
 
 class Election(NodeState):
@@ -12,7 +12,7 @@
         """Ask first whether a vote would be granted (guards the term against one that was cut off)."""
         self.leader = self.leader_address = ""
         self.role, self._votes, self._idle = Role.PRE_CANDIDATE, {self.identity}, {self.identity}
-        self._unanimous_only = {self.identity} if self.now < self._quiet_until else set()
+        self._unanimous_only = {self.identity} if self.now_us < self._lease_guard_until_us else set()
         self._round += 1
         self._request_votes(self.term + 1, pre_vote=True)
         self._count_votes()
@@ -21,7 +21,7 @@
         """Ask for votes in the next term; they and the own vote count once the own vote is on disk."""
         self.role, self._votes, self._unanimous_only = Role.CANDIDATE, set(), set()
         self.leader = self.leader_address = ""
-        self.term, self.voted = self.term + 1, self.identity
+        self.term, self.voted_for = self.term + 1, self.identity
         earlier, self.effects.sends = self.effects.sends, []
         self._request_votes(self.term, pre_vote=False, lease_free=lease_free)
         requests, self.effects.sends = self.effects.sends, earlier
@@ -33,7 +33,7 @@
             term,
             self.identity,
             self.address,
-            self.log.last,
+            self.log.last_index,
             self.log.last_term,
             pre_vote,
             lease_free,
@@ -45,38 +45,38 @@
 
     def _hears_leader(self) -> bool:
         """Whether a lease may rest on what this node has said, as leader or follower."""
-        if self.leads:
-            return self.now - self._quorum_us() <= ELECTION
-        return bool(self.leader) and self.now - self._heard_leader_us < ELECTION
+        if self.is_leader:
+            return self.now_us - self._quorum_us() <= ELECTION_TIMEOUT_US
+        return bool(self.leader) and self.now_us - self._last_leader_contact_us < ELECTION_TIMEOUT_US
 
     # Whether this node is a voter is the candidate's to know: the change that made it one may be in the
     # candidate's log alone (thesis, 4.2.2). An emptied disk has another identity, which nobody counts.
 
     def _log_is_current(self, request: RequestVote) -> bool:
-        return (request.last_term, request.last_index) >= (self.log.last_term, self.log.last)
+        return (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
 
     def _on_request_vote(self, request: RequestVote) -> None:
         if request.pre_vote:
             self._on_pre_vote(request)
             return
-        held = self._hears_leader() or self.now < self._quiet_until
+        held = self._hears_leader() or self.now_us < self._lease_guard_until_us
         if request.term < self.term or (held and not request.lease_free):
             self._send(request.address, RequestVoteReply(self.term, self.identity, False, False))
             return
         if request.term > self.term:
             self._follow(request.term)
-        granted = self._log_is_current(request) and self.voted in ("", request.candidate)
+        granted = self._log_is_current(request) and self.voted_for in ("", request.candidate)
         reply = RequestVoteReply(self.term, self.identity, granted, False)
         if not granted:
             self._send(request.address, reply)
             return
-        self.voted = request.candidate
+        self.voted_for = request.candidate
         self._postpone_election()
-        self._write([HardState(self.term, self.voted)], [(request.address, reply)])
+        self._write([HardState(self.term, self.voted_for)], [(request.address, reply)])
 
     def _on_pre_vote(self, request: RequestVote) -> None:
         granted = (
-            not self.leads  # what it grants tells that it holds no lease, and it might be heard again
+            not self.is_leader  # what it grants tells that it holds no lease, and it might be heard again
             and not self._hears_leader()
             and request.term > self.term
             and self._log_is_current(request)
@@ -90,7 +90,7 @@
             self.identity,
             granted,
             True,
-            self.now < self._quiet_until,
+            self.now_us < self._lease_guard_until_us,
             idle,
             request.round,
         )
@@ -123,7 +123,7 @@
         if 2 * len(votes) <= len(voters):
             return
         if self._unanimous_only and votes != voters:
-            self._election_at = min(self._election_at, self._soon())
+            self._election_deadline_us = min(self._election_deadline_us, self._soon())
             return
         if self.role is Role.PRE_CANDIDATE:
             self._stand(lease_free=self._idle >= voters)
@@ -132,7 +132,11 @@
 
     def _on_timeout_now(self, message: TimeoutNow) -> None:
         """The leader of this term has stepped down for good: nobody holds a lease."""
-        if message.to == self.identity and message.term == self.term and not (self.stopped or self.leads):
+        if (
+            message.to == self.identity
+            and message.term == self.term
+            and not (self.is_stopping or self.is_leader)
+        ):
             self._stand(lease_free=True)
 
     def _lead(self) -> None:
--- a/lapisgrade/gateway/consensus/membership.py
+++ b/lapisgrade/gateway/consensus/membership.py
@@ -6,9 +6,9 @@
 
 from dataclasses import dataclass
 
-SILENT = 1_500_000  # us without a word after which a voter may be replaced
-TAKEN_OVER = 150_000  # us that another disk must be heard at a voter's address after the voter itself
-FEWEST = 3  # voters that a group isn't shrunk below, except where a disk is known to be lost
+UNRESPONSIVE_AFTER_US = 1_500_000  # us without a word after which a voter may be replaced
+DISPLACED_AFTER_US = 150_000  # us that another disk must be heard at a voter's address after the voter itself
+MIN_VOTERS = 3  # voters that a group isn't shrunk below, except where a disk is known to be lost
 
 
 @dataclass(slots=True)
@@ -16,8 +16,8 @@
     """What a leader knows of another disk."""
 
     address: str
-    match: int  # the last entry that it has on disk
-    heard_us: int  # its last message of this term
+    match_index: int  # the last entry that it has on disk
+    last_contact_us: int  # its last message of this term
 
 
 @dataclass(slots=True)
@@ -30,15 +30,21 @@
     voters: dict[str, str]  # identity to address
     peers: dict[str, Peer]  # all others that speak to the leader, voters and learners
     leaving: set[str]  # those that shut down in order
-    commit: int
+    commit_index: int
 
     def live(self) -> set[str]:
-        return {self.me} | {name for name, each in self.peers.items() if self.now_us - each.heard_us < SILENT}
+        return {self.me} | {
+            name
+            for name, each in self.peers.items()
+            if self.now_us - each.last_contact_us < UNRESPONSIVE_AFTER_US
+        }
 
     def caught_up(self) -> set[str]:
         live = self.live()
         return {self.me} | {
-            name for name, each in self.peers.items() if each.match >= self.commit and name in live
+            name
+            for name, each in self.peers.items()
+            if each.match_index >= self.commit_index and name in live
         }
 
 
@@ -69,9 +75,9 @@
         return _without(voters, silent[0])
     if learners:
         return {**voters, learners[0]: group.peers[learners[0]].address}
-    if len(voters) > FEWEST and leaving:
+    if len(voters) > MIN_VOTERS and leaving:
         return _without(voters, leaving[0])
-    if len(voters) > FEWEST and len(voters) % 2 == 0 and silent:
+    if len(voters) > MIN_VOTERS and len(voters) % 2 == 0 and silent:
         return _without(voters, silent[0])
     return None
 
@@ -86,8 +92,8 @@
         return False
     return any(
         each.address == group.voters[voter]
-        and each.heard_us - known.heard_us > TAKEN_OVER
-        and group.now_us - each.heard_us < TAKEN_OVER
+        and each.last_contact_us - known.last_contact_us > DISPLACED_AFTER_US
+        and group.now_us - each.last_contact_us < DISPLACED_AFTER_US
         for name, each in group.peers.items()
         if name != voter
     )
--- a/lapisgrade/gateway/consensus/records.py
+++ b/lapisgrade/gateway/consensus/records.py
@@ -43,7 +43,7 @@
     """Records to bring onto the disk, in order, and messages that may be sent only then."""
 
     records: list[Record]
-    then: list[tuple[str, Message]]  # address, message
+    sends_when_durable: list[tuple[str, Message]]  # address, message
     last_index: int  # of the log once this is written, and that entry's term
     last_term: int
 
@@ -54,5 +54,5 @@
 
     writes: list[DurableWrite] = field(default_factory=list)
     sends: list[tuple[str, Message]] = field(default_factory=list)  # address, message
-    commits: list[Entry] = field(default_factory=list)
-    restore: bytes | None = None  # a snapshot to load before the commits are applied
+    committed: list[Entry] = field(default_factory=list)
+    snapshot: bytes | None = None  # a snapshot to load before the commits are applied
--- a/lapisgrade/gateway/consensus/replication_state.py
+++ b/lapisgrade/gateway/consensus/replication_state.py
@@ -8,8 +8,8 @@
 
 @dataclass(slots=True)
 class Follower(Peer):
-    next: int = 1  # the entry that it is sent next
-    sent: int = 0  # the last entry that was sent
+    next_index: int = 1  # the entry that it is sent next
+    sent_index: int = 0  # the last entry that was sent
     sent_us: int = 0  # when entries were sent
     acked_us: int = 0  # the leader's own time of the newest message that was answered
     transfer: Transfer | None = None  # a snapshot that is under way to it
--- a/lapisgrade/gateway/consensus/snapshots.py
+++ b/lapisgrade/gateway/consensus/snapshots.py
@@ -9,8 +9,8 @@
 
 from lapisgrade.gateway.consensus.messages import InstallSnapshot
 
-PIECE = 64 * 1024  # bytes; a quarter of a second on a link of 2 Mbit/s
-MOST_SNAPSHOT = 256 * 1024 * 1024  # bytes that a reader takes at all
+CHUNK_BYTES = 64 * 1024  # bytes; a quarter of a second on a link of 2 Mbit/s
+MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024  # bytes that a reader takes at all
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
         return self.sent_us is None or now_us - self.sent_us > resend_us
 
     def piece(self) -> bytes:
-        return self.snapshot.state[self.offset : self.offset + PIECE]
+        return self.snapshot.state[self.offset : self.offset + CHUNK_BYTES]
 
     def wanted(self, index: int, offset: int) -> None:
         """What the follower asks for next; a late reply about an earlier piece changes nothing."""
@@ -57,7 +57,7 @@
 
     def take(self, piece: InstallSnapshot) -> bytes | None:
         """Add one piece; the whole snapshot once it is complete."""
-        if piece.total > MOST_SNAPSHOT:
+        if piece.total > MAX_SNAPSHOT_BYTES:
             return None
         if (self.leader, self.term, self.index) != (piece.leader, piece.term, piece.index):
             self.leader, self.term, self.index = piece.leader, piece.term, piece.index
--- a/lapisgrade/gateway/controller/log_writer.py
+++ b/lapisgrade/gateway/controller/log_writer.py
@@ -47,7 +47,7 @@
         self._queue: asyncio.Queue[DurableWrite] = asyncio.Queue()
         self._renew = True  # nothing is appended before a generation of our own has begun
         self._failed = False
-        self.put(DurableWrite([node.snapshot_record()], [], node.log.last, node.log.last_term))
+        self.put(DurableWrite([node.snapshot_record()], [], node.log.last_index, node.log.last_term))
 
     def put(self, write: DurableWrite) -> None:
         self._queue.put_nowait(write)
@@ -70,7 +70,7 @@
         self._renew = self._renew or any(isinstance(each.records[0], SnapshotRecord) for each in writes)
         try:
             if self._renew:
-                last = log_now.last, log_now.last_term
+                last = log_now.last_index, log_now.last_term
                 await self._call(self._store.renew, msgspec.msgpack.encode(self._node.snapshot_record()))
                 self._renew = False
             else:
--- a/lapisgrade/gateway/controller/process.py
+++ b/lapisgrade/gateway/controller/process.py
@@ -14,7 +14,7 @@
 from lapisgrade.net.http import Message as Http
 from lapisgrade.gateway import SECOND, STARTED_US, api, rpc_messages, configuration
 from lapisgrade.gateway.clock import now_us
-from lapisgrade.gateway.consensus.membership import FEWEST
+from lapisgrade.gateway.consensus.membership import MIN_VOTERS
 from lapisgrade.gateway.consensus.messages import Entry, JoinRequest, LeaveRequest
 from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
 from lapisgrade.gateway.consensus.node import Node
@@ -138,7 +138,7 @@
             node.step_down()
             self._step()
             ends = self.now() + int(LEAVE * SECOND)
-            while len(node.voters) > FEWEST and node.identity in node.voters and self.now() < ends:
+            while len(node.voters) > MIN_VOTERS and node.identity in node.voters and self.now() < ends:
                 if node.leader_address:
                     self._post(node.leader_address, LeaveRequest(node.identity))
                 await asyncio.sleep(LEAVE / 12)
@@ -155,9 +155,14 @@
         """Begin as the node that the disk tells, or as a new one."""
         now = self.now()
         if records:
-            self.node = Node.recovered(records, str(self.inner), self.random, now, self._started)
+            self.node = Node.recover(records, str(self.inner), self.random, now, self._started)
             entries = len(self.node.log.entries)
-            log.info("recovered term %d, %d entries after %d", self.node.term, entries, self.node.log.base)
+            log.info(
+                "recovered term %d, %d entries after %d",
+                self.node.term,
+                entries,
+                self.node.log.snapshot_index,
+            )
         else:
             # The first disks of all are named by their place, so that each knows the others'.
             first = {f"first-{each[0]}": f"{each[0]}:{self.inner[1]}" for each in self.settings.peers}
@@ -183,16 +188,16 @@
         self._follow_leadership(node)
         if self._timer is not None:
             self._timer.cancel()
-        wait = max(0.0005, (node.wakes_us - self.now()) / SECOND)
+        wait = max(0.0005, (node.next_tick_us - self.now()) / SECOND)
         self._timer = asyncio.get_running_loop().call_later(wait, self._due)
 
     def _carry_out(self, node: Node) -> bool:
         """Whether the node said something to itself, which may have had effects of its own."""
         effects, node.effects = node.effects, Effects()
-        if effects.restore is not None:
-            self.state_machine.load(effects.restore)
+        if effects.snapshot is not None:
+            self.state_machine.load(effects.snapshot)
             self._applied()
-        for entry in effects.commits:
+        for entry in effects.committed:
             self._commit(entry)
         for write in effects.writes:
             self._writer.put(write)
@@ -206,9 +211,9 @@
     def _follow_leadership(self, node: Node) -> None:
         # Not before the log of earlier terms is applied: a node that was started anew has an empty state
         # until then, and a list of live proxies begun from that would leave out proxies that still act.
-        if node.established == self._led:
+        if node.has_committed_in_term == self._led:
             return
-        self._led = node.established
+        self._led = node.has_committed_in_term
         log.info("term %d: %s", node.term, "leads" if self._led else "follows")
         self.counts["elections won"] += self._led
         if self._led:
@@ -315,9 +320,9 @@
     def _written(self, writes: list[DurableWrite], last_index: int, last_term: int) -> None:
         """Those are on disk: what waited for them may be said."""
         node = self.node
-        node.written(self.now(), last_index, last_term)
+        node.on_write_durable(self.now(), last_index, last_term)
         for write in writes:
-            for to, message in write.then:
+            for to, message in write.sends_when_durable:
                 if to == node.address:
                     node.receive(self.now(), message)
                 else:
@@ -329,8 +334,8 @@
         while True:
             await asyncio.sleep(JOIN * (0.5 + self.random.random()))
             one = self.node
-            quiet = not one.leads and (not one.leader or one.identity not in one.voters)
-            if quiet and not one.stopped:
+            quiet = not one.is_leader and (not one.leader or one.identity not in one.voters)
+            if quiet and not one.is_stopping:
                 places = {f"{each[0]}:{self.inner[1]}" for each in self.settings.peers}
                 places |= set(one.voters.values()) | ({one.leader_address} if one.leader_address else set())
                 for place in sorted(places - {one.address, ""}):
@@ -356,7 +361,7 @@
 
     def _leads(self) -> bool:
         if self.node is not None:
-            self.node.now = max(self.node.now, self.now())
+            self.node.advance_clock(self.now())
         return self._led and self.node.has_lease()
 
     def controllers(self) -> list[str]:
@@ -494,7 +499,7 @@
     def _voters(self) -> dict:
         """For operators: who leads, and the disks that a majority is counted of."""
         node, now = self.node, self.now()
-        heard = {name: each.heard_us for name, each in node.followers.items()}
+        heard = {name: each.last_contact_us for name, each in node.followers.items()}
         heard[node.identity] = now
         voters = [
             {"Id": name, "At": place, "HeardMs": (now - heard.get(name, 0)) // 1000}
--- a/lapisgrade/lab/explore/cluster.py
+++ b/lapisgrade/lab/explore/cluster.py
@@ -44,7 +44,7 @@
         records = [RECORD.decode(each) for each in self.disk.get(name, [])]
         seed = Random(self.random.random())
         if records:
-            controller = Node.recovered(records, address, seed, self.now)
+            controller = Node.recover(records, address, seed, self.now)
         else:
             controller = Node(identity or name, address, seed, self.now, voters)
             self.disk[name] = [msgspec.msgpack.encode(controller.snapshot_record())]
@@ -80,13 +80,13 @@
             done = max(self.written.get(name, 0) + 1, self.now + self.random.randrange(500, 6000))
             self.written[name] = done
             self.at(done - self.now, "wrote", name, self.lives[name], write)
-        self.taken[name] += [each.data for each in out.commits if each.data]
-        if controller.leads:
+        self.taken[name] += [each.data for each in out.committed if each.data]
+        if controller.is_leader:
             if controller.term not in self.leaders:
                 self.say(f"{name} leads term {controller.term}")
             if self.leaders.setdefault(controller.term, name) != name:
                 self.break_("two leaders in one term")
-            for each in out.commits:
+            for each in out.committed:
                 if each.data:
                     self.acked[each.data] = (name, controller.term)
         for to, message in out.sends:
@@ -105,7 +105,7 @@
                 continue
             if kind == "due":
                 controller.tick(self.now)
-                self.at(min(20_000, max(1000, controller.wakes_us - self.now)), "due", name, rest[0])
+                self.at(min(20_000, max(1000, controller.next_tick_us - self.now)), "due", name, rest[0])
             elif kind == "heard":
                 controller.receive(self.now, rest[0])
             elif kind == "join":
@@ -117,11 +117,11 @@
                 write = rest[1]
                 if any(isinstance(each, SnapshotRecord) for each in write.records):
                     self.disk[name] = [msgspec.msgpack.encode(controller.snapshot_record())]
-                    controller.written(self.now, controller.log.last, controller.log.last_term)
+                    controller.on_write_durable(self.now, controller.log.last_index, controller.log.last_term)
                 else:
                     self.disk[name] += [msgspec.msgpack.encode(each) for each in write.records]
-                    controller.written(self.now, write.last_index, write.last_term)
-                for to, message in write.then:
+                    controller.on_write_durable(self.now, write.last_index, write.last_term)
+                for to, message in write.sends_when_durable:
                     self.send(name, self.place(to), message)
             self.drain(name)
             if controller.needs_compaction:
@@ -133,7 +133,7 @@
             (
                 name
                 for name, controller in self.controllers.items()
-                if controller is not None and controller.leads
+                if controller is not None and controller.is_leader
             ),
             "",
         )
@@ -141,7 +141,7 @@
     def propose(self, data: bytes) -> str:
         name = self.leader()
         if name:
-            self.controllers[name].now = self.now
+            self.controllers[name].advance_clock(self.now)
             self.controllers[name].propose(data)
             self.drain(name)
         return name
--- a/lapisgrade/lab/explore/log.py
+++ b/lapisgrade/lab/explore/log.py
@@ -59,14 +59,18 @@
     if not cluster.leader():
         return cluster.break_("nobody leads after a calm end")
     leader = cluster.controllers[cluster.leader()]
-    held = [each.data for each in leader.log.entries[: leader.commit - leader.log.base] if each.data]
+    held = [
+        each.data
+        for each in leader.log.entries[: leader.commit_index - leader.log.snapshot_index]
+        if each.data
+    ]
     for data, (name, term) in cluster.acked.items():
         if data not in held:
             cluster.break_(f"{data!r} was acknowledged by {name} in term {term} and is gone")
     for name, controller in cluster.controllers.items():
         mine = [
             each.data
-            for each in controller.log.entries[: controller.commit - controller.log.base]
+            for each in controller.log.entries[: controller.commit_index - controller.log.snapshot_index]
             if each.data
         ]
         if mine != held[: len(mine)]:
@@ -84,15 +88,17 @@
 
 def _alone(self: Node) -> None:
     """A leader commits what is on its own disk."""
-    if self.durable > self.commit and self.log.term_at(self.durable) == self.term:
-        self._commit_up_to(self.durable)
+    if self.durable_index > self.commit_index and self.log.term_at(self.durable_index) == self.term:
+        self._commit_up_to(self.durable_index)
         self._send_to_all(heartbeat=True)
 
 
 def _unwritten(self: Node, message: AppendEntries) -> None:
     """A follower acknowledges what is not on its disk yet."""
     if message.term == self.term and message.leader == self.leader:
-        told = AppendEntriesReply(self.term, self.identity, self.address, True, self.agreed, message.sent_us)
+        told = AppendEntriesReply(
+            self.term, self.identity, self.address, True, self.agreed_index, message.sent_us
+        )
         self._send(message.address, told)
 
 
--- a/lapisgrade/lab/simulation/cluster.py
+++ b/lapisgrade/lab/simulation/cluster.py
@@ -87,7 +87,7 @@
         self.invariants.applied(self, entry)
 
     def _carry_out(self, node: Node) -> bool:
-        restored = node.effects.restore is not None
+        restored = node.effects.snapshot is not None
         again = super()._carry_out(node)
         self.invariants.stepped(self, restored)
         return again
@@ -196,13 +196,15 @@
     def leader(self) -> Machine | None:
         """The machine that leads in the newest term."""
         leading = [
-            each for each in self.running() if each.controller.node is not None and each.controller.node.leads
+            each
+            for each in self.running()
+            if each.controller.node is not None and each.controller.node.is_leader
         ]
         return max(leading, key=lambda each: each.controller.node.term, default=None)
 
     def established(self) -> bool:
         leader = self.leader()
-        return leader is not None and leader.controller.node.established
+        return leader is not None and leader.controller.node.has_committed_in_term
 
     def cut(self, names: list[str], one_way: bool = False) -> None:
         """Cut those machines off from the others; `one_way`, so that only they aren't heard."""
--- a/lapisgrade/lab/simulation/courses.py
+++ b/lapisgrade/lab/simulation/courses.py
@@ -175,7 +175,7 @@
     for machine in new:
         machine.start()
     node = leader.controller.node
-    play.loop.run_until(lambda: not node.leads or set(node.followers) > set(node.voters), 1.0, 0.001)
+    play.loop.run_until(lambda: not node.is_leader or set(node.followers) > set(node.voters), 1.0, 0.001)
     _cut_pairs(play, [leader, *new], others)
     play.loop.run_for(2.0 + 2 * play.random.random())
     play.cluster.seeds = seeds
@@ -282,7 +282,7 @@
     leader = play.cluster.leader()
     if leader is None or machine.controller.node is None:
         return False
-    return leader.controller.node.commit - machine.controller.node.commit <= 8
+    return leader.controller.node.commit_index - machine.controller.node.commit_index <= 8
 
 
 def unsynced(seed: int) -> Play:
@@ -312,7 +312,7 @@
     _cut_pairs(play, [leader], play.cluster.running())
     first.disk.slow = 60.0
     play.loop.run_until(
-        lambda: any(each.controller.node.leads for each in rest if each.controller.node.term > term),
+        lambda: any(each.controller.node.is_leader for each in rest if each.controller.node.term > term),
         2.5,
         0.0005,
     )
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -47,13 +47,13 @@
 
     def stepped(self, controller: "SimulatedController", restored: bool) -> None:
         node = controller.node
-        if node.leads:
+        if node.is_leader:
             if (node.term, node.identity) not in self._elected:
                 self._elected.add((node.term, node.identity))
                 self._check_election(controller)
             self._check_commit(controller)
             self._check_voters(controller)
-        if node.established and node.term > self.established_term:
+        if node.has_committed_in_term and node.term > self.established_term:
             self.established_term, self.elections = node.term, self.elections + 1
             self.cluster.say(f"{controller.machine.name} leads term {node.term}")
         if restored:
@@ -64,7 +64,7 @@
         node = controller.node
         if self.leaders.setdefault(node.term, node.identity) != node.identity:
             self.break_(f"two lead term {node.term}: {self.leaders[node.term]} and {node.identity}")
-        self._commits[controller.machine.name] = node.commit
+        self._commits[controller.machine.name] = node.commit_index
         votes = [
             each.name
             for each in self.cluster.machines.values()
@@ -81,24 +81,28 @@
     def _check_commit(self, controller: "SimulatedController") -> None:
         """A leader commits by an entry of its own term, never by copies of an earlier one's (Raft, 5.4.2)."""
         node, before = controller.node, self._commits.get(controller.machine.name, 0)
-        if node.commit > before:
-            self._commits[controller.machine.name] = node.commit
-            if node.log.term_at(node.commit) not in (node.term, -1) and node.commit > node.log.base:
+        if node.commit_index > before:
+            self._commits[controller.machine.name] = node.commit_index
+            if (
+                node.log.term_at(node.commit_index) not in (node.term, -1)
+                and node.commit_index > node.log.snapshot_index
+            ):
                 self.break_(
-                    f"{controller.machine.name} commits entry {node.commit} of an earlier term by its copies"
+                    f"{controller.machine.name} commits entry {node.commit_index} "
+                    f"of an earlier term by its copies"
                 )
 
     def _check_voters(self, controller: "SimulatedController") -> None:
         """One change of voters at a time, which leaves a majority that lives and has what was committed."""
         node, log = controller.node, controller.node.log
-        changes = [each for each in log.entries if each.voters is not None and each.index > node.commit]
+        changes = [each for each in log.entries if each.voters is not None and each.index > node.commit_index]
         if not changes or changes[-1].index in self._changes or changes[-1].index <= node._first_index:
             return
         change = changes[-1]
         self._changes.add(change.index)
         if len(changes) > 1:
             self.break_(f"{controller.machine.name} changes the voters before the change before is committed")
-        commit, term = node.commit, log.term_at(node.commit)
+        commit, term = node.commit_index, log.term_at(node.commit_index)
         ready = [
             each.name
             for each in self.cluster.machines.values()
@@ -160,21 +164,21 @@
         """Whether all that run hold what was committed; an entry may be on its way at any moment."""
         newest = max(self.entries, default=0)
         nodes = [machine.controller.node for machine in self.cluster.running()]
-        return all(node is not None and node.commit >= newest for node in nodes)
+        return all(node is not None and node.commit_index >= newest for node in nodes)
 
     def at_rest(self) -> None:
         """After a calm time: one leads, and all that run hold what was committed."""
         leader = self.cluster.leader()
-        if leader is None or not leader.controller.node.established:
+        if leader is None or not leader.controller.node.has_committed_in_term:
             self.break_("nobody leads after a calm time")
             return
         newest = max(self.entries, default=0)
         for machine in self.cluster.running():
             node = machine.controller.node
-            if node is None or node.commit < newest:
-                have = node.commit if node is not None else 0
+            if node is None or node.commit_index < newest:
+                have = node.commit_index if node is not None else 0
                 self.break_(f"{machine.name} has caught up to {have} of {newest} after a calm time")
             elif machine.controller.state_machine.state.ver != leader.controller.state_machine.state.ver:
                 self.break_(f"{machine.name} has another version than the leader")
-        if leader.controller.node.now < self.cluster.loop.now_us - SECOND:
+        if leader.controller.node.now_us < self.cluster.loop.now_us - SECOND:
             self.break_("the leader stands still")
--- a/lapisgrade/lab/simulation/mutants.py
+++ b/lapisgrade/lab/simulation/mutants.py
@@ -33,7 +33,7 @@
 
 
 def _always_leased(self: Node) -> bool:
-    return self.established
+    return self.has_committed_in_term
 
 
 def _serves_as_led(self: SimulatedController) -> bool:
@@ -50,20 +50,20 @@
     """The lease runs from the answer's arrival, not from what it answers."""
     _on_append_reply(self, reply)
     if reply.follower in self.followers:
-        self.followers[reply.follower].acked_us = self.now
+        self.followers[reply.follower].acked_us = self.now_us
 
 
 def _hears_nobody(self: Node) -> bool:
     return False
 
 
-_recovered = Node.recovered.__func__
+_recovered = Node.recover.__func__
 
 
 def _not_quiet(cls: type, *args: Any) -> Node:
     """A node that starts again forgets that a lease may rest on its earlier life."""
     node = _recovered(cls, *args)
-    node._quiet_until = 0
+    node._lease_guard_until_us = 0
     return node
 
 
@@ -145,10 +145,10 @@
 
 def _counts_all(self: Node) -> None:
     """Learners count towards a majority."""
-    have = [self.durable, *(each.match for each in self.followers.values())]
+    have = [self.durable_index, *(each.match_index for each in self.followers.values())]
     have.sort(reverse=True)
     index = have[len(self.voters) // 2] if self.voters else 0
-    if index > self.commit and self.log.term_at(index) == self.term:
+    if index > self.commit_index and self.log.term_at(index) == self.term:
         self._commit_up_to(index)
         self._send_to_all(heartbeat=True)
 
@@ -176,9 +176,9 @@
 
 def _forgets_voters(self: ReplicatedLog, index: int, state: bytes) -> None:
     """A snapshot without the changes of voters in it."""
-    voters = self.base_voters
+    voters = self.snapshot_voters
     _compact(self, index, state)
-    self.base_voters = voters
+    self.snapshot_voters = voters
 
 
 _compact = ReplicatedLog.compact
@@ -208,19 +208,21 @@
 def _durable_as_read(cls: type, *args: Any) -> Node:
     """What a start reads counts as synced."""
     node = _recovered(cls, *args)
-    node.durable = node.log.last
+    node.durable_index = node.log.last_index
     return node
 
 
 def _acknowledges_unsynced(self: Node, message: AppendEntries) -> None:
     if message.term == self.term and message.leader == self.leader:
-        reply = AppendEntriesReply(self.term, self.identity, self.address, True, self.agreed, message.sent_us)
+        reply = AppendEntriesReply(
+            self.term, self.identity, self.address, True, self.agreed_index, message.sent_us
+        )
         self._send(message.address, reply)
 
 
 def _sends_before_sync(self: LogWriter, write: DurableWrite) -> None:
     """What should wait for the disk is said at once."""
-    then, write.then = write.then, []
+    then, write.sends_when_durable = write.sends_when_durable, []
     self._node.effects.sends += then
     _put(self, write)
 
@@ -230,10 +232,13 @@
 
 def _commits_any_term(self: Node) -> None:
     """An entry of an earlier term is committed by counting its copies."""
-    have = [self.followers[name].match if name in self.followers else self.durable for name in self.voters]
+    have = [
+        self.followers[name].match_index if name in self.followers else self.durable_index
+        for name in self.voters
+    ]
     have.sort(reverse=True)
     index = have[len(have) // 2] if have else 0
-    if index > self.commit:
+    if index > self.commit_index:
         self._commit_up_to(index)
         self._send_to_all(heartbeat=True)
 
@@ -265,7 +270,7 @@
     "serves-without-lease": (SimulatedController, "_leads", _serves_as_led),
     "lease-from-receipt": (Node, "_on_append_reply", _lease_from_receipt),
     "votes-against-a-lease": (Node, "_hears_leader", _hears_nobody),
-    "restart-forgets-lease": (Node, "recovered", classmethod(_not_quiet)),
+    "restart-forgets-lease": (Node, "recover", classmethod(_not_quiet)),
 }
 ORDERS: Defects = {
     "digests-lost-in-snapshot": (StateMachine, "load", _not_remembered),
@@ -289,7 +294,7 @@
     "change-without-majority": (replication, "next_voters", _any_change),
 }
 LOG: Defects = {
-    "durable-as-read": (Node, "recovered", classmethod(_durable_as_read)),
+    "durable-as-read": (Node, "recover", classmethod(_durable_as_read)),
     "acknowledged-before-sync": (Node, "_acknowledge", _acknowledges_unsynced),
     "any-log-may-lead": (Node, "_log_is_current", _any_log),
     "conflict-kept": (ReplicatedLog, "truncate", _never_truncates),
--- a/lapisgrade/lab/simulation/plays.py
+++ b/lapisgrade/lab/simulation/plays.py
@@ -298,15 +298,15 @@
 
 
 @contextmanager
-def limits(most_log: int, piece: int, most_sent: int = replication.MOST_SENT) -> Iterator[None]:
+def limits(most_log: int, piece: int, most_sent: int = replication.MAX_APPEND_BYTES) -> Iterator[None]:
     """Have snapshots come after so many entries and travel in pieces of so many bytes, and messages hold so
     many bytes of entries."""
-    before = node.MOST_LOG, snapshots.PIECE, replication.MOST_SENT
-    node.MOST_LOG, snapshots.PIECE, replication.MOST_SENT = most_log, piece, most_sent
+    before = node.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES
+    node.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES = most_log, piece, most_sent
     try:
         yield
     finally:
-        node.MOST_LOG, snapshots.PIECE, replication.MOST_SENT = before
+        node.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES = before
 
 
 def drawn(seed: int) -> Play:
--- a/tests/gateway/test_consensus.py
+++ b/tests/gateway/test_consensus.py
@@ -7,7 +7,13 @@
 from lapisgrade.lab.explore.defects import switched
 from lapisgrade.lab.simulation.mutants import BY_RULE
 from lapisgrade.gateway.consensus import membership
-from lapisgrade.gateway.consensus.membership import SILENT, TAKEN_OVER, Group, Peer, next_voters
+from lapisgrade.gateway.consensus.membership import (
+    UNRESPONSIVE_AFTER_US,
+    DISPLACED_AFTER_US,
+    Group,
+    Peer,
+    next_voters,
+)
 from lapisgrade.gateway.consensus.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -21,8 +27,8 @@
 )
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import Effects, EntriesRecord, HardState, SnapshotRecord
-from lapisgrade.gateway.consensus.snapshots import PIECE, Assembly, Snapshot, Transfer
-from lapisgrade.gateway.consensus.state import ELECTION, LEASE, QUIET, Role
+from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, Assembly, Snapshot, Transfer
+from lapisgrade.gateway.consensus.state import ELECTION_TIMEOUT_US, LEASE_US, RESTART_GUARD_US, Role
 
 VOTERS = {name: f"10.0.0.{i}:1" for i, name in enumerate("abc", 1)}
 NOW = 10_000_000
@@ -43,9 +49,11 @@
     while one.effects.writes:
         effects = taken(one)
         for write in effects.writes:
-            one.written(one.now, write.last_index, write.last_term)
-            for address, message in write.then:
-                one.receive(one.now, message) if address == one.address else said.append((address, message))
+            one.on_write_durable(one.now_us, write.last_index, write.last_term)
+            for address, message in write.sends_when_durable:
+                one.receive(one.now_us, message) if address == one.address else said.append(
+                    (address, message)
+                )
         said += effects.sends
     return said + taken(one).sends
 
@@ -54,20 +62,20 @@
     """`a`, elected by `b`, whose own first entry is not committed yet."""
     one = node()
     one.term = term - 1
-    one.tick(one.wakes_us)
+    one.tick(one.next_tick_us)
     ask = taken(one).sends[0][1]
-    one.receive(one.now, RequestVoteReply(term, "b", True, True, False, False, ask.round))
+    one.receive(one.now_us, RequestVoteReply(term, "b", True, True, False, False, ask.round))
     sync(one)
-    one.receive(one.now, RequestVoteReply(term, "b", True, False))
+    one.receive(one.now_us, RequestVoteReply(term, "b", True, False))
     sync(one)
-    assert one.leads and not one.established
+    assert one.is_leader and not one.has_committed_in_term
     return one
 
 
 def reply(one: Node, name: str, match: int, success: bool = True, sent_us: int | None = None) -> None:
-    sent = one.now if sent_us is None else sent_us
+    sent = one.now_us if sent_us is None else sent_us
     address = VOTERS.get(name, f"10.0.1.{ord(name) % 250}:1")
-    one.receive(one.now, AppendEntriesReply(one.term, name, address, success, match, sent))
+    one.receive(one.now_us, AppendEntriesReply(one.term, name, address, success, match, sent))
 
 
 def append(term: int, previous: tuple[int, int], entries: list[Entry], commit: int = 0) -> AppendEntries:
@@ -113,7 +121,7 @@
         one = node()
         one.receive(NOW, append(3, (0, 0), []))
         taken(one)
-        for at, granted in ((ELECTION - 1, False), (ELECTION + 1, True)):
+        for at, granted in ((ELECTION_TIMEOUT_US - 1, False), (ELECTION_TIMEOUT_US + 1, True)):
             one.receive(NOW + at, self.ask())
             self.assertEqual((sync(one)[-1][1].granted, one.term), (granted, 5 if granted else 3))
 
@@ -127,25 +135,25 @@
 
     def test_a_candidate_counts_no_vote_of_a_disk_that_it_does_not_know(self) -> None:
         one = node()
-        one.tick(one.wakes_us)
+        one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
         one.receive(NOW, RequestVoteReply(1, "emptied", True, True, False, True, asked.round))
         self.assertIs(one.role, Role.PRE_CANDIDATE)
 
     def test_one_that_was_started_anew_may_hold_up_a_lease(self) -> None:
         first = SnapshotRecord("a", 4, "", 0, 0, VOTERS, b"", [])
-        one = Node.recovered([first], VOTERS["a"], Random(1), NOW + 100_000, NOW)
-        one.receive(NOW + QUIET - 1, self.ask())
+        one = Node.recover([first], VOTERS["a"], Random(1), NOW + 100_000, NOW)
+        one.receive(NOW + RESTART_GUARD_US - 1, self.ask())
         self.assertFalse(sync(one)[-1][1].granted)
-        one.receive(NOW + QUIET - 1, self.ask(pre_vote=True))
+        one.receive(NOW + RESTART_GUARD_US - 1, self.ask(pre_vote=True))
         self.assertTrue(sync(one)[-1][1].unanimous_only)
-        one.receive(NOW + QUIET, self.ask())
+        one.receive(NOW + RESTART_GUARD_US, self.ask())
         self.assertTrue(sync(one)[-1][1].granted)
-        self.assertGreater(QUIET, LEASE)
+        self.assertGreater(RESTART_GUARD_US, LEASE_US)
 
     def test_a_vote_that_was_read_and_not_synced_is_written_anew_before_it_is_said_again(self) -> None:
         records = [SnapshotRecord("a", 4, "", 0, 0, VOTERS, b"", []), HardState(5, "b")]
-        one = Node.recovered(records, VOTERS["a"], Random(1), NOW, NOW - QUIET)
+        one = Node.recover(records, VOTERS["a"], Random(1), NOW, NOW - RESTART_GUARD_US)
         taken(one)
         one.receive(NOW, self.ask())
         self.assertEqual(one.effects.sends, [])
@@ -156,16 +164,16 @@
 
     def late_pre_vote(self) -> None:
         one = node()
-        one.tick(one.wakes_us)
+        one.tick(one.next_tick_us)
         old = taken(one).sends[0][1]
-        one.receive(one.now, append(0, (0, 0), []))
+        one.receive(one.now_us, append(0, (0, 0), []))
         taken(one)
-        one.tick(one.wakes_us)
+        one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
         self.assertNotEqual(old.round, asked.round)
-        one.receive(one.now, RequestVoteReply(1, "b", True, True, False, True, old.round))
+        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, old.round))
         self.assertIs(one.role, Role.PRE_CANDIDATE)
-        one.receive(one.now, RequestVoteReply(1, "b", True, True, False, True, asked.round))
+        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, asked.round))
         self.assertIs(one.role, Role.CANDIDATE)
 
     def test_a_leader_and_a_candidate_never_say_that_no_lease_is_held(self) -> None:
@@ -173,16 +181,16 @@
 
     def pre_vote_of_leader(self) -> None:
         one = leader()
-        one.now += ELECTION * 2
-        one.receive(one.now, self.ask(term=3, pre_vote=True, last_index=9, last_term=9))
+        one.now_us += ELECTION_TIMEOUT_US * 2
+        one.receive(one.now_us, self.ask(term=3, pre_vote=True, last_index=9, last_term=9))
         self.assertFalse(sync(one)[-1][1].granted)
         other = node()
-        other.tick(other.wakes_us)
+        other.tick(other.next_tick_us)
         asked = taken(other).sends[0][1]
-        other.receive(other.now, RequestVoteReply(1, "b", True, True, False, False, asked.round))
+        other.receive(other.now_us, RequestVoteReply(1, "b", True, True, False, False, asked.round))
         self.assertIs(other.role, Role.CANDIDATE)
         taken(other)
-        other.receive(other.now, self.ask(term=3, pre_vote=True))
+        other.receive(other.now_us, self.ask(term=3, pre_vote=True))
         answer = taken(other).sends[-1][1]
         self.assertEqual((answer.granted, answer.idle), (True, False))
 
@@ -209,42 +217,42 @@
         one = node()
         one.log.append([Entry(1, 1, b"x")])
         one.term = 1
-        one.tick(one.wakes_us)
+        one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
-        one.receive(one.now, RequestVoteReply(2, "b", True, True, False, False, asked.round))
+        one.receive(one.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.round))
         sync(one)
-        one.receive(one.now, RequestVoteReply(2, "b", True, False))
+        one.receive(one.now_us, RequestVoteReply(2, "b", True, False))
         sync(one)
         reply(one, "b", 1)
-        self.assertEqual((one.commit, one.established), (0, False))
+        self.assertEqual((one.commit_index, one.has_committed_in_term), (0, False))
         reply(one, "b", 2)
-        self.assertEqual((one.commit, one.established), (2, True))
+        self.assertEqual((one.commit_index, one.has_committed_in_term), (2, True))
 
     def test_its_own_disk_counts_once_it_has_the_entry(self) -> None:
         one = leader()
-        reply(one, "b", one.log.last)
+        reply(one, "b", one.log.last_index)
         one.propose(b"x")
-        reply(one, "b", one.log.last)
-        self.assertLess(one.commit, one.log.last)
+        reply(one, "b", one.log.last_index)
+        self.assertLess(one.commit_index, one.log.last_index)
         sync(one)
-        self.assertEqual(one.commit, one.log.last)
+        self.assertEqual(one.commit_index, one.log.last_index)
 
     def test_its_lease_runs_from_when_it_asked(self) -> None:
         one = leader()
-        sent = one.now
-        one.now += 200_000
-        reply(one, "b", one.log.last, sent_us=sent)
+        sent = one.now_us
+        one.now_us += 200_000
+        reply(one, "b", one.log.last_index, sent_us=sent)
         self.assertTrue(one.has_lease())
-        one.now = sent + LEASE + 1
+        one.now_us = sent + LEASE_US + 1
         self.assertFalse(one.has_lease())
 
     def test_a_learner_holds_up_neither_lease_nor_commit(self) -> None:
         one = leader()
-        one.receive(one.now, JoinRequest("z", "10.0.0.9:1"))
-        reply(one, "z", one.log.last)
-        self.assertEqual(one.commit, 0)
-        one.now += LEASE + 1
-        reply(one, "z", one.log.last)
+        one.receive(one.now_us, JoinRequest("z", "10.0.0.9:1"))
+        reply(one, "z", one.log.last_index)
+        self.assertEqual(one.commit_index, 0)
+        one.now_us += LEASE_US + 1
+        reply(one, "z", one.log.last_index)
         self.assertFalse(one.has_lease())
 
     def test_no_change_of_voters_before_an_entry_of_its_own_is_committed(self) -> None:
@@ -252,20 +260,20 @@
 
     def change_before_own_entry(self) -> None:
         one = leader()
-        one.receive(one.now, JoinRequest("z", "10.0.0.9:1"))
-        reply(one, "z", one.log.last)
-        one.tick(one.wakes_us)
+        one.receive(one.now_us, JoinRequest("z", "10.0.0.9:1"))
+        reply(one, "z", one.log.last_index)
+        one.tick(one.next_tick_us)
         self.assertEqual(one.voters, VOTERS)
-        reply(one, "b", one.log.last)
-        one.tick(one.wakes_us)
+        reply(one, "b", one.log.last_index)
+        one.tick(one.next_tick_us)
         self.assertIn("z", one.voters)
 
     def test_it_ends_when_a_majority_is_not_heard(self) -> None:
         one = leader()
-        reply(one, "b", one.log.last)
+        reply(one, "b", one.log.last_index)
         for _ in range(6):
-            one.tick(one.wakes_us)
-        self.assertFalse(one.leads)
+            one.tick(one.next_tick_us)
+        self.assertFalse(one.is_leader)
 
     def test_wrong_versions_of_these_rules_are_found(self) -> None:
         votes = Votes()
@@ -282,22 +290,22 @@
     def test_a_start_counts_nothing_as_on_disk_before_it_has_written_it_anew(self) -> None:
         first = SnapshotRecord("a", 3, "b", 0, 0, VOTERS, b"", [Entry(1, 3)])
         records = [first, EntriesRecord([Entry(2, 3, b"x")], 1)]
-        one = Node.recovered(records, VOTERS["a"], Random(1), NOW)
-        self.assertEqual((one.log.last, one.durable, one.commit), (2, 0, 1))
-        self.assertEqual([each.index for each in taken(one).commits], [1])
+        one = Node.recover(records, VOTERS["a"], Random(1), NOW)
+        self.assertEqual((one.log.last_index, one.durable_index, one.commit_index), (2, 0, 1))
+        self.assertEqual([each.index for each in taken(one).committed], [1])
         one.receive(NOW, append(3, (2, 3), []))
         self.assertEqual(taken(one).sends[-1][1].match, 0)
-        one.written(NOW, 2, 3)
+        one.on_write_durable(NOW, 2, 3)
         self.assertEqual(taken(one).sends[-1][1].match, 2)
 
     def test_entries_of_another_leader_go_with_all_after_them(self) -> None:
         one = node()
         one.receive(NOW, append(3, (0, 0), [Entry(1, 3), Entry(2, 3, b"old"), Entry(3, 3)]))
         sync(one)
-        self.assertEqual(one.durable, 3)
+        self.assertEqual(one.durable_index, 3)
         one.receive(NOW, append(4, (1, 3), [Entry(2, 4, b"new")]))
         self.assertEqual([(each.index, each.term) for each in one.log.entries], [(1, 3), (2, 4)])
-        self.assertEqual(one.durable, 1)
+        self.assertEqual(one.durable_index, 1)
 
     def test_an_earlier_message_that_comes_again_takes_nothing_away(self) -> None:
         one = node()
@@ -305,26 +313,26 @@
         one.receive(NOW, first)
         one.receive(NOW, append(3, (1, 3), [Entry(2, 3)], 2))
         one.receive(NOW, first)
-        self.assertEqual((one.log.last, one.commit), (2, 2))
+        self.assertEqual((one.log.last_index, one.commit_index), (2, 2))
 
     def test_it_refuses_what_does_not_join_its_log_and_what_is_no_leader_s_message(self) -> None:
         one = node()
         one.receive(NOW, append(3, (4, 3), [Entry(5, 3)]))
         self.assertFalse(taken(one).sends[-1][1].success)
         one.receive(NOW, append(3, (0, 0), [Entry(1, 3), Entry(7, 3)]))
-        self.assertEqual(one.log.last, 0)
+        self.assertEqual(one.log.last_index, 0)
 
     def test_a_learner_that_hears_nobody_looks_for_the_leader_anew(self) -> None:
         one = node("z", {})
         one.receive(NOW, AppendEntries(3, "b", VOTERS["b"], "z", 0, 0, 0, 1))
         self.assertEqual(one.leader, "b")
-        one.tick(one.wakes_us)
+        one.tick(one.next_tick_us)
         self.assertEqual((one.leader, one.leader_address), ("", ""))
 
 
 class Snapshots(unittest.TestCase):
     def transferred(self, lose=lambda turn: False, again=lambda turn: False) -> tuple[bytes, int]:
-        state = bytes(range(256)) * (3 * PIECE // 256) + b"end"
+        state = bytes(range(256)) * (3 * CHUNK_BYTES // 256) + b"end"
         transfer = Transfer(Snapshot(9, 2, VOTERS, state))
         assembly, turns = Assembly(), 0
         while True:
@@ -350,41 +358,44 @@
 
     def test_one_piece_is_under_way_at_a_time_and_the_snapshot_stays_the_same(self) -> None:
         one = leader()
-        reply(one, "b", one.log.last)
-        one.compact(b"s" * (2 * PIECE + 5))
+        reply(one, "b", one.log.last_index)
+        one.compact(b"s" * (2 * CHUNK_BYTES + 5))
         sync(one)
         reply(one, "c", 0, success=False)
         pieces = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
-        one.tick(one.wakes_us)
+        one.tick(one.next_tick_us)
         pieces += [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
         self.assertEqual([each.offset for each in pieces], [0])
         one.propose(b"x")
         sync(one)
-        reply(one, "b", one.log.last)
+        reply(one, "b", one.log.last_index)
         one.compact(b"t")  # the reader goes on with what it began
         taken(one)
         one.receive(
-            one.now, InstallSnapshotReply(one.term, "c", VOTERS["c"], pieces[0].index, PIECE, one.now)
+            one.now_us,
+            InstallSnapshotReply(one.term, "c", VOTERS["c"], pieces[0].index, CHUNK_BYTES, one.now_us),
         )
         (piece,) = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
-        self.assertEqual((piece.index, piece.offset, piece.data), (pieces[0].index, PIECE, b"s" * PIECE))
+        self.assertEqual(
+            (piece.index, piece.offset, piece.data), (pieces[0].index, CHUNK_BYTES, b"s" * CHUNK_BYTES)
+        )
 
     def test_the_log_keeps_more_while_a_snapshot_is_under_way(self) -> None:
         one = leader()
-        reply(one, "b", one.log.last)
+        reply(one, "b", one.log.last_index)
         one.compact(b"s")
         reply(one, "c", 0, success=False)
         self.assertTrue(one.transferring)
 
     def test_a_snapshot_keeps_the_voters(self) -> None:
         one = leader()
-        reply(one, "b", one.log.last)
-        one.receive(one.now, JoinRequest("z", "10.0.0.9:1"))
-        reply(one, "z", one.log.last)
-        one.tick(one.wakes_us)
+        reply(one, "b", one.log.last_index)
+        one.receive(one.now_us, JoinRequest("z", "10.0.0.9:1"))
+        reply(one, "z", one.log.last_index)
+        one.tick(one.next_tick_us)
         sync(one)
         for name in "bz":
-            reply(one, name, one.log.last)
+            reply(one, name, one.log.last_index)
         self.assertIn("z", one.voters)
         one.compact(b"s")
         self.assertIn("z", one.voters)
@@ -404,7 +415,7 @@
         states = {
             "well": (7, NOW),
             "behind": (3, NOW),
-            "silent": (7, NOW - SILENT - 1),
+            "silent": (7, NOW - UNRESPONSIVE_AFTER_US - 1),
         }
         made = 0
         for size, newcomers in product((1, 2, 3, 4, 5, 6), (0, 1, 2)):
@@ -436,17 +447,17 @@
 
     def test_an_emptied_disk_at_a_voter_s_address_takes_the_voter_s_place(self) -> None:
         group = self.group(3, z=Peer("10.0.0.2:1", 0, NOW))
-        group.peers["b"].heard_us = NOW - TAKEN_OVER - 1
+        group.peers["b"].last_contact_us = NOW - DISPLACED_AFTER_US - 1
         self.assertEqual(set(next_voters(group)), {"a", "c"})
 
     def test_a_late_message_of_an_earlier_disk_displaces_nobody(self) -> None:
         group = self.group(3, z=Peer("10.0.0.2:1", 0, NOW))
-        group.peers["b"].heard_us = NOW - TAKEN_OVER // 2  # it speaks every heartbeat
+        group.peers["b"].last_contact_us = NOW - DISPLACED_AFTER_US // 2  # it speaks every heartbeat
         self.assertIsNone(next_voters(group))
 
     def test_a_silent_voter_is_replaced_only_where_another_offers_itself(self) -> None:
         group = self.group(3)
-        group.peers["b"].heard_us = NOW - SILENT - 1
+        group.peers["b"].last_contact_us = NOW - UNRESPONSIVE_AFTER_US - 1
         self.assertIsNone(next_voters(group))
         group.peers["z"] = Peer("10.0.0.9:1", 7, NOW)
         self.assertEqual(set(next_voters(group)), {"a", "c"})
@@ -465,8 +476,8 @@
 
     def test_the_rule_is_what_refuses(self) -> None:
         group = self.group(3, z=Peer("10.0.0.9:1", 7, NOW))
-        group.peers["b"].heard_us = NOW - SILENT - 1
-        group.peers["c"].match = 3
+        group.peers["b"].last_contact_us = NOW - UNRESPONSIVE_AFTER_US - 1
+        group.peers["c"].match_index = 3
         self.assertIsNone(next_voters(group))
         self.assertEqual(set(membership._wanted(group)), {"a", "c"})
 
--- a/tests/gateway/test_controller.py
+++ b/tests/gateway/test_controller.py
@@ -52,7 +52,7 @@
             leased = [
                 each
                 for each, controller in cluster.controllers.items()
-                if controller.leads and controller.has_lease()
+                if controller.is_leader and controller.has_lease()
             ]
             self.assertLessEqual(len(leased), 1)
 
@@ -93,7 +93,7 @@
         old = cluster.leader()
         cluster.controllers[old].step_down()
         cluster.drain(old)
-        self.assertFalse(cluster.controllers[old].leads)
+        self.assertFalse(cluster.controllers[old].is_leader)
         cluster.run(0.06)
         self.assertNotIn(cluster.leader(), ("", old))
         cluster.propose(b"y")
@@ -108,11 +108,11 @@
         cluster.run(0.6)
         self.assertFalse(cluster.controllers[old].has_lease())
         cluster.run(1.5)
-        self.assertFalse(cluster.controllers[old].leads)
+        self.assertFalse(cluster.controllers[old].is_leader)
         self.assertNotIn(cluster.leader(), ("", old))
 
     def test_a_snapshot_reaches_a_controller_that_lacks_the_entries(self):
-        with mock.patch.object(node, "MOST_LOG", 8):
+        with mock.patch.object(node, "MAX_LOG_ENTRIES", 8):
             cluster = Cluster(4)
             cluster.run(2)
             away = next(name for name in "abc" if name != cluster.leader())
@@ -120,10 +120,12 @@
             for number in range(30):
                 cluster.propose(b"%d" % number)
                 cluster.run(0.02)
-            self.assertGreater(cluster.controllers[cluster.leader()].log.base, 8)
+            self.assertGreater(cluster.controllers[cluster.leader()].log.snapshot_index, 8)
             cluster.start(away)
             cluster.run(3)
-            self.assertEqual(cluster.controllers[away].commit, cluster.controllers[cluster.leader()].commit)
+            self.assertEqual(
+                cluster.controllers[away].commit_index, cluster.controllers[cluster.leader()].commit_index
+            )
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -140,13 +140,13 @@
 
     async def test_a_drain_acknowledged_outlives_the_controller_that_acknowledged_it(self):
         site = await self.served(2)
-        leader = next(each for each in site.controllers.values() if each.node.leads)
+        leader = next(each for each in site.controllers.values() if each.node.is_leader)
         server = site.servers["i-1"]
         server.state = "drain"
         self.assertEqual(await server.beat([(leader.settings.ip, 8407)]), 200)
         await site.kill(leader)
-        await site.until(lambda: any(each.node.leads for each in site.controllers.values()))
-        after = next(each for each in site.controllers.values() if each.node.leads)
+        await site.until(lambda: any(each.node.is_leader for each in site.controllers.values()))
+        after = next(each for each in site.controllers.values() if each.node.is_leader)
         self.assertEqual(after.state_machine.state.left, {"i-1": False})
         await site.until(lambda: all(each.register["i-1"].state == "drain" for each in site.proxies.values()))
         for number in range(6):
