--- /dev/null
+++ b/tests/compatibility/samples.py
@@ -0,0 +1,954 @@
+"""One instance of each encoded type, no field of which is at its default.
+
+This is the only module of these tests that names the fields of the types: a renamed field or class is
+renamed here, and the bytes in `data/` stay as they are. Each number and text stands once, so that two
+fields that change places are seen.
+"""
+
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from lapisgrade.gateway import configuration_delta, registry, rpc, rpc_messages
+from lapisgrade.gateway.consensus import messages, records
+from lapisgrade.gateway.controller import state_machine
+from lapisgrade.gateway.membership import gossip, partial_view
+from lapisgrade.gateway.merge import fields as merge_fields
+from lapisgrade.gateway.merge import three_way
+from lapisgrade.gateway.storage import log_store
+from lapisgrade.members import core, host
+
+
+@dataclass(frozen=True)
+class Sample:
+    """An instance, and the type that its bytes are decoded as (a union where they bear a tag)."""
+
+    instance: Any
+    decoded_as: Any
+
+
+RPC_MESSAGES = {
+    "rpc/forward-call": Sample(
+        rpc_messages.ForwardCall(call="text-1", of="text-2", body=b"bytes-3"), rpc_messages.Message
+    ),
+    "rpc/forward-call-reply": Sample(
+        rpc_messages.ForwardCallReply(status=1004, body=b"bytes-5", leader="text-6"), rpc_messages.Message
+    ),
+    "rpc/watch-request": Sample(
+        rpc_messages.WatchRequest(
+            name="text-7",
+            address="text-8",
+            own="text-9",
+            zone="text-10",
+            ver=1011,
+            life="text-12",
+            turn=1013,
+            fence=1014,
+            known=[
+                registry.Server(
+                    id="text-15",
+                    svc="text-16",
+                    address="text-17",
+                    zone="text-18",
+                    slots=1019,
+                    state="text-20",
+                    seq=1021,
+                    warm_us=1022,
+                    turn=1023,
+                ),
+                registry.Server(
+                    id="text-24",
+                    svc="text-25",
+                    address="text-26",
+                    zone="text-27",
+                    slots=1028,
+                    state="text-29",
+                    seq=1030,
+                    warm_us=1031,
+                    turn=1032,
+                ),
+            ],
+            refused=["text-33", "text-34"],
+            held=1035,
+            core=True,
+            whole=True,
+            leaving=True,
+        ),
+        rpc_messages.Message,
+    ),
+    "rpc/watch-reply": Sample(
+        rpc_messages.WatchReply(
+            leads=True,
+            leader="text-40",
+            controllers=["text-41", "text-42"],
+            ver=1043,
+            conf=configuration_delta.EncodedVersion(
+                ver=1044, base=1045, digest=b"bytes-46", data=b"bytes-47"
+            ),
+            life="text-48",
+            turn=1049,
+            settled=True,
+            whole=True,
+            servers=[
+                registry.Server(
+                    id="text-52",
+                    svc="text-53",
+                    address="text-54",
+                    zone="text-55",
+                    slots=1056,
+                    state="text-57",
+                    seq=1058,
+                    warm_us=1059,
+                    turn=1060,
+                ),
+                registry.Server(
+                    id="text-61",
+                    svc="text-62",
+                    address="text-63",
+                    zone="text-64",
+                    slots=1065,
+                    state="text-66",
+                    seq=1067,
+                    warm_us=1068,
+                    turn=1069,
+                ),
+            ],
+            fence=1070,
+            live_proxies={"text-71": ("text-72", "text-73", "text-74")},
+            wants_known=True,
+            staged={
+                1076: configuration_delta.EncodedVersion(
+                    ver=1077, base=1078, digest=b"bytes-79", data=b"bytes-80"
+                )
+            },
+            merged=[1081, 1082],
+            core=["text-83", "text-84"],
+            prior=1085,
+            leaving=["text-86", "text-87"],
+            prior_owners=["text-88", "text-89"],
+            earlier_owners=[("text-90", "text-91"), ("text-92", "text-93")],
+            live_proxies_delta=rpc_messages.ProxyListDelta(
+                base=1094,
+                changed={"text-95": ("text-96", "text-97", "text-98")},
+                left=["text-99", "text-100"],
+            ),
+        ),
+        rpc_messages.Message,
+    ),
+    "rpc/quota-request": Sample(
+        rpc_messages.QuotaRequest(
+            tenant="text-101",
+            units=102.25,
+            by="text-103",
+            fence=1104,
+            rate=105.25,
+            burst=106.25,
+            back=107.25,
+            turn=1108,
+            of=1109,
+        ),
+        rpc_messages.Message,
+    ),
+    "rpc/quota-reply": Sample(
+        rpc_messages.QuotaReply(held=True, total=111.25, limiters=1112, fence=1113), rpc_messages.Message
+    ),
+    "rpc/hand-over-request": Sample(
+        rpc_messages.HandOverRequest(
+            tenant="text-114", by="text-115", fence=1116, rate=117.25, burst=118.25, life="text-119"
+        ),
+        rpc_messages.Message,
+    ),
+    "rpc/hand-over-reply": Sample(
+        rpc_messages.HandOverReply(
+            wait=True, count=rpc_messages.HandedCount(level=121.25, leased=122.25, kept_back_us=1123)
+        ),
+        rpc_messages.Message,
+    ),
+    "rpc/proxy-loads": Sample(
+        rpc_messages.ProxyLoads(by="text-124", out={"text-125": 1126}, ill=["text-127", "text-128"]),
+        rpc_messages.Message,
+    ),
+    "rpc/copy-draft": Sample(
+        rpc_messages.CopyDraft(
+            draft=three_way.Draft(
+                id="text-129",
+                by="text-130",
+                at="text-131",
+                base=1132,
+                ops=[
+                    merge_fields.Op(
+                        path=("text-133", "text-134"),
+                        had=True,
+                        base=["any-136", 136],
+                        has=True,
+                        new=["any-138", 138],
+                    ),
+                    merge_fields.Op(
+                        path=("text-139", "text-140"),
+                        had=True,
+                        base=["any-142", 142],
+                        has=True,
+                        new=["any-144", 144],
+                    ),
+                ],
+            )
+        ),
+        rpc_messages.Message,
+    ),
+    "rpc/copy-draft-reply": Sample(rpc_messages.CopyDraftReply(kept=True), rpc_messages.Message),
+}
+
+CONSENSUS_MESSAGES = {
+    "consensus/request-vote": Sample(
+        messages.RequestVote(
+            term=1146,
+            candidate="text-147",
+            address="text-148",
+            last_index=1149,
+            last_term=1150,
+            pre_vote=True,
+            lease_free=True,
+            round=1153,
+        ),
+        messages.Message,
+    ),
+    "consensus/request-vote-reply": Sample(
+        messages.RequestVoteReply(
+            term=1154,
+            voter="text-155",
+            granted=True,
+            pre_vote=True,
+            unanimous_only=True,
+            idle=True,
+            round=1160,
+        ),
+        messages.Message,
+    ),
+    "consensus/append-entries": Sample(
+        messages.AppendEntries(
+            term=1161,
+            leader="text-162",
+            address="text-163",
+            to="text-164",
+            prev_index=1165,
+            prev_term=1166,
+            commit=1167,
+            sent_us=1168,
+            entries=[
+                messages.Entry(index=1169, term=1170, data=b"bytes-171", voters={"text-172": "text-173"}),
+                messages.Entry(index=1174, term=1175, data=b"bytes-176", voters={"text-177": "text-178"}),
+            ],
+        ),
+        messages.Message,
+    ),
+    "consensus/append-entries-reply": Sample(
+        messages.AppendEntriesReply(
+            term=1179, follower="text-180", address="text-181", success=True, match=1183, sent_us=1184
+        ),
+        messages.Message,
+    ),
+    "consensus/install-snapshot": Sample(
+        messages.InstallSnapshot(
+            term=1185,
+            leader="text-186",
+            address="text-187",
+            to="text-188",
+            index=1189,
+            index_term=1190,
+            voters={"text-191": "text-192"},
+            data=b"bytes-193",
+            sent_us=1194,
+            offset=1195,
+            total=1196,
+        ),
+        messages.Message,
+    ),
+    "consensus/install-snapshot-reply": Sample(
+        messages.InstallSnapshotReply(
+            term=1197, follower="text-198", address="text-199", index=1200, offset=1201, sent_us=1202
+        ),
+        messages.Message,
+    ),
+    "consensus/join-request": Sample(
+        messages.JoinRequest(node="text-203", address="text-204"), messages.Message
+    ),
+    "consensus/leader-hint": Sample(
+        messages.LeaderHint(term=1205, leader="text-206", address="text-207"), messages.Message
+    ),
+    "consensus/leave-request": Sample(messages.LeaveRequest(node="text-208"), messages.Message),
+    "consensus/timeout-now": Sample(messages.TimeoutNow(term=1209, to="text-210"), messages.Message),
+}
+
+DURABLE_RECORDS = {
+    "record/hard-state": Sample(records.HardState(term=1211, voted="text-212"), records.Record),
+    "record/entries-record": Sample(
+        records.EntriesRecord(
+            entries=[
+                messages.Entry(index=1213, term=1214, data=b"bytes-215", voters={"text-216": "text-217"}),
+                messages.Entry(index=1218, term=1219, data=b"bytes-220", voters={"text-221": "text-222"}),
+            ],
+            commit=1223,
+        ),
+        records.Record,
+    ),
+    "record/snapshot-record": Sample(
+        records.SnapshotRecord(
+            identity="text-224",
+            term=1225,
+            voted="text-226",
+            base=1227,
+            base_term=1228,
+            voters={"text-229": "text-230"},
+            state=b"bytes-231",
+            entries=[
+                messages.Entry(index=1232, term=1233, data=b"bytes-234", voters={"text-235": "text-236"}),
+                messages.Entry(index=1237, term=1238, data=b"bytes-239", voters={"text-240": "text-241"}),
+            ],
+            commit=1242,
+        ),
+        records.Record,
+    ),
+}
+
+LOG_ENTRIES = {
+    "entry/change": Sample(state_machine.Change(whole=True, body=b"bytes-244"), state_machine.Item),
+    "entry/new-version": Sample(
+        state_machine.NewVersion(
+            change=b"bytes-245",
+            encoded=configuration_delta.EncodedVersion(
+                ver=1246, base=1247, digest=b"bytes-248", data=b"bytes-249"
+            ),
+        ),
+        state_machine.Item,
+    ),
+    "entry/server-leaving": Sample(
+        state_machine.ServerLeaving(server="text-250", gone=True), state_machine.Item
+    ),
+    "entry/live-proxies": Sample(
+        state_machine.LiveProxies(
+            members={"text-252": ("text-253", "text-254", "text-255")},
+            core=["text-256", "text-257"],
+            leaving=["text-258", "text-259"],
+        ),
+        state_machine.Item,
+    ),
+    "entry/server-snapshot": Sample(
+        state_machine.ServerSnapshot(
+            servers=[
+                registry.Server(
+                    id="text-260",
+                    svc="text-261",
+                    address="text-262",
+                    zone="text-263",
+                    slots=1264,
+                    state="text-265",
+                    seq=1266,
+                    warm_us=1267,
+                    turn=1268,
+                ),
+                registry.Server(
+                    id="text-269",
+                    svc="text-270",
+                    address="text-271",
+                    zone="text-272",
+                    slots=1273,
+                    state="text-274",
+                    seq=1275,
+                    warm_us=1276,
+                    turn=1277,
+                ),
+            ]
+        ),
+        state_machine.Item,
+    ),
+    "entry/activate": Sample(state_machine.Activate(ver=1278), state_machine.Item),
+    "entry/merge-draft": Sample(
+        state_machine.MergeDraft(
+            draft=three_way.Draft(
+                id="text-279",
+                by="text-280",
+                at="text-281",
+                base=1282,
+                ops=[
+                    merge_fields.Op(
+                        path=("text-283", "text-284"),
+                        had=True,
+                        base=["any-286", 286],
+                        has=True,
+                        new=["any-288", 288],
+                    ),
+                    merge_fields.Op(
+                        path=("text-289", "text-290"),
+                        had=True,
+                        base=["any-292", 292],
+                        has=True,
+                        new=["any-294", 294],
+                    ),
+                ],
+            )
+        ),
+        state_machine.Item,
+    ),
+    "entry/close-draft": Sample(state_machine.CloseDraft(id="text-295"), state_machine.Item),
+}
+
+GOSSIP_MESSAGES = {
+    "gossip/shuffle": Sample(
+        partial_view.Shuffle(
+            answer=True,
+            way=partial_view.ControlHint(term=1297, leader="text-298", controllers=["text-299", "text-300"]),
+            news=[
+                partial_view.Neighbour(address="text-301", zone="text-302", age=1303),
+                partial_view.Neighbour(address="text-304", zone="text-305", age=1306),
+            ],
+        ),
+        partial_view.Shuffle,
+    ),
+}
+
+MEMBER_MESSAGES = {
+    "member/ping": Sample(
+        core.Ping(
+            number=1307,
+            name="text-308",
+            news=[
+                core.News(name="text-309", address="text-310", incarnation=1311, state=1312, by="text-313"),
+                core.News(name="text-314", address="text-315", incarnation=1316, state=1317, by="text-318"),
+            ],
+        ),
+        core.Message,
+    ),
+    "member/ask": Sample(
+        core.Ask(
+            number=1319,
+            name="text-320",
+            address="text-321",
+            news=[
+                core.News(name="text-322", address="text-323", incarnation=1324, state=1325, by="text-326"),
+                core.News(name="text-327", address="text-328", incarnation=1329, state=1330, by="text-331"),
+            ],
+        ),
+        core.Message,
+    ),
+    "member/ack": Sample(
+        core.Ack(
+            number=1332,
+            missed=True,
+            news=[
+                core.News(name="text-334", address="text-335", incarnation=1336, state=1337, by="text-338"),
+                core.News(name="text-339", address="text-340", incarnation=1341, state=1342, by="text-343"),
+            ],
+        ),
+        core.Message,
+    ),
+    "member/sync": Sample(
+        core.Sync(
+            answer=True,
+            news=[
+                core.News(name="text-345", address="text-346", incarnation=1347, state=1348, by="text-349"),
+                core.News(name="text-350", address="text-351", incarnation=1352, state=1353, by="text-354"),
+            ],
+        ),
+        core.Message,
+    ),
+}
+
+SAVED_STATES = {
+    "state/state": Sample(
+        state_machine.State(
+            conf=b"bytes-355",
+            ver=1356,
+            taken={1357: b"bytes-358"},
+            left={"text-359": True},
+            live_proxies={"text-361": ("text-362", "text-363", "text-364")},
+            core=["text-365", "text-366"],
+            server_snapshot=[
+                registry.Server(
+                    id="text-367",
+                    svc="text-368",
+                    address="text-369",
+                    zone="text-370",
+                    slots=1371,
+                    state="text-372",
+                    seq=1373,
+                    warm_us=1374,
+                    turn=1375,
+                ),
+                registry.Server(
+                    id="text-376",
+                    svc="text-377",
+                    address="text-378",
+                    zone="text-379",
+                    slots=1380,
+                    state="text-381",
+                    seq=1382,
+                    warm_us=1383,
+                    turn=1384,
+                ),
+            ],
+            fence=1385,
+            acting=b"bytes-386",
+            acting_ver=1387,
+            staged={1388: b"bytes-389"},
+            ground=b"bytes-390",
+            drafts=[
+                three_way.Draft(
+                    id="text-391",
+                    by="text-392",
+                    at="text-393",
+                    base=1394,
+                    ops=[
+                        merge_fields.Op(
+                            path=("text-395", "text-396"),
+                            had=True,
+                            base=["any-398", 398],
+                            has=True,
+                            new=["any-400", 400],
+                        ),
+                        merge_fields.Op(
+                            path=("text-401", "text-402"),
+                            had=True,
+                            base=["any-404", 404],
+                            has=True,
+                            new=["any-406", 406],
+                        ),
+                    ],
+                ),
+                three_way.Draft(
+                    id="text-407",
+                    by="text-408",
+                    at="text-409",
+                    base=1410,
+                    ops=[
+                        merge_fields.Op(
+                            path=("text-411", "text-412"),
+                            had=True,
+                            base=["any-414", 414],
+                            has=True,
+                            new=["any-416", 416],
+                        ),
+                        merge_fields.Op(
+                            path=("text-417", "text-418"),
+                            had=True,
+                            base=["any-420", 420],
+                            has=True,
+                            new=["any-422", 422],
+                        ),
+                    ],
+                ),
+            ],
+            outcomes={
+                "text-423": three_way.Outcome(
+                    stand=[("text-424", "text-425"), ("text-426", "text-427")],
+                    aside=[
+                        three_way.Aside(
+                            path=("text-428", "text-429"),
+                            has=["any-430", 430],
+                            wants=["any-431", 431],
+                            why="text-432",
+                        ),
+                        three_way.Aside(
+                            path=("text-433", "text-434"),
+                            has=["any-435", 435],
+                            wants=["any-436", 436],
+                            why="text-437",
+                        ),
+                    ],
+                    wrong="text-438",
+                )
+            },
+            past={
+                "text-439": (
+                    three_way.Draft(
+                        id="text-440",
+                        by="text-441",
+                        at="text-442",
+                        base=1443,
+                        ops=[
+                            merge_fields.Op(
+                                path=("text-444", "text-445"),
+                                had=True,
+                                base=["any-447", 447],
+                                has=True,
+                                new=["any-449", 449],
+                            ),
+                            merge_fields.Op(
+                                path=("text-450", "text-451"),
+                                had=True,
+                                base=["any-453", 453],
+                                has=True,
+                                new=["any-455", 455],
+                            ),
+                        ],
+                    ),
+                    three_way.Outcome(
+                        stand=[("text-456", "text-457"), ("text-458", "text-459")],
+                        aside=[
+                            three_way.Aside(
+                                path=("text-460", "text-461"),
+                                has=["any-462", 462],
+                                wants=["any-463", 463],
+                                why="text-464",
+                            ),
+                            three_way.Aside(
+                                path=("text-465", "text-466"),
+                                has=["any-467", 467],
+                                wants=["any-468", 468],
+                                why="text-469",
+                            ),
+                        ],
+                        wrong="text-470",
+                    ),
+                )
+            },
+            shut=["text-471", "text-472"],
+            seen=["text-473", "text-474"],
+            merged=[1475, 1476],
+            prior=1477,
+            leaving=["text-478", "text-479"],
+            prior_owners=["text-480", "text-481"],
+            forgotten=1482,
+        ),
+        state_machine.State,
+    ),
+    "state/saved-state": Sample(
+        state_machine.SavedState(
+            state=state_machine.State(
+                conf=b"bytes-483",
+                ver=1484,
+                taken={1485: b"bytes-486"},
+                left={"text-487": True},
+                live_proxies={"text-489": ("text-490", "text-491", "text-492")},
+                core=["text-493", "text-494"],
+                server_snapshot=[
+                    registry.Server(
+                        id="text-495",
+                        svc="text-496",
+                        address="text-497",
+                        zone="text-498",
+                        slots=1499,
+                        state="text-500",
+                        seq=1501,
+                        warm_us=1502,
+                        turn=1503,
+                    ),
+                    registry.Server(
+                        id="text-504",
+                        svc="text-505",
+                        address="text-506",
+                        zone="text-507",
+                        slots=1508,
+                        state="text-509",
+                        seq=1510,
+                        warm_us=1511,
+                        turn=1512,
+                    ),
+                ],
+                fence=1513,
+                acting=b"bytes-514",
+                acting_ver=1515,
+                staged={1516: b"bytes-517"},
+                ground=b"bytes-518",
+                drafts=[
+                    three_way.Draft(
+                        id="text-519",
+                        by="text-520",
+                        at="text-521",
+                        base=1522,
+                        ops=[
+                            merge_fields.Op(
+                                path=("text-523", "text-524"),
+                                had=True,
+                                base=["any-526", 526],
+                                has=True,
+                                new=["any-528", 528],
+                            ),
+                            merge_fields.Op(
+                                path=("text-529", "text-530"),
+                                had=True,
+                                base=["any-532", 532],
+                                has=True,
+                                new=["any-534", 534],
+                            ),
+                        ],
+                    ),
+                    three_way.Draft(
+                        id="text-535",
+                        by="text-536",
+                        at="text-537",
+                        base=1538,
+                        ops=[
+                            merge_fields.Op(
+                                path=("text-539", "text-540"),
+                                had=True,
+                                base=["any-542", 542],
+                                has=True,
+                                new=["any-544", 544],
+                            ),
+                            merge_fields.Op(
+                                path=("text-545", "text-546"),
+                                had=True,
+                                base=["any-548", 548],
+                                has=True,
+                                new=["any-550", 550],
+                            ),
+                        ],
+                    ),
+                ],
+                outcomes={
+                    "text-551": three_way.Outcome(
+                        stand=[("text-552", "text-553"), ("text-554", "text-555")],
+                        aside=[
+                            three_way.Aside(
+                                path=("text-556", "text-557"),
+                                has=["any-558", 558],
+                                wants=["any-559", 559],
+                                why="text-560",
+                            ),
+                            three_way.Aside(
+                                path=("text-561", "text-562"),
+                                has=["any-563", 563],
+                                wants=["any-564", 564],
+                                why="text-565",
+                            ),
+                        ],
+                        wrong="text-566",
+                    )
+                },
+                past={
+                    "text-567": (
+                        three_way.Draft(
+                            id="text-568",
+                            by="text-569",
+                            at="text-570",
+                            base=1571,
+                            ops=[
+                                merge_fields.Op(
+                                    path=("text-572", "text-573"),
+                                    had=True,
+                                    base=["any-575", 575],
+                                    has=True,
+                                    new=["any-577", 577],
+                                ),
+                                merge_fields.Op(
+                                    path=("text-578", "text-579"),
+                                    had=True,
+                                    base=["any-581", 581],
+                                    has=True,
+                                    new=["any-583", 583],
+                                ),
+                            ],
+                        ),
+                        three_way.Outcome(
+                            stand=[("text-584", "text-585"), ("text-586", "text-587")],
+                            aside=[
+                                three_way.Aside(
+                                    path=("text-588", "text-589"),
+                                    has=["any-590", 590],
+                                    wants=["any-591", 591],
+                                    why="text-592",
+                                ),
+                                three_way.Aside(
+                                    path=("text-593", "text-594"),
+                                    has=["any-595", 595],
+                                    wants=["any-596", 596],
+                                    why="text-597",
+                                ),
+                            ],
+                            wrong="text-598",
+                        ),
+                    )
+                },
+                shut=["text-599", "text-600"],
+                seen=["text-601", "text-602"],
+                merged=[1603, 1604],
+                prior=1605,
+                leaving=["text-606", "text-607"],
+                prior_owners=["text-608", "text-609"],
+                forgotten=1610,
+            ),
+            conf=b"bytes-611",
+            acting=configuration_delta.EncodedVersion(
+                ver=1612, base=1613, digest=b"bytes-614", data=b"bytes-615"
+            ),
+            ground=configuration_delta.EncodedVersion(
+                ver=1616, base=1617, digest=b"bytes-618", data=b"bytes-619"
+            ),
+            staged={
+                1620: configuration_delta.EncodedVersion(
+                    ver=1621, base=1622, digest=b"bytes-623", data=b"bytes-624"
+                )
+            },
+        ),
+        state_machine.SavedState,
+    ),
+}
+
+STORED_DRAFTS = {
+    "drafts/kept": Sample(
+        [
+            three_way.Draft(
+                id="text-625",
+                by="text-626",
+                at="text-627",
+                base=1628,
+                ops=[
+                    merge_fields.Op(
+                        path=("text-629", "text-630"),
+                        had=True,
+                        base=["any-632", 632],
+                        has=True,
+                        new=["any-634", 634],
+                    ),
+                    merge_fields.Op(
+                        path=("text-635", "text-636"),
+                        had=True,
+                        base=["any-638", 638],
+                        has=True,
+                        new=["any-640", 640],
+                    ),
+                ],
+            ),
+            three_way.Draft(
+                id="text-641",
+                by="text-642",
+                at="text-643",
+                base=1644,
+                ops=[
+                    merge_fields.Op(
+                        path=("text-645", "text-646"),
+                        had=True,
+                        base=["any-648", 648],
+                        has=True,
+                        new=["any-650", 650],
+                    ),
+                    merge_fields.Op(
+                        path=("text-651", "text-652"),
+                        had=True,
+                        base=["any-654", 654],
+                        has=True,
+                        new=["any-656", 656],
+                    ),
+                ],
+            ),
+        ],
+        list[three_way.Draft],
+    ),
+}
+
+# Instances whose flags differ from one another, so that two flags that change places are seen.
+FLAG_VARIANTS = {
+    "rpc/watch-request/flags-1": Sample(
+        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-request"].instance, whole=False), rpc_messages.Message
+    ),
+    "rpc/watch-request/flags-2": Sample(
+        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-request"].instance, leaving=False),
+        rpc_messages.Message,
+    ),
+    "rpc/watch-reply/flags-1": Sample(
+        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-reply"].instance, settled=False, wants_known=False),
+        rpc_messages.Message,
+    ),
+    "rpc/watch-reply/flags-2": Sample(
+        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-reply"].instance, whole=False, wants_known=False),
+        rpc_messages.Message,
+    ),
+    "consensus/request-vote/flags-1": Sample(
+        msgspec.structs.replace(CONSENSUS_MESSAGES["consensus/request-vote"].instance, lease_free=False),
+        messages.Message,
+    ),
+    "consensus/request-vote-reply/flags-1": Sample(
+        msgspec.structs.replace(
+            CONSENSUS_MESSAGES["consensus/request-vote-reply"].instance, pre_vote=False, idle=False
+        ),
+        messages.Message,
+    ),
+    "consensus/request-vote-reply/flags-2": Sample(
+        msgspec.structs.replace(
+            CONSENSUS_MESSAGES["consensus/request-vote-reply"].instance, unanimous_only=False, idle=False
+        ),
+        messages.Message,
+    ),
+    "drafts/kept/flags-1": Sample(
+        [
+            three_way.Draft(
+                id="text-657",
+                by="text-658",
+                at="text-659",
+                base=1660,
+                ops=[
+                    merge_fields.Op(
+                        path=("text-661", "text-662"),
+                        had=False,
+                        base=["any-664", 664],
+                        has=True,
+                        new=["any-666", 666],
+                    ),
+                    merge_fields.Op(
+                        path=("text-667", "text-668"),
+                        had=False,
+                        base=["any-670", 670],
+                        has=True,
+                        new=["any-672", 672],
+                    ),
+                ],
+            )
+        ],
+        list[three_way.Draft],
+    ),
+}
+
+ALL_SAMPLES: dict[str, Sample] = {
+    **RPC_MESSAGES,
+    **CONSENSUS_MESSAGES,
+    **DURABLE_RECORDS,
+    **LOG_ENTRIES,
+    **GOSSIP_MESSAGES,
+    **MEMBER_MESSAGES,
+    **SAVED_STATES,
+    **STORED_DRAFTS,
+    **FLAG_VARIANTS,
+}
+
+
+def rpc_frame(number: int, message: Any) -> bytes:
+    """A frame as the system's processes send it on a connection."""
+    return rpc.Codec(rpc_messages.Message).frame(number, message)
+
+
+def read_rpc_frames(data: bytes) -> list[tuple[int, Any]]:
+    """The numbers and messages of the frames in these bytes."""
+    return rpc.Codec(rpc_messages.Message).read(bytearray(data))
+
+
+def gossip_frame(name: str, incarnation: int, message: Any) -> bytes:
+    """A datagram as proxies send it to one another."""
+    return gossip.CODEC.encode(name, incarnation, message)
+
+
+def read_gossip_frame(data: bytes) -> tuple[str, int, Any]:
+    """Sender, incarnation and message of a datagram between proxies."""
+    frame = gossip.CODEC.decode(data)
+    return frame.name, frame.incarnation, frame.message
+
+
+def member_frame(name: str, incarnation: int, message: Any) -> bytes:
+    """A datagram as limiters send it to one another."""
+    return host.CODEC.encode(name, incarnation, message)
+
+
+def read_member_frame(data: bytes) -> tuple[str, int, Any]:
+    """Sender, incarnation and message of a datagram between limiters."""
+    frame = host.CODEC.decode(data)
+    return frame.name, frame.incarnation, frame.message
+
+
+def stored_record(order: int, synced_up_to: int, data: bytes) -> bytes:
+    """A record as it stands in a log's data file."""
+    return log_store.packed(order, synced_up_to, data)
+
+
+def read_stored_records(data: bytes) -> tuple[list[bytes], int]:
+    """The records at the start of a data file, and up to which one it says that it was synced."""
+    return log_store.unpacked(data)
--- /dev/null
+++ b/tests/compatibility/test_encoded_messages.py
@@ -0,0 +1,81 @@
+"""Messages between our own processes, durable records and log entries are encoded as they always were.
+
+`data/encoded.json` holds the bytes, in hexadecimal, that revision 761b3d6 made of each sample;
+`data/defaults.json` those that it made of the same bytes without the fields that may be left out.
+"""
+
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from . import samples
+
+DATA = Path(__file__).parent / "data"
+ENCODED: dict[str, str] = json.loads((DATA / "encoded.json").read_text())
+DEFAULTS: dict[str, dict[str, Any]] = json.loads((DATA / "defaults.json").read_text())
+
+
+def test_each_sample_has_its_bytes():
+    assert sorted(ENCODED) == sorted(samples.ALL_SAMPLES)
+
+
+@pytest.mark.parametrize("name", sorted(ENCODED))
+def test_sample_is_encoded_to_the_golden_bytes(name):
+    assert msgspec.msgpack.encode(samples.ALL_SAMPLES[name].instance).hex() == ENCODED[name]
+
+
+@pytest.mark.parametrize("name", sorted(ENCODED))
+def test_golden_bytes_are_decoded_to_the_sample(name):
+    sample = samples.ALL_SAMPLES[name]
+    decoded = msgspec.msgpack.decode(bytes.fromhex(ENCODED[name]), type=sample.decoded_as)
+    assert decoded == sample.instance
+    assert type(decoded) is type(sample.instance)
+    assert msgspec.msgpack.encode(decoded).hex() == ENCODED[name]
+
+
+@pytest.mark.parametrize("name", sorted(DEFAULTS))
+def test_fields_left_out_take_the_same_defaults(name):
+    decoded_as = samples.ALL_SAMPLES[name].decoded_as
+    fields = msgspec.msgpack.decode(bytes.fromhex(ENCODED[name]))
+    required = DEFAULTS[name]["required"]
+    shortest = msgspec.msgpack.decode(msgspec.msgpack.encode(fields[:required]), type=decoded_as)
+    assert msgspec.msgpack.encode(shortest).hex() == DEFAULTS[name]["encoded"]
+    with pytest.raises(msgspec.ValidationError):
+        msgspec.msgpack.decode(msgspec.msgpack.encode(fields[: required - 1]), type=decoded_as)
+
+
+def test_state_saved_without_fields_takes_the_same_defaults():
+    decoded = msgspec.msgpack.decode(b"\x80", type=samples.ALL_SAMPLES["state/state"].decoded_as)
+    expected = json.loads((DATA / "empty_state.json").read_text())
+    assert msgspec.msgpack.encode(decoded).hex() == expected
+
+
+def test_state_is_saved_by_these_field_names():
+    fields = msgspec.msgpack.decode(bytes.fromhex(ENCODED["state/state"]))
+    assert list(fields) == [
+        "conf",
+        "ver",
+        "taken",
+        "left",
+        "cast",
+        "core",
+        "roll",
+        "fence",
+        "acting",
+        "acting_ver",
+        "staged",
+        "ground",
+        "drafts",
+        "outcomes",
+        "past",
+        "shut",
+        "seen",
+        "merged",
+        "prior",
+        "leaving",
+        "prior_owners",
+        "forgotten",
+    ]
