--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -14,7 +14,7 @@
 import click
 
 from lapisgrade.lab.load import client, schedule
-from lapisgrade.standins.site import Plan, Site, sample
+from lapisgrade.fakes.site import Plan, Site, sample
 
 LIVE_S = 1.0  # between live lines
 TOLD_S = 0.1  # how long discovery may take to tell a limiter of a drain, on loopback, on top of the grace
--- a/lapisgrade/cli/main.py
+++ b/lapisgrade/cli/main.py
@@ -25,8 +25,8 @@
 from lapisgrade.cli.gateway import add_commands
 from lapisgrade.cli.lab import lab
 from lapisgrade.lab.load import client, schedule
-from lapisgrade.standins.servers import Knobs
-from lapisgrade.standins.site import Plan, sample
+from lapisgrade.fakes.servers import Knobs
+from lapisgrade.fakes.site import Plan, sample
 
 SHAPE = click.Choice(schedule.SHAPES)
 
@@ -131,9 +131,9 @@
 
     Then `lapisgrade serve deploy/sample.json` (or `make run`) starts a limiter among them.
     """
-    from lapisgrade.standins.counter import Counter
-    from lapisgrade.standins.discovery import Discovery, Row
-    from lapisgrade.standins.servers import Pool
+    from lapisgrade.fakes.counter import Counter
+    from lapisgrade.fakes.discovery import Discovery, Row
+    from lapisgrade.fakes.servers import Pool
 
     told = sample()
 
--- a/lapisgrade/standins/counter/server.py
+++ b/lapisgrade/fakes/counter/server.py
@@ -14,8 +14,8 @@
 
 import hiredis
 
-from lapisgrade.standins.counter.store import Split, Store, Tally, answer, heal, split
-from lapisgrade.standins.listener import Listener
+from lapisgrade.fakes.counter.store import Split, Store, Tally, answer, heal, split
+from lapisgrade.fakes.listener import Listener
 
 MOST_CONNECTIONS = 32  # the protocol's figure: connections held at one address; further ones are reset
 IDLE_S = 10.0  # the protocol's figure: a connection idle for this long is closed
@@ -36,7 +36,7 @@
 
 
 class Counter(Listener):
-    """The stand-in counter on one loopback port. `await open()`, then `manner`, `delay_s`, `restart()`."""
+    """The fake counter on one loopback port. `await open()`, then `manner`, `delay_s`, `restart()`."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0, most_connections: int = MOST_CONNECTIONS):
         super().__init__(host, port)
--- a/lapisgrade/standins/counter/store.py
+++ b/lapisgrade/fakes/counter/store.py
@@ -1,4 +1,4 @@
-"""The counts of the stand-in counter and what a call does to them: pure, the clock handed in.
+"""The counts of the fake counter and what a call does to them: pure, the clock handed in.
 
 A split keeps the counts at the moment of the split as a base, and gives each half a copy of it that takes
 writes of its own; a heal merges the halves so that nothing is counted twice or lost: for each name, the base
--- a/lapisgrade/standins/discovery.py
+++ b/lapisgrade/fakes/discovery.py
@@ -10,8 +10,8 @@
 import json
 from dataclasses import dataclass
 
-from lapisgrade.standins import http
-from lapisgrade.standins.listener import Listener
+from lapisgrade.fakes import http
+from lapisgrade.fakes.listener import Listener
 
 LONGEST_WATCH_MS = 60_000  # a watch waits this long at the most, whatever it asks for
 STATES = ("in_service", "terminating", "terminated")
@@ -43,7 +43,7 @@
 
 
 class Discovery(Listener):
-    """The stand-in discovery agent. `put`, `drain`, `remove` change the list and wake every watch."""
+    """The fake discovery agent. `put`, `drain`, `remove` change the list and wake every watch."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
         super().__init__(host, port)
--- a/lapisgrade/standins/http.py
+++ b/lapisgrade/fakes/http.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 side that the discovery and server stand-ins share: one request at a time on a connection.
+"""The HTTP/1.1 side that the discovery and server fakes share: one request at a time on a connection.
 
 Messages are framed by h11. A peer that sends garbage gets one 400 and the connection ends; one that falls
 silent is let go after `IDLE_S`.
@@ -71,7 +71,7 @@
                 return
             conn.start_next_cycle()
     except asyncio.CancelledError:
-        return  # the stand-in ends; a handler that re-raised would be logged by asyncio's streams as an error
+        return  # the fake ends; a handler that re-raised would be logged by asyncio's streams as an error
     except (OSError, TimeoutError, h11.ProtocolError):
         if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             with contextlib.suppress(h11.ProtocolError):
--- a/lapisgrade/standins/listener.py
+++ b/lapisgrade/fakes/listener.py
@@ -1,4 +1,4 @@
-"""What every stand-in does as a listener on loopback: listen, say where, break its connections, end."""
+"""What every fake does as a listener on loopback: listen, say where, break its connections, end."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
         self._closed = False
 
     async def open(self):
-        """Listen; OSError where the port is taken. Returns the stand-in itself."""
+        """Listen; OSError where the port is taken. Returns the fake itself."""
         self._server = await asyncio.start_server(self._meet, self.host, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
--- a/lapisgrade/standins/servers.py
+++ b/lapisgrade/fakes/servers.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lapisgrade.standins import http
-from lapisgrade.standins.listener import Listener
+from lapisgrade.fakes import http
+from lapisgrade.fakes.listener import Listener
 
 SILENT_LOOK_S = 0.05  # between a silent server's looks whether it is well again
 
@@ -49,7 +49,7 @@
 
 
 class Server(Listener):
-    """One stand-in server. `await open()`, then `drain()`, `kill()`, and `knobs` at any time."""
+    """One fake server. `await open()`, then `drain()`, `kill()`, and `knobs` at any time."""
 
     def __init__(self, name: str, knobs: Knobs, seed: int, host: str = "127.0.0.1", port: int = 0) -> None:
         super().__init__(host, port)
--- a/lapisgrade/standins/site.py
+++ b/lapisgrade/fakes/site.py
@@ -1,7 +1,7 @@
 """A whole small site in one process on loopback: counter, discovery, servers and limiters, each ours.
 
 The limiters are the real ones (`lapisgrade.net.service.Service`), told by the sample configuration with the
-addresses of the stand-ins filled in. Ports are chosen free by the system unless asked for; `Site.where()`
+addresses of the fakes filled in. Ports are chosen free by the system unless asked for; `Site.where()`
 says which were taken.
 """
 
@@ -15,9 +15,9 @@
 from importlib import resources
 from typing import Any
 
-from lapisgrade.standins.counter import Counter
-from lapisgrade.standins.discovery import Discovery, Row
-from lapisgrade.standins.servers import Knobs, Pool
+from lapisgrade.fakes.counter import Counter
+from lapisgrade.fakes.discovery import Discovery, Row
+from lapisgrade.fakes.servers import Knobs, Pool
 
 UP_S = 5.0  # how long a limiter may take to answer `GET /up` before the site gives up starting
 LOOK_S = 0.02  # between looks whether a limiter is up
@@ -25,7 +25,7 @@
 
 def sample() -> dict[str, Any]:
     """The sample configuration shipped with the package (also `deploy/sample.json`)."""
-    return json.loads(resources.files("lapisgrade.standins").joinpath("sample.json").read_text("utf-8"))
+    return json.loads(resources.files("lapisgrade.fakes").joinpath("sample.json").read_text("utf-8"))
 
 
 def _first_own_port() -> int:
--- a/lapisgrade/lab/fleet/faults.py
+++ b/lapisgrade/lab/fleet/faults.py
@@ -9,8 +9,8 @@
 from lapisgrade.lab.fleet import process
 from lapisgrade.lab.fleet.process import Helper
 from lapisgrade.lab.fleet.relay import BACK, THERE, Link, TcpRelay, UdpRelay
-from lapisgrade.standins.counter import Manner
-from lapisgrade.standins.discovery import Row
+from lapisgrade.fakes.counter import Manner
+from lapisgrade.fakes.discovery import Row
 
 from lapisgrade.lab.fleet.limiter import Limiter
 from lapisgrade.lab.fleet.observed import SeenCounter
--- a/lapisgrade/lab/fleet/ground.py
+++ b/lapisgrade/lab/fleet/ground.py
@@ -24,8 +24,8 @@
 from lapisgrade.lab.fleet import process
 from lapisgrade.lab.fleet.process import Helper, Supervisor
 from lapisgrade.lab.fleet.relay import TcpRelay, UdpRelay
-from lapisgrade.standins.discovery import Row
-from lapisgrade.standins.site import free_port
+from lapisgrade.fakes.discovery import Row
+from lapisgrade.fakes.site import free_port
 
 LIMITER = (sys.executable, "-m", "lapisgrade")
 SETTLE_S = 0.7  # after the last limiter is up, before the play begins
--- a/lapisgrade/lab/fleet/limiter.py
+++ b/lapisgrade/lab/fleet/limiter.py
@@ -9,7 +9,7 @@
 from lapisgrade.lab.fleet import history as h
 from lapisgrade.lab.fleet.process import Failed, Process
 from lapisgrade.lab.fleet.relay import TcpRelay, UdpRelay
-from lapisgrade.standins.site import answers_up, free_port
+from lapisgrade.fakes.site import answers_up, free_port
 from typing import TYPE_CHECKING
 
 from lapisgrade.lab.fleet.limiter_settings import settings
--- a/lapisgrade/lab/fleet/observed.py
+++ b/lapisgrade/lab/fleet/observed.py
@@ -3,9 +3,9 @@
 import contextlib
 import json
 from lapisgrade.lab.fleet import history as h
-from lapisgrade.standins import http
-from lapisgrade.standins.counter import Counter
-from lapisgrade.standins.discovery import Discovery
+from lapisgrade.fakes import http
+from lapisgrade.fakes.counter import Counter
+from lapisgrade.fakes.discovery import Discovery
 
 
 class SeenCounter(Counter):
--- a/lapisgrade/lab/fleet/servers.py
+++ b/lapisgrade/lab/fleet/servers.py
@@ -9,7 +9,7 @@
 
 from lapisgrade.lab.fleet import history as h
 from lapisgrade.lab.fleet.process import serve_commands
-from lapisgrade.standins import http, servers
+from lapisgrade.fakes import http, servers
 
 KNOBS = ("capacity", "queue", "median_s", "sigma", "cold_from", "warm_s")
 
--- a/lapisgrade/standins/counter/__init__.py
+++ /dev/null
@@ -1,6 +0,0 @@
-"""The stand-in counter: RESP2 on loopback (`server`), its counts apart from any socket (`store`)."""
-
-from lapisgrade.standins.counter.server import Counter, Manner
-from lapisgrade.standins.counter.store import Count, Split, Store, Tally, answer, heal, split
-
-__all__ = ["Count", "Counter", "Manner", "Split", "Store", "Tally", "answer", "heal", "split"]
--- a/tests/fleet/test_member_processes.py
+++ b/tests/fleet/test_member_processes.py
@@ -15,7 +15,7 @@
 from lapisgrade.members.host import CODEC
 from lapisgrade.peers import frame
 from lapisgrade.peers.udp import A_SECOND
-from lapisgrade.standins.site import free_port
+from lapisgrade.fakes.site import free_port
 
 BUSY = 3.0  # times the stated bound: what a machine busy with other work may add
 
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -69,7 +69,7 @@
     code = (
         "import sys, lapisgrade.__main__, lapisgrade.drill.host\n"
         "print([m for m in sys.modules if m.startswith(('lapisgrade.members', 'lapisgrade.peers', "
-        "'lapisgrade.lab', 'lapisgrade.standins', 'msgspec', 'click'))])"
+        "'lapisgrade.lab', 'lapisgrade.fakes', 'msgspec', 'click'))])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
--- a/tests/test_standins.py
+++ b/tests/test_fakes.py
@@ -11,9 +11,9 @@
 from lapisgrade.cli import demo
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.load import client, schedule
-from lapisgrade.standins import counter, discovery, servers, site
-from lapisgrade.standins.listener import Listener
-from lapisgrade.standins.site import Plan, sample
+from lapisgrade.fakes import counter, discovery, servers, site
+from lapisgrade.fakes.listener import Listener
+from lapisgrade.fakes.site import Plan, sample
 
 SECOND = 1_000_000
 MIX = schedule.mix_of(sample()["settings"])
