--- a/lapisgrade/decide/fleet.py
+++ b/lapisgrade/decide/fleet.py
@@ -25,7 +25,7 @@
 COLD_SHARE = 0.4  # of what a cold server may be sent; the rest is for chance and for what we don't know
 
 
-class Pace:
+class LatencyEstimate:
     """What hops of one category took of late."""
 
     def __init__(self, guess: float) -> None:
@@ -53,7 +53,7 @@
         return self.mean(now) * (0.5 + 0.5 * units / typical) if typical > 0 else self.mean(now)
 
 
-class Hop:
+class Attempt:
     """One sending of an operation to one server."""
 
     __slots__ = ("number", "operation", "out", "sent", "server")
@@ -68,7 +68,7 @@
     def __init__(self, address: str) -> None:
         self.entry: Entry | None = None
         self.address, self.last_sent = address, 0
-        self.out: dict[Hop, None] = {}
+        self.out: dict[Attempt, None] = {}
         self.silent_from = 0  # since when hops are out and none has come back; 0: not so
         self.stretch, self.hops = Decaying(PACE_LIFE), Decaying(PACE_LIFE)
         self.good, self.ill = Decaying(HEALTH_LIFE), Decaying(HEALTH_LIFE)
@@ -101,7 +101,7 @@
     def __init__(self, clock: Clock, random: Random, post: Post, duties: Duties, categories: list) -> None:
         self.clock, self.random, self.post, self.duties = clock, random, post, duties
         self.servers: dict[str, Server] = {}
-        self.paces = {each.name: Pace(FIRST_GUESS * each.quoted_us) for each in categories}
+        self.paces = {each.name: LatencyEstimate(FIRST_GUESS * each.quoted_us) for each in categories}
         self.carried = Decaying(PACE_LIFE)  # us of work that came back well
         self.part: list[Server] = []  # those that this limiter sends to
         self.bound = self.out = self.warm = 0.0  # hops out at all servers, by this limiter; warm servers
@@ -185,7 +185,7 @@
             odds.append(room * (0.05 if server in tried else 1.0))
         return self.random.choices(choices, odds)[0] if choices else None
 
-    def sent(self, hop: Hop) -> None:
+    def sent(self, hop: Attempt) -> None:
         server = hop.server
         server.out[hop], server.last_sent = None, hop.sent
         self.out += 1
@@ -194,7 +194,7 @@
         if server.work is not None:
             server.work.put(hop.sent, server.work.read(hop.sent) - self.expected(hop.operation))
 
-    def landed(self, hop: Hop, report: Report) -> None:
+    def landed(self, hop: Attempt, report: Report) -> None:
         server, now, category = hop.server, self.clock.now_us, hop.operation.category
         took, outcome, hop.out = report.took_us, report.outcome, False
         del server.out[hop]
--- a/lapisgrade/decide/limiter.py
+++ b/lapisgrade/decide/limiter.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from lapisgrade.decide.account import END_MARGIN, Account, Counter
-from lapisgrade.decide.fleet import PACE_LIFE, SHED_FROM, Fleet, Hop, Server
+from lapisgrade.decide.fleet import PACE_LIFE, SHED_FROM, Fleet, Attempt, Server
 from lapisgrade.interface import (
     Answer, Cancel, Category, Clock, Desk, Duties, Group, Leave, Operation, Pause, Post, Repeat, Report,
     Send, Verdict, Word,
@@ -31,7 +31,7 @@
         self.listed, self.held = self.fleet.listed, 0  # held: operations waiting at the door
         self.value, self.valued = Decaying(PACE_LIFE), Decaying(PACE_LIFE)
 
-    def landed(self, hop: Hop, report: Report) -> None:
+    def landed(self, hop: Attempt, report: Report) -> None:
         account = self.account(hop.operation)
         account.open -= 1
         if report.units:  # settled afterwards
@@ -127,7 +127,7 @@
             if server is None and not out:
                 break
             if server is not None:
-                hop = Hop(op, server, len(hops), now)
+                hop = Attempt(op, server, len(hops), now)
                 hops.append(hop)
                 ran.append(hop)
                 account.open += 1
@@ -170,7 +170,7 @@
         else:
             yield Answer(Verdict.GIVE_UP)
 
-    def call_off(self, hops: list[Hop]) -> Generator:
+    def call_off(self, hops: list[Attempt]) -> Generator:
         for hop in hops:
             if hop.out and self.leave.cancel:
                 yield Cancel(hop)
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from lapisgrade.decide.fleet import Hop
+from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.routing import upstream_protocol
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
@@ -66,7 +66,7 @@
 
     idle_connections: IdleConnections
 
-    def send(self, hop: Hop) -> None:
+    def send(self, hop: Attempt) -> None:
         """As the limiter's, but on no connection that has rested for longer than is trusted."""
         now, operation = self.now(), hop.operation
         idle = self._idle.get(hop.server.address, [])
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -73,7 +73,7 @@
             self.counts,
             Lines(DIAL_US, IDLE_US),
             sockets // 4,
-            upstream_protocol.Wording(),
+            upstream_protocol.UpstreamProtocol(),
         )
         self.host.pool.idle_connections = self.router.idle_connections
         self.host.counter = self.quota_transport = QuotaTransport(self)
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -9,7 +9,7 @@
 import math
 from random import Random
 
-from lapisgrade.decide.fleet import Hop, Pace
+from lapisgrade.decide.fleet import Attempt, LatencyEstimate
 from lapisgrade.decide.fleet import Server as Neighbour
 from lapisgrade.interface import Outcome, Report
 from lapisgrade.gateway import SECOND, registry
@@ -74,14 +74,14 @@
         return speed * cold * (usual + wait * mean) / max(0.02, health)
 
 
-class Fleet:
+class UpstreamCluster:
     """One service's servers."""
 
     def __init__(self, random: Random, zone: str, subsets: Subsets) -> None:
         self._random, self._zone, self._subsets = random, zone, subsets
-        self.work = Pace(100_000.0)  # of all routes together
+        self.work = LatencyEstimate(100_000.0)  # of all routes together
         self.servers: dict[str, Server] = {}
-        self.paces: dict[str, Pace] = {}  # by route
+        self.paces: dict[str, LatencyEstimate] = {}  # by route
         self._cut = -1  # the subsets' changes that what follows goes by
         self._share: set[str] = set()
         self._own: list[Server] = []
@@ -113,12 +113,12 @@
         self._near = [each for each in near if each.address not in self._share]
         self._far = [each for each in up if each.told.zone != self._zone]
 
-    def pace(self, route: str, aim_us: int) -> Pace:
+    def pace(self, route: str, aim_us: int) -> LatencyEstimate:
         pace = self.paces.get(route)
         if pace is None:
             if len(self.paces) > 2048:  # guards memory; routes come and go
                 self.paces.clear()
-            pace = self.paces[route] = Pace(0.3 * aim_us)
+            pace = self.paces[route] = LatencyEstimate(0.3 * aim_us)
         return pace
 
     def choose(
@@ -158,13 +158,15 @@
         best = min(drawn, key=takes)
         return best if within == math.inf or takes(best) <= within else None
 
-    def sent(self, now_us: int, hop: Hop) -> None:
+    def sent(self, now_us: int, hop: Attempt) -> None:
         server = hop.server
         server.out[hop] = None
         server.last_sent = now_us
         server.silent_from = server.silent_from or now_us
 
-    def landed(self, now_us: int, hop: Hop, report: Report, pace: Pace, blame: float = 1.0) -> None:
+    def landed(
+        self, now_us: int, hop: Attempt, report: Report, pace: LatencyEstimate, blame: float = 1.0
+    ) -> None:
         """What became of a sending; `pace` is its route's, `blame` the server's part in a failure."""
         server, outcome = hop.server, report.outcome
         hop.out = False
@@ -180,7 +182,9 @@
         if server.told.state in ("gone", "lost") and not server.out:
             self.servers.pop(server.address, None)
 
-    def _judge(self, now_us: int, server: Server, pace: Pace, report: Report, blame: float) -> None:
+    def _judge(
+        self, now_us: int, server: Server, pace: LatencyEstimate, report: Report, blame: float
+    ) -> None:
         # A server's own failure is an answer, but no sound one; it says little of how long work takes.
         if report.outcome is Outcome.OK:
             usual = pace.mean(now_us)
--- a/lapisgrade/gateway/routing/retry_budget.py
+++ b/lapisgrade/gateway/routing/retry_budget.py
@@ -15,7 +15,7 @@
 SPARED = 0.5  # of what requests pay in that is kept for retries, where a hedge is not yet due
 
 
-class Budget:
+class RetryBudget:
     """Of one service."""
 
     __slots__ = ("_began", "_more", "_requests", "_slo", "limiters")
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from random import Random
 
-from lapisgrade.decide.fleet import Hop
+from lapisgrade.decide.fleet import Attempt
 from lapisgrade.interface import Answer, Clock, Operation, Outcome, Pause, Report, Send, Verdict, Word
 from lapisgrade.gateway import registry
 from lapisgrade.gateway.membership.subsets import Subsets
-from lapisgrade.gateway.routing.retry_budget import Budget
-from lapisgrade.gateway.routing.balancer import Fleet
+from lapisgrade.gateway.routing.retry_budget import RetryBudget
+from lapisgrade.gateway.routing.balancer import UpstreamCluster
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
 from lapisgrade.gateway.routing.split import SplitChooser
 from lapisgrade.gateway.settings import Slo
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Said(Answer):
+class Respond(Answer):
     """A final answer of our own, with its status."""
 
     status: int = 503
@@ -61,9 +61,9 @@
         self.held: dict[int, Table] = {}  # newer ones, held ready until the order for one of them comes
         self.fences: set[int] = set()  # of those: made of drafts from both sides of a break
         self.heard_us = -DOUBT  # when an ask for news was sent that was answered
-        self.fleets: dict[str, Fleet] = {}
+        self.fleets: dict[str, UpstreamCluster] = {}
         self.homes: dict[str, str] = {}  # a server's id: its service
-        self.budgets: dict[str, Budget] = {}
+        self.budgets: dict[str, RetryBudget] = {}
         self.quota_clients: dict[str, QuotaClient] = {}
         self.idle_connections = IdleConnections()
         self.split = SplitChooser(self.random)
@@ -119,16 +119,16 @@
         if len(self.homes) > 4 * registry.MOST:
             self.homes.clear()
 
-    def fleet(self, svc: str) -> Fleet:
+    def fleet(self, svc: str) -> UpstreamCluster:
         fleet = self.fleets.get(svc)
         if fleet is None:
-            fleet = self.fleets[svc] = Fleet(self.random, self.zone, self.subsets)
+            fleet = self.fleets[svc] = UpstreamCluster(self.random, self.zone, self.subsets)
         return fleet
 
-    def budget(self, svc: str) -> Budget:
+    def budget(self, svc: str) -> RetryBudget:
         budget = self.budgets.get(svc)
         if budget is None:
-            budget = self.budgets[svc] = Budget(self.slo, self.began)
+            budget = self.budgets[svc] = RetryBudget(self.slo, self.began)
             budget.limiters = self.limiters
         return budget
 
@@ -170,7 +170,7 @@
             del self.quota_clients[next(iter(self.quota_clients))]
         return quota_client
 
-    def landed(self, hop: Hop, report: Report) -> None:
+    def landed(self, hop: Attempt, report: Report) -> None:
         op = hop.operation
         now, fleet = self.clock.now_us, self.fleet(op.svc)
         broke = report.outcome is Outcome.BROKEN
@@ -188,7 +188,7 @@
                 return
             if wait is not None:
                 wait = quota_client.comes_back(self.clock.now_us, max(1_000, int(wait)))
-                yield Said(Verdict.TURN_BACK, wait, 429)
+                yield Respond(Verdict.TURN_BACK, wait, 429)
                 return
         yield from self.serve(op)
 
@@ -197,7 +197,7 @@
         rule, fleet, budget = op.rule, self.fleet(op.svc), self.budget(op.svc)
         pace = fleet.pace(rule.name, rule.target_time)
         idem = rule.mode == "idem"
-        hops: list[Hop] = []
+        hops: list[Attempt] = []
         ran = False  # whether one of them may have run
         arrived = 0  # those that reached a server
         until = overdue = op.ends_us  # when the next one may go out beside those that are
@@ -219,7 +219,7 @@
                     if not out:
                         break
             if server is not None:
-                hop = Hop(op, server, len(hops), now)
+                hop = Attempt(op, server, len(hops), now)
                 hops.append(hop)
                 fleet.sent(now, hop)
                 yield Send(hop)
@@ -240,7 +240,7 @@
                 return
             if word is Word.TIME or word is Word.WOKEN:
                 if now >= op.ends_us - 1:
-                    return (yield Said(Verdict.GIVE_UP, 0, 504))
+                    return (yield Respond(Verdict.GIVE_UP, 0, 504))
                 again = idem and now >= until
                 if again:
                     until = overdue if now < overdue else op.ends_us  # one more beside it, once
@@ -258,13 +258,13 @@
                 break
             again = True
         if ran and not idem:
-            yield Said(Verdict.GIVE_UP, 0, 502)
+            yield Respond(Verdict.GIVE_UP, 0, 502)
         elif not hops:
-            yield Said(Verdict.TURN_BACK, self.back(rule), 503)
+            yield Respond(Verdict.TURN_BACK, self.back(rule), 503)
         elif idem and ran:
-            yield Said(Verdict.GIVE_UP, 0, 502)
+            yield Respond(Verdict.GIVE_UP, 0, 502)
         else:
-            yield Said(Verdict.TURN_BACK, self.back(rule), 503)
+            yield Respond(Verdict.TURN_BACK, self.back(rule), 503)
 
     @staticmethod
     def hedge_us(op: RoutedRequest, now_us: int, usual: float, deviation: float, overdue_us: int) -> int:
--- a/lapisgrade/gateway/routing/upstream_protocol.py
+++ b/lapisgrade/gateway/routing/upstream_protocol.py
@@ -55,7 +55,7 @@
     )
 
 
-class Wording(Dialect):
+class UpstreamProtocol(Dialect):
     """To servers, and from them."""
 
     most_body = 64 * 1024 * 1024
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -20,7 +20,7 @@
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.http_server import framed
-from lapisgrade.gateway.routing.upstream_protocol import Wording
+from lapisgrade.gateway.routing.upstream_protocol import UpstreamProtocol
 from lapisgrade.gateway.local_cluster import SAMPLE, Server, LocalCluster
 
 KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
@@ -189,15 +189,15 @@
 
 # ---- wrong versions
 
-_told, _end, _worded = Wording.told, Link.end, ProxyHost.worded
+_told, _end, _worded = UpstreamProtocol.told, Link.end, ProxyHost.worded
 
 
-def _by_order(self: Wording, hop: Any, message: Message) -> bool:
+def _by_order(self: UpstreamProtocol, hop: Any, message: Message) -> bool:
     """Whatever comes next is the answer."""
     return False
 
 
-def _any_id(self: Wording, hop: Any, message: Message) -> Ending:
+def _any_id(self: UpstreamProtocol, hop: Any, message: Message) -> Ending:
     """An answer is taken whose id is another's."""
     asked = hop.operation.handle
     before, asked.request_id = asked.request_id, message.headers().get(b"try-id", asked.request_id)
@@ -207,7 +207,7 @@
         asked.request_id = before
 
 
-def _unsealed(self: Wording, hop: Any, message: Message) -> Ending:
+def _unsealed(self: UpstreamProtocol, hop: Any, message: Message) -> Ending:
     """A success counts without the server's seal."""
     return Ending.ANSWERED if 200 <= message.head.status_code < 300 else _told(self, hop, message)
 
@@ -224,8 +224,8 @@
 
 
 MUTANTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "answer-by-order": [(Wording, "stray", _by_order), (Wording, "told", _any_id)],
-    "unsealed-success": [(Wording, "told", _unsealed)],
+    "answer-by-order": [(UpstreamProtocol, "stray", _by_order), (UpstreamProtocol, "told", _any_id)],
+    "unsealed-success": [(UpstreamProtocol, "told", _unsealed)],
     "broken-is-unsent": [(Link, "end", _broken_is_unsent)],
     "always-promises": [(ProxyHost, "worded", _always_promises)],
     "all-never-ran": [(Outcome, "never_ran", property(lambda self: True))],
--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -8,12 +8,12 @@
 from random import Random
 from typing import Protocol
 
-from lapisgrade.decide.fleet import Hop, Pace
+from lapisgrade.decide.fleet import Attempt, LatencyEstimate
 from lapisgrade.interface import Outcome, Report
 from lapisgrade.lab.balancing.model import Server, Spec
 from lapisgrade.gateway import registry
 from lapisgrade.gateway.membership.subsets import Subsets
-from lapisgrade.gateway.routing.balancer import Fleet
+from lapisgrade.gateway.routing.balancer import UpstreamCluster
 
 
 class Chooser(Protocol):
@@ -114,8 +114,8 @@
         self.spec, self.number = spec, number
         self.subsets = Subsets(spec.name(number), spec.zone(number))
         self.subsets.told({spec.name(each): ("", "", spec.zone(each)) for each in range(spec.limiters)})
-        self.fleet = Fleet(random, spec.zone(number), self.subsets)
-        self.pace: Pace = self.fleet.pace("r", spec.aim_us)
+        self.fleet = UpstreamCluster(random, spec.zone(number), self.subsets)
+        self.pace: LatencyEstimate = self.fleet.pace("r", spec.aim_us)
         self.numbers = {each.name: each.number for each in servers}
         for each in servers:
             self.fleet.told(0, registry.Server(each.name, "s", "10.0.0.1:1", each.zone, spec.slots, "up", 1))
@@ -126,12 +126,12 @@
         server = self.fleet.choose(now, self.pace.mean(now), already)
         return None if server is None else self.numbers[server.address]
 
-    def sent(self, now: int, server: int) -> Hop:
-        hop = Hop(None, self.fleet.servers[self.names[server]], 0, now)
+    def sent(self, now: int, server: int) -> Attempt:
+        hop = Attempt(None, self.fleet.servers[self.names[server]], 0, now)
         self.fleet.sent(now, hop)
         return hop
 
-    def landed(self, now: int, hop: Hop, took: int, outcome: Outcome, load: tuple[int, int]) -> None:
+    def landed(self, now: int, hop: Attempt, took: int, outcome: Outcome, load: tuple[int, int]) -> None:
         told = {"running": load[0], "waiting": load[1], "slots": self.spec.slots}
         self.fleet.landed(now, hop, Report(outcome, took, told), self.pace)
 
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from lapisgrade.decide.fleet import Hop
+from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.lab.partitions.quota import allowed, most
@@ -168,7 +168,7 @@
 
     # ---- what the proxies do
 
-    def sent(self, proxy: SimulatedProxy, hop: Hop) -> bool:
+    def sent(self, proxy: SimulatedProxy, hop: Attempt) -> bool:
         """A request goes to a server; whether that one is still there."""
         server = self.servers[hop.server.address]
         self.sent_us.append(self.loop.now_us)
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -14,7 +14,7 @@
 import h11
 from returns.result import Result
 
-from lapisgrade.decide.fleet import Hop
+from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.http_server import framed
 from lapisgrade.gateway.proxy import process as proxy_process
@@ -75,14 +75,14 @@
     def known(self, addresses: dict) -> None:
         """The register's word; nothing is kept of it."""
 
-    def send(self, hop: Hop) -> None:
+    def send(self, hop: Attempt) -> None:
         """Have a server run the request."""
         proxy = self._proxy
         there = proxy.plane.sent(proxy, hop)
         landed = Landed(hop, Ending.ANSWERED, ANSWERED) if there else Landed(hop, Ending.REFUSED)
         asyncio.get_running_loop().call_later(WORK / SECOND, proxy.host.put, landed)
 
-    def cancel(self, hop: Hop) -> None:
+    def cancel(self, hop: Attempt) -> None:
         """A hop that nobody waits for."""
 
     def left(self, operation: RoutedRequest) -> None:
--- a/tests/gateway/test_retry_budget.py
+++ b/tests/gateway/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from lapisgrade.gateway.routing.retry_budget import Budget
+from lapisgrade.gateway.routing.retry_budget import RetryBudget
 from lapisgrade.gateway.settings import Slo
 
 SECOND = 1_000_000
@@ -12,7 +12,7 @@
 class Further(unittest.TestCase):
     def test_the_sum_over_proxies_keeps_to_the_rule_also_when_all_have_just_started(self):
         for began, extra in ((-60 * SECOND, SLO.retry_extra), (0, 0.0)):
-            budgets = [Budget(SLO, began) for _ in range(14)]
+            budgets = [RetryBudget(SLO, began) for _ in range(14)]
             spent = 0
             for each in budgets:
                 each.limiters = 14
--- a/tests/gateway/test_routing.py
+++ b/tests/gateway/test_routing.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from lapisgrade.decide.fleet import Hop
+from lapisgrade.decide.fleet import Attempt
 from lapisgrade.interface import Clock, Outcome, Report
 from lapisgrade.gateway import SECOND, configuration, registry
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.routing.router import Router
-from lapisgrade.gateway.routing.balancer import Fleet
+from lapisgrade.gateway.routing.balancer import UpstreamCluster
 from lapisgrade.gateway.routing.idle_connections import HOLDS, IdleConnections
 from lapisgrade.gateway.routing import split
 from lapisgrade.gateway.routing.split import SplitChooser
@@ -122,13 +122,13 @@
 
 class Blamed(unittest.TestCase):
     def setUp(self) -> None:
-        self.fleet = Fleet(Random(1), "z", Subsets("l", "z"))
+        self.fleet = UpstreamCluster(Random(1), "z", Subsets("l", "z"))
         for name in ("s1", "s2"):
             self.fleet.told(0, registry.Server(name, "a", "10.0.0.1:1", "z", 2, "up", 1))
         self.pace = self.fleet.pace("r", 400 * MS)
 
     def end(self, now: int, name: str, outcome: Outcome, blame: float = 1.0) -> None:
-        hop = Hop(None, self.fleet.servers[name], 0, now - 50 * MS)
+        hop = Attempt(None, self.fleet.servers[name], 0, now - 50 * MS)
         self.fleet.sent(now - 50 * MS, hop)
         self.fleet.landed(now, hop, Report(outcome, 50 * MS), self.pace, blame)
 
@@ -144,7 +144,7 @@
         self.assertEqual(self.taken(SECOND + 900 * MS), 0.0)
         # Well again, it is used as soon as the other's slots are taken.
         for _ in range(2):
-            self.fleet.sent(20 * SECOND, Hop(None, self.fleet.servers["s2"], 0, 20 * SECOND))
+            self.fleet.sent(20 * SECOND, Attempt(None, self.fleet.servers["s2"], 0, 20 * SECOND))
         self.assertEqual(self.taken(20 * SECOND), 1.0)
 
     def test_neighbours_doubts_bend_the_choice_and_neither_one_nor_all_of_them_shut_a_sound_server_off(
@@ -160,7 +160,7 @@
         subsets.heard(SECOND, "b", {}, ["s1"])
         self.assertEqual(self.taken(SECOND), 0.0)
         for _ in range(2):
-            self.fleet.sent(SECOND, Hop(None, self.fleet.servers["s2"], 0, SECOND))
+            self.fleet.sent(SECOND, Attempt(None, self.fleet.servers["s2"], 0, SECOND))
         subsets.heard(SECOND, "c", {}, ["s1"])
         # Its own good answers weigh more than what the others say.
         for _ in range(12):
