--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from lapisgrade.gateway import configuration_delta, registry, rpc, rpc_messages
+from lapisgrade.gateway import configuration, configuration_delta, registry, rpc, rpc_messages, settings
 from lapisgrade.gateway.consensus import messages, records
 from lapisgrade.gateway.controller import state_machine
 from lapisgrade.gateway.membership import gossip, partial_view
@@ -952,3 +952,190 @@
 def read_stored_records(data: bytes) -> tuple[list[bytes], int]:
     """The records at the start of a data file, and up to which one it says that it was synced."""
     return log_store.unpacked(data)
+
+
+# A settings file with each field, none at its default, and what is read of it.
+SETTINGS_FILE = {
+    "Hostname": "m7",
+    "Ip": "10.0.0.7",
+    "Az": "zone-2",
+    "Bind": {"Http": "10.0.0.7:8405", "Readyz": "10.0.0.7:8406", "Ctl": "10.0.0.7:8407"},
+    "Portrange": [7660, 7675],
+    "Peers": ["10.0.0.1:8407", "10.0.0.2:8407"],
+    "Bootstrap": True,
+    "Quorum": True,
+    "Datadir": "data",
+    "Heartbeat": "1250ms",
+    "Caps": {"Nofile": 2048, "MemMb": 512, "Cpu": 0.5},
+    "Slo": {
+        "Drain": "2.25s",
+        "Grace": "5s",
+        "Contact": "2750ms",
+        "RetryRatio": 0.25,
+        "RetryWindow": "9s",
+        "RetryExtra": 19,
+        "QuotaWin": "4s",
+        "QuotaExcess": 0.05,
+        "QuotaExtra": 18.5,
+    },
+    "Unknown": "is passed over",
+}
+SETTINGS = settings.Settings(
+    hostname="m7",
+    ip="10.0.0.7",
+    az="zone-2",
+    bind=settings.Bind(
+        http=settings.Address(("10.0.0.7", 8405)),
+        readyz=settings.Address(("10.0.0.7", 8406)),
+        ctl=settings.Address(("10.0.0.7", 8407)),
+    ),
+    portrange=(7660, 7675),
+    peers=(settings.Address(("10.0.0.1", 8407)), settings.Address(("10.0.0.2", 8407))),
+    bootstrap=True,
+    quorum=True,
+    datadir="data",
+    heartbeat=settings.Span(1_250_000),
+    caps=settings.Caps(nofile=2048, mem_mb=512, cpu=0.5),
+    slo=settings.Slo(
+        drain=settings.Span(2_250_000),
+        grace=settings.Span(5_000_000),
+        contact=settings.Span(2_750_000),
+        retry_ratio=0.25,
+        retry_window=settings.Span(9_000_000),
+        retry_extra=19,
+        quota_win=settings.Span(4_000_000),
+        quota_excess=0.05,
+        quota_extra=18.5,
+    ),
+)
+REQUIRED_SETTINGS_FILE = {
+    "Hostname": "m7",
+    "Ip": "10.0.0.7",
+    "Az": "zone-2",
+    "Bind": {"Http": None},
+    "Portrange": [7660, 7675],
+}
+DEFAULT_SETTINGS = settings.Settings(
+    hostname="m7",
+    ip="10.0.0.7",
+    az="zone-2",
+    bind=settings.Bind(http=None, readyz=None, ctl=None),
+    portrange=(7660, 7675),
+    peers=(),
+    bootstrap=False,
+    quorum=False,
+    datadir="",
+    heartbeat=settings.Span(1_500_000),
+    caps=settings.Caps(nofile=1024, mem_mb=256, cpu=1.0),
+    slo=settings.Slo(
+        drain=settings.Span(2_500_000),
+        grace=settings.Span(6_000_000),
+        contact=settings.Span(3_000_000),
+        retry_ratio=0.2,
+        retry_window=settings.Span(10_000_000),
+        retry_extra=20.0,
+        quota_win=settings.Span(5_000_000),
+        quota_excess=0.1,
+        quota_extra=20.0,
+    ),
+)
+
+
+def read_settings(path: str) -> settings.Settings:
+    """The settings in that file."""
+    return settings.read(path)
+
+
+# A configuration with each field, none at its default, and what is read of it.
+CONFIGURATION_FILE = {
+    "Ver": 41,
+    "Base": 40,
+    "Ports": [
+        {
+            "Vhost": "a.example",
+            "Policy": [
+                {
+                    "Name": "r-1",
+                    "Mode": "idem",
+                    "Match": {"Pfx": "/one/"},
+                    "Action": {"Timeout": "2s", "Svc": "s-1", "Tries": 3},
+                    "Target_time": "300ms",
+                    "Prio": 4,
+                    "Public": True,
+                },
+                {
+                    "Name": "r-2",
+                    "Match": {"Pfx": "/"},
+                    "Action": {
+                        "Timeout": "1500ms",
+                        "Split": [{"Svc": "s-1", "Wt": 1}, {"Svc": "s-2", "Wt": 2.5}],
+                    },
+                },
+            ],
+        }
+    ],
+    "Pools": [{"Name": "s-1", "Hcheck": "/alive", "Maxconn": 90}, {"Name": "s-2"}],
+    "Tenants": [{"Name": "t-1", "Apikeys": ["k-1", "k-2"], "Prio": 5, "RateS": 6.5, "Burst": 7.5}],
+    "Caps": {"HdrBytes": 4096, "BodyBytes": 8192, "Hdr": "1s", "Idle": "2s"},
+    "Unknown": "is passed over",
+}
+CONFIGURATION = configuration.Configuration(
+    ver=41,
+    ports=(
+        configuration.Port(
+            vhost="a.example",
+            policy=(
+                configuration.Rule(
+                    name="r-1",
+                    match=configuration.Match(pfx="/one/"),
+                    action=configuration.Action(timeout=settings.Span(2_000_000), svc="s-1", tries=3),
+                    mode="idem",
+                    target_time=settings.Span(300_000),
+                    prio=4,
+                    public=True,
+                ),
+                configuration.Rule(
+                    name="r-2",
+                    match=configuration.Match(pfx="/"),
+                    action=configuration.Action(
+                        timeout=settings.Span(1_500_000),
+                        split=(
+                            configuration.Share(svc="s-1", wt=1),
+                            configuration.Share(svc="s-2", wt=2.5),
+                        ),
+                        tries=2,
+                    ),
+                    mode="mutate",
+                    target_time=settings.Span(1_000_000),
+                    prio=1,
+                    public=False,
+                ),
+            ),
+        ),
+    ),
+    pools=(
+        configuration.Pool(name="s-1", hcheck="/alive", maxconn=90),
+        configuration.Pool(name="s-2", hcheck="/healthz", maxconn=100),
+    ),
+    tenants=(configuration.Tenant(name="t-1", apikeys=("k-1", "k-2"), prio=5, rate_s=6.5, burst=7.5),),
+    caps=configuration.Caps(
+        hdr_bytes=4096, body_bytes=8192, hdr=settings.Span(1_000_000), idle=settings.Span(2_000_000)
+    ),
+)
+DEFAULT_CONFIGURATION = configuration.Configuration(
+    ver=1,
+    ports=(),
+    pools=(),
+    tenants=None,
+    caps=configuration.Caps(
+        hdr_bytes=16_384,
+        body_bytes=64 * 1024 * 1024,
+        hdr=settings.Span(3_000_000),
+        idle=settings.Span(15_000_000),
+    ),
+)
+
+
+def read_configuration(raw: Any) -> configuration.Configuration:
+    """A configuration as the operator sent it, read and checked."""
+    return configuration.read(raw)
--- /dev/null
+++ b/tests/compatibility/test_deploy_files.py
@@ -0,0 +1,109 @@
+"""The files under `deploy/` keep their keys: programs of the platform read them."""
+
+import json
+import tomllib
+from pathlib import Path
+
+ROOT = Path(__file__).parents[2]
+DEPLOY = ROOT / "deploy"
+
+
+def toml(name: str) -> dict:
+    return tomllib.loads((DEPLOY / name).read_text())
+
+
+def test_deploy_files():
+    assert {each.name for each in DEPLOY.iterdir()} == {
+        "balancer.toml",
+        "peers.toml",
+        "sample.json",
+        "system.toml",
+    }
+
+
+def test_limiter():
+    deployed = toml("balancer.toml")
+    assert list(deployed) == ["build", "run", "sim", "policy", "node", "packages"]
+    assert deployed["run"] == "exec .venv/bin/python -m lapisgrade"
+    assert deployed["packages"] == []
+    for key in ("policy", "node"):
+        assert deployed[key]
+        assert all((ROOT / path).exists() for path in deployed[key])
+
+
+def test_the_adapter_that_the_bench_starts_is_there():
+    program, module = toml("balancer.toml")["sim"].rsplit(" ", 1)
+    assert program == "exec .venv/bin/python -m"
+    assert (ROOT / module.replace(".", "/") / "__main__.py").exists()
+
+
+def test_system():
+    deployed = toml("system.toml")
+    assert list(deployed) == ["build", "packages", "roles"]
+    assert deployed["packages"] == ["python3", "python3-pip", "ca-certificates"]
+    assert deployed["roles"] == {
+        "proxy": {
+            "run": "python3 -m lapisgrade.gateway proxy",
+            "on": "edge",
+            "share": 1.0,
+            "serves": ["edge"],
+        },
+        "controller": {
+            "run": "python3 -m lapisgrade.gateway controller",
+            "on": "edge",
+            "share": 0.06,
+            "serves": ["ctl"],
+        },
+    }
+
+
+def test_peers():
+    assert toml("peers.toml") == {"peers": {"listen": "127.0.0.1:7400", "seeds": []}}
+
+
+def test_sample_of_the_limiters_settings():
+    sample = json.loads((DEPLOY / "sample.json").read_text())
+    assert list(sample) == ["name", "listen", "discovery", "counter", "seed", "limits", "known", "settings"]
+    assert list(sample["limits"]) == ["cores", "memory_mb", "sockets"]
+    assert list(sample["known"]) == ["generation", "reset", "instances"]
+    settings = sample["settings"]
+    assert list(settings) == [
+        "SelfIndex",
+        "NInstances",
+        "Zone",
+        "Zones",
+        "RequestClasses",
+        "TiersOfService",
+        "Ceilings",
+        "Rules",
+        "Specifics",
+    ]
+    assert {key for each in settings["RequestClasses"] for key in each} == {
+        "Name",
+        "Idempotency",
+        "Aim",
+        "Deadline",
+        "Worth",
+        "LateWorth",
+        "Group",
+        "KeyTtl",
+    }
+    assert {key for each in settings["TiersOfService"] for key in each} == {
+        "Name",
+        "UnitsPerS",
+        "Burst",
+        "NeverOverRate",
+        "CeilingBurst",
+        "CapSlack",
+    }
+    assert set(settings["Ceilings"]) == {
+        "AttemptsCap",
+        "Cancel",
+        "ParallelTries",
+        "RetryAfter",
+        "MaxRetryAfter",
+        "DialTimeout",
+        "Keepalive",
+    }
+    assert set(settings["Rules"]) == {"DrainGrace", "Cold", "ColdFrom", "Fall", "FallMultiple"}
+    assert set(settings["Specifics"]) == {"SharedCounter", "CountLimit", "UnitsTop"}
