--- a/lapisgrade/gateway/cli/demo.py
+++ b/lapisgrade/gateway/cli/demo.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE, LocalCluster
-from lapisgrade.net.http import Garbled, Message
+from lapisgrade.net.http import MalformedMessageError, Message
 
 SERVERS = 4
 PAUSE = 0.05  # s between two rounds of requests; within the tenant's limit in the sample
@@ -57,7 +57,9 @@
         for name, answer in zip(
             site.names, await asyncio.gather(*asked, return_exceptions=True), strict=True
         ):
-            if isinstance(answer, BaseException) and not isinstance(answer, (OSError, TimeoutError, Garbled)):
+            if isinstance(answer, BaseException) and not isinstance(
+                answer, (OSError, TimeoutError, MalformedMessageError)
+            ):
                 raise answer
             load.add(at_s, name, answer)
         await asyncio.sleep(PAUSE)
--- a/lapisgrade/gateway/cli/onboarding.py
+++ b/lapisgrade/gateway/cli/onboarding.py
@@ -13,7 +13,7 @@
 import msgspec
 from attrs import define, field
 
-from lapisgrade.net.http import Garbled
+from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.gateway import SECOND, configuration
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.settings import Address, Bad, an_object, take
@@ -155,7 +155,7 @@
                 status = got.head.status_code
                 if status < 500:
                     return status, msgspec.json.decode(said) if said else {}
-            except (OSError, TimeoutError, Garbled, msgspec.MsgspecError):
+            except (OSError, TimeoutError, MalformedMessageError, msgspec.MsgspecError):
                 continue
         return status, {}
 
--- a/lapisgrade/gateway/http_server.py
+++ b/lapisgrade/gateway/http_server.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from lapisgrade.net.http import CHUNK, Garbled, Message, Parser, steady
+from lapisgrade.net.http import READ_BYTES, MalformedMessageError, Message, MessageParser, limit_read_size
 from lapisgrade.gateway.rpc import sturdy
 
 IDLE = 30.0  # s that a caller's connection may stand without a request
@@ -38,7 +38,7 @@
             writer.transport.abort()
             return
         self._open.add(writer)
-        steady(writer)
+        limit_read_size(writer)
         sturdy(writer.transport)
         try:
             await self._answer(reader, writer)
@@ -51,18 +51,18 @@
     async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         rest = b""
         while True:
-            parser, message = Parser(h11.SERVER, self._most), None
+            parser, message = MessageParser(h11.SERVER, self._most), None
             try:
                 async with asyncio.timeout(IDLE):
                     while message is None:
-                        chunk = rest or await reader.read(CHUNK)
+                        chunk = rest or await reader.read(READ_BYTES)
                         rest = b""
                         if not chunk:
                             return
                         message = parser.feed(chunk)
                         if message is None and parser.expects():
                             writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            except Garbled as wrong:
+            except MalformedMessageError as wrong:
                 writer.write(framed(wrong.status, b'{"Err":"not a request"}', b"Connection: close\r\n"))
                 return
             rest = message.rest
--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -12,7 +12,7 @@
 import msgspec
 from returns.result import Failure
 
-from lapisgrade.net.http import Garbled, Message, Parser
+from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.http_client import ask, told
 from lapisgrade.gateway.proxy.process import Proxy
@@ -70,7 +70,7 @@
         try:
             rest, goes_on = b"", True
             while goes_on:
-                parser, message = Parser(h11.SERVER), None
+                parser, message = MessageParser(h11.SERVER), None
                 while message is None:
                     chunk = rest or await reader.read(65_536)
                     rest = b""
@@ -79,7 +79,7 @@
                     message = parser.feed(chunk)
                 rest = message.rest
                 goes_on = await self._one(message, writer)
-        except (OSError, Garbled, asyncio.CancelledError):
+        except (OSError, MalformedMessageError, asyncio.CancelledError):
             pass
         finally:
             self._callers.pop(writer, None)
--- a/lapisgrade/gateway/proxy/client_front.py
+++ b/lapisgrade/gateway/proxy/client_front.py
@@ -8,7 +8,7 @@
 from lapisgrade.gateway.routing import upstream_protocol
 from lapisgrade.gateway.routing.router import RoutedRequest, Router
 from lapisgrade.net import front
-from lapisgrade.net.http import Garbled
+from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.net.http import Message as Http
 
 SOON = 0.2  # s after which one comes back whose version is about to be in force
@@ -56,7 +56,7 @@
             fields.get(upstream_protocol.DEADLINE, b""),
         )
         if not 0 < len(request_id) <= 256:
-            raise Garbled("a request without an id")
+            raise MalformedMessageError("a request without an id")
         if request_id in self.open:  # its answer might go to the wrong one
             return refuse(409)
         left = (
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -9,8 +9,8 @@
 from lapisgrade.gateway.routing.router import RoutedRequest
 from lapisgrade.interface import Answer
 from lapisgrade.net import front, hops
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Landed, Left
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import AttemptFinished, ClientDisconnected
 from lapisgrade.net.host import Host
 from lapisgrade.net.http import Message as Http
 
@@ -42,9 +42,9 @@
         super().send(hop)
         self.changed()
 
-    def _landed(self, event: Landed) -> None:
-        if event.ending is Ending.ERRED:
-            event.hop.operation.handle.failure = event.message
+    def _landed(self, event: AttemptFinished) -> None:
+        if event.reason is CloseReason.ERROR_RESPONSE:
+            event.attempt.operation.handle.failure = event.message
         super()._landed(event)
         self.changed()
 
@@ -56,7 +56,7 @@
         del self.owed[handle]
         self.deliver(handle.client, handle.failure)
 
-    def _left(self, event: Left) -> None:
+    def _left(self, event: ClientDisconnected) -> None:
         super()._left(event)
         self.pool.left(event.operation)
 
@@ -71,7 +71,7 @@
         now, operation = self.now(), hop.operation
         idle = self._idle.get(hop.server.address, [])
         while idle and not idle[-1].usable():
-            idle[-1].end(Ending.IDLE)
+            idle[-1].end(CloseReason.IDLE)
         if idle:
             rested = now - idle[-1].idle_from
             if self.idle_connections.trusts(now, operation.svc, rested, operation.rule.mode == "idem"):
@@ -79,7 +79,7 @@
             else:
                 self.counts["connections not trusted"] += len(idle)
                 for link in list(idle):  # the others have rested for longer
-                    link.end(Ending.IDLE)
+                    link.end(CloseReason.IDLE)
         super().send(hop)
 
     def left(self, operation: RoutedRequest) -> None:
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -13,8 +13,8 @@
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import Settings, address
 from lapisgrade.gateway.verdict import Verdict
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Counted
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import CounterCallFinished
 from lapisgrade.net.host import Host
 
 ADD = 0.15  # s that an add to a count may take; two round trips between zones and a busy machine
@@ -53,7 +53,7 @@
         quota_client = process.router.quota_clients.get(add.name)
         name = process.quota_owner.owners.owner(add.name)
         if quota_client is None or not name:
-            return process.host.put(Counted(task, Ending.TURNED_AWAY))
+            return process.host.put(CounterCallFinished(task, CloseReason.REJECTED))
         ask = quota_client.ask(process.settings.hostname, process.quota_owner.fence)
         owned = name == process.settings.hostname
         if owned and not process.quota_owner.predecessor(now_us(), ask.tenant):
@@ -76,8 +76,8 @@
                 reply = await self.answer_add(ask)
             else:
                 reply = await self._call(ask, name, (ends_us - now_us()) / SECOND)
-            if isinstance(reply, Ending):
-                return process.host.put(Counted(task, reply))
+            if isinstance(reply, CloseReason):
+                return process.host.put(CounterCallFinished(task, reply))
             elsewhere = process.quota_owner.owners.owner(ask.tenant) != name
             same = reply.fence == process.quota_owner.fence and not elsewhere
             if reply.held or same or now_us() + 2 * int(LISTED * SECOND) > ends_us:
@@ -88,12 +88,12 @@
 
     async def _call(
         self, ask: rpc_messages.QuotaRequest, name: str, within: float
-    ) -> rpc_messages.QuotaReply | Ending:
+    ) -> rpc_messages.QuotaReply | CloseReason:
         """The word of that owner, or how the call to it ended."""
         process = self._process
         member = process.quota_owner.proxies.get(name)
         if member is None:
-            return Ending.REFUSED
+            return CloseReason.CONNECTION_REFUSED
         place = address(member[0])
         got = await process.rpc.call(place, ask, within)
         reply = got.value_or(None)
@@ -105,18 +105,20 @@
             process.touch(place)
             return reply
         process.counts["counts unanswered"] += 1
-        return Ending.OVERDUE if got.failure() is Verdict.MAY_HAVE_RUN else Ending.REFUSED
+        return (
+            CloseReason.TIMED_OUT if got.failure() is Verdict.MAY_HAVE_RUN else CloseReason.CONNECTION_REFUSED
+        )
 
     def _told(self, task, ask: rpc_messages.QuotaRequest, reply: rpc_messages.QuotaReply) -> None:
         process = self._process
         quota_client = process.router.quota_clients.get(ask.tenant)
         if not reply.held:
             process.counts["counts not held"] += 1
-            return process.host.put(Counted(task, Ending.TURNED_AWAY))
+            return process.host.put(CounterCallFinished(task, CloseReason.REJECTED))
         if quota_client is not None:
             quota_client.gateways = max(1, reply.limiters)
         process.counts["counts added"] += 1
-        process.host.put(Counted(task, Ending.ANSWERED, reply.total))
+        process.host.put(CounterCallFinished(task, CloseReason.ANSWERED, reply.total))
 
     # ---- what other proxies ask
 
--- a/lapisgrade/gateway/routing/upstream_protocol.py
+++ b/lapisgrade/gateway/routing/upstream_protocol.py
@@ -3,8 +3,8 @@
 import re
 from dataclasses import dataclass
 
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Asked
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import ClientRequest
 from lapisgrade.net.hops import Dialect
 from lapisgrade.net.http import Message
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Passing(Asked):
+class Passing(ClientRequest):
     """What a client sent, as it passes on; `lines` are the fields that pass unchanged."""
 
     lines: bytes = b""
@@ -82,20 +82,24 @@
         name = message.headers().get(TRY_ID)
         return name is not None and name != hop.operation.handle.request_id
 
-    def told(self, hop, message: Message) -> Ending:
+    def told(self, hop, message: Message) -> CloseReason:
         status, fields = message.head.status_code, message.headers()
         if fields.get(TRY_ID) != hop.operation.handle.request_id or b"content-encoding" in fields:
-            return Ending.GARBLED
+            return CloseReason.MALFORMED
         if status == 421 or (NOT_RUN in fields and status >= 400):
-            return Ending.TURNED_AWAY
+            return CloseReason.REJECTED
         framed = b"content-length" in fields or b"transfer-encoding" in fields
         if 200 <= status < 300:
             # Without a length its end can't be told from its being cut.
-            return Ending.ANSWERED if SEAL in fields and framed else Ending.GARBLED
+            return CloseReason.ANSWERED if SEAL in fields and framed else CloseReason.MALFORMED
         if status < 200 or not framed:
-            return Ending.GARBLED
+            return CloseReason.MALFORMED
         # A server's failure is final where the request may run once; else another may do better.
-        return Ending.ERRED if status >= 500 and hop.operation.rule.mode == "idem" else Ending.REJECTED
+        return (
+            CloseReason.ERROR_RESPONSE
+            if status >= 500 and hop.operation.rule.mode == "idem"
+            else CloseReason.CLIENT_ERROR
+        )
 
     def idle_us(self, message: Message) -> int:
         found = _IDLE.search(message.headers().get(b"keep-alive", b""))
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -14,9 +14,9 @@
 
 
 from lapisgrade.interface import Outcome
-from lapisgrade.net.ending import Ending
+from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.hops import Link
-from lapisgrade.net.http import Garbled, Message
+from lapisgrade.net.http import MalformedMessageError, Message
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.http_server import framed
@@ -146,7 +146,7 @@
         try:
             async with asyncio.timeout(0.003 if chance.random() < LEAVES else 3.0):
                 got = await sent
-        except (OSError, TimeoutError, Garbled):
+        except (OSError, TimeoutError, MalformedMessageError):
             continue
         one.status, one.body = got.head.status_code, b"".join(got.body)
         one.sealed = b"server-seal" in got.headers()
@@ -197,7 +197,7 @@
     return False
 
 
-def _any_id(self: UpstreamProtocol, hop: Any, message: Message) -> Ending:
+def _any_id(self: UpstreamProtocol, hop: Any, message: Message) -> CloseReason:
     """An answer is taken whose id is another's."""
     asked = hop.operation.handle
     before, asked.request_id = asked.request_id, message.headers().get(b"try-id", asked.request_id)
@@ -207,14 +207,14 @@
         asked.request_id = before
 
 
-def _unsealed(self: UpstreamProtocol, hop: Any, message: Message) -> Ending:
+def _unsealed(self: UpstreamProtocol, hop: Any, message: Message) -> CloseReason:
     """A success counts without the server's seal."""
-    return Ending.ANSWERED if 200 <= message.head.status_code < 300 else _told(self, hop, message)
+    return CloseReason.ANSWERED if 200 <= message.head.status_code < 300 else _told(self, hop, message)
 
 
-def _broken_is_unsent(self: Link, ending: Ending) -> None:
+def _broken_is_unsent(self: Link, ending: CloseReason) -> None:
     """A connection that breaks off is taken for one on which nothing was sent."""
-    _end(self, Ending.UNWRITTEN if ending is Ending.BROKEN else ending)
+    _end(self, CloseReason.INCOMPLETE_WRITE if ending is CloseReason.CONNECTION_LOST else ending)
 
 
 def _always_promises(self: ProxyHost, answer: Any) -> tuple[int, bytes]:
--- a/lapisgrade/lab/partitions/control.py
+++ b/lapisgrade/lab/partitions/control.py
@@ -18,7 +18,7 @@
 
 from lapisgrade.lab.partitions.fleet import Fleet
 from lapisgrade.lab.simulation.linearizability import UNANSWERED, Event, first_wrong
-from lapisgrade.net.http import Garbled
+from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.settings import Address
 
@@ -70,7 +70,7 @@
         try:
             async with asyncio.timeout(PATIENCE):
                 got = await ask(self.place(turn), "POST", f"/-/rpc?call={call}", body)
-        except (OSError, TimeoutError, Garbled):
+        except (OSError, TimeoutError, MalformedMessageError):
             return 0, b""
         return got.head.status_code, b"".join(got.body)
 
--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from lapisgrade.lab.fleet.process import ROOT, before_exec
-from lapisgrade.net.http import Garbled
+from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.gateway.http_client import ask, told
 from lapisgrade.gateway.settings import Address
 from lapisgrade.gateway.local_cluster import CTL, HTTP, INNER, READY, SAMPLE, Server
@@ -144,7 +144,7 @@
         }  # fmt: skip
         try:
             return (await ask((self.ip[name], HTTP), "GET", path, fields=fields)).head.status_code
-        except (OSError, TimeoutError, Garbled):
+        except (OSError, TimeoutError, MalformedMessageError):
             return 0
 
     async def leader(self) -> str:
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -18,7 +18,7 @@
 from statistics import median
 
 from lapisgrade.lab.partitions.fleet import Fleet, Stamped
-from lapisgrade.net.http import Garbled
+from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.settings import Slo
@@ -86,7 +86,7 @@
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900"}
         fields["Authorization"] = f"Bearer {tenant}"
         status, place = 0, (self.fleet.ip[name], HTTP)
-        with contextlib.suppress(OSError, TimeoutError, Garbled):
+        with contextlib.suppress(OSError, TimeoutError, MalformedMessageError):
             status = (await ask(place, "GET", "/stock/1", fields=fields)).head.status_code
         if tenant == self.calm:
             self.calls[status] += 1
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
-from lapisgrade.net.http import Garbled
+from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.gateway.cli.onboarding import OperatorClient, behind
 from lapisgrade.gateway.http_client import ask, told
 from lapisgrade.gateway.cli.draft import DraftClient
@@ -113,7 +113,7 @@
         try:
             got = await ask((self.fleet.ip[each.proxy], HTTP), "GET", path, fields=fields)
             each.status, back = got.head.status_code, float(got.headers().get(b"retry-after", b"0"))
-        except (OSError, TimeoutError, Garbled):
+        except (OSError, TimeoutError, MalformedMessageError):
             pass
         each.took = time.monotonic() - each.sent
         return back
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -26,9 +26,9 @@
 from lapisgrade.lab.simulation.cluster import BEAT, CALLS_PORT, PORT
 from lapisgrade.lab.simulation.network import Endpoint
 from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process, VirtualLoop
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Landed, Taken
-from lapisgrade.net.http import Parser
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import AttemptFinished, RequestReceived
+from lapisgrade.net.http import MessageParser
 
 if TYPE_CHECKING:
     from lapisgrade.lab.simulation.data_plane import DataPlane
@@ -37,7 +37,7 @@
 PATIENCE = 2 * SECOND  # us that a client waits
 GRACE = 2.6  # s that a proxy goes on once it was told to end
 HOST = "a.example"
-ANSWERED = Parser(h11.CLIENT).feed(framed(200, b"done", b"Server-Seal: seal\r\n"))
+ANSWERED = MessageParser(h11.CLIENT).feed(framed(200, b"done", b"Server-Seal: seal\r\n"))
 
 
 class ProxyEndpoint(Endpoint):
@@ -79,7 +79,11 @@
         """Have a server run the request."""
         proxy = self._proxy
         there = proxy.plane.sent(proxy, hop)
-        landed = Landed(hop, Ending.ANSWERED, ANSWERED) if there else Landed(hop, Ending.REFUSED)
+        landed = (
+            AttemptFinished(hop, CloseReason.ANSWERED, ANSWERED)
+            if there
+            else AttemptFinished(hop, CloseReason.CONNECTION_REFUSED)
+        )
         asyncio.get_running_loop().call_later(WORK / SECOND, proxy.host.put, landed)
 
     def cancel(self, hop: Attempt) -> None:
@@ -148,7 +152,7 @@
             svc=self.router.split.choose(rule),
             handle=handle,
         )
-        self.host.put(Taken(operation))
+        self.host.put(RequestReceived(operation))
 
 
 class ProxyMachine:
--- a/lapisgrade/net/counter.py
+++ b/lapisgrade/net/counter.py
@@ -9,9 +9,17 @@
 from lapisgrade.engine import Task
 from lapisgrade.interface import Add
 from lapisgrade.net import SECOND
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Counted, Event
-from lapisgrade.net.http import CHUNK, Garbled, Reader, connect, late, stale, steady
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import CounterCallFinished, Event
+from lapisgrade.net.http import (
+    READ_BYTES,
+    MalformedMessageError,
+    Reader,
+    connect,
+    call_after_pending_io,
+    is_stale,
+    limit_read_size,
+)
 
 # A whole answer, and what may yet become one. A total that can be read is true; anything else tells nothing.
 _ANSWER = re.compile(
@@ -64,9 +72,9 @@
         if self._writer is None:
             return True
         if self.out and asyncio.get_running_loop().time() - self._heard > self._desk.dial:
-            self.end(Ending.BROKEN)  # guards against a peer that has vanished
-        elif not self.out and stale(self._reader, self._writer):
-            self.end(Ending.IDLE)
+            self.end(CloseReason.CONNECTION_LOST)  # guards against a peer that has vanished
+        elif not self.out and is_stale(self._reader, self._writer):
+            self.end(CloseReason.IDLE)
         else:
             return True
         return False
@@ -86,28 +94,28 @@
             async with asyncio.timeout(self._desk.dial):
                 reader, writer = await connect(*self._address)
         except TimeoutError:
-            return self.end(Ending.NEVER_UP)
+            return self.end(CloseReason.CONNECT_TIMEOUT)
         except OSError:
-            return self.end(Ending.REFUSED)
-        steady(writer)
+            return self.end(CloseReason.CONNECTION_REFUSED)
+        limit_read_size(writer)
         self._reader, self._writer = reader, writer
         while self.waiting:
             call = self.waiting.popleft()
             if call.task is not None:  # one that was given up must not be written any more
                 self.add(call)
         try:
-            while chunk := await reader.read(CHUNK):
+            while chunk := await reader.read(READ_BYTES):
                 self._heard = asyncio.get_running_loop().time()
                 self._feed(chunk)
         except OSError:
             pass
-        except Garbled as wrong:
+        except MalformedMessageError as wrong:
             self._desk.say(f"the counter: {wrong}")
-            self.end(Ending.GARBLED)
+            self.end(CloseReason.MALFORMED)
         finally:
-            self.end(Ending.BROKEN)
+            self.end(CloseReason.CONNECTION_LOST)
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: CloseReason) -> None:
         """Let go of it; what was written on it may have been added."""
         self._desk.forget(self)
         for call in (*self.out, *self.waiting):
@@ -129,21 +137,21 @@
             if answer["total"] is not None:
                 total = float(answer["total"])
                 if len(answer["total"]) != int(answer["size"]) or not abs(total) < MOST_TOTAL:
-                    raise Garbled(f"no total: {answer[0][:80]!r}")
-                ending = Ending.ANSWERED
+                    raise MalformedMessageError(f"no total: {answer[0][:80]!r}")
+                ending = CloseReason.ANSWERED
             else:
-                ending = Ending.TURNED_AWAY
+                ending = CloseReason.REJECTED
                 if not answer["error"].startswith(b"BUSY"):
                     self._desk.say(f"the counter says {answer['error'][:80]!r}")
             if not self.out:
-                raise Garbled("an answer without a call")
+                raise MalformedMessageError("an answer without a call")
             call = self.out.popleft()
             if call.task is None:
                 self._desk.counts["counter answers too late"] += 1
             self._desk.ended(call, ending, total)
         self._buffer = data[at:]
         if _BEGUN.fullmatch(self._buffer) is None:  # guards against noise, and answers that never end
-            raise Garbled(f"an answer to no call of ours: {self._buffer[:80]!r}")
+            raise MalformedMessageError(f"an answer to no call of ours: {self._buffer[:80]!r}")
 
 
 class Counter:
@@ -182,12 +190,14 @@
                 self._newest().add(call)
         line.waiting.clear()
         self._left.append(line)
-        asyncio.get_running_loop().call_later(self._patience, late, lambda: line.end(Ending.OVERDUE))
+        asyncio.get_running_loop().call_later(
+            self._patience, call_after_pending_io, lambda: line.end(CloseReason.TIMED_OUT)
+        )
 
     def close(self) -> None:
         """The end: no call goes out any more."""
         for line in [*self._left, *([self._line] if self._line is not None else [])]:
-            line.end(Ending.CALLED_OFF)
+            line.end(CloseReason.CANCELLED)
 
     def forget(self, line: Line) -> None:
         if self._line is line:
@@ -195,11 +205,11 @@
         elif line in self._left:
             self._left.remove(line)
 
-    def ended(self, call: Call, ending: Ending, total: float = 0.0) -> None:
+    def ended(self, call: Call, ending: CloseReason, total: float = 0.0) -> None:
         if call.task is not None:
             call.timer.cancel()
             self.counts[f"counter calls {ending.value}"] += 1
-            self._put(Counted(call.task, ending, total))
+            self._put(CounterCallFinished(call.task, ending, total))
             call.task = None
 
     def _newest(self) -> Line:
@@ -208,4 +218,6 @@
         return self._line
 
     def _overdue(self, call: Call) -> None:
-        late(lambda: self.ended(call, Ending.OVERDUE if call.written else Ending.WITHHELD))
+        call_after_pending_io(
+            lambda: self.ended(call, CloseReason.TIMED_OUT if call.written else CloseReason.NOT_SENT)
+        )
--- a/lapisgrade/net/discovery.py
+++ b/lapisgrade/net/discovery.py
@@ -11,9 +11,9 @@
 
 from lapisgrade import start
 from lapisgrade.interface import Entry, Listed
-from lapisgrade.net.events import Event, News
+from lapisgrade.net.events import Event, ServersUpdated
 from lapisgrade.net.hops import Pool
-from lapisgrade.net.http import CHUNK, Garbled, Parser
+from lapisgrade.net.http import READ_BYTES, MalformedMessageError, MessageParser
 from lapisgrade.start import Fields, Malformed
 
 STATES = {"in_service": Listed.READY, "terminating": Listed.DRAINING, "terminated": Listed.GONE}
@@ -115,7 +115,7 @@
         self._known = version
         if entries or whole:
             self._counts["lists"] += 1
-            self._put(News(entries, whole))
+            self._put(ServersUpdated(entries, whole))
         return version
 
     async def _follow(self, address: tuple[str, int], version: int | None, after: float) -> None:
@@ -134,7 +134,7 @@
             except Busy as wrong:
                 self._failed(wrong)
                 after = self._turns.turned_away()
-            except (OSError, TimeoutError, Garbled, Malformed, ValueError) as wrong:
+            except (OSError, TimeoutError, MalformedMessageError, Malformed, ValueError) as wrong:
                 self._failed(wrong)
 
     def _failed(self, wrong: Exception) -> None:
@@ -150,13 +150,13 @@
             wait = TOLD - LATE
             path = f"{path}?since={version}&timeout_ms={int(wait * 1000)}"
         writer.write(f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
-        parser, message = Parser(h11.CLIENT), None
+        parser, message = MessageParser(h11.CLIENT), None
         async with asyncio.timeout(wait + LATE):
             while message is None:
-                chunk = await reader.read(CHUNK)
+                chunk = await reader.read(READ_BYTES)
                 message = parser.feed(chunk)
                 if message is None and not chunk:
-                    raise Garbled("the connection ended")
+                    raise MalformedMessageError("the connection ended")
         if message.head.status_code != 200:
             raise Busy(f"status {message.head.status_code}")
         told = json.loads(b"".join(message.body))
--- a/lapisgrade/net/events.py
+++ b/lapisgrade/net/events.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, Any
 
 from lapisgrade.interface import Entry, Operation
-from lapisgrade.net.ending import Ending
+from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.handle import Client
 
 if TYPE_CHECKING:
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class ClientRequest:
     """What a client sent, as far as it passes on to a server; an operation's `handle`."""
 
     client: Client | None  # None once it has its answer or has left: nothing is owed any more
@@ -26,35 +26,35 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class RequestReceived:
     operation: Operation
 
 
 @dataclass(slots=True)
-class Left:
+class ClientDisconnected:
     """The client has gone before its answer."""
 
     operation: Operation
 
 
 @dataclass(slots=True)
-class Landed:
+class AttemptFinished:
     """A hop has ended, with a whole answer or without one."""
 
-    hop: Any
-    ending: Ending
+    attempt: Any
+    reason: CloseReason
     message: "Message | None" = None
 
 
 @dataclass(slots=True)
-class Counted:
+class CounterCallFinished:
     task: "Task"
-    ending: Ending
+    reason: CloseReason
     total: float = 0.0
 
 
 @dataclass(slots=True)
-class News:
+class ServersUpdated:
     """Discovery's word on the servers."""
 
     entries: list[Entry]
@@ -62,10 +62,12 @@
 
 
 @dataclass(slots=True)
-class Tick:
+class TimerFired:
     """The wake-up asked for last has come."""
 
     due_us: int
 
 
-Event = Taken | Left | Landed | Counted | News | Tick
+Event = (
+    RequestReceived | ClientDisconnected | AttemptFinished | CounterCallFinished | ServersUpdated | TimerFired
+)
--- a/lapisgrade/net/front.py
+++ b/lapisgrade/net/front.py
@@ -12,9 +12,16 @@
 
 from lapisgrade.interface import Answer, Category, Operation, Plan, Repeat, Verdict
 from lapisgrade.net import SECOND
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Asked, Event, Left, Taken
-from lapisgrade.net.http import CHUNK, MOST_BODY, Garbled, Message, Parser, steady
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import ClientRequest, Event, ClientDisconnected, RequestReceived
+from lapisgrade.net.http import (
+    READ_BYTES,
+    MAX_BODY_BYTES,
+    MalformedMessageError,
+    Message,
+    MessageParser,
+    limit_read_size,
+)
 
 _REASONS = {each.value: each.phrase.encode() for each in HTTPStatus}
 # What the protocol's fields may look like. Whatever else comes in one is nobody's request.
@@ -32,7 +39,7 @@
 SURELY = 0.2  # s from connecting after which a client that means to ask has asked
 ACCEPTS = 16  # connections taken in one turn of the loop, before any other must make room for them
 BACKLOG = 1024  # connections that wait in the kernel meanwhile
-MOST_UNREAD = 4 * MOST_BODY  # bytes of answers that a client may leave unread
+MOST_UNREAD = 4 * MAX_BODY_BYTES  # bytes of answers that a client may leave unread
 
 
 class Client:
@@ -52,36 +59,36 @@
 
     def __init__(self, front: "Front", writer: asyncio.StreamWriter) -> None:
         self._front, self._writer = front, writer
-        self._parser = Parser(h11.SERVER, self._front.most_body)
+        self._parser = MessageParser(h11.SERVER, self._front.most_body)
         self._early = b""  # came before its turn
         self._last = False  # the request under way is the connection's last
         self._timer: asyncio.TimerHandle | None = None  # runs while a request has come in part
         self.operation: Operation | None = None
-        self.ending = Ending.LEFT  # how the connection ends, where we don't end it
+        self.ending = CloseReason.CLIENT_DISCONNECTED  # how the connection ends, where we don't end it
         self.unwanted = False  # its request is turned back unread: there are too many connections
 
     async def read(self, reader: asyncio.StreamReader) -> None:
         """Take in all that comes, until the client goes or we close."""
         try:
-            while chunk := await reader.read(CHUNK):
+            while chunk := await reader.read(READ_BYTES):
                 self._feed(chunk)
         except OSError:
             pass  # it was reset: the client has gone
         finally:
             if self.operation is not None:
-                self._front.put(Left(self._done()))
+                self._front.put(ClientDisconnected(self._done()))
             self._whole()
             self._writer.close()
             self._front.forget(self)
             self._front.counts[f"clients {self.ending.value}"] += 1
 
-    def close(self, ending: Ending) -> None:
+    def close(self, ending: CloseReason) -> None:
         """Close once all that was written is out; `read` ends then."""
         self.ending = ending
         self._front.busy(self)
         self._writer.close()
 
-    def abort(self, ending: Ending) -> None:
+    def abort(self, ending: CloseReason) -> None:
         """Close at once, also where what was written can't go out (guards descriptors against lost peers)."""
         self.ending = ending
         self._front.busy(self)
@@ -91,9 +98,9 @@
         """No whole request came in time (guards descriptors against peers that are silent or slow)."""
         if self._timer is not None:
             self._whole()
-            self.reply(408, [], 0, last=True, ending=Ending.OVERDUE)
+            self.reply(408, [], 0, last=True, ending=CloseReason.TIMED_OUT)
         else:
-            self.close(Ending.OVERDUE)
+            self.close(CloseReason.TIMED_OUT)
 
     def reply(
         self,
@@ -102,7 +109,7 @@
         size: int,
         more: bytes = b"",
         last: bool = False,
-        ending: Ending = Ending.ANSWERED,
+        ending: CloseReason = CloseReason.ANSWERED,
     ) -> None:
         last = last or self._front.closing
         close = b"Connection: close\r\n" if last else b""
@@ -116,7 +123,7 @@
         self._writer.writelines([head, *body])
         self._front.counts[f"answered {status}"] += 1
         if self._writer.transport.get_write_buffer_size() > MOST_UNREAD:
-            self.abort(Ending.OVERDUE)  # guards memory against a peer that asks and does not read
+            self.abort(CloseReason.TIMED_OUT)  # guards memory against a peer that asks and does not read
         elif last:
             self.close(ending)
 
@@ -136,7 +143,7 @@
         return operation
 
     def _next(self) -> None:
-        self._parser = Parser(h11.SERVER, self._front.most_body)
+        self._parser = MessageParser(h11.SERVER, self._front.most_body)
         if not self._writer.is_closing():
             self._front.rests(self)
 
@@ -155,13 +162,13 @@
                 self._whole()
                 self._take(message)
                 chunk = message.rest
-            except Garbled as wrong:
+            except MalformedMessageError as wrong:
                 self._front.say(f"a request was answered {wrong.status}: {wrong}")
-                return self.reply(wrong.status, [], 0, last=True, ending=Ending.GARBLED)
+                return self.reply(wrong.status, [], 0, last=True, ending=CloseReason.MALFORMED)
         if chunk and self.operation is not None:
             self._early += chunk
             if len(self._early) > 2 * self._front.most_body:
-                self.abort(Ending.GARBLED)  # `read` sees the end, and says that it left
+                self.abort(CloseReason.MALFORMED)  # `read` sees the end, and says that it left
 
     def _part(self) -> None:
         """A request has come in part."""
@@ -177,14 +184,14 @@
             self.reply(503 if front.ending else 200, [], 0, last=message.last)
             return self._next()
         if self.unwanted:
-            return self.reply(503, [], 0, last=True, ending=Ending.TURNED_AWAY)
+            return self.reply(503, [], 0, last=True, ending=CloseReason.REJECTED)
         operation = front.operation(self, message)
         if operation is None:
             return self._next()  # answered already
         front.open.add(operation.handle.request_id)
         self.operation, self._last = operation, message.last
         front.busy(self)
-        front.put(Taken(operation))
+        front.put(RequestReceived(operation))
 
 
 class Front:
@@ -192,7 +199,7 @@
 
     UP = b"/up"
     # What another protocol of clients says otherwise, it sets on its own front.
-    most_body, ask, rest = MOST_BODY, ASK, REST
+    most_body, ask, rest = MAX_BODY_BYTES, ASK, REST
 
     def __init__(
         self,
@@ -228,7 +235,7 @@
         self._look()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        steady(writer)
+        limit_read_size(writer)
         client = Client(self, writer)
         self.clients[client] = None
         self.fresh[client] = asyncio.get_running_loop().time()
@@ -244,9 +251,9 @@
         """
         oldest = next(iter(self.fresh), newest)
         if oldest is not newest and self.fresh[oldest] < asyncio.get_running_loop().time() - SURELY:
-            oldest.abort(Ending.OVERDUE)
+            oldest.abort(CloseReason.TIMED_OUT)
         elif self.idle:
-            next(iter(self.idle)).abort(Ending.IDLE)
+            next(iter(self.idle)).abort(CloseReason.IDLE)
         else:
             newest.unwanted = True
 
@@ -262,7 +269,7 @@
         many = len(self.idle) - self._most // RESTING
         for i, (client, since) in enumerate(list(self.idle.items())):
             if since < now - (SURELY if i < many else self.rest):
-                client.close(Ending.IDLE)
+                client.close(CloseReason.IDLE)
 
     def busy(self, client: Client) -> None:
         self.fresh.pop(client, None)
@@ -285,7 +292,7 @@
         self.closing = True
         for client in self._were_idle:
             if client in self.fresh or client in self.idle:
-                client.close(Ending.IDLE)
+                client.close(CloseReason.IDLE)
         self._were_idle = [*self.fresh, *self.idle]
 
     def close(self) -> None:
@@ -293,10 +300,10 @@
         self._timer.cancel()
         self._server.close()
         for client in list(self.clients):
-            client.abort(Ending.CALLED_OFF)
+            client.abort(CloseReason.CANCELLED)
 
     def operation(self, client: Client, message: Message) -> Operation | None:
-        """The operation that a request stands for; None where it is answered already. Garbled: it is none."""
+        """The operation that a request stands for; None where it is answered already."""
         now = self._now()
         headers = message.headers()
         category = _among(self._categories, headers, b"x-priority-class")
@@ -308,18 +315,18 @@
         key = headers.get(b"idempotency-key")
         units, spread, first = float(units), int(spread), int(first)
         if not 0 < units <= self._most_units:
-            raise Garbled("the units are out of range")
+            raise MalformedMessageError("the units are out of range")
         if not (1 <= spread <= self._limiters and first < self._limiters):
-            raise Garbled("the customer's set is out of range")
+            raise MalformedMessageError("the customer's set is out of range")
         if timeout <= 0:
-            raise Garbled("no time is left")
+            raise MalformedMessageError("no time is left")
         method = message.head.method
         if method != _METHODS[category.repeat] or (message.size and method == b"GET"):
-            raise Garbled("not the method of its class")
+            raise MalformedMessageError("not the method of its class")
         if not key and category.repeat is Repeat.DEDUPLICATED:
-            raise Garbled("a key is missing, by which servers would know a repeat")
+            raise MalformedMessageError("a key is missing, by which servers would know a repeat")
         if request_id in self.open:  # its answer might go to the wrong one, and servers would see a copy
-            raise Garbled("a request with this id is open", 409)
+            raise MalformedMessageError("a request with this id is open", 409)
         return Operation(
             customer=customer,
             plan=plan,
@@ -330,7 +337,7 @@
             gateways=spread,
             first_gateway=first,
             retried=headers.get(b"x-retried") == b"1",
-            handle=Asked(
+            handle=ClientRequest(
                 client,
                 message.head.method,
                 message.head.target,
@@ -345,14 +352,14 @@
 def _formed(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> re.Match[bytes]:
     match = form.fullmatch(headers.get(name, b""))
     if match is None:
-        raise Garbled(f"{name.decode()} can't be read: {headers.get(name, b'')[:80]!r}")
+        raise MalformedMessageError(f"{name.decode()} can't be read: {headers.get(name, b'')[:80]!r}")
     return match
 
 
 def _among(table: dict[bytes, Any], headers: dict[bytes, bytes], name: bytes) -> Any:
     value = headers.get(name, b"")
     if value not in table:
-        raise Garbled(f"{name.decode()} is unknown: {value[:80]!r}")
+        raise MalformedMessageError(f"{name.decode()} is unknown: {value[:80]!r}")
     return table[value]
 
 
--- a/lapisgrade/net/hops.py
+++ b/lapisgrade/net/hops.py
@@ -9,19 +9,19 @@
 
 from lapisgrade.interface import Lines
 from lapisgrade.net import SECOND
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Asked, Event, Landed
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import ClientRequest, Event, AttemptFinished
 from lapisgrade.net.http import (
-    CHUNK,
-    MOST_BODY,
-    Garbled,
+    READ_BYTES,
+    MAX_BODY_BYTES,
+    MalformedMessageError,
     Message,
-    Parser,
+    MessageParser,
     Reader,
     connect,
-    late,
-    stale,
-    steady,
+    call_after_pending_io,
+    is_stale,
+    limit_read_size,
 )
 
 
@@ -51,7 +51,7 @@
     def __init__(self, pool: "Pool", server: str, hop: Any) -> None:
         self._pool, self.server, self.hop, self.idle_from, self.closed = pool, server, hop, 0, False
         self._address = pool.addresses[server]
-        self._parser: Parser | None = None
+        self._parser: MessageParser | None = None
         self._reader: Reader | None = None
         self._writer: asyncio.StreamWriter | None = None
         self._unwritten, self.strayed, self.idle_us = False, False, pool.lines.idle_us
@@ -64,25 +64,25 @@
             async with asyncio.timeout(pool.lines.dial_us / SECOND):
                 self._reader, self._writer = await connect(*self._address)
         except TimeoutError:
-            return self.end(Ending.NEVER_UP)
+            return self.end(CloseReason.CONNECT_TIMEOUT)
         except OSError:
-            return self.end(Ending.REFUSED)
+            return self.end(CloseReason.CONNECTION_REFUSED)
         pool.counts["server connections"] += 1
-        steady(self._writer)
+        limit_read_size(self._writer)
         self._writer.transport.set_write_buffer_limits(0)
         try:
             self._write()
-            while chunk := await self._reader.read(CHUNK):
+            while chunk := await self._reader.read(READ_BYTES):
                 self._feed(chunk)
             if self.hop is not None and not self._unwritten:
                 self._feed(b"")  # an answer may end with its connection
         except OSError:
             pass
         finally:
-            self.end(Ending.UNWRITTEN if self._unwritten else Ending.BROKEN)
+            self.end(CloseReason.INCOMPLETE_WRITE if self._unwritten else CloseReason.CONNECTION_LOST)
 
     def usable(self) -> bool:
-        return self._current() and not stale(self._reader, self._writer)
+        return self._current() and not is_stale(self._reader, self._writer)
 
     def _current(self) -> bool:
         return self._pool.addresses.get(self.server) == self._address
@@ -95,11 +95,11 @@
 
     def _write(self) -> None:
         hop, pool = self.hop, self._pool
-        asked: Asked = hop.operation.handle
+        asked: ClientRequest = hop.operation.handle
         # Guards rules 1 and 3: the connection came up after the operation's end, or as the server leaves.
         if asked.client is None or not self._current():
-            return self.end(Ending.WITHHELD)
-        self._parser = Parser(h11.CLIENT, pool.dialect.most_body)
+            return self.end(CloseReason.NOT_SENT)
+        self._parser = MessageParser(h11.CLIENT, pool.dialect.most_body)
         left = max(1, hop.operation.ends_us - pool.now()) / SECOND
         self._writer.writelines([pool.dialect.head(hop, left), *asked.body])
         if self._writer.transport.get_write_buffer_size():
@@ -116,23 +116,23 @@
 
     def _feed(self, chunk: bytes) -> None:
         if self.hop is None:
-            self.end(Ending.IDLE)  # nothing was asked
+            self.end(CloseReason.IDLE)  # nothing was asked
             return
         if self._current():
             self._pool.heard[self.server] = self._pool.now()
         try:
             message = self._parser.feed(chunk)
-        except Garbled as wrong:
+        except MalformedMessageError as wrong:
             if chunk:
                 self._pool.say(f"server {self.server}: {wrong}")
-            self.end(Ending.GARBLED if chunk else Ending.BROKEN)
+            self.end(CloseReason.MALFORMED if chunk else CloseReason.CONNECTION_LOST)
             return
         if message is not None and self._pool.dialect.stray(self.hop, message):
             # Another request's, come late: ours may follow it, and nothing follows ours here.
             self._pool.counts["stray answers"] += 1
-            self.strayed, self._parser = True, Parser(h11.CLIENT, self._pool.dialect.most_body)
+            self.strayed, self._parser = True, MessageParser(h11.CLIENT, self._pool.dialect.most_body)
             if message.last:
-                return self.end(Ending.BROKEN)
+                return self.end(CloseReason.CONNECTION_LOST)
             return self._feed(message.rest) if message.rest else None
         if message is not None:
             hop, self.hop = self.hop, None
@@ -146,26 +146,26 @@
                 or message.rest
                 or self._unwritten
                 or not self._current()
-                or (self.strayed or ending is Ending.GARBLED)
+                or (self.strayed or ending is CloseReason.MALFORMED)
             ):
-                self.end(Ending.IDLE)
+                self.end(CloseReason.IDLE)
             else:
                 self._pool.keep(self)
 
     def _overdue(self) -> None:
         hop = self.hop
-        late(lambda: self.end(Ending.OVERDUE) if self.hop is hop else None)
+        call_after_pending_io(lambda: self.end(CloseReason.TIMED_OUT) if self.hop is hop else None)
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: CloseReason) -> None:
         """Close, and tell how the hop ended if one is out."""
         hop, self.hop = self.hop, None
         self._pool.forget(self)
         if hop is not None:
             self._timer.cancel()
-            if ending is Ending.CALLED_OFF and self._writer is None:
-                ending = Ending.WITHHELD
+            if ending is CloseReason.CANCELLED and self._writer is None:
+                ending = CloseReason.NOT_SENT
             self._pool.landed(hop, ending, None)
-            if ending in (Ending.OVERDUE, Ending.CALLED_OFF):
+            if ending in (CloseReason.TIMED_OUT, CloseReason.CANCELLED):
                 self._pool.doubt(hop)
         if self._writer is not None:
             self._writer.transport.abort()
@@ -204,13 +204,13 @@
         self.counts["hops"] += 1
         idle = self._idle.get(server, [])
         while idle and not idle[-1].usable():
-            idle[-1].end(Ending.IDLE)
+            idle[-1].end(CloseReason.IDLE)
         if idle:
             link = idle.pop()
             self._links[hop] = link
             link.ask(hop)
         elif server not in self.addresses or (self._open >= self.most and not self._close_one()):
-            self._put(Landed(hop, Ending.WITHHELD))
+            self._put(AttemptFinished(hop, CloseReason.NOT_SENT))
         else:
             self._open += 1
             self._links[hop] = Link(self, server, hop)
@@ -218,12 +218,12 @@
     def cancel(self, hop: Any) -> None:
         link = self._links.get(hop)
         if link is not None:
-            link.end(Ending.CALLED_OFF)
+            link.end(CloseReason.CANCELLED)
 
-    def landed(self, hop: Any, ending: Ending, message: Message | None) -> None:
+    def landed(self, hop: Any, ending: CloseReason, message: Message | None) -> None:
         del self._links[hop]
         self.counts[f"hops {ending.value}"] += 1
-        self._put(Landed(hop, ending, message))
+        self._put(AttemptFinished(hop, ending, message))
 
     def keep(self, link: Link) -> None:
         link.idle_from = self.now()
@@ -241,7 +241,7 @@
         server = hop.server.address
         if self.heard.get(server, 0) < hop.sent < self.now() - self.lines.dial_us:
             for link in list(self._idle.get(server, [])):
-                link.end(Ending.IDLE)
+                link.end(CloseReason.IDLE)
 
     def forget(self, link: Link) -> None:
         if not link.closed:
@@ -264,7 +264,7 @@
             else:
                 self.addresses.pop(server, None)
             for link in [each for each in self._idle.get(server, []) if not each.usable()]:
-                link.end(Ending.IDLE)
+                link.end(CloseReason.IDLE)
             if address is None:  # guards memory
                 self.heard.pop(server, None)
                 if not self._idle.get(server):
@@ -273,20 +273,20 @@
     def close(self) -> None:
         """The end: all that is out is called off."""
         for link in [*self._links.values(), *(link for idle in self._idle.values() for link in idle)]:
-            link.end(Ending.CALLED_OFF)
+            link.end(CloseReason.CANCELLED)
 
     def _close_one(self) -> bool:
         """Close the connection idle for longest, to make room; whether there was one."""
         fronts = [idle[0] for idle in self._idle.values() if idle]
         if fronts:
-            min(fronts, key=lambda link: link.idle_from).end(Ending.IDLE)
+            min(fronts, key=lambda link: link.idle_from).end(CloseReason.IDLE)
         return bool(fronts)
 
     def _close_stale(self, idle: list[Link]) -> None:
         """Close ours before the other side does, by as long as a connection may take to come up."""
         now = self.now()
         for link in [each for each in idle if self._ripe(each) <= now]:
-            link.end(Ending.IDLE)
+            link.end(CloseReason.IDLE)
 
     def _ripe(self, link: Link) -> int:
         return link.idle_from + link.idle_us - self.lines.dial_us
@@ -304,11 +304,11 @@
 class Dialect:
     """What is said to the servers of the deployments in service; another protocol has one of its own."""
 
-    most_body = MOST_BODY
+    most_body = MAX_BODY_BYTES
 
     def head(self, hop: Any, left: float) -> bytes:
         """Request line and fields of a hop, `left` seconds before its end."""
-        asked: Asked = hop.operation.handle
+        asked: ClientRequest = hop.operation.handle
         size = sum(len(each) for each in asked.body)
         return b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Request-ID: %b\r\nX-Timeout: %.6f\r\n%b%b\r\n" % (
             asked.method,
@@ -320,7 +320,7 @@
             b"Content-Length: %d\r\n" % size if size or asked.method != b"GET" else b"",
         )
 
-    def told(self, hop: Any, message: Message) -> Ending:
+    def told(self, hop: Any, message: Message) -> CloseReason:
         return told(message)
 
     def stray(self, hop: Any, message: Message) -> bool:
@@ -332,16 +332,16 @@
         return 0
 
 
-def told(message: Message) -> Ending:
+def told(message: Message) -> CloseReason:
     """What a server's whole answer says."""
     status = message.head.status_code
     if status == 200:
-        return Ending.ANSWERED
+        return CloseReason.ANSWERED
     if status in (503, 504) and message.headers().get(b"x-not-processed") == b"1":
-        return Ending.TURNED_AWAY
+        return CloseReason.REJECTED
     if 400 <= status < 500 and status not in _ONLY_NOW:
-        return Ending.REJECTED
-    return Ending.ERRED
+        return CloseReason.CLIENT_ERROR
+    return CloseReason.ERROR_RESPONSE
 
 
 def load_report(message: Message) -> dict[str, float] | None:
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -10,9 +10,18 @@
 from lapisgrade.engine import Engine, Task
 from lapisgrade.interface import Add, Answer, Clock, Operation, Report, Total, Verdict, Word
 from lapisgrade.net import SECOND, counter, front, hops
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Asked, Counted, Event, Landed, Left, News, Taken, Tick
-from lapisgrade.net.http import late
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import (
+    ClientRequest,
+    CounterCallFinished,
+    Event,
+    AttemptFinished,
+    ClientDisconnected,
+    ServersUpdated,
+    RequestReceived,
+    TimerFired,
+)
+from lapisgrade.net.http import call_after_pending_io
 
 
 def wall(offset_us: int = 0, drift_ppm: float = 0.0) -> Callable[[], int]:
@@ -46,19 +55,19 @@
         self.clock = Clock(now())
         self.engine = Engine(self, self.clock)
         self.module = build(self.clock)
-        self.owed: dict[Asked, Operation] = {}  # without their final answer
+        self.owed: dict[ClientRequest, Operation] = {}  # without their final answer
         self._due = 0  # the wake-up asked for last
         self.pool: hops.Pool | None = None
         self.counter: counter.Counter | None = None
 
     async def run(self) -> None:
         bring: dict[type, Callable[[Any], None]] = {
-            Taken: self._taken,
-            Left: self._left,
-            Landed: self._landed,
-            Counted: self._counted,
-            News: self._news,
-            Tick: self._tick,
+            RequestReceived: self._taken,
+            ClientDisconnected: self._left,
+            AttemptFinished: self._landed,
+            CounterCallFinished: self._counted,
+            ServersUpdated: self._news,
+            TimerFired: self._tick,
         }
         while True:
             event = await self._queue.get()
@@ -77,7 +86,7 @@
 
     # ---- what the sockets bring
 
-    def _taken(self, event: Taken) -> None:
+    def _taken(self, event: RequestReceived) -> None:
         operation = event.operation
         if operation.handle.client is None:
             return  # gone already
@@ -85,20 +94,20 @@
         self._counts["operations"] += 1
         self.engine.run(self.module.operation(operation), operation)
 
-    def _left(self, event: Left) -> None:
+    def _left(self, event: ClientDisconnected) -> None:
         operation = event.operation
         operation.over = True
         if self.owed.pop(operation.handle, None) is not None:
             self._counts["operations whose client left"] += 1
             self.engine.told(operation, Word.GONE)
 
-    def _landed(self, event: Landed) -> None:
-        hop, ending = event.hop, event.ending
+    def _landed(self, event: AttemptFinished) -> None:
+        hop, ending = event.attempt, event.reason
         operation = hop.operation
         client = operation.handle.client
         message = event.message
         # A request that a server can't use is told so: no other could (guards servers against its repeats).
-        if client is not None and ending in (Ending.ANSWERED, Ending.REJECTED):
+        if client is not None and ending in (CloseReason.ANSWERED, CloseReason.CLIENT_ERROR):
             del self.owed[operation.handle]
             self.deliver(client, message)
             client = None
@@ -113,13 +122,13 @@
     load = staticmethod(hops.load_report)
     worded = staticmethod(front.worded)
 
-    def _counted(self, event: Counted) -> None:
-        self.engine.added(event.task, Total(event.ending.tally, event.total))
+    def _counted(self, event: CounterCallFinished) -> None:
+        self.engine.added(event.task, Total(event.reason.counter_outcome, event.total))
 
-    def _news(self, event: News) -> None:
+    def _news(self, event: ServersUpdated) -> None:
         self.module.listed(event.entries, event.whole)
 
-    def _tick(self, event: Tick) -> None:
+    def _tick(self, event: TimerFired) -> None:
         self.engine.time(ticked=event.due_us == self._due)
 
     # ---- what the engine wants carried out
@@ -147,4 +156,6 @@
     def wake_at(self, when_us: int) -> None:
         self._due = when_us
         delay = max(0, when_us - self.now()) / SECOND
-        asyncio.get_running_loop().call_later(delay, late, lambda: self.put(Tick(when_us)))
+        asyncio.get_running_loop().call_later(
+            delay, call_after_pending_io, lambda: self.put(TimerFired(when_us))
+        )
--- a/lapisgrade/net/http.py
+++ b/lapisgrade/net/http.py
@@ -8,17 +8,19 @@
 
 import h11
 
-CHUNK = 16_384  # bytes asked for in one read; most messages are far smaller
-MOST_BODY = 65_536  # bytes; the protocol's
+from lapisgrade.errors import LapisgradeError
+
+READ_BYTES = 16_384  # bytes asked for in one read; most messages are far smaller
+MAX_BODY_BYTES = 65_536  # bytes; the protocol's
 # h11 takes an answer also where no request has passed through it, but none that only announces another (1xx).
 # A bare request before those is all that it needs; without one, an answer costs a third less to read.
 _PRIMER = h11.Request(method=b"GET", target=b"/", headers=[(b"Host", b"-")])
 _FINAL = re.compile(rb"HTTP/1\.[01] [2-9]")
 
 
-def steady(writer: asyncio.StreamWriter) -> None:
+def limit_read_size(writer: asyncio.StreamWriter) -> None:
     """asyncio makes a buffer of 256 KiB for each read, which costs more than the read itself."""
-    writer.transport.max_size = CHUNK
+    writer.transport.max_size = READ_BYTES
 
 
 class Reader(asyncio.StreamReader):
@@ -45,7 +47,7 @@
     return reader, asyncio.StreamWriter(transport, protocol, reader, loop)
 
 
-def stale(reader: Reader, writer: asyncio.StreamWriter) -> bool:
+def is_stale(reader: Reader, writer: asyncio.StreamWriter) -> bool:
     """Whether a connection on which nothing is due has ended or brought something, as far as we know.
 
     What is written to it then may have run, for all that we know (guards operations that must not repeat, and
@@ -56,12 +58,12 @@
     return bool(select.select([writer.get_extra_info("socket")], [], [], 0)[0])
 
 
-def late(call: Callable[[], None]) -> None:
+def call_after_pending_io(call: Callable[[], None]) -> None:
     """Carry out a time-out, but after all that has come by now (guards against our own sleep)."""
     asyncio.get_running_loop().call_soon(call)
 
 
-class Garbled(Exception):
+class MalformedMessageError(LapisgradeError):
     """What came is not the protocol; `status` is what a client is told."""
 
     def __init__(self, words: str, status: int = 400) -> None:
@@ -83,12 +85,12 @@
         return {name.lower(): value for name, value in self.head.headers.raw_items()}
 
 
-class Parser:
+class MessageParser:
     """Takes in what is read until one message is whole; a message has a parser of its own."""
 
     __slots__ = ("_bare", "_body", "_head", "_machine", "_most", "_size")
 
-    def __init__(self, role: type, most: int = MOST_BODY) -> None:
+    def __init__(self, role: type, most: int = MAX_BODY_BYTES) -> None:
         self._machine, self._most = h11.Connection(role), most
         self._bare = role is h11.CLIENT
         self._head: h11.Request | h11.Response | None = None
@@ -119,9 +121,9 @@
                 elif kind is h11.NEED_DATA:
                     return None
                 elif kind is not h11.InformationalResponse:
-                    raise Garbled("the connection ended inside a message")
+                    raise MalformedMessageError("the connection ended inside a message")
         except h11.RemoteProtocolError as wrong:
-            raise Garbled(str(wrong), wrong.error_status_hint) from None
+            raise MalformedMessageError(str(wrong), wrong.error_status_hint) from None
 
     def _judge(self, head: h11.Request | h11.Response) -> None:
         """Whether the body may be read, and by one length alone.
@@ -130,9 +132,9 @@
         """
         names = [name for name, _ in head.headers]
         if b"transfer-encoding" in names and (b"content-length" in names or head.http_version < b"1.1"):
-            raise Garbled("the body has two lengths")
+            raise MalformedMessageError("the body has two lengths")
         if any(name == b"content-length" and int(value) > self._most for name, value in head.headers):
-            raise Garbled("the body is too long", 413)
+            raise MalformedMessageError("the body is too long", 413)
 
     def expects(self) -> bool:
         """Whether the other side waits for our word before it sends the body."""
@@ -143,6 +145,6 @@
         size = len(data)
         self._size += size
         if self._size > self._most:
-            raise Garbled("the body is too long", 413)
+            raise MalformedMessageError("the body is too long", 413)
         end = len(chunk) - len(self._machine.trailing_data[0])
         self._body.append(memoryview(chunk)[end - size : end])
--- a/tests/gateway/test_quota_transport.py
+++ b/tests/gateway/test_quota_transport.py
@@ -13,7 +13,7 @@
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.verdict import Verdict
-from lapisgrade.net.ending import Ending
+from lapisgrade.net.close_reason import CloseReason
 
 ME, OLD, NEW = "me", "old", "new"
 
@@ -66,13 +66,13 @@
         self.transport = QuotaTransport(self.process)
         self.addCleanup(self.transport.close)
 
-    async def add(self) -> Ending:
+    async def add(self) -> CloseReason:
         began = time.monotonic()
         self.transport.add(None, SimpleNamespace(name=self.process.tenant))
         while not self.process.ended:
             await asyncio.sleep(0.005)
         self.assertLess(time.monotonic() - began, 3 * ADD)
-        return self.process.ended[0].ending
+        return self.process.ended[0].reason
 
     async def test_an_owner_that_has_a_later_list_is_not_the_last_word(self) -> None:
         process = self.process
@@ -83,7 +83,7 @@
         asyncio.get_running_loop().call_later(
             0.03, process.quota_owner.told, 1, 9, listed(ME, OLD, NEW), (), 5
         )
-        self.assertIs(await self.add(), Ending.ANSWERED)
+        self.assertIs(await self.add(), CloseReason.ANSWERED)
         self.assertEqual((process.asked[0], process.asked[-1]), ((OLD, 5), (NEW, 9)))
 
     async def test_an_owner_without_this_list_yet_is_asked_until_it_has_it(self) -> None:
@@ -93,19 +93,19 @@
         asyncio.get_running_loop().call_later(
             0.04, process.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
         )
-        self.assertIs(await self.add(), Ending.ANSWERED)
+        self.assertIs(await self.add(), CloseReason.ANSWERED)
 
     async def test_it_ends_in_time_where_the_lists_never_meet(self) -> None:
         self.process.answers = {OLD: rpc_messages.QuotaReply(False, fence=9)}
-        self.assertIs(await self.add(), Ending.TURNED_AWAY)
+        self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertLess(len(self.process.asked), 12)
 
     async def test_a_word_under_the_same_list_is_the_last_and_silence_is_told(self) -> None:
         self.process.answers = {OLD: rpc_messages.QuotaReply(False, fence=5)}
-        self.assertIs(await self.add(), Ending.TURNED_AWAY)
+        self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertEqual(len(self.process.asked), 1)
         self.process.answers, self.process.ended[:] = {}, []
-        self.assertIs(await self.add(), Ending.OVERDUE)
+        self.assertIs(await self.add(), CloseReason.TIMED_OUT)
 
 
 if __name__ == "__main__":
--- a/tests/net/test_net_callers.py
+++ b/tests/net/test_net_callers.py
@@ -26,7 +26,7 @@
             site.till.manner = manner
             calls.add(SimpleNamespace(), Add(7, amount, 45_000_000))
             event = await got.get()
-            return event.ending.tally, event.total
+            return event.reason.counter_outcome, event.total
 
         assert await tell(2.0, "well") == (Tally.ADDED, 2.0)
         assert site.till.seen[-1] == [b"INCRTTL", b"7", b"2.000000", b"45000"]
--- a/tests/net/test_net_front.py
+++ b/tests/net/test_net_front.py
@@ -120,7 +120,7 @@
         await until(lambda: site.sent("5"))
         writer.close()
         await until(lambda: site.service.counts["operations whose client left"] == 1)
-        await until(lambda: site.service.counts["hops called off"] == 1)
+        await until(lambda: site.service.counts["hops cancelled"] == 1)
         assert not site.service.host.owed
 
 
@@ -215,6 +215,6 @@
                 for i in range(200):
                     asked = site.request("burn", f"{i}", bytes(60_000))
                     await asyncio.get_running_loop().sock_sendall(deaf, asked)
-                    await until(lambda i=i: site.sent(f"{i}") or site.service.counts["clients overdue"])
+                    await until(lambda i=i: site.sent(f"{i}") or site.service.counts["clients timed out"])
                     await until(lambda: not site.service.host.owed)
-        assert site.service.counts["clients overdue"] == 1 and not site.sent("199")
+        assert site.service.counts["clients timed out"] == 1 and not site.sent("199")
--- a/tests/net/test_net_hops.py
+++ b/tests/net/test_net_hops.py
@@ -9,8 +9,8 @@
 
 from lapisgrade.interface import Add, Lines, Outcome
 from lapisgrade.net.counter import Counter as Calls
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Asked, Landed
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import ClientRequest, AttemptFinished
 from lapisgrade.net.hops import Pool, load_report
 from lapisgrade.net.host import wall
 from loopback import on_loopback, until
@@ -22,7 +22,7 @@
     """A hop as the pool needs it."""
 
     def __init__(self, now, body=b"x", server="s", lasts=0.5):
-        asked = Asked(object(), b"POST", b"/api", b"h", b"1", None, [body])
+        asked = ClientRequest(object(), b"POST", b"/api", b"h", b"1", None, [body])
         self.operation = SimpleNamespace(handle=asked, ends_us=now() + int(lasts * SECOND))
         self.server, self.sent = SimpleNamespace(address=server), now()
 
@@ -40,20 +40,20 @@
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     for manner, ending, outcome in [
-        ("well", Ending.ANSWERED, Outcome.OK),
-        ("error", Ending.ERRED, Outcome.ERROR),
-        ("full", Ending.TURNED_AWAY, Outcome.FULL),
-        ("rejected", Ending.REJECTED, Outcome.REJECTED),
-        ("plain 503", Ending.ERRED, Outcome.ERROR),
-        ("noise", Ending.GARBLED, Outcome.ERROR),
-        ("short", Ending.BROKEN, Outcome.BROKEN),
-        ("close", Ending.BROKEN, Outcome.BROKEN),
-        ("silent", Ending.OVERDUE, Outcome.TIMED_OUT),
+        ("well", CloseReason.ANSWERED, Outcome.OK),
+        ("error", CloseReason.ERROR_RESPONSE, Outcome.ERROR),
+        ("full", CloseReason.REJECTED, Outcome.FULL),
+        ("rejected", CloseReason.CLIENT_ERROR, Outcome.REJECTED),
+        ("plain 503", CloseReason.ERROR_RESPONSE, Outcome.ERROR),
+        ("noise", CloseReason.MALFORMED, Outcome.ERROR),
+        ("short", CloseReason.CONNECTION_LOST, Outcome.BROKEN),
+        ("close", CloseReason.CONNECTION_LOST, Outcome.BROKEN),
+        ("silent", CloseReason.TIMED_OUT, Outcome.TIMED_OUT),
     ]:
         backend.manner = manner
         made.send(Hop(now))
-        event: Landed = await landed.get()
-        assert (event.ending, event.ending.outcome) == (ending, outcome), manner
+        event: AttemptFinished = await landed.get()
+        assert (event.reason, event.reason.outcome) == (ending, outcome), manner
         assert not outcome.never_ran or manner == "full"
     backend.manner = "load"
     made.send(Hop(now))
@@ -63,12 +63,12 @@
     made.send(hop)
     await asyncio.sleep(0.05)
     made.cancel(hop)
-    assert (await landed.get()).ending is Ending.CALLED_OFF
+    assert (await landed.get()).reason is CloseReason.CANCELLED
     backend.close()
     made.send(Hop(now))
-    assert (await landed.get()).ending.outcome is Outcome.NO_CONNECTION
+    assert (await landed.get()).reason.outcome is Outcome.NO_CONNECTION
     made.send(Hop(now, server="unknown"))
-    assert (await landed.get()).ending.outcome is Outcome.NEVER_SENT
+    assert (await landed.get()).reason.outcome is Outcome.NEVER_SENT
 
 
 @on_loopback
@@ -80,11 +80,11 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("lapisgrade.net.hops.connect", lambda *_: nobody())
         made.send(Hop(now))
-        assert (await landed.get()).ending is Ending.NEVER_UP
+        assert (await landed.get()).reason is CloseReason.CONNECT_TIMEOUT
         hop = Hop(now)
         made.send(hop)
         made.cancel(hop)
-        assert (await landed.get()).ending is Ending.WITHHELD
+        assert (await landed.get()).reason is CloseReason.NOT_SENT
 
 
 @on_loopback
@@ -94,10 +94,10 @@
     over, leaving = Hop(now), Hop(now)
     made.send(over)
     over.operation.handle.client = None
-    assert (await landed.get()).ending is Ending.WITHHELD
+    assert (await landed.get()).reason is CloseReason.NOT_SENT
     made.send(leaving)
     made.known({"s": None})
-    assert (await landed.get()).ending is Ending.WITHHELD and not backend.seen
+    assert (await landed.get()).reason is CloseReason.NOT_SENT and not backend.seen
     backend.close()
 
 
@@ -109,13 +109,13 @@
     for wait, connections in [(0.0, 1), (0.0, 1), (0.65, 2)]:
         await asyncio.sleep(wait)
         made.send(Hop(now))
-        assert (await landed.get()).ending is Ending.ANSWERED
+        assert (await landed.get()).reason is CloseReason.ANSWERED
         assert made.counts["server connections"] == connections
     await until(backend.writers[0].is_closing)  # by us, with nothing more to send
     backend.shut()
     await asyncio.sleep(0)  # it is closed, and its end is not yet read
     made.send(Hop(now))
-    assert (await landed.get()).ending is Ending.ANSWERED and made.counts["server connections"] == 3
+    assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 3
     backend.close()
 
 
@@ -125,7 +125,7 @@
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     made.send(Hop(now))
-    assert (await landed.get()).ending is Ending.ANSWERED
+    assert (await landed.get()).reason is CloseReason.ANSWERED
     backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfor ")
     link = made._idle["s"][0]
     for _ in range(1000):
@@ -134,7 +134,7 @@
         await asyncio.sleep(0)
     made.send(Hop(now, body=b"two"))
     event = await landed.get()
-    assert event.ending is Ending.ANSWERED and b"".join(event.message.body) == b"for two"
+    assert event.reason is CloseReason.ANSWERED and b"".join(event.message.body) == b"for two"
     assert made.counts["server connections"] == 2
     backend.close()
 
@@ -144,12 +144,12 @@
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     made.send(Hop(now))
-    assert (await landed.get()).ending is Ending.ANSWERED
+    assert (await landed.get()).reason is CloseReason.ANSWERED
     made.known({"new": ("127.0.0.1", backend.port)})  # before the old one is told to be gone
     made.send(Hop(now))
-    assert (await landed.get()).ending is Ending.WITHHELD
+    assert (await landed.get()).reason is CloseReason.NOT_SENT
     made.send(Hop(now, server="new"))
-    assert (await landed.get()).ending is Ending.ANSWERED and made.counts["server connections"] == 2
+    assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 2
     assert list(made.addresses) == list(made.heard) == list(made._idle) == ["new"]
     backend.close()
 
@@ -160,13 +160,13 @@
     made, landed, now = pool(backend.port, dial=0.15)
     for _ in range(2):
         made.send(Hop(now))
-    assert {(await landed.get()).ending for _ in range(2)} == {Ending.ANSWERED}
+    assert {(await landed.get()).reason for _ in range(2)} == {CloseReason.ANSWERED}
     backend.manner = "silent"
     made.send(Hop(now, lasts=0.2))
-    assert (await landed.get()).ending is Ending.OVERDUE
+    assert (await landed.get()).reason is CloseReason.TIMED_OUT
     backend.manner = "well"
     made.send(Hop(now))
-    assert (await landed.get()).ending is Ending.ANSWERED and made.counts["server connections"] == 3
+    assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 3
     backend.close()
 
 
@@ -180,13 +180,13 @@
         for _ in range(2):  # the first ones open the connections
             calls.add(SimpleNamespace(), Add(7, 1.0, 45_000_000))
             made.send(Hop(now, lasts=0.2))
-            assert (await got.get()).ending is Ending.ANSWERED
-            assert (await landed.get()).ending is Ending.ANSWERED
+            assert (await got.get()).reason is CloseReason.ANSWERED
+            assert (await landed.get()).reason is CloseReason.ANSWERED
         site.till.asleep = site.backends[0].asleep = 0.4  # each answers, and we do not look for so long
         calls.add(SimpleNamespace(), Add(7, 1.0, 45_000_000))
-        assert (await got.get()).ending is Ending.ANSWERED
+        assert (await got.get()).reason is CloseReason.ANSWERED
         made.send(Hop(now, lasts=0.2))
-        assert (await landed.get()).ending is Ending.ANSWERED
+        assert (await landed.get()).reason is CloseReason.ANSWERED
 
 
 @on_loopback
@@ -202,7 +202,7 @@
     made, landed, now = pool(server.sockets[0].getsockname()[1])
     made.send(Hop(now, body=bytes(30_000_000)))
     event = await landed.get()
-    assert event.ending is Ending.UNWRITTEN and event.ending.outcome.never_ran
+    assert event.reason is CloseReason.INCOMPLETE_WRITE and event.reason.outcome.never_ran
     server.close()
 
 
@@ -213,10 +213,10 @@
     made.known({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(parties)})
     for i in range(5):
         made.send(Hop(now, server=f"s{i}"))
-    endings = [(await landed.get()).ending for _ in range(5)]
-    assert endings.count(Ending.WITHHELD) == 1 and endings.count(Ending.ANSWERED) == 4
+    endings = [(await landed.get()).reason for _ in range(5)]
+    assert endings.count(CloseReason.NOT_SENT) == 1 and endings.count(CloseReason.ANSWERED) == 4
     made.send(Hop(now, server="s4"))  # the one idle for longest makes room
-    assert (await landed.get()).ending is Ending.ANSWERED
+    assert (await landed.get()).reason is CloseReason.ANSWERED
     for each in parties:
         each.close()
 
