--- a/tests/gateway/test_toolbox.py
+++ b/tests/gateway/cli/test_check.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from loopback_network import reserve_loopback_network
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.gateway import __main__ as program
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.cli import rollout, check
--- a/tests/gateway/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from loopback_network import reserve_loopback_network
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.cli import onboarding
 from lapisgrade.gateway.cli.onboarding import OperatorClient, behind, plan
--- a/tests/gateway/test_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from loopback_network import reserve_loopback_network
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.gateway.cli.onboarding import OperatorClient
--- a/tests/gateway/test_rejoin.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from loopback_network import reserve_loopback_network
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.lab.partitions import cuts, rejoin
 from lapisgrade.lab.partitions.fleet import Stamped
 from lapisgrade.gateway.http_client import told
--- a/tests/gateway/test_control_processes.py
+++ b/tests/gateway/controller/test_partitions.py
@@ -7,7 +7,7 @@
 import unittest
 from random import Random
 
-from loopback_network import reserve_loopback_network
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.lab.partitions import control
 from lapisgrade.lab.partitions.control import play
 
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/proxy/test_answers.py
@@ -5,7 +5,7 @@
 from contextlib import ExitStack
 from unittest import mock
 
-from loopback_network import reserve_loopback_network
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.lab.answers import MUTANTS, Found, Try, play
 
 
--- a/tests/gateway/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from loopback_network import reserve_loopback_network
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.gateway.local_cluster import SAMPLE, Links, LocalCluster, ask
 from lapisgrade.net.http import Message
 
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from loopback_network import reserve_loopback_network
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.net.http import Message
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.local_cluster import SAMPLE, Links, LocalCluster, ask, told
--- a/tests/net/test_net_chance.py
+++ b/tests/net/test_chance.py
@@ -5,9 +5,9 @@
 from random import Random
 
 import pytest
-from helpers import Site
+from support.limiter_fakes import Site
 
-from loopback import run_on_loop
+from support.event_loop import run_on_loop
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/net/test_net_end.py
+++ b/tests/net/test_end.py
@@ -11,10 +11,10 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import Agent, Site, Till, heard
+from support.limiter_fakes import Agent, Site, Till, heard
 
 from lapisgrade import start
-from loopback import on_loopback, until
+from support.event_loop import on_loopback, until
 
 
 @on_loopback
--- a/tests/net/test_net_front.py
+++ b/tests/net/test_front.py
@@ -5,10 +5,10 @@
 import socket
 
 import pytest
-from helpers import Site, heard
+from support.limiter_fakes import Site, heard
 
 from lapisgrade.net import front
-from loopback import on_loopback, until
+from support.event_loop import on_loopback, until
 
 
 @on_loopback
--- a/tests/net/test_net_hops.py
+++ b/tests/net/test_hops.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import Backend, Site
+from support.limiter_fakes import Backend, Site
 
 from lapisgrade.interface import Add, Lines, Outcome
 from lapisgrade.net.counter import Counter as Calls
@@ -13,7 +13,7 @@
 from lapisgrade.net.events import ClientRequest, AttemptFinished
 from lapisgrade.net.hops import Pool, load_report
 from lapisgrade.net.host import wall
-from loopback import on_loopback, until
+from support.event_loop import on_loopback, until
 
 SECOND = 1_000_000
 
--- a/tests/net/test_net_start.py
+++ b/tests/net/test_start.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import Site
+from support.limiter_fakes import Site
 
 from lapisgrade import start
 from lapisgrade.net.log import LINES_A_SECOND, Log
--- a/tests/test_decide.py
+++ b/tests/policy/test_limiter.py
@@ -1,7 +1,7 @@
 """The module under seeded chance, with each rule checked at each step, and a few plain cases."""
 
 import pytest
-from helpers import CATEGORIES, DUTIES, PLANS, SECOND, World
+from support.limiter_fakes import CATEGORIES, DUTIES, PLANS, SECOND, World
 
 from lapisgrade.decide.account import Counter
 from lapisgrade.decide.fleet import COLD_SHARE, PACE_LIFE
--- /dev/null
+++ b/tests/support/__init__.py
@@ -0,0 +1,1 @@
+"""What several tests share: fakes, reservations and runners."""
