--- a/lapisgrade/gateway/proxy/client_front.py
+++ b/lapisgrade/gateway/proxy/client_front.py
@@ -6,7 +6,9 @@
 
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.routing import upstream_protocol
-from lapisgrade.gateway.routing.router import RoutedRequest, Router
+from lapisgrade.gateway.routing.request import RoutedRequest
+from lapisgrade.gateway.routing.request_attempts import RESPONSE_MARGIN_US
+from lapisgrade.gateway.routing.router import Router
 from lapisgrade.net import front
 from lapisgrade.net.http import Garbled
 from lapisgrade.net.http import Message as Http
@@ -40,9 +42,9 @@
             client.reply(status, [], 0, more, last=message.last)
 
         target, host = message.head.target, fields.get(b"host", b"")
-        scheme, _, key = fields.get(upstream_protocol.KEY, b"").partition(b" ")
+        scheme, _, key = fields.get(upstream_protocol.AUTHORIZATION, b"").partition(b" ")
         key = key.strip() if scheme.lower() == b"bearer" else b""
-        found = self._proxy.router.entry(
+        found = self._proxy.router.match(
             now, host.decode("latin-1"), target.decode("latin-1"), key.decode("latin-1")
         )
         if found == 503:
@@ -52,7 +54,7 @@
             return refuse(found)
         rule, tenant = found
         request_id, told = (
-            fields.get(upstream_protocol.TRY_ID, b""),
+            fields.get(upstream_protocol.REQUEST_ID, b""),
             fields.get(upstream_protocol.DEADLINE, b""),
         )
         if not 0 < len(request_id) <= 256:
@@ -70,12 +72,12 @@
             category=None,
             units=1.0,
             arrived_us=now,
-            ends_us=now + max(1000, left - 12_000),
+            ends_us=now + max(1000, left - RESPONSE_MARGIN_US),
             gateways=1,
             rule=rule,
             tenant=tenant,
-            svc=self._proxy.router.split.choose(rule),
-            handle=upstream_protocol.Passing(
+            service=self._proxy.router.split.choose(rule),
+            handle=upstream_protocol.ForwardedRequest(
                 client,
                 message.head.method,
                 target,
@@ -83,7 +85,7 @@
                 request_id,
                 None,
                 message.body,
-                upstream_protocol.passed(message, upstream_protocol.OURS),
+                upstream_protocol.forwarded_headers(message, upstream_protocol.NOT_FORWARDED_HEADERS),
                 tenant.name.encode() if tenant else b"",
             ),
         )
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -6,7 +6,7 @@
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.routing import upstream_protocol
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
-from lapisgrade.gateway.routing.router import RoutedRequest
+from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.interface import Answer
 from lapisgrade.net import front, hops
 from lapisgrade.net.ending import Ending
@@ -20,7 +20,7 @@
 class ProxyHost(Host):
     """The limiter's host, with the system's answers."""
 
-    load = staticmethod(upstream_protocol.load)
+    load = staticmethod(upstream_protocol.parse_load)
     changed: Callable[[], None]  # what is out has changed
 
     def deliver(self, client: front.Client, message: Http) -> None:
@@ -28,7 +28,7 @@
             message.head.status_code,
             message.body,
             message.size,
-            upstream_protocol.passed(message, upstream_protocol.HOP),
+            upstream_protocol.forwarded_headers(message, upstream_protocol.HOP_BY_HOP_HEADERS),
         )
 
     def worded(self, answer: Answer) -> tuple[int, bytes]:
@@ -74,8 +74,8 @@
             idle[-1].end(Ending.IDLE)
         if idle:
             rested = now - idle[-1].idle_from
-            if self.idle_connections.trusts(now, operation.svc, rested, operation.rule.mode == "idem"):
-                self.idle_connections.reused(hop, rested)
+            if self.idle_connections.is_trusted(now, operation.service, rested, operation.is_idempotent):
+                self.idle_connections.on_reuse(hop, rested)
             else:
                 self.counts["connections not trusted"] += len(idle)
                 for link in list(idle):  # the others have rested for longer
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -162,7 +162,7 @@
     @property
     def ready(self) -> bool:
         """Whether it knows a configuration, the servers and who holds the counts, and is not told to end."""
-        known = self.router.table is not None and self.life and self.quota_owner.fence
+        known = self.router.tables.active is not None and self.life and self.quota_owner.fence
         return bool(known) and not self.client_front.ending and not self.isolated
 
     @property
@@ -195,7 +195,9 @@
     def _tell_loads(self) -> None:
         # Said again after a while, so that silence means that a neighbour is gone.
         self._telling = asyncio.get_running_loop().call_later(REPEAT / SECOND, self._tell_loads)
-        word = rpc_messages.ProxyLoads(self.settings.hostname, self.router.out(), self.router.ill())
+        word = rpc_messages.ProxyLoads(
+            self.settings.hostname, self.router.in_flight(), self.router.unhealthy_servers()
+        )
         for place in self.router.subsets.neighbours.values():
             self.rpc.post(address(place), word)
 
@@ -233,7 +235,7 @@
                 self.quota_owner.fence if not control_client.fails else 0,
                 list(self.register.values()) if self.wants_known else [],
                 sorted(self.refused),
-                max(self.router.held, default=self.ver),
+                max(self.router.tables.staged, default=self.ver),
                 self.settings.quorum,
                 self._lost_base,
                 self._end.is_set(),
@@ -260,7 +262,7 @@
         self.client_front.rest = caps.idle / SECOND + 1.0
         self.client_front.ask = max(caps.hdr / SECOND, 1.0) + 7.0
         self.client_front.most_body = caps.body_bytes
-        self.router.configured(table)
+        self.router.activate(table)
         log.info("version %d", self.ver)
 
     def _table(self, encoded: EncodedVersion) -> Table:
@@ -269,7 +271,7 @@
         table = Table(configuration.read(msgspec.json.decode(text)))
         if table.ver != encoded.ver:
             raise Bad(f"version {encoded.ver} calls itself {table.ver}")
-        kept = {self.ver, table.ver, *self.router.held}
+        kept = {self.ver, table.ver, *self.router.tables.staged}
         self._texts = {ver: each for ver, each in self._texts.items() if ver in kept}
         self._texts[table.ver] = text
         return table
@@ -290,14 +292,14 @@
         if self.settings.hostname in self.quota_owner.proxies:
             # One that the list of live proxies does not name may be unknown to a leader who orders a version
             # into force.
-            self.router.heard_us = max(self.router.heard_us, sent)
+            self.router.tables.confirmed_us = max(self.router.tables.confirmed_us, sent)
         if news.fence == self.quota_owner.fence:
             self.acts_until = sent + HOLDS
-            self.router.shared_by(len(self.quota_owner.proxies))
+            self.router.set_proxy_count(len(self.quota_owner.proxies))
 
     def _take_versions(self, news: rpc_messages.WatchReply) -> None:
         """The version in force, and newer ones to be held ready."""
-        held = self.router.held
+        held = self.router.tables.staged
         if news.conf is not None and news.ver > self.ver:
             self._act(self._table(news.conf))
         elif news.ver in held:
@@ -305,8 +307,8 @@
         elif news.ver > self.ver:
             held.clear()  # what is in force was never held here: ask for it
         for ver, encoded in news.staged.items():
-            if ver > self.ver and ver not in self.router.held:
-                self.router.hold(self._table(encoded), ver in news.merged)
+            if ver > self.ver and ver not in self.router.tables.staged:
+                self.router.tables.stage(self._table(encoded), ver in news.merged)
         self._lost_base = False
 
     def _take_servers(self, news: rpc_messages.WatchReply) -> None:
@@ -319,7 +321,7 @@
             if old is not None and not each.address:
                 each.address, each.svc = old.address, old.svc
             self.register[each.id] = each
-        self.router.listed(news.servers, whole)
+        self.router.update_servers(news.servers, whole)
         self.host.pool.known(
             {
                 each.id: tuple(address(each.address)) if each.state in ("up", "drain") else None
--- a/lapisgrade/gateway/routing/idle_connections.py
+++ b/lapisgrade/gateway/routing/idle_connections.py
@@ -1,47 +1,54 @@
-"""How long a connection to a server may rest before it is no longer trusted. Pure.
+"""How long a connection to a server may be idle before it is no longer trusted. Pure.
 
-Servers may forget a connection that rests, without a word; what is written on it next is reset, and whether
-it ran can't be known. What may be repeated then goes elsewhere and teaches us how long a rest was too long;
-what may run once is sent on a new connection as long as that lesson holds (guards it against a 502 for a
-request that never ran). A server is hardly blamed for it: it answers well on a connection that it knows.
+Servers may drop an idle connection without closing it; what is written on it next is reset, and whether it
+ran can't be known. An idempotent request is then retried, and teaches us which idle time was too long; one
+that may run only once is sent on a new connection for as long as that limit holds (guards it against a 502
+for a request that never ran). A server is hardly blamed for it: it answers well on connections that it knows.
 """
 
 from typing import Any
 
 from lapisgrade.gateway import SECOND
 
-LEAST = 100_000  # us of rest below which a break is the server's: several of its answers fit in
-QUICK = 30_000  # us in which a forgotten connection shows, some round trips between zones
-HOLDS = 4 * SECOND  # us that a lesson holds; what may be repeated goes on testing it
-SAFE = 0.7  # of the shortest rest that was too long
-MOST = 4096  # sendings that are under way, and services; more are not remembered
+MIN_IDLE_US = 100_000  # below which a broken connection is the server's fault: several of its answers fit in
+MAX_RESET_US = 30_000  # in which the reset of a dropped connection comes, some round trips between zones
+LIMIT_HOLDS_US = 4 * SECOND  # that a limit holds; idempotent requests go on testing it
+SAFETY_FACTOR = 0.7  # of the shortest idle time that was too long
+MAX_REMEMBERED = 4096  # attempts in flight, and services; more are not remembered
 
 
 class IdleConnections:
+    """What one proxy has learned of each service's idle connections."""
+
     def __init__(self) -> None:
-        self._under_way: dict[Any, int] = {}  # a sending on a kept connection: how long that had rested
-        self._limits: dict[str, tuple[int, int]] = {}  # by service: the rest that was too long, and when
-
-    def limit(self, now_us: int, svc: str) -> int:
-        """Us of rest up to which connections to this service are trusted; 0: without bound."""
-        rest, at = self._limits.get(svc, (0, 0))
-        return int(SAFE * rest) if rest and now_us - at < HOLDS else 0
-
-    def trusts(self, now_us: int, svc: str, rested_us: int, repeats: bool) -> bool:
-        """Whether a request may go on a connection that has rested so long."""
-        limit = self.limit(now_us, svc)
-        return repeats or not limit or rested_us < limit
-
-    def reused(self, sending: Any, rested_us: int) -> None:
-        if len(self._under_way) < MOST:
-            self._under_way[sending] = rested_us
-
-    def landed(self, now_us: int, sending: Any, svc: str, broke: bool, took_us: int) -> bool:
-        """A sending has ended; whether its connection was likely forgotten."""
-        rested = self._under_way.pop(sending, 0)
-        if not broke or rested < LEAST or took_us > QUICK:
+        self._idle_us: dict[Any, int] = {}  # by attempt in flight: how long its connection had been idle
+        self._too_long: dict[
+            str, tuple[int, int]
+        ] = {}  # by service: the idle time in us, and when it was seen
+
+    def limit_us(self, now_us: int, service: str) -> int:
+        """Idle time up to which connections to a service are trusted; 0: without limit."""
+        idle_us, seen_us = self._too_long.get(service, (0, 0))
+        return int(SAFETY_FACTOR * idle_us) if idle_us and now_us - seen_us < LIMIT_HOLDS_US else 0
+
+    def is_trusted(self, now_us: int, service: str, idle_us: int, is_idempotent: bool) -> bool:
+        """Whether a request may go on a connection that has been idle for so long."""
+        limit_us = self.limit_us(now_us, service)
+        return is_idempotent or not limit_us or idle_us < limit_us
+
+    def on_reuse(self, attempt: Any, idle_us: int) -> None:
+        """An attempt goes on a connection that has been idle for so long."""
+        if len(self._idle_us) < MAX_REMEMBERED:
+            self._idle_us[attempt] = idle_us
+
+    def on_attempt_finished(
+        self, now_us: int, attempt: Any, service: str, was_broken: bool, took_us: int
+    ) -> bool:
+        """Learn from how an attempt ended; whether its connection had likely been dropped by the server."""
+        idle_us = self._idle_us.pop(attempt, 0)
+        if not was_broken or idle_us < MIN_IDLE_US or took_us > MAX_RESET_US:
             return False
-        old = self.limit(now_us, svc) / SAFE
-        if len(self._limits) < MOST or svc in self._limits:
-            self._limits[svc] = (int(min(old, rested)) if old else rested, now_us)
+        known_us = self.limit_us(now_us, service) / SAFETY_FACTOR
+        if len(self._too_long) < MAX_REMEMBERED or service in self._too_long:
+            self._too_long[service] = (int(min(known_us, idle_us)) if known_us else idle_us, now_us)
         return True
--- /dev/null
+++ b/lapisgrade/gateway/routing/route_tables.py
@@ -0,0 +1,78 @@
+"""Which version of the configuration a request is matched by, while versions are being rolled out. Pure.
+
+A version of the configuration passes through these states at a proxy::
+
+    unknown --stage()--> staged --activate()--> active --activate(newer)--> dropped
+
+Every proxy holds a version staged before the controllers order it active, and the order reaches the proxies
+one after another. So while a version is staged, others may act by it already: no proxy may refuse what
+another one accepts. Where the active and a staged version differ on whether a request is accepted, the client
+is told to come back (503).
+"""
+
+from typing import TypeAlias
+
+from lapisgrade.gateway.configuration import Rule, Table, Tenant
+from lapisgrade.gateway.controller.watch import DOUBT
+
+SERVICE_UNAVAILABLE = 503
+
+RouteMatch: TypeAlias = tuple[Rule, Tenant | None]
+
+
+class RouteTables:
+    """One proxy's active route table, and the staged ones."""
+
+    def __init__(self) -> None:
+        self.active: Table | None = None
+        self.staged: dict[int, Table] = {}  # by version: newer than the active one
+        self.merged_versions: set[int] = set()  # staged ones made of drafts from both sides of a partition
+        self.confirmed_us = -DOUBT  # when a watch request was sent that the leader answered: nothing missed
+
+    def stage(self, table: Table, is_merged: bool = False) -> None:
+        """Hold a newer version ready; `is_merged`: made of drafts from both sides of a partition."""
+        self.staged[table.ver] = table
+        if is_merged:
+            self.merged_versions.add(table.ver)
+
+    def activate(self, table: Table) -> None:
+        """Match by that version from now on, and drop the staged ones that it replaces."""
+        self.active = table
+        self.staged = {version: each for version, each in self.staged.items() if version > table.ver}
+        self.merged_versions &= set(self.staged)
+
+    def match(self, now_us: int, host: str, target: str, key: str) -> RouteMatch | int:
+        """Match a request to its route.
+
+        Returns:
+            The rule and the tenant, or the HTTP status that refuses the request. 503 where it may be accepted
+            a moment later: a staged version differs on it, or we may have missed a version that accepts it
+            (guards a new tenant's first calls, and the last ones of one that is withdrawn).
+        """
+        if self.active is None:
+            return SERVICE_UNAVAILABLE
+        found = self.active.entry(host, target, key)
+        is_refused = isinstance(found, int)
+        refused_by_staged = (isinstance(each.entry(host, target, key), int) for each in self.staged.values())
+        if any(each is not is_refused for each in refused_by_staged):
+            return SERVICE_UNAVAILABLE
+        if is_refused:
+            return SERVICE_UNAVAILABLE if self._may_have_missed_version(now_us) else found
+        if self.merged_versions and self._waits_for_merge(found, host, target, key):
+            return SERVICE_UNAVAILABLE
+        return found
+
+    def _may_have_missed_version(self, now_us: int) -> bool:
+        return now_us - self.confirmed_us > DOUBT
+
+    def _waits_for_merge(self, found: RouteMatch, host: str, target: str, key: str) -> bool:
+        """Whether a request that may run only once must wait for a merged version of its route.
+
+        Guards claims and approvals that would take a route edited on both sides of a partition.
+        """
+        rule, _ = found
+        if rule.mode == "idem":
+            return False
+        merged = (self.staged[version] for version in self.merged_versions if version in self.staged)
+        matches = (table.entry(host, target, key) for table in merged)
+        return any(not isinstance(each, int) and each[0] != rule for each in matches)
--- a/lapisgrade/gateway/routing/upstream_protocol.py
+++ b/lapisgrade/gateway/routing/upstream_protocol.py
@@ -8,11 +8,11 @@
 from lapisgrade.net.hops import Dialect
 from lapisgrade.net.http import Message
 
-TRY_ID, SEAL, NOT_RUN, LOAD = b"try-id", b"server-seal", b"not-run", b"server-load"
-DEADLINE, TENANT, WANT = b"deadline-ms", b"tenant", b"want-instance"
-KEY = b"authorization"
+REQUEST_ID, SERVER_SEAL, NOT_RUN, SERVER_LOAD = b"try-id", b"server-seal", b"not-run", b"server-load"
+DEADLINE, TENANT, WANTED_INSTANCE = b"deadline-ms", b"tenant", b"want-instance"
+AUTHORIZATION = b"authorization"
 # Of one connection alone, or told anew on the next.
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -27,14 +27,21 @@
         b"expect",
     )
 )
-OURS = HOP | {b"host", TRY_ID, DEADLINE, TENANT, WANT, KEY}
-IDLE_MOST = 60  # s of a server's own word on idle connections that we follow
-_IDLE = re.compile(rb"timeout=(\d{1,6})")
-_LOAD = re.compile(rb"(\d{1,6}),(\d{1,6}),(\d{1,6})")
+NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
+    b"host",
+    REQUEST_ID,
+    DEADLINE,
+    TENANT,
+    WANTED_INSTANCE,
+    AUTHORIZATION,
+}
+MAX_IDLE_S = 60  # s of a server's own word on idle connections that we follow
+_IDLE_PATTERN = re.compile(rb"timeout=(\d{1,6})")
+_LOAD_PATTERN = re.compile(rb"(\d{1,6}),(\d{1,6}),(\d{1,6})")
 
 
 @dataclass(slots=True, eq=False)
-class Passing(Asked):
+class ForwardedRequest(Asked):
     """What a client sent, as it passes on; `lines` are the fields that pass unchanged."""
 
     lines: bytes = b""
@@ -42,7 +49,7 @@
     failure: Message | None = None  # a server's whole answer that it failed
 
 
-def passed(message: Message, without: frozenset) -> bytes:
+def forwarded_headers(message: Message, excluded: frozenset[bytes]) -> bytes:
     """The field lines that pass on, but for those, and those that Connection names."""
     fields = [(name.lower(), name, value) for name, value in message.head.headers.raw_items()]
     named = {
@@ -51,7 +58,7 @@
     return b"".join(
         b"%b: %b\r\n" % (name, value)
         for low, name, value in fields
-        if low not in without and low not in named
+        if low not in excluded and low not in named
     )
 
 
@@ -61,7 +68,7 @@
     most_body = 64 * 1024 * 1024
 
     def head(self, hop, left: float) -> bytes:
-        asked: Passing = hop.operation.handle
+        asked: ForwardedRequest = hop.operation.handle
         size = sum(len(each) for each in asked.body)
         return (
             b"%b %b HTTP/1.1\r\nHost: %b\r\nTry-Id: %b\r\nDeadline-Ms: %d\r\nWant-Instance: %b\r\n%b%b%b\r\n"
@@ -79,32 +86,32 @@
         )
 
     def stray(self, hop, message: Message) -> bool:
-        name = message.headers().get(TRY_ID)
+        name = message.headers().get(REQUEST_ID)
         return name is not None and name != hop.operation.handle.request_id
 
     def told(self, hop, message: Message) -> Ending:
         status, fields = message.head.status_code, message.headers()
-        if fields.get(TRY_ID) != hop.operation.handle.request_id or b"content-encoding" in fields:
+        if fields.get(REQUEST_ID) != hop.operation.handle.request_id or b"content-encoding" in fields:
             return Ending.GARBLED
         if status == 421 or (NOT_RUN in fields and status >= 400):
             return Ending.TURNED_AWAY
         framed = b"content-length" in fields or b"transfer-encoding" in fields
         if 200 <= status < 300:
             # Without a length its end can't be told from its being cut.
-            return Ending.ANSWERED if SEAL in fields and framed else Ending.GARBLED
+            return Ending.ANSWERED if SERVER_SEAL in fields and framed else Ending.GARBLED
         if status < 200 or not framed:
             return Ending.GARBLED
         # A server's failure is final where the request may run once; else another may do better.
         return Ending.ERRED if status >= 500 and hop.operation.rule.mode == "idem" else Ending.REJECTED
 
     def idle_us(self, message: Message) -> int:
-        found = _IDLE.search(message.headers().get(b"keep-alive", b""))
-        return 1_000_000 * min(int(found[1]), IDLE_MOST) if found else 0
+        found = _IDLE_PATTERN.search(message.headers().get(b"keep-alive", b""))
+        return 1_000_000 * min(int(found[1]), MAX_IDLE_S) if found else 0
 
 
-def load(message: Message) -> dict[str, float] | None:
+def parse_load(message: Message) -> dict[str, float] | None:
     """A server's word on its load, if it can be read."""
-    found = _LOAD.fullmatch(message.headers().get(LOAD, b"").strip())
+    found = _LOAD_PATTERN.fullmatch(message.headers().get(SERVER_LOAD, b"").strip())
     return (
         {"running": float(found[1]), "waiting": float(found[2]), "slots": float(found[3])} if found else None
     )
--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Protocol
 
-from lapisgrade.decide.fleet import Attempt, LatencyEstimate
+from lapisgrade.decide.fleet import Attempt
 from lapisgrade.interface import Outcome, Report
 from lapisgrade.lab.balancing.model import Server, Spec
 from lapisgrade.gateway import registry
@@ -114,26 +114,28 @@
         self.spec, self.number = spec, number
         self.subsets = Subsets(spec.name(number), spec.zone(number))
         self.subsets.told({spec.name(each): ("", "", spec.zone(each)) for each in range(spec.limiters)})
-        self.fleet = UpstreamCluster(random, spec.zone(number), self.subsets)
-        self.pace: LatencyEstimate = self.fleet.pace("r", spec.aim_us)
+        self.cluster = UpstreamCluster(random, spec.zone(number), self.subsets)
+        self.latency = self.cluster.latency("r", spec.aim_us)
         self.numbers = {each.name: each.number for each in servers}
         for each in servers:
-            self.fleet.told(0, registry.Server(each.name, "s", "10.0.0.1:1", each.zone, spec.slots, "up", 1))
+            self.cluster.update(
+                0, registry.Server(each.name, "s", "10.0.0.1:1", each.zone, spec.slots, "up", 1)
+            )
         self.names = [each.name for each in servers]
 
     def choose(self, now: int, tried: list[int]) -> int | None:
-        already = [self.fleet.servers[self.names[each]] for each in tried]
-        server = self.fleet.choose(now, self.pace.mean(now), already)
+        already = [self.cluster.servers[self.names[each]] for each in tried]
+        server = self.cluster.choose(now, self.latency.mean(now), already)
         return None if server is None else self.numbers[server.address]
 
     def sent(self, now: int, server: int) -> Attempt:
-        hop = Attempt(None, self.fleet.servers[self.names[server]], 0, now)
-        self.fleet.sent(now, hop)
-        return hop
+        attempt = Attempt(None, self.cluster.servers[self.names[server]], 0, now)
+        self.cluster.on_attempt_started(now, attempt)
+        return attempt
 
-    def landed(self, now: int, hop: Attempt, took: int, outcome: Outcome, load: tuple[int, int]) -> None:
+    def landed(self, now: int, attempt: Attempt, took: int, outcome: Outcome, load: tuple[int, int]) -> None:
         told = {"running": load[0], "waiting": load[1], "slots": self.spec.slots}
-        self.fleet.landed(now, hop, Report(outcome, took, told), self.pace)
+        self.cluster.on_attempt_finished(now, attempt, Report(outcome, took, told), self.latency)
 
 
 @dataclass(slots=True)
--- a/lapisgrade/lab/balancing/play.py
+++ b/lapisgrade/lab/balancing/play.py
@@ -169,7 +169,7 @@
     def told(self, limiter: int) -> None:
         self.telling.discard(limiter)
         own = self.limiters[limiter]
-        out, ill = own.fleet.out(), own.fleet.ill(self.sim.now)
+        out, ill = own.cluster.in_flight(), own.cluster.unhealthy_servers(self.sim.now)
         for name in own.subsets.neighbours:
             self.words += 1
             self.bytes += WORD_BYTES + ITEM_BYTES * (len(out) + len(ill))
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -18,7 +18,7 @@
 from lapisgrade.gateway import SECOND, rpc_messages, configuration
 from lapisgrade.gateway.controller import watch
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
-from lapisgrade.gateway.routing import router
+from lapisgrade.gateway.routing import route_tables, router
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.controller.state_machine import Change, StateMachine, State, encoded
 from lapisgrade.gateway.controller.watch import DOUBT, Watch
@@ -66,7 +66,7 @@
     def ask(self) -> None:
         """Ask, and again when answered, or where no answer comes in time."""
         self.asked += 1
-        held = max(self.router.held, default=self.ver)
+        held = max(self.router.tables.staged, default=self.ver)
         ask = rpc_messages.WatchRequest(
             self.name,
             "10.0.0.1:1",
@@ -99,15 +99,15 @@
         if members is not None:
             self.live_proxies = members
         if self.name in self.live_proxies:
-            router.heard_us = max(router.heard_us, sent)
+            router.tables.confirmed_us = max(router.tables.confirmed_us, sent)
         if news.conf is not None and news.ver > self.ver:
             self.act(self.read(news.conf))
-        elif news.ver in router.held:
-            self.act(router.held[news.ver])
+        elif news.ver in router.tables.staged:
+            self.act(router.tables.staged[news.ver])
         elif news.ver > self.ver:
-            router.held.clear()
+            router.tables.staged.clear()
         for each in news.staged.values():
-            router.hold(self.read(each))
+            router.tables.stage(self.read(each))
         self.fence = news.fence
         self.ask()
 
@@ -118,12 +118,12 @@
 
     def act(self, table: configuration.Table) -> None:
         self.ver = table.ver
-        self.router.configured(table)
+        self.router.activate(table)
         self.world.say(f"{self.name} acts by version {self.ver}")
 
     def call(self, tenant: int) -> int:
         """What a tenant's call is met with here: 200 where it is taken."""
-        got = self.router.entry(self.world.sim.now, f"t{tenant}.example", "/", f"key-t{tenant}")
+        got = self.router.match(self.world.sim.now, f"t{tenant}.example", "/", f"key-t{tenant}")
         return got if isinstance(got, int) else 200
 
 
@@ -229,7 +229,7 @@
                     continue
                 self.calls += 1
                 status = proxy.call(tenant)
-                doubts = self.sim.now - proxy.router.heard_us > DOUBT
+                doubts = self.sim.now - proxy.router.tables.confirmed_us > DOUBT
                 if status == 200:
                     self.taken.setdefault(tenant, self.sim.now)
                     if tenant in self.refused and not doubts:
@@ -268,7 +268,7 @@
 
 
 def _served(self: router.Router, now: int, *asked: str) -> Any:
-    return self.table.entry(*asked) if self.table else 503
+    return self.tables.active.entry(*asked) if self.tables.active else 503
 
 
 def _at_once(self: Watch, now: int, state: State) -> watch.Activate | None:
@@ -276,9 +276,9 @@
 
 
 DEFECTS: Defects = {
-    "serves-withdrawn": (router.Router, "entry", _served),
+    "serves-withdrawn": (router.Router, "match", _served),
     "acts-at-once": (Watch, "activation", _at_once),
-    "never-doubts": (router, "DOUBT", 1 << 60),
+    "never-doubts": (route_tables, "DOUBT", 1 << 60),
     "waits-for-nobody": (watch, "MOMENT", 0),
     "leads-early": (World, "EARLY", True),
 }
--- a/lapisgrade/lab/simulation/data_plane_mutants.py
+++ b/lapisgrade/lab/simulation/data_plane_mutants.py
@@ -14,7 +14,7 @@
 
 FOREVER = 1 << 60  # us
 
-_log, _listed = Controller._log, Router.listed
+_log, _update_servers = Controller._log, Router.update_servers
 
 
 def _old_fence(self: StateMachine, index: int, item: LiveProxies) -> None:
@@ -24,12 +24,12 @@
     state.live_proxies, state.core, state.leaving = item.members, item.core, item.leaving
 
 
-def _listed_as_up(self: Router, servers: list[Server], whole: bool) -> None:
+def _listed_as_up(self: Router, servers: list[Server], is_complete: bool) -> None:
     """A server that drains is sent requests like any other."""
     for each in servers:
         if each.state == "drain":
             each.state = "up"
-    _listed(self, servers, whole)
+    _update_servers(self, servers, is_complete)
 
 
 async def _unlogged(self: Controller, item: Any) -> rpc_messages.ForwardCallReply:
@@ -53,7 +53,7 @@
     **{name: quota_defects.DEFECTS[name] for name in OF_QUOTA},
     "old-fence": (StateMachine, "_take_live_proxies", _old_fence),
     "counted-out-too-soon": (watch, "ALIVE", 400_000),
-    "sends-to-draining": (Router, "listed", _listed_as_up),
+    "sends-to-draining": (Router, "update_servers", _listed_as_up),
     "leaving-not-logged": (Controller, "_log", _unlogged),
     "forgets-who-left": (watch.Watch, "leaves", _forgets_who_left),
 }
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -19,8 +19,8 @@
 from lapisgrade.gateway.http_server import framed
 from lapisgrade.gateway.proxy import process as proxy_process
 from lapisgrade.gateway.proxy import quota_transport
-from lapisgrade.gateway.routing.router import RoutedRequest
-from lapisgrade.gateway.routing.upstream_protocol import Passing
+from lapisgrade.gateway.routing.request import RoutedRequest
+from lapisgrade.gateway.routing.upstream_protocol import ForwardedRequest
 from lapisgrade.gateway.settings import Address, Bind, Settings, Span
 from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.lab.simulation.cluster import BEAT, CALLS_PORT, PORT
@@ -127,14 +127,14 @@
         """One of a client's."""
         now = proxy_process.now_us()
         self.host.clock.now_us = max(self.host.clock.now_us, now)
-        found = self.router.entry(now, HOST, path, key)
+        found = self.router.match(now, HOST, path, key)
         if isinstance(found, int):
             return self.plane.refused(self, found)
         rule, tenant = found
         self._numbers += 1
         name = f"{self.own}-{self._numbers}".encode()
         client: Any = Caller()
-        handle = Passing(client, b"GET", path.encode(), HOST.encode(), name, None, [])
+        handle = ForwardedRequest(client, b"GET", path.encode(), HOST.encode(), name, None, [])
         operation = RoutedRequest(
             customer=tenant.name if tenant else "",
             plan=None,
@@ -145,7 +145,7 @@
             gateways=1,
             rule=rule,
             tenant=tenant,
-            svc=self.router.split.choose(rule),
+            service=self.router.split.choose(rule),
             handle=handle,
         )
         self.host.put(Taken(operation))
--- a/tests/gateway/test_hedging.py
+++ b/tests/gateway/test_hedging.py
@@ -9,7 +9,8 @@
 
 from lapisgrade.gateway import SECOND, configuration, registry
 from lapisgrade.gateway.configuration import Table
-from lapisgrade.gateway.routing.router import RoutedRequest, Router
+from lapisgrade.gateway.routing.request import RoutedRequest
+from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import Clock, Outcome, Pause, Report, Send, Word
 
@@ -44,13 +45,15 @@
     def setUp(self) -> None:
         self.clock = Clock(100 * SECOND)
         self.router = Router(self.clock, 1, Slo(), "z", "c")
-        self.router.began = 0
+        self.router.started_us = 0
         for name in ("s1", "s2", "s3"):
-            self.router.listed([registry.Server(name, "a", f"10.0.0.1:{name[1]}", "z", 4, "up", 1)], False)
+            self.router.update_servers(
+                [registry.Server(name, "a", f"10.0.0.1:{name[1]}", "z", 4, "up", 1)], False
+            )
         for _ in range(60):
-            self.router.fleet("a").pace("r", AIM).add(self.clock.now_us, USUAL, 1.0)
-            self.router.fleet("a").work.add(self.clock.now_us, USUAL, 1.0)
-            self.router.budget("a").request(self.clock.now_us)
+            self.router.cluster("a").latency("r", AIM).add(self.clock.now_us, USUAL, 1.0)
+            self.router.cluster("a").overall_latency.add(self.clock.now_us, USUAL, 1.0)
+            self.router.retry_budget("a").on_request(self.clock.now_us)
 
     def request(self, mode: str = "idem", arrived_ago_us: int = 0, aim_us: int = AIM) -> Request:
         action = {"Svc": "a", "Timeout": "3s", "Tries": 3}
@@ -62,7 +65,7 @@
         now = self.clock.now_us
         operation = RoutedRequest(
             customer="", plan=None, category=None, units=1.0, arrived_us=now - arrived_ago_us,
-            ends_us=now + 3 * SECOND, gateways=1, rule=found, tenant=None, svc="a", handle=None,
+            ends_us=now + 3 * SECOND, gateways=1, rule=found, tenant=None, service="a", handle=None,
         )  # fmt: skip
         made = Request(self.router, self.router.serve(operation), [])
         made.go_on(None)
@@ -87,10 +90,10 @@
         self.assertEqual(len(one.sent), 1)
 
     def test_an_early_one_leaves_half_of_the_budget_to_retries(self) -> None:
-        budget = self.router.budget("a")
-        while budget.spend(self.clock.now_us, spare=True):
+        budget = self.router.retry_budget("a")
+        while budget.try_spend(self.clock.now_us, is_early_hedge=True):
             pass
-        self.assertGreater(budget.left(self.clock.now_us), 4)
+        self.assertGreater(budget.available(self.clock.now_us), 4)
         one = self.request()
         one.sleep()
         self.assertEqual(len(one.sent), 1)
@@ -107,7 +110,7 @@
     def test_the_first_answer_ends_it(self) -> None:
         one = self.request()
         one.sleep()
-        server = self.router.fleet("a").servers[one.sent[1]]
+        server = self.router.cluster("a").servers[one.sent[1]]
         hop = next(iter(server.out))
         with self.assertRaises(StopIteration):
             report = Report(Outcome.OK, USUAL)
--- a/tests/gateway/test_rejoin.py
+++ b/tests/gateway/test_rejoin.py
@@ -52,7 +52,7 @@
         await site.until(lambda: all(each.ver == ver for each in site.proxies.values()))
 
     def rule(self, site: LocalCluster, name: str):
-        table = site.proxies[name].router.table
+        table = site.proxies[name].router.tables.active
         return next(rule for rule in table.made.ports[0].policy if rule.name == "r-claim")
 
     async def test_one_route_that_keeps_both_and_the_tool_s_words(self) -> None:
--- a/tests/gateway/test_retry_budget.py
+++ b/tests/gateway/test_retry_budget.py
@@ -15,10 +15,10 @@
             budgets = [RetryBudget(SLO, began) for _ in range(14)]
             spent = 0
             for each in budgets:
-                each.limiters = 14
+                each.proxy_count = 14
                 for number in range(100):
-                    each.request(number * 10_000)
-                    spent += each.spend(number * 10_000) + each.spend(number * 10_000)
+                    each.on_request(number * 10_000)
+                    spent += each.try_spend(number * 10_000) + each.try_spend(number * 10_000)
             self.assertLessEqual(spent, SLO.retry_ratio * 1400 + extra)
             self.assertGreater(spent, 0.7 * SLO.retry_ratio * 1400)
 
