--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -15,12 +15,14 @@
 from lapisgrade.gateway.controller.state_machine import LiveProxies, Activate, ServerSnapshot, State
 from lapisgrade.gateway.quota.ownership import eligible_owners
 from lapisgrade.gateway.registry import Server, Registry
+from lapisgrade.gateway.watch_timing import LONG_POLL_US
 
 ALIVE = 2_000_000  # us without an ask after which a proxy's duties go to others; above HOLDS
 GATHER = 150_000  # us between two lists of live proxies at least: those who start together come in together
 SNAPSHOT_EVERY = 1_000_000  # us between two lists of servers in the log
-DOUBT = 1_300_000  # us without an answer after which a proxy may have missed a version; above two asks
-MOMENT = 1_400_000  # us after a change at which it comes into force without those who are silent; above DOUBT
+MOMENT = (
+    1_400_000  # us after a change at which it comes into force without the silent; above the time to doubt
+)
 REJOINS = 800_000  # us that a merged version waits for who was cut off with its draft to ask; above an ask
 REPEAT = 300_000  # us after which an order that did not commit is given again
 MOST = 4096  # proxies; a flood of names holds no more of us
@@ -39,7 +41,7 @@
 
 
 class Watch:
-    HOLD = 250_000  # us that an ask without news waits
+    HOLD = LONG_POLL_US  # that an ask without news waits
 
     def __init__(self, beat_us: int, now_us: int) -> None:
         self.beat_us, self.term = beat_us, 0
--- a/lapisgrade/gateway/routing/route_tables.py
+++ b/lapisgrade/gateway/routing/route_tables.py
@@ -13,7 +13,7 @@
 from typing import TypeAlias
 
 from lapisgrade.gateway.configuration import Rule, Table, Tenant
-from lapisgrade.gateway.controller.watch import DOUBT
+from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
 
 SERVICE_UNAVAILABLE = 503
 
@@ -27,7 +27,9 @@
         self.active: Table | None = None
         self.staged: dict[int, Table] = {}  # by version: newer than the active one
         self.merged_versions: set[int] = set()  # staged ones made of drafts from both sides of a partition
-        self.confirmed_us = -DOUBT  # when a watch request was sent that the leader answered: nothing missed
+        self.confirmed_us = (
+            -MISSED_VERSION_AFTER_US
+        )  # when a watch request was sent that the leader answered: nothing missed
 
     def stage(self, table: Table, is_merged: bool = False) -> None:
         """Hold a newer version ready; `is_merged`: made of drafts from both sides of a partition."""
@@ -63,7 +65,7 @@
         return found
 
     def _may_have_missed_version(self, now_us: int) -> bool:
-        return now_us - self.confirmed_us > DOUBT
+        return now_us - self.confirmed_us > MISSED_VERSION_AFTER_US
 
     def _waits_for_merge(self, found: RouteMatch, host: str, target: str, key: str) -> bool:
         """Whether a request that may run only once must wait for a merged version of its route.
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -18,10 +18,11 @@
 from lapisgrade.gateway import SECOND, rpc_messages, configuration
 from lapisgrade.gateway.controller import watch
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
+from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
 from lapisgrade.gateway.routing import route_tables, router
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.controller.state_machine import Change, StateMachine, State, encoded
-from lapisgrade.gateway.controller.watch import DOUBT, Watch
+from lapisgrade.gateway.controller.watch import Watch
 
 MS = 1_000
 UNIT = "calls"  # what is counted of a play
@@ -229,7 +230,7 @@
                     continue
                 self.calls += 1
                 status = proxy.call(tenant)
-                doubts = self.sim.now - proxy.router.tables.confirmed_us > DOUBT
+                doubts = self.sim.now - proxy.router.tables.confirmed_us > MISSED_VERSION_AFTER_US
                 if status == 200:
                     self.taken.setdefault(tenant, self.sim.now)
                     if tenant in self.refused and not doubts:
@@ -278,7 +279,7 @@
 DEFECTS: Defects = {
     "serves-withdrawn": (router.Router, "match", _served),
     "acts-at-once": (Watch, "activation", _at_once),
-    "never-doubts": (route_tables, "DOUBT", 1 << 60),
+    "never-doubts": (route_tables, "MISSED_VERSION_AFTER_US", 1 << 60),
     "waits-for-nobody": (watch, "MOMENT", 0),
     "leads-early": (World, "EARLY", True),
 }
--- a/tests/gateway/test_activation.py
+++ b/tests/gateway/test_activation.py
@@ -13,7 +13,8 @@
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.controller import watch
 from lapisgrade.gateway.controller.state_machine import LiveProxies, Change, StateMachine, encoded
-from lapisgrade.gateway.controller.watch import DOUBT, MOMENT, Watch
+from lapisgrade.gateway.controller.watch import MOMENT, Watch
+from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
 
 
 class Activation(unittest.TestCase):
@@ -79,7 +80,7 @@
         state_machine.take(4, encoded(Change(True, conf(2, 1, 2))))
         self.assertIsNone(one.activation(SECOND, state_machine.state))
         asks(SECOND, "a", 2)
-        self.assertIsNone(one.activation(SECOND + DOUBT, state_machine.state))
+        self.assertIsNone(one.activation(SECOND + MISSED_VERSION_AFTER_US, state_machine.state))
         self.assertEqual(one.activation(SECOND + MOMENT, state_machine.state), watch.Activate(2))
 
     def test_what_was_refused_or_lost_its_race_is_never_held_nor_ordered(self) -> None:
