--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -201,7 +201,7 @@
         await self.start_server("garantie", **more)
         while await self.put(conf or SAMPLE) != 200:
             await asyncio.sleep(LOOK)
-        await self.until(lambda: all(each.ready and each.register for each in self.proxies.values()))
+        await self.until(lambda: all(each.ready and each.servers for each in self.proxies.values()))
         return self
 
     async def start_controller(self, name: str) -> None:
--- a/lapisgrade/gateway/proxy/client_front.py
+++ b/lapisgrade/gateway/proxy/client_front.py
@@ -1,91 +1,121 @@
-"""Clients' connections: what they send becomes a routed request, or is refused at once."""
-
-from collections import Counter
-from collections.abc import Callable
-from typing import Protocol
+"""Clients' connections: each request becomes a `RoutedRequest`, or is refused at once."""
 
+from lapisgrade.gateway import SECOND
+from lapisgrade.gateway.configuration import Caps, Rule, Tenant
+from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.routing import upstream_protocol
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.gateway.routing.request_attempts import RESPONSE_MARGIN_US
+from lapisgrade.gateway.routing.route_tables import SERVICE_UNAVAILABLE, RouteMatch
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.net import front
 from lapisgrade.net.http import MalformedMessageError
-from lapisgrade.net.http import Message as Http
-
-SOON = 0.2  # s after which one comes back whose version is about to be in force
-
+from lapisgrade.net.http import Message as HttpMessage
 
-class Process(Protocol):
-    """What the front needs of the proxy that it works for."""
-
-    counts: Counter[str]
-    host: ProxyHost
-    router: Router
-    said: Callable[[str], None]
+NOT_YET_ACTIVE_RETRY_S = 0.2  # after which one comes back whose version is about to be active
+REQUEST_ID_REUSED = 409
+MAX_REQUEST_ID_BYTES = 256
+MAX_DEADLINE_DIGITS = 9
+MIN_TIME_LEFT_US = 1_000  # that any request is given
+IDLE_GRACE_S = 1.0  # that a client's connection may be idle beyond the configured time
+REQUEST_GRACE_S = 7.0  # that a request may take to arrive beyond the configured time for its headers
+MIN_HEADER_TIMEOUT_S = 1.0
 
 
 class ClientFront(front.Front):
-    """Clients' connections, in the system's own wording."""
+    """Clients' connections, in the system's own protocol."""
 
-    UP = b"\0"  # readiness has an address of its own
+    UP = b"\0"  # no target: readiness has an address of its own
 
-    def __init__(self, proxy: Process, most: int) -> None:
-        host = proxy.host
-        super().__init__(host.put, host.now, proxy.said, proxy.counts, [], [], most, 1, 1.0)
-        self._proxy = proxy
+    def __init__(self, context: ProxyContext, host: ProxyHost, router: Router, max_connections: int) -> None:
+        super().__init__(
+            host.put,
+            host.now,
+            context.log_diagnostic,
+            context.metrics.transport,
+            [],
+            [],
+            max_connections,
+            1,
+            1.0,
+        )
+        self._metrics = context.metrics
+        self._router = router
 
-    def operation(self, client: front.Client, message: Http) -> RoutedRequest | None:
-        now, fields = self._now(), message.headers()
+    def apply_limits(self, caps: Caps) -> None:
+        """Bound connections and requests by the active version's figures."""
+        self.rest = caps.idle / SECOND + IDLE_GRACE_S
+        self.ask = max(caps.hdr / SECOND, MIN_HEADER_TIMEOUT_S) + REQUEST_GRACE_S
+        self.most_body = caps.body_bytes
 
-        def refuse(status: int, more: bytes = b"") -> None:
-            client.reply(status, [], 0, more, last=message.last)
+    def operation(self, client: front.Client, message: HttpMessage) -> RoutedRequest | None:
+        """The request to route; None where it has been refused.
 
-        target, host = message.head.target, fields.get(b"host", b"")
-        scheme, _, key = fields.get(upstream_protocol.AUTHORIZATION, b"").partition(b" ")
-        key = key.strip() if scheme.lower() == b"bearer" else b""
-        found = self._proxy.router.match(
-            now, host.decode("latin-1"), target.decode("latin-1"), key.decode("latin-1")
-        )
-        if found == 503:
-            self._proxy.counts["answered: not in force yet"] += 1
-            return refuse(503, b"Retry-After: %.1f\r\n" % SOON)
+        Raises:
+            MalformedMessageError: It has no usable request id.
+        """
+        now_us, headers = self._now(), message.headers()
+        found = self._match(now_us, message.head.target, headers)
+        if found == SERVICE_UNAVAILABLE:
+            self._metrics.requests_not_yet_active += 1
+            retry_after = b"Retry-After: %.1f\r\n" % NOT_YET_ACTIVE_RETRY_S
+            client.reply(SERVICE_UNAVAILABLE, [], 0, retry_after, last=message.last)
+            return None
         if isinstance(found, int):
-            return refuse(found)
-        rule, tenant = found
-        request_id, told = (
-            fields.get(upstream_protocol.REQUEST_ID, b""),
-            fields.get(upstream_protocol.DEADLINE, b""),
-        )
-        if not 0 < len(request_id) <= 256:
+            client.reply(found, [], 0, last=message.last)
+            return None
+        request_id = headers.get(upstream_protocol.REQUEST_ID, b"")
+        if not 0 < len(request_id) <= MAX_REQUEST_ID_BYTES:
             raise MalformedMessageError("a request without an id")
-        if request_id in self.open:  # its answer might go to the wrong one
-            return refuse(409)
-        left = (
-            min(int(told) * 1000, rule.action.timeout)
-            if told.isdigit() and len(told) < 10
-            else (int(rule.action.timeout))
-        )
+        if request_id in self.open:  # its response might go to the wrong one
+            client.reply(REQUEST_ID_REUSED, [], 0, last=message.last)
+            return None
+        rule, tenant = found
         return RoutedRequest(
             customer=tenant.name if tenant else "",
             plan=None,
             category=None,
             units=1.0,
-            arrived_us=now,
-            ends_us=now + max(1000, left - RESPONSE_MARGIN_US),
+            arrived_us=now_us,
+            ends_us=deadline_us(now_us, headers.get(upstream_protocol.DEADLINE, b""), rule),
             gateways=1,
             rule=rule,
             tenant=tenant,
-            service=self._proxy.router.split.choose(rule),
-            handle=upstream_protocol.ForwardedRequest(
-                client,
-                message.head.method,
-                target,
-                host,
-                request_id,
-                None,
-                message.body,
-                upstream_protocol.forwarded_headers(message, upstream_protocol.NOT_FORWARDED_HEADERS),
-                tenant.name.encode() if tenant else b"",
-            ),
+            service=self._router.split.choose(rule),
+            handle=forwarded_request(client, message, headers.get(b"host", b""), request_id, tenant),
+        )
+
+    def _match(self, now_us: int, target: bytes, headers: dict[bytes, bytes]) -> RouteMatch | int:
+        """The route of a request and the tenant whose key it bears, or the status that refuses it."""
+        host = headers.get(b"host", b"")
+        scheme, _, key = headers.get(upstream_protocol.AUTHORIZATION, b"").partition(b" ")
+        key = key.strip() if scheme.lower() == b"bearer" else b""
+        return self._router.match(
+            now_us, host.decode("latin-1"), target.decode("latin-1"), key.decode("latin-1")
         )
+
+
+def deadline_us(now_us: int, client_ms: bytes, rule: Rule) -> int:
+    """When a request ends here: at the client's deadline or the route's time-out, less the way back."""
+    left_us = int(rule.action.timeout)
+    if client_ms.isdigit() and len(client_ms) <= MAX_DEADLINE_DIGITS:
+        left_us = min(int(client_ms) * 1000, left_us)
+    return now_us + max(MIN_TIME_LEFT_US, left_us - RESPONSE_MARGIN_US)
+
+
+def forwarded_request(
+    client: front.Client, message: HttpMessage, host: bytes, request_id: bytes, tenant: Tenant | None
+) -> upstream_protocol.ForwardedRequest:
+    """What a server is sent of a client's request."""
+    return upstream_protocol.ForwardedRequest(
+        client,
+        message.head.method,
+        message.head.target,
+        host,
+        request_id,
+        None,
+        message.body,
+        upstream_protocol.forwarded_headers(message, upstream_protocol.NOT_FORWARDED_HEADERS),
+        tenant.name.encode() if tenant else b"",
+    )
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -1,29 +1,33 @@
-"""The limiter's host and its pool of connections to servers, with the system's answers and manners."""
+"""The host of a proxy's router, and its pool of connections to servers, in the system's own protocol."""
 
 from collections.abc import Callable
 
 from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import SECOND
+from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.routing import upstream_protocol
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
 from lapisgrade.gateway.routing.request import RoutedRequest
-from lapisgrade.interface import Answer
+from lapisgrade.interface import Answer, Lines
 from lapisgrade.net import front, hops
 from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.events import AttemptFinished, ClientDisconnected
+from lapisgrade.net.events import AttemptFinished, ClientDisconnected, Event
 from lapisgrade.net.host import Host
-from lapisgrade.net.http import Message as Http
+from lapisgrade.net.http import Message as HttpMessage
 
 BAD_GATEWAY = 502  # what a server may have run, and has no good answer
+CONNECT_TIMEOUT_US = 400_000  # that a connection to a server may take to be established
+IDLE_TIMEOUT_US = 4 * SECOND  # that a server's connection is kept idle where it announces no time itself
 
 
 class ProxyHost(Host):
-    """The limiter's host, with the system's answers."""
+    """Runs the router's generators, and answers clients in the system's own protocol."""
 
     load = staticmethod(upstream_protocol.parse_load)
-    changed: Callable[[], None]  # what is out has changed
+    on_load_change: Callable[[], None]  # called when a request is in flight or no longer so
 
-    def deliver(self, client: front.Client, message: Http) -> None:
+    def deliver(self, client: front.Client, message: HttpMessage) -> None:
+        """Forward a server's response to the client."""
         client.answer(
             message.head.status_code,
             message.body,
@@ -32,24 +36,26 @@
         )
 
     def worded(self, answer: Answer) -> tuple[int, bytes]:
-        # One whose generator broke off has no status of its own, and may have run.
+        """Status and header lines of a final answer of our own."""
+        # One whose generator failed has no status of its own, and may have run.
         status = getattr(answer, "status", BAD_GATEWAY)
         if answer.come_back_us <= 0:
             return status, b""
         return status, b"Retry-After: %.3f\r\n" % (answer.come_back_us / SECOND)
 
-    def send(self, hop) -> None:
+    def send(self, hop: Attempt) -> None:
+        """Send an attempt to its server."""
         super().send(hop)
-        self.changed()
+        self.on_load_change()
 
     def _landed(self, event: AttemptFinished) -> None:
         if event.reason is CloseReason.ERROR_RESPONSE:
             event.attempt.operation.handle.failure = event.message
         super()._landed(event)
-        self.changed()
+        self.on_load_change()
 
     def answer(self, operation: RoutedRequest, answer: Answer) -> None:
-        """A final answer of our own; where a server's own failure is all there is, that one, as it came."""
+        """Answer a client ourselves; with a server's error response as it came, where there is only that."""
         handle = operation.handle
         if handle.failure is None or handle.client is None or self.worded(answer)[0] != BAD_GATEWAY:
             return super().answer(operation, answer)
@@ -58,30 +64,48 @@
 
     def _left(self, event: ClientDisconnected) -> None:
         super()._left(event)
-        self.pool.left(event.operation)
-
-
-class Pool(hops.Pool):
-    """The limiter's connections to servers; what a client no longer waits for is called off."""
-
-    idle_connections: IdleConnections
+        self.pool.cancel_all(event.operation)
+
+
+class ServerPool(hops.Pool):
+    """The connections to servers, which trusts idle ones for as long as the router has learned."""
+
+    def __init__(
+        self,
+        context: ProxyContext,
+        put: Callable[[Event], None],
+        idle_connections: IdleConnections,
+        max_connections: int,
+    ) -> None:
+        super().__init__(
+            put,
+            context.now_us,
+            context.log_diagnostic,
+            context.metrics.transport,
+            Lines(CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US),
+            max_connections,
+            upstream_protocol.UpstreamProtocol(),
+        )
+        self._metrics = context.metrics
+        self._idle_connections = idle_connections
 
     def send(self, hop: Attempt) -> None:
-        """As the limiter's, but on no connection that has rested for longer than is trusted."""
-        now, operation = self.now(), hop.operation
+        """Send an attempt, on no connection that has been idle for longer than is trusted."""
+        now_us, request = self.now(), hop.operation
         idle = self._idle.get(hop.server.address, [])
         while idle and not idle[-1].usable():
             idle[-1].end(CloseReason.IDLE)
         if idle:
-            rested = now - idle[-1].idle_from
-            if self.idle_connections.is_trusted(now, operation.service, rested, operation.is_idempotent):
-                self.idle_connections.on_reuse(hop, rested)
+            idle_us = now_us - idle[-1].idle_from
+            if self._idle_connections.is_trusted(now_us, request.service, idle_us, request.is_idempotent):
+                self._idle_connections.on_reuse(hop, idle_us)
             else:
-                self.counts["connections not trusted"] += len(idle)
-                for link in list(idle):  # the others have rested for longer
+                self._metrics.idle_connections_closed += len(idle)
+                for link in list(idle):  # the others have been idle for longer
                     link.end(CloseReason.IDLE)
         super().send(hop)
 
-    def left(self, operation: RoutedRequest) -> None:
-        for hop in [each for each in self._links if each.operation is operation]:
-            self.cancel(hop)
+    def cancel_all(self, request: RoutedRequest) -> None:
+        """Cancel the attempts of a request whose client no longer waits."""
+        for attempt in [each for each in self._links if each.operation is request]:
+            self.cancel(attempt)
--- /dev/null
+++ b/lapisgrade/gateway/proxy/load_reporter.py
@@ -0,0 +1,38 @@
+"""Tells the neighbours what this proxy has in flight at each server, and which servers are unhealthy."""
+
+import asyncio
+
+from lapisgrade.gateway import SECOND, rpc_messages
+from lapisgrade.gateway.membership.subsets import REPEAT
+from lapisgrade.gateway.proxy.context import ProxyContext
+from lapisgrade.gateway.routing.router import Router
+from lapisgrade.gateway.rpc import RpcEndpoint
+from lapisgrade.gateway.settings import address
+
+BATCH_DELAY_S = 0.006  # in which changes are gathered into one report
+
+
+class LoadReporter:
+    """Sends a report soon after each change, and again after a while without any."""
+
+    def __init__(self, context: ProxyContext, router: Router, rpc: RpcEndpoint) -> None:
+        self._context = context
+        self._router = router
+        self._rpc = rpc
+        self._timer: asyncio.TimerHandle | None = None
+
+    def on_change(self) -> None:
+        """Report soon, all changes of a moment together."""
+        loop = asyncio.get_running_loop()
+        if self._timer is None or self._timer.when() - loop.time() > BATCH_DELAY_S:
+            if self._timer is not None:
+                self._timer.cancel()
+            self._timer = loop.call_later(BATCH_DELAY_S, self._send)
+
+    def _send(self) -> None:
+        # Repeated after a while, so that silence means that a neighbour has terminated.
+        self._timer = asyncio.get_running_loop().call_later(REPEAT / SECOND, self._send)
+        hostname = self._context.settings.hostname
+        report = rpc_messages.ProxyLoads(hostname, self._router.in_flight(), self._router.unhealthy_servers())
+        for neighbour in self._router.subsets.neighbours.values():
+            self._rpc.post(address(neighbour), report)
--- /dev/null
+++ b/lapisgrade/gateway/proxy/metrics.py
@@ -0,0 +1,48 @@
+"""What a proxy counts, for its log line at the end of the process and for tests."""
+
+from collections import Counter
+from dataclasses import asdict, dataclass, field
+from typing import Any
+
+
+@dataclass(slots=True)
+class ProxyMetrics:
+    """Totals since the process started.
+
+    Attributes:
+        diagnostics: Diagnostic lines, which are logged at the level DEBUG.
+        tasks_failed: Tasks that ended though they should run on; each ends the process.
+        watch_requests: Watch requests to controllers or through other proxies.
+        watch_requests_unanswered: Those of them that brought no reply of a leader.
+        watch_requests_relayed: Watch requests of other proxies that were passed on to the leader.
+        requests_not_yet_active: Requests answered 503 as proxies may differ on the active version.
+        idle_connections_closed: Idle connections to servers that were closed as no longer trusted.
+        quota_calls_granted: Calls to a quota's owner that added to its count.
+        quota_calls_refused: Calls that ended without the owner of that membership.
+        quota_calls_repeated: Calls that were sent again under another membership.
+        quota_calls_unanswered: Calls that a quota's owner did not answer.
+        hand_overs_sent: Counts that were handed over to their next owner.
+        hand_overs_deferred: Requests for a count that can't be handed over yet.
+        hand_overs_received: Counts that were taken over from their last owner.
+        transport: What the HTTP transports count, by name.
+    """
+
+    diagnostics: int = 0
+    tasks_failed: int = 0
+    watch_requests: int = 0
+    watch_requests_unanswered: int = 0
+    watch_requests_relayed: int = 0
+    requests_not_yet_active: int = 0
+    idle_connections_closed: int = 0
+    quota_calls_granted: int = 0
+    quota_calls_refused: int = 0
+    quota_calls_repeated: int = 0
+    quota_calls_unanswered: int = 0
+    hand_overs_sent: int = 0
+    hand_overs_deferred: int = 0
+    hand_overs_received: int = 0
+    transport: Counter[str] = field(default_factory=Counter)
+
+    def nonzero(self) -> dict[str, Any]:
+        """Every metric that was counted at least once, by name."""
+        return {name: value for name, value in asdict(self).items() if value}
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -1,174 +1,195 @@
-"""Carries quota calls between proxies: adds to whoever owns a tenant's count, and hand-overs of counts."""
+"""Carries quota calls between proxies: adds to the count of a tenant's owner, and hand-overs of counts."""
 
 import asyncio
-from collections import Counter
-from typing import Protocol
+from collections.abc import Coroutine
+from typing import Any
 
 import msgspec
 
+from lapisgrade.engine import Task
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.clock import now_us
+from lapisgrade.gateway.proxy.context import ProxyContext
+from lapisgrade.gateway.proxy.control_updates import ControlUpdates
+from lapisgrade.gateway.proxy.host import ProxyHost
+from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.rpc import RpcEndpoint
-from lapisgrade.gateway.settings import Settings, address
+from lapisgrade.gateway.settings import address
 from lapisgrade.gateway.verdict import Verdict
+from lapisgrade.interface import Add
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import CounterCallFinished
-from lapisgrade.net.host import Host
 
-ADD = 0.15  # s that an add to a count may take; two round trips between zones and a busy machine
-LISTED = 0.015  # s after which one that has another list of live proxies is asked again
-HAND_OVER = 0.1  # s that an add waits for the count's hand-over; within ADD
-
-
-class Process(Protocol):
-    """What the transport needs of the proxy that it works for."""
-
-    settings: Settings
-    counts: Counter[str]
-    host: Host
-    router: Router
-    rpc: RpcEndpoint
-    quota_owner: QuotaOwner
-    acts_until: int  # us until when counts may be owned under the list of live proxies
-    refused: set[str]  # proxies whose machine says that nobody listens there
-
-    def touch(self, place: tuple[str, int]) -> None: ...
+ADD_TIMEOUT_S = 0.15  # that an add to a count may take; two round trips between zones and a busy machine
+REPEAT_DELAY_S = 0.015  # after which an owner that has another membership is asked again
+HAND_OVER_TIMEOUT_S = 0.1  # that an add waits for the count's hand-over; within ADD_TIMEOUT_S
 
 
 class QuotaTransport:
-    """`add` is called by the host; `answer_add` and `answer_hand_over` by other proxies."""
-
-    def __init__(self, process: Process) -> None:
-        self._process = process
+    """`add` is called by the host; `answer_add` and `answer_hand_over` answer other proxies."""
+
+    def __init__(
+        self,
+        context: ProxyContext,
+        host: ProxyHost,
+        router: Router,
+        rpc: RpcEndpoint,
+        quota_owner: QuotaOwner,
+        updates: ControlUpdates,
+        reachability: PeerReachability,
+    ) -> None:
+        self._context = context
+        self._host = host
+        self._router = router
+        self._rpc = rpc
+        self._quota_owner = quota_owner
+        self._updates = updates
+        self._reachability = reachability
         self._tasks: set[asyncio.Task] = set()
-        self._fetching: dict[str, asyncio.Task] = {}  # hand-overs asked for, by tenant
-
-    # ---- adds of this proxy's own
-
-    def add(self, task, add) -> None:
-        """Have an add counted, and tell the host what came of it."""
-        process = self._process
-        quota_client = process.router.quota_clients.get(add.name)
-        name = process.quota_owner.owners.owner(add.name)
-        if quota_client is None or not name:
-            return process.host.put(CounterCallFinished(task, CloseReason.REJECTED))
-        ask = quota_client.ask(process.settings.hostname, process.quota_owner.fence)
-        owned = name == process.settings.hostname
-        if owned and not process.quota_owner.predecessor(now_us(), ask.tenant):
-            return self._told(task, ask, process.quota_owner.take(now_us(), ask, process.acts_until))
-        self._start(self._ask(task, ask))
-
-    def _start(self, coroutine) -> None:
-        doing = asyncio.get_running_loop().create_task(coroutine)
-        self._tasks.add(doing)
-        doing.add_done_callback(self._tasks.discard)
-
-    async def _ask(self, task, ask: rpc_messages.QuotaRequest) -> None:
-        """Ask the owner, here or elsewhere; once more where it has another list than this proxy, as one of
-        the two lists is on its way."""
-        process = self._process
-        ends_us = now_us() + int(ADD * SECOND)
+        self._fetches: dict[str, asyncio.Task] = {}  # by tenant: the call that asks for its count
+
+    # ---- this proxy's own adds
+
+    def add(self, task: Task, add: Add) -> None:
+        """Have an add counted by the tenant's owner, and tell the host the result."""
+        quota_client = self._router.quota_clients.get(add.name)
+        owner_name = self._quota_owner.owners.owner(add.name)
+        if quota_client is None or not owner_name:
+            return self._finish(task, CloseReason.REJECTED)
+        hostname = self._context.settings.hostname
+        request = quota_client.ask(hostname, self._quota_owner.fence)
+        if owner_name == hostname and not self._quota_owner.predecessor(self._now_us(), request.tenant):
+            return self._finish_with_reply(task, request, self._add_here(request))
+        self._start(self._add_at_owner(task, request))
+
+    def _now_us(self) -> int:
+        return self._context.now_us()
+
+    def _start(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def _add_here(self, request: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
+        return self._quota_owner.take(self._now_us(), request, self._updates.ownership_ends_us)
+
+    async def _add_at_owner(self, task: Task, request: rpc_messages.QuotaRequest) -> None:
+        """Ask the owner, here or elsewhere, again while it has another membership than this proxy: one of the
+        two memberships is on its way."""
+        ends_us = self._now_us() + int(ADD_TIMEOUT_S * SECOND)
         while True:
-            name = process.quota_owner.owners.owner(ask.tenant)
-            if name == process.settings.hostname:
-                reply = await self.answer_add(ask)
+            owner_name = self._quota_owner.owners.owner(request.tenant)
+            if owner_name == self._context.settings.hostname:
+                reply = await self.answer_add(request)
             else:
-                reply = await self._call(ask, name, (ends_us - now_us()) / SECOND)
+                reply = await self._call_owner(request, owner_name, (ends_us - self._now_us()) / SECOND)
             if isinstance(reply, CloseReason):
-                return process.host.put(CounterCallFinished(task, reply))
-            elsewhere = process.quota_owner.owners.owner(ask.tenant) != name
-            same = reply.fence == process.quota_owner.fence and not elsewhere
-            if reply.held or same or now_us() + 2 * int(LISTED * SECOND) > ends_us:
-                return self._told(task, ask, reply)
-            process.counts["counts asked for again"] += 1
-            await asyncio.sleep(LISTED)
-            ask = msgspec.structs.replace(ask, fence=process.quota_owner.fence)
-
-    async def _call(
-        self, ask: rpc_messages.QuotaRequest, name: str, within: float
+                return self._finish(task, reply)
+            if reply.held or self._is_current(request, owner_name, reply) or self._is_too_late(ends_us):
+                return self._finish_with_reply(task, request, reply)
+            self._context.metrics.quota_calls_repeated += 1
+            await asyncio.sleep(REPEAT_DELAY_S)
+            request = msgspec.structs.replace(request, fence=self._quota_owner.fence)
+
+    def _is_current(
+        self, request: rpc_messages.QuotaRequest, owner_name: str, reply: rpc_messages.QuotaReply
+    ) -> bool:
+        """Whether a reply was given under this proxy's present membership."""
+        is_owner = self._quota_owner.owners.owner(request.tenant) == owner_name
+        return is_owner and reply.fence == self._quota_owner.fence
+
+    def _is_too_late(self, ends_us: int) -> bool:
+        """Whether there is no time left to ask again."""
+        return self._now_us() + 2 * int(REPEAT_DELAY_S * SECOND) > ends_us
+
+    async def _call_owner(
+        self, request: rpc_messages.QuotaRequest, owner_name: str, timeout_s: float
     ) -> rpc_messages.QuotaReply | CloseReason:
-        """The word of that owner, or how the call to it ended."""
-        process = self._process
-        member = process.quota_owner.proxies.get(name)
+        """The reply of that owner, or how the call to it ended."""
+        member = self._quota_owner.proxies.get(owner_name)
         if member is None:
             return CloseReason.CONNECTION_REFUSED
-        place = address(member[0])
-        got = await process.rpc.call(place, ask, within)
-        reply = got.value_or(None)
-        if process.rpc.peer(place).refused:
-            process.refused.add(name)
-        else:
-            process.refused.discard(name)
+        to = address(member[0])
+        result = await self._rpc.call(to, request, timeout_s)
+        reply = result.value_or(None)
+        self._reachability.on_call_finished(owner_name, self._rpc.peer(to).refused)
         if isinstance(reply, rpc_messages.QuotaReply):
-            process.touch(place)
+            self._reachability.on_reply(to)
             return reply
-        process.counts["counts unanswered"] += 1
-        return (
-            CloseReason.TIMED_OUT if got.failure() is Verdict.MAY_HAVE_RUN else CloseReason.CONNECTION_REFUSED
-        )
+        self._context.metrics.quota_calls_unanswered += 1
+        if result.failure() is Verdict.MAY_HAVE_RUN:
+            return CloseReason.TIMED_OUT
+        return CloseReason.CONNECTION_REFUSED
 
-    def _told(self, task, ask: rpc_messages.QuotaRequest, reply: rpc_messages.QuotaReply) -> None:
-        process = self._process
-        quota_client = process.router.quota_clients.get(ask.tenant)
+    def _finish(self, task: Task, reason: CloseReason, total: float = 0.0) -> None:
+        self._host.put(CounterCallFinished(task, reason, total))
+
+    def _finish_with_reply(
+        self, task: Task, request: rpc_messages.QuotaRequest, reply: rpc_messages.QuotaReply
+    ) -> None:
         if not reply.held:
-            process.counts["counts not held"] += 1
-            return process.host.put(CounterCallFinished(task, CloseReason.REJECTED))
+            self._context.metrics.quota_calls_refused += 1
+            return self._finish(task, CloseReason.REJECTED)
+        quota_client = self._router.quota_clients.get(request.tenant)
         if quota_client is not None:
             quota_client.gateways = max(1, reply.limiters)
-        process.counts["counts added"] += 1
-        process.host.put(CounterCallFinished(task, CloseReason.ANSWERED, reply.total))
+        self._context.metrics.quota_calls_granted += 1
+        self._finish(task, CloseReason.ANSWERED, reply.total)
 
     # ---- what other proxies ask
 
-    async def answer_add(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
-        """Add to a count here, once the owner before has handed it over."""
-        process, owner = self._process, self._process.quota_owner
-        ends_us, asked = now_us() + int(HAND_OVER * SECOND), ""
-        while owner.owns(ask.tenant):
-            predecessor = owner.predecessor(now_us(), ask.tenant)
-            left_us = ends_us - now_us()
-            if predecessor in ("", process.settings.hostname, asked) or left_us <= 0:
+    async def answer_add(self, request: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
+        """Add to a count here, once its last owner has handed it over."""
+        owner = self._quota_owner
+        ends_us, asked = self._now_us() + int(HAND_OVER_TIMEOUT_S * SECOND), ""
+        while owner.owns(request.tenant):
+            predecessor = owner.predecessor(self._now_us(), request.tenant)
+            left_us = ends_us - self._now_us()
+            if predecessor in ("", self._context.settings.hostname, asked) or left_us <= 0:
                 break
-            asked = predecessor  # one that has nothing to say leads to the owner before it
-            await asyncio.wait({self._fetch(ask, predecessor)}, timeout=left_us / SECOND)
-        return owner.take(now_us(), ask, process.acts_until)
+            asked = predecessor  # one that has nothing to hand over leads to the owner before it
+            await asyncio.wait({self._fetch(request, predecessor)}, timeout=left_us / SECOND)
+        return self._add_here(request)
 
-    def answer_hand_over(self, ask: rpc_messages.HandOverRequest) -> rpc_messages.HandOverReply:
+    def answer_hand_over(self, request: rpc_messages.HandOverRequest) -> rpc_messages.HandOverReply:
         """Leave a count to its new owner."""
-        reply = self._process.quota_owner.hand_over(now_us(), ask)
-        self._process.counts["counts not handed over" if reply.wait else "counts handed over"] += 1
+        reply = self._quota_owner.hand_over(self._now_us(), request)
+        if reply.wait:
+            self._context.metrics.hand_overs_deferred += 1
+        else:
+            self._context.metrics.hand_overs_sent += 1
         return reply
 
-    def _fetch(self, ask: rpc_messages.QuotaRequest, predecessor: str) -> asyncio.Task:
-        """The call that asks the owner before for a count; one at a time for each tenant."""
-        fetching = self._fetching.get(ask.tenant)
-        if fetching is None:
-            fetching = asyncio.get_running_loop().create_task(self._hand_over(ask, predecessor))
-            self._fetching[ask.tenant] = fetching
-            fetching.add_done_callback(lambda _: self._fetching.pop(ask.tenant, None))
-        return fetching
-
-    async def _hand_over(self, ask: rpc_messages.QuotaRequest, predecessor: str) -> None:
-        process, owner = self._process, self._process.quota_owner
+    def _fetch(self, request: rpc_messages.QuotaRequest, predecessor: str) -> asyncio.Task:
+        """The call that asks the last owner for a count; one at a time for each tenant."""
+        fetch = self._fetches.get(request.tenant)
+        if fetch is None:
+            fetch = asyncio.get_running_loop().create_task(self._take_over(request, predecessor))
+            self._fetches[request.tenant] = fetch
+            fetch.add_done_callback(lambda _: self._fetches.pop(request.tenant, None))
+        return fetch
+
+    async def _take_over(self, request: rpc_messages.QuotaRequest, predecessor: str) -> None:
+        """Ask a count's last owner for it, and take in what it replies."""
+        owner = self._quota_owner
         fence, member = owner.fence, owner.proxies.get(predecessor)
         if member is None:
             return
-        place = address(member[0])
-        wants = rpc_messages.HandOverRequest(
-            ask.tenant, process.settings.hostname, fence, ask.rate, ask.burst, owner.own
+        to = address(member[0])
+        hand_over = rpc_messages.HandOverRequest(
+            request.tenant, self._context.settings.hostname, fence, request.rate, request.burst, owner.own
         )
-        reply = (await process.rpc.call(place, wants, HAND_OVER)).value_or(None)
+        reply = (await self._rpc.call(to, hand_over, HAND_OVER_TIMEOUT_S)).value_or(None)
         if owner.fence != fence:
-            return  # another list has come meanwhile
+            return  # the membership has changed meanwhile
         if isinstance(reply, rpc_messages.HandOverReply):
-            process.counts["counts taken over"] += not reply.wait
-            owner.handed(now_us(), ask.tenant, reply, ask.rate, ask.burst, predecessor)
-        elif process.rpc.peer(place).refused:
-            owner.gone(now_us(), ask.tenant, ask.rate, ask.burst, predecessor)
+            self._context.metrics.hand_overs_received += not reply.wait
+            owner.handed(self._now_us(), request.tenant, reply, request.rate, request.burst, predecessor)
+        elif self._rpc.peer(to).refused:
+            owner.gone(self._now_us(), request.tenant, request.rate, request.burst, predecessor)
 
     def close(self) -> None:
-        """Nothing more is asked."""
-        for task in (*self._tasks, *self._fetching.values()):
+        """Cancel the calls in progress."""
+        for task in (*self._tasks, *self._fetches.values()):
             task.cancel()
--- /dev/null
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -0,0 +1,42 @@
+"""The servers that the controllers know, passed on to the router and the pool of connections."""
+
+from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway.proxy.host import ServerPool
+from lapisgrade.gateway.routing.router import Router
+from lapisgrade.gateway.settings import address
+
+MAX_SERVERS = 4096  # servers beyond which those that are gone are forgotten
+
+
+class ServerList:
+    """One proxy's copy of the registry; a new leader may ask for it."""
+
+    def __init__(self, router: Router, pool: ServerPool) -> None:
+        self._router = router
+        self._pool = pool
+        self.by_id: dict[str, rpc_messages.Server] = {}
+
+    def apply(self, reply: rpc_messages.WatchReply) -> None:
+        """Take in servers that came, went or changed; all there are, where the list is complete."""
+        is_complete = reply.whole and reply.settled
+        if is_complete:
+            self.by_id = {}
+        for server in reply.servers:
+            known = self.by_id.get(server.id)
+            if known is not None and not server.address:
+                server.address, server.svc = known.address, known.svc
+            self.by_id[server.id] = server
+        self._router.update_servers(reply.servers, is_complete)
+        self._pool.known(
+            {
+                server.id: tuple(address(server.address)) if server.state in ("up", "drain") else None
+                for server in reply.servers
+                if server.address
+            }
+        )
+        self._forget_departed()
+
+    def _forget_departed(self) -> None:
+        for server in [each for each in self.by_id.values() if each.state in ("gone", "lost")]:
+            if server.state == "lost" or len(self.by_id) > MAX_SERVERS:
+                del self.by_id[server.id]
--- /dev/null
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -0,0 +1,122 @@
+"""Asks the leading controller for updates, on and on: through another proxy where no controller answers."""
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+import msgspec
+
+from lapisgrade.gateway import SECOND, rpc_messages
+from lapisgrade.gateway.proxy.context import ProxyContext
+from lapisgrade.gateway.proxy.control_client import ControlClient
+from lapisgrade.gateway.proxy.control_updates import ControlUpdates
+from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
+from lapisgrade.gateway.quota.owner import QuotaOwner
+from lapisgrade.gateway.rpc import RpcEndpoint
+from lapisgrade.gateway.settings import Bad, address
+from lapisgrade.gateway.watch_timing import LONG_POLL_US
+
+log = logging.getLogger("proxy")
+
+REPLY_TIMEOUT_S = LONG_POLL_US / SECOND + 0.35  # that a watch request may take
+RETRY_DELAY_S = 0.05  # before the next controller is asked
+
+ApplyUpdate = Callable[[rpc_messages.WatchReply, int], None]
+
+
+class WatchClient:
+    """`run` watches until it is cancelled; `relay` passes on another proxy's request."""
+
+    def __init__(
+        self,
+        context: ProxyContext,
+        own_address: str,
+        rpc: RpcEndpoint,
+        control_client: ControlClient,
+        quota_owner: QuotaOwner,
+        updates: ControlUpdates,
+        reachability: PeerReachability,
+        apply_update: ApplyUpdate,
+        is_ending: Callable[[], bool],
+    ) -> None:
+        """Create a client that applies each reply of a leader by `apply_update(reply, sent_us)`.
+
+        Args:
+            context: The proxy's.
+            own_address: Where other proxies and the controllers reach this proxy.
+            rpc: What carries the requests.
+            control_client: Which controller or proxy is asked next.
+            quota_owner: Whose membership each request names.
+            updates: What is known already.
+            reachability: Learns who has replied.
+            apply_update: Takes in the leader's reply to a request that was sent then, in us.
+            is_ending: Whether this process shuts down; the controllers then give its quotas to others.
+        """
+        self._context = context
+        self._own_address = own_address
+        self._rpc = rpc
+        self._control_client = control_client
+        self._quota_owner = quota_owner
+        self._updates = updates
+        self._reachability = reachability
+        self._apply_update = apply_update
+        self._is_ending = is_ending
+
+    async def run(self) -> None:
+        """Send one watch request after another."""
+        control_client, metrics, now_us = self._control_client, self._context.metrics, self._context.now_us
+        while True:
+            to, sent_us = address(control_client.next(now_us())), now_us()
+            reply = await self._ask(to)
+            metrics.watch_requests += 1
+            if not control_client.answered(now_us(), reply):
+                metrics.watch_requests_unanswered += 1
+                await asyncio.sleep(RETRY_DELAY_S)
+                continue
+            try:
+                self._apply_update(reply, sent_us)
+            except (Bad, msgspec.MsgspecError) as wrong:
+                log.error("a configuration that can't be read: %s", wrong)
+                self._updates.versions.has_lost_base = True
+                await asyncio.sleep(RETRY_DELAY_S)
+
+    async def relay(self, request: rpc_messages.WatchRequest) -> rpc_messages.WatchReply:
+        """Pass on the request of a proxy that reaches no controller, where the leader is known."""
+        leader = self._control_client.leader
+        silent_us = self._context.now_us() - self._control_client.direct_at
+        if not leader or silent_us > REPLY_TIMEOUT_S * SECOND:
+            return rpc_messages.WatchReply(False)
+        self._context.metrics.watch_requests_relayed += 1
+        reply = await self._rpc.call(address(leader), request, REPLY_TIMEOUT_S)
+        return reply.value_or(None) or rpc_messages.WatchReply(False)
+
+    async def _ask(self, to: tuple[str, int]) -> rpc_messages.WatchReply | None:
+        """Send one request; None where it brings no reply."""
+        result = await self._rpc.call(to, self._request(), REPLY_TIMEOUT_S)
+        reply = result.value_or(None)
+        if not isinstance(reply, rpc_messages.WatchReply):
+            return None
+        self._reachability.on_reply(to, reply.leads)
+        return reply
+
+    def _request(self) -> rpc_messages.WatchRequest:
+        """What this proxy knows, and what it wants to know beyond it."""
+        settings, updates = self._context.settings, self._updates
+        # The leader replies at once to one that names no membership: where a request was not answered.
+        fence = self._quota_owner.fence if not self._control_client.fails else 0
+        return rpc_messages.WatchRequest(
+            settings.hostname,
+            self._own_address,
+            self._context.incarnation,
+            settings.az,
+            updates.versions.active_version,
+            updates.registry_incarnation,
+            updates.registry_revision,
+            fence,
+            list(updates.servers.by_id.values()) if updates.wants_known_servers else [],
+            sorted(self._reachability.terminated),
+            updates.versions.staged_version,
+            settings.quorum,
+            updates.versions.has_lost_base,
+            self._is_ending(),
+        )
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -170,7 +170,7 @@
         while await site.put({**SAMPLE, "Tenants": [unmetered]}) != 200:
             await asyncio.sleep(0.01)
         proxy = site.proxies["m1"]
-        await site.until(lambda: proxy.ready and len(proxy.register) == servers)
+        await site.until(lambda: proxy.ready and len(proxy.servers) == servers)
         loop = asyncio.get_running_loop()
         began = loop.time()
 
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -20,7 +20,7 @@
 from lapisgrade.lab.simulation.clients import PATIENCE, Client, Operator
 from lapisgrade.lab.simulation.cluster import CALLS_PORT, CallReply, Machine, OperatorCall
 from lapisgrade.lab.simulation.plays import Play
-from lapisgrade.lab.simulation.proxies import ProxyMachine, SimulatedClock, SimulatedProxy, simulated_clock
+from lapisgrade.lab.simulation.proxies import ProxyMachine, SimulatedClock, SimulatedProxy
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
 PROXIES, SERVERS = 5, 4
@@ -117,6 +117,7 @@
 
     def __init__(self, seed: int, clock: SimulatedClock, load: TenantLoad, pause: float = 1.5) -> None:
         super().__init__(seed, operators=1, pause=pause)
+        self.clock = clock
         clock.loop = self.loop
         first = TenantOperator(self.cluster, 9, self.history, pause=min(pause, OPERATOR_PAUSE_S))
         self.load = first.load = load
@@ -180,16 +181,18 @@
     def refused(self, proxy: SimulatedProxy, status: int) -> None:
         """A request that is not allowed by what the proxy knows."""
         self.refusals[status] = self.refusals.get(status, 0) + 1
-        if status != 503 and proxy.ver:
+        if status != 503 and proxy.active_version:
             self.invariants.break_(f"{proxy.settings.hostname} answers {status} to what all versions allow")
 
     def acts(self, proxy: SimulatedProxy, before: int) -> None:
         """A proxy has brought a version into force."""
         name = proxy.settings.hostname
-        if proxy.ver not in self.invariants.versions:
-            self.invariants.break_(f"{name} acts by version {proxy.ver}, which the log does not hold")
-        if proxy.ver < before:
-            self.invariants.break_(f"{name} goes back from version {before} to {proxy.ver}")
+        if proxy.active_version not in self.invariants.versions:
+            self.invariants.break_(
+                f"{name} acts by version {proxy.active_version}, which the log does not hold"
+            )
+        if proxy.active_version < before:
+            self.invariants.break_(f"{name} goes back from version {before} to {proxy.active_version}")
 
     def watch_owner(self, proxy: SimulatedProxy) -> None:
         """Note each add to a count that this proxy owns."""
@@ -297,18 +300,17 @@
 def played(seed: int) -> DataPlane:
     """A play whose troubles the seed draws, at proxies and controllers."""
     draw = Random(seed)
-    with simulated_clock() as clock:
-        play = DataPlane(seed, clock, BURSTY if seed % 2 else STEADY)
-        if not play.begin():
-            play.cluster.invariants.break_("no change is taken after the start")
-        for _ in range(draw.randrange(4, 9)):
-            if draw.random() < 0.2:
-                play.lose_leader_after_leaving()
-            elif draw.random() < 0.3:
-                kind, more = play.random.choice(play.TROUBLES)
-                getattr(play, kind)(**more)
-            else:
-                play.proxy_trouble()
-            play.loop.run_for(draw.choice((0.1, 0.8, 2.0, 4.0)))
-        play.end()
+    play = DataPlane(seed, SimulatedClock(), BURSTY if seed % 2 else STEADY)
+    if not play.begin():
+        play.cluster.invariants.break_("no change is taken after the start")
+    for _ in range(draw.randrange(4, 9)):
+        if draw.random() < 0.2:
+            play.lose_leader_after_leaving()
+        elif draw.random() < 0.3:
+            kind, more = play.random.choice(play.TROUBLES)
+            getattr(play, kind)(**more)
+        else:
+            play.proxy_trouble()
+        play.loop.run_for(draw.choice((0.1, 0.8, 2.0, 4.0)))
+    play.end()
     return play
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -5,11 +5,8 @@
 """
 
 import asyncio
-from collections.abc import Iterator
-from contextlib import contextmanager
 from types import SimpleNamespace
 from typing import TYPE_CHECKING, Any
-from unittest import mock
 
 import h11
 from returns.result import Result
@@ -17,8 +14,7 @@
 from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.http_server import framed
-from lapisgrade.gateway.proxy import process as proxy_process
-from lapisgrade.gateway.proxy import quota_transport
+from lapisgrade.gateway.proxy.process import Proxy
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.gateway.routing.upstream_protocol import ForwardedRequest
 from lapisgrade.gateway.settings import Address, Bind, Settings, Span
@@ -89,54 +85,62 @@
     def cancel(self, hop: Attempt) -> None:
         """A hop that nobody waits for."""
 
-    def left(self, operation: RoutedRequest) -> None:
+    def cancel_all(self, request: RoutedRequest) -> None:
         """A client that has left."""
 
 
-class SimulatedProxy(proxy_process.Proxy):
-    """A proxy's shell, with the network of the simulation."""
+class SimulatedProxy(Proxy):
+    """A proxy's shell, with the clock and the network of the simulation."""
 
     def __init__(self, plane: "DataPlane", settings: Settings, process: Process) -> None:
-        super().__init__(settings)
         self.plane, self.process = plane, process
-        self.random.seed(plane.loop.random.getrandbits(64))
-        self.own = f"{self.random.getrandbits(64):016x}"
-        self.quota_owner.own = self.own
-        self.rpc = ProxyEndpoint(plane.cluster.network, process, settings.ip, self._answer, self._word)
-        self.host.pool = Servers(self)
+        super().__init__(settings, plane.clock.now_us)
+        self.context.random.seed(plane.loop.random.getrandbits(64))
+        self.context.incarnation = f"{self.context.random.getrandbits(64):016x}"
+        self.quota_owner.own = self.context.incarnation
         self.asked_us = 0  # when the last ask was sent that was answered by who leads
         self._numbers = 0
         plane.watch_owner(self)
 
+    def make_rpc(self) -> ProxyEndpoint:
+        """Calls over the simulated network."""
+        network = self.plane.cluster.network
+        return ProxyEndpoint(network, self.process, self.settings.ip, self.answer, self.on_message)
+
+    def make_pool(self, max_connections: int) -> Servers:
+        """The simulated servers."""
+        return Servers(self)
+
     async def work(self) -> None:
         """The process, until it has been told to end and its grace is over."""
         loop = asyncio.get_running_loop()
         await self.rpc.listen(self.inner)
-        tasks = [loop.create_task(self.host.run()), loop.create_task(self._follow())]
-        await self._end.wait()
+        tasks = [loop.create_task(self.host.run()), loop.create_task(self.watch_client.run())]
+        await self._shutdown.wait()
         await asyncio.sleep(GRACE)
         self.rpc.close()
         for task in tasks:
             task.cancel()
         self.process.alive = False
 
-    def _take(self, news: rpc_messages.WatchReply, sent: int) -> None:
-        before = self.ver
-        super()._take(news, sent)
-        self.asked_us = max(self.asked_us, sent)
-        if self.ver != before:
+    def apply_update(self, reply: rpc_messages.WatchReply, sent_us: int) -> None:
+        """As a proxy's; the play learns of each version that it activates."""
+        before = self.active_version
+        super().apply_update(reply, sent_us)
+        self.asked_us = max(self.asked_us, sent_us)
+        if self.active_version != before:
             self.plane.acts(self, before)
 
     def request(self, path: str, key: str) -> None:
         """One of a client's."""
-        now = proxy_process.now_us()
+        now = self.context.now_us()
         self.host.clock.now_us = max(self.host.clock.now_us, now)
         found = self.router.match(now, HOST, path, key)
         if isinstance(found, int):
             return self.plane.refused(self, found)
         rule, tenant = found
         self._numbers += 1
-        name = f"{self.own}-{self._numbers}".encode()
+        name = f"{self.context.incarnation}-{self._numbers}".encode()
         client: Any = Caller()
         handle = ForwardedRequest(client, b"GET", path.encode(), HOST.encode(), name, None, [])
         operation = RoutedRequest(
@@ -216,14 +220,3 @@
         """In the process whose callback runs."""
         process = CURRENT.get()
         return self.loop.now_us + (process.skew_us if process is not None else 0)
-
-
-@contextmanager
-def simulated_clock() -> Iterator[SimulatedClock]:
-    """Proxies that are made meanwhile go by that clock, once it has its loop."""
-    clock = SimulatedClock()
-    with (
-        mock.patch.object(proxy_process, "now_us", clock.now_us),
-        mock.patch.object(quota_transport, "now_us", clock.now_us),
-    ):
-        yield clock
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -155,7 +155,7 @@
         if put == 412:  # the tenant came first
             put = await site.put({**more, "Ver": 3, "Base": 2}, "conf.update")
         self.assertEqual((put, applied), (200, 0))
-        await site.until(lambda: all(each.ver == 3 for each in site.proxies.values()))
+        await site.until(lambda: all(each.active_version == 3 for each in site.proxies.values()))
         for name in site.names:
             got = [
                 await site.get(name, "/1", "key-of-gabes", host="gabes.example"),
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -51,7 +51,7 @@
         await site.until(lambda: not site.controllers[name]._leads())
 
     async def rejoined(self, site: LocalCluster, ver: int) -> None:
-        await site.until(lambda: all(each.ver == ver for each in site.proxies.values()))
+        await site.until(lambda: all(each.active_version == ver for each in site.proxies.values()))
 
     def rule(self, site: LocalCluster, name: str):
         table = site.proxies[name].router.tables.active
@@ -149,7 +149,7 @@
         edits = {"m1": edit(Prio=4), "m2": edit(Action={"Svc": "reparation"}), "m3": edit(Mode="idem")}
         for name, text in edits.items():
             self.assertEqual((await self.drafted(site, name, text, name))[0], 0)
-        self.assertEqual({each.ver for each in site.proxies.values()}, {1})
+        self.assertEqual({each.active_version for each in site.proxies.values()}, {1})
         links.apart.clear()
         await site.until(
             lambda: any(controller.state_machine.state.drafts for controller in site.controllers.values())
@@ -183,7 +183,7 @@
             lambda: any(controller.state_machine.state.drafts for controller in site.controllers.values())
         )
         links.part("m3")
-        await site.until(lambda: site.proxies["m1"].ver == site.proxies["m2"].ver == 5)
+        await site.until(lambda: site.proxies["m1"].active_version == site.proxies["m2"].active_version == 5)
         self.assertEqual((self.rule(site, "m1").prio, self.rule(site, "m1").action.svc), (0, "reparation"))
         links.apart.clear()
         await self.rejoined(site, 5)
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -3,13 +3,16 @@
 import asyncio
 import time
 import unittest
-from collections import Counter
+from random import Random
 from types import SimpleNamespace
 
 from returns.result import Failure, Success
 
 from lapisgrade.gateway import rpc_messages
-from lapisgrade.gateway.proxy.quota_transport import ADD, QuotaTransport
+from lapisgrade.gateway.clock import now_us
+from lapisgrade.gateway.proxy.context import ProxyContext
+from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
+from lapisgrade.gateway.proxy.quota_transport import ADD_TIMEOUT_S, QuotaTransport
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.verdict import Verdict
@@ -24,31 +27,39 @@
     }
 
 
-class Process:
-    """A proxy that asks others for their counts; `answers` by name and fence of the ask."""
+class Peers:
+    """What a proxy that asks others for their counts has beside its transport; `answers` by name."""
 
     def __init__(self) -> None:
         self.tenant = next(
             name for name in map(str, range(999))
             if owner_of(name, [ME, OLD]) == OLD and owner_of(name, [ME, OLD, NEW]) == NEW
         )  # fmt: skip
-        self.settings = SimpleNamespace(hostname=ME)
-        self.counts: Counter[str] = Counter()
+        settings = SimpleNamespace(hostname=ME, ip="10.0.0.1")
+        self.context = ProxyContext(settings, Random(1), now_us)
         self.quota_owner = QuotaOwner(ME, "1", 0)
         self.quota_owner.told(0, 5, listed(ME, OLD), prior=0)
-        self.acts_until, self.refused, self.asked, self.ended = 1 << 60, set(), [], []
+        self.updates = SimpleNamespace(ownership_ends_us=1 << 60)
+        self.asked, self.ended = [], []
         client = SimpleNamespace(ask=self._ask, gateways=1)
         self.router = SimpleNamespace(quota_clients={self.tenant: client})
         self.host = SimpleNamespace(put=self.ended.append)
-        self.rpc = self
         self.answers = {}
 
+    def transport(self) -> QuotaTransport:
+        return QuotaTransport(
+            self.context,
+            self.host,
+            self.router,
+            self,
+            self.quota_owner,
+            self.updates,
+            PeerReachability(self.context),
+        )
+
     def _ask(self, by: str, fence: int) -> rpc_messages.QuotaRequest:
         return rpc_messages.QuotaRequest(self.tenant, 1.0, by, fence, 10.0, 10.0)
 
-    def touch(self, place) -> None:
-        pass
-
     def peer(self, place) -> SimpleNamespace:
         return SimpleNamespace(refused=False)
 
@@ -62,49 +73,47 @@
 
 class Asked(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.process = Process()
-        self.transport = QuotaTransport(self.process)
+        self.peers = Peers()
+        self.transport = self.peers.transport()
         self.addCleanup(self.transport.close)
 
     async def add(self) -> CloseReason:
         began = time.monotonic()
-        self.transport.add(None, SimpleNamespace(name=self.process.tenant))
-        while not self.process.ended:
+        self.transport.add(None, SimpleNamespace(name=self.peers.tenant))
+        while not self.peers.ended:
             await asyncio.sleep(0.005)
-        self.assertLess(time.monotonic() - began, 3 * ADD)
-        return self.process.ended[0].reason
+        self.assertLess(time.monotonic() - began, 3 * ADD_TIMEOUT_S)
+        return self.peers.ended[0].reason
 
     async def test_an_owner_that_has_a_later_list_is_not_the_last_word(self) -> None:
-        process = self.process
-        process.answers = {
+        peers = self.peers
+        peers.answers = {
             OLD: rpc_messages.QuotaReply(False, fence=9),
             NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9),
         }
-        asyncio.get_running_loop().call_later(
-            0.03, process.quota_owner.told, 1, 9, listed(ME, OLD, NEW), (), 5
-        )
+        asyncio.get_running_loop().call_later(0.03, peers.quota_owner.told, 1, 9, listed(ME, OLD, NEW), (), 5)
         self.assertIs(await self.add(), CloseReason.ANSWERED)
-        self.assertEqual((process.asked[0], process.asked[-1]), ((OLD, 5), (NEW, 9)))
+        self.assertEqual((peers.asked[0], peers.asked[-1]), ((OLD, 5), (NEW, 9)))
 
     async def test_an_owner_without_this_list_yet_is_asked_until_it_has_it(self) -> None:
-        process = self.process
-        process.quota_owner.told(1, 9, listed(ME, OLD, NEW), prior=5)
-        process.answers = {NEW: rpc_messages.QuotaReply(False, fence=5)}
+        peers = self.peers
+        peers.quota_owner.told(1, 9, listed(ME, OLD, NEW), prior=5)
+        peers.answers = {NEW: rpc_messages.QuotaReply(False, fence=5)}
         asyncio.get_running_loop().call_later(
-            0.04, process.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
+            0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
         )
         self.assertIs(await self.add(), CloseReason.ANSWERED)
 
     async def test_it_ends_in_time_where_the_lists_never_meet(self) -> None:
-        self.process.answers = {OLD: rpc_messages.QuotaReply(False, fence=9)}
+        self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fence=9)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
-        self.assertLess(len(self.process.asked), 12)
+        self.assertLess(len(self.peers.asked), 12)
 
     async def test_a_word_under_the_same_list_is_the_last_and_silence_is_told(self) -> None:
-        self.process.answers = {OLD: rpc_messages.QuotaReply(False, fence=5)}
+        self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fence=5)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
-        self.assertEqual(len(self.process.asked), 1)
-        self.process.answers, self.process.ended[:] = {}, []
+        self.assertEqual(len(self.peers.asked), 1)
+        self.peers.answers, self.peers.ended[:] = {}, []
         self.assertIs(await self.add(), CloseReason.TIMED_OUT)
 
 
--- a/tests/gateway/proxy/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -62,7 +62,7 @@
         site = await self.site.served()
         for _ in range(4):
             await site.start_server("garantie")
-        await site.until(lambda: all(len(each.register) == 5 for each in site.proxies.values()))
+        await site.until(lambda: all(len(each.servers) == 5 for each in site.proxies.values()))
         for each in site.servers.values():
             each.manner = "failing"
         for number in range(20):
@@ -73,13 +73,13 @@
     async def test_drain_a_server_that_only_says_that_it_goes_gets_nothing_more(self) -> None:
         site = await self.site.served()
         await site.start_server("garantie")
-        await site.until(lambda: all(len(each.register) == 2 for each in site.proxies.values()))
+        await site.until(lambda: all(len(each.servers) == 2 for each in site.proxies.values()))
         leaving = site.servers["i-1"]
         site.silence(leaving)  # it never says drain, and its last beat is late
         got = await ask(site.ctl[0], "POST", "/-/rpc?call=servers.deregister&of=i-1")
         self.assertEqual(status(got), 200)
         await leaving.beat(site.ctl)
-        await site.until(lambda: all(each.register["i-1"].state == "gone" for each in site.proxies.values()))
+        await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
         before = leaving.ran.total()
         answers = [status(await site.get(name, "/stock/1", KEY)) for name in site.names for _ in range(4)]
         self.assertEqual((answers, leaving.ran.total() - before), ([200] * 12, 0))
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -40,7 +40,7 @@
                 await asyncio.sleep(0.02)
         await self.site.until(
             lambda: all(
-                each.ready and sum(one.state == "up" for one in each.register.values()) == servers
+                each.ready and sum(one.state == "up" for one in each.servers.values()) == servers
                 for each in self.site.proxies.values()
             )
         )
@@ -133,7 +133,7 @@
         site = await self.served()
         change = {"Ver": 4, "Base": 1, "Upsert": {"Tenants": [{"Name": "sfax", "Apikeys": ["new"]}]}}
         self.assertEqual(await site.put(change, "conf.update"), 200)
-        await site.until(lambda: all(each.ver == 4 for each in site.proxies.values()))
+        await site.until(lambda: all(each.active_version == 4 for each in site.proxies.values()))
         found = [status(await site.get(name, "/stock/1", key)) for name in site.names for key in (KEY, "new")]
         self.assertEqual(found, [401, 200] * 3)
 
@@ -147,7 +147,7 @@
         await site.until(lambda: any(each.node.is_leader for each in site.controllers.values()))
         after = next(each for each in site.controllers.values() if each.node.is_leader)
         self.assertEqual(after.state_machine.state.left, {"i-1": False})
-        await site.until(lambda: all(each.register["i-1"].state == "drain" for each in site.proxies.values()))
+        await site.until(lambda: all(each.servers["i-1"].state == "drain" for each in site.proxies.values()))
         for number in range(6):
             self.assertEqual(status(await site.get("m2", f"/stock/{number}", KEY)), 200)
         self.assertEqual(server.ran.total(), 0)
@@ -159,11 +159,13 @@
         for name in site.names:
             await site.start_controller(name)
             await site.start_proxy(name)
-        await site.until(lambda: all(each.ready and each.ver == 1 for each in site.proxies.values()))
+        await site.until(
+            lambda: all(each.ready and each.active_version == 1 for each in site.proxies.values())
+        )
         shown = await ask(site.ctl[0], "POST", "/-/rpc?call=conf.show")
         want = {name: each for name, each in SAMPLE.items() if name != "Base"}
         self.assertEqual(msgspec.json.decode(b"".join(shown.body)), want)
-        await site.until(lambda: all(each.register for each in site.proxies.values()))
+        await site.until(lambda: all(each.servers for each in site.proxies.values()))
         self.assertEqual(status(await site.get("m1", "/stock/1", KEY)), 200)
 
     async def test_a_leader_begins_with_the_live_proxies_of_the_log_where_every_controller_was_killed(self):
@@ -223,7 +225,7 @@
     async def test_an_ended_server_is_not_asked_again_and_its_address_may_be_anothers(self):
         site = await self.served(2)
         self.assertEqual(await told(site.ctl, "/-/rpc?call=servers.deregister&of=i-1"), 200)
-        await site.until(lambda: all(each.register["i-1"].state == "gone" for each in site.proxies.values()))
+        await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
         # Whoever listens there now is another server, not known yet: it says so, and has not run it.
         site.silence(site.servers["i-2"])
         site.servers["i-2"].name = "i-3"
@@ -251,7 +253,7 @@
                 change = {"Ver": 2, "Base": 1, "Upsert": {}, "Del": {"Routes": ["r-claim"]}}
                 while await site.put(change, "conf.update") != 200:
                     await asyncio.sleep(0.02)
-                await site.until(lambda: all(each.ver == 2 for each in site.proxies.values()))
+                await site.until(lambda: all(each.active_version == 2 for each in site.proxies.values()))
         self.assertEqual(answers, [200] * 15)
 
 
