--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -81,7 +81,7 @@
         from lapisgrade.gateway.proxy.process import Proxy
 
         return Proxy
-    from lapisgrade.gateway.controller.process import Controller
+    from lapisgrade.gateway.controller.server import Controller
 
     return Controller
 
--- /dev/null
+++ b/lapisgrade/gateway/controller/call_forwarding.py
@@ -0,0 +1,67 @@
+"""Has the leader execute a call, wherever it is."""
+
+import asyncio
+from collections.abc import Callable
+from http import HTTPStatus
+
+from lapisgrade.gateway import SECOND
+from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
+from lapisgrade.gateway.controller.leader_calls import LeaderCalls
+from lapisgrade.gateway.controller.leader_discovery import LeaderDiscovery
+from lapisgrade.gateway.controller.replies import encode_error
+from lapisgrade.gateway.rpc import RpcEndpoint
+from lapisgrade.gateway.rpc_messages import ForwardCall, ForwardCallReply
+from lapisgrade.gateway.settings import address
+
+LEADER_WAIT_S = 0.7  # that a call waits for a leader to be known
+FORWARD_TIMEOUT_S = 0.9  # that the leader may take for a forwarded call
+RETRY_INTERVAL_S = 0.03  # between two looks for a leader
+
+
+class CallForwarder:
+    """Executes calls here while this controller leads, else on the leader."""
+
+    def __init__(
+        self,
+        consensus: ConsensusDriver,
+        leader_calls: LeaderCalls,
+        discovery: LeaderDiscovery,
+        rpc: RpcEndpoint,
+        clock: Callable[[], int],
+    ) -> None:
+        """`clock` tells the steady time in us."""
+        self._consensus = consensus
+        self._leader_calls = leader_calls
+        self._discovery = discovery
+        self._rpc = rpc
+        self._clock = clock
+
+    async def forward(self, call: str, of: str, body: bytes) -> ForwardCallReply:
+        """Return the leader's reply; 503 where none is known within `LEADER_WAIT_S`."""
+        ends_us = self._clock() + int(LEADER_WAIT_S * SECOND)
+        while True:
+            if self._consensus.is_leader():
+                return await self._leader_calls.execute(call, of, body)
+            leader = self._discovery.remote_leader_address()
+            if leader:
+                reply = await self._call_leader(leader, ForwardCall(call, of, body))
+                if reply is not None:
+                    return reply
+            await self._discovery.discover_leader()
+            if self._clock() > ends_us:
+                return encode_error(HTTPStatus.SERVICE_UNAVAILABLE, "no leader is known")
+            await asyncio.sleep(RETRY_INTERVAL_S)
+
+    async def _call_leader(self, leader: str, call: ForwardCall) -> ForwardCallReply | None:
+        """Return the reply; None for no reply in time, or one that says that it doesn't lead."""
+        result = await self._rpc.call(address(leader), call, FORWARD_TIMEOUT_S)
+        reply = result.value_or(None)
+        if isinstance(reply, ForwardCallReply) and reply.status != HTTPStatus.SERVICE_UNAVAILABLE:
+            return reply
+        return None
+
+    async def execute_as_leader(self, call: ForwardCall) -> ForwardCallReply:
+        """Execute a call that another controller forwarded; 503 where this one doesn't lead."""
+        if not self._consensus.is_leader():
+            return ForwardCallReply(HTTPStatus.SERVICE_UNAVAILABLE)
+        return await self._leader_calls.execute(call.call, call.of, call.body)
--- /dev/null
+++ b/lapisgrade/gateway/controller/control_api.py
@@ -0,0 +1,39 @@
+"""Takes the calls of servers and operators over HTTP, as `api.TABLE` lists them, at any controller."""
+
+from http import HTTPStatus
+
+from lapisgrade.gateway import api
+from lapisgrade.gateway.controller.call_forwarding import CallForwarder
+from lapisgrade.gateway.controller.drafts import DraftService
+from lapisgrade.gateway.controller.metrics import ControllerMetrics
+from lapisgrade.net.http import Message
+
+HttpReply = tuple[int, bytes, bytes]  # status, body, further header lines
+
+
+class ControlApi:
+    """Handles one request after another; drafts are taken here, all else on the leader."""
+
+    def __init__(self, forwarder: CallForwarder, drafts: DraftService, metrics: ControllerMetrics) -> None:
+        self._forwarder = forwarder
+        self._drafts = drafts
+        self._metrics = metrics
+
+    async def handle_call(self, message: Message) -> HttpReply:
+        """Return the reply to one HTTP request."""
+        found = api.called(message.head.method.decode(), message.head.target.decode("latin-1"))
+        if isinstance(found, int):
+            return found, b'{"Err":"no such call"}', b""
+        call, of = found
+        self._metrics.calls[call.name] += 1
+        if message.size > call.most:
+            return HTTPStatus.REQUEST_ENTITY_TOO_LARGE, b'{"Err":"the body is too long"}', b""
+        body = b"".join(message.body)
+        if call.name == "conf.draft":
+            reply = await self._drafts.accept(body)
+        else:
+            reply = await self._forwarder.forward(call.name, of, body)
+            if call.name == "conf.drafts":
+                reply = self._drafts.add_stored_drafts(reply)
+        self._metrics.call_replies[f"{call.name} {reply.status}"] += 1
+        return reply.status, reply.body, b""
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -1,142 +1,179 @@
-"""Drafts: edits made at a controller that reaches no leader, kept on disks until one takes them."""
+"""Drafts: edits made at a controller that reaches no leader, stored on disks until the log has them.
+
+A draft is stored on this controller's disk and copied to the disks of the controllers that answer.
+Each of them then offers it to the leader, as soon as there is one, until its copy is committed or refused;
+the state machine knows a draft that it has by its id.
+"""
 
 import asyncio
 import logging
-from collections import Counter
+from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from random import Random
-from typing import Any, Protocol
 
 import msgspec
 
 from lapisgrade.gateway import rpc_messages
-from lapisgrade.gateway.controller.replies import said
+from lapisgrade.gateway.controller.leader_calls import DELIVER_DRAFT
+from lapisgrade.gateway.controller.metrics import ControllerMetrics
+from lapisgrade.gateway.controller.replies import encode_error, encode_result
 from lapisgrade.gateway.controller.state_machine import MOST_DRAFT, Answer, StateMachine
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.three_way import Draft
-from lapisgrade.gateway.settings import Address, Bad, Settings, address
+from lapisgrade.gateway.rpc import RpcEndpoint
+from lapisgrade.gateway.rpc_messages import ForwardCallReply
+from lapisgrade.gateway.settings import Address, Bad, address
 from lapisgrade.gateway.storage.draft_store import DraftStore, Full
 
 log = logging.getLogger("controller")
 
-COPY_TIMEOUT_S = 0.35  # that a neighbour may take to keep a copy: a sync, and the way there and back
-OFFER_INTERVAL_S = 0.5  # between two times that drafts kept here are offered to whoever leads
-
-
-class DraftHost(Protocol):
-    """What drafts need of their controller."""
-
-    settings: Settings
-    inner: Address  # where other controllers reach it
-    random: Random
-    counts: Counter[str]
-    state_machine: StateMachine
-    draft_store: DraftStore | None
-    rpc: Any
+COPY_TIMEOUT_S = 0.35  # that a peer may take to store a copy: a sync, and a round trip
+DELIVERY_INTERVAL_S = 0.5  # between two attempts to deliver the stored drafts, on average
 
-    def controllers(self) -> list[str]:
-        """Addresses of all controllers."""
+Forward = Callable[[str, str, bytes], Awaitable[ForwardCallReply]]
 
-    async def forward(self, call: str, of: str, body: bytes) -> rpc_messages.ForwardCallReply:
-        """Have the leader answer a call."""
 
+class DraftDelivery:
+    """Stores drafts on this disk, and offers them to the leader until the log has them."""
 
-class DraftService:
-    """Takes drafts, copies them to other controllers, and offers them until the log has them."""
-
-    def __init__(self, host: DraftHost) -> None:
-        self._host = host
-        self._offering: asyncio.Task | None = None
+    def __init__(
+        self, store: DraftStore | None, forward: Forward, random: Random, metrics: ControllerMetrics
+    ) -> None:
+        """`store` is None on a controller without a disk; `forward` has the leader execute a call."""
+        self._store = store
+        self._forward = forward
+        self._random = random
+        self._metrics = metrics
+        self._task: asyncio.Task | None = None
 
     def close(self) -> None:
         """Offer nothing any more."""
-        if self._offering is not None:
-            self._offering.cancel()
+        if self._task is not None:
+            self._task.cancel()
+
+    @property
+    def has_disk(self) -> bool:
+        """Whether drafts can be stored here at all."""
+        return self._store is not None
+
+    def stored(self) -> list[Draft]:
+        """Return the drafts on this disk."""
+        return list(self._store.kept.values()) if self._store is not None else []
+
+    async def store(self, draft: Draft) -> HTTPStatus:
+        """Write a draft to this disk; OK once it is there, else why it is not."""
+        if self._store is None:
+            return HTTPStatus.CONFLICT
+        if len(msgspec.msgpack.encode(draft)) > MOST_DRAFT:
+            return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
+        try:
+            await self._store.keep(draft)
+        except Full:
+            return HTTPStatus.TOO_MANY_REQUESTS
+        except OSError as error:
+            log.warning("a draft was not stored: %s", error)
+            return HTTPStatus.SERVICE_UNAVAILABLE
+        self._metrics.drafts_stored += 1
+        self.start()
+        return HTTPStatus.OK
+
+    def start(self) -> None:
+        """Begin to offer what is stored, if anything is and nothing is being offered."""
+        if self._store.kept and (self._task is None or self._task.done()):
+            self._task = asyncio.get_running_loop().create_task(self._run())
+
+    async def _run(self) -> None:
+        last_refused_id = ""
+        while self._store.kept:
+            await asyncio.sleep(DELIVERY_INTERVAL_S * (0.5 + self._random.random()))
+            for draft in self.stored():
+                reply = await self._forward(DELIVER_DRAFT, "", msgspec.msgpack.encode(draft))
+                if reply.status == HTTPStatus.OK:
+                    await self._remove(draft)
+                elif reply.status == HTTPStatus.CONFLICT and last_refused_id != draft.id:
+                    last_refused_id = draft.id
+                    log.warning("draft %s stays on this disk: %s", draft.id, reply.body.decode())
+                if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
+                    break  # no leader is known, for the other drafts neither
+
+    async def _remove(self, draft: Draft) -> None:
+        """Remove a draft that the log has."""
+        try:
+            await self._store.drop(draft.id)
+            self._metrics.drafts_delivered += 1
+        except OSError as error:
+            log.warning("a draft that was delivered is still on this disk: %s", error)
 
-    async def take(self, body: bytes) -> rpc_messages.ForwardCallReply:
-        """Keep an edit as a draft on what this controller knows last, on as many disks of its side as
-        answer."""
-        host = self._host
+
+class DraftService:
+    """Takes operators' drafts and peers' copies, and lists what is stored here."""
+
+    def __init__(
+        self,
+        delivery: DraftDelivery,
+        state_machine: StateMachine,
+        rpc: RpcEndpoint,
+        own_address: Address,
+        voter_addresses: Callable[[], list[str]],
+        hostname: Callable[[], str],
+    ) -> None:
+        """`own_address` and `voter_addresses` are where controllers reach each other."""
+        self._delivery = delivery
+        self._state_machine = state_machine
+        self._rpc = rpc
+        self._own_address = own_address
+        self._voter_addresses = voter_addresses
+        self._hostname = hostname
+
+    async def accept(self, body: bytes) -> ForwardCallReply:
+        """Store an edit of the newest version that is known here as a draft, on as many disks as answer."""
         try:
-            draft = self._decoded(body)
+            draft = self._decode(body)
         except msgspec.MsgspecError:
-            return said(Answer(400, "the body is not whole JSON"))
-        except (Bad, KeyError, TypeError, AttributeError) as wrong:
-            return said(Answer(400, str(wrong)))
+            return encode_error(HTTPStatus.BAD_REQUEST, "the body is not whole JSON")
+        except (Bad, KeyError, TypeError, AttributeError) as error:
+            return encode_error(HTTPStatus.BAD_REQUEST, str(error))
         if isinstance(draft, Answer):
-            return said(draft)
-        status = await self.keep(draft)
-        if status != 200:
-            return said(Answer(status, "the draft could not be kept on this disk"))
-        places = [address(each) for each in host.controllers() if each != str(host.inner)]
-        asked = [host.rpc.call(place, rpc_messages.CopyDraft(draft), COPY_TIMEOUT_S) for place in places]
-        got = [each.value_or(None) for each in await asyncio.gather(*asked)]
-        disks = 1 + sum(isinstance(each, rpc_messages.CopyDraftReply) and each.kept for each in got)
-        told = {"Id": draft.id, "Base": draft.base, "Disks": disks, "InForce": False}
-        return rpc_messages.ForwardCallReply(202, msgspec.json.encode(told))
-
-    def _decoded(self, body: bytes) -> Draft | Answer:
-        """The draft that a call brings, or why it is refused; Bad and others where it is none."""
-        host, state = self._host, self._host.state_machine.state
-        raw = msgspec.json.decode(body)
-        if not isinstance(raw, dict) or not isinstance(raw.get("By"), str):
+            return encode_result(draft)
+        status = await self._delivery.store(draft)
+        if status != HTTPStatus.OK:
+            return encode_error(status, "the draft could not be kept on this disk")
+        disks = 1 + await self._copy_to_peers(draft)
+        reply = {"Id": draft.id, "Base": draft.base, "Disks": disks, "InForce": False}
+        return ForwardCallReply(HTTPStatus.ACCEPTED, msgspec.json.encode(reply))
+
+    def _decode(self, body: bytes) -> Draft | Answer:
+        """Return the draft that a call brings, or why it is refused; raises Bad and others for no draft."""
+        state = self._state_machine.state
+        edit = msgspec.json.decode(body)
+        if not isinstance(edit, dict) or not isinstance(edit.get("By"), str):
             raise Bad("a draft is an object, and says By whom it is")
-        if not state.conf or host.draft_store is None:
-            return Answer(409, "no configuration is known here, or no disk is here")
-        if raw.get("Base") != state.ver:
-            return Answer(412, f"version {state.ver} is the newest that is known here")
-        return three_way.drafted(msgspec.json.decode(state.conf), raw, raw["By"], host.settings.hostname)
-
-    async def keep(self, draft: Draft) -> int:
-        """Put a draft on this disk; the HTTP status, 200 once it is there."""
-        host = self._host
-        if host.draft_store is None:
-            return 409
-        if len(msgspec.msgpack.encode(draft)) > MOST_DRAFT:
-            return 413
-        try:
-            await host.draft_store.keep(draft)
-        except Full:
-            return 429
-        except OSError as wrong:
-            log.warning("a draft was not kept: %s", wrong)
-            return 503
-        host.counts["drafts kept"] += 1
-        self.hand_in()
-        return 200
-
-    def hand_in(self) -> None:
-        """Have what is kept here offered until the log has it."""
-        if self._host.draft_store.kept and (self._offering is None or self._offering.done()):
-            self._offering = asyncio.get_running_loop().create_task(self._offer())
-
-    async def _offer(self) -> None:
-        host, refused = self._host, ""
-        while host.draft_store.kept:
-            await asyncio.sleep(OFFER_INTERVAL_S * (0.5 + host.random.random()))
-            for draft in list(host.draft_store.kept.values()):
-                got = await host.forward("drafts.hand", "", msgspec.msgpack.encode(draft))
-                if got.status == 200:
-                    await self._drop(draft)
-                elif got.status == 409 and refused != draft.id:
-                    refused = draft.id
-                    log.warning("draft %s waits here: %s", draft.id, got.body.decode())
-                if got.status == 503:
-                    break  # nobody leads: the others would hear the same
-
-    async def _drop(self, draft: Draft) -> None:
-        """The log has it."""
-        try:
-            await self._host.draft_store.drop(draft.id)
-            self._host.counts["drafts handed in"] += 1
-        except OSError as wrong:
-            log.warning("a draft that was handed in is still kept: %s", wrong)
-
-    def listed(self, led: rpc_messages.ForwardCallReply) -> rpc_messages.ForwardCallReply:
-        """What the leader tells of drafts, and those kept here that it has not."""
-        host = self._host
-        merged = msgspec.json.decode(led.body) if led.status == 200 else []
-        ids = {each["Id"] for each in merged}
-        kept = host.draft_store.kept.values() if host.draft_store is not None else ()
-        here = [three_way.told(each, None) for each in kept if each.id not in ids]
-        out = {"Leader": led.status == 200, "Newest": host.state_machine.state.ver, "Drafts": merged + here}
-        return rpc_messages.ForwardCallReply(200, msgspec.json.encode(out))
+        if not state.conf or not self._delivery.has_disk:
+            return Answer(HTTPStatus.CONFLICT, "no configuration is known here, or no disk is here")
+        if edit.get("Base") != state.ver:
+            return Answer(
+                HTTPStatus.PRECONDITION_FAILED, f"version {state.ver} is the newest that is known here"
+            )
+        return three_way.drafted(msgspec.json.decode(state.conf), edit, edit["By"], self._hostname())
+
+    async def _copy_to_peers(self, draft: Draft) -> int:
+        """Return how many other controllers have stored a copy."""
+        peers = [address(each) for each in self._voter_addresses() if each != str(self._own_address)]
+        request = rpc_messages.CopyDraft(draft)
+        calls = [self._rpc.call(peer, request, COPY_TIMEOUT_S) for peer in peers]
+        replies = [result.value_or(None) for result in await asyncio.gather(*calls)]
+        return sum(isinstance(each, rpc_messages.CopyDraftReply) and each.kept for each in replies)
+
+    async def store_copy(self, request: rpc_messages.CopyDraft) -> rpc_messages.CopyDraftReply:
+        """Store another controller's draft here too."""
+        status = await self._delivery.store(request.draft)
+        return rpc_messages.CopyDraftReply(status == HTTPStatus.OK)
+
+    def add_stored_drafts(self, leader_reply: ForwardCallReply) -> ForwardCallReply:
+        """Return the leader's list of drafts with those added that are stored here and unknown to it."""
+        has_leader = leader_reply.status == HTTPStatus.OK
+        drafts = msgspec.json.decode(leader_reply.body) if has_leader else []
+        known_ids = {each["Id"] for each in drafts}
+        drafts += [three_way.told(each, None) for each in self._delivery.stored() if each.id not in known_ids]
+        reply = {"Leader": has_leader, "Newest": self._state_machine.state.ver, "Drafts": drafts}
+        return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode(reply))
--- /dev/null
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -0,0 +1,167 @@
+"""Executes the calls of servers and operators on the leader.
+
+A call that changes something is answered once its command is committed to the log. What has no clear
+outcome in time is answered with 504: the command may still be committed.
+"""
+
+from collections.abc import Awaitable, Callable
+from http import HTTPStatus
+
+import msgspec
+
+from lapisgrade.gateway import api
+from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
+from lapisgrade.gateway.controller.replies import decode_draft_id, encode_error, encode_result
+from lapisgrade.gateway.controller.state_machine import (
+    Change,
+    CloseDraft,
+    Item,
+    MergeDraft,
+    ServerLeaving,
+    StateMachine,
+    encoded,
+)
+from lapisgrade.gateway.controller.watch_service import WatchService
+from lapisgrade.gateway.merge import three_way
+from lapisgrade.gateway.merge.three_way import Draft
+from lapisgrade.gateway.rpc_messages import ForwardCallReply
+from lapisgrade.gateway.settings import Address, Bad
+
+DELIVER_DRAFT = "drafts.hand"  # a controller's own call: one of its stored drafts, to be merged
+
+_DRAFT_DECODER = msgspec.msgpack.Decoder(Draft)
+
+CallHandler = Callable[[str, bytes], Awaitable[ForwardCallReply]]
+
+
+class LeaderCalls:
+    """The calls by name; `execute` one only while this controller is the leader."""
+
+    def __init__(
+        self,
+        consensus: ConsensusDriver,
+        state_machine: StateMachine,
+        watch_service: WatchService,
+        own_address: Address,
+        clock: Callable[[], int],
+    ) -> None:
+        """`own_address` is where other controllers reach this one; `clock` tells the steady time in us."""
+        self.watch_service = watch_service
+        self._consensus = consensus
+        self._state_machine = state_machine
+        self._own_address = own_address
+        self.clock = clock
+        self._handlers: dict[str, CallHandler] = {
+            "servers.heartbeat": self._heartbeat,
+            "servers.deregister": self._deregister,
+            "conf.replace": self._replace_configuration,
+            "conf.update": self._update_configuration,
+            "conf.show": self._show_configuration,
+            "conf.status": self._show_status,
+            "conf.drafts": self._list_drafts,
+            "conf.settle": self._settle_draft,
+            "conf.close": self._close_draft,
+            DELIVER_DRAFT: self._merge_draft,
+        }
+
+    async def execute(self, call: str, of: str, body: bytes) -> ForwardCallReply:
+        """Execute a call.
+
+        Args:
+            call: Its name; one that isn't known is taken for `conf.update`.
+            of: The server that it is of; empty for calls of operators.
+            body: As it came; it is checked here.
+        """
+        handler = self._handlers.get(call, self._update_configuration)
+        try:
+            return await handler(of, body)
+        except Bad as error:
+            return encode_error(HTTPStatus.BAD_REQUEST, str(error))
+        except msgspec.MsgspecError:
+            return encode_error(HTTPStatus.BAD_REQUEST, "not a draft")
+
+    async def commit(self, command: Item) -> ForwardCallReply:
+        """Put a command into the log, and return what the state machine said of it."""
+        result = await self._consensus.propose(encoded(command))
+        if result is None:
+            return encode_error(HTTPStatus.GATEWAY_TIMEOUT, "no majority has it yet; it may come into force")
+        return encode_result(result)
+
+    # ---- servers
+
+    async def _heartbeat(self, of: str, body: bytes) -> ForwardCallReply:
+        server, state = api.beat(of, body)
+        if state == "drain" and of not in self._state_machine.state.left:
+            # Must outlive this leader: the server ends some time after the reply.
+            reply = await self.commit(ServerLeaving(of, False))
+            if reply.status != HTTPStatus.OK:
+                return reply
+        self.watch_service.on_heartbeat(server)
+        return ForwardCallReply(HTTPStatus.OK, b"{}")
+
+    async def _deregister(self, of: str, body: bytes) -> ForwardCallReply:
+        return await self.commit(ServerLeaving(of, True))
+
+    # ---- the configuration
+
+    async def _replace_configuration(self, of: str, body: bytes) -> ForwardCallReply:
+        return await self._change(Change(True, body))
+
+    async def _update_configuration(self, of: str, body: bytes) -> ForwardCallReply:
+        return await self._change(Change(False, body))
+
+    async def _change(self, change: Change) -> ForwardCallReply:
+        result, version = self._state_machine.accepted(change)
+        if version is None:  # refused, or taken before: it needs no entry in the log
+            return encode_result(result)
+        return await self.commit(version)
+
+    async def _show_configuration(self, of: str, body: bytes) -> ForwardCallReply:
+        state = self._state_machine.state
+        if not state.conf:
+            return encode_error(HTTPStatus.NOT_FOUND, "there is no configuration yet")
+        return ForwardCallReply(HTTPStatus.OK, state.conf)
+
+    async def _show_status(self, of: str, body: bytes) -> ForwardCallReply:
+        status = self.watch_service.watch.status(self.clock(), self._state_machine.state)
+        return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode({**status, **self._voter_status()}))
+
+    def _voter_status(self) -> dict[str, object]:
+        """Return who leads, and the voters that a majority is counted of."""
+        node, now_us = self._consensus.node, self.clock()
+        heard_us = {name: follower.heard_us for name, follower in node.followers.items()}
+        heard_us[node.identity] = now_us
+        voters = [
+            {"Id": name, "At": address, "HeardMs": (now_us - heard_us.get(name, 0)) // 1000}
+            for name, address in sorted(node.voters.items())
+        ]
+        return {"Leader": str(self._own_address), "Term": node.term, "Voters": voters}
+
+    # ---- drafts
+
+    async def _list_drafts(self, of: str, body: bytes) -> ForwardCallReply:
+        drafts = [three_way.told(*each) for each in self._state_machine.open_drafts().values()]
+        return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode(drafts))
+
+    async def _merge_draft(self, of: str, body: bytes) -> ForwardCallReply:
+        return await self.commit(MergeDraft(_DRAFT_DECODER.decode(body)))
+
+    async def _close_draft(self, of: str, body: bytes) -> ForwardCallReply:
+        return await self.commit(CloseDraft(decode_draft_id(body)))
+
+    async def _settle_draft(self, of: str, body: bytes) -> ForwardCallReply:
+        """Bring a draft's conflicting operations into force, as a change of the newest version."""
+        draft_id = decode_draft_id(body)
+        state = self._state_machine.state
+        found = self._state_machine.open_drafts().get(draft_id)
+        if found is None or not found[1].open:
+            return encode_error(HTTPStatus.NOT_FOUND, "no such draft is open")
+        draft, outcome = found
+        paths = {conflict.path for conflict in outcome.aside}
+        operations = [each for each in draft.ops if outcome.wrong or each.path in paths]
+        configuration = three_way.forced(msgspec.json.decode(state.conf), operations)
+        change = {**configuration, "Ver": state.ver + 1, "Base": state.ver}
+        reply = await self._change(Change(True, msgspec.json.encode(change)))
+        if reply.status != HTTPStatus.OK:
+            return reply
+        return await self.commit(CloseDraft(draft_id))
--- a/lapisgrade/gateway/controller/log_writer.py
+++ b/lapisgrade/gateway/controller/log_writer.py
@@ -1,13 +1,18 @@
-"""Brings a node's records onto its disk, one write after another; several that wait go together.
+"""Writes a node's records to its disk, one batch after another; writes that wait are batched.
 
-After a write failed, nothing is appended until all has been written anew as the next generation of the file:
-what failed may come up whole after a loss of power. What waited meanwhile is part of that generation, and is
-not appended behind it (guards the log against older entries that would cut it off where they stand).
+After a failed write nothing is appended until everything has been rewritten as the next generation of the
+file: what failed may be complete on disk after a loss of power. What was queued meanwhile is part of that
+generation, and is not appended behind it (guards the log against older entries, which would truncate it at
+their index).
+
+    queue -> batch --(no generation of this process yet, a snapshot in it, or a failure)--> renew
+               ^   +--(else)-------------------------------------------------------------> append
+               |                                                                           |
+               +--- after RETRY_INTERVAL_S, until it succeeds <------- OSError ------------+---> on_written
 """
 
 import asyncio
 import logging
-from collections import Counter
 from collections.abc import Callable
 from concurrent.futures import Executor
 from typing import Protocol
@@ -16,75 +21,104 @@
 
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import DurableWrite, SnapshotRecord
+from lapisgrade.gateway.controller.metrics import ControllerMetrics
 
 log = logging.getLogger("controller")
 
-RETRY = 0.3  # s after which a disk that failed is tried again
+RETRY_INTERVAL_S = 0.3  # after which a failed write is retried
 
 
 class Store(Protocol):
     """The log's file; its calls block, and raise OSError where the records may not be on disk."""
 
-    def renew(self, beginning: bytes) -> None: ...
+    def renew(self, first_record: bytes) -> None:
+        """Begin the next generation with that record."""
 
-    def append(self, records: list[bytes]) -> None: ...
+    def append(self, records: list[bytes]) -> None:
+        """Add records to the current generation."""
 
 
 class LogWriter:
-    """`run` until it is cancelled; `written` is called with what was written, in order, and the log's last
-    entry on disk: its index and term."""
+    """Writes what `put` queues, from `run` on until that is cancelled."""
 
     def __init__(
         self,
         node: Node,
         store: Store,
-        disk: Executor,
-        counts: Counter[str],
-        written: Callable[[list[DurableWrite], int, int], None],
+        executor: Executor,
+        metrics: ControllerMetrics,
+        on_written: Callable[[list[DurableWrite], int, int], None],
     ) -> None:
-        self._node, self._store, self._disk, self._counts = node, store, disk, counts
-        self._written = written
+        """Queue a snapshot of the node as the first write.
+
+        Args:
+            node: Whose records are written; the log as it is at a write tells the last entry on disk.
+            store: The log's file.
+            executor: Makes the store's blocking calls.
+            metrics: Syncs and failures are counted here.
+            on_written: Is called after each batch with its writes in order, and with the index and term
+                of the log's last entry on disk.
+        """
+        self._node = node
+        self._store = store
+        self._executor = executor
+        self._metrics = metrics
+        self._on_written = on_written
         self._queue: asyncio.Queue[DurableWrite] = asyncio.Queue()
-        self._renew = True  # nothing is appended before a generation of our own has begun
-        self._failed = False
+        self._must_renew = True  # nothing is appended to a generation of an earlier process
+        self._last_failed = False
         self.put(DurableWrite([node.snapshot_record()], [], node.log.last, node.log.last_term))
 
     def put(self, write: DurableWrite) -> None:
+        """Queue a write."""
         self._queue.put_nowait(write)
 
     async def run(self) -> None:
+        """Write until cancelled."""
         while True:
-            writes = [await self._queue.get()]
-            last = await self._attempt(writes)
-            while last is None:
-                await asyncio.sleep(RETRY)
-                last = await self._attempt(writes)
-            self._counts["syncs"] += 1
-            self._written(writes, *last)
-
-    async def _attempt(self, writes: list[DurableWrite]) -> tuple[int, int] | None:
-        """Write those and all that wait, which are added to them; the last entry on disk, None on failure."""
+            batch = [await self._queue.get()]
+            last_entry = await self._try_write(batch)
+            while last_entry is None:
+                await asyncio.sleep(RETRY_INTERVAL_S)
+                last_entry = await self._try_write(batch)
+            self._metrics.disk_syncs += 1
+            self._on_written(batch, *last_entry)
+
+    async def _try_write(self, batch: list[DurableWrite]) -> tuple[int, int] | None:
+        """Add all queued writes to the batch and write it.
+
+        Returns:
+            Index and term of the last entry on disk; None on failure.
+        """
         while not self._queue.empty():
-            writes.append(self._queue.get_nowait())
-        log_now = self._node.log
-        self._renew = self._renew or any(isinstance(each.records[0], SnapshotRecord) for each in writes)
+            batch.append(self._queue.get_nowait())
+        if any(isinstance(write.records[0], SnapshotRecord) for write in batch):
+            self._must_renew = True
         try:
-            if self._renew:
-                last = log_now.last, log_now.last_term
-                await self._call(self._store.renew, msgspec.msgpack.encode(self._node.snapshot_record()))
-                self._renew = False
-            else:
-                last = writes[-1].last_index, writes[-1].last_term
-                data = [msgspec.msgpack.encode(record) for each in writes for record in each.records]
-                await self._call(self._store.append, data)
-        except OSError as wrong:
-            if not self._failed:
-                log.warning("the disk refuses: %s", wrong)
-            self._renew = self._failed = True
-            self._counts["writes refused"] += 1
+            last_entry = await (self._renew() if self._must_renew else self._append(batch))
+        except OSError as error:
+            if not self._last_failed:
+                log.warning("the disk refuses: %s", error)
+            self._must_renew = True
+            self._last_failed = True
+            self._metrics.disk_write_failures += 1
             return None
-        self._failed = False
-        return last
+        self._last_failed = False
+        return last_entry
+
+    async def _renew(self) -> tuple[int, int]:
+        """Begin a generation with all that the node knows now."""
+        node_log = self._node.log
+        last_entry = node_log.last, node_log.last_term
+        await self._call(self._store.renew, msgspec.msgpack.encode(self._node.snapshot_record()))
+        self._must_renew = False
+        return last_entry
+
+    async def _append(self, batch: list[DurableWrite]) -> tuple[int, int]:
+        last_entry = batch[-1].last_index, batch[-1].last_term
+        records = [msgspec.msgpack.encode(record) for write in batch for record in write.records]
+        await self._call(self._store.append, records)
+        return last_entry
 
     async def _call(self, call: Callable, data: bytes | list[bytes]) -> None:
-        await asyncio.get_running_loop().run_in_executor(self._disk, call, data)
+        await asyncio.get_running_loop().run_in_executor(self._executor, call, data)
--- a/lapisgrade/gateway/controller/replies.py
+++ b/lapisgrade/gateway/controller/replies.py
@@ -1,24 +1,31 @@
-"""Bodies of operators' calls and of their answers."""
+"""Bodies of operators' calls and of their replies, as JSON."""
+
+from http import HTTPStatus
 
 import msgspec
 
-from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.controller.state_machine import Answer
+from lapisgrade.gateway.rpc_messages import ForwardCallReply
 from lapisgrade.gateway.settings import Bad
 
 
-def named(body: bytes) -> str:
-    """The draft that a call names; Bad where it names none."""
+def decode_draft_id(body: bytes) -> str:
+    """Return the id of the draft that a call names; raises Bad where it names none."""
     try:
-        name = msgspec.json.decode(body).get("Id")
+        draft_id = msgspec.json.decode(body).get("Id")
     except (msgspec.MsgspecError, AttributeError):
-        name = None
-    if not isinstance(name, str):
+        draft_id = None
+    if not isinstance(draft_id, str):
         raise Bad("the call names no Id")
-    return name
+    return draft_id
+
+
+def encode_result(result: Answer) -> ForwardCallReply:
+    """Return the state machine's result as the caller gets it."""
+    body = msgspec.json.encode({"Err": result.wrong}) if result.wrong else b"{}"
+    return ForwardCallReply(result.status, body)
 
 
-def said(answer: Answer) -> rpc_messages.ForwardCallReply:
-    """The log's answer, as the caller gets it."""
-    body = msgspec.json.encode({"Err": answer.wrong}) if answer.wrong else b"{}"
-    return rpc_messages.ForwardCallReply(answer.status, body)
+def encode_error(status: HTTPStatus, message: str) -> ForwardCallReply:
+    """Return a refusal with that HTTP status and message."""
+    return encode_result(Answer(status, message))
--- /dev/null
+++ b/lapisgrade/gateway/controller/server.py
@@ -0,0 +1,261 @@
+"""One controller as a process: assembles its parts, starts them, and shuts down gracefully.
+
+HTTP (servers, operators) -> ControlApi -> CallForwarder -> LeaderCalls ----+
+                                 |              ^                           v
+                            DraftService -> DraftDelivery            ConsensusDriver -> LogWriter -> disk
+                                 ^                                    ^     |
+RPC (controllers, proxies) ------+----------> WatchService -----------+     +-> StateMachine
+"""
+
+import asyncio
+import logging
+import os
+from collections.abc import Awaitable, Callable
+from concurrent.futures import Executor, ThreadPoolExecutor
+from dataclasses import dataclass
+from http import HTTPStatus
+from random import Random
+from typing import Any
+
+from lapisgrade.gateway import STARTED_US, configuration, rpc_messages
+from lapisgrade.gateway.clock import now_us
+from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
+from lapisgrade.gateway.consensus.node import Node
+from lapisgrade.gateway.controller import node_recovery
+from lapisgrade.gateway.controller.call_forwarding import CallForwarder
+from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver, ConsensusObserver
+from lapisgrade.gateway.controller.control_api import ControlApi, HttpReply
+from lapisgrade.gateway.controller.drafts import DraftDelivery, DraftService
+from lapisgrade.gateway.controller.leader_calls import LeaderCalls
+from lapisgrade.gateway.controller.leader_discovery import ClusterMembership, LeaderDiscovery
+from lapisgrade.gateway.controller.log_writer import LogWriter
+from lapisgrade.gateway.controller.metrics import ControllerMetrics
+from lapisgrade.gateway.controller.state_machine import StateMachine
+from lapisgrade.gateway.controller.watch import Watch
+from lapisgrade.gateway.controller.watch_service import WatchService
+from lapisgrade.gateway.http_server import HttpServer
+from lapisgrade.gateway.rpc import RpcEndpoint
+from lapisgrade.gateway.settings import Settings, address
+from lapisgrade.gateway.storage.draft_store import DraftStore
+from lapisgrade.gateway.storage.log_store import LogStore
+from lapisgrade.net.http import Message as HttpMessage
+
+log = logging.getLogger("controller")
+
+FLUSH_S = 0.15  # for the last messages to be sent at a shutdown
+MAX_READINESS_BODY_BYTES = 4096
+
+CallHandler = Callable[[Any], Awaitable[Any]]
+MessageHandler = Callable[[Any], None]
+
+
+@dataclass(frozen=True, slots=True)
+class ControllerStorage:
+    """A controller's disk: its files, and the executor that makes blocking calls on them, one at a time."""
+
+    log_store: LogStore
+    draft_store: DraftStore
+    executor: Executor
+
+
+@dataclass(frozen=True, slots=True)
+class ControllerEnvironment:
+    """What a controller takes from the machine that it runs on; the laboratory simulates it.
+
+    Attributes:
+        clock: The steady time in us.
+        random: The source of all random draws.
+        started_us: When the process began, by `clock`.
+        storage: The disk; None for a controller without one.
+        rpc: Makes the endpoint from the handlers of calls and of messages without a reply.
+        observer: Is called at each step of the consensus.
+    """
+
+    clock: Callable[[], int]
+    random: Random
+    started_us: int
+    storage: ControllerStorage | None
+    rpc: Callable[[CallHandler, MessageHandler], RpcEndpoint]
+    observer: ConsensusObserver
+
+
+def system_environment(settings: Settings) -> ControllerEnvironment:
+    """Return the environment of a real process."""
+    storage = None
+    if settings.datadir:
+        executor = ThreadPoolExecutor(1, "disk")
+        log_store = LogStore(settings.datadir)
+        storage = ControllerStorage(log_store, DraftStore(settings.datadir, executor), executor)
+    return ControllerEnvironment(
+        clock=now_us,
+        random=Random(int.from_bytes(os.urandom(8), "big")),
+        started_us=STARTED_US,
+        storage=storage,
+        rpc=lambda on_call, on_message: RpcEndpoint(rpc_messages.Message, on_call, on_message),
+        observer=ConsensusObserver(),
+    )
+
+
+class Controller:
+    """Runs until `end` is called."""
+
+    def __init__(self, settings: Settings, environment: ControllerEnvironment | None = None) -> None:
+        """`environment` is that of a real process if None."""
+        environment = environment or system_environment(settings)
+        self.settings = settings
+        self.storage = environment.storage
+        self.metrics = ControllerMetrics()
+        self.state_machine = StateMachine()
+        self._environment = environment
+        self._own_address = settings.inner(0)
+        self._end_requested = asyncio.Event()
+        clock = environment.clock
+        self.rpc = environment.rpc(self._on_call, self._on_message)
+        self.consensus = ConsensusDriver(
+            self.state_machine, self._send, clock, self.metrics, environment.observer
+        )
+        self.membership = ClusterMembership(
+            self.consensus, self._send, self._current_settings, clock, environment.random
+        )
+        discovery = LeaderDiscovery(self.consensus, self.rpc, self._current_settings, environment.random)
+        self.watch = Watch(int(settings.heartbeat), clock())
+        self.watch_service = WatchService(
+            self.watch, self.consensus, discovery, self.state_machine, clock, self.metrics
+        )
+        leader_calls = LeaderCalls(
+            self.consensus, self.state_machine, self.watch_service, self._own_address, clock
+        )
+        self.forwarder = CallForwarder(self.consensus, leader_calls, discovery, self.rpc, clock)
+        self.draft_delivery = DraftDelivery(
+            self.storage.draft_store if self.storage is not None else None,
+            self.forwarder.forward,
+            environment.random,
+            self.metrics,
+        )
+        self.drafts = DraftService(
+            self.draft_delivery,
+            self.state_machine,
+            self.rpc,
+            self._own_address,
+            self.consensus.voter_addresses,
+            lambda: self.settings.hostname,
+        )
+        self.control_api = ControlApi(self.forwarder, self.drafts, self.metrics)
+        self.control_server = HttpServer(self.control_api.handle_call, configuration.MOST_BYTES)
+        self.readiness_server = HttpServer(self._handle_readiness, MAX_READINESS_BODY_BYTES)
+
+    @property
+    def node(self) -> Node | None:
+        """The consensus node; None without a disk, and before the disk was read."""
+        return self.consensus.node
+
+    # ---- life cycle
+
+    async def run(self) -> None:
+        """Recover, listen and serve until `end` is called, then leave the cluster."""
+        tasks = await self._recover()
+        await self._listen()
+        self.consensus.step()
+        try:
+            await self._end_requested.wait()
+            self.control_server.closing = True
+            await self._leave_cluster()
+        finally:
+            self._close(tasks)
+            log.info("metrics %s", self.metrics.nonzero())
+
+    def end(self) -> None:
+        """Begin a graceful shutdown."""
+        self._end_requested.set()
+
+    def reload(self, settings: Settings) -> None:
+        """Replace the settings; addresses and the data directory stay as they were."""
+        self.settings = settings
+
+    async def _recover(self) -> list[asyncio.Task]:
+        """Read the disk, start the node and its tasks, and return those."""
+        storage = self.storage
+        if storage is None:
+            return []
+        loop = asyncio.get_running_loop()
+        records = await loop.run_in_executor(storage.executor, node_recovery.read_records, storage.log_store)
+        log_writer = self._start_node(storage, records)
+        tasks = [
+            loop.create_task(log_writer.run()),
+            loop.create_task(self.membership.run_join_requests()),
+        ]
+        await storage.draft_store.recover()
+        self.draft_delivery.start()
+        return tasks
+
+    def _start_node(self, storage: ControllerStorage, records: list) -> LogWriter:
+        environment = self._environment
+        node = node_recovery.restore_node(
+            records,
+            self.settings,
+            self._own_address,
+            environment.random,
+            environment.clock(),
+            environment.started_us,
+        )
+        log_writer = LogWriter(
+            node, storage.log_store, storage.executor, self.metrics, self.consensus.on_written
+        )
+        self.consensus.start(node, log_writer, self.watch_service)
+        return log_writer
+
+    async def _listen(self) -> None:
+        await self.rpc.listen(self._own_address)
+        bind = self.settings.bind
+        if bind.ctl is not None:
+            await self.control_server.listen(bind.ctl)
+        if bind.readyz is not None and bind.http is None:
+            await self.readiness_server.listen(bind.readyz)
+
+    async def _leave_cluster(self) -> None:
+        await self.membership.leave()
+        await asyncio.sleep(FLUSH_S)
+
+    def _close(self, tasks: list[asyncio.Task]) -> None:
+        for task in tasks:
+            task.cancel()
+        self.draft_delivery.close()
+        self.consensus.close()
+        self.watch_service.close()
+        if self.storage is not None:
+            self.storage.executor.shutdown(wait=True, cancel_futures=True)
+            self.storage.log_store.close()
+            self.storage.draft_store.close()
+        self.control_server.close()
+        self.readiness_server.close()
+        self.rpc.close()
+
+    def _current_settings(self) -> Settings:
+        return self.settings
+
+    # ---- messages
+
+    def _send(self, to: str, message: ConsensusMessage) -> None:
+        try:
+            self.rpc.post(address(to), message)
+        except ValueError:
+            self.metrics.invalid_peer_addresses += 1
+
+    def _on_message(self, message: rpc_messages.Message) -> None:
+        if isinstance(message, ConsensusMessage):
+            self.consensus.receive(message)
+
+    async def _on_call(self, message: rpc_messages.Message) -> rpc_messages.Message | None:
+        match message:
+            case rpc_messages.WatchRequest():
+                return await self.watch_service.handle_watch(message)
+            case rpc_messages.ForwardCall():
+                return await self.forwarder.execute_as_leader(message)
+            case rpc_messages.CopyDraft():
+                return await self.drafts.store_copy(message)
+            case _:
+                return None
+
+    async def _handle_readiness(self, message: HttpMessage) -> HttpReply:
+        ready = not self.control_server.closing
+        return HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, b"", b""
--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -18,7 +18,7 @@
 from lapisgrade.gateway.proxy.process import Proxy
 from lapisgrade.gateway.http_server import framed
 from lapisgrade.gateway.settings import Address, Bind, Settings
-from lapisgrade.gateway.controller.process import Controller
+from lapisgrade.gateway.controller.server import Controller
 from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.gateway.rpc import RpcEndpoint
 
--- a/lapisgrade/lab/simulation/cluster.py
+++ b/lapisgrade/lab/simulation/cluster.py
@@ -4,17 +4,20 @@
 What they do is watched at every step by `watch.Watch`.
 """
 
+from random import Random
+
 import msgspec
 
 from lapisgrade.lab.simulation.disk import Disk
-from lapisgrade.lab.simulation.network import Endpoint, Network
+from lapisgrade.lab.simulation.network import Answer, Endpoint, Hear, Network
 from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process, VirtualLoop
 from lapisgrade.lab.simulation.invariants import Invariants
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.consensus.messages import Entry
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.settings import Address, Bind, Settings, Span
-from lapisgrade.gateway.controller.process import Controller
+from lapisgrade.gateway.controller.consensus_driver import ConsensusObserver
+from lapisgrade.gateway.controller.server import Controller, ControllerEnvironment, ControllerStorage
 
 PORT = 7600
 CALLS_PORT = 8407  # where operators and servers call
@@ -50,47 +53,59 @@
         pass
 
 
+class InvariantObserver(ConsensusObserver):
+    """Has the invariants checked at each step of a controller."""
+
+    def __init__(self, controller: "SimulatedController", invariants: Invariants) -> None:
+        self._controller = controller
+        self._invariants = invariants
+
+    def on_started(self) -> None:
+        self._invariants.started(self._controller)
+
+    def on_lease_confirmed(self) -> None:
+        self._invariants.serves(self._controller)
+
+    def on_entry_applied(self, entry: Entry) -> None:
+        self._invariants.applied(self._controller, entry)
+
+    def on_effects_carried_out(self, restored: bool) -> None:
+        self._invariants.stepped(self._controller, restored)
+
+
 class SimulatedController(Controller):
-    """A controller's shell, with the network and disk of the simulation."""
+    """A controller in a simulated environment, which takes operators' calls beside its own RPC."""
 
     def __init__(self, machine: "Machine", settings: Settings, process: Process) -> None:
         cluster = machine.cluster
-        super().__init__(settings, lambda: cluster.loop.now_us + process.skew_us)
-        self.random.seed(cluster.loop.random.getrandbits(64))
-        self.machine, self.process, self.invariants = machine, process, cluster.invariants
-        self.log_store, self._disk, self.draft_store = machine.disk, machine.disk, NoDrafts()
-        self.rpc = Endpoint(cluster.network, process, machine.ip, self._answer, self._word)
-        self.calls = Endpoint(cluster.network, process, machine.ip, self._call, lambda word: None)
+        self.machine = machine
+
+        def clock() -> int:
+            return cluster.loop.now_us + process.skew_us
+
+        def rpc(on_call: Answer, on_message: Hear) -> Endpoint:
+            return Endpoint(cluster.network, process, machine.ip, on_call, on_message)
+
+        environment = ControllerEnvironment(
+            clock=clock,
+            random=Random(cluster.loop.random.getrandbits(64)),
+            started_us=clock(),
+            storage=ControllerStorage(machine.disk, NoDrafts(), machine.disk),
+            rpc=rpc,
+            observer=InvariantObserver(self, cluster.invariants),
+        )
+        super().__init__(settings, environment)
+        self.calls = Endpoint(cluster.network, process, machine.ip, self._on_operator_call, lambda word: None)
 
     async def run(self) -> None:
         await self.calls.listen((self.settings.ip, CALLS_PORT))
         await super().run()
 
-    async def _call(self, message: Message) -> Message | None:
+    async def _on_operator_call(self, message: Message) -> Message | None:
         if not isinstance(message, OperatorCall):
             return None
-        answer = await self.forward(message.call, message.of, message.body)
-        return CallReply(answer.status, answer.body)
-
-    def _found(self, records: list) -> None:
-        super()._found(records)
-        self.invariants.started(self)
-
-    def _leads(self) -> bool:
-        serves = super()._leads()
-        if serves:
-            self.invariants.serves(self)
-        return serves
-
-    def _commit(self, entry: Entry) -> None:
-        super()._commit(entry)
-        self.invariants.applied(self, entry)
-
-    def _carry_out(self, node: Node) -> bool:
-        restored = node.effects.restore is not None
-        again = super()._carry_out(node)
-        self.invariants.stepped(self, restored)
-        return again
+        reply = await self.forwarder.forward(message.call, message.of, message.body)
+        return CallReply(reply.status, reply.body)
 
 
 class Machine:
--- a/lapisgrade/lab/simulation/data_plane_mutants.py
+++ b/lapisgrade/lab/simulation/data_plane_mutants.py
@@ -5,7 +5,7 @@
 
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.controller import watch
-from lapisgrade.gateway.controller.process import Controller
+from lapisgrade.gateway.controller.leader_calls import LeaderCalls
 from lapisgrade.gateway.controller.state_machine import Answer, LiveProxies, ServerLeaving, StateMachine
 from lapisgrade.gateway.registry import Server
 from lapisgrade.gateway.routing.router import Router
@@ -14,7 +14,7 @@
 
 FOREVER = 1 << 60  # us
 
-_log, _listed = Controller._log, Router.listed
+_commit, _listed = LeaderCalls.commit, Router.listed
 
 
 def _old_fence(self: StateMachine, index: int, item: LiveProxies) -> None:
@@ -32,12 +32,12 @@
     _listed(self, servers, whole)
 
 
-async def _unlogged(self: Controller, item: Any) -> rpc_messages.ForwardCallReply:
+async def _unlogged(self: LeaderCalls, item: Any) -> rpc_messages.ForwardCallReply:
     """A server's leaving is acknowledged by the leader's memory alone."""
     if not isinstance(item, ServerLeaving):
-        return await _log(self, item)
-    self.watch.registry.left(self.now(), item.server, item.gone)
-    self._turn()
+        return await _commit(self, item)
+    self.watch_service.watch.registry.left(self.clock(), item.server, item.gone)
+    self.watch_service.notify_watchers()
     return rpc_messages.ForwardCallReply(Answer(200).status)
 
 
@@ -54,6 +54,6 @@
     "old-fence": (StateMachine, "_take_live_proxies", _old_fence),
     "counted-out-too-soon": (watch, "ALIVE", 400_000),
     "sends-to-draining": (Router, "listed", _listed_as_up),
-    "leaving-not-logged": (Controller, "_log", _unlogged),
+    "leaving-not-logged": (LeaderCalls, "commit", _unlogged),
     "forgets-who-left": (watch.Watch, "leaves", _forgets_who_left),
 }
--- a/lapisgrade/lab/simulation/mutants.py
+++ b/lapisgrade/lab/simulation/mutants.py
@@ -11,7 +11,6 @@
 import msgspec
 
 from lapisgrade.lab.explore.defects import Defects
-from lapisgrade.lab.simulation.cluster import SimulatedController
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.consensus import membership, replication
 from lapisgrade.gateway.consensus.log import ReplicatedLog
@@ -25,9 +24,11 @@
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import DurableWrite, Record
 from lapisgrade.gateway.consensus.snapshots import Assembly
-from lapisgrade.gateway.controller import state_machine
+from lapisgrade.gateway.controller import node_recovery, state_machine
+from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
 from lapisgrade.gateway.controller.state_machine import Answer, Change, StateMachine, NewVersion
 from lapisgrade.gateway.controller.log_writer import LogWriter
+from lapisgrade.gateway.settings import Settings
 
 # ---- a leader that is cut off
 
@@ -36,11 +37,11 @@
     return self.established
 
 
-def _serves_as_led(self: SimulatedController) -> bool:
+def _serves_as_led(self: ConsensusDriver) -> bool:
     """No look at the lease before a call is answered."""
-    if self._led:
-        self.invariants.serves(self)
-    return self._led
+    if self.is_established:
+        self.observer.on_lease_confirmed()
+    return self.is_established
 
 
 _on_append_reply = Node._on_append_reply
@@ -115,18 +116,18 @@
     return configuration.blake2b(body, digest_size=16).digest()
 
 
-async def _at_once(self: SimulatedController, data: bytes) -> Answer | None:
+async def _at_once(self: ConsensusDriver, data: bytes) -> Answer | None:
     """A change is confirmed as it is put into the log."""
     return None if self.node.propose(data) is None else Answer(200)
 
 
-async def _refuses_unknown(self: SimulatedController, data: bytes) -> Answer | None:
+async def _refuses_unknown(self: ConsensusDriver, data: bytes) -> Answer | None:
     """A change without a majority yet is refused."""
     answer = await _propose(self, data)
     return Answer(412, "no majority") if answer is None else answer
 
 
-_propose = SimulatedController._propose
+_propose = ConsensusDriver.propose
 
 
 def _without_digest(self: StateMachine, change: Change) -> tuple[Answer, tuple[bytes, int] | None]:
@@ -182,16 +183,15 @@
 
 
 _compact = ReplicatedLog.compact
-_found = SimulatedController._found
+_restore_node = node_recovery.restore_node
 
 
-def _votes_when_empty(self: SimulatedController, records: list[Record]) -> None:
+def _votes_when_empty(records: list[Record], settings: Settings, *args: Any) -> Node:
     """An emptied disk takes itself for the first one at its address."""
-    self.settings = _bootstrapped(self.settings)
-    _found(self, records)
+    return _restore_node(records, _bootstrapped(settings), *args)
 
 
-def _bootstrapped(settings: Any) -> Any:
+def _bootstrapped(settings: Settings) -> Settings:
     from attrs import evolve
 
     return evolve(settings, bootstrap=True)
@@ -262,7 +262,7 @@
 
 LEADER: Defects = {
     "lease-never-ends": (Node, "has_lease", _always_leased),
-    "serves-without-lease": (SimulatedController, "_leads", _serves_as_led),
+    "serves-without-lease": (ConsensusDriver, "is_leader", _serves_as_led),
     "lease-from-receipt": (Node, "_on_append_reply", _lease_from_receipt),
     "votes-against-a-lease": (Node, "_hears_leader", _hears_nobody),
     "restart-forgets-lease": (Node, "recovered", classmethod(_not_quiet)),
@@ -271,8 +271,8 @@
     "digests-lost-in-snapshot": (StateMachine, "load", _not_remembered),
     "taken-on-any-base": (StateMachine, "_accept", _any_base),
     "digest-of-the-bytes": (configuration, "digest", _by_bytes),
-    "confirmed-at-once": (SimulatedController, "_propose", _at_once),
-    "refused-while-unknown": (SimulatedController, "_propose", _refuses_unknown),
+    "confirmed-at-once": (ConsensusDriver, "propose", _at_once),
+    "refused-while-unknown": (ConsensusDriver, "propose", _refuses_unknown),
     "taken-judged-anew": (StateMachine, "judge", _without_digest),
 }
 MEMBERS: Defects = {
@@ -280,7 +280,7 @@
     "snapshot-without-voters": (ReplicatedLog, "compact", _forgets_voters),
 }
 EMPTIED: Defects = {
-    "emptied-disk-votes": (SimulatedController, "_found", _votes_when_empty),
+    "emptied-disk-votes": (node_recovery, "restore_node", _votes_when_empty),
 }
 CHANGES: Defects = {
     "two-changes-at-once": (ReplicatedLog, "changes_voters_after", _changes_never_open),
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -216,10 +216,10 @@
         await site.until(lambda: site.proxies["m3"].ready)
         for name in ("m1", "m2"):
             await site.kill(site.controllers[name])
-        await site.until(lambda: not site.controllers["m3"]._leads())
+        await site.until(lambda: not site.controllers["m3"].consensus.is_leader())
         await asyncio.sleep(2.0)  # longer than one that is cut off stays ready
         await site.until(lambda: all(each.ready for each in site.proxies.values()), 5.0)
-        self.assertFalse(site.controllers["m3"]._leads())
+        self.assertFalse(site.controllers["m3"].consensus.is_leader())
 
     async def test_an_ended_server_is_not_asked_again_and_its_address_may_be_anothers(self):
         site = await self.served(2)
--- a/tests/gateway/test_proxy_lists.py
+++ b/tests/gateway/test_proxy_lists.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.controller.process import MAX_FAN_OUT_US, fan_out_us
+from lapisgrade.gateway.controller.watch_service import MAX_FAN_OUT_INTERVAL_US, fan_out_interval_us
 from lapisgrade.gateway.controller.proxy_list_feed import MOST_LISTS, ProxyListFeed
 from lapisgrade.gateway.controller.state_machine import LiveProxies, StateMachine, encoded
 from lapisgrade.gateway.controller.watch import Watch
@@ -69,6 +69,6 @@
 
 class FanOut(unittest.TestCase):
     def test_a_round_of_news_waits_longer_the_more_are_told_within_a_bound(self) -> None:
-        self.assertLess(fan_out_us(12), 5_000)
-        self.assertLess(fan_out_us(200), 100_000)
-        self.assertEqual(fan_out_us(13_000), MAX_FAN_OUT_US)
+        self.assertLess(fan_out_interval_us(12), 5_000)
+        self.assertLess(fan_out_interval_us(200), 100_000)
+        self.assertEqual(fan_out_interval_us(13_000), MAX_FAN_OUT_INTERVAL_US)
--- a/tests/gateway/test_rejoin.py
+++ b/tests/gateway/test_rejoin.py
@@ -46,7 +46,7 @@
         """Only that controller is left."""
         for other in [each for each in site.controllers if each != name]:
             await site.kill(site.controllers[other])
-        await site.until(lambda: not site.controllers[name]._leads())
+        await site.until(lambda: not site.controllers[name].consensus.is_leader())
 
     async def rejoined(self, site: LocalCluster, ver: int) -> None:
         await site.until(lambda: all(each.ver == ver for each in site.proxies.values()))
@@ -85,7 +85,7 @@
         said = []
         self.assertEqual(await self.client(site, "m1", said).drafts(), 0)
         self.assertEqual(said, [f"{name} by amel at m3 on version 1: merged, all of it stands"])
-        await site.until(lambda: not site.controllers["m3"].draft_store.kept)
+        await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
 
     async def test_the_same_field_both_ways_is_told_and_settled_or_dropped(self) -> None:
         site = await self.site(96)
@@ -127,7 +127,7 @@
             await asyncio.sleep(0.02)
         # Two of three on this side, but neither may lead: drafts are kept all the same.
         for controller in site.controllers.values():
-            controller._leads = lambda: False
+            controller.consensus.is_leader = lambda: False
         with mock.patch.object(drafts, "COPY_TIMEOUT_S", 5.0):  # a machine busy with other work
             status, said = await self.drafted(site, "m3", edit(Prio=0))
         self.assertEqual((status, said[0].split(": ")[1]), (0, "kept on 3 disks, not in force"))
@@ -143,7 +143,9 @@
         site = await self.site(89)
         links = Links(site)
         links.part("m1"), links.part("m2"), links.part("m3")
-        await site.until(lambda: not any(controller._leads() for controller in site.controllers.values()))
+        await site.until(
+            lambda: not any(controller.consensus.is_leader() for controller in site.controllers.values())
+        )
         edits = {"m1": edit(Prio=4), "m2": edit(Action={"Svc": "reparation"}), "m3": edit(Mode="idem")}
         for name, text in edits.items():
             self.assertEqual((await self.drafted(site, name, text, name))[0], 0)
@@ -152,7 +154,9 @@
         await site.until(
             lambda: any(controller.state_machine.state.drafts for controller in site.controllers.values())
         )
-        leader = next(name for name, controller in site.controllers.items() if controller._led)
+        leader = next(
+            name for name, controller in site.controllers.items() if controller.consensus.is_established
+        )
         await site.kill(site.controllers[leader])
         await site.start_controller(leader)
 
@@ -162,7 +166,7 @@
 
         await site.until(lambda: all(whole(each) for each in site.names))
         await site.until(
-            lambda: not any(controller.draft_store.kept for controller in site.controllers.values())
+            lambda: not any(controller.draft_delivery.stored() for controller in site.controllers.values())
         )
         self.assertEqual(len(site.controllers[leader].state_machine.state.seen), 3)
 
@@ -170,7 +174,7 @@
         site = await self.site(90)
         links = Links(site)
         links.part("m3")
-        await site.until(lambda: any(site.controllers[each]._leads() for each in ("m1", "m2")))
+        await site.until(lambda: any(site.controllers[each].consensus.is_leader() for each in ("m1", "m2")))
         await self.drafted(site, "m3", edit(Action={"Svc": "reparation"}))
         change = {"Ver": 4, "Base": 1, **claim(Prio=0)}
         controllers = [(site.ip[each], CTL) for each in ("m1", "m2")]
@@ -185,7 +189,7 @@
         self.assertEqual((self.rule(site, "m1").prio, self.rule(site, "m1").action.svc), (0, "reparation"))
         links.apart.clear()
         await self.rejoined(site, 5)
-        await site.until(lambda: not site.controllers["m3"].draft_store.kept)
+        await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
         self.assertEqual(
             {controller.state_machine.state.ver for controller in site.controllers.values()}, {5}
         )
@@ -208,7 +212,7 @@
         self.assertEqual(await told(site.ctl[:1], "/-/rpc?call=conf.draft", body), 412)
         for body, status in ((b"{", 400), (b"[]", 400), (b'{"Base":1}', 400)):
             self.assertEqual(await told(site.ctl[:1], "/-/rpc?call=conf.draft", body), status)
-        self.assertFalse(any(controller.draft_store.kept for controller in site.controllers.values()))
+        self.assertFalse(any(controller.draft_delivery.stored() for controller in site.controllers.values()))
 
 
 class Rejoin(unittest.IsolatedAsyncioTestCase):
