--- a/lapisgrade/gateway/controller/consensus_driver.py
+++ b/lapisgrade/gateway/controller/consensus_driver.py
@@ -108,7 +108,7 @@
     def is_leader(self) -> bool:
         """Return whether this node may serve as the leader now: established, and with a valid lease."""
         if self.node is not None:
-            self.node.now = max(self.node.now, self._clock())
+            self.node.advance_clock(self._clock())
         is_leader = self.is_established and self.node.has_lease()
         if is_leader:
             self.observer.on_lease_confirmed()
@@ -129,9 +129,9 @@
     def on_written(self, writes: list[DurableWrite], last_index: int, last_term: int) -> None:
         """Note that those writes are on disk, and send the messages that waited for them."""
         node = self.node
-        node.written(self._clock(), last_index, last_term)
+        node.on_write_durable(self._clock(), last_index, last_term)
         for write in writes:
-            for address, message in write.then:
+            for address, message in write.sends_when_durable:
                 if address == node.address:
                     node.receive(self._clock(), message)
                 else:
@@ -186,16 +186,16 @@
         self._follow_leadership(node)
         if self._timer is not None:
             self._timer.cancel()
-        delay_s = max(MIN_TIMER_S, (node.wakes_us - self._clock()) / SECOND)
+        delay_s = max(MIN_TIMER_S, (node.next_tick_us - self._clock()) / SECOND)
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
     def _carry_out_effects(self, node: Node) -> bool:
         """Return whether the node sent messages to itself, which may have had effects of their own."""
         effects, node.effects = node.effects, Effects()
-        if effects.restore is not None:
-            self._state_machine.load(effects.restore)
+        if effects.snapshot is not None:
+            self._state_machine.load(effects.snapshot)
             self._on_applied()
-        for entry in effects.commits:
+        for entry in effects.committed:
             self._apply(entry)
         for write in effects.writes:
             self._log_writer.put(write)
@@ -207,7 +207,7 @@
                 self._send(address, message)
         for message in own_messages:
             node.receive(self._clock(), message)
-        self.observer.on_effects_carried_out(effects.restore is not None)
+        self.observer.on_effects_carried_out(effects.snapshot is not None)
         return bool(own_messages)
 
     def _apply(self, entry: Entry) -> None:
@@ -232,9 +232,9 @@
     def _follow_leadership(self, node: Node) -> None:
         # Not before the log of earlier terms is applied: a node that was restarted has an empty state until
         # then, and a list of live proxies begun from that would leave out proxies that still act.
-        if node.established == self.is_established:
+        if node.has_committed_in_term == self.is_established:
             return
-        self.is_established = node.established
+        self.is_established = node.has_committed_in_term
         log.info("term %d: %s", node.term, "leads" if self.is_established else "follows")
         if self.is_established:
             self._metrics.elections_won += 1
--- a/lapisgrade/gateway/controller/leader_discovery.py
+++ b/lapisgrade/gateway/controller/leader_discovery.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.consensus.membership import FEWEST
+from lapisgrade.gateway.consensus.membership import MIN_VOTERS
 from lapisgrade.gateway.consensus.messages import JoinRequest, LeaveRequest
 from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
@@ -85,8 +85,8 @@
         while True:
             await asyncio.sleep(JOIN_INTERVAL_S * (0.5 + self._random.random()))
             node = self._consensus.node
-            has_no_leader = not node.leads and (not node.leader or node.identity not in node.voters)
-            if has_no_leader and not node.stopped:
+            has_no_leader = not node.is_leader and (not node.leader or node.identity not in node.voters)
+            if has_no_leader and not node.is_stopping:
                 self._request_join()
 
     def _request_join(self) -> None:
@@ -112,4 +112,4 @@
 
     def _has_to_leave(self) -> bool:
         node = self._consensus.node
-        return len(node.voters) > FEWEST and node.identity in node.voters
+        return len(node.voters) > MIN_VOTERS and node.identity in node.voters
--- a/lapisgrade/gateway/controller/log_writer.py
+++ b/lapisgrade/gateway/controller/log_writer.py
@@ -67,7 +67,7 @@
         self._queue: asyncio.Queue[DurableWrite] = asyncio.Queue()
         self._must_renew = True  # nothing is appended to a generation of an earlier process
         self._last_failed = False
-        self.put(DurableWrite([node.snapshot_record()], [], node.log.last, node.log.last_term))
+        self.put(DurableWrite([node.snapshot_record()], [], node.log.last_index, node.log.last_term))
 
     def put(self, write: DurableWrite) -> None:
         """Queue a write."""
@@ -109,7 +109,7 @@
     async def _renew(self) -> tuple[int, int]:
         """Begin a generation with all that the node knows now."""
         node_log = self._node.log
-        last_entry = node_log.last, node_log.last_term
+        last_entry = node_log.last_index, node_log.last_term
         await self._call(self._store.renew, msgspec.msgpack.encode(self._node.snapshot_record()))
         self._must_renew = False
         return last_entry
--- a/lapisgrade/gateway/controller/node_recovery.py
+++ b/lapisgrade/gateway/controller/node_recovery.py
@@ -43,9 +43,9 @@
         started_us: When this process began, by the same clock.
     """
     if records:
-        node = Node.recovered(records, str(address), random, now_us, started_us)
+        node = Node.recover(records, str(address), random, now_us, started_us)
         entry_count = len(node.log.entries)
-        log.info("recovered term %d, %d entries after %d", node.term, entry_count, node.log.base)
+        log.info("recovered term %d, %d entries after %d", node.term, entry_count, node.log.snapshot_index)
         return node
     node = _new_node(settings, address, random, now_us)
     log.info("an empty disk, named %s", node.identity)
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Callable
 
-from lapisgrade.decide.fleet import Hop
+from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.routing import upstream_protocol
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
-from lapisgrade.gateway.routing.router import RoutedRequest
+from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.interface import Answer
 from lapisgrade.net import front, hops
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Landed, Left
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import AttemptFinished, ClientDisconnected
 from lapisgrade.net.host import Host
 from lapisgrade.net.http import Message as Http
 
@@ -20,7 +20,7 @@
 class ProxyHost(Host):
     """The limiter's host, with the system's answers."""
 
-    load = staticmethod(upstream_protocol.load)
+    load = staticmethod(upstream_protocol.parse_load)
     changed: Callable[[], None]  # what is out has changed
 
     def deliver(self, client: front.Client, message: Http) -> None:
@@ -28,7 +28,7 @@
             message.head.status_code,
             message.body,
             message.size,
-            upstream_protocol.passed(message, upstream_protocol.HOP),
+            upstream_protocol.forwarded_headers(message, upstream_protocol.HOP_BY_HOP_HEADERS),
         )
 
     def worded(self, answer: Answer) -> tuple[int, bytes]:
@@ -42,9 +42,9 @@
         super().send(hop)
         self.changed()
 
-    def _landed(self, event: Landed) -> None:
-        if event.ending is Ending.ERRED:
-            event.hop.operation.handle.failure = event.message
+    def _landed(self, event: AttemptFinished) -> None:
+        if event.reason is CloseReason.ERROR_RESPONSE:
+            event.attempt.operation.handle.failure = event.message
         super()._landed(event)
         self.changed()
 
@@ -56,7 +56,7 @@
         del self.owed[handle]
         self.deliver(handle.client, handle.failure)
 
-    def _left(self, event: Left) -> None:
+    def _left(self, event: ClientDisconnected) -> None:
         super()._left(event)
         self.pool.left(event.operation)
 
@@ -66,20 +66,20 @@
 
     idle_connections: IdleConnections
 
-    def send(self, hop: Hop) -> None:
+    def send(self, hop: Attempt) -> None:
         """As the limiter's, but on no connection that has rested for longer than is trusted."""
         now, operation = self.now(), hop.operation
         idle = self._idle.get(hop.server.address, [])
         while idle and not idle[-1].usable():
-            idle[-1].end(Ending.IDLE)
+            idle[-1].end(CloseReason.IDLE)
         if idle:
             rested = now - idle[-1].idle_from
-            if self.idle_connections.trusts(now, operation.svc, rested, operation.rule.mode == "idem"):
-                self.idle_connections.reused(hop, rested)
+            if self.idle_connections.is_trusted(now, operation.service, rested, operation.is_idempotent):
+                self.idle_connections.on_reuse(hop, rested)
             else:
                 self.counts["connections not trusted"] += len(idle)
                 for link in list(idle):  # the others have rested for longer
-                    link.end(Ending.IDLE)
+                    link.end(CloseReason.IDLE)
         super().send(hop)
 
     def left(self, operation: RoutedRequest) -> None:
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -14,13 +14,13 @@
 
 
 from lapisgrade.interface import Outcome
-from lapisgrade.net.ending import Ending
+from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.hops import Link
-from lapisgrade.net.http import Garbled, Message
+from lapisgrade.net.http import MalformedMessageError, Message
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.http_server import framed
-from lapisgrade.gateway.routing.upstream_protocol import Wording
+from lapisgrade.gateway.routing.upstream_protocol import UpstreamProtocol
 from lapisgrade.gateway.local_cluster import SAMPLE, Server, LocalCluster
 
 KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
@@ -146,7 +146,7 @@
         try:
             async with asyncio.timeout(0.003 if chance.random() < LEAVES else 3.0):
                 got = await sent
-        except (OSError, TimeoutError, Garbled):
+        except (OSError, TimeoutError, MalformedMessageError):
             continue
         one.status, one.body = got.head.status_code, b"".join(got.body)
         one.sealed = b"server-seal" in got.headers()
@@ -189,15 +189,15 @@
 
 # ---- wrong versions
 
-_told, _end, _worded = Wording.told, Link.end, ProxyHost.worded
+_told, _end, _worded = UpstreamProtocol.told, Link.end, ProxyHost.worded
 
 
-def _by_order(self: Wording, hop: Any, message: Message) -> bool:
+def _by_order(self: UpstreamProtocol, hop: Any, message: Message) -> bool:
     """Whatever comes next is the answer."""
     return False
 
 
-def _any_id(self: Wording, hop: Any, message: Message) -> Ending:
+def _any_id(self: UpstreamProtocol, hop: Any, message: Message) -> CloseReason:
     """An answer is taken whose id is another's."""
     asked = hop.operation.handle
     before, asked.request_id = asked.request_id, message.headers().get(b"try-id", asked.request_id)
@@ -207,14 +207,14 @@
         asked.request_id = before
 
 
-def _unsealed(self: Wording, hop: Any, message: Message) -> Ending:
+def _unsealed(self: UpstreamProtocol, hop: Any, message: Message) -> CloseReason:
     """A success counts without the server's seal."""
-    return Ending.ANSWERED if 200 <= message.head.status_code < 300 else _told(self, hop, message)
+    return CloseReason.ANSWERED if 200 <= message.head.status_code < 300 else _told(self, hop, message)
 
 
-def _broken_is_unsent(self: Link, ending: Ending) -> None:
+def _broken_is_unsent(self: Link, ending: CloseReason) -> None:
     """A connection that breaks off is taken for one on which nothing was sent."""
-    _end(self, Ending.UNWRITTEN if ending is Ending.BROKEN else ending)
+    _end(self, CloseReason.INCOMPLETE_WRITE if ending is CloseReason.CONNECTION_LOST else ending)
 
 
 def _always_promises(self: ProxyHost, answer: Any) -> tuple[int, bytes]:
@@ -224,8 +224,8 @@
 
 
 MUTANTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "answer-by-order": [(Wording, "stray", _by_order), (Wording, "told", _any_id)],
-    "unsealed-success": [(Wording, "told", _unsealed)],
+    "answer-by-order": [(UpstreamProtocol, "stray", _by_order), (UpstreamProtocol, "told", _any_id)],
+    "unsealed-success": [(UpstreamProtocol, "told", _unsealed)],
     "broken-is-unsent": [(Link, "end", _broken_is_unsent)],
     "always-promises": [(ProxyHost, "worded", _always_promises)],
     "all-never-ran": [(Outcome, "never_ran", property(lambda self: True))],
--- a/tests/gateway/test_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.gateway.cli.onboarding import OperatorClient
@@ -25,6 +26,8 @@
          "Action": {"Svc": "garantie", "Timeout": "2s"}}]}],
 }  # fmt: skip
 
+WITHOUT_SILENT_S = 1.8  # from the sending of a change until it is in force without a proxy that is silent
+
 
 class Calls:
     """Clients of the new tenant at every proxy, and of the old one; what they met, and what it means."""
@@ -34,6 +37,7 @@
         self.taken_at = float("inf")  # when the first call that was taken had its answer
         self.wrong: list[tuple[str, int]] = []
         self.first: dict[str, float] = {}  # by proxy, when it first took one
+        self.sent_at: float | None = None  # when the operator's change was sent
         self._tasks = [asyncio.create_task(self.at(name)) for name in fleet.ip]
         self._tasks += [asyncio.create_task(self.pull(name)) for name in fleet.ip]
 
@@ -55,6 +59,11 @@
             self.pulls.append((status, time.monotonic() - sent))
             await asyncio.sleep(3 * PAUSE)
 
+    def on_operator_line(self, line: str) -> None:
+        """Called with each line of the operator's client; it prints the first just before it sends."""
+        if self.sent_at is None:
+            self.sent_at = time.monotonic()
+
     async def end(self) -> None:
         for each in self._tasks:
             each.cancel()
@@ -67,11 +76,12 @@
 class FirstTrain(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
+        self.network = self.enterContext(reserve_loopback_network())
 
-    async def onboard(self, fleet: Fleet, fault=None) -> Calls:
+    async def onboard(self, calls: Calls, fault=None) -> None:
         """Bring the tenant in under calls at every proxy, with a fault as the change is sent."""
-        calls = Calls(fleet)
-        client = OperatorClient(fleet.ctl, lambda line: None)
+        fleet = calls.fleet
+        client = OperatorClient(fleet.ctl, calls.on_operator_line)
         doing = asyncio.create_task(client.apply(msgspec.json.encode(TICKET), 8.0))
         if fault is not None:
             await fault()
@@ -79,27 +89,33 @@
         await fleet.until(calls.all_take)
         await calls.end()
         self.assertEqual(calls.wrong, [], "a proxy refused what another had taken")
-        return calls
 
     async def test_calm_all_proxies_take_it_within_a_moment_and_pulls_go_on(self) -> None:
-        async with Fleet(91, self.folder) as fleet:
-            calls = await self.onboard(fleet)
+        async with Fleet(self.network.number, self.folder) as fleet:
+            calls = Calls(fleet)
+            await self.onboard(calls)
             self.assertLess(max(calls.first.values()) - min(calls.first.values()), 0.5)
             self.assertEqual(Counter(status for status, _ in calls.pulls), {200: len(calls.pulls)})
 
     async def test_a_proxy_frozen_over_the_moment_promises_when_it_wakes(self) -> None:
-        async with Fleet(92, self.folder) as fleet:
+        async with Fleet(self.network.number, self.folder) as fleet:
+            calls = Calls(fleet)
+
+            async def others_take() -> bool:
+                return calls.first.keys() == {"m1", "m2"}
 
             async def freeze() -> None:
                 fleet.send("proxy", "m3", signal.SIGSTOP)
-                await asyncio.sleep(2.0)  # the fault's length
+                await fleet.until(others_take)
+                await asyncio.sleep(0.3)
                 fleet.send("proxy", "m3", signal.SIGCONT)
 
-            calls = await self.onboard(fleet, freeze)
+            await self.onboard(calls, freeze)
+            self.assertLess(max(calls.first["m1"], calls.first["m2"]) - calls.sent_at, WITHOUT_SILENT_S)
             self.assertGreater(calls.first["m3"] - min(calls.first.values()), 0.2)
 
     async def test_the_leader_killed_as_the_change_is_sent(self) -> None:
-        async with Fleet(93, self.folder) as fleet:
+        async with Fleet(self.network.number, self.folder) as fleet:
             leader = await fleet.leader()
 
             async def kill() -> None:
@@ -123,23 +139,24 @@
             self.assertEqual(calls.wrong, [])
 
     async def test_a_proxy_killed_and_started_anew_while_it_comes_into_force(self) -> None:
-        async with Fleet(94, self.folder) as fleet:
+        async with Fleet(self.network.number, self.folder) as fleet:
 
             async def again() -> None:
                 fleet.send("proxy", "m2", signal.SIGKILL)
                 await fleet.running["proxy", "m2"].wait()
                 await fleet.start("proxy", "m2")
 
-            await self.onboard(fleet, again)
+            await self.onboard(Calls(fleet), again)
 
 
 class EarlyWord(unittest.IsolatedAsyncioTestCase):
     async def test_a_sighup_while_it_starts_ends_nothing_and_the_settings_are_read_again(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
+        with tempfile.TemporaryDirectory() as folder, reserve_loopback_network() as network:
+            ip = network.host(9)
             path = os.path.join(folder, "settings.json")
             os.mkfifo(path)  # whoever reads waits for us to write
-            told = {"Hostname": "m1", "Ip": "127.98.0.9", "Az": "z", "Bind": {"Ctl": "127.98.0.9:8407"},
-                    "Portrange": [7660, 7675], "Peers": ["127.98.0.9:8407"]}  # fmt: skip
+            told = {"Hostname": "m1", "Ip": ip, "Az": "z", "Bind": {"Ctl": f"{ip}:8407"},
+                    "Portrange": [7660, 7675], "Peers": [f"{ip}:8407"]}  # fmt: skip
 
             running = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "lapisgrade.gateway", "controller", f"--settings={path}",
