--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -17,7 +17,7 @@
 from lapisgrade.gateway.membership.partial_view import PartialView
 from lapisgrade.gateway.proxy.client_front import ClientFront
 from lapisgrade.gateway.proxy.context import ProxyContext
-from lapisgrade.gateway.proxy.control_client import ControlClient
+from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
 from lapisgrade.gateway.proxy.host import ProxyHost, ServerPool
 from lapisgrade.gateway.proxy.load_reporter import LoadReporter
@@ -84,7 +84,7 @@
         self.gossip = Gossip(
             settings.hostname[:MOST_NAME], self.partial_view, context.now_us, context.log_diagnostic
         )
-        self.control_client = ControlClient(context.random, self.partial_view, [])
+        self.watch_target = WatchTarget(context.random, self.partial_view, [])
         self._apply_seeds()
         self.reachability = PeerReachability(context)
         self.load_reporter = LoadReporter(context, self.router, self.rpc)
@@ -107,7 +107,7 @@
             context,
             str(self.inner),
             self.rpc,
-            self.control_client,
+            self.watch_target,
             self.quota_owner,
             self.updates,
             self.reachability,
@@ -139,7 +139,7 @@
         """The machines that the settings name run a controller and a proxy each."""
         settings = self.settings
         controller_port, hosts = settings.portrange[0], [each[0] for each in settings.peers]
-        self.control_client.seeds = [f"{host}:{controller_port}" for host in hosts]
+        self.watch_target.seeds = [f"{host}:{controller_port}" for host in hosts]
         self.partial_view.introduced([f"{host}:{self.inner[1]}" for host in hosts])
 
     # ---- start and shutdown
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -8,7 +8,7 @@
 
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.proxy.context import ProxyContext
-from lapisgrade.gateway.proxy.control_client import ControlClient
+from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
 from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
 from lapisgrade.gateway.quota.owner import QuotaOwner
@@ -32,7 +32,7 @@
         context: ProxyContext,
         own_address: str,
         rpc: RpcEndpoint,
-        control_client: ControlClient,
+        target: WatchTarget,
         quota_owner: QuotaOwner,
         updates: ControlUpdates,
         reachability: PeerReachability,
@@ -45,7 +45,7 @@
             context: The proxy's.
             own_address: Where other proxies and the controllers reach this proxy.
             rpc: What carries the requests.
-            control_client: Which controller or proxy is asked next.
+            target: Which controller or proxy is asked next.
             quota_owner: Whose membership each request names.
             updates: What is known already.
             reachability: Learns who has replied.
@@ -55,7 +55,7 @@
         self._context = context
         self._own_address = own_address
         self._rpc = rpc
-        self._control_client = control_client
+        self._target = target
         self._quota_owner = quota_owner
         self._updates = updates
         self._reachability = reachability
@@ -64,12 +64,12 @@
 
     async def run(self) -> None:
         """Send one watch request after another."""
-        control_client, metrics, now_us = self._control_client, self._context.metrics, self._context.now_us
+        target, metrics, now_us = self._target, self._context.metrics, self._context.now_us
         while True:
-            to, sent_us = address(control_client.next(now_us())), now_us()
+            to, sent_us = address(target.next(now_us())), now_us()
             reply = await self._ask(to)
             metrics.watch_requests += 1
-            if not control_client.answered(now_us(), reply):
+            if not target.on_reply(now_us(), reply):
                 metrics.watch_requests_unanswered += 1
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
@@ -82,8 +82,8 @@
 
     async def relay(self, request: rpc_messages.WatchRequest) -> rpc_messages.WatchReply:
         """Pass on the request of a proxy that reaches no controller, where the leader is known."""
-        leader = self._control_client.leader
-        silent_us = self._context.now_us() - self._control_client.direct_at
+        leader = self._target.leader
+        silent_us = self._context.now_us() - self._target.leader_replied_us
         if not leader or silent_us > REPLY_TIMEOUT_S * SECOND:
             return rpc_messages.WatchReply(False)
         self._context.metrics.watch_requests_relayed += 1
@@ -103,7 +103,7 @@
         """What this proxy knows, and what it wants to know beyond it."""
         settings, updates = self._context.settings, self._updates
         # The leader replies at once to one that names no membership: where a request was not answered.
-        fence = self._quota_owner.fence if not self._control_client.fails else 0
+        fence = self._quota_owner.fence if not self._target.failures else 0
         return rpc_messages.WatchRequest(
             settings.hostname,
             self._own_address,
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -9,7 +9,7 @@
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
 from lapisgrade.gateway.controller.configuration_feed import MOST_TEXTS, ConfigurationFeed
-from lapisgrade.gateway.proxy.control_client import ControlClient
+from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.controller.state_machine import (
     Answer,
@@ -156,15 +156,13 @@
         return rpc_messages.WatchReply(True, "", [], 3, None, f"{term}+")
 
     def test_nothing_of_an_earlier_term_is_taken(self) -> None:
-        control_client = ControlClient(
-            Random(1), PartialView("127.0.0.1:1", "z", Random(1), 0), ["127.0.0.2:1"]
-        )
-        control_client.next(0)
-        self.assertTrue(control_client.answered(1, self.news(5)))
-        control_client.next(2)
-        self.assertFalse(control_client.answered(3, self.news(4)))  # it was cut off, and does not know it yet
-        control_client.next(4)
-        self.assertTrue(control_client.answered(5, self.news(6)))
+        watch_target = WatchTarget(Random(1), PartialView("127.0.0.1:1", "z", Random(1), 0), ["127.0.0.2:1"])
+        watch_target.next(0)
+        self.assertTrue(watch_target.on_reply(1, self.news(5)))
+        watch_target.next(2)
+        self.assertFalse(watch_target.on_reply(3, self.news(4)))  # it was cut off, and does not know it yet
+        watch_target.next(4)
+        self.assertTrue(watch_target.on_reply(5, self.news(6)))
 
 
 if __name__ == "__main__":
