--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -18,7 +18,7 @@
 from lapisgrade.gateway.proxy.process import Proxy
 from lapisgrade.gateway.http_server import framed
 from lapisgrade.gateway.settings import Address, Bind, Settings
-from lapisgrade.gateway.controller.process import Controller
+from lapisgrade.gateway.controller.server import Controller
 from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.gateway.rpc import RpcEndpoint
 
@@ -201,7 +201,7 @@
         await self.start_server("garantie", **more)
         while await self.put(conf or SAMPLE) != 200:
             await asyncio.sleep(LOOK)
-        await self.until(lambda: all(each.ready and each.register for each in self.proxies.values()))
+        await self.until(lambda: all(each.ready and each.servers for each in self.proxies.values()))
         return self
 
     async def start_controller(self, name: str) -> None:
