--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -11,13 +11,12 @@
 from collections.abc import Callable
 from random import Random
 
-from lapisgrade.gateway import SECOND, clock, rpc_messages
+from lapisgrade.gateway import SECOND, clock, registry, rpc_messages
 from lapisgrade.gateway.http_server import HttpServer
 from lapisgrade.gateway.membership.gossip import Gossip
 from lapisgrade.gateway.membership.partial_view import PartialView
 from lapisgrade.gateway.proxy.client_front import ClientFront
 from lapisgrade.gateway.proxy.context import ProxyContext
-from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
 from lapisgrade.gateway.proxy.host import ProxyHost, ServerPool
 from lapisgrade.gateway.proxy.load_reporter import LoadReporter
@@ -26,6 +25,7 @@
 from lapisgrade.gateway.proxy.server_list import ServerList
 from lapisgrade.gateway.proxy.version_rollout import VersionRollout
 from lapisgrade.gateway.proxy.watch_client import WatchClient
+from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.rpc import RpcEndpoint
@@ -230,7 +230,7 @@
         return self.updates.versions.active_version
 
     @property
-    def servers(self) -> dict[str, rpc_messages.Server]:
+    def servers(self) -> dict[str, registry.Server]:
         """The servers that it knows, by id."""
         return self.updates.servers.by_id
 
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -75,11 +75,14 @@
         return self._quota_owner.take(self._now_us(), request, self._updates.ownership_ends_us)
 
     async def _add_at_owner(self, task: Task, request: rpc_messages.QuotaRequest) -> None:
-        """Ask the owner, here or elsewhere, again while it has another membership than this proxy: one of the
-        two memberships is on its way."""
+        """Ask the owner, here or elsewhere, until it replies under this proxy's membership.
+
+        While it has another one, one of the two memberships is on its way.
+        """
         ends_us = self._now_us() + int(ADD_TIMEOUT_S * SECOND)
         while True:
             owner_name = self._quota_owner.owners.owner(request.tenant)
+            reply: rpc_messages.QuotaReply | CloseReason
             if owner_name == self._context.settings.hostname:
                 reply = await self.answer_add(request)
             else:
--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -1,6 +1,6 @@
 """The servers that the controllers know, passed on to the router and the pool of connections."""
 
-from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway import registry, rpc_messages
 from lapisgrade.gateway.proxy.host import ServerPool
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.settings import address
@@ -14,7 +14,7 @@
     def __init__(self, router: Router, pool: ServerPool) -> None:
         self._router = router
         self._pool = pool
-        self.by_id: dict[str, rpc_messages.Server] = {}
+        self.by_id: dict[str, registry.Server] = {}
 
     def apply(self, reply: rpc_messages.WatchReply) -> None:
         """Take in servers that came, went or changed; all there are, where the list is complete."""
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -8,9 +8,9 @@
 
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.proxy.context import ProxyContext
-from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
 from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
+from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import Bad, address
@@ -69,7 +69,7 @@
             to, sent_us = address(target.next(now_us())), now_us()
             reply = await self._ask(to)
             metrics.watch_requests += 1
-            if not target.on_reply(now_us(), reply):
+            if not target.on_reply(now_us(), reply) or reply is None:
                 metrics.watch_requests_unanswered += 1
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
