--- a/lapisgrade/decide/account.py
+++ b/lapisgrade/decide/account.py
@@ -4,7 +4,18 @@
 from collections.abc import Generator
 from hashlib import blake2b
 
-from lapisgrade.interface import Add, Clock, Launch, Operation, Pause, Plan, Tally, Total, Wake, Word
+from lapisgrade.interface import (
+    AddToCounter,
+    Clock,
+    CounterOutcome,
+    CounterReply,
+    Operation,
+    Plan,
+    Resume,
+    Sleep,
+    Spawn,
+    WakeReason,
+)
 from lapisgrade.sums import SECOND, Bucket, Decaying
 
 EPOCH = 30 * SECOND  # us a count's name lives for; short of the counter's longest life, and seldom renewed
@@ -41,10 +52,10 @@
         self.knock_at = now + self.knock_every
         return True
 
-    def heard(self, now: int, tally: Tally, sent: int) -> None:
+    def heard(self, now: int, tally: CounterOutcome, sent: int) -> None:
         calls, (share, more) = self.calls, CALLS_MORE
         calls.put(now, calls.read(now))
-        if tally is Tally.ADDED:
+        if tally is CounterOutcome.ADDED:
             self.silent, calls.rate = 0, min(CALLS_MOST, calls.rate * (1 + share) + more)
         elif sent > self.eased:  # those that were out together tell one thing
             self.silent, self.eased, calls.rate = self.silent + 1, now, calls.rate * CALLS_LESS
@@ -64,7 +75,7 @@
     lease_life = LEASE_LIFE
 
     def __init__(self, clock: Clock, counter: Counter, first: Operation, started: int) -> None:
-        now, plan, self.gateways = clock.now_us, first.plan, first.gateways
+        now, plan, self.gateways = clock.now_us, first.plan, first.gateway_count
         self.clock, self.counter, self.plan, self.customer = clock, counter, plan, first.customer
         # What is taken counts 1/e after the time the store takes to fill, on the counter too.
         self.life = max(SECOND, int(plan.burst / plan.rate * SECOND)) if plan.rate > 0 else SECOND
@@ -72,7 +83,7 @@
         share = SLICE / self.gateways
         self.slice = Bucket(now, plan.rate * share, plan.burst * share, plan.burst * share)
         # Split evenly, and empty when this limiter starts, whatever an earlier life spent (guards rule 5).
-        rate, burst = plan.ceiling_rate / self.gateways, plan.ceiling_burst / self.gateways
+        rate, burst = plan.rate_limit_per_s / self.gateways, plan.rate_limit_burst / self.gateways
         if rate > 0:
             self.ceiling = Bucket(started, rate, burst, 0.0)
 
@@ -90,7 +101,7 @@
         """Whether the cap on open hops leaves a slot, beside what the others likely have out by their use."""
         now = self.clock.now_us
         others = max(0.0, self.count.read(now) - self.own.read(now)) * lasts / self.life / units
-        return not self.plan.open_cap or self.open + others < self.plan.open_cap - OPEN_DOUBT
+        return not self.plan.max_in_flight or self.open + others < self.plan.max_in_flight - OPEN_DOUBT
 
     def spent(self, now: int) -> bool:
         """Whether nothing is lost with it, as the counter has forgotten it too (guards memory)."""
@@ -118,10 +129,10 @@
         self.queue.append(waiting)
         if not self.calling:
             self.calling = True
-            yield Launch(self.call())
+            yield Spawn(self.call())
         while not waiting.done:
-            word = yield Pause(op.ends_us - END_MARGIN)
-            if word is not Word.WOKEN and not waiting.done:
+            word = yield Sleep(op.deadline_us - END_MARGIN)
+            if word is not WakeReason.RESUMED and not waiting.done:
                 self.queue.remove(waiting)
                 return 0  # the client has left, or is about to
         now = self.clock.now_us
@@ -175,12 +186,15 @@
             want = min(LEASE_MOST, max(1, int(room / (2 * self.gateways * units)))) * units
             answer = yield from self.add(want)
             now = self.clock.now_us
-            if answer is not Tally.ADDED:
-                if answer is Tally.SILENT:
+            if answer is not CounterOutcome.ADDED:
+                if answer is CounterOutcome.TIMED_OUT:
                     self.owed.add(now, units - want)
                 for waiting in self.queue:
-                    waiting.done, waiting.counted = True, answer is Tally.SILENT and waiting is self.queue[0]
-                    yield Wake(waiting.operation)
+                    waiting.done, waiting.counted = (
+                        True,
+                        answer is CounterOutcome.TIMED_OUT and waiting is self.queue[0],
+                    )
+                    yield Resume(waiting.operation)
                 self.queue.clear()
                 break
             short = min(want, max(0.0, -self.store.level))
@@ -189,13 +203,13 @@
                 waiting = self.queue.pop(0)
                 granted -= waiting.operation.units
                 waiting.done = waiting.let_in = True
-                yield Wake(waiting.operation)
+                yield Resume(waiting.operation)
             if short:
                 self.store.level += short
                 while self.queue and self.queue[0].operation.units > self.store.read(now):
                     waiting = self.queue.pop(0)
                     waiting.done, waiting.let_in = True, False
-                    yield Wake(waiting.operation)
+                    yield Resume(waiting.operation)
                 self.store.level -= short
                 yield from self.add(-short - granted)
             elif granted:
@@ -214,17 +228,19 @@
         new, back = units + self.owed.read(now), self.back.read(now)
         self.owed.value = self.back.value = 0.0
         started, sent = self.epoch * self.lasts, now
-        got: Total = yield Add(self.name, (new + back) * math.exp((sent - started) / self.life), NAME_LIFE)
+        got: CounterReply = yield AddToCounter(
+            self.name, (new + back) * math.exp((sent - started) / self.life), NAME_LIFE
+        )
         now = self.clock.now_us
-        self.counter.heard(now, got.tally, sent)
-        if got.tally is Tally.TURNED_AWAY:
+        self.counter.heard(now, got.outcome, sent)
+        if got.outcome is CounterOutcome.REJECTED:
             self.owed.add(now, new - units)
             self.back.add(now, back)
-            return got.tally
+            return got.outcome
         new, back = (each * math.exp((sent - now) / self.life) for each in (new, back))
         # A silent call was mostly counted: what it carried is taken, and what we know holds.
         before, level = self.count.read(now), self.filled(now)
-        if got.tally is Tally.ADDED:
+        if got.outcome is CounterOutcome.ADDED:
             known, before = before, got.total * math.exp((started - now) / self.life) - new
             if before < 0.99 * self.own.read(now) - 0.1:
                 started = now  # the count was emptied, but for this
@@ -242,4 +258,4 @@
         self.store.put(now, min(self.plan.burst, level) - new)
         self.count.value = before + new
         self.own.add(now, new)
-        return got.tally
+        return got.outcome
--- a/lapisgrade/decide/fleet.py
+++ b/lapisgrade/decide/fleet.py
@@ -5,7 +5,17 @@
 from random import Random
 
 from lapisgrade.decide.account import NAME_LIFE
-from lapisgrade.interface import Category, Clock, Duties, Entry, Listed, Operation, Outcome, Post, Report
+from lapisgrade.interface import (
+    AttemptOutcome,
+    AttemptResult,
+    Category,
+    Clock,
+    Operation,
+    Placement,
+    ServerEndpoint,
+    ServerRules,
+    ServerState,
+)
 from lapisgrade.sums import SECOND, Bucket, Decaying
 
 PACE_LIFE = 12 * SECOND  # us; how long what a hop took is remembered, some dozens of hops a server
@@ -66,7 +76,7 @@
     """One server as this limiter sees it."""
 
     def __init__(self, address: str) -> None:
-        self.entry: Entry | None = None
+        self.entry: ServerEndpoint | None = None
         self.address, self.last_sent = address, 0
         self.out: dict[Attempt, None] = {}
         self.silent_from = 0  # since when hops are out and none has come back; 0: not so
@@ -76,7 +86,7 @@
         self.work: Bucket | None = None  # that it may be sent while cold, in us; below 0: sent ahead
 
     def ready(self) -> bool:
-        return self.entry is not None and self.entry.state is Listed.READY
+        return self.entry is not None and self.entry.state is ServerState.READY
 
     def health(self, now: int, usual: float) -> float:
         good, ill = self.good.read(now), self.ill.read(now)
@@ -98,31 +108,33 @@
 class Fleet:
     """The list of servers, and what is thought of each."""
 
-    def __init__(self, clock: Clock, random: Random, post: Post, duties: Duties, categories: list) -> None:
+    def __init__(
+        self, clock: Clock, random: Random, post: Placement, duties: ServerRules, categories: list
+    ) -> None:
         self.clock, self.random, self.post, self.duties = clock, random, post, duties
         self.servers: dict[str, Server] = {}
-        self.paces = {each.name: LatencyEstimate(FIRST_GUESS * each.quoted_us) for each in categories}
+        self.paces = {each.name: LatencyEstimate(FIRST_GUESS * each.latency_target_us) for each in categories}
         self.carried = Decaying(PACE_LIFE)  # us of work that came back well
         self.part: list[Server] = []  # those that this limiter sends to
         self.bound = self.out = self.warm = 0.0  # hops out at all servers, by this limiter; warm servers
         self.lasted, self.landings = Decaying(STEER_LIFE), Decaying(STEER_LIFE)
 
-    def listed(self, entries: list[Entry], whole: bool) -> None:
+    def listed(self, entries: list[ServerEndpoint], whole: bool) -> None:
         now = self.clock.now_us
         for server in self.servers.values() if whole else ():
             server.entry = None
         for entry in entries:
-            server = self.servers.setdefault(entry.server, Server(entry.server))
+            server = self.servers.setdefault(entry.address, Server(entry.address))
             old, server.entry = server.entry, entry
             if entry.started_us and (old is None or old.started_us != entry.started_us):
                 server.work = Bucket(now, 0.0, 0.0, 0.0)
                 server.silent_from, server.ill.value = 0, 0.0
         # One that is gone is forgotten when nothing of it is to come (guards memory, and the parts' sizes).
         self.servers = {name: each for name, each in self.servers.items() if each.out or (now - each.last_sent
-            < NAME_LIFE) or (each.entry and each.entry.state is not Listed.GONE)}  # fmt: skip
+            < NAME_LIFE) or (each.entry and each.entry.state is not ServerState.REMOVED)}  # fmt: skip
         self.divide()
         if not self.bound:
-            self.bound = max(1.0, HOPS_LEAST * len(entries) / self.post.limiters)
+            self.bound = max(1.0, HOPS_LEAST * len(entries) / self.post.limiter_count)
         # Fewer or colder servers carry less from now on, before any hop tells (guards those that stay).
         was, self.warm = self.warm, sum(self.warmth(each, now) for each in self.ready())
         if self.warm < was:
@@ -133,8 +145,8 @@
 
     def divide(self) -> None:
         """Choose this limiter's part of a large fleet: a round of limiters shares out a shuffle of it."""
-        rounds = max(1, min(len(self.servers) // PART, int(self.post.limiters / LIMITERS_FEW)))
-        turn, place = divmod(self.post.index, rounds)
+        rounds = max(1, min(len(self.servers) // PART, int(self.post.limiter_count / LIMITERS_FEW)))
+        turn, place = divmod(self.post.limiter_index, rounds)
         order = sorted(self.servers.values(), key=lambda each: blake2b(
             f"{each.address} {turn}".encode(), digest_size=8).digest())  # fmt: skip
         start = place * len(order) // rounds
@@ -150,9 +162,12 @@
     def warmth(self, server: Server, now: int) -> float:
         """The share of its capacity that a server surely has."""
         started, duties = server.entry.started_us, self.duties
-        if not started or duties.cold_us <= 0 or now - started >= duties.cold_us:
+        if not started or duties.slow_start_us <= 0 or now - started >= duties.slow_start_us:
             return 1.0
-        return duties.cold_from + (1 - duties.cold_from) * max(0, now - started) / duties.cold_us
+        return (
+            duties.slow_start_initial_weight
+            + (1 - duties.slow_start_initial_weight) * max(0, now - started) / duties.slow_start_us
+        )
 
     def cold_room(self, server: Server, now: int) -> bool:
         """Whether a cold server may be sent this much more, by our part of the fleet's work."""
@@ -160,11 +175,11 @@
         if warmth >= 1.0 or server.work is None:
             return True
         # One now and then, by all limiters together one in the span of the rule: a fleet all cold gets going.
-        if now - server.last_sent >= self.post.limiters * self.duties.fall_us:
+        if now - server.last_sent >= self.post.limiter_count * self.duties.overload_window_us:
             return True
         warm = sum(self.warmth(each, now) for each in self.part) or 1.0  # the part's, in warm servers
         rate = self.carried.read(now) / PACE_LIFE / warm
-        server.work.rate = COLD_SHARE * self.duties.fall_multiple * warmth * rate * SECOND
+        server.work.rate = COLD_SHARE * self.duties.max_overload_factor * warmth * rate * SECOND
         # What one of many may send in that span is less than one operation: it is paid for afterwards.
         return server.work.read(now) >= 0
 
@@ -178,7 +193,7 @@
         for server in self.part:
             if not allowed(server) or not self.cold_room(server, now):
                 continue
-            room = server.entry.size * self.warmth(server, now) * server.standing(now, usual)
+            room = server.entry.weight * self.warmth(server, now) * server.standing(now, usual)
             full = min(server.full[name].read(now) if name in server.full else 0.0 for name in names)
             room /= (1 + server.load(now, usual)) ** 2 * (1 + SICK * full) ** 2
             choices.append(server)
@@ -194,35 +209,46 @@
         if server.work is not None:
             server.work.put(hop.sent, server.work.read(hop.sent) - self.expected(hop.operation))
 
-    def landed(self, hop: Attempt, report: Report) -> None:
+    def landed(self, hop: Attempt, report: AttemptResult) -> None:
         server, now, category = hop.server, self.clock.now_us, hop.operation.category
-        took, outcome, hop.out = report.took_us, report.outcome, False
+        took, outcome, hop.out = report.duration_us, report.outcome, False
         del server.out[hop]
         self.out -= 1
-        if outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED, Outcome.FULL) or not server.out:
+        if (
+            outcome
+            in (
+                AttemptOutcome.OK,
+                AttemptOutcome.ERROR,
+                AttemptOutcome.INVALID_REQUEST,
+                AttemptOutcome.OVERLOADED,
+            )
+            or not server.out
+        ):
             server.silent_from = now if server.out else 0
-        if outcome is Outcome.FULL:  # it may have room for others (guards one plan that is turned away)
+        if (
+            outcome is AttemptOutcome.OVERLOADED
+        ):  # it may have room for others (guards one plan that is turned away)
             for name in (hop.operation.plan.name, category.name):
                 server.full.setdefault(name, Decaying(PACE_LIFE)).add(now, 1)
-        if outcome in (Outcome.FULL, Outcome.REJECTED, Outcome.NEVER_SENT):
+        if outcome in (AttemptOutcome.OVERLOADED, AttemptOutcome.INVALID_REQUEST, AttemptOutcome.NOT_SENT):
             return
         usual = self.expected(hop.operation)
-        if outcome is Outcome.OK:
+        if outcome is AttemptOutcome.OK:
             self.paces[category.name].add(now, took, hop.operation.units)
             self.carried.add(now, usual)
             server.good.add(now, 1)
-        elif outcome is not Outcome.CANCELLED or took > QUIET * usual:
+        elif outcome is not AttemptOutcome.CANCELLED or took > QUIET * usual:
             server.ill.add(now, 1)
-        if outcome is Outcome.OK or took > usual:
+        if outcome is AttemptOutcome.OK or took > usual:
             server.stretch.add(now, min(took / usual, 10.0))
             server.hops.add(now, 1)
             # A bad server's hops say little of the fleet; beside the others, so that all slow together count.
             mean = sum(each.standing(now, usual) for each in self.part) / max(1, len(self.part))
             blame = min(1.0, server.standing(now, usual) / mean) if mean else 1.0
-            self.lasted.add(now, blame * min(took / category.quoted_us, 2.0))
+            self.lasted.add(now, blame * min(took / category.latency_target_us, 2.0))
             self.landings.add(now, blame)
             good = 1 - self.lasted.read(now) / (GOOD_TIME * (self.landings.read(now) + 0.1))
             if good < 0 or self.out + 1 >= SHED_FROM * self.bound:
                 # When all are slow together, less out makes none faster (guards against idle servers).
-                least = max(1.0, HOPS_LEAST * len(self.ready()) / self.post.limiters)
+                least = max(1.0, HOPS_LEAST * len(self.ready()) / self.post.limiter_count)
                 self.bound = max(least, self.bound + STEER * max(-1.0, min(1.0, good)))
--- a/lapisgrade/drill/host.py
+++ b/lapisgrade/drill/host.py
@@ -1,22 +1,22 @@
 """Hosts the instances of a drill: carries the wire's events to them and their actions back."""
 
-from lapisgrade.decide import Limiter
 from lapisgrade import start
+from lapisgrade.decide import Limiter
 from lapisgrade.drill import wire
 from lapisgrade.drill.wire import ms
 from lapisgrade.engine import Engine, Task
 from lapisgrade.interface import (
-    Add,
-    Answer,
+    AddToCounter,
+    AttemptOutcome,
+    AttemptResult,
     Clock,
-    Entry,
+    CounterOutcome,
+    CounterReply,
     Operation,
-    Outcome,
-    Report,
-    Tally,
-    Total,
-    Verdict,
-    Word,
+    Reject,
+    RejectReason,
+    ServerEndpoint,
+    WakeReason,
 )
 from lapisgrade.start import Fields, Malformed
 
@@ -74,20 +74,20 @@
         if (ticket, hop.number) in self._hops:
             self.lines.append(f"WITHDRAW{self._line} Ticket={ticket} SendNo={hop.number}")
 
-    def answer(self, operation: Operation, answer: Answer) -> None:
+    def answer(self, operation: Operation, answer: Reject) -> None:
         ticket = operation.handle
         if self._held.pop(ticket, None) is None:
             raise RuntimeError("a second final answer for one operation")
-        if answer.verdict is Verdict.GIVE_UP:
+        if answer.reason is RejectReason.FAILED:
             self.lines.append(f"RESPOND_ERROR{self._line} Ticket={ticket}")
         else:
-            advice = f" StayAway={ms(answer.come_back_us)}" if answer.come_back_us > 0 else ""
+            advice = f" StayAway={ms(answer.retry_after_us)}" if answer.retry_after_us > 0 else ""
             self.lines.append(f"OVERLOAD_REPLY{self._line} Ticket={ticket}{advice}")
 
-    def add(self, task: Task, add: Add) -> None:
-        self._calls.setdefault(add.name, []).append(task)
+    def add(self, task: Task, add: AddToCounter) -> None:
+        self._calls.setdefault(add.counter_id, []).append(task)
         self.lines.append(
-            f"POST_AMOUNT{self._line} Lives={ms(add.life_us)} Counter={add.name} Step={add.amount:.6g}"
+            f"POST_AMOUNT{self._line} Lives={ms(add.ttl_us)} Counter={add.counter_id} Step={add.amount:.6g}"
         )
 
     def say(self, text: str) -> None:
@@ -112,10 +112,10 @@
             category=fields.among("Category", self._categories),
             units=fields.number("CostUnits", 1.0),
             arrived_us=now,
-            ends_us=now + fields.micros("TimeBudget"),
-            gateways=max(1, fields.whole("EntryPoints", 1)),
-            first_gateway=fields.whole("FirstDoor", 0),
-            retried=fields.flag("AgainByClient"),
+            deadline_us=now + fields.micros("TimeBudget"),
+            gateway_count=max(1, fields.whole("EntryPoints", 1)),
+            first_gateway_index=fields.whole("FirstDoor", 0),
+            is_client_retry=fields.flag("AgainByClient"),
             handle=ticket,
         )
         self._held[ticket] = operation
@@ -127,8 +127,8 @@
         hop = self._hops.pop((ticket, number), None)
         if hop is None:
             return
-        closed = fields.flag("DoneFlag") or outcome is Outcome.OK
-        report = Report(
+        closed = fields.flag("DoneFlag") or outcome is AttemptOutcome.OK
+        report = AttemptResult(
             outcome,
             fields.micros("Duration"),
             closed,
@@ -145,28 +145,28 @@
     def opened(self, fields: Fields) -> None:
         operation = self._held.get(fields.whole("Ticket"))
         if operation is not None:
-            self.engine.told(operation, Word.OPENED)
+            self.engine.told(operation, WakeReason.RESPONSE_STARTED)
 
     def expired(self, fields: Fields) -> None:
         operation = self._held.pop(fields.whole("Ticket"), None)
         if operation is not None:
-            operation.over = True
-            self.engine.told(operation, Word.GONE)
+            operation.is_abandoned = True
+            self.engine.told(operation, WakeReason.CLIENT_GONE)
 
     def tally_back(self, fields: Fields) -> None:
         waiting = self._calls.get(fields.whole("Counter"))
         if not waiting:
             return
         tally = fields.among("StateCode", wire.TALLIES)
-        if tally is Tally.ADDED and "ResultValue" not in fields:
+        if tally is CounterOutcome.ADDED and "ResultValue" not in fields:
             raise Malformed("ResultValue is missing")
         name = fields.whole("Counter")
         task = waiting.pop(0)
         if not waiting:
             del self._calls[name]
-        self.engine.added(task, Total(tally, fields.number("ResultValue")))
+        self.engine.added(task, CounterReply(tally, fields.number("ResultValue")))
 
-    def topology(self, form: str, entries: list[Entry]) -> None:
+    def topology(self, form: str, entries: list[ServerEndpoint]) -> None:
         if form != "unavailable":
             self.module.listed(entries, form != "update")
         if self._must_ask and form in ("restored", "unavailable"):
@@ -187,7 +187,7 @@
 
     def __init__(self) -> None:
         self._instances: dict[int, Instance] = {}
-        self._pools: dict[int, list[Entry]] = {}
+        self._pools: dict[int, list[ServerEndpoint]] = {}
         self._now = 0
         self.lines: list[str] = []
 
@@ -196,7 +196,7 @@
             raise Malformed("SimTime is missing")
         self._now = fields.micros("SimTime")
 
-    def pool(self, number: int, entries: list[Entry]) -> None:
+    def pool(self, number: int, entries: list[ServerEndpoint]) -> None:
         self._pools[number] = entries
 
     def event(self, name: str, fields: Fields) -> None:
--- a/lapisgrade/drill/wire.py
+++ b/lapisgrade/drill/wire.py
@@ -2,21 +2,26 @@
 
 from typing import NoReturn
 
-from lapisgrade.interface import Entry, Listed, Outcome, Tally
+from lapisgrade.interface import AttemptOutcome, CounterOutcome, ServerEndpoint, ServerState
 from lapisgrade.start import Fields, Malformed
 
 OUTCOMES = {
-    "200": Outcome.OK,
-    "500": Outcome.ERROR,
-    "503": Outcome.FULL,
-    "504": Outcome.TIMED_OUT,
-    "502": Outcome.NO_CONNECTION,
-    "598": Outcome.BROKEN,
-    "499": Outcome.CANCELLED,
-    "410": Outcome.NEVER_SENT,
+    "200": AttemptOutcome.OK,
+    "500": AttemptOutcome.ERROR,
+    "503": AttemptOutcome.OVERLOADED,
+    "504": AttemptOutcome.TIMED_OUT,
+    "502": AttemptOutcome.CONNECT_FAILED,
+    "598": AttemptOutcome.CONNECTION_LOST,
+    "499": AttemptOutcome.CANCELLED,
+    "410": AttemptOutcome.NOT_SENT,
 }
-TALLIES = {"200": Tally.ADDED, "503": Tally.TURNED_AWAY, "502": Tally.TURNED_AWAY, "504": Tally.SILENT}
-STATES = {"IN": Listed.READY, "LAME": Listed.DRAINING, "OUT": Listed.GONE}
+TALLIES = {
+    "200": CounterOutcome.ADDED,
+    "503": CounterOutcome.REJECTED,
+    "502": CounterOutcome.REJECTED,
+    "504": CounterOutcome.TIMED_OUT,
+}
+STATES = {"IN": ServerState.READY, "LAME": ServerState.DRAINING, "OUT": ServerState.REMOVED}
 FORMS = ("update", "replace", "restored", "unavailable")
 
 
@@ -45,13 +50,13 @@
     return {name: report.number(name) for name in report}
 
 
-def entry(fields: Fields) -> Entry:
-    return Entry(
-        server=fields.text("Server"),
+def entry(fields: Fields) -> ServerEndpoint:
+    return ServerEndpoint(
+        address=fields.text("Server"),
         state=fields.among("Availability", STATES, "IN"),
         zone=fields.get("FailureDomain", ""),
         cell=fields.whole("Bay", 0),
-        size=fields.number("Heft", 1.0),
+        weight=fields.number("Heft", 1.0),
         shape=fields.get("Shape", ""),
         started_us=fields.micros("CameUp"),
     )
--- a/lapisgrade/engine.py
+++ b/lapisgrade/engine.py
@@ -9,19 +9,20 @@
 from typing import Any, Protocol
 
 from lapisgrade.interface import (
-    Add,
-    Answer,
+    AddToCounter,
+    AttemptFinished,
+    AttemptResult,
     Cancel,
     Clock,
-    Launch,
+    CounterReply,
+    LogMessage,
     Operation,
-    Pause,
-    Report,
-    Say,
+    Reject,
+    Resume,
     Send,
-    Total,
-    Wake,
-    Word,
+    Sleep,
+    Spawn,
+    WakeReason,
 )
 
 
@@ -30,8 +31,8 @@
 
     def send(self, hop: Any) -> None: ...
     def cancel(self, hop: Any) -> None: ...
-    def answer(self, operation: Operation, answer: Answer) -> None: ...
-    def add(self, task: "Task", add: Add) -> None: ...
+    def answer(self, operation: Operation, answer: Reject) -> None: ...
+    def add(self, task: "Task", add: AddToCounter) -> None: ...
     def say(self, text: str) -> None: ...
     def wake_at(self, when_us: int) -> None: ...
 
@@ -70,14 +71,14 @@
         self._ready.append((task, None))
         self._drain()
 
-    def landed(self, hop: Any, report: Report) -> None:
+    def landed(self, hop: Any, report: AttemptResult) -> None:
         """A hop has ended; the bookkeeping of the module comes first, by the caller."""
-        self._give(hop.operation.task, (hop, report))
+        self._give(hop.operation.task, AttemptFinished(hop, report))
 
-    def told(self, operation: Operation, word: Word) -> None:
+    def told(self, operation: Operation, word: WakeReason) -> None:
         self._give(operation.task, word)
 
-    def added(self, task: Task, total: Total) -> None:
+    def added(self, task: Task, total: CounterReply) -> None:
         self._ready.append((task, total))
         self._drain()
 
@@ -89,7 +90,7 @@
         while self._timers and self._timers[0][0] <= now_us:
             _, _, task, turn = heapq.heappop(self._timers)
             if task.paused and task.turn == turn:
-                self._give(task, Word.TIME)
+                self._give(task, WakeReason.TIMER)
         if ticked:
             self._arm()
 
@@ -118,30 +119,30 @@
                 task.ended = True
                 raise
             value = None
-            if isinstance(asked, Pause):
+            if isinstance(asked, Sleep):
                 task.paused = True
                 self._order += 1
                 due = max(asked.until_us, self._clock.now_us + 1)
                 heapq.heappush(self._timers, (due, self._order, task, task.turn))
                 self._arm()
                 return
-            if isinstance(asked, Add):
+            if isinstance(asked, AddToCounter):
                 host.add(task, asked)
                 return
             if isinstance(asked, Send):
-                host.send(asked.hop)
-            elif isinstance(asked, Answer):
+                host.send(asked.attempt)
+            elif isinstance(asked, Reject):
                 host.answer(task.operation, asked)
             elif isinstance(asked, Cancel):
-                host.cancel(asked.hop)
-            elif isinstance(asked, Launch):
-                self._ready.append((Task(asked.work, None), None))
-            elif isinstance(asked, Wake):
+                host.cancel(asked.attempt)
+            elif isinstance(asked, Spawn):
+                self._ready.append((Task(asked.generator, None), None))
+            elif isinstance(asked, Resume):
                 other = asked.operation.task
                 if other.paused:
                     other.paused = False
-                    self._ready.append((other, Word.WOKEN))
-            elif isinstance(asked, Say):
+                    self._ready.append((other, WakeReason.RESUMED))
+            elif isinstance(asked, LogMessage):
                 host.say(asked.text)
             else:
                 raise TypeError(f"a generator asked for {asked!r}")
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -8,7 +8,7 @@
 from lapisgrade.gateway.routing import upstream_protocol
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
 from lapisgrade.gateway.routing.request import RoutedRequest
-from lapisgrade.interface import Answer, Lines
+from lapisgrade.interface import ConnectionSettings, Reject
 from lapisgrade.net import front, hops
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import AttemptFinished, ClientDisconnected, Event
@@ -35,13 +35,13 @@
             upstream_protocol.forwarded_headers(message, upstream_protocol.HOP_BY_HOP_HEADERS),
         )
 
-    def worded(self, answer: Answer) -> tuple[int, bytes]:
+    def worded(self, answer: Reject) -> tuple[int, bytes]:
         """Status and header lines of a final answer of our own."""
         # One whose generator failed has no status of its own, and may have run.
         status = getattr(answer, "status", BAD_GATEWAY)
-        if answer.come_back_us <= 0:
+        if answer.retry_after_us <= 0:
             return status, b""
-        return status, b"Retry-After: %.3f\r\n" % (answer.come_back_us / SECOND)
+        return status, b"Retry-After: %.3f\r\n" % (answer.retry_after_us / SECOND)
 
     def send(self, hop: Attempt) -> None:
         """Send an attempt to its server."""
@@ -54,7 +54,7 @@
         super()._landed(event)
         self.on_load_change()
 
-    def answer(self, operation: RoutedRequest, answer: Answer) -> None:
+    def answer(self, operation: RoutedRequest, answer: Reject) -> None:
         """Answer a client ourselves; with a server's error response as it came, where there is only that."""
         handle = operation.handle
         if handle.failure is None or handle.client is None or self.worded(answer)[0] != BAD_GATEWAY:
@@ -82,7 +82,7 @@
             context.now_us,
             context.log_diagnostic,
             context.metrics.transport,
-            Lines(CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US),
+            ConnectionSettings(CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US),
             max_connections,
             upstream_protocol.UpstreamProtocol(),
         )
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -17,7 +17,7 @@
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import address
 from lapisgrade.gateway.verdict import Verdict
-from lapisgrade.interface import Add
+from lapisgrade.interface import AddToCounter
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import CounterCallFinished
 
@@ -51,10 +51,10 @@
 
     # ---- this proxy's own adds
 
-    def add(self, task: Task, add: Add) -> None:
+    def add(self, task: Task, add: AddToCounter) -> None:
         """Have an add counted by the tenant's owner, and tell the host the result."""
-        quota_client = self._router.quota_clients.get(add.name)
-        owner_name = self._quota_owner.owners.owner(add.name)
+        quota_client = self._router.quota_clients.get(add.counter_id)
+        owner_name = self._quota_owner.owners.owner(add.counter_id)
         if quota_client is None or not owner_name:
             return self._finish(task, CloseReason.REJECTED)
         hostname = self._context.settings.hostname
--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -8,11 +8,11 @@
 from collections.abc import Generator
 
 from lapisgrade.decide.account import SILENT_CALLS, Account, Counter
-from lapisgrade.interface import Add, Clock, Plan, Tally, Total
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.quota.count import LEASE, room
+from lapisgrade.gateway.settings import Slo
+from lapisgrade.interface import AddToCounter, Clock, CounterOutcome, CounterReply, Plan
 from lapisgrade.sums import Bucket
 
 LATE = 0.25  # s between a unit's grant and its arrival at a server, at most, beside the lease's life
@@ -47,8 +47,8 @@
         # One call a lease, at the most; what is crowded is the owner's machine, not a service of all.
         self.calls = Bucket(0, CALLS, CALLS, CALLS)
 
-    def heard(self, now: int, tally: Tally, sent: int) -> None:
-        self.silent = 0 if tally is Tally.ADDED else self.silent + 1
+    def heard(self, now: int, tally: CounterOutcome, sent: int) -> None:
+        self.silent = 0 if tally is CounterOutcome.ADDED else self.silent + 1
 
 
 class QuotaClient(Account):
@@ -106,14 +106,14 @@
         # What is taken and what comes back are told apart: who holds the count now may know of one only.
         some = units > 0
         self.parts = max(0.0, units + max(0.0, owed) if some else new), max(0.0, -owed if some else -new)
-        got: Total = yield Add(self.customer, new, COUNT_LIFE)
+        got: CounterReply = yield AddToCounter(self.customer, new, COUNT_LIFE)
         sent, now = now, self.clock.now_us
-        self.counter.heard(now, got.tally, sent)
-        if got.tally is not Tally.TURNED_AWAY:
+        self.counter.heard(now, got.outcome, sent)
+        if got.outcome is not CounterOutcome.REJECTED:
             self.of = self.turn
-        if got.tally is Tally.TURNED_AWAY:
+        if got.outcome is CounterOutcome.REJECTED:
             self.owed.value += new - units
-        elif got.tally is Tally.ADDED:
+        elif got.outcome is CounterOutcome.ADDED:
             if not self.looked:
                 self.slice.put(now, self.slice.burst)  # nothing before the count was ever seen
                 self.epoch = 0  # the room is known from here on
@@ -121,7 +121,7 @@
             self.store.put(now, self.plan.burst - got.total)
         else:
             self.store.put(now, self.store.read(now) - new)
-        return got.tally
+        return got.outcome
 
     def ask(self, by: str, fence: int) -> rpc_messages.QuotaRequest:
         """The call that is out, as the owner is told it."""
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -14,7 +14,7 @@
 from lapisgrade.decide.fleet import Server as ObservedServer
 from lapisgrade.gateway import SECOND, registry
 from lapisgrade.gateway.membership.subsets import Subsets
-from lapisgrade.interface import Outcome, Report
+from lapisgrade.interface import AttemptOutcome, AttemptResult
 
 OTHER_CANDIDATES = 2  # servers of the zone's other subsets, and of other zones, that each choice looks at
 MAX_SUBSET_CANDIDATES = 12  # servers of the own subset that each choice looks at
@@ -238,7 +238,12 @@
         server.silent_from = server.silent_from or now_us
 
     def on_attempt_finished(
-        self, now_us: int, attempt: Attempt, report: Report, latency: LatencyEstimate, blame: float = 1.0
+        self,
+        now_us: int,
+        attempt: Attempt,
+        report: AttemptResult,
+        latency: LatencyEstimate,
+        blame: float = 1.0,
     ) -> None:
         """Learn from how an attempt ended.
 
@@ -252,15 +257,20 @@
         server, outcome = attempt.server, report.outcome
         attempt.out = False
         server.out.pop(attempt, None)
-        if report.load is not None:
-            server.on_load_report(now_us, int(report.load["running"]), int(report.load["waiting"]))
-        if outcome in (Outcome.OK, Outcome.FULL, Outcome.REJECTED) or not server.out:
+        if report.server_load is not None:
+            server.on_load_report(
+                now_us, int(report.server_load["running"]), int(report.server_load["waiting"])
+            )
+        if (
+            outcome in (AttemptOutcome.OK, AttemptOutcome.OVERLOADED, AttemptOutcome.INVALID_REQUEST)
+            or not server.out
+        ):
             server.silent_from = now_us if server.out else 0
-        if outcome is Outcome.FULL:
+        if outcome is AttemptOutcome.OVERLOADED:
             server.on_rejection(now_us)
-        elif outcome is Outcome.OK:
-            self._on_good_answer(now_us, server, latency, report.took_us)
-        elif outcome not in (Outcome.CANCELLED, Outcome.NEVER_SENT):
+        elif outcome is AttemptOutcome.OK:
+            self._on_good_answer(now_us, server, latency, report.duration_us)
+        elif outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):
             # A server's own failure is an answer, but no sound one; it says little of how long work takes.
             server.on_failure(now_us, blame)
         if server.is_removed() and not server.out:
--- a/lapisgrade/gateway/routing/request.py
+++ b/lapisgrade/gateway/routing/request.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from lapisgrade.gateway.configuration import Rule, Tenant
-from lapisgrade.interface import Answer, Operation
+from lapisgrade.interface import Operation, Reject
 
 
 @dataclass(slots=True, eq=False)
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Respond(Answer):
+class Respond(Reject):
     """Answer the client ourselves, with this HTTP status."""
 
     status: int = 503
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -38,7 +38,7 @@
 from lapisgrade.gateway.routing.balancer import UpstreamCluster, UpstreamServer
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
-from lapisgrade.interface import Clock, Outcome, Pause, Report, Send, Verdict, Word
+from lapisgrade.interface import AttemptOutcome, AttemptResult, Clock, RejectReason, Send, Sleep, WakeReason
 
 RESPONSE_MARGIN_US = 12_000  # before the client's deadline that we end a request; the way back to the client
 MAX_QUEUE_RATIO = 0.2  # of the target time that a request may be queued for a server; a quarter is priced
@@ -98,8 +98,8 @@
         self._attempts: list[Attempt] = []
         self._reached_servers = 0  # attempts that have ended and had reached a server
         self._may_have_run = False  # whether any attempt that has ended may have run
-        self._hedge_us = request.ends_us  # when the next attempt may start beside those in flight
-        self._overdue_us = request.ends_us  # when the last attempt takes longer than nearly all others
+        self._hedge_us = request.deadline_us  # when the next attempt may start beside those in flight
+        self._overdue_us = request.deadline_us  # when the last attempt takes longer than nearly all others
         self._queue_until_us = self._end_of_queueing(clock.now_us)
 
     def run(self) -> Generator:
@@ -114,22 +114,22 @@
             elif self._state is State.SELECTING:
                 if not self._may_queue(now_us):
                     break
-                event = yield Pause(min(now_us + QUEUE_POLL_US, self._queue_until_us))
-                if event is Word.GONE:
+                event = yield Sleep(min(now_us + QUEUE_POLL_US, self._queue_until_us))
+                if event is WakeReason.CLIENT_GONE:
                     return
                 continue
 
-            event = yield Pause(self._next_timer_us())
-            if event is Word.GONE:
+            event = yield Sleep(self._next_timer_us())
+            if event is WakeReason.CLIENT_GONE:
                 return
-            if event is Word.TIME or event is Word.WOKEN:
+            if event is WakeReason.TIMER or event is WakeReason.RESUMED:
                 if self._is_timed_out():
-                    yield Respond(Verdict.GIVE_UP, 0, 504)
+                    yield Respond(RejectReason.FAILED, 0, 504)
                     return
                 self._on_timer()
                 continue
-            _, report = event
-            if report.closed:
+            report = event.result
+            if report.is_final:
                 return
             self._record(report)
             if self._in_flight():
@@ -148,16 +148,16 @@
 
     def _last_attempt_us(self) -> int:
         """When an attempt is too late, as its answer would no longer reach the client in time."""
-        return self._request.ends_us - RESPONSE_MARGIN_US
+        return self._request.deadline_us - RESPONSE_MARGIN_US
 
     def _next_timer_us(self) -> int:
         """Until when to sleep while attempts are in flight: the next hedge or the request's deadline."""
         if self._request.is_idempotent:
-            return min(self._hedge_us, self._request.ends_us)
-        return self._request.ends_us
+            return min(self._hedge_us, self._request.deadline_us)
+        return self._request.deadline_us
 
     def _is_timed_out(self) -> bool:
-        return self._clock.now_us >= self._request.ends_us - TIMER_SLACK_US
+        return self._clock.now_us >= self._request.deadline_us - TIMER_SLACK_US
 
     # ---- the first attempt, and what limits all of them
 
@@ -234,13 +234,13 @@
             self._state = State.WAITING
             return
         self._state = State.HEDGING
-        self._hedge_us = self._overdue_us if now_us < self._overdue_us else self._request.ends_us
+        self._hedge_us = self._overdue_us if now_us < self._overdue_us else self._request.deadline_us
 
     # ---- the end of an attempt
 
-    def _record(self, report: Report) -> None:
+    def _record(self, report: AttemptResult) -> None:
         """Take in how an attempt ended that was not the request's end."""
-        if report.outcome not in (Outcome.NO_CONNECTION, Outcome.NEVER_SENT):
+        if report.outcome not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT):
             self._reached_servers += 1
         if not report.outcome.never_ran:
             self._may_have_run = True
@@ -254,8 +254,8 @@
     def _failure_response(self) -> Respond:
         """The final answer without a server's: what surely has not run may come back (503)."""
         if self._may_have_run:
-            return Respond(Verdict.GIVE_UP, 0, 502)
-        return Respond(Verdict.TURN_BACK, retry_after_us(self._random, self._request.rule), 503)
+            return Respond(RejectReason.FAILED, 0, 502)
+        return Respond(RejectReason.RETRY_LATER, retry_after_us(self._random, self._request.rule), 503)
 
 
 def retry_after_us(random: Random, rule: Rule) -> int:
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -22,7 +22,7 @@
 from lapisgrade.gateway.routing.route_tables import RouteMatch, RouteTables
 from lapisgrade.gateway.routing.split import SplitChooser
 from lapisgrade.gateway.settings import Slo
-from lapisgrade.interface import Clock, Outcome, Report, Verdict
+from lapisgrade.interface import AttemptOutcome, AttemptResult, Clock, RejectReason
 
 STALE_CONNECTION_BLAME = 0.3  # of a failure, for a server that likely closed an idle connection
 MAX_QUOTA_CLIENTS = 8192  # tenants whose quota client is kept; the one unused for longest is dropped
@@ -137,12 +137,12 @@
             quota_client = self.quota_client(request.tenant)
             quota_client.used = self.clock.now_us
             wait_us = yield from quota_client.admit(request)
-            if request.over:
+            if request.is_abandoned:
                 return
             if wait_us is not None:
                 minimum_us = max(MIN_RETRY_AFTER_US, int(wait_us))
                 retry_after_us = quota_client.comes_back(self.clock.now_us, minimum_us)
-                yield Respond(Verdict.TURN_BACK, retry_after_us, 429)
+                yield Respond(RejectReason.RETRY_LATER, retry_after_us, 429)
                 return
         yield from self.serve(request)
 
@@ -151,13 +151,13 @@
         cluster, retry_budget = self.cluster(request.service), self.retry_budget(request.service)
         return RequestAttempts(request, self.clock, self.random, cluster, retry_budget).run()
 
-    def landed(self, attempt: Attempt, report: Report) -> None:
+    def landed(self, attempt: Attempt, report: AttemptResult) -> None:
         """Learn from how an attempt ended; called by the host before its request goes on."""
         request = attempt.operation
         now_us, cluster = self.clock.now_us, self.cluster(request.service)
-        was_broken = report.outcome is Outcome.BROKEN
+        was_broken = report.outcome is AttemptOutcome.CONNECTION_LOST
         was_stale = self.idle_connections.on_attempt_finished(
-            now_us, attempt, request.service, was_broken, report.took_us
+            now_us, attempt, request.service, was_broken, report.duration_us
         )
         latency = cluster.latency(request.rule.name, request.rule.target_time)
         blame = STALE_CONNECTION_BLAME if was_stale else 1.0
--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -1,6 +1,22 @@
-"""Types at the edge of the decision module: what comes in, what is asked for, what is read at start.
+"""The generator protocol between decisions and their host, and the typed settings that decisions read.
 
-Types only: nothing here decides. All times are whole microseconds on the limiter's own clock.
+What decides performs no I/O and reads no clock. A host starts one generator for each operation, the engine
+(`lapisgrade.engine`) drives it: the generator yields a *command* and is resumed with that command's result.
+
+| command | carried out by | resumed with |
+| --- | --- | --- |
+| `Send`, `Cancel` | the host's connections | `None`, at once; the end comes as `AttemptFinished` |
+| `Reject`, `LogMessage` | the host | `None`, at once |
+| `Spawn`, `Resume` | the engine | `None`, at once |
+| `Sleep` | the engine's timers | an *event*: a `WakeReason`, or an `AttemptFinished` |
+| `AddToCounter` | the host's counter client | a `CounterReply` |
+
+Events reach a generator only while it sleeps; an event that comes while it waits for a `CounterReply` is
+dropped, so whoever resumes reads the operation's state again. A generator that returns has finished its
+operation: a final answer was delivered by the host (`AttemptResult.is_final`) or by `Reject`.
+
+This module holds types only and decides nothing. All times are whole microseconds on the host's one clock;
+`_us` fields without "deadline" or "arrived" in their name are durations.
 """
 
 from collections.abc import Generator
@@ -8,19 +24,19 @@
 from enum import Enum, auto
 from typing import Any
 
-# ---- read at start
+# ---- settings, read once at start
 
 
-class Repeat(Enum):
-    """Whether an operation of a category may run again."""
+class RepeatSafety(Enum):
+    """Whether an operation of a category may be executed more than once."""
 
     IDEMPOTENT = auto()
     DEDUPLICATED = auto()
-    UNREPEATABLE = auto()
+    NON_IDEMPOTENT = auto()
 
 
-class Group(Enum):
-    """Which servers drop the repeats of a deduplicated operation."""
+class DeduplicationScope(Enum):
+    """Which servers recognize and drop the repeats of a deduplicated operation."""
 
     ALL = auto()
     ZONE = auto()
@@ -29,232 +45,259 @@
 
 @dataclass(slots=True)
 class Category:
+    """A class of operations: how urgent, how valuable, and how safe to repeat."""
+
     name: str
-    repeat: Repeat
-    quoted_us: int
-    hard_stop_us: int
-    payoff: float
-    late_payoff: float = 0.0
-    group: Group = Group.ALL
-    remembered_us: int = 0
-    streamed: bool = False
+    repeat_safety: RepeatSafety
+    latency_target_us: int
+    timeout_us: int  # a response after this is worth nothing
+    value: float  # of a unit that is answered within the latency target
+    late_value: float = 0.0  # of a unit that is answered after it
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_us: int = 0  # how long a server remembers an idempotency key
+    is_streaming: bool = False
 
 
 @dataclass(slots=True)
 class Plan:
+    """What a customer has booked."""
+
     name: str
-    rate: float  # units a second; 0: no such quota
-    burst: float
-    price: float = 1.0
-    beyond_earns: float = 0.0
-    beyond_costs: float = 0.0
-    open_cap: int = 0  # hops out at once; 0: no such quota
-    ceiling_rate: float = 0.0  # 0: no ceiling
-    ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
+    rate: float  # the quota, in units a second; 0: no such quota
+    burst: float  # units
+    value_factor: float = 1.0  # multiplies the category's value
+    overage_value: float = 0.0  # earned by a unit beyond the quota
+    overage_cost: float = 0.0  # lost by it
+    max_in_flight: int = 0  # concurrent attempts; 0: not limited
+    rate_limit_per_s: float = 0.0  # units a second that may never be passed; 0: not limited
+    rate_limit_burst: float = 0.0
+    rate_limit_slack: float = 0.0
 
 
 @dataclass(slots=True)
-class Duties:
-    """The figures of the rules about servers."""
+class ServerRules:
+    """What the service's rules allow toward draining and newly started servers."""
 
-    drain_grace_us: int
-    cold_us: int
-    cold_from: float
-    fall_us: int
-    fall_multiple: float
+    drain_grace_us: int  # after the notification that a server drains, attempts may still reach it
+    slow_start_us: int  # how long a server takes to warm up
+    slow_start_initial_weight: float  # its share of full capacity when it starts
+    overload_window_us: int
+    max_overload_factor: float  # of what a warming server can do; more within the window makes it fail
 
 
 @dataclass(slots=True)
-class Leave:
-    """What a limiter is allowed to do with an operation."""
+class Permissions:
+    """What a limiter may do with an operation."""
 
-    hops: int
-    cancel: bool
-    second_copies: bool
-    probes: bool
-    longest_advice_us: int  # 0: clients get no retry-after
+    max_attempts: int
+    may_cancel: bool
+    may_hedge: bool
+    may_probe: bool
+    max_retry_after_us: int  # 0: clients get no Retry-After
 
 
 @dataclass(slots=True)
-class Post:
-    """Where this limiter stands among its fellows."""
+class Placement:
+    """Where this limiter stands among its peers."""
 
-    index: int
-    limiters: int
+    limiter_index: int
+    limiter_count: int
     zone: str
 
 
 @dataclass(slots=True)
-class Desk:
-    """What the counter service is like; a limiter without one has `calls` false."""
+class CounterSettings:
+    """How the shared counter service is reached."""
 
-    calls: bool
-    time_out_us: int
+    is_available: bool
+    timeout_us: int
 
 
 @dataclass(slots=True)
-class Lines:
-    """What connections to servers are like."""
+class ConnectionSettings:
+    """How connections to servers behave."""
 
-    dial_us: int  # one not up by then will not come up
-    idle_us: int  # the other side closes one that stood idle for this long, at the latest
+    connect_timeout_us: int
+    idle_timeout_us: int  # the other side closes an idle connection after this, at the latest
 
 
 @dataclass(slots=True)
 class Clock:
-    """The limiter's one source of time; whoever hosts the limiter moves it."""
+    """The limiter's one source of time; whoever hosts the limiter advances it."""
 
     now_us: int = 0
 
 
-# ---- what comes in
+# ---- inputs and events
 
 
-class Listed(Enum):
+class ServerState(Enum):
+    """The state of a server in the endpoint list."""
+
     READY = auto()
     DRAINING = auto()
-    GONE = auto()
+    REMOVED = auto()
 
 
 @dataclass(slots=True)
-class Entry:
-    """One server as the list of servers tells it."""
+class ServerEndpoint:
+    """One server as the endpoint list describes it."""
 
-    server: str
-    state: Listed
+    address: str
+    state: ServerState
     zone: str = ""
     cell: int = 0
-    size: float = 1.0
+    weight: float = 1.0
     shape: str = ""
     started_us: int = 0  # 0: long ago
 
 
 @dataclass(slots=True)
 class Operation:
+    """One request of a client, from its arrival to its one final answer."""
+
     customer: str
     plan: Plan
     category: Category
-    units: float
+    units: float  # what it takes from the quota
     arrived_us: int
-    ends_us: int  # when this try's client stops waiting
-    gateways: int
-    first_gateway: int = 0
-    retried: bool = False
-    over: bool = False  # ended by its client; nothing is owed any more
-    handle: Any = None  # the host's own
-    task: Any = None  # the engine's own
+    deadline_us: int  # when its client stops waiting
+    gateway_count: int  # limiters that this customer's operations are spread over
+    first_gateway_index: int = 0
+    is_client_retry: bool = False
+    is_abandoned: bool = False  # its client has gone or timed out; no answer is due any more
+    handle: Any = None  # the host's own record
+    task: Any = None  # the engine's own record
+
 
+class AttemptOutcome(Enum):
+    """How one attempt ended."""
 
-class Outcome(Enum):
     OK = auto()
     ERROR = auto()
-    REJECTED = auto()  # the operation is at fault, not the server
-    FULL = auto()
+    INVALID_REQUEST = auto()  # the operation is at fault, not the server
+    OVERLOADED = auto()  # the server refused it unexecuted
     TIMED_OUT = auto()
-    NO_CONNECTION = auto()
-    BROKEN = auto()
+    CONNECT_FAILED = auto()
+    CONNECTION_LOST = auto()
     CANCELLED = auto()
-    NEVER_SENT = auto()
+    NOT_SENT = auto()
 
     @property
     def never_ran(self) -> bool:
-        return self in (Outcome.FULL, Outcome.NO_CONNECTION, Outcome.NEVER_SENT)
+        """Whether the server certainly did not execute the operation."""
+        return self in (AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 @dataclass(slots=True)
-class Report:
-    """How one hop ended."""
+class AttemptResult:
+    """The result of one attempt, as the host saw it."""
 
-    outcome: Outcome
-    took_us: int
-    closed: bool = False  # the operation is over
-    load: dict[str, float] | None = None
-    units: float = 0.0  # what it really counted, where units are settled afterwards
-    used: int = 0  # the meter's word on the customer's use
+    outcome: AttemptOutcome
+    duration_us: int
+    is_final: bool = False  # the client has its answer, or needs none: the operation is over
+    server_load: dict[str, float] | None = None
+    settled_units: float = 0.0  # the actual cost, where units are settled afterwards; 0: as estimated
+    metered_use: int = 0  # the customer's use as the meter has it
 
 
-class Tally(Enum):
-    ADDED = auto()
-    TURNED_AWAY = auto()  # nothing was added
-    SILENT = auto()  # may have been added
+@dataclass(slots=True)
+class AttemptFinished:
+    """Event: an attempt of a sleeping operation has ended."""
 
+    attempt: Any  # what was handed out with `Send`
+    result: AttemptResult
 
-@dataclass(slots=True)
-class Total:
-    tally: Tally
-    total: float = 0.0
+
+class WakeReason(Enum):
+    """Event: why a sleeping generator is resumed, other than by the end of an attempt."""
+
+    TIMER = auto()  # the time asked for has come
+    RESUMED = auto()  # another generator yielded `Resume`
+    RESPONSE_STARTED = auto()  # the client has received the first part of a streamed response
+    CLIENT_GONE = auto()  # the client has disconnected or timed out
+
+
+class CounterOutcome(Enum):
+    """How a call of the counter service ended."""
+
+    ADDED = auto()
+    REJECTED = auto()  # nothing was added
+    TIMED_OUT = auto()  # may have been added
 
 
-class Word(Enum):
-    """What a pausing generator may be resumed with, besides a hop's end."""
+@dataclass(slots=True)
+class CounterReply:
+    """The result of `AddToCounter`."""
 
-    TIME = auto()
-    WOKEN = auto()
-    OPENED = auto()
-    GONE = auto()
+    outcome: CounterOutcome
+    total: float = 0.0  # the count after the addition; meaningful only if `ADDED`
 
 
-# ---- what is asked for
+# ---- commands
 
 
 @dataclass(slots=True)
 class Send:
-    """Start a hop; resumed at once. `hop` is the module's own record, handed back with its report."""
+    """Start an attempt; `attempt` is the caller's own record and comes back in `AttemptFinished`."""
 
-    hop: Any
+    attempt: Any
 
 
 @dataclass(slots=True)
 class Cancel:
-    hop: Any
+    """Cancel an attempt in flight, which then ends as any other."""
+
+    attempt: Any
 
 
 @dataclass(slots=True)
-class Add:
-    """Add to a named count; resumed with a Total."""
+class AddToCounter:
+    """Add to a shared counter; resumed with a `CounterReply`."""
 
-    name: int
+    counter_id: int
     amount: float
-    life_us: int
+    ttl_us: int
 
 
 @dataclass(slots=True)
-class Pause:
-    """Resumed with a Word, or with (hop, Report) when a hop of this operation ends."""
+class Sleep:
+    """Wait until a time; resumed with a `WakeReason`, or earlier with an `AttemptFinished`."""
 
     until_us: int
 
 
-class Verdict(Enum):
-    TURN_BACK = auto()
-    GIVE_UP = auto()
+class RejectReason(Enum):
+    """What a client is told of an operation that no server answered."""
+
+    RETRY_LATER = auto()  # not executed, or safe to repeat: the client may try again
+    FAILED = auto()  # may have been executed: the client must not assume either
 
 
 @dataclass(slots=True)
-class Answer:
-    """The final answer, other than a finished one, which reaches the client by itself."""
+class Reject:
+    """Give the final answer where no server's response is one."""
 
-    verdict: Verdict
-    come_back_us: int = 0
+    reason: RejectReason
+    retry_after_us: int = 0  # 0: none is advised
 
 
 @dataclass(slots=True)
-class Launch:
+class Spawn:
     """Run another generator beside this one."""
 
-    work: Generator
+    generator: Generator
 
 
 @dataclass(slots=True)
-class Wake:
-    """Resume the pausing generator of an operation with Word.WOKEN."""
+class Resume:
+    """Resume an operation's sleeping generator with `WakeReason.RESUMED`."""
 
     operation: Operation
 
 
 @dataclass(slots=True)
-class Say:
-    """A line for the people on call."""
+class LogMessage:
+    """Write a line to the log."""
 
     text: str
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -6,22 +6,21 @@
 """
 
 import asyncio
-from collections.abc import Callable
 from collections import Counter, deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
 from typing import Any
 
-
-from lapisgrade.interface import Outcome
-from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.hops import Link
-from lapisgrade.net.http import MalformedMessageError, Message
 from lapisgrade.gateway.http_client import ask
-from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.http_server import framed
+from lapisgrade.gateway.local_cluster import SAMPLE, LocalCluster, Server
+from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.routing.upstream_protocol import UpstreamProtocol
-from lapisgrade.gateway.local_cluster import SAMPLE, Server, LocalCluster
+from lapisgrade.interface import AttemptOutcome
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.hops import Link
+from lapisgrade.net.http import MalformedMessageError, Message
 
 KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
 PROMISES = (408, 421, 429, 503)
@@ -228,5 +227,5 @@
     "unsealed-success": [(UpstreamProtocol, "told", _unsealed)],
     "broken-is-unsent": [(Link, "end", _broken_is_unsent)],
     "always-promises": [(ProxyHost, "worded", _always_promises)],
-    "all-never-ran": [(Outcome, "never_ran", property(lambda self: True))],
+    "all-never-ran": [(AttemptOutcome, "never_ran", property(lambda self: True))],
 }
--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -9,11 +9,11 @@
 from typing import Protocol
 
 from lapisgrade.decide.fleet import Attempt
-from lapisgrade.interface import Outcome, Report
-from lapisgrade.lab.balancing.model import Server, Spec
 from lapisgrade.gateway import registry
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.routing.balancer import UpstreamCluster
+from lapisgrade.interface import AttemptOutcome, AttemptResult
+from lapisgrade.lab.balancing.model import Server, Spec
 
 
 class Chooser(Protocol):
@@ -22,7 +22,9 @@
 
     def sent(self, now: int, server: int) -> object: ...
 
-    def landed(self, now: int, token: object, took: int, outcome: Outcome, load: tuple[int, int]) -> None: ...
+    def landed(
+        self, now: int, token: object, took: int, outcome: AttemptOutcome, load: tuple[int, int]
+    ) -> None: ...
 
 
 class Blind:
@@ -43,7 +45,9 @@
         self.out[server] += 1
         return server
 
-    def landed(self, now: int, server: int, took: int, outcome: Outcome, load: tuple[int, int]) -> None:
+    def landed(
+        self, now: int, server: int, took: int, outcome: AttemptOutcome, load: tuple[int, int]
+    ) -> None:
         self.out[server] -= 1
 
 
@@ -72,7 +76,9 @@
             self.random.sample(fit, min(2, len(fit))), key=lambda each: self.told[each] + self.out[each]
         )
 
-    def landed(self, now: int, server: int, took: int, outcome: Outcome, load: tuple[int, int]) -> None:
+    def landed(
+        self, now: int, server: int, took: int, outcome: AttemptOutcome, load: tuple[int, int]
+    ) -> None:
         super().landed(now, server, took, outcome, load)
         self.told[server] = sum(load)
 
@@ -133,9 +139,11 @@
         self.cluster.on_attempt_started(now, attempt)
         return attempt
 
-    def landed(self, now: int, attempt: Attempt, took: int, outcome: Outcome, load: tuple[int, int]) -> None:
+    def landed(
+        self, now: int, attempt: Attempt, took: int, outcome: AttemptOutcome, load: tuple[int, int]
+    ) -> None:
         told = {"running": load[0], "waiting": load[1], "slots": self.spec.slots}
-        self.cluster.on_attempt_finished(now, attempt, Report(outcome, took, told), self.latency)
+        self.cluster.on_attempt_finished(now, attempt, AttemptResult(outcome, took, told), self.latency)
 
 
 @dataclass(slots=True)
--- a/lapisgrade/lab/balancing/play.py
+++ b/lapisgrade/lab/balancing/play.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from random import Random
 
-from lapisgrade.interface import Outcome
-from lapisgrade.lab.emulator.sim import Sim
+from lapisgrade.interface import AttemptOutcome
 from lapisgrade.lab.balancing.choosers import CHOOSERS, JoinIdle
 from lapisgrade.lab.balancing.model import Server, Spec
+from lapisgrade.lab.emulator.sim import Sim
 
 SECOND = 1_000_000
 GATHER_US = 6_000  # changes of what is out are told together, as a proxy does
@@ -123,13 +123,13 @@
     def reach(self, request: Request, server: Server, token, sent: int, way: int) -> None:
         spec = self.spec
         if server.ill and self.luck.random() < spec.fails:
-            self.answer(request, server, token, sent, way, Outcome.ERROR)
+            self.answer(request, server, token, sent, way, AttemptOutcome.ERROR)
         elif server.running < spec.slots:
             self.start(request, server, token, sent, way)
         elif len(server.queue) < spec.queue:
             server.queue.append((request, token, sent, way))
         else:
-            self.answer(request, server, token, sent, way, Outcome.FULL)
+            self.answer(request, server, token, sent, way, AttemptOutcome.OVERLOADED)
 
     def start(self, request: Request, server: Server, token, sent: int, way: int) -> None:
         server.running += 1
@@ -137,23 +137,27 @@
 
     def done(self, request: Request, server: Server, token, sent: int, way: int) -> None:
         server.running -= 1
-        self.answer(request, server, token, sent, way, Outcome.OK)
+        self.answer(request, server, token, sent, way, AttemptOutcome.OK)
         if server.queue:
             self.start(server.queue[0][0], server, *server.queue.pop(0)[1:])
         elif self.kind.joins:
             other: JoinIdle = self.luck.choice(self.limiters)
             self.sim.after(way, other.idle.setdefault, server.number)
 
-    def answer(self, request: Request, server: Server, token, sent: int, way: int, outcome: Outcome) -> None:
+    def answer(
+        self, request: Request, server: Server, token, sent: int, way: int, outcome: AttemptOutcome
+    ) -> None:
         server.present -= 1
         load = (server.running, len(server.queue))
         self.sim.after(way, self.landed, request, token, sent, outcome, load)
 
-    def landed(self, request: Request, token, sent: int, outcome: Outcome, load: tuple[int, int]) -> None:
+    def landed(
+        self, request: Request, token, sent: int, outcome: AttemptOutcome, load: tuple[int, int]
+    ) -> None:
         now = self.sim.now
         self.limiters[request.limiter].landed(now, token, now - sent, outcome, load)
         self.tell(request.limiter)
-        if outcome is Outcome.OK:
+        if outcome is AttemptOutcome.OK:
             if now - request.at <= self.spec.ends_us:
                 self.took.append(now - request.at)
         elif len(request.tried) < self.spec.tries and now - request.at < self.spec.ends_us:
--- a/lapisgrade/lab/baselines/central.py
+++ b/lapisgrade/lab/baselines/central.py
@@ -3,7 +3,7 @@
 from collections.abc import Generator
 from hashlib import blake2b
 
-from lapisgrade.interface import Add, Answer, Operation, Tally, Verdict
+from lapisgrade.interface import AddToCounter, CounterOutcome, Operation, Reject, RejectReason
 from lapisgrade.lab.baselines.common import Plain
 
 SECOND = 1_000_000
@@ -17,11 +17,11 @@
     def operation(self, op: Operation) -> Generator:
         window = self.clock.now_us // WINDOW
         name = int.from_bytes(blake2b(f"{op.customer}/{window}".encode(), digest_size=6).digest(), "big")
-        total = yield Add(name, float(op.units), LIFE)
-        if total.tally is not Tally.ADDED:
-            yield Answer(Verdict.TURN_BACK, WINDOW)
+        total = yield AddToCounter(name, float(op.units), LIFE)
+        if total.outcome is not CounterOutcome.ADDED:
+            yield Reject(RejectReason.RETRY_LATER, WINDOW)
             return
         if total.total > op.plan.rate * WINDOW / SECOND + op.plan.burst:
-            yield Answer(Verdict.TURN_BACK, WINDOW - self.clock.now_us % WINDOW)
+            yield Reject(RejectReason.RETRY_LATER, WINDOW - self.clock.now_us % WINDOW)
             return
         yield from self.send(op)
--- a/lapisgrade/lab/baselines/common.py
+++ b/lapisgrade/lab/baselines/common.py
@@ -4,7 +4,19 @@
 from dataclasses import dataclass
 from random import Random
 
-from lapisgrade.interface import Answer, Cancel, Clock, Entry, Listed, Operation, Pause, Repeat, Send, Verdict
+from lapisgrade.interface import (
+    AttemptFinished,
+    Cancel,
+    Clock,
+    Operation,
+    Reject,
+    RejectReason,
+    RepeatSafety,
+    Send,
+    ServerEndpoint,
+    ServerState,
+    Sleep,
+)
 
 END_MARGIN = 6_000  # us before the hard stop at which a hop still out is called off
 COME_BACK = 1_000_000  # us a client is told to wait where nothing better is known
@@ -28,33 +40,33 @@
         self.clock = clock
         self.random = Random(seed)
         self.ready: list[str] = []
-        self._states: dict[str, Listed] = {}
+        self._states: dict[str, ServerState] = {}
 
-    def listed(self, entries: list[Entry], whole: bool) -> None:
+    def listed(self, entries: list[ServerEndpoint], whole: bool) -> None:
         if whole:
             self._states = {}
         for entry in entries:
-            self._states[entry.server] = entry.state
-        self.ready = sorted(name for name, state in self._states.items() if state is Listed.READY)
+            self._states[entry.address] = entry.state
+        self.ready = sorted(name for name, state in self._states.items() if state is ServerState.READY)
 
     def landed(self, hop: Hop, report) -> None:
         """Nothing is learnt from a hop's end."""
 
     def send(self, op: Operation) -> Generator:
         if not self.ready:
-            yield Answer(Verdict.TURN_BACK, COME_BACK)
+            yield Reject(RejectReason.RETRY_LATER, COME_BACK)
             return
         hop = Hop(op, Named(self.random.choice(self.ready)))
         yield Send(hop)
-        ended = yield Pause(op.ends_us - END_MARGIN)
-        if isinstance(ended, tuple) and ended[1].outcome.name == "OK":
+        ended = yield Sleep(op.deadline_us - END_MARGIN)
+        if isinstance(ended, AttemptFinished) and ended.result.outcome.name == "OK":
             return  # the server's answer is the final one
-        if isinstance(ended, tuple) and ended[1].outcome.never_ran:
-            yield Answer(Verdict.TURN_BACK, COME_BACK)
+        if isinstance(ended, AttemptFinished) and ended.result.outcome.never_ran:
+            yield Reject(RejectReason.RETRY_LATER, COME_BACK)
             return
-        if not isinstance(ended, tuple):
+        if not isinstance(ended, AttemptFinished):
             yield Cancel(hop)
-        repeatable = op.category.repeat is Repeat.IDEMPOTENT
-        verdict = Verdict.TURN_BACK if repeatable else Verdict.GIVE_UP
-        if not op.over:
-            yield Answer(verdict, COME_BACK if verdict is Verdict.TURN_BACK else 0)
+        repeatable = op.category.repeat_safety is RepeatSafety.IDEMPOTENT
+        verdict = RejectReason.RETRY_LATER if repeatable else RejectReason.FAILED
+        if not op.is_abandoned:
+            yield Reject(verdict, COME_BACK if verdict is RejectReason.RETRY_LATER else 0)
--- a/lapisgrade/lab/baselines/local.py
+++ b/lapisgrade/lab/baselines/local.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Generator
 
-from lapisgrade.interface import Answer, Clock, Operation, Verdict
+from lapisgrade.interface import Clock, Operation, Reject, RejectReason
 from lapisgrade.lab.baselines.common import Plain
 
 SECOND = 1_000_000
@@ -16,14 +16,14 @@
         self.buckets: dict[str, tuple[float, int]] = {}
 
     def operation(self, op: Operation) -> Generator:
-        now, share = self.clock.now_us, max(1, op.gateways)
+        now, share = self.clock.now_us, max(1, op.gateway_count)
         rate, burst = op.plan.rate / share, op.plan.burst / share
         level, at = self.buckets.get(op.customer, (burst, now))
         level = min(burst, level + rate * (now - at) / SECOND)
         if level < op.units:
             self.buckets[op.customer] = (level, now)
             wait = round((op.units - level) / rate * SECOND) if rate > 0 else SECOND
-            yield Answer(Verdict.TURN_BACK, wait)
+            yield Reject(RejectReason.RETRY_LATER, wait)
             return
         self.buckets[op.customer] = (level - op.units, now)
         yield from self.send(op)
--- a/lapisgrade/lab/emulator/gate.py
+++ b/lapisgrade/lab/emulator/gate.py
@@ -9,8 +9,17 @@
 from typing import Any
 
 from lapisgrade.engine import Engine
-from lapisgrade.interface import Add, Answer, Clock, Listed, Operation, Report, Total, Verdict, Word
-
+from lapisgrade.interface import (
+    AddToCounter,
+    AttemptResult,
+    Clock,
+    CounterReply,
+    Operation,
+    Reject,
+    RejectReason,
+    ServerState,
+    WakeReason,
+)
 from lapisgrade.lab.emulator import rules
 
 
@@ -23,7 +32,7 @@
         self.engine = Engine(self, self.clock)
         self.module = make(self.clock, index)
         self.owed: dict[int, rules.Record] = {}  # by the operation's id
-        self.told: dict[str, tuple[Listed, int]] = {}  # what discovery told it of each server, and when
+        self.told: dict[str, tuple[ServerState, int]] = {}  # what discovery told it of each server, and when
         self.alive = True
         self.said = 0
 
@@ -38,18 +47,18 @@
     def listed(self, entries: list, whole: bool) -> None:
         now = self.world.sim.now
         for entry in entries:
-            old = self.told.get(entry.server)
+            old = self.told.get(entry.address)
             if old is None or old[0] is not entry.state:
-                self.told[entry.server] = (entry.state, now)
+                self.told[entry.address] = (entry.state, now)
         self.now()
         self.module.listed(entries, whole)
 
-    def landed(self, hop: Any, report: Report) -> None:
+    def landed(self, hop: Any, report: AttemptResult) -> None:
         self.now()
         self.module.landed(hop, report)
         record = self.owed.get(id(hop.operation))
         if record is not None:
-            if report.closed:
+            if report.is_final:
                 del self.owed[id(hop.operation)]
                 self.world.finished(self, record)
             self.engine.landed(hop, report)
@@ -57,17 +66,17 @@
     def leave(self, record: rules.Record) -> None:
         """The client goes early."""
         if self.owed.pop(id(record.op), None) is not None:
-            record.op.over = True
+            record.op.is_abandoned = True
             self.world.left(record)
             self.now()
-            self.engine.told(record.op, Word.GONE)
+            self.engine.told(record.op, WakeReason.CLIENT_GONE)
 
     def tick(self) -> None:
         if self.alive:
             self.now()
             self.engine.time(ticked=True)
 
-    def counted(self, task: Any, total: Total) -> None:
+    def counted(self, task: Any, total: CounterReply) -> None:
         if self.alive:
             self.now()
             self.engine.added(task, total)
@@ -84,15 +93,15 @@
     def cancel(self, hop: Any) -> None:
         self.world.cancel(self, hop)
 
-    def answer(self, operation: Operation, answer: Answer) -> None:
+    def answer(self, operation: Operation, answer: Reject) -> None:
         record = self.owed.pop(id(operation), None)
         if record is None:
             record = self.world.records.get(id(operation))
             if record is None:
                 return
-        self.world.answered(self, record, answer.verdict is Verdict.TURN_BACK, answer.come_back_us)
+        self.world.answered(self, record, answer.reason is RejectReason.RETRY_LATER, answer.retry_after_us)
 
-    def add(self, task: Any, add: Add) -> None:
+    def add(self, task: Any, add: AddToCounter) -> None:
         self.world.add(self, task, add)
 
     def say(self, text: str) -> None:
--- a/lapisgrade/lab/emulator/metrics.py
+++ b/lapisgrade/lab/emulator/metrics.py
@@ -76,7 +76,7 @@
         self.operations += 1
         self._this_second["arrived"] += 1
         op = record.op
-        self.possible += op.category.payoff * op.units
+        self.possible += op.category.value * op.units
         self.quota(op).asked(op.units, op.arrived_us)
 
     def quota(self, op) -> quota.Quota:
@@ -104,10 +104,10 @@
         took = now_us - op.arrived_us
         self.end("finished")
         self.latency.record_value(max(1, min(took, 600 * SECOND)))
-        if took <= op.category.quoted_us:
-            self.earned += op.category.payoff * op.units
-        elif took <= op.category.hard_stop_us:
-            self.earned += op.category.late_payoff * op.units
+        if took <= op.category.latency_target_us:
+            self.earned += op.category.value * op.units
+        elif took <= op.category.timeout_us:
+            self.earned += op.category.late_value * op.units
         self.admitted[op.customer] = self.admitted.get(op.customer, 0.0) + op.units
 
     def answered(self, record, turned_back: bool, advised: bool) -> None:
--- a/lapisgrade/lab/emulator/model.py
+++ b/lapisgrade/lab/emulator/model.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from random import Random
 
-from lapisgrade.interface import Listed, Outcome, Tally
+from lapisgrade.interface import AttemptOutcome, CounterOutcome, ServerState
 
 SECOND = 1_000_000
 WIRE_US = 150  # one way across the network between any two parts: a loopback or a rack
@@ -75,7 +75,7 @@
         self.name, self.zone, self.cell, self.knobs = name, zone, cell, knobs
         self.random = Random(seed)
         self.started_us = started_us
-        self.state = Listed.READY
+        self.state = ServerState.READY
         self.mode, self.factor = Mode.WELL, 1.0
         self.at_work = 0
         self.waiting: deque[Job] = deque()
@@ -96,7 +96,7 @@
 
     def restart(self, now_us: int) -> None:
         """Come back cold and empty (what was at work is lost with the old process)."""
-        self.started_us, self.state, self.mode, self.factor = now_us, Listed.READY, Mode.WELL, 1.0
+        self.started_us, self.state, self.mode, self.factor = now_us, ServerState.READY, Mode.WELL, 1.0
         self.at_work = 0
         self.waiting.clear()
 
@@ -136,12 +136,12 @@
 
     def call(
         self, limiter: int, name: int, amount: float, life_us: int, now_us: int
-    ) -> tuple[int, Tally, float]:
+    ) -> tuple[int, CounterOutcome, float]:
         """When the answer comes back to the limiter, what it says, and the total."""
         self.counts["calls"] += 1
         if self.down or limiter in self.cut or self.mode is Mode.SILENT:
             self.counts["unanswered"] += 1
-            return -1, Tally.SILENT, 0.0
+            return -1, CounterOutcome.TIMED_OUT, 0.0
         knobs = self.knobs
         took = knobs.median_us * math.exp(knobs.sigma * self.random.gauss(0.0, 1.0))
         if self.mode is Mode.SLOW:
@@ -155,7 +155,7 @@
         total += amount
         store[name] = (total, until)
         self.counts["added"] += 1
-        return round(start + took + WIRE_US), Tally.ADDED, total
+        return round(start + took + WIRE_US), CounterOutcome.ADDED, total
 
     def restart(self) -> None:
         """Come back empty."""
@@ -167,14 +167,14 @@
                 del store[name]
 
 
-def outcome_at_server(server: Server, now_us: int) -> Outcome | None:
+def outcome_at_server(server: Server, now_us: int) -> AttemptOutcome | None:
     """How a hop ends at once where it can't be taken, or None where it is taken."""
-    if server.state is Listed.GONE:
-        return Outcome.NO_CONNECTION
+    if server.state is ServerState.REMOVED:
+        return AttemptOutcome.CONNECT_FAILED
     if server.mode is Mode.FAST_ERRORS:
-        return Outcome.ERROR
-    if server.state is Listed.DRAINING:
-        return Outcome.FULL
+        return AttemptOutcome.ERROR
+    if server.state is ServerState.DRAINING:
+        return AttemptOutcome.OVERLOADED
     if server.at_work >= server.room(now_us) and len(server.waiting) >= server.knobs.queue:
-        return Outcome.FULL
+        return AttemptOutcome.OVERLOADED
     return None
--- a/lapisgrade/lab/emulator/rules.py
+++ b/lapisgrade/lab/emulator/rules.py
@@ -16,7 +16,14 @@
 
 from dataclasses import dataclass, field
 
-from lapisgrade.interface import Duties, Group, Listed, Operation, Outcome, Repeat
+from lapisgrade.interface import (
+    AttemptOutcome,
+    DeduplicationScope,
+    Operation,
+    RepeatSafety,
+    ServerRules,
+    ServerState,
+)
 
 SECOND = 1_000_000
 GRACE_US = 500_000  # past its hard stop an answer is late for this long; later it is lost
@@ -40,7 +47,7 @@
     zone: str
     cell: int
     sent_us: int
-    ended: Outcome | None = None
+    ended: AttemptOutcome | None = None
 
     def may_have_run(self) -> bool:
         return not (self.ended is not None and self.ended.never_ran)
@@ -58,7 +65,7 @@
 class Rules:
     """Told of every send, answer and arrival; keeps what was broken."""
 
-    def __init__(self, duties: Duties) -> None:
+    def __init__(self, duties: ServerRules) -> None:
         self.duties = duties
         self.breaches: list[Breach] = []
         self.broken = 0
@@ -81,40 +88,42 @@
             )
             self.breaches.append(Breach(rule, what, name, self.step, self.now))
 
-    def sent(self, record: Record, hop: Hop, told: tuple[Listed, int]) -> None:
+    def sent(self, record: Record, hop: Hop, told: tuple[ServerState, int]) -> None:
         op, now = record.op, self.now
-        if record.answers or now >= op.ends_us:
+        if record.answers or now >= op.deadline_us:
             self.breach(1, "a hop sent for an operation that has its answer or is over", record)
         live = [each for each in record.hops if each.may_have_run()]
-        repeat = op.category.repeat
-        if repeat is Repeat.UNREPEATABLE and live:
+        repeat = op.category.repeat_safety
+        if repeat is RepeatSafety.NON_IDEMPOTENT and live:
             self.breach(2, "an unrepeatable operation sent again after a hop that may have run", record)
-        if repeat is Repeat.DEDUPLICATED and live:
-            first, group = live[0], op.category.group
-            if (group is Group.ZONE and hop.zone != first.zone) or (
-                group is Group.CELL and hop.cell != first.cell
+        if repeat is RepeatSafety.DEDUPLICATED and live:
+            first, group = live[0], op.category.deduplication_scope
+            if (group is DeduplicationScope.ZONE and hop.zone != first.zone) or (
+                group is DeduplicationScope.CELL and hop.cell != first.cell
             ):
                 self.breach(2, "a deduplicated operation sent outside its group", record)
-            if now > first.sent_us + op.category.remembered_us:
+            if now > first.sent_us + op.category.deduplication_window_us:
                 self.breach(2, "a deduplicated operation sent after its key is forgotten", record)
         state, since = told
-        if state is not Listed.READY and now > since + self.duties.drain_grace_us:
+        if state is not ServerState.READY and now > since + self.duties.drain_grace_us:
             self.breach(3, f"sent to {hop.server}, told {state.name.lower()} {now - since} us before", record)
-        if not record.hops and op.plan.ceiling_rate:
+        if not record.hops and op.plan.rate_limit_per_s:
             self.ceiling(record)
         record.hops.append(hop)
 
     def ceiling(self, record: Record) -> None:
         op, now = record.op, self.now
         plan = op.plan
-        level, at = self.buckets.get(op.customer, (plan.ceiling_burst, now))
-        level = min(plan.ceiling_burst, level + plan.ceiling_rate * (now - at) / SECOND) - op.units
+        level, at = self.buckets.get(op.customer, (plan.rate_limit_burst, now))
+        level = min(plan.rate_limit_burst, level + plan.rate_limit_per_s * (now - at) / SECOND) - op.units
         self.buckets[op.customer] = (level, now)
-        if level < 0 and plan.ceiling_slack > 0:
-            self.nearest_ceiling = max(self.nearest_ceiling, -level / plan.ceiling_slack)
-        if level < -plan.ceiling_slack:
+        if level < 0 and plan.rate_limit_slack > 0:
+            self.nearest_ceiling = max(self.nearest_ceiling, -level / plan.rate_limit_slack)
+        if level < -plan.rate_limit_slack:
             self.breach(
-                5, f"{op.customer}'s ceiling passed by {-level:.1f} units, slack {plan.ceiling_slack}", record
+                5,
+                f"{op.customer}'s ceiling passed by {-level:.1f} units, slack {plan.rate_limit_slack}",
+                record,
             )
 
     def answered(self, record: Record, turned_back: bool) -> None:
@@ -123,12 +132,15 @@
             return
         if record.answers > 1:
             self.breach(1, "a second final answer", record)
-        if self.now > record.op.ends_us + GRACE_US:
-            self.breach(1, f"answered {self.now - record.op.ends_us} us after its hard stop", record)
+        if self.now > record.op.deadline_us + GRACE_US:
+            self.breach(1, f"answered {self.now - record.op.deadline_us} us after its hard stop", record)
         kind = record.op.category
         # A retry is harmless where the operation is idempotent, or deduplicated by every server (group all).
-        keyed = kind.repeat is Repeat.DEDUPLICATED and kind.group is Group.ALL
-        repeatable = kind.repeat is Repeat.IDEMPOTENT or keyed
+        keyed = (
+            kind.repeat_safety is RepeatSafety.DEDUPLICATED
+            and kind.deduplication_scope is DeduplicationScope.ALL
+        )
+        repeatable = kind.repeat_safety is RepeatSafety.IDEMPOTENT or keyed
         if turned_back and not repeatable and any(each.may_have_run() for each in record.hops):
             self.breach(2, "turned back after a hop that may have run", record)
 
@@ -140,7 +152,7 @@
     def held(self, server: str, held: int, room: int, cold: bool) -> None:
         if not cold:
             return
-        over = self.duties.fall_multiple * room
+        over = self.duties.max_overload_factor * room
         self.most_cold_share = max(self.most_cold_share, held / over)
         if held > over:
             self.breach(4, f"cold {server} holds {held}, pushed over at {over:g}", None)
--- a/lapisgrade/lab/emulator/scenario.py
+++ b/lapisgrade/lab/emulator/scenario.py
@@ -10,17 +10,17 @@
 from random import Random
 from typing import Any
 
-from lapisgrade.interface import Category, Duties, Group, Leave, Plan, Repeat
+from lapisgrade.interface import Category, DeduplicationScope, Permissions, Plan, RepeatSafety, ServerRules
 from lapisgrade.lab.emulator.model import CounterKnobs, ServerKnobs
 
 SECOND = 1_000_000
 MS = 1_000
 REPEATS = {
-    "idempotent": Repeat.IDEMPOTENT,
-    "deduplicated": Repeat.DEDUPLICATED,
-    "unrepeatable": Repeat.UNREPEATABLE,
+    "idempotent": RepeatSafety.IDEMPOTENT,
+    "deduplicated": RepeatSafety.DEDUPLICATED,
+    "unrepeatable": RepeatSafety.NON_IDEMPOTENT,
 }
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 POLICIES = ("module", "local", "central")
 FAULT_KINDS = (
     "server_kill",
@@ -140,8 +140,8 @@
     category_shares: list[float] = field(default_factory=list)
     plans: list[Plan] = field(default_factory=list)
     plan_shares: list[float] = field(default_factory=list)
-    duties: Duties = field(default_factory=lambda: Duties(250 * MS, 5 * SECOND, 0.3, SECOND, 3.0))
-    leave: Leave = field(default_factory=lambda: Leave(3, True, True, False, 2 * SECOND))
+    duties: ServerRules = field(default_factory=lambda: ServerRules(250 * MS, 5 * SECOND, 0.3, SECOND, 3.0))
+    leave: Permissions = field(default_factory=lambda: Permissions(3, True, True, False, 2 * SECOND))
     faults: list[Fault] = field(default_factory=list)
     parties: dict[str, Party] = field(default_factory=dict)
     peers: bool = False  # the limiters know of one another (processes only)
@@ -359,14 +359,14 @@
     sc.discovery_lag_us = round(discovery.number("lag_ms", 200, 0, 600_000) * MS)
     discovery.done()
     rules = Reader(path, text, top.table.pop("rules", {}), "rules.")
-    sc.duties = Duties(
+    sc.duties = ServerRules(
         round(rules.number("drain_grace_ms", 250, 0, 600_000) * MS),
         sc.server.warm_us,
         sc.server.cold_from,
         round(rules.number("fall_ms", 1000, 0, 600_000) * MS),
         rules.number("fall_multiple", 3.0, 1, 100),
     )
-    sc.leave = Leave(
+    sc.leave = Permissions(
         rules.whole("hops", 3, 1, 10),
         rules.flag("cancel", True),
         rules.flag("second_copies", True),
@@ -400,11 +400,11 @@
                 plan.text_of("name", f"p{i}"),
                 plan.number("rate", 1.0, 0, 1e9),
                 plan.number("burst", 1.0, 0, 1e9),
-                beyond_earns=plan.number("beyond_earns", 0, 0, 1e6),
-                beyond_costs=plan.number("beyond_costs", 0, 0, 1e6),
-                ceiling_rate=plan.number("ceiling_rate", 0, 0, 1e9),
-                ceiling_burst=plan.number("ceiling_burst", 0, 0, 1e9),
-                ceiling_slack=plan.number("ceiling_slack", 0, 0, 1e9),
+                overage_value=plan.number("beyond_earns", 0, 0, 1e6),
+                overage_cost=plan.number("beyond_costs", 0, 0, 1e6),
+                rate_limit_per_s=plan.number("ceiling_rate", 0, 0, 1e9),
+                rate_limit_burst=plan.number("ceiling_burst", 0, 0, 1e9),
+                rate_limit_slack=plan.number("ceiling_slack", 0, 0, 1e9),
             )
         )
         sc.plan_shares.append(plan.number("share", 1.0, 0, 1e6))
--- a/lapisgrade/lab/emulator/world.py
+++ b/lapisgrade/lab/emulator/world.py
@@ -9,7 +9,17 @@
 from random import Random
 
 from lapisgrade.decide import Limiter
-from lapisgrade.interface import Desk, Entry, Listed, Operation, Outcome, Post, Report, Tally, Total
+from lapisgrade.interface import (
+    AttemptOutcome,
+    AttemptResult,
+    CounterOutcome,
+    CounterReply,
+    CounterSettings,
+    Operation,
+    Placement,
+    ServerEndpoint,
+    ServerState,
+)
 from lapisgrade.lab.emulator import model, rules
 from lapisgrade.lab.emulator.gate import Gate
 from lapisgrade.lab.emulator.metrics import Metrics, Result
@@ -52,7 +62,7 @@
         self.surge = 1.0
         self.arriving = True  # clients send until the scenario's time is up
         self.held_news = False  # discovery holds what changes, while it lags wrongly
-        self.news: list[Entry] = []
+        self.news: list[ServerEndpoint] = []
         self.picked: dict[int, list] = {}  # what each fault hit, by the fault's id
         self._batches: dict[int, list[model.Server]] = {}  # news of servers, by the instant they changed
         self.customers = sc.customer_table(chance.getrandbits(64))
@@ -61,10 +71,16 @@
 
     def module(self, clock, index: int):
         sc = self.scenario
-        post = Post(index, sc.limiters, sc.zone_of(index))
+        post = Placement(index, sc.limiters, sc.zone_of(index))
         seed = (sc.seed * 1_000_003 + index * 7_919 + clock.now_us) % (1 << 48)
         return Limiter(
-            clock, seed, post, Desk(sc.calls, sc.count_limit_us), sc.categories, sc.duties, sc.leave
+            clock,
+            seed,
+            post,
+            CounterSettings(sc.calls, sc.count_limit_us),
+            sc.categories,
+            sc.duties,
+            sc.leave,
         )
 
     def local(self, clock, index: int):
@@ -87,7 +103,7 @@
         sim.at(SECOND + SECOND, self.second)
         sim.run(end)
         self.arriving = False
-        longest = max(each.hard_stop_us for each in sc.categories)
+        longest = max(each.timeout_us for each in sc.categories)
         sim.run(end + longest + rules.GRACE_US + SECOND)
         wall = time.perf_counter() - began
         peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024  # the process's, in bytes on Linux
@@ -117,7 +133,7 @@
             category,
             units,
             now,
-            now + category.hard_stop_us,
+            now + category.timeout_us,
             spread,
             first,
             retried,
@@ -130,9 +146,9 @@
             return
         gate = live[self.random.randrange(len(live))]
         self.records[id(op)] = record
-        self.sim.at(op.ends_us + rules.GRACE_US, self.due, record)
+        self.sim.at(op.deadline_us + rules.GRACE_US, self.due, record)
         if sc.leave_share and self.random.random() < sc.leave_share:
-            self.sim.after(self.random.random() * category.hard_stop_us, gate.leave, record)
+            self.sim.after(self.random.random() * category.timeout_us, gate.leave, record)
         self.metrics.taken(gate.index)
         gate.take(record)
 
@@ -160,11 +176,11 @@
         if record is not None:
             if not record.hops:
                 self.metrics.let_in(record, sim.now)
-            self.rules.sent(record, seen, gate.told.get(name, (Listed.READY, 0)))
+            self.rules.sent(record, seen, gate.told.get(name, (ServerState.READY, 0)))
         self.metrics.hop()
         self.hops[id(hop)] = (gate, seen, None)
         sim.after(model.WIRE_US, self.reach, gate, hop)
-        sim.at(hop.operation.ends_us, self.time_out, gate, hop)
+        sim.at(hop.operation.deadline_us, self.time_out, gate, hop)
 
     def reach(self, gate: Gate, hop) -> None:
         kept = self.hops.get(id(hop))
@@ -173,9 +189,12 @@
         server, now = self.servers[hop.server.address], self.sim.now
         refused = model.outcome_at_server(server, now)
         if refused is not None:
-            counted = "no connection" if refused is Outcome.NO_CONNECTION else "turned away"
-            server.counts[counted if refused is not Outcome.ERROR else "errors"] += 1
-            delay = {Outcome.NO_CONNECTION: model.NO_CONNECTION_US, Outcome.ERROR: model.FAST_ERROR_US}
+            counted = "no connection" if refused is AttemptOutcome.CONNECT_FAILED else "turned away"
+            server.counts[counted if refused is not AttemptOutcome.ERROR else "errors"] += 1
+            delay = {
+                AttemptOutcome.CONNECT_FAILED: model.NO_CONNECTION_US,
+                AttemptOutcome.ERROR: model.FAST_ERROR_US,
+            }
             self.sim.after(delay.get(refused, model.REFUSE_US), self.land, gate, hop, refused)
             return
         job = model.Job(hop, gate, now)
@@ -197,7 +216,7 @@
         self.sim.after(server.service_us(), self.done, server, job, server.started_us)
 
     def done(self, server: model.Server, job: model.Job, life: int) -> None:
-        if server.started_us != life or server.state is Listed.GONE:
+        if server.started_us != life or server.state is ServerState.REMOVED:
             return  # of an earlier life of the server
         server.at_work -= 1
         now = self.sim.now
@@ -205,30 +224,30 @@
             waiting = server.waiting.popleft()
             if not waiting.cancelled:
                 self.start(server, waiting)
-        outcome = Outcome.ERROR if server.ends_in_error() else Outcome.OK
-        server.counts["finished" if outcome is Outcome.OK else "errors"] += 1
+        outcome = AttemptOutcome.ERROR if server.ends_in_error() else AttemptOutcome.OK
+        server.counts["finished" if outcome is AttemptOutcome.OK else "errors"] += 1
         if not job.cancelled:
             self.sim.after(model.WIRE_US, self.land, job.done, job.hop, outcome)
 
     def time_out(self, gate: Gate, hop) -> None:
         if id(hop) in self.hops:
-            self.land(gate, hop, Outcome.TIMED_OUT)
+            self.land(gate, hop, AttemptOutcome.TIMED_OUT)
 
     def cancel(self, gate: Gate, hop) -> None:
         kept = self.hops.get(id(hop))
         if kept is not None and kept[2] is not None:
             kept[2].cancelled = True
-        self.sim.after(CANCEL_US, self.land, gate, hop, Outcome.CANCELLED)
+        self.sim.after(CANCEL_US, self.land, gate, hop, AttemptOutcome.CANCELLED)
 
-    def land(self, gate: Gate, hop, outcome: Outcome) -> None:
+    def land(self, gate: Gate, hop, outcome: AttemptOutcome) -> None:
         kept = self.hops.pop(id(hop), None)
         if kept is None or not gate.alive:
             return
         seen = kept[1]
         seen.ended = outcome
         record = self.records.get(id(hop.operation))
-        closed = outcome is Outcome.OK or record is None or id(hop.operation) not in gate.owed
-        gate.landed(hop, Report(outcome, self.sim.now - seen.sent_us, closed))
+        closed = outcome is AttemptOutcome.OK or record is None or id(hop.operation) not in gate.owed
+        gate.landed(hop, AttemptResult(outcome, self.sim.now - seen.sent_us, closed))
 
     def finished(self, gate: Gate, record: rules.Record) -> None:
         """A server's answer went through to the client: the operation is finished."""
@@ -241,7 +260,12 @@
         self.rules.answered(record, turned_back)
         self.metrics.answered(record, turned_back, come_back_us > 0)
         sc = self.scenario
-        if turned_back and self.arriving and self.random.random() < sc.retry_share and not record.op.retried:
+        if (
+            turned_back
+            and self.arriving
+            and self.random.random() < sc.retry_share
+            and not record.op.is_client_retry
+        ):
             wait = max(come_back_us, COME_BACK_LEAST_US)
             customer = self.customers.by_name[record.op.customer]
             self.sim.after(wait, self.take, customer, record.op.category, True)
@@ -254,16 +278,16 @@
         if abs(add.amount) > 1e9:
             self.metrics.counter_refused += 1
         now, waits = self.sim.now, self.scenario.count_limit_us
-        came, tally, total = self.counter.call(gate.index, add.name, add.amount, add.life_us, now)
+        came, tally, total = self.counter.call(gate.index, add.counter_id, add.amount, add.ttl_us, now)
         if came < 0 or came - now > waits:
             # As the host on sockets does: past its time-out a call is told silent; a late total is dropped.
-            self.sim.after(waits, gate.counted, task, Total(Tally.SILENT, 0.0))
+            self.sim.after(waits, gate.counted, task, CounterReply(CounterOutcome.TIMED_OUT, 0.0))
         else:
-            self.sim.at(came, gate.counted, task, Total(tally, total))
+            self.sim.at(came, gate.counted, task, CounterReply(tally, total))
 
     # ---- discovery
 
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[ServerEndpoint]:
         return [entry(server) for server in self.servers.values()]
 
     def tell(self, servers: list[model.Server]) -> None:
@@ -288,7 +312,7 @@
         for gate in self.gates:
             self.sim.after(lag * (1 + LAG_SPREAD * self.random.random()), self._told, gate, entries)
 
-    def _told(self, gate: Gate, entries: list[Entry]) -> None:
+    def _told(self, gate: Gate, entries: list[ServerEndpoint]) -> None:
         if gate.alive:
             gate.listed(entries, False)
 
@@ -336,9 +360,9 @@
         gate.listed(self.entries(), True)
 
 
-def entry(server: model.Server) -> Entry:
+def entry(server: model.Server) -> ServerEndpoint:
     """A server as discovery lists it."""
-    return Entry(server.name, server.state, server.zone, server.cell, 1.0, "", server.started_us)
+    return ServerEndpoint(server.name, server.state, server.zone, server.cell, 1.0, "", server.started_us)
 
 
 def pick(items: list, target: str, random: Random) -> list:
@@ -362,21 +386,21 @@
 
 def _vanish(world: World, server: model.Server, fault: Fault) -> None:
     """Gone without a word; discovery tells after a while."""
-    server.state = Listed.GONE
+    server.state = ServerState.REMOVED
     server.at_work = 0
     server.waiting.clear()
     world.sim.after(NOTICE_US, world.tell, [server])
 
 
 def _drain(world: World, server: model.Server, fault: Fault) -> None:
-    server.state = Listed.DRAINING
+    server.state = ServerState.DRAINING
     world.tell([server])
     world.sim.after(world.scenario.duties.drain_grace_us * 4, _gone, world, server)
 
 
 def _gone(world: World, server: model.Server) -> None:
-    if server.state is Listed.DRAINING:
-        server.state = Listed.GONE
+    if server.state is ServerState.DRAINING:
+        server.state = ServerState.REMOVED
         world.tell([server])
 
 
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -11,20 +11,19 @@
 from collections.abc import Callable
 from random import Random
 
-
 from lapisgrade.engine import Engine
-from lapisgrade.interface import Clock, Operation, Tally, Total
-from lapisgrade.lab.partitions.quota import allowed, most
-from lapisgrade.lab.explore import activation
-from lapisgrade.lab.explore.defects import switched
-from lapisgrade.lab.explore.quota_defects import DEFECTS
-from lapisgrade.lab.explore.activation import MS
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.configuration import Tenant
+from lapisgrade.gateway.quota.client import QuotaClient
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import HOLDS, owner_of
-from lapisgrade.gateway.quota.client import QuotaClient
+from lapisgrade.gateway.settings import Slo
+from lapisgrade.interface import Clock, CounterOutcome, CounterReply, Operation
+from lapisgrade.lab.explore import activation
+from lapisgrade.lab.explore.activation import MS
+from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.quota_defects import DEFECTS
+from lapisgrade.lab.partitions.quota import allowed, most
 
 UNIT = "requests"
 SLO = Slo()
@@ -86,9 +85,9 @@
         world, life = self.world, self.life
         name = owner_of("t", self.quota_owner.eligible_owners)
         ask = self.quota_client.ask(self.name, self.quota_owner.fence)
-        over: list[Total] = []  # the first answer counts
+        over: list[CounterReply] = []  # the first answer counts
 
-        def answered(total: Total) -> None:
+        def answered(total: CounterReply) -> None:
             if not over:
                 over.append(total)
                 self.settled(task, total)
@@ -96,19 +95,23 @@
         def back(taken: rpc_messages.QuotaReply) -> None:
             if taken.held:
                 self.quota_client.gateways = max(1, taken.limiters)
-            answered(Total(Tally.ADDED, taken.total) if taken.held else Total(Tally.TURNED_AWAY))
+            answered(
+                CounterReply(CounterOutcome.ADDED, taken.total)
+                if taken.held
+                else CounterReply(CounterOutcome.REJECTED)
+            )
 
         other = next((each for each in world.proxies if each.name == name), None)
         if other is None:
-            return world.sim.after(0, self.when_awake, life, answered, Total(Tally.TURNED_AWAY))
+            return world.sim.after(0, self.when_awake, life, answered, CounterReply(CounterOutcome.REJECTED))
         if other is self:
             return other.prepared(
                 ask, lambda: world.sim.after(0, self.when_awake, life, back, self.take(ask))
             )
-        world.sim.after(COUNT, self.when_awake, life, answered, Total(Tally.SILENT))
+        world.sim.after(COUNT, self.when_awake, life, answered, CounterReply(CounterOutcome.TIMED_OUT))
         world.between(self, other, self.asked_there, other, ask, life, back)
 
-    def settled(self, task, total: Total) -> None:
+    def settled(self, task, total: CounterReply) -> None:
         self.engine.added(task, total)
 
     def asked_there(
--- a/lapisgrade/lab/fleet/checker.py
+++ b/lapisgrade/lab/fleet/checker.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from lapisgrade import start
-from lapisgrade.interface import Category, Group, Plan, Repeat
+from lapisgrade.interface import Category, DeduplicationScope, Plan, RepeatSafety
 from lapisgrade.lab import quota
 from lapisgrade.lab.fleet import history as h
 
@@ -261,20 +261,23 @@
     def _ran(self, each: Try, event: h.Came) -> None:
         """Rule 2, over all tries of one operation of a client."""
         sent, category = each.sent, self._categories[each.sent.category]
-        if category.repeat is Repeat.IDEMPOTENT:
+        if category.repeat_safety is RepeatSafety.IDEMPOTENT:
             return
         effects = self._effects.get(sent.origin)
         if effects is None:
             effects = self._effects[sent.origin] = []
-            keep = category.hard_stop_us * 4 + category.remembered_us + self._leeway_us
+            keep = category.timeout_us * 4 + category.deduplication_window_us + self._leeway_us
             self._forget.append((event.at + keep, sent.origin))
         effects.append(event)
         if len(effects) < 2:
             return
         first = effects[0]
-        if category.repeat is Repeat.UNREPEATABLE:
+        if category.repeat_safety is RepeatSafety.NON_IDEMPOTENT:
             self._breach(2, f"ran at {first.server} and again at {event.server}", event.op, event.at)
-        elif category.group is Group.ALL and event.at > first.at + category.remembered_us + self._leeway_us:
+        elif (
+            category.deduplication_scope is DeduplicationScope.ALL
+            and event.at > first.at + category.deduplication_window_us + self._leeway_us
+        ):
             self._breach(
                 2,
                 f"ran at {first.server}, and again at {event.server} when its key was forgotten",
@@ -302,14 +305,16 @@
     def _ceiling(self, sent: h.Sent, at: int) -> None:
         """Rule 5: the first hop of each try takes its units."""
         plan = self._plans[sent.plan]
-        if plan.ceiling_rate <= 0:
+        if plan.rate_limit_per_s <= 0:
             return
         store = self._ceilings.get(sent.customer)
         if store is None:
             # The slack, and what came late by the leeway, is room below nothing.
-            room = plan.ceiling_slack + plan.ceiling_rate * (self._leeway_us - AFTER_US) / SECOND
-            full = plan.ceiling_burst + room
-            store = self._ceilings[sent.customer] = quota.Store(plan.ceiling_rate, full, full, self._begun)
+            room = plan.rate_limit_slack + plan.rate_limit_per_s * (self._leeway_us - AFTER_US) / SECOND
+            full = plan.rate_limit_burst + room
+            store = self._ceilings[sent.customer] = quota.Store(
+                plan.rate_limit_per_s, full, full, self._begun
+            )
         if not store.take(sent.units, at):
             self._breach(
                 5, f"the ceiling of customer {sent.customer} was passed by more than its slack", sent.op, at
@@ -373,7 +378,11 @@
             else:
                 what = "no answer in time" if how == "none" else "its connection ended without an answer"
                 self._breach(1, f"{what} (limiter {sent.limiter})", op, sent.ends)
-        if how == "turned back" and category.repeat is Repeat.UNREPEATABLE and any(c.ran for c in each.came):
+        if (
+            how == "turned back"
+            and category.repeat_safety is RepeatSafety.NON_IDEMPOTENT
+            and any(c.ran for c in each.came)
+        ):
             self._breach(2, f"turned back after it ran at {each.came[0].server}", op, each.answered.at)
 
 
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -9,7 +9,7 @@
 
 from lapisgrade import decide, start
 from lapisgrade.decide import limiter
-from lapisgrade.interface import Listed, Operation, Repeat
+from lapisgrade.interface import Operation, RepeatSafety, ServerState
 from lapisgrade.net import discovery
 
 
@@ -30,7 +30,7 @@
     honest = decide.Limiter.operation
 
     def operation(self: decide.Limiter, op: Operation):
-        op.category = replace(op.category, repeat=Repeat.IDEMPOTENT)
+        op.category = replace(op.category, repeat_safety=RepeatSafety.IDEMPOTENT)
         yield from honest(self, op)
 
     decide.Limiter.operation, limiter.PATIENCE = operation, -1000.0
@@ -38,7 +38,7 @@
 
 def deaf() -> None:
     """News of servers that drain is not heard (rule 3)."""
-    discovery.STATES["terminating"] = Listed.READY
+    discovery.STATES["terminating"] = ServerState.READY
 
 
 def unmetered() -> None:
@@ -48,7 +48,7 @@
     def plans(info: start.Fields) -> list:
         made = honest(info)
         for plan in made:
-            plan.rate = plan.ceiling_rate = 0.0
+            plan.rate = plan.rate_limit_per_s = 0.0
         return made
 
     start.plans = plans
--- a/lapisgrade/lab/fleet/faults.py
+++ b/lapisgrade/lab/fleet/faults.py
@@ -3,17 +3,17 @@
 import asyncio
 import time
 from random import Random
+
+from lapisgrade.fakes.counter import Manner
+from lapisgrade.fakes.discovery import Row
 from lapisgrade.lab.emulator import scenario as scenarios
 from lapisgrade.lab.emulator.scenario import Fault, Scenario
 from lapisgrade.lab.fleet import history as h
 from lapisgrade.lab.fleet import process
-from lapisgrade.lab.fleet.process import Helper
-from lapisgrade.lab.fleet.relay import BACK, THERE, Link, TcpRelay, UdpRelay
-from lapisgrade.fakes.counter import Manner
-from lapisgrade.fakes.discovery import Row
-
 from lapisgrade.lab.fleet.limiter import Limiter
 from lapisgrade.lab.fleet.observed import SeenCounter
+from lapisgrade.lab.fleet.process import Helper
+from lapisgrade.lab.fleet.relay import BACK, THERE, Link, TcpRelay, UdpRelay
 
 NOTICE_S = 2.0  # discovery tells of a server that vanished so long after, as in the emulator
 COUNTER_CONNECTIONS = 8  # the stand-in counter takes so many for each limiter, old ones and new ones
@@ -117,7 +117,7 @@
                 proc.refuse_writes(False)
         elif kind == "limiter_term":
             limiter.life("ended")
-            await proc.end(max(each.hard_stop_us for each in self.sc.categories) / h.SECOND + ENDS_S)
+            await proc.end(max(each.timeout_us for each in self.sc.categories) / h.SECOND + ENDS_S)
             if await self._for(fault):
                 await limiter.start()
         else:
--- a/lapisgrade/lab/fleet/ground.py
+++ b/lapisgrade/lab/fleet/ground.py
@@ -14,18 +14,18 @@
 from random import Random
 from typing import Any
 
+from lapisgrade.fakes.discovery import Row
+from lapisgrade.fakes.site import free_port
 from lapisgrade.lab.emulator import scenario as scenarios
 from lapisgrade.lab.emulator.scenario import Scenario
 from lapisgrade.lab.fleet import history as h
+from lapisgrade.lab.fleet import process
 from lapisgrade.lab.fleet.faults import COUNTER_CONNECTIONS, ENDS_S, FaultInjector, held_us
 from lapisgrade.lab.fleet.limiter import Limiter
 from lapisgrade.lab.fleet.limiter_settings import settings
 from lapisgrade.lab.fleet.observed import SeenCounter
-from lapisgrade.lab.fleet import process
 from lapisgrade.lab.fleet.process import Helper, Supervisor
 from lapisgrade.lab.fleet.relay import TcpRelay, UdpRelay
-from lapisgrade.fakes.discovery import Row
-from lapisgrade.fakes.site import free_port
 
 LIMITER = (sys.executable, "-m", "lapisgrade")
 SETTLE_S = 0.7  # after the last limiter is up, before the play begins
@@ -90,7 +90,7 @@
                     )
                 )
                 self._playing = asyncio.create_task(self._faults())
-                longest_us = max(each.hard_stop_us for each in sc.categories)
+                longest_us = max(each.timeout_us for each in sc.categories)
                 within_s = (sc.seconds_us + 6 * longest_us) / h.SECOND + 30.0
                 await self.clients.ask(within_s, do="play", start_us=start_us)
                 self.writer.put(h.End(at=start_us + sc.seconds_us))
--- a/lapisgrade/lab/fleet/limiter_settings.py
+++ b/lapisgrade/lab/fleet/limiter_settings.py
@@ -1,11 +1,16 @@
 """A limiter's settings as the operators name them, made from a scenario."""
 
 from typing import Any
-from lapisgrade.interface import Group, Repeat
+
+from lapisgrade.interface import DeduplicationScope, RepeatSafety
 from lapisgrade.lab.emulator.scenario import Scenario
 
-REPEATS = {Repeat.IDEMPOTENT: "repeatable", Repeat.DEDUPLICATED: "by_key", Repeat.UNREPEATABLE: "once"}
-GROUPS = {Group.ALL: "all", Group.ZONE: "zone", Group.CELL: "cell"}
+REPEATS = {
+    RepeatSafety.IDEMPOTENT: "repeatable",
+    RepeatSafety.DEDUPLICATED: "by_key",
+    RepeatSafety.NON_IDEMPOTENT: "once",
+}
+GROUPS = {DeduplicationScope.ALL: "all", DeduplicationScope.ZONE: "zone", DeduplicationScope.CELL: "cell"}
 
 
 def settings(sc: Scenario, index: int) -> dict[str, Any]:
@@ -18,13 +23,13 @@
         "RequestClasses": [
             {
                 "Name": each.name,
-                "Idempotency": REPEATS[each.repeat],
-                "Aim": each.quoted_us / 1000,
-                "Deadline": each.hard_stop_us / 1000,
-                "Worth": each.payoff,
-                "LateWorth": each.late_payoff,
-                "Group": GROUPS[each.group],
-                "KeyTtl": each.remembered_us / 1000,
+                "Idempotency": REPEATS[each.repeat_safety],
+                "Aim": each.latency_target_us / 1000,
+                "Deadline": each.timeout_us / 1000,
+                "Worth": each.value,
+                "LateWorth": each.late_value,
+                "Group": GROUPS[each.deduplication_scope],
+                "KeyTtl": each.deduplication_window_us / 1000,
             }
             for each in sc.categories
         ],
@@ -33,29 +38,29 @@
                 "Name": each.name,
                 "UnitsPerS": each.rate,
                 "Burst": each.burst,
-                "BeyondEarns": each.beyond_earns,
-                "ExcessCost": each.beyond_costs,
-                "NeverOverRate": each.ceiling_rate,
-                "CeilingBurst": each.ceiling_burst,
-                "CapSlack": each.ceiling_slack,
+                "BeyondEarns": each.overage_value,
+                "ExcessCost": each.overage_cost,
+                "NeverOverRate": each.rate_limit_per_s,
+                "CeilingBurst": each.rate_limit_burst,
+                "CapSlack": each.rate_limit_slack,
             }
             for each in sc.plans
         ],
         "Ceilings": {
-            "AttemptsCap": sc.leave.hops,
-            "Cancel": sc.leave.cancel,
-            "ParallelTries": sc.leave.second_copies,
-            "RetryAfter": sc.leave.longest_advice_us > 0,
-            "MaxRetryAfter": sc.leave.longest_advice_us / 1000,
+            "AttemptsCap": sc.leave.max_attempts,
+            "Cancel": sc.leave.may_cancel,
+            "ParallelTries": sc.leave.may_hedge,
+            "RetryAfter": sc.leave.max_retry_after_us > 0,
+            "MaxRetryAfter": sc.leave.max_retry_after_us / 1000,
             "DialTimeout": 200.0,
             "Keepalive": 30000.0,
         },
         "Rules": {
             "DrainGrace": sc.duties.drain_grace_us / 1000,
-            "Cold": sc.duties.cold_us / 1000,
-            "ColdFrom": sc.duties.cold_from,
-            "Fall": sc.duties.fall_us / 1000,
-            "FallMultiple": sc.duties.fall_multiple,
+            "Cold": sc.duties.slow_start_us / 1000,
+            "ColdFrom": sc.duties.slow_start_initial_weight,
+            "Fall": sc.duties.overload_window_us / 1000,
+            "FallMultiple": sc.duties.max_overload_factor,
         },
         "Specifics": {
             "SharedCounter": sc.calls,
--- a/lapisgrade/lab/fleet/load.py
+++ b/lapisgrade/lab/fleet/load.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from lapisgrade.interface import Category, Repeat
+from lapisgrade.interface import Category, RepeatSafety
 from lapisgrade.lab.emulator import scenario as scenarios
 from lapisgrade.lab.fleet import history as h
 from lapisgrade.lab.fleet.process import serve_commands
@@ -57,7 +57,7 @@
             customer.plan.name,
             category.name,
             chance.randint(1, sc.most_units),
-            category.hard_stop_us,
+            category.timeout_us,
         )
         made.append(Due(planned, category, customer.first))
 
@@ -93,7 +93,11 @@
     async def _tries(self, due: Due, due_us: int) -> None:
         loop, category = asyncio.get_running_loop(), due.category
         origin = f"{self.chance.getrandbits(64):016x}"
-        key = f"{self.chance.getrandbits(128):032x}" if category.repeat is Repeat.DEDUPLICATED else ""
+        key = (
+            f"{self.chance.getrandbits(128):032x}"
+            if category.repeat_safety is RepeatSafety.DEDUPLICATED
+            else ""
+        )
         number, again = origin, self.chance.random() < self.sc.retry_share
         for _ in range(MOST_TRIES):
             which, planned = self.which(due.first), due.planned
@@ -113,7 +117,7 @@
             self.writer.put(sent)
             left = replace(planned, timeout_us=max(1000, ends_us - sent.at))
             request, body = client.make_request(
-                left, number, key, category.repeat is Repeat.IDEMPOTENT, self.spread, due.first
+                left, number, key, category.repeat_safety is RepeatSafety.IDEMPOTENT, self.spread, due.first
             )
             status, headers = await self.exchange(
                 which, request, body, (ends_us + client.GRACE_US) / h.SECOND
@@ -123,10 +127,10 @@
             self.writer.put(h.Answered(at=h.now_us(), op=number, how=how, advice_ms=round(advice * 1000)))
             if how == "broken":
                 self._shunned[which] = loop.time() + SHUNNED_S
-                if category.repeat is Repeat.UNREPEATABLE:
+                if category.repeat_safety is RepeatSafety.NON_IDEMPOTENT:
                     return  # it may have run
-                if category.repeat is Repeat.DEDUPLICATED and h.now_us() + planned.timeout_us > (
-                    due_us + category.remembered_us
+                if category.repeat_safety is RepeatSafety.DEDUPLICATED and h.now_us() + planned.timeout_us > (
+                    due_us + category.deduplication_window_us
                 ):
                     return  # its key may be forgotten before the next try ends
             elif how == "turned back" and again:
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from lapisgrade.interface import Tally
-from lapisgrade.lab.partitions.quota import allowed, most
-from lapisgrade.lab.explore import quota as explored
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.controller import watch
 from lapisgrade.gateway.configuration import Tenant
+from lapisgrade.gateway.controller import watch
 from lapisgrade.gateway.quota.count import room
 from lapisgrade.gateway.quota.ownership import owner_of
+from lapisgrade.interface import CounterOutcome
+from lapisgrade.lab.explore import quota as explored
+from lapisgrade.lab.partitions.quota import allowed, most
 from lapisgrade.sums import Bucket
 
 # s: until all know the list of live proxies and have leased, then what is measured
@@ -71,7 +71,7 @@
         return rpc_messages.QuotaReply(ask.fence == self.quota_owner.fence and level >= 1.0)
 
     def settled(self, task, total) -> None:
-        self.world.met(total.tally is Tally.ADDED)
+        self.world.met(total.outcome is CounterOutcome.ADDED)
 
 
 POLICIES = {"own": Own, "local": Local, "central": Central}
--- a/lapisgrade/net/close_reason.py
+++ b/lapisgrade/net/close_reason.py
@@ -16,7 +16,7 @@
 
 from enum import Enum
 
-from lapisgrade.interface import Outcome, Tally
+from lapisgrade.interface import AttemptOutcome, CounterOutcome
 
 
 class CloseReason(Enum):
@@ -38,36 +38,36 @@
     IDLE = "idle"  # nothing was in flight
 
     @property
-    def outcome(self) -> Outcome:
+    def outcome(self) -> AttemptOutcome:
         """What an attempt that ended so was worth. KeyError for reasons that no attempt ends with."""
         return _OUTCOMES[self]
 
     @property
-    def counter_outcome(self) -> Tally:
+    def counter_outcome(self) -> CounterOutcome:
         """Whether a call to the counter service that ended so has added to the count."""
-        return _COUNTER_OUTCOMES.get(self, Tally.SILENT)
+        return _COUNTER_OUTCOMES.get(self, CounterOutcome.TIMED_OUT)
 
 
 _OUTCOMES = {
-    CloseReason.ANSWERED: Outcome.OK,
-    CloseReason.ERROR_RESPONSE: Outcome.ERROR,
-    CloseReason.CLIENT_ERROR: Outcome.REJECTED,
-    CloseReason.REJECTED: Outcome.FULL,
-    CloseReason.CONNECTION_REFUSED: Outcome.NO_CONNECTION,
-    CloseReason.CONNECT_TIMEOUT: Outcome.NO_CONNECTION,
-    CloseReason.INCOMPLETE_WRITE: Outcome.NO_CONNECTION,
-    CloseReason.CONNECTION_LOST: Outcome.BROKEN,
-    CloseReason.MALFORMED: Outcome.ERROR,
-    CloseReason.TIMED_OUT: Outcome.TIMED_OUT,
-    CloseReason.CANCELLED: Outcome.CANCELLED,
-    CloseReason.NOT_SENT: Outcome.NEVER_SENT,
+    CloseReason.ANSWERED: AttemptOutcome.OK,
+    CloseReason.ERROR_RESPONSE: AttemptOutcome.ERROR,
+    CloseReason.CLIENT_ERROR: AttemptOutcome.INVALID_REQUEST,
+    CloseReason.REJECTED: AttemptOutcome.OVERLOADED,
+    CloseReason.CONNECTION_REFUSED: AttemptOutcome.CONNECT_FAILED,
+    CloseReason.CONNECT_TIMEOUT: AttemptOutcome.CONNECT_FAILED,
+    CloseReason.INCOMPLETE_WRITE: AttemptOutcome.CONNECT_FAILED,
+    CloseReason.CONNECTION_LOST: AttemptOutcome.CONNECTION_LOST,
+    CloseReason.MALFORMED: AttemptOutcome.ERROR,
+    CloseReason.TIMED_OUT: AttemptOutcome.TIMED_OUT,
+    CloseReason.CANCELLED: AttemptOutcome.CANCELLED,
+    CloseReason.NOT_SENT: AttemptOutcome.NOT_SENT,
 }
 # Any other reason leaves it open whether the count was added to.
 _COUNTER_OUTCOMES = {
-    CloseReason.ANSWERED: Tally.ADDED,
-    CloseReason.REJECTED: Tally.TURNED_AWAY,
-    CloseReason.CONNECTION_REFUSED: Tally.TURNED_AWAY,
-    CloseReason.CONNECT_TIMEOUT: Tally.TURNED_AWAY,
-    CloseReason.INCOMPLETE_WRITE: Tally.TURNED_AWAY,
-    CloseReason.NOT_SENT: Tally.TURNED_AWAY,
+    CloseReason.ANSWERED: CounterOutcome.ADDED,
+    CloseReason.REJECTED: CounterOutcome.REJECTED,
+    CloseReason.CONNECTION_REFUSED: CounterOutcome.REJECTED,
+    CloseReason.CONNECT_TIMEOUT: CounterOutcome.REJECTED,
+    CloseReason.INCOMPLETE_WRITE: CounterOutcome.REJECTED,
+    CloseReason.NOT_SENT: CounterOutcome.REJECTED,
 }
--- a/lapisgrade/net/counter.py
+++ b/lapisgrade/net/counter.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from lapisgrade.engine import Task
-from lapisgrade.interface import Add
+from lapisgrade.interface import AddToCounter
 from lapisgrade.net import SECOND
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import CounterCallFinished, Event
@@ -15,8 +15,8 @@
     READ_BYTES,
     MalformedMessageError,
     Reader,
-    connect,
     call_after_pending_io,
+    connect,
     is_stale,
     limit_read_size,
 )
@@ -171,8 +171,8 @@
         self._line: Line | None = None  # that new calls go out on
         self._left: list[Line] = []  # at an address left, until their calls are answered or overdue
 
-    def add(self, task: Task, add: Add) -> None:
-        words = [b"INCRTTL", b"%d" % add.name, b"%.6f" % add.amount, b"%d" % max(1, add.life_us // 1000)]
+    def add(self, task: Task, add: AddToCounter) -> None:
+        words = [b"INCRTTL", b"%d" % add.counter_id, b"%.6f" % add.amount, b"%d" % max(1, add.ttl_us // 1000)]
         call = Call(task, b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(each), each) for each in words))
         call.timer = asyncio.get_running_loop().call_later(self._patience, self._overdue, call)
         self.counts["counter calls"] += 1
--- a/lapisgrade/net/discovery.py
+++ b/lapisgrade/net/discovery.py
@@ -10,13 +10,17 @@
 import h11
 
 from lapisgrade import start
-from lapisgrade.interface import Entry, Listed
+from lapisgrade.interface import ServerEndpoint, ServerState
 from lapisgrade.net.events import Event, ServersUpdated
 from lapisgrade.net.hops import Pool
 from lapisgrade.net.http import READ_BYTES, MalformedMessageError, MessageParser
 from lapisgrade.start import Fields, Malformed
 
-STATES = {"in_service": Listed.READY, "terminating": Listed.DRAINING, "terminated": Listed.GONE}
+STATES = {
+    "in_service": ServerState.READY,
+    "terminating": ServerState.DRAINING,
+    "terminated": ServerState.REMOVED,
+}
 # The protocol's figures: when news counts as told at the latest, how long past its wait a watch is late, and
 # how soon the next call must come for the watch to go on.
 TOLD, LATE, RENEW = 6.0, 2.0, 0.2  # s
@@ -107,8 +111,8 @@
                 raise Malformed("a server is not an object")
             entry = self._entry(Fields(row))
             entries.append(entry)
-            ready = entry.state is Listed.READY
-            addresses[entry.server] = start.address(row.get("hostPort"), "hostPort") if ready else None
+            ready = entry.state is ServerState.READY
+            addresses[entry.address] = start.address(row.get("hostPort"), "hostPort") if ready else None
         if whole:
             addresses.update({each: None for each in self._pool.addresses if each not in addresses})
         self._pool.known(addresses)
@@ -167,14 +171,14 @@
             await asyncio.sleep(RENEW / 2)  # guards against an agent that has nothing new and says so at once
         return version, message.last
 
-    def _entry(self, row: Fields) -> Entry:
+    def _entry(self, row: Fields) -> ServerEndpoint:
         started_ms = row.number("startedAtMs")
-        return Entry(
-            server=row.text("instanceId"),
+        return ServerEndpoint(
+            address=row.text("instanceId"),
             state=row.among("lifecycle", STATES, "in_service"),
             zone=row.get("zone") or "",
             cell=row.whole("cell", 0),
-            size=row.number("weight", 1.0),
+            weight=row.number("weight", 1.0),
             shape=row.get("machineType") or "",
             started_us=round(started_ms * 1000) if started_ms > 0 else 0,
         )
--- a/lapisgrade/net/events.py
+++ b/lapisgrade/net/events.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from lapisgrade.interface import Entry, Operation
+from lapisgrade.interface import Operation, ServerEndpoint
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.handle import Client
 
@@ -57,7 +57,7 @@
 class ServersUpdated:
     """Discovery's word on the servers."""
 
-    entries: list[Entry]
+    entries: list[ServerEndpoint]
     whole: bool
 
 
--- a/lapisgrade/net/front.py
+++ b/lapisgrade/net/front.py
@@ -10,13 +10,13 @@
 
 import h11
 
-from lapisgrade.interface import Answer, Category, Operation, Plan, Repeat, Verdict
+from lapisgrade.interface import Category, Operation, Plan, Reject, RejectReason, RepeatSafety
 from lapisgrade.net import SECOND
 from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.events import ClientRequest, Event, ClientDisconnected, RequestReceived
+from lapisgrade.net.events import ClientDisconnected, ClientRequest, Event, RequestReceived
 from lapisgrade.net.http import (
-    READ_BYTES,
     MAX_BODY_BYTES,
+    READ_BYTES,
     MalformedMessageError,
     Message,
     MessageParser,
@@ -29,7 +29,11 @@
 _ID = re.compile(rb"[!-~]{1,128}")
 _QUOTA = re.compile(rb" *units=(\d{1,9}(?:\.\d{1,6})?) *, *spread=(\d{1,9}) *, *first=(\d{1,9}) *")
 _TIMEOUT = re.compile(rb"\d{1,6}(?:\.\d{1,9})?")
-_METHODS = {Repeat.IDEMPOTENT: b"GET", Repeat.DEDUPLICATED: b"POST", Repeat.UNREPEATABLE: b"POST"}
+_METHODS = {
+    RepeatSafety.IDEMPOTENT: b"GET",
+    RepeatSafety.DEDUPLICATED: b"POST",
+    RepeatSafety.NON_IDEMPOTENT: b"POST",
+}
 # The protocol's figures: a connection with no open request may be closed after 2 s, and one that brings no
 # whole request is owed an error or its end within 3 s.
 ASK = 2.0  # s from connecting, or from a request's first byte, in which a whole request must have come
@@ -321,9 +325,9 @@
         if timeout <= 0:
             raise MalformedMessageError("no time is left")
         method = message.head.method
-        if method != _METHODS[category.repeat] or (message.size and method == b"GET"):
+        if method != _METHODS[category.repeat_safety] or (message.size and method == b"GET"):
             raise MalformedMessageError("not the method of its class")
-        if not key and category.repeat is Repeat.DEDUPLICATED:
+        if not key and category.repeat_safety is RepeatSafety.DEDUPLICATED:
             raise MalformedMessageError("a key is missing, by which servers would know a repeat")
         if request_id in self.open:  # its answer might go to the wrong one, and servers would see a copy
             raise MalformedMessageError("a request with this id is open", 409)
@@ -333,10 +337,10 @@
             category=category,
             units=units,
             arrived_us=now,
-            ends_us=now + min(round(timeout * SECOND), category.hard_stop_us),
-            gateways=spread,
-            first_gateway=first,
-            retried=headers.get(b"x-retried") == b"1",
+            deadline_us=now + min(round(timeout * SECOND), category.timeout_us),
+            gateway_count=spread,
+            first_gateway_index=first,
+            is_client_retry=headers.get(b"x-retried") == b"1",
             handle=ClientRequest(
                 client,
                 message.head.method,
@@ -363,10 +367,10 @@
     return table[value]
 
 
-def worded(answer: Answer) -> tuple[int, bytes]:
+def worded(answer: Reject) -> tuple[int, bytes]:
     """Status and further header lines of a final answer that no server gave."""
-    if answer.verdict is Verdict.GIVE_UP:
+    if answer.reason is RejectReason.FAILED:
         return 502, b""
-    if answer.come_back_us <= 0:
+    if answer.retry_after_us <= 0:
         return 429, b""
-    return 429, b"Retry-After: %.3f\r\n" % (answer.come_back_us / SECOND)
+    return 429, b"Retry-After: %.3f\r\n" % (answer.retry_after_us / SECOND)
--- a/lapisgrade/net/hops.py
+++ b/lapisgrade/net/hops.py
@@ -7,24 +7,23 @@
 
 import h11
 
-from lapisgrade.interface import Lines
+from lapisgrade.interface import ConnectionSettings
 from lapisgrade.net import SECOND
 from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.events import ClientRequest, Event, AttemptFinished
+from lapisgrade.net.events import AttemptFinished, ClientRequest, Event
 from lapisgrade.net.http import (
-    READ_BYTES,
     MAX_BODY_BYTES,
+    READ_BYTES,
     MalformedMessageError,
     Message,
     MessageParser,
     Reader,
-    connect,
     call_after_pending_io,
+    connect,
     is_stale,
     limit_read_size,
 )
 
-
 _ONLY_NOW = (408, 425, 429)  # 4xx that tell of the moment, not of the request
 
 
@@ -54,14 +53,14 @@
         self._parser: MessageParser | None = None
         self._reader: Reader | None = None
         self._writer: asyncio.StreamWriter | None = None
-        self._unwritten, self.strayed, self.idle_us = False, False, pool.lines.idle_us
-        self._timer = pool.timer(hop.operation.ends_us, self._overdue)
+        self._unwritten, self.strayed, self.idle_us = False, False, pool.lines.idle_timeout_us
+        self._timer = pool.timer(hop.operation.deadline_us, self._overdue)
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
         pool = self._pool
         try:
-            async with asyncio.timeout(pool.lines.dial_us / SECOND):
+            async with asyncio.timeout(pool.lines.connect_timeout_us / SECOND):
                 self._reader, self._writer = await connect(*self._address)
         except TimeoutError:
             return self.end(CloseReason.CONNECT_TIMEOUT)
@@ -90,7 +89,7 @@
     def ask(self, hop: Any) -> None:
         """Put a hop on a connection that stands idle."""
         self.hop = hop
-        self._timer = self._pool.timer(hop.operation.ends_us, self._overdue)
+        self._timer = self._pool.timer(hop.operation.deadline_us, self._overdue)
         self._write()
 
     def _write(self) -> None:
@@ -100,7 +99,7 @@
         if asked.client is None or not self._current():
             return self.end(CloseReason.NOT_SENT)
         self._parser = MessageParser(h11.CLIENT, pool.dialect.most_body)
-        left = max(1, hop.operation.ends_us - pool.now()) / SECOND
+        left = max(1, hop.operation.deadline_us - pool.now()) / SECOND
         self._writer.writelines([pool.dialect.head(hop, left), *asked.body])
         if self._writer.transport.get_write_buffer_size():
             self._unwritten = True
@@ -139,7 +138,7 @@
             self._timer.cancel()
             dialect = self._pool.dialect
             ending = dialect.told(hop, message)
-            self.idle_us = dialect.idle_us(message) or self._pool.lines.idle_us
+            self.idle_us = dialect.idle_us(message) or self._pool.lines.idle_timeout_us
             self._pool.landed(hop, ending, message)
             if (
                 message.last
@@ -182,7 +181,7 @@
         now: Callable[[], int],
         say: Callable[[str], None],
         counts: Counter[str],
-        lines: Lines,
+        lines: ConnectionSettings,
         most: int,
         dialect: "Dialect | None" = None,
     ) -> None:
@@ -239,7 +238,7 @@
         not run; on an idle one it might have, for all that we know (guards operations that must not repeat).
         """
         server = hop.server.address
-        if self.heard.get(server, 0) < hop.sent < self.now() - self.lines.dial_us:
+        if self.heard.get(server, 0) < hop.sent < self.now() - self.lines.connect_timeout_us:
             for link in list(self._idle.get(server, [])):
                 link.end(CloseReason.IDLE)
 
@@ -289,7 +288,7 @@
             link.end(CloseReason.IDLE)
 
     def _ripe(self, link: Link) -> int:
-        return link.idle_from + link.idle_us - self.lines.dial_us
+        return link.idle_from + link.idle_us - self.lines.connect_timeout_us
 
     def _sweep(self) -> None:
         """Close what has stood idle for long, and come back when the next one has."""
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -8,17 +8,26 @@
 from typing import Any
 
 from lapisgrade.engine import Engine, Task
-from lapisgrade.interface import Add, Answer, Clock, Operation, Report, Total, Verdict, Word
+from lapisgrade.interface import (
+    AddToCounter,
+    AttemptResult,
+    Clock,
+    CounterReply,
+    Operation,
+    Reject,
+    RejectReason,
+    WakeReason,
+)
 from lapisgrade.net import SECOND, counter, front, hops
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import (
+    AttemptFinished,
+    ClientDisconnected,
     ClientRequest,
     CounterCallFinished,
     Event,
-    AttemptFinished,
-    ClientDisconnected,
-    ServersUpdated,
     RequestReceived,
+    ServersUpdated,
     TimerFired,
 )
 from lapisgrade.net.http import call_after_pending_io
@@ -82,7 +91,7 @@
     def _give_up_broken(self) -> None:
         """An operation whose generator broke off is given up alone, and at once (guards the others)."""
         for operation in [each for each in self.owed.values() if each.task is None or each.task.ended]:
-            self.answer(operation, Answer(Verdict.GIVE_UP))
+            self.answer(operation, Reject(RejectReason.FAILED))
 
     # ---- what the sockets bring
 
@@ -96,10 +105,10 @@
 
     def _left(self, event: ClientDisconnected) -> None:
         operation = event.operation
-        operation.over = True
+        operation.is_abandoned = True
         if self.owed.pop(operation.handle, None) is not None:
             self._counts["operations whose client left"] += 1
-            self.engine.told(operation, Word.GONE)
+            self.engine.told(operation, WakeReason.CLIENT_GONE)
 
     def _landed(self, event: AttemptFinished) -> None:
         hop, ending = event.attempt, event.reason
@@ -112,7 +121,7 @@
             self.deliver(client, message)
             client = None
         load = self.load(message) if message is not None else None
-        report = Report(ending.outcome, self.clock.now_us - hop.sent, client is None, load)
+        report = AttemptResult(ending.outcome, self.clock.now_us - hop.sent, client is None, load)
         self.module.landed(hop, report)
         self.engine.landed(hop, report)
 
@@ -123,7 +132,7 @@
     worded = staticmethod(front.worded)
 
     def _counted(self, event: CounterCallFinished) -> None:
-        self.engine.added(event.task, Total(event.reason.counter_outcome, event.total))
+        self.engine.added(event.task, CounterReply(event.reason.counter_outcome, event.total))
 
     def _news(self, event: ServersUpdated) -> None:
         self.module.listed(event.entries, event.whole)
@@ -139,7 +148,7 @@
     def cancel(self, hop: Any) -> None:
         self.pool.cancel(hop)
 
-    def answer(self, operation: Operation, answer: Answer) -> None:
+    def answer(self, operation: Operation, answer: Reject) -> None:
         client = operation.handle.client
         if client is None:
             return  # it left while this was on its way
@@ -147,7 +156,7 @@
         status, more = self.worded(answer)
         client.answer(status, [], 0, more)
 
-    def add(self, task: Task, add: Add) -> None:
+    def add(self, task: Task, add: AddToCounter) -> None:
         self.counter.add(task, add)
 
     def say(self, text: str) -> None:
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -74,18 +74,24 @@
             start.categories(info),
             start.plans(info),
             sockets // 2,
-            start.post(info).limiters,
+            start.post(info).limiter_count,
             start.most_units(info),
         )
         self.host.pool = hops.Pool(put, now, say, self.counts, lines, sockets // 4)
         desk = start.desk(info)
-        watched, counted = addresses(told, desk.calls)
+        watched, counted = addresses(told, desk.is_available)
         if counted is not None:
             self.host.counter = counter.Counter(
-                put, say, self.counts, counted, desk.time_out_us, lines.dial_us
+                put, say, self.counts, counted, desk.timeout_us, lines.connect_timeout_us
             )
         self._discovery = discovery.Discovery(
-            put, say, self.counts, watched, self.host.pool, self.host.module.random, start.post(info).limiters
+            put,
+            say,
+            self.counts,
+            watched,
+            self.host.pool,
+            self.host.module.random,
+            start.post(info).limiter_count,
         )
         self._end = asyncio.Event()
 
--- a/lapisgrade/start.py
+++ b/lapisgrade/start.py
@@ -6,14 +6,24 @@
 import math
 from typing import Any
 
-from lapisgrade.interface import Category, Desk, Duties, Group, Leave, Lines, Plan, Post, Repeat
+from lapisgrade.interface import (
+    Category,
+    ConnectionSettings,
+    CounterSettings,
+    DeduplicationScope,
+    Permissions,
+    Placement,
+    Plan,
+    RepeatSafety,
+    ServerRules,
+)
 
 REPEATS = {
-    "repeatable": Repeat.IDEMPOTENT,
-    "by_key": Repeat.DEDUPLICATED,
-    "once": Repeat.UNREPEATABLE,
+    "repeatable": RepeatSafety.IDEMPOTENT,
+    "by_key": RepeatSafety.DEDUPLICATED,
+    "once": RepeatSafety.NON_IDEMPOTENT,
 }
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 
 class Malformed(Exception):
@@ -109,14 +119,14 @@
         made.append(
             Category(
                 name=info.text(at + "Name"),
-                repeat=info.among(at + "Idempotency", REPEATS, "once"),
-                quoted_us=info.micros(at + "Aim", hard_stop / 1000),
-                hard_stop_us=hard_stop,
-                payoff=info.number(at + "Worth", 1.0),
-                late_payoff=info.number(at + "LateWorth"),
-                group=info.among(at + "Group", GROUPS, "cell"),
-                remembered_us=info.micros(at + "KeyTtl"),
-                streamed=info.flag(at + "Streaming"),
+                repeat_safety=info.among(at + "Idempotency", REPEATS, "once"),
+                latency_target_us=info.micros(at + "Aim", hard_stop / 1000),
+                timeout_us=hard_stop,
+                value=info.number(at + "Worth", 1.0),
+                late_value=info.number(at + "LateWorth"),
+                deduplication_scope=info.among(at + "Group", GROUPS, "cell"),
+                deduplication_window_us=info.micros(at + "KeyTtl"),
+                is_streaming=info.flag(at + "Streaming"),
             )
         )
     return made
@@ -131,41 +141,41 @@
                 name=info.text(at + "Name"),
                 rate=info.number(at + "UnitsPerS"),
                 burst=info.number(at + "Burst"),
-                price=info.number(at + "WorthFactor", 1.0),
-                beyond_earns=info.number(at + "BeyondEarns"),
-                beyond_costs=info.number(at + "ExcessCost"),
-                open_cap=info.whole(at + "MaxOut", 0),
-                ceiling_rate=info.number(at + "NeverOverRate"),
-                ceiling_burst=info.number(at + "CeilingBurst"),
-                ceiling_slack=info.number(at + "CapSlack"),
+                value_factor=info.number(at + "WorthFactor", 1.0),
+                overage_value=info.number(at + "BeyondEarns"),
+                overage_cost=info.number(at + "ExcessCost"),
+                max_in_flight=info.whole(at + "MaxOut", 0),
+                rate_limit_per_s=info.number(at + "NeverOverRate"),
+                rate_limit_burst=info.number(at + "CeilingBurst"),
+                rate_limit_slack=info.number(at + "CapSlack"),
             )
         )
     return made
 
 
-def duties(info: Fields) -> Duties:
-    return Duties(
+def duties(info: Fields) -> ServerRules:
+    return ServerRules(
         drain_grace_us=info.micros("Rules.DrainGrace"),
-        cold_us=info.micros("Rules.Cold"),
-        cold_from=info.number("Rules.ColdFrom", 1.0),
-        fall_us=info.micros("Rules.Fall"),
-        fall_multiple=info.number("Rules.FallMultiple", 1.0),
+        slow_start_us=info.micros("Rules.Cold"),
+        slow_start_initial_weight=info.number("Rules.ColdFrom", 1.0),
+        overload_window_us=info.micros("Rules.Fall"),
+        max_overload_factor=info.number("Rules.FallMultiple", 1.0),
     )
 
 
-def leave(info: Fields) -> Leave:
+def leave(info: Fields) -> Permissions:
     advice = info.micros("Ceilings.MaxRetryAfter") if info.flag("Ceilings.RetryAfter") else 0
-    return Leave(
-        hops=info.whole("Ceilings.AttemptsCap", 1),
-        cancel=info.flag("Ceilings.Cancel"),
-        second_copies=info.flag("Ceilings.ParallelTries"),
-        probes=info.flag("Ceilings.Probes"),
-        longest_advice_us=advice,
+    return Permissions(
+        max_attempts=info.whole("Ceilings.AttemptsCap", 1),
+        may_cancel=info.flag("Ceilings.Cancel"),
+        may_hedge=info.flag("Ceilings.ParallelTries"),
+        may_probe=info.flag("Ceilings.Probes"),
+        max_retry_after_us=advice,
     )
 
 
-def post(info: Fields) -> Post:
-    return Post(info.whole("SelfIndex", 0), max(1, info.whole("NInstances", 1)), info.get("Zone", ""))
+def post(info: Fields) -> Placement:
+    return Placement(info.whole("SelfIndex", 0), max(1, info.whole("NInstances", 1)), info.get("Zone", ""))
 
 
 def most_units(info: Fields) -> float:
@@ -173,9 +183,11 @@
     return info.number("Specifics.UnitsTop") or math.inf
 
 
-def desk(info: Fields) -> Desk:
-    return Desk(info.flag("Specifics.SharedCounter"), info.micros("Specifics.CountLimit"))
+def desk(info: Fields) -> CounterSettings:
+    return CounterSettings(info.flag("Specifics.SharedCounter"), info.micros("Specifics.CountLimit"))
 
 
-def lines(info: Fields) -> Lines:
-    return Lines(info.micros("Ceilings.DialTimeout", 1000.0), info.micros("Ceilings.Keepalive", 10_000.0))
+def lines(info: Fields) -> ConnectionSettings:
+    return ConnectionSettings(
+        info.micros("Ceilings.DialTimeout", 1000.0), info.micros("Ceilings.Keepalive", 10_000.0)
+    )
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -79,7 +79,7 @@
 
     async def add(self) -> CloseReason:
         began = time.monotonic()
-        self.transport.add(None, SimpleNamespace(name=self.peers.tenant))
+        self.transport.add(None, SimpleNamespace(counter_id=self.peers.tenant))
         while not self.peers.ended:
             await asyncio.sleep(0.005)
         self.assertLess(time.monotonic() - began, 3 * ADD_TIMEOUT_S)
--- a/tests/gateway/quota/test_client.py
+++ b/tests/gateway/quota/test_client.py
@@ -2,10 +2,11 @@
 
 import unittest
 
+from support.quota_simulation import SECOND, SLO
+
 from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.quota.client import QuotaClient
-from lapisgrade.interface import Clock, Tally, Total
-from support.quota_simulation import SECOND, SLO
+from lapisgrade.interface import Clock, CounterOutcome, CounterReply
 
 
 class Client(unittest.TestCase):
@@ -14,8 +15,9 @@
         one = QuotaClient(clock, Tenant("t", rate_s=10, burst=5), SLO, 4, 0)
         calls = []
         for units, owed, tally in (
-            (5.0, 0.0, Tally.ADDED), (4.0, -3.0, Tally.SILENT), (1.0, 2.0, Tally.TURNED_AWAY),
-            (-2.0, 0.0, Tally.ADDED), (-2.0, 5.0, Tally.ADDED),
+            (5.0, 0.0, CounterOutcome.ADDED), (4.0, -3.0, CounterOutcome.TIMED_OUT),
+            (1.0, 2.0, CounterOutcome.REJECTED),
+            (-2.0, 0.0, CounterOutcome.ADDED), (-2.0, 5.0, CounterOutcome.ADDED),
         ):  # fmt: skip
             one.owed.value = owed
             adding = one.add(units)
@@ -23,7 +25,7 @@
             ask = one.ask("x", 7)
             calls.append((ask.units, ask.back, ask.turn, ask.of))
             with self.assertRaises(StopIteration):
-                adding.send(Total(tally, 0.0))
+                adding.send(CounterReply(tally, 0.0))
         self.assertEqual(
             calls,
             [(5.0, 0.0, 1, 0), (4.0, 3.0, 2, 1), (3.0, 0.0, 3, 2), (0.0, 2.0, 4, 2), (3.0, 0.0, 5, 4)],
--- a/tests/gateway/routing/test_hedging.py
+++ b/tests/gateway/routing/test_hedging.py
@@ -12,7 +12,15 @@
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.settings import Slo
-from lapisgrade.interface import Clock, Outcome, Pause, Report, Send, Word
+from lapisgrade.interface import (
+    AttemptFinished,
+    AttemptOutcome,
+    AttemptResult,
+    Clock,
+    Send,
+    Sleep,
+    WakeReason,
+)
 
 MS = 1_000
 USUAL, AIM = 380 * MS, 1204 * MS  # a live script pull's
@@ -31,13 +39,13 @@
         """Up to its next wait or its end."""
         self.yielded = self.generator.send(word)
         while isinstance(self.yielded, Send):
-            self.sent.append(self.yielded.hop.server.address)
+            self.sent.append(self.yielded.attempt.server.address)
             self.yielded = self.generator.send(None)
 
     def sleep(self) -> int:
         """Until the time that it waits for, in us."""
         self.router.clock.now_us = self.yielded.until_us
-        self.go_on(Word.TIME)
+        self.go_on(WakeReason.TIMER)
         return self.router.clock.now_us
 
 
@@ -65,7 +73,7 @@
         now = self.clock.now_us
         operation = RoutedRequest(
             customer="", plan=None, category=None, units=1.0, arrived_us=now - arrived_ago_us,
-            ends_us=now + 3 * SECOND, gateways=1, rule=found, tenant=None, service="a", handle=None,
+            deadline_us=now + 3 * SECOND, gateway_count=1, rule=found, tenant=None, service="a", handle=None,
         )  # fmt: skip
         made = Request(self.router, self.router.serve(operation), [])
         made.go_on(None)
@@ -85,7 +93,7 @@
 
     def test_what_may_run_once_is_never_at_two_servers(self) -> None:
         one = self.request(mode="mutate")
-        self.assertIsInstance(one.yielded, Pause)
+        self.assertIsInstance(one.yielded, Sleep)
         self.assertGreaterEqual(one.yielded.until_us, self.clock.now_us + 2 * SECOND)
         self.assertEqual(len(one.sent), 1)
 
@@ -113,10 +121,10 @@
         server = self.router.cluster("a").servers[one.sent[1]]
         hop = next(iter(server.out))
         with self.assertRaises(StopIteration):
-            report = Report(Outcome.OK, USUAL)
-            report.closed = True
+            report = AttemptResult(AttemptOutcome.OK, USUAL)
+            report.is_final = True
             self.router.landed(hop, report)
-            one.go_on((hop, report))
+            one.go_on(AttemptFinished(hop, report))
 
 
 if __name__ == "__main__":
--- a/tests/gateway/routing/test_router.py
+++ b/tests/gateway/routing/test_router.py
@@ -8,16 +8,16 @@
 import attrs
 
 from lapisgrade.decide.fleet import Attempt
-from lapisgrade.interface import Clock, Outcome, Report
 from lapisgrade.gateway import SECOND, configuration, registry
+from lapisgrade.gateway.configuration import Table
 from lapisgrade.gateway.membership.subsets import Subsets
-from lapisgrade.gateway.routing.router import Router
+from lapisgrade.gateway.routing import split
 from lapisgrade.gateway.routing.balancer import UpstreamCluster
 from lapisgrade.gateway.routing.idle_connections import LIMIT_HOLDS_US, IdleConnections
-from lapisgrade.gateway.routing import split
+from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.routing.split import SplitChooser
 from lapisgrade.gateway.settings import Slo, Span
-from lapisgrade.gateway.configuration import Table
+from lapisgrade.interface import AttemptOutcome, AttemptResult, Clock
 
 MS = 1_000
 
@@ -127,10 +127,10 @@
             self.cluster.update(0, registry.Server(name, "a", "10.0.0.1:1", "z", 2, "up", 1))
         self.latency = self.cluster.latency("r", 400 * MS)
 
-    def end(self, now: int, name: str, outcome: Outcome, blame: float = 1.0) -> None:
+    def end(self, now: int, name: str, outcome: AttemptOutcome, blame: float = 1.0) -> None:
         attempt = Attempt(None, self.cluster.servers[name], 0, now - 50 * MS)
         self.cluster.on_attempt_started(now - 50 * MS, attempt)
-        self.cluster.on_attempt_finished(now, attempt, Report(outcome, 50 * MS), self.latency, blame)
+        self.cluster.on_attempt_finished(now, attempt, AttemptResult(outcome, 50 * MS), self.latency, blame)
 
     def taken(self, now: int) -> float:
         names = [self.cluster.choose(now, 50 * MS, []).address for _ in range(200)]
@@ -138,8 +138,8 @@
 
     def test_a_server_that_fails_is_left_for_a_second_and_tried_again(self) -> None:
         for _ in range(8):
-            self.end(SECOND, "s1", Outcome.ERROR)
-            self.end(SECOND, "s2", Outcome.OK)
+            self.end(SECOND, "s1", AttemptOutcome.ERROR)
+            self.end(SECOND, "s2", AttemptOutcome.OK)
         self.assertEqual(self.taken(SECOND), 0.0)
         self.assertEqual(self.taken(SECOND + 900 * MS), 0.0)
         # Well again, it is used as soon as the other's slots are taken.
@@ -166,15 +166,15 @@
         subsets.heard(SECOND, "c", {}, ["s1"])
         # Its own good answers weigh more than what the others say.
         for _ in range(12):
-            self.end(SECOND, "s1", Outcome.OK)
+            self.end(SECOND, "s1", AttemptOutcome.OK)
         self.assertGreater(self.cluster.servers["s1"].confidence(SECOND, 3), 0.7)
         self.assertEqual(self.taken(SECOND), 1.0)
 
     def test_a_connection_that_was_forgotten_does_not_shut_a_sound_server_off(self) -> None:
         for _ in range(3):
-            self.end(SECOND, "s1", Outcome.BROKEN, 0.3)
-            self.end(SECOND, "s1", Outcome.OK)
-            self.end(SECOND, "s2", Outcome.OK)
+            self.end(SECOND, "s1", AttemptOutcome.CONNECTION_LOST, 0.3)
+            self.end(SECOND, "s1", AttemptOutcome.OK)
+            self.end(SECOND, "s2", AttemptOutcome.OK)
         self.assertGreater(self.cluster.servers["s1"].health(SECOND, 50 * MS), 0.5)
         self.assertEqual(self.cluster.servers["s1"].ejected_until_us, 0)
 
--- a/tests/lab/emulator/test_emulator.py
+++ b/tests/lab/emulator/test_emulator.py
@@ -6,7 +6,7 @@
 from click.testing import CliRunner
 
 from lapisgrade.cli.main import cli
-from lapisgrade.interface import Answer, Pause, Send, Verdict
+from lapisgrade.interface import Reject, RejectReason, Send, Sleep
 from lapisgrade.lab.baselines.common import Hop, Named, Plain
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.emulator.world import World
@@ -95,15 +95,15 @@
     def operation(self, op):
         for name in self.ready[:2]:
             yield Send(Hop(op, Named(name)))
-        yield Answer(Verdict.TURN_BACK, 0)
-        yield Answer(Verdict.TURN_BACK, 0)
+        yield Reject(RejectReason.RETRY_LATER, 0)
+        yield Reject(RejectReason.RETRY_LATER, 0)
 
 
 class Mute(Plain):
     """A careless policy: takes every operation, waits past its hard stop, and never answers."""
 
     def operation(self, op):
-        yield Pause(op.ends_us + 1_000_000)
+        yield Sleep(op.deadline_us + 1_000_000)
 
 
 def test_the_rules_catch_a_policy_that_breaks_them_and_name_the_operation_and_step():
--- a/tests/net/test_callers.py
+++ b/tests/net/test_callers.py
@@ -6,12 +6,13 @@
 from random import Random
 from types import SimpleNamespace
 
-from lapisgrade.interface import Add, Tally
-from lapisgrade.net.counter import Counter as Calls
-from lapisgrade.net.discovery import Turns
 from support.event_loop import on_loopback, until
 from support.limiter_site import Site
 
+from lapisgrade.interface import AddToCounter, CounterOutcome
+from lapisgrade.net.counter import Counter as Calls
+from lapisgrade.net.discovery import Turns
+
 
 @on_loopback
 async def test_each_ending_of_a_call_and_no_answer_for_another():
@@ -23,19 +24,19 @@
 
         async def tell(amount, manner):
             site.till.manner = manner
-            calls.add(SimpleNamespace(), Add(7, amount, 45_000_000))
+            calls.add(SimpleNamespace(), AddToCounter(7, amount, 45_000_000))
             event = await got.get()
             return event.reason.counter_outcome, event.total
 
-        assert await tell(2.0, "well") == (Tally.ADDED, 2.0)
+        assert await tell(2.0, "well") == (CounterOutcome.ADDED, 2.0)
         assert site.till.seen[-1] == [b"INCRTTL", b"7", b"2.000000", b"45000"]
-        assert await tell(1.0, "busy") == (Tally.TURNED_AWAY, 0.0)
-        assert await tell(3.0, 0.4) == (Tally.SILENT, 0.0)
+        assert await tell(1.0, "busy") == (CounterOutcome.REJECTED, 0.0)
+        assert await tell(3.0, 0.4) == (CounterOutcome.TIMED_OUT, 0.0)
         await asyncio.sleep(0.2)
-        assert await tell(-1.0, "well") == (Tally.ADDED, 4.0)
-        assert await tell(1.0, "close") == (Tally.SILENT, 0.0)
-        assert await tell(1.0, "silent") == (Tally.SILENT, 0.0)
-        assert await tell(1.0, "well") == (Tally.ADDED, 5.0)  # on a new connection
+        assert await tell(-1.0, "well") == (CounterOutcome.ADDED, 4.0)
+        assert await tell(1.0, "close") == (CounterOutcome.TIMED_OUT, 0.0)
+        assert await tell(1.0, "silent") == (CounterOutcome.TIMED_OUT, 0.0)
+        assert await tell(1.0, "well") == (CounterOutcome.ADDED, 5.0)  # on a new connection
         for spoilt in [
             b"$3\r\nnan\r\n",
             b"$4\r\n1e99",
@@ -47,10 +48,10 @@
             b"$-1\r\n",
             b"-" + bytes(999),
         ]:
-            assert await tell(1.0, spoilt) == (Tally.SILENT, 0.0)
+            assert await tell(1.0, spoilt) == (CounterOutcome.TIMED_OUT, 0.0)
         site.till.close()
         await asyncio.sleep(0.01)
-        assert await tell(1.0, "well") == (Tally.TURNED_AWAY, 0.0)
+        assert await tell(1.0, "well") == (CounterOutcome.REJECTED, 0.0)
 
 
 @on_loopback
--- a/tests/net/test_hops.py
+++ b/tests/net/test_hops.py
@@ -5,16 +5,16 @@
 from types import SimpleNamespace
 
 import pytest
+from support.event_loop import on_loopback, until
+from support.fake_peers import Backend
+from support.limiter_site import Site
 
-from lapisgrade.interface import Add, Lines, Outcome
+from lapisgrade.interface import AddToCounter, AttemptOutcome, ConnectionSettings
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.counter import Counter as Calls
 from lapisgrade.net.events import AttemptFinished, ClientRequest
 from lapisgrade.net.hops import Pool, load_report
 from lapisgrade.net.host import wall
-from support.event_loop import on_loopback, until
-from support.fake_peers import Backend
-from support.limiter_site import Site
 
 SECOND = 1_000_000
 
@@ -24,13 +24,13 @@
 
     def __init__(self, now, body=b"x", server="s", lasts=0.5):
         asked = ClientRequest(object(), b"POST", b"/api", b"h", b"1", None, [body])
-        self.operation = SimpleNamespace(handle=asked, ends_us=now() + int(lasts * SECOND))
+        self.operation = SimpleNamespace(handle=asked, deadline_us=now() + int(lasts * SECOND))
         self.server, self.sent = SimpleNamespace(address=server), now()
 
 
 def pool(port, dial=1.0, idle=30.0):
     landed, now = asyncio.Queue(), wall()
-    lines = Lines(int(dial * SECOND), int(idle * SECOND))
+    lines = ConnectionSettings(int(dial * SECOND), int(idle * SECOND))
     made = Pool(landed.put_nowait, now, lambda text: None, Counter(), lines, 4)
     made.known({"s": ("127.0.0.1", port)})
     return made, landed, now
@@ -41,15 +41,15 @@
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     for manner, ending, outcome in [
-        ("well", CloseReason.ANSWERED, Outcome.OK),
-        ("error", CloseReason.ERROR_RESPONSE, Outcome.ERROR),
-        ("full", CloseReason.REJECTED, Outcome.FULL),
-        ("rejected", CloseReason.CLIENT_ERROR, Outcome.REJECTED),
-        ("plain 503", CloseReason.ERROR_RESPONSE, Outcome.ERROR),
-        ("noise", CloseReason.MALFORMED, Outcome.ERROR),
-        ("short", CloseReason.CONNECTION_LOST, Outcome.BROKEN),
-        ("close", CloseReason.CONNECTION_LOST, Outcome.BROKEN),
-        ("silent", CloseReason.TIMED_OUT, Outcome.TIMED_OUT),
+        ("well", CloseReason.ANSWERED, AttemptOutcome.OK),
+        ("error", CloseReason.ERROR_RESPONSE, AttemptOutcome.ERROR),
+        ("full", CloseReason.REJECTED, AttemptOutcome.OVERLOADED),
+        ("rejected", CloseReason.CLIENT_ERROR, AttemptOutcome.INVALID_REQUEST),
+        ("plain 503", CloseReason.ERROR_RESPONSE, AttemptOutcome.ERROR),
+        ("noise", CloseReason.MALFORMED, AttemptOutcome.ERROR),
+        ("short", CloseReason.CONNECTION_LOST, AttemptOutcome.CONNECTION_LOST),
+        ("close", CloseReason.CONNECTION_LOST, AttemptOutcome.CONNECTION_LOST),
+        ("silent", CloseReason.TIMED_OUT, AttemptOutcome.TIMED_OUT),
     ]:
         backend.manner = manner
         made.send(Hop(now))
@@ -67,9 +67,9 @@
     assert (await landed.get()).reason is CloseReason.CANCELLED
     backend.close()
     made.send(Hop(now))
-    assert (await landed.get()).reason.outcome is Outcome.NO_CONNECTION
+    assert (await landed.get()).reason.outcome is AttemptOutcome.CONNECT_FAILED
     made.send(Hop(now, server="unknown"))
-    assert (await landed.get()).reason.outcome is Outcome.NEVER_SENT
+    assert (await landed.get()).reason.outcome is AttemptOutcome.NOT_SENT
 
 
 @on_loopback
@@ -179,12 +179,12 @@
         calls = Calls(got.put_nowait, lambda text: None, Counter(), address, 100_000, 100_000)
         made, landed, now = pool(site.backends[0].port)
         for _ in range(2):  # the first ones open the connections
-            calls.add(SimpleNamespace(), Add(7, 1.0, 45_000_000))
+            calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
             made.send(Hop(now, lasts=0.2))
             assert (await got.get()).reason is CloseReason.ANSWERED
             assert (await landed.get()).reason is CloseReason.ANSWERED
         site.till.asleep = site.backends[0].asleep = 0.4  # each answers, and we do not look for so long
-        calls.add(SimpleNamespace(), Add(7, 1.0, 45_000_000))
+        calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
         assert (await got.get()).reason is CloseReason.ANSWERED
         made.send(Hop(now, lasts=0.2))
         assert (await landed.get()).reason is CloseReason.ANSWERED
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -1,10 +1,10 @@
 """Quotas and ceilings of customers, with a counter that is there, emptied, silent or crowded."""
 
 import pytest
+from support.limiter_simulation import PLANS, SECOND, World
 
 from lapisgrade.decide.account import Counter
-from lapisgrade.interface import Outcome, Report, Tally
-from support.limiter_simulation import PLANS, SECOND, World
+from lapisgrade.interface import AttemptOutcome, AttemptResult, CounterOutcome
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -61,8 +61,8 @@
     for _ in range(20):
         world.arrive(0)
         world.run(world.now + 5_000)
-    back = [how for _, how, _ in world.answers if how is not Outcome.OK]
-    assert back and all(0 < how.come_back_us <= 500_000 for how in back)
+    back = [how for _, how, _ in world.answers if how is not AttemptOutcome.OK]
+    assert back and all(0 < how.retry_after_us <= 500_000 for how in back)
 
 
 def test_unanswered_calls_that_were_counted_are_taken_back():
@@ -88,13 +88,13 @@
 def test_units_settled_afterwards_are_put_right():
     world = World(14, limiters=1)
     gate, store = world.gates[0], PLANS[0]
-    world.chance = lambda: (Outcome.OK, 5_000)
+    world.chance = lambda: (AttemptOutcome.OK, 5_000)
     for _ in range(2):
         op = world.arrive(0)
         world.run(world.now + 4_000)
         for sent in gate.hops[id(op)]:
-            sent.ended = Outcome.OK
-            gate.module.landed(sent.hop, Report(Outcome.OK, 4_000, True, units=4.0))
+            sent.ended = AttemptOutcome.OK
+            gate.module.landed(sent.hop, AttemptResult(AttemptOutcome.OK, 4_000, True, settled_units=4.0))
             del gate.owed[id(op)]
         world.run(world.now + 10_000)
     lease = 3  # a half of the seven units that were left after the first
@@ -148,7 +148,14 @@
             in_time = free - now <= 30_000
             answered += in_time
             silent += not in_time
-            due.append((min(free, now + 30_000), counter, Tally.ADDED if in_time else Tally.SILENT, now))
+            due.append(
+                (
+                    min(free, now + 30_000),
+                    counter,
+                    CounterOutcome.ADDED if in_time else CounterOutcome.TIMED_OUT,
+                    now,
+                )
+            )
     assert answered > 55 * 20 and silent < 0.4 * answered
 
 
@@ -162,9 +169,11 @@
     for _ in range(12):
         world.arrive(0, plan=3)
     world.run(world.now + 2 * SECOND)
-    finished = [answer for _, answer, _ in world.answers if answer is Outcome.OK]
+    finished = [answer for _, answer, _ in world.answers if answer is AttemptOutcome.OK]
     assert len(finished) == 13
     for _ in range(20):
         world.arrive(0, plan=3)
     world.run(world.now + SECOND)
-    assert sum(answer is Outcome.OK for _, answer, _ in world.answers) <= 13 + 14  # no more than the quota
+    assert (
+        sum(answer is AttemptOutcome.OK for _, answer, _ in world.answers) <= 13 + 14
+    )  # no more than the quota
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,19 +1,23 @@
 """The rules of an operation under seeded chance, each checked at each step, and a few plain cases."""
 
 import pytest
-
-from lapisgrade.interface import Listed, Outcome, Verdict
 from support.limiter_simulation import CATEGORIES, PLANS, SECOND, World
 
-READY, DRAINING, GONE = Listed.READY, Listed.DRAINING, Listed.GONE
+from lapisgrade.interface import AttemptOutcome, RejectReason, ServerState
+
+READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
 def finished(world):
-    return sum(1 for _, how, _ in world.answers if how is Outcome.OK)
+    return sum(1 for _, how, _ in world.answers if how is AttemptOutcome.OK)
 
 
 def turned_back(world):
-    return sum(1 for _, how, _ in world.answers if how is not Outcome.OK and how.verdict is Verdict.TURN_BACK)
+    return sum(
+        1
+        for _, how, _ in world.answers
+        if how is not AttemptOutcome.OK and how.reason is RejectReason.RETRY_LATER
+    )
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -51,14 +55,14 @@
     world = World(5, limiters=1, chances=(0, 1, 0, 0, 0, 0))
     world.arrive(0, category=2)
     world.run(world.now + SECOND)
-    assert [how.verdict for _, how, _ in world.answers] == [Verdict.GIVE_UP] and len(world.ran) == 1
+    assert [how.reason for _, how, _ in world.answers] == [RejectReason.FAILED] and len(world.ran) == 1
 
 
 def test_refused_connection_is_tried_elsewhere():
     world = World(6, limiters=1, chances=(0, 0, 0, 1, 0, 0))
     world.arrive(0, category=2)
     world.run(world.now + SECOND)
-    assert [how.verdict for _, how, _ in world.answers] == [Verdict.TURN_BACK] and len(world.ran) > 1
+    assert [how.reason for _, how, _ in world.answers] == [RejectReason.RETRY_LATER] and len(world.ran) > 1
 
 
 def test_empty_list_turns_back_at_once():
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -1,16 +1,16 @@
 """The choice among servers: slow start, bounds on what is in flight, subsets."""
 
 import pytest
+from support.limiter_simulation import DUTIES, SECOND, World
 
 from lapisgrade.decide.fleet import COLD_SHARE, PACE_LIFE
-from lapisgrade.interface import Entry, Listed, Outcome
-from support.limiter_simulation import DUTIES, SECOND, World
+from lapisgrade.interface import AttemptOutcome, ServerEndpoint, ServerState
 
-READY, DRAINING, GONE = Listed.READY, Listed.DRAINING, Listed.GONE
+READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
 def finished(world):
-    return sum(1 for _, how, _ in world.answers if how is Outcome.OK)
+    return sum(1 for _, how, _ in world.answers if how is AttemptOutcome.OK)
 
 
 def test_cold_server_gets_a_small_part():
@@ -39,7 +39,7 @@
 def test_fleet_slow_together_is_not_starved():
     """Found in an incident: when every server was slow the bound fell to one hop, and servers idled."""
     world = World(12, limiters=2, servers=8, chances=(1, 0, 0, 0, 0, 0))
-    world.chance = lambda: (Outcome.OK, 600_000)
+    world.chance = lambda: (AttemptOutcome.OK, 600_000)
     for step in range(1200):
         world.arrive(step % 2, customer=f"c{step}")
         world.run(world.now + 25_000)
@@ -73,7 +73,7 @@
     """Found at size: servers that turned one plan away as full were held ill for all, and slow as well."""
     world = World(18, limiters=1, servers=2)
     world.list(s1=GONE)
-    world.chance = lambda: (Outcome.FULL, 200_000)
+    world.chance = lambda: (AttemptOutcome.OVERLOADED, 200_000)
     for step in range(4):
         world.arrive(0, customer=f"c{step}")
         world.run(world.now + SECOND)
@@ -90,10 +90,10 @@
     for i in range(400):
         world.arrive(i % 3, plan=i % 4, customer=f"once {i}")
         if i % 4 == 0:
-            world.entries[f"t{i}"] = Entry(f"t{i}", Listed.READY, "z0", 0, 1.0, "", world.now)
-            world.list(**{f"t{i}": Listed.READY})
+            world.entries[f"t{i}"] = ServerEndpoint(f"t{i}", ServerState.READY, "z0", 0, 1.0, "", world.now)
+            world.list(**{f"t{i}": ServerState.READY})
         if i % 4 == 3:
-            world.list(**{f"t{i - 3}": Listed.GONE})
+            world.list(**{f"t{i - 3}": ServerState.REMOVED})
         world.run(world.now + SECOND // 2)
     for gate in world.gates:
         assert len(gate.module.accounts) < 60
@@ -119,7 +119,7 @@
 def test_a_small_bound_that_chance_fills_holds_what_will_leave_in_time():
     """Found on sockets at size: with a bound of three hops one was held at a time, the rest turned back."""
     world = World(20, limiters=12)
-    world.chance = lambda: (Outcome.OK, 120_000)
+    world.chance = lambda: (AttemptOutcome.OK, 120_000)
     for step in range(30):  # one at a time goes out, for 0.12 s; each is held for 0.5 s at most
         world.arrive(0, category=1, customer=f"c{step}")
         world.run(world.now + 20_000)
@@ -141,5 +141,5 @@
     server = fleet.servers["s0"]
     server.last_sent = world.now
     fleet.cold_room(server, world.now)
-    even = COLD_SHARE * DUTIES.fall_multiple * DUTIES.cold_from  # of a warm one's work
+    even = COLD_SHARE * DUTIES.max_overload_factor * DUTIES.slow_start_initial_weight  # of a warm one's work
     assert 0.8 * even < server.work.rate / SECOND < even
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -8,7 +8,7 @@
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.settings import Slo
-from lapisgrade.interface import Answer, Clock, Operation, Tally, Total
+from lapisgrade.interface import Clock, CounterOutcome, CounterReply, Operation, Reject
 
 SECOND = 1_000_000
 
@@ -50,20 +50,27 @@
         name = owner_of("t", self.quota_owner.proxies)
         ask = self.quota_client.ask(self.name, self.quota_owner.fence)
         other = world.proxies.get(name)
-        total = Total(Tally.SILENT)
+        total = CounterReply(CounterOutcome.TIMED_OUT)
         if other is not None and not self.dark and not other.dark:
             taken = other.quota_owner.take(world.now, ask, world.acts_until.get(name, world.now + SECOND))
-            total = Total(Tally.ADDED, taken.total) if taken.held else Total(Tally.TURNED_AWAY)
+            total = (
+                CounterReply(CounterOutcome.ADDED, taken.total)
+                if taken.held
+                else CounterReply(CounterOutcome.REJECTED)
+            )
             if taken.held:
                 self.quota_client.gateways = taken.limiters
-        world.later(2000 if total.tally is not Tally.SILENT else 250_000, lambda: self.added(task, total))
+        world.later(
+            2000 if total.outcome is not CounterOutcome.TIMED_OUT else 250_000,
+            lambda: self.added(task, total),
+        )
 
-    def added(self, task, total: Total) -> None:
+    def added(self, task, total: CounterReply) -> None:
         if self.world.proxies.get(self.name) is self:
             self.clock.now_us = self.world.now
             self.engine.added(task, total)
 
-    def answer(self, operation, answer: Answer) -> None: ...
+    def answer(self, operation, answer: Reject) -> None: ...
     def send(self, hop) -> None: ...
     def cancel(self, hop) -> None: ...
     def say(self, text: str) -> None: ...
