--- a/lapisgrade/gateway/proxy/client_front.py
+++ b/lapisgrade/gateway/proxy/client_front.py
@@ -74,12 +74,8 @@
         rule, tenant = found
         return RoutedRequest(
             customer=tenant.name if tenant else "",
-            plan=None,
-            category=None,
-            units=1.0,
             arrived_us=now_us,
             deadline_us=deadline_us(now_us, headers.get(upstream_protocol.DEADLINE, b""), rule),
-            gateway_count=1,
             rule=rule,
             tenant=tenant,
             service=self._router.split.choose(rule),
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable
 
-from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.routing import upstream_protocol
+from lapisgrade.gateway.routing.balancer import UpstreamAttempt
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.interface import ConnectionSettings, Reject
@@ -43,7 +43,7 @@
             return status, b""
         return status, b"Retry-After: %.3f\r\n" % (answer.retry_after_us / SECOND)
 
-    def send(self, hop: Attempt) -> None:
+    def send(self, hop: UpstreamAttempt) -> None:
         """Send an attempt to its server."""
         super().send(hop)
         self.on_load_change()
@@ -89,7 +89,7 @@
         self._metrics = context.metrics
         self._idle_connections = idle_connections
 
-    def send(self, hop: Attempt) -> None:
+    def send(self, hop: UpstreamAttempt) -> None:
         """Send an attempt, on no connection that has been idle for longer than is trusted."""
         now_us, request = self.now(), hop.operation
         idle = self._idle.get(hop.server.address, [])
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -71,7 +71,7 @@
         self.router: Router = self.host.module
         sockets = max(MIN_SOCKETS, settings.caps.nofile - RESERVED_FILES)
         self.client_front = ClientFront(context, self.host, self.router, sockets // 2)
-        self.host.pool = self.make_pool(sockets // 4)
+        self.host.pool = self.pool = self.make_pool(sockets // 4)
         self.readiness = HttpServer(self._answer_readiness, MAX_READINESS_BODY_BYTES)
 
     def _build_control(self, settings: Settings) -> None:
@@ -96,7 +96,7 @@
             self.quota_owner,
             self.partial_view,
             VersionRollout(self.router, self.client_front),
-            ServerList(self.router, self.host.pool),
+            ServerList(self.router, self.pool),
             self.reachability,
             self.load_reporter,
         )
@@ -185,7 +185,7 @@
 
     def _close(self) -> None:
         self.client_front.close()
-        self.host.pool.close()
+        self.pool.close()
         self.readiness.close()
         self.quota_transport.close()
         self.rpc.close()
@@ -195,7 +195,7 @@
         metrics = {**self.context.metrics.nonzero(), "gossip": dict(self.gossip.udp.counts)}
         log.info("metrics %s", dict(sorted(metrics.items())))
 
-    def _on_task_done(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         """End the process with a task that should run on (guards against a half of a proxy)."""
         if not task.cancelled():
             log.error("a task failed", exc_info=task.exception())
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -46,8 +46,8 @@
         self._quota_owner = quota_owner
         self._updates = updates
         self._reachability = reachability
-        self._tasks: set[asyncio.Task] = set()
-        self._fetches: dict[str, asyncio.Task] = {}  # by tenant: the call that asks for its count
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._fetches: dict[str, asyncio.Task[None]] = {}  # by tenant: the call that asks for its count
 
     # ---- this proxy's own adds
 
@@ -164,7 +164,7 @@
             self._context.metrics.hand_overs_sent += 1
         return reply
 
-    def _fetch(self, request: rpc_messages.QuotaRequest, predecessor: str) -> asyncio.Task:
+    def _fetch(self, request: rpc_messages.QuotaRequest, predecessor: str) -> asyncio.Task[None]:
         """The call that asks the last owner for a count; one at a time for each tenant."""
         fetch = self._fetches.get(request.tenant)
         if fetch is None:
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -14,6 +14,7 @@
 from lapisgrade.decide.fleet import Server as ObservedServer
 from lapisgrade.gateway import SECOND, registry
 from lapisgrade.gateway.membership.subsets import Subsets
+from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.interface import AttemptOutcome, AttemptResult
 
 OTHER_CANDIDATES = 2  # servers of the zone's other subsets, and of other zones, that each choice looks at
@@ -124,6 +125,15 @@
         return failures > UNHEALTHY_FAILURE_RATIO * self.good.read(now_us)
 
 
+class UpstreamAttempt(Attempt):
+    """One attempt of a routed request."""
+
+    __slots__ = ()
+
+    operation: RoutedRequest
+    server: UpstreamServer
+
+
 class UpstreamCluster:
     """One service's servers."""
 
@@ -230,7 +240,7 @@
             latency = self._latencies[route] = LatencyEstimate(FIRST_LATENCY_RATIO * target_us)
         return latency
 
-    def on_attempt_started(self, now_us: int, attempt: Attempt) -> None:
+    def on_attempt_started(self, now_us: int, attempt: UpstreamAttempt) -> None:
         """A request is sent to a server."""
         server = attempt.server
         server.out[attempt] = None
@@ -240,8 +250,8 @@
     def on_attempt_finished(
         self,
         now_us: int,
-        attempt: Attempt,
-        report: AttemptResult,
+        attempt: UpstreamAttempt,
+        result: AttemptResult,
         latency: LatencyEstimate,
         blame: float = 1.0,
     ) -> None:
@@ -250,16 +260,16 @@
         Args:
             now_us: The present time.
             attempt: The attempt.
-            report: How it ended.
+            result: How it ended.
             latency: Its route's.
             blame: The server's part in a failure, from 0 to 1.
         """
-        server, outcome = attempt.server, report.outcome
+        server, outcome = attempt.server, result.outcome
         attempt.out = False
         server.out.pop(attempt, None)
-        if report.server_load is not None:
+        if result.server_load is not None:
             server.on_load_report(
-                now_us, int(report.server_load["running"]), int(report.server_load["waiting"])
+                now_us, int(result.server_load["running"]), int(result.server_load["waiting"])
             )
         if (
             outcome in (AttemptOutcome.OK, AttemptOutcome.OVERLOADED, AttemptOutcome.INVALID_REQUEST)
@@ -269,7 +279,7 @@
         if outcome is AttemptOutcome.OVERLOADED:
             server.on_rejection(now_us)
         elif outcome is AttemptOutcome.OK:
-            self._on_good_answer(now_us, server, latency, report.duration_us)
+            self._on_good_answer(now_us, server, latency, result.duration_us)
         elif outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):
             # A server's own failure is an answer, but no sound one; it says little of how long work takes.
             server.on_failure(now_us, blame)
--- a/lapisgrade/gateway/routing/request.py
+++ b/lapisgrade/gateway/routing/request.py
@@ -1,18 +1,24 @@
 """The records of one request on its way through the router: what was asked, and our own final answer."""
 
 from dataclasses import dataclass
+from typing import Any
 
 from lapisgrade.gateway.configuration import Rule, Tenant
 from lapisgrade.interface import Operation, Reject
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, kw_only=True)
 class RoutedRequest(Operation):
     """One attempt of a client: the request, its route and tenant, and the service that runs it."""
 
-    rule: Rule | None = None
-    tenant: Tenant | None = None
-    service: str = ""
+    # Plans, categories and units are the other deployments'; here a tenant's quota counts requests.
+    plan: Any = None
+    category: Any = None
+    units: float = 1.0
+    gateway_count: int = 1
+    rule: Rule
+    tenant: Tenant | None  # None: a public route
+    service: str
 
     @property
     def is_idempotent(self) -> bool:
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -33,12 +33,21 @@
 from enum import Enum, auto
 from random import Random
 
-from lapisgrade.decide.fleet import Attempt, LatencyEstimate
+from lapisgrade.decide.fleet import LatencyEstimate
 from lapisgrade.gateway.configuration import Rule
-from lapisgrade.gateway.routing.balancer import UpstreamCluster, UpstreamServer
+from lapisgrade.gateway.routing.balancer import UpstreamAttempt, UpstreamCluster, UpstreamServer
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
-from lapisgrade.interface import AttemptOutcome, AttemptResult, Clock, RejectReason, Send, Sleep, WakeReason
+from lapisgrade.interface import (
+    AttemptFinished,
+    AttemptOutcome,
+    AttemptResult,
+    Clock,
+    RejectReason,
+    Send,
+    Sleep,
+    WakeReason,
+)
 
 RESPONSE_MARGIN_US = 12_000  # before the client's deadline that we end a request; the way back to the client
 MAX_QUEUE_RATIO = 0.2  # of the target time that a request may be queued for a server; a quarter is priced
@@ -50,6 +59,7 @@
 CLIENT_ROUND_TRIP_US = 20_000  # of the target time that the ways to the client and back take
 MAX_UNREACHED_ATTEMPTS = 2  # that may fail before they reach a server, beyond the route's attempts
 TIMER_SLACK_US = 1  # that the deadline's timer may come early, by rounding
+BAD_GATEWAY, SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 
 
 class State(Enum):
@@ -95,14 +105,14 @@
         self._retry_budget = retry_budget
         self._latency: LatencyEstimate = cluster.latency(rule.name, rule.target_time)
         self._state = State.SELECTING
-        self._attempts: list[Attempt] = []
+        self._attempts: list[UpstreamAttempt] = []
         self._reached_servers = 0  # attempts that have ended and had reached a server
         self._may_have_run = False  # whether any attempt that has ended may have run
         self._hedge_us = request.deadline_us  # when the next attempt may start beside those in flight
         self._overdue_us = request.deadline_us  # when the last attempt takes longer than nearly all others
         self._queue_until_us = self._end_of_queueing(clock.now_us)
 
-    def run(self) -> Generator:
+    def run(self) -> Generator[Send | Sleep | Respond, WakeReason | AttemptFinished | None, None]:
         """Yield what to do until one attempt ends the request or none may follow."""
         while True:
             now_us = self._clock.now_us
@@ -122,21 +132,16 @@
             event = yield Sleep(self._next_timer_us())
             if event is WakeReason.CLIENT_GONE:
                 return
-            if event is WakeReason.TIMER or event is WakeReason.RESUMED:
-                if self._is_timed_out():
-                    yield Respond(RejectReason.FAILED, 0, 504)
+            if isinstance(event, AttemptFinished):
+                if event.result.is_final:
                     return
-                self._on_timer()
-                continue
-            report = event.result
-            if report.is_final:
+                if not self._on_attempt_failed(event.result):
+                    break
+            elif self._is_timed_out():
+                yield Respond(RejectReason.FAILED, 0, GATEWAY_TIMEOUT)
                 return
-            self._record(report)
-            if self._in_flight():
-                continue
-            if not self._may_retry():
-                break
-            self._state = State.SELECTING
+            else:
+                self._on_timer()
         yield self._failure_response()
 
     # ---- deadlines
@@ -194,13 +199,13 @@
         """Whether an attempt is charged to the retry budget: all but the first that reaches a server."""
         return bool(self._reached_servers or in_flight)
 
-    def _start_attempt(self, server: UpstreamServer, now_us: int) -> Attempt:
-        attempt = Attempt(self._request, server, len(self._attempts), now_us)
+    def _start_attempt(self, server: UpstreamServer, now_us: int) -> UpstreamAttempt:
+        attempt = UpstreamAttempt(self._request, server, len(self._attempts), now_us)
         self._attempts.append(attempt)
         self._cluster.on_attempt_started(now_us, attempt)
         return attempt
 
-    def _in_flight(self) -> list[Attempt]:
+    def _in_flight(self) -> list[UpstreamAttempt]:
         return [attempt for attempt in self._attempts if attempt.out]
 
     # ---- hedging
@@ -238,12 +243,18 @@
 
     # ---- the end of an attempt
 
-    def _record(self, report: AttemptResult) -> None:
-        """Take in how an attempt ended that was not the request's end."""
-        if report.outcome not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT):
+    def _on_attempt_failed(self, result: AttemptResult) -> bool:
+        """Take in the end of an attempt that was not the request's end; whether the request goes on."""
+        if result.outcome not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT):
             self._reached_servers += 1
-        if not report.outcome.never_ran:
+        if not result.outcome.never_ran:
             self._may_have_run = True
+        if self._in_flight():
+            return True
+        if not self._may_retry():
+            return False
+        self._state = State.SELECTING
+        return True
 
     def _may_retry(self) -> bool:
         """Whether a further attempt may follow, now that none is in flight."""
@@ -254,8 +265,9 @@
     def _failure_response(self) -> Respond:
         """The final answer without a server's: what surely has not run may come back (503)."""
         if self._may_have_run:
-            return Respond(RejectReason.FAILED, 0, 502)
-        return Respond(RejectReason.RETRY_LATER, retry_after_us(self._random, self._request.rule), 503)
+            return Respond(RejectReason.FAILED, 0, BAD_GATEWAY)
+        return_after_us = retry_after_us(self._random, self._request.rule)
+        return Respond(RejectReason.RETRY_LATER, return_after_us, SERVICE_UNAVAILABLE)
 
 
 def retry_after_us(random: Random, rule: Rule) -> int:
--- a/lapisgrade/gateway/routing/route_tables.py
+++ b/lapisgrade/gateway/routing/route_tables.py
@@ -54,11 +54,10 @@
         if self.active is None:
             return SERVICE_UNAVAILABLE
         found = self.active.entry(host, target, key)
-        is_refused = isinstance(found, int)
         refused_by_staged = (isinstance(each.entry(host, target, key), int) for each in self.staged.values())
-        if any(each is not is_refused for each in refused_by_staged):
+        if any(is_refused is not isinstance(found, int) for is_refused in refused_by_staged):
             return SERVICE_UNAVAILABLE
-        if is_refused:
+        if isinstance(found, int):
             return SERVICE_UNAVAILABLE if self._may_have_missed_version(now_us) else found
         if self.merged_versions and self._waits_for_merge(found, host, target, key):
             return SERVICE_UNAVAILABLE
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -8,13 +8,13 @@
 
 from collections.abc import Generator
 from random import Random
+from typing import Any
 
-from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import registry
 from lapisgrade.gateway.configuration import Table, Tenant
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.quota.client import QuotaClient
-from lapisgrade.gateway.routing.balancer import UpstreamCluster
+from lapisgrade.gateway.routing.balancer import UpstreamAttempt, UpstreamCluster
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
 from lapisgrade.gateway.routing.request_attempts import RequestAttempts
@@ -130,7 +130,7 @@
         """The rule and tenant of a request, or the HTTP status that refuses it."""
         return self.tables.match(now_us, host, target, key)
 
-    def operation(self, request: RoutedRequest) -> Generator:
+    def operation(self, request: RoutedRequest) -> Generator[Any, Any, None]:
         """Serve a request within its tenant's quota, else answer 429; a generator for the engine."""
         self.retry_budget(request.service).on_request(self.clock.now_us)
         if request.tenant is not None and request.tenant.rate_s > 0:
@@ -146,22 +146,22 @@
                 return
         yield from self.serve(request)
 
-    def serve(self, request: RoutedRequest) -> Generator:
+    def serve(self, request: RoutedRequest) -> Generator[Any, Any, None]:
         """The attempts of a request that has been admitted, until its end; a generator for the engine."""
         cluster, retry_budget = self.cluster(request.service), self.retry_budget(request.service)
         return RequestAttempts(request, self.clock, self.random, cluster, retry_budget).run()
 
-    def landed(self, attempt: Attempt, report: AttemptResult) -> None:
+    def landed(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
         """Learn from how an attempt ended; called by the host before its request goes on."""
         request = attempt.operation
         now_us, cluster = self.clock.now_us, self.cluster(request.service)
-        was_broken = report.outcome is AttemptOutcome.CONNECTION_LOST
+        was_broken = result.outcome is AttemptOutcome.CONNECTION_LOST
         was_stale = self.idle_connections.on_attempt_finished(
-            now_us, attempt, request.service, was_broken, report.duration_us
+            now_us, attempt, request.service, was_broken, result.duration_us
         )
         latency = cluster.latency(request.rule.name, request.rule.target_time)
         blame = STALE_CONNECTION_BLAME if was_stale else 1.0
-        cluster.on_attempt_finished(now_us, attempt, report, latency, blame)
+        cluster.on_attempt_finished(now_us, attempt, result, latency, blame)
 
     # ---- what this proxy tells its neighbours
 
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -145,12 +145,8 @@
         handle = ForwardedRequest(client, b"GET", path.encode(), HOST.encode(), name, None, [])
         operation = RoutedRequest(
             customer=tenant.name if tenant else "",
-            plan=None,
-            category=None,
-            units=1.0,
             arrived_us=now,
             deadline_us=now + PATIENCE,
-            gateway_count=1,
             rule=rule,
             tenant=tenant,
             service=self.router.split.choose(rule),
--- a/tests/gateway/routing/test_hedging.py
+++ b/tests/gateway/routing/test_hedging.py
@@ -72,8 +72,8 @@
         found = table.entry("h", "/x", "")[0]
         now = self.clock.now_us
         operation = RoutedRequest(
-            customer="", plan=None, category=None, units=1.0, arrived_us=now - arrived_ago_us,
-            deadline_us=now + 3 * SECOND, gateway_count=1, rule=found, tenant=None, service="a", handle=None,
+            customer="", arrived_us=now - arrived_ago_us,
+            deadline_us=now + 3 * SECOND, rule=found, tenant=None, service="a", handle=None,
         )  # fmt: skip
         made = Request(self.router, self.router.serve(operation), [])
         made.go_on(None)
