--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable
 
-from lapisgrade.gateway.quota.ownership import HOLDS
+from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
 from lapisgrade.gateway.rpc_messages import Members, ProxyListDelta
 
 MOST_LISTS = 12  # lists that are remembered: what is put into the log in two seconds, about
@@ -39,11 +39,11 @@
 
     def earlier_owners(self, now_us: int, prior: int) -> list[tuple[str, ...]]:
         """Who owned counts under the lists before `prior`, the latest first, as far back as an owner may act
-        by one still: until `HOLDS` after the next list came."""
+        by one still: until `OWNERSHIP_LEASE_US` after the next list came."""
         out: list[tuple[str, ...]] = []
         next_us = min((at for fence, (at, _) in self._owners.items() if fence >= prior), default=now_us)
         for fence in sorted((each for each in self._owners if each < prior), reverse=True):
-            if now_us - next_us >= HOLDS:
+            if now_us - next_us >= OWNERSHIP_LEASE_US:
                 break
             next_us, owners = self._owners[fence]
             out.append(owners)
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -16,7 +16,7 @@
 from lapisgrade.gateway.quota.ownership import eligible_owners
 from lapisgrade.gateway.registry import Server, Registry
 
-ALIVE = 2_000_000  # us without an ask after which a proxy's duties go to others; above HOLDS
+ALIVE = 2_000_000  # us without an ask after which a proxy's duties go to others; above OWNERSHIP_LEASE_US
 GATHER = 150_000  # us between two lists of live proxies at least: those who start together come in together
 SNAPSHOT_EVERY = 1_000_000  # us between two lists of servers in the log
 DOUBT = 1_300_000  # us without an answer after which a proxy may have missed a version; above two asks
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -29,7 +29,7 @@
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.configuration import Table
 from lapisgrade.gateway.quota.owner import QuotaOwner
-from lapisgrade.gateway.quota.ownership import HOLDS
+from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
 from lapisgrade.gateway.rpc import RpcEndpoint
 
 log = logging.getLogger("proxy")
@@ -162,7 +162,7 @@
     @property
     def ready(self) -> bool:
         """Whether it knows a configuration, the servers and who holds the counts, and is not told to end."""
-        known = self.router.table is not None and self.life and self.quota_owner.fence
+        known = self.router.table is not None and self.life and self.quota_owner.fencing_token
         return bool(known) and not self.client_front.ending and not self.isolated
 
     @property
@@ -230,7 +230,7 @@
                 self.life,
                 self.turn,
                 # at once, where some ask was not answered
-                self.quota_owner.fence if not control_client.fails else 0,
+                self.quota_owner.fencing_token if not control_client.fails else 0,
                 list(self.register.values()) if self.wants_known else [],
                 sorted(self.refused),
                 max(self.router.held, default=self.ver),
@@ -284,15 +284,15 @@
         if news.servers or news.whole:
             self._take_servers(news)
         self.life, self.turn, self.wants_known = news.life, news.turn, news.wants_known
-        members = self.quota_owner.heard(now_us(), news)
+        members = self.quota_owner.on_watch_reply(now_us(), news)
         if members is not None:
             self._take_live_proxies(members)
         if self.settings.hostname in self.quota_owner.proxies:
             # One that the list of live proxies does not name may be unknown to a leader who orders a version
             # into force.
             self.router.heard_us = max(self.router.heard_us, sent)
-        if news.fence == self.quota_owner.fence:
-            self.acts_until = sent + HOLDS
+        if news.fence == self.quota_owner.fencing_token:
+            self.acts_until = sent + OWNERSHIP_LEASE_US
             self.router.shared_by(len(self.quota_owner.proxies))
 
     def _take_versions(self, news: rpc_messages.WatchReply) -> None:
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -51,13 +51,13 @@
         """Have an add counted, and tell the host what came of it."""
         process = self._process
         quota_client = process.router.quota_clients.get(add.name)
-        name = process.quota_owner.owners.owner(add.name)
+        name = process.quota_owner.owner(add.name)
         if quota_client is None or not name:
             return process.host.put(Counted(task, Ending.TURNED_AWAY))
-        ask = quota_client.ask(process.settings.hostname, process.quota_owner.fence)
+        ask = quota_client.ask(process.settings.hostname, process.quota_owner.fencing_token)
         owned = name == process.settings.hostname
         if owned and not process.quota_owner.predecessor(now_us(), ask.tenant):
-            return self._told(task, ask, process.quota_owner.take(now_us(), ask, process.acts_until))
+            return self._told(task, ask, process.quota_owner.add(now_us(), ask, process.acts_until))
         self._start(self._ask(task, ask))
 
     def _start(self, coroutine) -> None:
@@ -71,20 +71,20 @@
         process = self._process
         ends_us = now_us() + int(ADD * SECOND)
         while True:
-            name = process.quota_owner.owners.owner(ask.tenant)
+            name = process.quota_owner.owner(ask.tenant)
             if name == process.settings.hostname:
                 reply = await self.answer_add(ask)
             else:
                 reply = await self._call(ask, name, (ends_us - now_us()) / SECOND)
             if isinstance(reply, Ending):
                 return process.host.put(Counted(task, reply))
-            elsewhere = process.quota_owner.owners.owner(ask.tenant) != name
-            same = reply.fence == process.quota_owner.fence and not elsewhere
+            elsewhere = process.quota_owner.owner(ask.tenant) != name
+            same = reply.fence == process.quota_owner.fencing_token and not elsewhere
             if reply.held or same or now_us() + 2 * int(LISTED * SECOND) > ends_us:
                 return self._told(task, ask, reply)
             process.counts["counts asked for again"] += 1
             await asyncio.sleep(LISTED)
-            ask = msgspec.structs.replace(ask, fence=process.quota_owner.fence)
+            ask = msgspec.structs.replace(ask, fence=process.quota_owner.fencing_token)
 
     async def _call(
         self, ask: rpc_messages.QuotaRequest, name: str, within: float
@@ -131,7 +131,7 @@
                 break
             asked = predecessor  # one that has nothing to say leads to the owner before it
             await asyncio.wait({self._fetch(ask, predecessor)}, timeout=left_us / SECOND)
-        return owner.take(now_us(), ask, process.acts_until)
+        return owner.add(now_us(), ask, process.acts_until)
 
     def answer_hand_over(self, ask: rpc_messages.HandOverRequest) -> rpc_messages.HandOverReply:
         """Leave a count to its new owner."""
@@ -150,21 +150,21 @@
 
     async def _hand_over(self, ask: rpc_messages.QuotaRequest, predecessor: str) -> None:
         process, owner = self._process, self._process.quota_owner
-        fence, member = owner.fence, owner.proxies.get(predecessor)
+        fence, member = owner.fencing_token, owner.proxies.get(predecessor)
         if member is None:
             return
         place = address(member[0])
         wants = rpc_messages.HandOverRequest(
-            ask.tenant, process.settings.hostname, fence, ask.rate, ask.burst, owner.own
+            ask.tenant, process.settings.hostname, fence, ask.rate, ask.burst, owner.incarnation
         )
         reply = (await process.rpc.call(place, wants, HAND_OVER)).value_or(None)
-        if owner.fence != fence:
+        if owner.fencing_token != fence:
             return  # another list has come meanwhile
         if isinstance(reply, rpc_messages.HandOverReply):
             process.counts["counts taken over"] += not reply.wait
-            owner.handed(now_us(), ask.tenant, reply, ask.rate, ask.burst, predecessor)
+            owner.on_hand_over(now_us(), wants, reply, predecessor)
         elif process.rpc.peer(place).refused:
-            owner.gone(now_us(), ask.tenant, ask.rate, ask.burst, predecessor)
+            owner.on_owner_terminated(now_us(), wants, predecessor)
 
     def close(self) -> None:
         """Nothing more is asked."""
--- a/lapisgrade/gateway/quota/__init__.py
+++ b/lapisgrade/gateway/quota/__init__.py
@@ -1,2 +1,7 @@
-"""One count per tenant, owned by one of the proxies: the owner's side (`owner`, with `count` and `ownership`)
-and the side that leases from it (`client`)."""
+"""Tenants' quotas: each tenant has one count, which one of the proxies owns.
+
+`client` is the side that leases units from a count, once a proxy and tenant. The owner's side is `owner`
+(serving calls), with `count` (one count's arithmetic), `owned_counts` (the counts kept here), `epochs` (which
+membership this proxy owns counts under, and who owned them before), `hand_over` (how a count changes hands)
+and `ownership` (which proxy owns which tenant's count).
+"""
--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -12,7 +12,7 @@
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.configuration import Tenant
-from lapisgrade.gateway.quota.count import LEASE, room
+from lapisgrade.gateway.quota.count import LEASE_US, capacity
 from lapisgrade.sums import Bucket
 
 LATE = 0.25  # s between a unit's grant and its arrival at a server, at most, beside the lease's life
@@ -31,7 +31,7 @@
     and what was leased before, is room + rate x window at most; what is late adds to it. The rest is shared
     out.
     """
-    window, full = slo.quota_win / SECOND, room(burst, rate)
+    window, full = slo.quota_win / SECOND, capacity(burst, rate)
     allowed = (rate * window + burst) * (1 + slo.quota_excess) + slo.quota_extra
     seen = full + rate * window + rate * LATE
     return max(0.0, allowed - seen) / max(1, limiters)
@@ -54,12 +54,12 @@
 class QuotaClient(Account):
     """One tenant here."""
 
-    lease_life = LEASE
+    lease_life = LEASE_US
 
     def __init__(self, clock: Clock, tenant: Tenant, slo: Slo, limiters: int, began_us: int) -> None:
         self.gateways, self.tenant = 1, tenant
         rate, now = float(tenant.rate_s), clock.now_us
-        plan = Plan(tenant.name, rate, room(tenant.burst, rate) if rate else 0.0)
+        plan = Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0)
         self.clock, self.counter, self.plan, self.customer = clock, Breaker(), plan, tenant.name
         self.life = SECOND
         self._begin(now, plan)
@@ -88,7 +88,10 @@
         """A newer configuration's limit for it."""
         rate, now = float(tenant.rate_s), self.clock.now_us
         level = self.store.read(now)
-        self.tenant, self.plan = tenant, Plan(tenant.name, rate, room(tenant.burst, rate) if rate else 0.0)
+        self.tenant, self.plan = (
+            tenant,
+            Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0),
+        )
         self.store = Bucket(now, rate, self.plan.burst, min(level, self.plan.burst))
 
     def waits(self, now: int) -> bool:
--- a/lapisgrade/gateway/quota/count.py
+++ b/lapisgrade/gateway/quota/count.py
@@ -1,96 +1,122 @@
-"""One tenant's count, as its owner keeps it: pure. A bucket of room, and what of it is leased to whom."""
+"""One tenant's count, as its owner keeps it: a token bucket, and what of it is leased to whom.
+
+Pure. Units are requests, as the tenant's limit counts them; times are microseconds of the owner's clock.
+
+The bound: no window sees more than the count's capacity and its refill. For that, units that are leased and
+may not be spent yet reduce what the bucket may hold. A count that begins anew is empty, and reserves half of
+its capacity for a lease's time, as what an owner before granted may still be spent.
+"""
 
 from dataclasses import dataclass
 
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.sums import Bucket
 
-LEASE = 3 * SECOND  # us that a lease lives; an election fits. Half the room at most is leased, however long
-LEASED = 0.5  # of the room: what leases together hold at most, by the design
-SET = LEASE + SECOND  # us after its last lease that a limiter counts as one of a tenant's
-PREVIOUS_OWNER = ""  # the taker that stands for all leases of the owner before, together
+LEASE_US = 3 * SECOND  # us that a lease lasts; an election fits
+MAX_LEASED_FRACTION = 0.5  # of the capacity: what leases together hold at most, however long, by the design
+LESSEE_EXPIRY_US = LEASE_US + SECOND  # us after its last lease that a quota client is one of a tenant's
+PREVIOUS_OWNER = ""  # the lessee that stands for all leases of the owner before, together
 
 
-def room(burst: float, rate: float) -> float:
-    """Units that a full count holds."""
+def capacity(burst: float, rate: float) -> float:
+    """Return the units that a full count holds, for a limit of `burst` units and `rate` units a second."""
     return max(1.0, burst or rate)
 
 
 @dataclass(slots=True, frozen=True)
-class Taker:
-    """One limiter that takes of a count."""
+class Lease:
+    """What one quota client has leased of a count."""
 
-    at: int = 0  # us, its last take
-    left: float = 0.0  # of that, at most, not spent
-    gave: float = 0.0  # of that, what has not come back
-    turn: int = 0
+    granted_us: int = 0  # when it last took units
+    unspent: float = 0.0  # units of that, at most, that are not spent yet
+    returnable: float = 0.0  # units of that, at most, that may still be given back
+    request_number: int = 0  # of the client's call that was granted
 
 
-NOBODY = Taker()
+NO_LEASE = Lease()
 
 
 class Count:
-    """What is leased and may not be spent yet takes the room of what could be granted, so that no window sees
-    more than the room and its refill. A new count is empty, and keeps half of the room back for a lease's
-    life, as what an owner before it granted may still be spent."""
+    """A token bucket with the leases on it. A new one is empty, and reserves half of its capacity."""
 
-    __slots__ = ("born", "bucket", "first", "takers")
+    __slots__ = ("bucket", "first_request_us", "leases", "since_us")
 
     def __init__(self, since_us: int, rate: float, burst: float) -> None:
-        self.bucket, self.born = Bucket(since_us, rate, room(burst, rate), 0.0), since_us
-        self.first = since_us  # the first take
-        self.takers: dict[str, Taker] = {}
+        """Begin anew at `since_us`, from when on nobody else can have granted units of this count."""
+        self.bucket = Bucket(since_us, rate, capacity(burst, rate), 0.0)
+        self.since_us = since_us
+        self.first_request_us = since_us
+        self.leases: dict[str, Lease] = {}  # by the quota client's name
 
     @classmethod
-    def untouched(cls, now_us: int, rate: float, burst: float) -> "Count":
-        """One that nobody has ever taken of: full, and nothing is kept back."""
-        count = cls(now_us - LEASE, rate, burst)
+    def full(cls, now_us: int, rate: float, burst: float) -> "Count":
+        """Return a count of which nobody has ever leased: full, with nothing reserved."""
+        count = cls(now_us - LEASE_US, rate, burst)
         count.bucket.put(now_us, count.bucket.burst)
-        count.first = now_us
+        count.first_request_us = now_us
         return count
 
     @classmethod
-    def continued(cls, now_us: int, handed: rpc_messages.HandedCount, rate: float, burst: float) -> "Count":
-        """One that goes on where its owner before left off."""
-        count = cls(now_us - LEASE + min(max(0, handed.kept_back_us), LEASE), rate, burst)
+    def from_hand_over(
+        cls, now_us: int, handed: rpc_messages.HandedCount, rate: float, burst: float
+    ) -> "Count":
+        """Return a count that continues the one which its owner before has handed over."""
+        reserved_us = min(max(0, handed.kept_back_us), LEASE_US)
+        count = cls(now_us - LEASE_US + reserved_us, rate, burst)
         count.bucket.put(now_us, min(max(0.0, handed.level), count.bucket.burst))
-        count.first = now_us
+        count.first_request_us = now_us
         if handed.leased > 0:
-            count.takers[PREVIOUS_OWNER] = Taker(now_us, handed.leased)
+            count.leases[PREVIOUS_OWNER] = Lease(now_us, handed.leased)
         return count
 
-    def handed(self, now_us: int) -> rpc_messages.HandedCount:
-        """What the next owner goes on with."""
-        leased = sum(each.left for each in self.takers.values() if now_us - each.at < LEASE)
-        kept_back = max(0, LEASE - (now_us - self.born))
-        return rpc_messages.HandedCount(self.bucket.read(now_us), leased, kept_back)
+    def to_hand_over(self, now_us: int) -> rpc_messages.HandedCount:
+        """Return what the next owner continues with."""
+        reserved_us = max(0, LEASE_US - (now_us - self.since_us))
+        return rpc_messages.HandedCount(self.bucket.read(now_us), self._leased(now_us), reserved_us)
 
-    def limited(self, now_us: int, rate: float, burst: float) -> None:
-        """A newer limit: the level stays as it is, in the new room."""
+    def set_limit(self, now_us: int, rate: float, burst: float) -> None:
+        """Apply a newer limit: the level stays as it is, in the new capacity."""
         bucket = self.bucket
-        if bucket.rate != rate or bucket.burst != room(burst, rate):
+        if bucket.rate != rate or bucket.burst != capacity(burst, rate):
             bucket.put(now_us, bucket.read(now_us))
-            bucket.rate, bucket.burst = rate, room(burst, rate)
+            bucket.rate = rate
+            bucket.burst = capacity(burst, rate)
 
-    def add(self, now_us: int, ask: rpc_messages.QuotaRequest) -> None:
+    def add(self, now_us: int, request: rpc_messages.QuotaRequest) -> None:
         """Take units, and put back what was granted before and not spent."""
-        bucket, had = self.bucket, self.takers.pop(ask.by, NOBODY)
-        units = max(0.0, ask.units)
+        bucket = self.bucket
+        lease = self.leases.pop(request.by, NO_LEASE)
+        units = max(0.0, request.units)
         # Only what this very count granted with the call before, and no more of it, comes back (guards
         # against a lease of the last owner's, or of a call that never got here, made units of this one).
-        back = min(max(0.0, ask.back), had.gave) if ask.of and ask.of == had.turn else 0.0
-        # Who takes again has spent what it took, or gives the rest back with this.
-        # One of what it takes is for the request that made it ask, and is spent at once (guards a tenant of
-        # many limiters, each of which asks seldom: its room must not be held by what is spent already).
-        left, gave = (units - 1.0, units) if units else (had.left - back, had.gave - back)
-        left = max(0.0, left)
-        self.takers[ask.by] = Taker(now_us, left, gave, ask.turn)
-        self.takers = {name: each for name, each in self.takers.items() if now_us - each.at < SET}
-        leased = sum(each.left for each in self.takers.values() if now_us - each.at < LEASE) - left
-        if now_us - self.born < LEASE:
-            leased = max(leased, LEASED * bucket.burst)  # the last owner's may be out
-        bucket.put(now_us, min(max(0.0, bucket.burst - leased), bucket.read(now_us)) - units + back)
-
-    def takers_seen(self) -> int:
-        """How many limiters lease of it."""
-        return len(self.takers.keys() - {PREVIOUS_OWNER})
+        is_returning = request.of and request.of == lease.request_number
+        returned = min(max(0.0, request.back), lease.returnable) if is_returning else 0.0
+        # A client that takes again has spent what it took, or gives the rest back with this call. One of
+        # the units that it takes is for the request that made it call, and is spent at once (guards a tenant
+        # of many limiters, each of which calls seldom: units that are spent must not reserve capacity).
+        unspent, returnable = (
+            (units - 1.0, units)
+            if units
+            else (
+                lease.unspent - returned,
+                lease.returnable - returned,
+            )
+        )
+        unspent = max(0.0, unspent)
+        self.leases[request.by] = Lease(now_us, unspent, returnable, request.turn)
+        self.leases = {
+            name: each for name, each in self.leases.items() if now_us - each.granted_us < LESSEE_EXPIRY_US
+        }
+        leased = self._leased(now_us) - unspent
+        if now_us - self.since_us < LEASE_US:
+            leased = max(leased, MAX_LEASED_FRACTION * bucket.burst)  # leases of the last owner's may be out
+        available = min(max(0.0, bucket.burst - leased), bucket.read(now_us))
+        bucket.put(now_us, available - units + returned)
+
+    def _leased(self, now_us: int) -> float:
+        """Return the units of all leases that have not ended and may not be spent yet."""
+        return sum(each.unspent for each in self.leases.values() if now_us - each.granted_us < LEASE_US)
+
+    def lessee_count(self) -> int:
+        """Return how many quota clients lease units of this count."""
+        return len(self.leases.keys() - {PREVIOUS_OWNER})
--- a/lapisgrade/gateway/quota/owner.py
+++ b/lapisgrade/gateway/quota/owner.py
@@ -1,325 +1,150 @@
-"""The counts that this proxy owns, and how they change hands: pure.
-
-A proxy adds to a count only under the list of live proxies that it has itself, and only while nobody else can
-have been given a newer one without it. Whoever gains a count by a newer list asks the owner before for it,
-and adds nothing until that one has said what it leaves, is gone, or its time is over: so no two add to one
-count. What a new owner can't be told is lost, never made: such a count starts with nothing but the refill
-from then on."""
-
-from collections.abc import Iterable
-from dataclasses import dataclass, field
-from itertools import pairwise
-
-from lapisgrade.gateway import rpc_messages
-from lapisgrade.gateway.quota.count import SET, Count
-from lapisgrade.gateway.quota.ownership import HOLDS, OwnerTable, eligible_owners, owner_of
-
-MOST_LISTS = 16  # lists of live proxies that are remembered, to know since when a count is owned here
-NEVER = -1  # us; a time before all others
-MOST_COUNTS = 4096  # counts kept; those unused for longest go, and start poor if they come back
-
-
-@dataclass(slots=True)
-class OwnerList:
-    """One list of live proxies, as it was told here."""
-
-    told_us: int
-    fence: int
-    members: frozenset[str]
-    owners: tuple[str, ...]
-    before: tuple[str, ...]  # the owners under the list before; empty where that is not known
-    followed: bool  # whether the list before was told here too
-    missed: bool  # whether lists were told here before, and the last one was not among them
-    settled: set[str] = field(default_factory=set)  # tenants of which nobody else can act any more
-    cleared: set[str] = field(default_factory=set)  # tenants whose owner before says that it does not act
+"""The owner's side of tenants' quotas at a proxy: serving calls for the counts that it owns.
+
+Pure: driven by the proxy's shell with messages and the time, in microseconds. `update_members` or
+`on_watch_reply` bring a newer membership, `add` serves a quota client's call; `hand_over`, `on_hand_over` and
+`on_owner_terminated` are the two sides of a count that changes hands.
+"""
+
+from lapisgrade.gateway.quota.count import LESSEE_EXPIRY_US, Count
+from lapisgrade.gateway.quota.epochs import MembershipUpdate, OwnershipHistory
+from lapisgrade.gateway.quota.hand_over import HandOver
+from lapisgrade.gateway.quota.owned_counts import OwnedCounts
+from lapisgrade.gateway.rpc_messages import (
+    HandOverReply,
+    HandOverRequest,
+    Members,
+    QuotaReply,
+    QuotaRequest,
+    WatchReply,
+)
 
 
 class QuotaOwner:
-    """All counts that this proxy owns, under the newest list of live proxies."""
-
-    def __init__(self, name: str, own: str = "", began_us: int = 0) -> None:
-        """`own` is this process's life, `began_us` when it began."""
-        self.name, self.own, self.began = name, own, began_us
-        self.counts: dict[str, Count] = {}
-        self.fence = 0
-        self.proxies: dict[str, tuple[str, str, str]] = {}
-        self.eligible_owners: dict[str, tuple[str, str, str]] = {}
-        self._lists: list[OwnerList] = []
-        self.owners = OwnerTable()
-        self._heir = False  # whether the first list that was told named this machine's last life
-        self._first_ever = False  # whether the first list that was told is the first of the whole system
-        self._departed: dict[str, Count] = {}  # counts that are another's under the newest list
-        # Tenants handed over to the owner by a list that is not known here yet: until when, and its fence.
-        self._released: dict[str, tuple[int, int]] = {}
-        self._given: dict[str, str] = {}  # tenants handed over, and to which life of their owner
-        self._evicted_us = NEVER  # when a count last went for want of room
-
-    # ---- lists of live proxies
-
-    def told(
-        self,
-        now_us: int,
-        fence: int,
-        proxies: dict[str, tuple[str, str, str]],
-        core: Iterable[str] = (),
-        prior: int | None = None,
-        leaving: Iterable[str] = (),
-        prior_owners: Iterable[str] = (),
-        earlier_owners: Iterable[Iterable[str]] = (),
-    ) -> None:
-        """A newer list: counts that are another's from now on wait to be handed over. `prior` is the fence of
-        the list before it (None for the one that was told last), `prior_owners` who owned counts under it,
-        and `earlier_owners` under those before that one, the latest first, by which somebody may act still;
-        both for a proxy that was not told the list before."""
-        if fence <= self.fence:
+    """All counts that this proxy owns, under the newest membership of live proxies."""
+
+    def __init__(self, name: str, incarnation: str = "", began_us: int = 0) -> None:
+        """Begin without a membership; `incarnation` is this process's, `began_us` when it began."""
+        self.ownership = OwnershipHistory(name, incarnation, began_us)
+        self.counts = OwnedCounts(self.ownership)
+        self._hand_over = HandOver(self.ownership, self.counts)
+
+    @property
+    def name(self) -> str:
+        """This proxy's name."""
+        return self.ownership.name
+
+    @property
+    def incarnation(self) -> str:
+        """This process's incarnation."""
+        return self.ownership.incarnation
+
+    @property
+    def fencing_token(self) -> int:
+        """The newest membership's fencing token; 0 before the first."""
+        return self.ownership.fencing_token
+
+    @property
+    def proxies(self) -> Members:
+        """The live proxies of the newest membership, by name."""
+        return self.ownership.proxies
+
+    @property
+    def eligible_owners(self) -> Members:
+        """Those of the live proxies that own counts."""
+        return self.ownership.eligible_owners
+
+    # ---- membership
+
+    def update_members(self, now_us: int, update: MembershipUpdate) -> None:
+        """Begin the epoch of a newer membership; one that is not newer is ignored."""
+        ownership = self.ownership
+        if update.fencing_token <= ownership.fencing_token:
             return
-        first = not self._lists
-        followed = not first and prior in (None, self.fence)
-        before = tuple(self.eligible_owners) if followed else tuple(prior_owners)
-        if first:
-            self._heir = bool(self.own) and self.name in proxies and proxies[self.name][1] != self.own
-            # A list that names an earlier life of this machine's may be the first, but that one may have
-            # granted.
-            self._first_ever = prior == 0 and self.name in proxies and not self._heir
-        elif not followed:
-            # Under a list that was not told here others may have owned what was owned here before (guards
-            # against one that was cut off and grants what its count has filled up with meanwhile).
-            self._lists, self._heir, self._first_ever, self.counts = [], False, False, {}
-        if not followed:
-            self._lists = self._untold(now_us, before, earlier_owners)
-        self.fence, self.proxies = fence, proxies
-        self.eligible_owners = eligible_owners(proxies, core, leaving)
-        self.owners.told(self.eligible_owners)
-        made = OwnerList(
-            now_us,
-            fence,
-            frozenset(proxies),
-            tuple(self.eligible_owners),
-            before,
-            followed or bool(self._lists),
-            not first and not followed,
-        )
-        self._lists = [*self._lists[-MOST_LISTS:], made]
-        self._departed = {tenant: each for tenant, each in self.counts.items() if not self.owns(tenant)}
-        self.counts = {tenant: each for tenant, each in self.counts.items() if self.owns(tenant)}
-        # Handed over by a list that is newer still: that one's owner goes on.
-        self._released = {tenant: each for tenant, each in self._released.items() if each[1] > fence}
-        self._given = {tenant: each for tenant, each in self._given.items() if tenant in self._released}
-
-    def heard(self, now_us: int, news: rpc_messages.WatchReply) -> rpc_messages.Members | None:
-        """News from who leads; the newer list of live proxies in it, None without one."""
-        members = news.members(self.fence, self.proxies)
-        if members is not None:
-            self.told(
-                now_us,
-                news.fence,
-                members,
-                news.core,
-                news.prior,
-                news.leaving,
-                news.prior_owners,
-                news.earlier_owners,
-            )
-        return members
-
-    @staticmethod
-    def _untold(
-        now_us: int, prior_owners: tuple[str, ...], earlier_owners: Iterable[Iterable[str]]
-    ) -> list[OwnerList]:
-        """The lists before, which were not told here, as if they had come just now: so whoever owned a count
-        under one of them is asked, or its time waited for (guards a process that starts anew between an
-        owner that has not heard that it is none any more, and its own last life)."""
-        known = [prior_owners, *map(tuple, earlier_owners)]
-        made = [
-            OwnerList(now_us, 0, frozenset(owners), owners, before, True, False)
-            for owners, before in pairwise(known)
-        ]
-        if made:
-            made[-1].followed = False
-        return made[::-1]
+        if ownership.epochs and not ownership.follows(update):
+            # Under a membership that did not arrive here others may have owned what was owned here before
+            # (guards against one that was cut off and grants what its count has filled up with meanwhile).
+            self.counts.clear()
+        ownership.advance(now_us, update)
+        self._hand_over.on_new_epoch()
+
+    def on_watch_reply(self, now_us: int, reply: WatchReply) -> Members | None:
+        """Take in a leader's reply; the newer membership in it, None without one."""
+        proxies = reply.members(self.ownership.fencing_token, self.ownership.proxies)
+        if proxies is not None:
+            self.update_members(now_us, MembershipUpdate.from_watch_reply(reply, proxies))
+        return proxies
+
+    def owner(self, tenant: str) -> str:
+        """Return who owns this tenant's count under the newest membership; empty where nobody does."""
+        return self.ownership.owner(tenant)
 
     def owns(self, tenant: str) -> bool:
-        """Whether this tenant's count is this proxy's under the newest list."""
-        return self.owners.owner(tenant) == self.name
+        """Return whether this proxy owns this tenant's count under the newest membership."""
+        return self.ownership.owns(tenant)
 
-    # ---- who acted before
+    # ---- counts that change hands
 
     def predecessor(self, now_us: int, tenant: str) -> str:
-        """Who has to hand this tenant's count over first; empty where nobody else can act any more, and this
-        proxy's own name where only time can tell."""
-        found = self._acting(now_us, tenant, self._lists)
-        if not found and self._lists:
-            settled = self._lists[-1].settled
-            if len(settled) > MOST_COUNTS:
-                settled.clear()
-            settled.add(tenant)
-        return found
+        """Return who has to hand this tenant's count over first; see `OwnershipHistory.predecessor`."""
+        return self.ownership.predecessor(now_us, tenant)
 
-    def _acting(self, now_us: int, tenant: str, lists: list[OwnerList]) -> str:
-        """Who else may still act as the owner under a list before the newest of those.
-
-        An owner that the newest list of all does not name is gone, maybe before it was handed the count: so
-        who owned it before that one is looked at too (guards against one that has not heard of any of this,
-        and adds on).
-        """
-        for each in reversed(lists):
-            if tenant in each.settled or now_us - each.told_us >= HOLDS:
-                return ""
-            before = owner_of(tenant, each.before)
-            acted = before != self.name and before in self.proxies
-            if acted and tenant not in each.cleared:
-                return before
-            if not each.followed:
-                return self.name if each.missed and before == self.name else ""
-        return ""
-
-    def gone(self, now_us: int, tenant: str, rate: float, burst: float, by: str) -> None:
-        """The process of `by`, who owned the count before, has ended."""
-        self.handed(now_us, tenant, rpc_messages.HandOverReply(False), rate, burst, by)
-
-    def handed(
-        self,
-        now_us: int,
-        tenant: str,
-        reply: rpc_messages.HandOverReply,
-        rate: float,
-        burst: float,
-        by: str,
+    def on_hand_over(
+        self, now_us: int, request: HandOverRequest, reply: HandOverReply, predecessor: str
     ) -> None:
-        """What `by`, who owned the count before, says in answer to this proxy under the newest list."""
-        if reply.wait or not self._lists or not self.owns(tenant):
-            return
-        settled = self._lists[-1].settled
-        if tenant in settled or tenant in self.counts:
-            return  # said again
-        if reply.count is not None:
-            settled.add(tenant)
-            self._keep(now_us, tenant, Count.continued(now_us, reply.count, rate, burst))
-            return
-        # It does not act, and does not say that it ever had the count: the one before it may have it.
-        for each in self._lists:
-            if owner_of(tenant, each.before) == by and len(each.cleared) < MOST_COUNTS:
-                each.cleared.add(tenant)
-        if not self._acting(now_us, tenant, self._lists):
-            settled.add(tenant)
-            # The one before may have granted until now.
-            self._keep(now_us, tenant, Count(now_us, rate, burst))
+        """Take in the answer of `predecessor` to this proxy's `request` under the newest membership."""
+        self._hand_over.on_reply(now_us, request, reply, predecessor)
 
-    def hand_over(self, now_us: int, ask: rpc_messages.HandOverRequest) -> rpc_messages.HandOverReply:
-        """Leave a count to the owner under a list that is as new as the one here, or newer. The same is said
-        again to one that asks again, as an answer may be lost."""
-        wait, nothing = rpc_messages.HandOverReply(True), rpc_messages.HandOverReply(False)
-        if not self._lists:
-            return nothing  # a process that has just started
-        if ask.fence > self.fence:  # the list that names the other one is on its way here
-            if not self.owns(ask.tenant) or self._acting(now_us, ask.tenant, self._lists):
-                return wait
-            if len(self._released) >= MOST_COUNTS:
-                return wait
-            self._released[ask.tenant] = now_us + HOLDS, ask.fence
-            if ask.tenant not in self.counts:
-                self._keep(now_us, ask.tenant, self._fresh(now_us, ask, self._lists))
-            return self._give(now_us, ask, self.counts[ask.tenant])
-        newest, earlier = self._lists[-1], self._lists[:-1]
-        if ask.fence < self.fence or self.owns(ask.tenant) or newest.missed:
-            return wait
-        if not earlier:
-            return nothing  # the process that owned it is gone
-        if ask.tenant not in self._departed:
-            owned = self._up_to_owned(ask.tenant, earlier)
-            if not owned or self._acting(now_us, ask.tenant, owned) or len(self._departed) >= MOST_COUNTS:
-                return wait
-            if len(owned) < len(earlier):
-                return nothing  # somebody else has owned it since, and nobody acts by those lists here
-            self._departed[ask.tenant] = self._fresh(now_us, ask, earlier)
-        return self._give(now_us, ask, self._departed[ask.tenant])
+    def on_owner_terminated(self, now_us: int, request: HandOverRequest, predecessor: str) -> None:
+        """Note that the process of `predecessor`, to which `request` was sent, has ended."""
+        self._hand_over.on_predecessor_terminated(now_us, request, predecessor)
 
-    def _up_to_owned(self, tenant: str, lists: list[OwnerList]) -> list[OwnerList]:
-        """Those lists up to the last one by which the count was this proxy's; none where it never was."""
-        lists = list(lists)
-        while lists and owner_of(tenant, lists[-1].owners) != self.name:
-            lists.pop()
-        return lists
+    def hand_over(self, now_us: int, request: HandOverRequest) -> HandOverReply:
+        """Answer the new owner of a count; see `HandOver.answer`."""
+        return self._hand_over.answer(now_us, request)
 
-    def _give(
-        self, now_us: int, ask: rpc_messages.HandOverRequest, count: Count
-    ) -> rpc_messages.HandOverReply:
-        """The count, for the first life of its owner that asks; it may have granted from it already."""
-        if self._given.setdefault(ask.tenant, ask.life) != ask.life:
-            return rpc_messages.HandOverReply(False)
-        return rpc_messages.HandOverReply(False, count.handed(now_us))
+    # ---- serving calls
 
-    # ---- counts
+    def add(self, now_us: int, request: QuotaRequest, acts_until_us: int) -> QuotaReply:
+        """Add to a count, where nobody else can: the caller may have an earlier or a later membership.
 
-    def since(self, tenant: str, lists: list[OwnerList] | None = None) -> int:
-        """From when on nobody else can have taken of this tenant's count, by those lists (by all, if None),
-        in us; below 0 where nobody ever has.
+        Its membership only says where it looks for the owner. That nobody else adds meanwhile rests on the
+        membership that this proxy has itself, on its lease, and on the hand-over (guards tenants whose owner
+        stays, while others come and go and the membership changes several times a second).
 
-        Where the first list that was told still named this machine's last life, that one owned the count and
-        was gone when this process began: from then on its refill is nobody else's (guards the requests that
-        come back after all processes were killed).
-        """
-        lists = self._lists if lists is None else lists
-        since = lists[-1].told_us
-        for each in reversed(lists):
-            if owner_of(tenant, each.owners) != self.name:
-                return max(since, self._evicted_us)
-            since = each.told_us
-            before = owner_of(tenant, each.before)
-            if before != self.name and before in each.members:
-                since += HOLDS  # it gave no word, and may have granted until then
-        if len(lists) <= MOST_LISTS:
-            if self._first_ever and self._evicted_us == NEVER:
-                return NEVER
-            since = min(since, self.began) if self._heir else since
-        return max(since, self._evicted_us)
-
-    def _fresh(
-        self,
-        now_us: int,
-        ask: rpc_messages.QuotaRequest | rpc_messages.HandOverRequest,
-        lists: list[OwnerList],
-    ) -> Count:
-        """A count that nobody has taken of since this proxy owns it, by those lists."""
-        since = self.since(ask.tenant, lists)
-        if since == NEVER:
-            return Count.untouched(now_us, ask.rate, ask.burst)
-        return Count(since, ask.rate, ask.burst)
-
-    def _keep(self, now_us: int, tenant: str, count: Count) -> None:
-        self.counts[tenant] = count
-        if len(self.counts) > MOST_COUNTS:
-            del self.counts[next(iter(self.counts))]
-            self._evicted_us = now_us
+        Args:
+            now_us: the time.
+            request: the quota client's call.
+            acts_until_us: when this proxy's lease on the newest membership ends.
 
-    def take(
-        self, now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
-    ) -> rpc_messages.QuotaReply:
-        """Add to a count, where nobody else can: whoever asks may have an earlier or a later list.
-
-        Its list only says where it looks for the owner. That nobody else adds meanwhile rests on the list
-        that this proxy has itself, on its time, and on the hand-over (guards tenants whose owner stays,
-        while others come and go and the list changes several times a second).
+        Returns:
+            The units taken of the count and how many clients lease of it; `held` is false where nothing was
+            added.
         """
-        released = now_us < self._released.get(ask.tenant, (0, 0))[0]
-        if (
-            not ask.fence
-            or not ask.by
-            or now_us >= acts_until_us
-            or released
-            or not self.owns(ask.tenant)
-            or self.predecessor(now_us, ask.tenant)
-        ):
-            return rpc_messages.QuotaReply(False, 0.0, 1, self.fence)
-        count = self.counts.pop(ask.tenant, None)
-        if count is None:
-            count = self._fresh(now_us, ask, self._lists)
-            count.first = now_us
-        self._keep(now_us, ask.tenant, count)
-        count.limited(now_us, ask.rate, ask.burst)
-        count.add(now_us, ask)
-        takers = count.takers_seen()
-        if now_us - count.first < SET:
+        if not self._may_serve(now_us, request, acts_until_us):
+            return QuotaReply(False, 0.0, 1, self.ownership.fencing_token)
+        count = self._count(now_us, request)
+        count.set_limit(now_us, request.rate, request.burst)
+        count.add(now_us, request)
+        lessees = count.lessee_count()
+        if now_us - count.first_request_us < LESSEE_EXPIRY_US:
             # Who leases first must not take what all the others are about to ask for.
-            takers = max(takers, len(self.proxies))
-        return rpc_messages.QuotaReply(True, count.bucket.burst - count.bucket.level, takers, self.fence)
+            lessees = max(lessees, len(self.ownership.proxies))
+        taken = count.bucket.burst - count.bucket.level
+        return QuotaReply(True, taken, lessees, self.ownership.fencing_token)
+
+    def _may_serve(self, now_us: int, request: QuotaRequest, acts_until_us: int) -> bool:
+        is_valid = request.fence and request.by
+        if not is_valid or now_us >= acts_until_us:
+            return False
+        if self._hand_over.is_released(now_us, request.tenant) or not self.owns(request.tenant):
+            return False
+        return not self.predecessor(now_us, request.tenant)
+
+    def _count(self, now_us: int, request: QuotaRequest) -> Count:
+        """Return the tenant's count, as the one used last."""
+        count = self.counts.by_tenant.pop(request.tenant, None)
+        if count is None:
+            count = self.counts.begin(now_us, request, self.ownership.epochs)
+            count.first_request_us = now_us
+        self.counts.keep(now_us, request.tenant, count)
+        return count
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -23,7 +23,7 @@
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.quota.owner import QuotaOwner
-from lapisgrade.gateway.quota.ownership import HOLDS, owner_of
+from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US, owner_of
 from lapisgrade.gateway.quota.client import QuotaClient
 
 UNIT = "requests"
@@ -52,9 +52,9 @@
         super().told(news, life, asked, sent)
         if not heeded:
             return
-        self.quota_owner.heard(self.world.sim.now, news)
-        if news.fence == self.quota_owner.fence:
-            self.acts_until = sent + HOLDS
+        self.quota_owner.on_watch_reply(self.world.sim.now, news)
+        if news.fence == self.quota_owner.fencing_token:
+            self.acts_until = sent + OWNERSHIP_LEASE_US
             self.clock.now_us = self.world.sim.now
             self.quota_client.shared_by(len(self.quota_owner.proxies))
 
@@ -85,7 +85,7 @@
     def add(self, task, add) -> None:
         world, life = self.world, self.life
         name = owner_of("t", self.quota_owner.eligible_owners)
-        ask = self.quota_client.ask(self.name, self.quota_owner.fence)
+        ask = self.quota_client.ask(self.name, self.quota_owner.fencing_token)
         over: list[Total] = []  # the first answer counts
 
         def answered(total: Total) -> None:
@@ -123,7 +123,7 @@
     def prepared(self, ask: rpc_messages.QuotaRequest, then: Callable) -> None:
         """`then`, once the count's owner before has handed it over, or has not in time."""
         world, owner, life = self.world, self.quota_owner, self.life
-        fence = owner.fence
+        fence = owner.fencing_token
         name = owner.predecessor(world.sim.now, ask.tenant) if owner.owns(ask.tenant) else ""
         other = next((each for each in world.proxies if each.name == name), None)
         if other is None or other is self:
@@ -136,11 +136,13 @@
                 then()
 
         def told(reply: rpc_messages.HandOverReply) -> None:
-            if owner is self.quota_owner and owner.fence == fence:
-                owner.handed(world.sim.now, ask.tenant, reply, ask.rate, ask.burst, name)
+            if owner is self.quota_owner and owner.fencing_token == fence:
+                owner.on_hand_over(world.sim.now, wants, reply, name)
             once()
 
-        wants = rpc_messages.HandOverRequest(ask.tenant, self.name, fence, ask.rate, ask.burst, owner.own)
+        wants = rpc_messages.HandOverRequest(
+            ask.tenant, self.name, fence, ask.rate, ask.burst, owner.incarnation
+        )
 
         def asked() -> None:
             reply = other.quota_owner.hand_over(world.sim.now, wants)
@@ -150,9 +152,9 @@
         world.sim.after(HAND_OVER, self.when_awake, life, once)
 
     def take(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
-        taken = self.quota_owner.take(self.world.sim.now, ask, self.acts_until)
+        taken = self.quota_owner.add(self.world.sim.now, ask, self.acts_until)
         if taken.held:
-            self.world.granted(self.name, self.quota_owner.fence)
+            self.world.granted(self.name, self.quota_owner.fencing_token)
         return taken
 
     def answer(self, operation, answer) -> None: ...
@@ -211,7 +213,7 @@
     def trouble(self) -> None:
         kind = self.random.randrange(8)
         one = self.random.choice(self.proxies)
-        held = max(self.proxies, key=lambda each: each.quota_owner.fence).quota_owner.eligible_owners
+        held = max(self.proxies, key=lambda each: each.quota_owner.fencing_token).quota_owner.eligible_owners
         if held and self.random.random() < 0.6:  # where it hurts
             name = owner_of("t", held)
             one = next(each for each in self.proxies if each.name == name)
--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -1,17 +1,16 @@
 """Wrong versions of the quota, each of which an exploration must find."""
 
-from typing import Any
-
 import msgspec
 
 from lapisgrade.gateway import rpc_messages
-from lapisgrade.gateway.quota import client, count, owner
+from lapisgrade.gateway.quota import client, count, owned_counts
 from lapisgrade.gateway.quota.count import Count
+from lapisgrade.gateway.quota.epochs import MembershipUpdate, Origin
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.lab.explore.defects import Defects
 
 FOREVER = 1 << 60  # us
-_take, _told, _unseen = QuotaOwner.take, QuotaOwner.told, client.unseen
+_add, _update_members, _unseen = QuotaOwner.add, QuotaOwner.update_members, client.unseen
 
 
 class Full(Count):
@@ -19,21 +18,21 @@
 
     def __init__(self, since_us: int, rate: float, burst: float) -> None:
         super().__init__(since_us, rate, burst)
-        self.bucket.level, self.born = self.bucket.burst, since_us - count.LEASE
+        self.bucket.level, self.since_us = self.bucket.burst, since_us - count.LEASE_US
 
 
 def _any_fence(
     self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
 ) -> rpc_messages.QuotaReply:
     """What was asked for under another list counts as well, and an owner that was cut off grants on."""
-    return _take(self, now_us, msgspec.structs.replace(ask, fence=self.fence), FOREVER)
+    return _add(self, now_us, msgspec.structs.replace(ask, fence=self.fencing_token), FOREVER)
 
 
 def _never_expires(
     self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
 ) -> rpc_messages.QuotaReply:
     """An owner that was cut off grants on."""
-    return _take(self, now_us, ask, FOREVER)
+    return _add(self, now_us, ask, FOREVER)
 
 
 def _asks_nobody(
@@ -41,15 +40,17 @@
 ) -> rpc_messages.QuotaReply:
     """A new owner waits for nobody's word."""
     if self.owns(ask.tenant) and self.predecessor(now_us, ask.tenant):
-        empty = rpc_messages.HandedCount(0.0, 0.0, count.LEASE)
-        self.handed(now_us, ask.tenant, rpc_messages.HandOverReply(False, empty), ask.rate, ask.burst, "")
-    return _take(self, now_us, ask, acts_until_us)
+        empty = rpc_messages.HandedCount(0.0, 0.0, count.LEASE_US)
+        wants = rpc_messages.HandOverRequest(ask.tenant, self.name, self.fencing_token, ask.rate, ask.burst)
+        self.on_hand_over(now_us, wants, rpc_messages.HandOverReply(False, empty), "")
+    return _add(self, now_us, ask, acts_until_us)
 
 
-def _forgets_last_life(self: QuotaOwner, *told: Any, **more: Any) -> None:
-    """A process that is started anew under the first list of all begins its counts full once more."""
-    _told(self, *told, **more)
-    self._first_ever = self._first_ever or self._lists[0].before == ()
+def _forgets_last_incarnation(self: QuotaOwner, now_us: int, update: MembershipUpdate) -> None:
+    """A process that is started anew under the first membership begins its counts full once more."""
+    _update_members(self, now_us, update)
+    if not self.ownership.epochs[0].previous_owners:
+        self.ownership.origin = Origin.FIRST_MEMBERSHIP
 
 
 def _forgets_leases(self: Count, now_us: int, ask: rpc_messages.QuotaRequest) -> None:
@@ -67,11 +68,11 @@
     "forgets-leases": 32,
 }
 DEFECTS: Defects = {
-    "starts-full": (owner, "Count", Full),
-    "any-fence": (QuotaOwner, "take", _any_fence),
+    "starts-full": (owned_counts, "Count", Full),
+    "any-fence": (QuotaOwner, "add", _any_fence),
     "undivided": (client, "unseen", lambda slo, rate, burst, limiters: _unseen(slo, rate, burst, 1)),
-    "asks-nobody": (QuotaOwner, "take", _asks_nobody),
-    "forgets-last-life": (QuotaOwner, "told", _forgets_last_life),
+    "asks-nobody": (QuotaOwner, "add", _asks_nobody),
+    "forgets-last-life": (QuotaOwner, "update_members", _forgets_last_incarnation),
     "forgets-leases": (Count, "add", _forgets_leases),
-    "never-expires": (QuotaOwner, "take", _never_expires),
+    "never-expires": (QuotaOwner, "add", _never_expires),
 }
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -23,7 +23,7 @@
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
-from lapisgrade.gateway.quota.count import LEASE
+from lapisgrade.gateway.quota.count import LEASE_US
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
 
 MACHINES, CONTROLLERS = 6, 3  # counts are held away from controllers
@@ -164,9 +164,9 @@
     """The owner is cut off, and while it is, all others are killed and come back."""
     one = play.holds[0]
     play.fleet.part({one}, set(play.fleet.ip) - {one})
-    await asyncio.sleep(LEASE / SECOND / 3)
+    await asyncio.sleep(LEASE_US / SECOND / 3)
     await play.again(*(set(play.fleet.ip) - {one}))
-    await asyncio.sleep(FAULT - LEASE / SECOND / 3)
+    await asyncio.sleep(FAULT - LEASE_US / SECOND / 3)
     play.fleet.cut()
 
 
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -16,7 +16,7 @@
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.controller import watch
 from lapisgrade.gateway.configuration import Tenant
-from lapisgrade.gateway.quota.count import room
+from lapisgrade.gateway.quota.count import capacity
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.sums import Bucket
 
@@ -33,7 +33,7 @@
 
     def add(self, task, add) -> None:
         super().add(task, add)
-        self.world.called(self.quota_client.ask(self.name, self.quota_owner.fence))
+        self.world.called(self.quota_client.ask(self.name, self.quota_owner.fencing_token))
 
 
 class Local(explored.Limiter):
@@ -62,13 +62,13 @@
     def request(self) -> None:
         self.quota_client.parts = (1.0, 0.0)
         self.add(None, None)
-        self.world.called(self.quota_client.ask(self.name, self.quota_owner.fence))
+        self.world.called(self.quota_client.ask(self.name, self.quota_owner.fencing_token))
 
     def take(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
         now, level = self.world.sim.now, self.bucket.read(self.world.sim.now)
         if level >= 1.0:
             self.bucket.put(now, level - 1.0)
-        return rpc_messages.QuotaReply(ask.fence == self.quota_owner.fence and level >= 1.0)
+        return rpc_messages.QuotaReply(ask.fence == self.quota_owner.fencing_token and level >= 1.0)
 
     def settled(self, task, total) -> None:
         self.world.met(total.tally is Tally.ADDED)
@@ -83,7 +83,7 @@
     def __init__(self, policy: str, limiters: int, press: float, seed: int, tenant: Tenant) -> None:
         self.PROXY, self.count, self.press = POLICIES[policy], limiters, press
         self.order_at = 0
-        self.room = room(tenant.burst, tenant.rate_s)
+        self.room = capacity(tenant.burst, tenant.rate_s)
         self.requests = self.refusals = self.calls_out = self.bytes_out = 0
         super().__init__(seed, limiters, tenant)
         chance = Random(seed)
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -194,26 +194,28 @@
     def watch_owner(self, proxy: SimulatedProxy) -> None:
         """Note each add to a count that this proxy owns."""
         owner: QuotaOwner = proxy.quota_owner
-        take = owner.take
+        add = owner.add
 
         def taking(
             now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
         ) -> rpc_messages.QuotaReply:
-            reply = take(now_us, ask, acts_until_us)
+            reply = add(now_us, ask, acts_until_us)
             if reply.held:
                 self._grants(owner)
             return reply
 
-        owner.take = taking  # type: ignore[method-assign]
+        owner.add = taking  # type: ignore[method-assign]
 
     def _grants(self, owner: QuotaOwner) -> None:
         self.grants += 1
         fence, name = self.granted
-        if owner.fence < fence:
-            self.invariants.break_(f"{owner.name} adds under fence {owner.fence}, after {name} under {fence}")
-        elif owner.fence == fence and owner.name != name:
+        if owner.fencing_token < fence:
+            self.invariants.break_(
+                f"{owner.name} adds under fence {owner.fencing_token}, after {name} under {fence}"
+            )
+        elif owner.fencing_token == fence and owner.name != name:
             self.invariants.break_(f"{owner.name} and {name} add under fence {fence}")
-        self.granted = (owner.fence, owner.name)
+        self.granted = (owner.fencing_token, owner.name)
 
     # ---- troubles
 
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -97,7 +97,7 @@
         self.plane, self.process = plane, process
         self.random.seed(plane.loop.random.getrandbits(64))
         self.own = f"{self.random.getrandbits(64):016x}"
-        self.quota_owner.own = self.own
+        self.quota_owner.ownership.incarnation = self.own
         self.rpc = ProxyEndpoint(plane.cluster.network, process, settings.ip, self._answer, self._word)
         self.host.pool = Servers(self)
         self.asked_us = 0  # when the last ask was sent that was answered by who leads
--- a/tests/gateway/test_hand_over.py
+++ b/tests/gateway/test_hand_over.py
@@ -11,8 +11,9 @@
 from lapisgrade.gateway.cli.demo import Load, demo
 from lapisgrade.gateway.controller.state_machine import LiveProxies, StateMachine, encoded
 from lapisgrade.gateway.controller.watch import GATHER, Watch
+from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.owner import QuotaOwner
-from lapisgrade.gateway.quota.ownership import HOLDS, eligible_owners, owner_of
+from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US, eligible_owners, owner_of
 
 MS = 1_000
 RATE, BURST = 10.0, 40.0
@@ -24,12 +25,12 @@
 
 
 def take(owner: QuotaOwner, now_us: int, units: float = 1.0, by: str = "x") -> rpc_messages.QuotaReply:
-    ask = rpc_messages.QuotaRequest("t", units, by, owner.fence, RATE, BURST)
-    return owner.take(now_us, ask, ALWAYS)
+    ask = rpc_messages.QuotaRequest("t", units, by, owner.fencing_token, RATE, BURST)
+    return owner.add(now_us, ask, ALWAYS)
 
 
 def wants(owner: QuotaOwner) -> rpc_messages.HandOverRequest:
-    return rpc_messages.HandOverRequest("t", owner.name, owner.fence, RATE, BURST, owner.own)
+    return rpc_messages.HandOverRequest("t", owner.name, owner.fencing_token, RATE, BURST, owner.incarnation)
 
 
 class HandOver(unittest.TestCase):
@@ -42,11 +43,13 @@
         self.first = owner_of("t", self.early)
         self.names = names
         self.old = QuotaOwner(self.first, "1", 0)
-        self.old.told(0, 5, members(self.early), prior=0)
+        self.old.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
         self.new = QuotaOwner(self.last, "1", 0)
 
     def joined(self, now_us: int) -> None:
-        self.new.told(now_us, 9, members(self.names), prior=5, prior_owners=self.early)
+        self.new.update_members(
+            now_us, MembershipUpdate(9, members(self.names), previous_token=5, previous_owners=self.early)
+        )
 
     def test_the_first_list_of_all_begins_with_full_counts(self) -> None:
         reply = take(self.old, 10 * MS)
@@ -55,7 +58,7 @@
     def test_a_process_that_is_started_anew_under_the_first_list_does_not(self) -> None:
         """Guards against a burst for each life: the list names the life before, which may have granted."""
         again = QuotaOwner(self.first, "2", SECOND)
-        again.told(SECOND, 5, members(self.early), prior=0)
+        again.update_members(SECOND, MembershipUpdate(5, members(self.early), previous_token=0))
         self.assertLess(BURST - take(again, SECOND + 10 * MS).total, 1.0)
 
     def test_who_joins_adds_nothing_before_the_last_owner_has_said_its_word(self) -> None:
@@ -63,7 +66,10 @@
         take(self.old, SECOND)
         self.joined(2 * SECOND)
         self.assertEqual(self.new.predecessor(2 * SECOND, "t"), self.first)
-        held = [take(self.new, 2 * SECOND + each).held for each in (0, SECOND, HOLDS - 1, HOLDS)]
+        held = [
+            take(self.new, 2 * SECOND + each).held
+            for each in (0, SECOND, OWNERSHIP_LEASE_US - 1, OWNERSHIP_LEASE_US)
+        ]
         self.assertEqual(held, [False, False, False, True])
 
     def test_the_level_and_the_leases_are_handed_over(self) -> None:
@@ -71,7 +77,7 @@
         self.joined(SECOND + 100 * MS)
         reply = self.old.hand_over(SECOND + 101 * MS, wants(self.new))
         self.assertEqual((reply.wait, round(reply.count.level), round(reply.count.leased)), (False, 30, 10))
-        self.new.handed(SECOND + 102 * MS, "t", reply, RATE, BURST, self.first)
+        self.new.on_hand_over(SECOND + 102 * MS, wants(self.new), reply, self.first)
         self.assertEqual(round(BURST - take(self.new, SECOND + 102 * MS).total), 29)
         # The ten that are out take the room of what could be granted, as they did before.
         later = take(self.new, SECOND + 102 * MS + 2 * SECOND, 0.0)
@@ -83,38 +89,44 @@
         self.assertFalse(self.old.hand_over(SECOND, wants(self.new)).wait)
         self.assertFalse(take(self.old, SECOND + MS).held)
         # The asker may have lied, and there is no such list: then it goes on when its word is out of date.
-        self.assertTrue(take(self.old, SECOND + HOLDS).held)
+        self.assertTrue(take(self.old, SECOND + OWNERSHIP_LEASE_US).held)
 
     def test_an_answer_that_was_lost_is_given_again_and_makes_no_units(self) -> None:
         take(self.old, SECOND, 30.0)
         self.joined(SECOND + MS)
         for told in (False, True):
             if told:
-                self.old.told(SECOND + 3 * MS, 9, members(self.names), prior=5)
+                self.old.update_members(
+                    SECOND + 3 * MS, MembershipUpdate(9, members(self.names), previous_token=5)
+                )
             levels = [self.old.hand_over(SECOND + 5 * MS, wants(self.new)).count.level for _ in range(2)]
             self.assertEqual([round(each) for each in levels], [10, 10])
         reply = self.old.hand_over(SECOND + 5 * MS, wants(self.new))
-        self.new.handed(SECOND + 6 * MS, "t", reply, RATE, BURST, self.first)
+        self.new.on_hand_over(SECOND + 6 * MS, wants(self.new), reply, self.first)
         take(self.new, SECOND + 6 * MS, 5.0)
-        self.new.handed(SECOND + 7 * MS, "t", reply, RATE, BURST, self.first)
+        self.new.on_hand_over(SECOND + 7 * MS, wants(self.new), reply, self.first)
         self.assertEqual(round(BURST - take(self.new, SECOND + 7 * MS, 0.0).total), 5)
 
     def test_a_count_is_given_to_one_life_of_its_owner_alone(self) -> None:
         """Guards against the level of before once more for each start of the new owner (seed 1212)."""
         self.joined(SECOND)
-        self.new.handed(SECOND, "t", self.old.hand_over(SECOND, wants(self.new)), RATE, BURST, self.first)
+        self.new.on_hand_over(
+            SECOND, wants(self.new), self.old.hand_over(SECOND, wants(self.new)), self.first
+        )
         take(self.new, SECOND, 35.0)
         again = QuotaOwner(self.last, "2", 2 * SECOND)
-        again.told(2 * SECOND, 9, members(self.names), prior=5, prior_owners=self.early)
+        again.update_members(
+            2 * SECOND, MembershipUpdate(9, members(self.names), previous_token=5, previous_owners=self.early)
+        )
         self.assertEqual(again.predecessor(2 * SECOND, "t"), self.first)
         reply = self.old.hand_over(2 * SECOND, wants(again))
         self.assertEqual(reply, rpc_messages.HandOverReply(False))
-        again.handed(2 * SECOND, "t", reply, RATE, BURST, self.first)
+        again.on_hand_over(2 * SECOND, wants(again), reply, self.first)
         self.assertLess(BURST - take(again, 2 * SECOND + 100 * MS, 0.0).total, 1.5)
 
     def test_what_the_last_owner_may_have_granted_without_a_word_is_not_granted_again(self) -> None:
         self.joined(SECOND)
-        self.assertEqual(round(BURST - take(self.new, SECOND + HOLDS, 0.0).total), 0)
+        self.assertEqual(round(BURST - take(self.new, SECOND + OWNERSHIP_LEASE_US, 0.0).total), 0)
 
     def test_who_is_owner_no_less_or_knows_no_better_hands_nothing_over(self) -> None:
         other = next(name for name in self.early if name != self.first)
@@ -122,7 +134,7 @@
         self.assertTrue(self.old.hand_over(SECOND, outdated).wait)
         self.assertTrue(self.old.hand_over(SECOND, msgspec.structs.replace(outdated, fence=5)).wait)
         bystander = QuotaOwner(other, "1", 0)
-        bystander.told(0, 5, members(self.early), prior=0)
+        bystander.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
         self.joined(SECOND)
         self.assertTrue(bystander.hand_over(SECOND, wants(self.new)).wait)
         self.assertTrue(take(self.old, SECOND).held)
@@ -132,9 +144,13 @@
         self.joined(SECOND)
         third = owner_of("t", [name for name in self.names if name != self.last])  # the first one again
         back = QuotaOwner(third, "2", 0)
-        back.told(SECOND + 50 * MS, 12, members(self.names), prior=9, prior_owners=self.names,
-                  leaving=[self.last])  # fmt: skip
-        self.new.told(SECOND + 60 * MS, 12, members(self.names), prior=9, leaving=[self.last])
+        newest = MembershipUpdate(
+            12, members(self.names), previous_token=9, previous_owners=self.names, leaving=[self.last]
+        )
+        back.update_members(SECOND + 50 * MS, newest)
+        self.new.update_members(
+            SECOND + 60 * MS, MembershipUpdate(12, members(self.names), previous_token=9, leaving=[self.last])
+        )
         self.assertEqual(back.predecessor(SECOND + 60 * MS, "t"), self.last)
         self.assertTrue(self.new.hand_over(SECOND + 60 * MS, wants(back)).wait)
 
@@ -146,17 +162,26 @@
         followed, anew = QuotaOwner(heir, "1", 0), QuotaOwner(heir, "2", 0)
         left = [name for name in self.names if name not in (self.last, self.first)] + [self.first]
         leaving = [self.first]
-        followed.told(0, 5, members(self.early), prior=0)
-        followed.told(SECOND, 9, members(self.names), prior=5)
-        followed.told(SECOND + 300 * MS, 12, members(left), prior=9, leaving=leaving)
-        anew.told(SECOND + 300 * MS, 12, members(left), prior=9, prior_owners=self.names,
-                  earlier_owners=[self.early], leaving=leaving)  # fmt: skip
+        followed.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
+        followed.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_token=5))
+        followed.update_members(
+            SECOND + 300 * MS, MembershipUpdate(12, members(left), previous_token=9, leaving=leaving)
+        )
+        newest = MembershipUpdate(
+            12,
+            members(left),
+            previous_token=9,
+            previous_owners=self.names,
+            earlier_owners=[self.early],
+            leaving=leaving,
+        )
+        anew.update_members(SECOND + 300 * MS, newest)
         for one in (followed, anew):
             now = SECOND + 310 * MS
             self.assertEqual(one.predecessor(now, "t"), self.first)
             self.assertFalse(take(one, now).held)
         now = SECOND + 320 * MS
-        followed.handed(now, "t", self.old.hand_over(now, wants(followed)), RATE, BURST, self.first)
+        followed.on_hand_over(now, wants(followed), self.old.hand_over(now, wants(followed)), self.first)
         self.assertFalse(take(self.old, now).held)
         self.assertGreater(BURST - take(followed, now).total, 30)
 
@@ -165,16 +190,18 @@
         self.joined(SECOND)
         heir = owner_of("t", [name for name in self.early if name != self.first])
         one, unknowing = QuotaOwner(heir, "1", 0), QuotaOwner(self.last, "2", SECOND)
-        one.told(0, 5, members(self.early), prior=0)
-        one.told(SECOND, 9, members(self.names), prior=5)
+        one.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
+        one.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_token=5))
         leaving = [self.last, self.first]
-        one.told(SECOND + 300 * MS, 12, members(self.names), prior=9, leaving=leaving)
+        one.update_members(
+            SECOND + 300 * MS, MembershipUpdate(12, members(self.names), previous_token=9, leaving=leaving)
+        )
         now = SECOND + 310 * MS
         self.assertEqual(one.predecessor(now, "t"), self.last)
-        one.handed(now, "t", unknowing.hand_over(now, wants(one)), RATE, BURST, self.last)
+        one.on_hand_over(now, wants(one), unknowing.hand_over(now, wants(one)), self.last)
         self.assertEqual(one.predecessor(now, "t"), self.first)
         self.assertFalse(take(one, now).held)
-        one.handed(now, "t", self.old.hand_over(now, wants(one)), RATE, BURST, self.first)
+        one.on_hand_over(now, wants(one), self.old.hand_over(now, wants(one)), self.first)
         self.assertTrue(take(one, now).held)
         self.assertFalse(take(self.old, now).held)
 
@@ -183,22 +210,26 @@
         take(self.old, SECOND - MS)
         self.joined(SECOND)
         now = SECOND + 5 * MS
-        self.new.handed(now, "t", self.old.hand_over(now, wants(self.new)), RATE, BURST, self.first)
+        self.new.on_hand_over(now, wants(self.new), self.old.hand_over(now, wants(self.new)), self.first)
         self.assertTrue(take(self.new, now).held)
-        self.old.told(now, 8, members(self.early), prior=7, prior_owners=self.early)
+        self.old.update_members(
+            now, MembershipUpdate(8, members(self.early), previous_token=7, previous_owners=self.early)
+        )
         self.assertFalse(take(self.old, now).held)
-        self.old.told(now, 9, members(self.names), prior=8)
+        self.old.update_members(now, MembershipUpdate(9, members(self.names), previous_token=8))
         self.assertFalse(take(self.old, now).held)
 
     def test_nobody_is_waited_for_whose_process_is_gone(self) -> None:
         self.joined(SECOND)
-        self.new.gone(SECOND, "t", RATE, BURST, self.first)
+        self.new.on_owner_terminated(SECOND, wants(self.new), self.first)
         self.assertTrue(take(self.new, SECOND + MS).held)
         other = QuotaOwner(self.first, "2", 0)  # started anew, it knows of nothing
         self.assertEqual(other.hand_over(SECOND, wants(self.new)), rpc_messages.HandOverReply(False))
         gone = QuotaOwner(self.last, "1", 0)
         left = [name for name in self.names if name != self.first]
-        gone.told(SECOND, 9, members(left), prior=5, prior_owners=self.early)
+        gone.update_members(
+            SECOND, MembershipUpdate(9, members(left), previous_token=5, previous_owners=self.early)
+        )
         self.assertEqual(gone.predecessor(SECOND, "t"), "")
 
     def test_one_that_is_told_to_end_owns_no_counts_where_others_stay(self) -> None:
--- a/tests/gateway/test_ownership.py
+++ b/tests/gateway/test_ownership.py
@@ -13,7 +13,7 @@
             random, table = Random(seed), OwnerTable()
             names = {f"edge-{i}" for i in range(40)}
             for step in range(30):
-                table.told(names)
+                table.update(names)
                 for tenant in random.sample(tenants, 40):
                     self.assertEqual(table.owner(tenant), owner_of(tenant, names), f"{seed} {step}")
                 leaving = random.sample(sorted(names), min(len(names), random.choice((0, 1, 10, 80))))
--- a/tests/gateway/test_quota_owner.py
+++ b/tests/gateway/test_quota_owner.py
@@ -18,8 +18,9 @@
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.configuration import Tenant
+from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.owner import QuotaOwner
-from lapisgrade.gateway.quota.ownership import HOLDS, owner_of
+from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US, owner_of
 from lapisgrade.gateway.quota.client import QuotaClient, unseen
 
 SECOND = 1_000_000
@@ -58,11 +59,11 @@
     def add(self, task, add) -> None:
         world = self.world
         name = owner_of("t", self.quota_owner.proxies)
-        ask = self.quota_client.ask(self.name, self.quota_owner.fence)
+        ask = self.quota_client.ask(self.name, self.quota_owner.fencing_token)
         other = world.proxies.get(name)
         total = Total(Tally.SILENT)
         if other is not None and not self.dark and not other.dark:
-            taken = other.quota_owner.take(world.now, ask, world.acts_until.get(name, world.now + SECOND))
+            taken = other.quota_owner.add(world.now, ask, world.acts_until.get(name, world.now + SECOND))
             total = Total(Tally.ADDED, taken.total) if taken.held else Total(Tally.TURNED_AWAY)
             if taken.held:
                 self.quota_client.gateways = taken.limiters
@@ -104,7 +105,9 @@
         self.fence += 1
         for each in self.proxies.values():
             if to is None or each.name in to:
-                each.quota_owner.told(self.now, self.fence, live_proxies(names, self.lives))
+                each.quota_owner.update_members(
+                    self.now, MembershipUpdate(self.fence, live_proxies(names, self.lives))
+                )
 
     def later(self, wait: int, call) -> None:
         self.order += 1
@@ -213,8 +216,9 @@
         world.proxies = {name: Proxy(world, name) for name in world.names}
         world.run(until_told, 300)
         for each in world.proxies.values():
-            each.quota_owner.told(
-                world.now, world.fence, live_proxies(world.names, old if heirs else world.lives)
+            each.quota_owner.update_members(
+                world.now,
+                MembershipUpdate(world.fence, live_proxies(world.names, old if heirs else world.lives)),
             )
         world.run(0.15, 300)
         world.tell(world.names)
@@ -248,7 +252,7 @@
                 held = []
                 for name in names:
                     one = QuotaOwner(name)
-                    one.told(0, 1, live_proxies(names), core)
+                    one.update_members(0, MembershipUpdate(1, live_proxies(names), core))
                     held += [name] if one.owns(tenant) else []
                 self.assertEqual(len(held), 1)
                 self.assertTrue(held[0] not in core or core == names)
@@ -257,13 +261,15 @@
         mine, names = owner_of("t", live_proxies("abc")), "abc"
         for own, first, since in (("1", {mine: 0}, 3), ("1", {mine: 1}, 5), ("", {}, 5)):
             one = QuotaOwner(mine, own, 3)
-            one.told(5, 1, live_proxies(names, first))
-            one.told(6, 2, live_proxies(names, {mine: 1}))
-            self.assertEqual(one.since("t"), since)
+            one.update_members(5, MembershipUpdate(1, live_proxies(names, first)))
+            one.update_members(6, MembershipUpdate(2, live_proxies(names, {mine: 1})))
+            self.assertEqual(one.ownership.exclusive_since("t", one.ownership.epochs, None), since)
         one = QuotaOwner(mine, "1", 3)  # somebody else held it meanwhile
-        one.told(5, 1, live_proxies([each for each in names if each != mine]))
-        one.told(6, 2, live_proxies(names, {mine: 0}))
-        self.assertEqual(one.since("t"), 6 + HOLDS)  # and may have granted until its time was over
+        one.update_members(5, MembershipUpdate(1, live_proxies([each for each in names if each != mine])))
+        one.update_members(6, MembershipUpdate(2, live_proxies(names, {mine: 0})))
+        self.assertEqual(
+            one.ownership.exclusive_since("t", one.ownership.epochs, None), 6 + OWNERSHIP_LEASE_US
+        )  # and may have granted until its time was over
 
     def test_one_that_missed_a_live_proxies_holds_nothing_of_before(self):
         """Guards against an owner that was cut off, and grants what its count has filled up with while
@@ -273,21 +279,21 @@
         ask = rpc_messages.QuotaRequest("t", 1.0, "x", 5, 60.0, 60.0)
         for prior, total in ((5, 1.0), (6, 60.0)):
             one = QuotaOwner(mine)
-            one.told(0, 5, live_proxies(names), prior=4)
-            one.take(SECOND, ask, 99 * SECOND)
-            one.told(9 * SECOND, 7, live_proxies(names), prior=prior)
-            told = one.take(9 * SECOND, msgspec.structs.replace(ask, fence=7), 99 * SECOND).total
+            one.update_members(0, MembershipUpdate(5, live_proxies(names), previous_token=4))
+            one.add(SECOND, ask, 99 * SECOND)
+            one.update_members(9 * SECOND, MembershipUpdate(7, live_proxies(names), previous_token=prior))
+            told = one.add(9 * SECOND, msgspec.structs.replace(ask, fence=7), 99 * SECOND).total
             self.assertGreaterEqual(told, total, f"after {prior}")
             self.assertLess(told, total + 1.5)
 
     def test_only_what_this_count_granted_with_the_call_before_comes_back(self):
         names = ["a", "b", "c"]
         one = QuotaOwner(owner_of("t", live_proxies(names)))
-        one.told(0, 5, live_proxies(names))
+        one.update_members(0, MembershipUpdate(5, live_proxies(names)))
 
         def room(now: float, units: float, back: float = 0.0, turn: int = 1, of: int = 0) -> float:
             ask = rpc_messages.QuotaRequest("t", units, "x", 5, 1.0, 60.0, back, turn, of)
-            return round(60.0 - one.take(int(now * SECOND), ask, 1 << 60).total, 1)
+            return round(60.0 - one.add(int(now * SECOND), ask, 1 << 60).total, 1)
 
         self.assertEqual(room(40, 10, turn=1), 30.0)
         self.assertEqual(room(40, 0, 6, turn=2, of=1), 36.0)
@@ -356,34 +362,34 @@
 
         def held(now_us: int, acts_until_us: int) -> list[bool]:
             asks = [rpc_messages.QuotaRequest("t", 1.0, "a", fence, 60.0, 60.0) for fence in fences]
-            return [one.take(now_us, ask, acts_until_us).held for ask in asks]
+            return [one.add(now_us, ask, acts_until_us).held for ask in asks]
 
         self.assertEqual(held(0, SECOND), [False] * 3)  # it has no list
-        one.told(0, 5, live_proxies(names))
+        one.update_members(0, MembershipUpdate(5, live_proxies(names)))
         self.assertEqual(held(SECOND, 2 * SECOND), [True] * 3)
         no_list = rpc_messages.QuotaRequest("t", 1.0, "a", 0, 60.0, 60.0)
-        self.assertFalse(one.take(SECOND, no_list, 2 * SECOND).held)
+        self.assertFalse(one.add(SECOND, no_list, 2 * SECOND).held)
         self.assertEqual(held(3 * SECOND, 2 * SECOND), [False] * 3)  # out of touch
-        one.told(3 * SECOND, 6, others)
+        one.update_members(3 * SECOND, MembershipUpdate(6, others))
         self.assertEqual(held(3 * SECOND, 9 * SECOND), [False] * 3)  # another owns it
-        self.assertEqual(one.counts, {})
-        one.told(4 * SECOND, 7, live_proxies(names))
+        self.assertEqual(one.counts.by_tenant, {})
+        one.update_members(4 * SECOND, MembershipUpdate(7, live_proxies(names)))
         self.assertEqual(held(4 * SECOND, 9 * SECOND), [False] * 3)  # that one may add still
-        self.assertEqual(held(4 * SECOND + HOLDS, 9 * SECOND), [True] * 3)
+        self.assertEqual(held(4 * SECOND + OWNERSHIP_LEASE_US, 9 * SECOND), [True] * 3)
 
     def test_one_that_handed_its_count_over_adds_nothing_for_an_asker_that_has_its_own_list(self):
         names = ["a", "b", "c"]
         mine = owner_of("t", live_proxies(names))
         early = [name for name in names if name != mine]
         old = QuotaOwner(owner_of("t", live_proxies(early)))
-        old.told(0, 5, live_proxies(early), prior=0)
+        old.update_members(0, MembershipUpdate(5, live_proxies(early), previous_token=0))
         ask = rpc_messages.QuotaRequest("t", 1.0, "x", 5, 60.0, 60.0)
-        self.assertTrue(old.take(SECOND, ask, 9 * SECOND).held)
+        self.assertTrue(old.add(SECOND, ask, 9 * SECOND).held)
         wants = rpc_messages.HandOverRequest("t", mine, 9, 60.0, 60.0, "1")
         self.assertFalse(old.hand_over(SECOND, wants).wait)
-        self.assertFalse(old.take(SECOND, ask, 9 * SECOND).held)
-        old.told(SECOND, 9, live_proxies(names), prior=5)
-        self.assertFalse(old.take(SECOND, ask, 9 * SECOND).held)
+        self.assertFalse(old.add(SECOND, ask, 9 * SECOND).held)
+        old.update_members(SECOND, MembershipUpdate(9, live_proxies(names), previous_token=5))
+        self.assertFalse(old.add(SECOND, ask, 9 * SECOND).held)
 
     def test_one_that_never_saw_the_count_has_nothing_of_its_own(self):
         world = World(2)
--- a/tests/gateway/test_quota_transport.py
+++ b/tests/gateway/test_quota_transport.py
@@ -10,6 +10,7 @@
 
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.proxy.quota_transport import ADD, QuotaTransport
+from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.verdict import Verdict
@@ -35,7 +36,7 @@
         self.settings = SimpleNamespace(hostname=ME)
         self.counts: Counter[str] = Counter()
         self.quota_owner = QuotaOwner(ME, "1", 0)
-        self.quota_owner.told(0, 5, listed(ME, OLD), prior=0)
+        self.quota_owner.update_members(0, MembershipUpdate(5, listed(ME, OLD), previous_token=0))
         self.acts_until, self.refused, self.asked, self.ended = 1 << 60, set(), [], []
         client = SimpleNamespace(ask=self._ask, gateways=1)
         self.router = SimpleNamespace(quota_clients={self.tenant: client})
@@ -81,14 +82,14 @@
             NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9),
         }
         asyncio.get_running_loop().call_later(
-            0.03, process.quota_owner.told, 1, 9, listed(ME, OLD, NEW), (), 5
+            0.03, process.quota_owner.update_members, 1, MembershipUpdate(9, listed(ME, OLD, NEW), (), 5)
         )
         self.assertIs(await self.add(), Ending.ANSWERED)
         self.assertEqual((process.asked[0], process.asked[-1]), ((OLD, 5), (NEW, 9)))
 
     async def test_an_owner_without_this_list_yet_is_asked_until_it_has_it(self) -> None:
         process = self.process
-        process.quota_owner.told(1, 9, listed(ME, OLD, NEW), prior=5)
+        process.quota_owner.update_members(1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_token=5))
         process.answers = {NEW: rpc_messages.QuotaReply(False, fence=5)}
         asyncio.get_running_loop().call_later(
             0.04, process.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
