--- a/lapisgrade/gateway/routing/upstream_protocol.py
+++ b/lapisgrade/gateway/routing/upstream_protocol.py
@@ -1,18 +1,30 @@
-"""What servers and clients of the system say over HTTP: which fields pass, and what an answer means."""
+"""HTTP as the gateway's clients and servers speak it: which headers are forwarded, and what a response means.
+
+Fields and statuses are RFC 9110's and RFC 9112's; the fields named below are the system's own.
+"""
 
 import re
 from dataclasses import dataclass
+from typing import Any
 
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import ClientRequest
 from lapisgrade.net.hops import Dialect
 from lapisgrade.net.http import Message
 
-TRY_ID, SEAL, NOT_RUN, LOAD = b"try-id", b"server-seal", b"not-run", b"server-load"
-DEADLINE, TENANT, WANT = b"deadline-ms", b"tenant", b"want-instance"
-KEY = b"authorization"
-# Of one connection alone, or told anew on the next.
-HOP = frozenset(
+# Requests.
+REQUEST_ID = b"try-id"  # one for each attempt of a client; a response repeats it
+DEADLINE = b"deadline-ms"  # how long the client, or the server, has
+TENANT = b"tenant"  # whose request it is, to a server
+WANTED_INSTANCE = b"want-instance"  # the id of the server that is meant; another one answers 421
+AUTHORIZATION = b"authorization"
+# Responses.
+SERVER_SEAL = b"server-seal"  # on each success, so that one cut short or made up is known
+NOT_RUN = b"not-run"  # the server promises that it has not run the request
+SERVER_LOAD = b"server-load"  # requests running, waiting, and slots
+
+# Of one connection alone (RFC 9110, section 7.6.1), or written anew on the next.
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -27,88 +39,100 @@
         b"expect",
     )
 )
-OURS = HOP | {b"host", TRY_ID, DEADLINE, TENANT, WANT, KEY}
-IDLE_MOST = 60  # s of a server's own word on idle connections that we follow
-_IDLE = re.compile(rb"timeout=(\d{1,6})")
-_LOAD = re.compile(rb"(\d{1,6}),(\d{1,6}),(\d{1,6})")
+NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {
+    b"host",
+    REQUEST_ID,
+    DEADLINE,
+    TENANT,
+    WANTED_INSTANCE,
+    AUTHORIZATION,
+}
+MAX_BODY_BYTES = 64 * 1024 * 1024
+MAX_KEEP_ALIVE_S = 60  # of a server's announced keep-alive time that we follow
+METHODS_WITHOUT_BODY = (b"GET", b"HEAD")
+MISDIRECTED_REQUEST = 421
+US_PER_S = 1_000_000
+_KEEP_ALIVE_PATTERN = re.compile(rb"timeout=(\d{1,6})")
+_LOAD_PATTERN = re.compile(rb"(\d{1,6}),(\d{1,6}),(\d{1,6})")
 
 
 @dataclass(slots=True, eq=False)
-class Passing(ClientRequest):
-    """What a client sent, as it passes on; `lines` are the fields that pass unchanged."""
+class ForwardedRequest(ClientRequest):
+    """A client's request as it is forwarded."""
 
-    lines: bytes = b""
+    lines: bytes = b""  # the header lines that are forwarded unchanged
     tenant: bytes = b""
-    failure: Message | None = None  # a server's whole answer that it failed
+    failure: Message | None = None  # a server's complete error response
 
 
-def passed(message: Message, without: frozenset) -> bytes:
-    """The field lines that pass on, but for those, and those that Connection names."""
+def forwarded_headers(message: Message, excluded: frozenset[bytes]) -> bytes:
+    """The header lines to forward: all but those excluded, and those that Connection names."""
     fields = [(name.lower(), name, value) for name, value in message.head.headers.raw_items()]
-    named = {
-        each.strip().lower() for low, _, value in fields if low == b"connection" for each in value.split(b",")
-    }
+    connection_values = [value for lowered, _, value in fields if lowered == b"connection"]
+    named = {each.strip().lower() for value in connection_values for each in value.split(b",")}
     return b"".join(
         b"%b: %b\r\n" % (name, value)
-        for low, name, value in fields
-        if low not in without and low not in named
+        for lowered, name, value in fields
+        if lowered not in excluded and lowered not in named
     )
 
 
+def parse_load(message: Message) -> dict[str, float] | None:
+    """The load that a server's response reports; None where there is none that can be read."""
+    found = _LOAD_PATTERN.fullmatch(message.headers().get(SERVER_LOAD, b"").strip())
+    if found is None:
+        return None
+    return {"running": float(found[1]), "waiting": float(found[2]), "slots": float(found[3])}
+
+
 class UpstreamProtocol(Dialect):
-    """To servers, and from them."""
+    """How requests are written to servers, and how their responses are understood."""
 
-    most_body = 64 * 1024 * 1024
+    most_body = MAX_BODY_BYTES
 
-    def head(self, hop, left: float) -> bytes:
-        asked: Passing = hop.operation.handle
-        size = sum(len(each) for each in asked.body)
+    def head(self, hop: Any, left: float) -> bytes:
+        """Request line and headers of an attempt, `left` seconds before its end."""
+        request: ForwardedRequest = hop.operation.handle
+        size = sum(len(each) for each in request.body)
+        has_length = size or request.method not in METHODS_WITHOUT_BODY
         return (
             b"%b %b HTTP/1.1\r\nHost: %b\r\nTry-Id: %b\r\nDeadline-Ms: %d\r\nWant-Instance: %b\r\n%b%b%b\r\n"
             % (
-                asked.method,
-                asked.target,
-                asked.host,
-                asked.request_id,
+                request.method,
+                request.target,
+                request.host,
+                request.request_id,
                 max(1, int(left * 1000)),
                 hop.server.address.encode(),
-                b"Tenant: %b\r\n" % asked.tenant if asked.tenant else b"",
-                asked.lines,
-                b"Content-Length: %d\r\n" % size if size or asked.method not in (b"GET", b"HEAD") else b"",
+                b"Tenant: %b\r\n" % request.tenant if request.tenant else b"",
+                request.lines,
+                b"Content-Length: %d\r\n" % size if has_length else b"",
             )
         )
 
-    def stray(self, hop, message: Message) -> bool:
-        name = message.headers().get(TRY_ID)
-        return name is not None and name != hop.operation.handle.request_id
+    def stray(self, hop: Any, message: Message) -> bool:
+        """Whether a response is another request's than the one in flight."""
+        request_id = message.headers().get(REQUEST_ID)
+        return request_id is not None and request_id != hop.operation.handle.request_id
 
-    def told(self, hop, message: Message) -> CloseReason:
-        status, fields = message.head.status_code, message.headers()
-        if fields.get(TRY_ID) != hop.operation.handle.request_id or b"content-encoding" in fields:
+    def told(self, hop: Any, message: Message) -> CloseReason:
+        """What a complete response says of the attempt."""
+        status, headers = message.head.status_code, message.headers()
+        if headers.get(REQUEST_ID) != hop.operation.handle.request_id or b"content-encoding" in headers:
             return CloseReason.MALFORMED
-        if status == 421 or (NOT_RUN in fields and status >= 400):
+        if status == MISDIRECTED_REQUEST or (NOT_RUN in headers and status >= 400):
             return CloseReason.REJECTED
-        framed = b"content-length" in fields or b"transfer-encoding" in fields
+        is_framed = b"content-length" in headers or b"transfer-encoding" in headers
         if 200 <= status < 300:
             # Without a length its end can't be told from its being cut.
-            return CloseReason.ANSWERED if SEAL in fields and framed else CloseReason.MALFORMED
-        if status < 200 or not framed:
+            return CloseReason.ANSWERED if SERVER_SEAL in headers and is_framed else CloseReason.MALFORMED
+        if status < 200 or not is_framed:
             return CloseReason.MALFORMED
-        # A server's failure is final where the request may run once; else another may do better.
-        return (
-            CloseReason.ERROR_RESPONSE
-            if status >= 500 and hop.operation.rule.mode == "idem"
-            else CloseReason.CLIENT_ERROR
-        )
+        # A server's error is final where the request may run only once; else another may do better.
+        may_retry = status >= 500 and hop.operation.rule.mode == "idem"
+        return CloseReason.ERROR_RESPONSE if may_retry else CloseReason.CLIENT_ERROR
 
     def idle_us(self, message: Message) -> int:
-        found = _IDLE.search(message.headers().get(b"keep-alive", b""))
-        return 1_000_000 * min(int(found[1]), IDLE_MOST) if found else 0
-
-
-def load(message: Message) -> dict[str, float] | None:
-    """A server's word on its load, if it can be read."""
-    found = _LOAD.fullmatch(message.headers().get(LOAD, b"").strip())
-    return (
-        {"running": float(found[1]), "waiting": float(found[2]), "slots": float(found[3])} if found else None
-    )
+        """How long a server keeps the connection idle, by its own Keep-Alive header; 0: not announced."""
+        found = _KEEP_ALIVE_PATTERN.search(message.headers().get(b"keep-alive", b""))
+        return US_PER_S * min(int(found[1]), MAX_KEEP_ALIVE_S) if found else 0
