--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -1,14 +1,10 @@
 """Counts that change hands: by the last owner's word, by its end, or by its time. Nobody adds meanwhile."""
 
-import contextlib
-import io
-import logging
 import unittest
 
 import msgspec
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.cli.demo import Load, demo
 from lapisgrade.gateway.controller.state_machine import LiveProxies, StateMachine, encoded
 from lapisgrade.gateway.controller.watch import GATHER, Watch
 from lapisgrade.gateway.quota.owner import QuotaOwner
@@ -222,23 +218,3 @@
         owners = eligible_owners(state.live_proxies, state.core, state.leaving)
         self.assertEqual(sorted(owners), self.early)
         self.assertEqual(sorted(eligible_owners(state.live_proxies, [], self.names)), self.names)
-
-
-class Demonstration(unittest.IsolatedAsyncioTestCase):
-    def test_what_was_not_served_is_told_with_why_and_where(self) -> None:
-        load = Load()
-        load.add(0.25, "m2", TimeoutError())
-        load.add(0.5, "m1", TimeoutError())
-        self.assertEqual(load.lines(), ["  not served: 2 with TimeoutError (no whole answer), "
-                                        "the first after 0.25 s at proxy m2"])  # fmt: skip
-
-    def setUp(self) -> None:
-        logging.disable(logging.WARNING)
-        self.addCleanup(logging.disable, logging.NOTSET)
-
-    async def test_the_demo_serves_all_five_times_over(self) -> None:
-        for _ in range(5):
-            said: list[str] = []
-            with contextlib.redirect_stderr(io.StringIO()):
-                status = await demo(1.0, said.append)
-            self.assertEqual(status, 0, "\n".join(said))
--- a/tests/lab/partitions/test_quota.py
+++ b/tests/lab/partitions/test_quota.py
@@ -9,8 +9,19 @@
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.lab.partitions import quota as partitioned
+from support.loopback_network import reserve_loopback_network
 from support.quota_simulation import SLO
 
+# The command line, with the plays' machines on the network that its first argument names.
+CLI_ON_NETWORK = """
+import sys
+from unittest import mock
+from lapisgrade.cli.main import main
+from lapisgrade.lab.partitions import quota
+with mock.patch.multiple(quota, NET=int(sys.argv.pop(1)), NETS=1):
+    main()
+"""
+
 
 class Plays(unittest.IsolatedAsyncioTestCase):
     """With processes: an owner behind a cut grants on until its time is over, while all others start anew."""
@@ -18,10 +29,13 @@
     async def test_the_bound_holds_over_cuts_and_kills_of_processes(self):
         async def one(seed: int, case: str) -> list[str]:
             told = ("lab", "partitions", "quota", "--plays", "1", "--first", str(seed), "--cases", case)
-            running = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lapisgrade.cli", *told, cwd=ROOT, stdout=asyncio.subprocess.PIPE
-            )
-            said = (await running.communicate())[0].decode()
+            with reserve_loopback_network() as network:
+                running = await asyncio.create_subprocess_exec(
+                    *(sys.executable, "-c", CLI_ON_NETWORK, str(network.number), *told),
+                    cwd=ROOT,
+                    stdout=asyncio.subprocess.PIPE,
+                )
+                said = (await running.communicate())[0].decode()
             self.assertEqual(running.returncode, 0, said)
             return [each.strip() for each in said.splitlines()[-1].split("|")]
 
