--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -17,7 +17,7 @@
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import address
 from lapisgrade.gateway.verdict import Verdict
-from lapisgrade.interface import Add
+from lapisgrade.interface import AddToCounter
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import CounterCallFinished
 
@@ -51,10 +51,10 @@
 
     # ---- this proxy's own adds
 
-    def add(self, task: Task, add: Add) -> None:
+    def add(self, task: Task, add: AddToCounter) -> None:
         """Have an add counted by the tenant's owner, and tell the host the result."""
-        quota_client = self._router.quota_clients.get(add.name)
-        owner_name = self._quota_owner.owner(add.name)
+        quota_client = self._router.quota_clients.get(add.counter_id)
+        owner_name = self._quota_owner.owner(add.counter_id)
         if quota_client is None or not owner_name:
             return self._finish(task, CloseReason.REJECTED)
         hostname = self._context.settings.hostname
@@ -190,9 +190,9 @@
             return  # the membership has changed meanwhile
         if isinstance(reply, rpc_messages.HandOverReply):
             self._context.metrics.hand_overs_received += not reply.wait
-            owner.on_hand_over(self._now_us(), hand_over, reply, predecessor)
+            owner.handed(self._now_us(), request.tenant, reply, request.rate, request.burst, predecessor)
         elif self._rpc.peer(to).refused:
-            owner.on_owner_terminated(self._now_us(), hand_over, predecessor)
+            owner.gone(self._now_us(), request.tenant, request.rate, request.burst, predecessor)
 
     def close(self) -> None:
         """Cancel the calls in progress."""
