--- a/lapisgrade/gateway/cli/dump.py
+++ b/lapisgrade/gateway/cli/dump.py
@@ -48,9 +48,9 @@
             raise Bad(f"{folder}: no whole generation is there")
         self.generation, self.records = log_store.generation, len(records)
         first: SnapshotRecord = records[0]
-        self.identity, self.term, self.base = first.identity, first.term, first.base
+        self.identity, self.term, self.snapshot_index = first.identity, first.term, first.snapshot_index
         self.voters, replicated = first.voters, ReplicatedLog(first.voters)
-        replicated.install(first.base, first.base_term, first.voters, first.state)
+        replicated.install(first.snapshot_index, first.snapshot_term, first.voters, first.state)
         replicated.append(first.entries)
         for record in records[1:]:
             if isinstance(record, HardState):
@@ -108,7 +108,7 @@
         state = self.state_machine.state
         out = [
             f"disk {self.identity}, generation {self.generation}, {self.records} sound records",
-            f"term {self.term}; a snapshot up to entry {self.base} (version {self.snapshot_ver}), "
+            f"term {self.term}; a snapshot up to entry {self.snapshot_index} (version {self.snapshot_ver}), "
             f"{self.entries} entries after it",
             f"voters: {', '.join(f'{name} at {place}' for name, place in sorted(self.voters.items()))}",
             f"newest version {state.ver}, in force {state.acting_ver}; servers that left {len(state.left)}, "
--- a/lapisgrade/gateway/consensus/__init__.py
+++ b/lapisgrade/gateway/consensus/__init__.py
@@ -1,5 +1,14 @@
-"""Raft consensus for the control plane: pure, fed messages, completed writes and a clock.
+"""Raft consensus for the control plane.
 
-Sources: Ongaro, "Consensus: Bridging Theory and Practice", 2014 (pre-vote, check-quorum, leadership transfer,
-one voter change at a time, snapshots); Ongaro, "bug in single-server membership changes", raft-dev, 2015.
+Pure: a node does no input or output. It is given messages, completed writes and the time, and says what is
+to be sent, written and applied. `node.Node` is the way in; each of its concerns is an object in a module of
+its own.
+
+Sources, cited as "thesis, section":
+
+- D. Ongaro, "Consensus: Bridging Theory and Practice", Stanford, 2014: leader election (3.4), log replication
+  (3.5), leadership transfer (3.10), changes of one server at a time (4.1), snapshots (5.1), check-quorum
+  (6.2), leases for reads (6.4.1), pre-vote (9.6).
+- D. Ongaro, "bug in single-server membership changes", raft-dev, 2015: a leader changes the voters only after
+  an entry of its own term is committed.
 """
--- a/lapisgrade/gateway/consensus/election.py
+++ b/lapisgrade/gateway/consensus/election.py
@@ -1,143 +1,145 @@
-"""Elections: pre-vote, vote, and who may be voted for while a lease may be held."""
+"""Elections as the candidate sees them: pre-vote, vote, and the count of the replies (thesis, 3.4 and 9.6).
 
-from lapisgrade.gateway.consensus.messages import RequestVote, RequestVoteReply, TimeoutNow
+A pre-vote asks first whether a vote would be granted, so that a node that was cut off raises no term. When
+all voters grant it and say that they hold no lease, the vote itself need not wait for leases to run out.
+"""
+
+from dataclasses import dataclass, field
+
+from lapisgrade.gateway.consensus.election_timer import ElectionTimer
+from lapisgrade.gateway.consensus.messages import OutgoingMessage, RequestVote, RequestVoteReply, TimeoutNow
 from lapisgrade.gateway.consensus.records import HardState
-from lapisgrade.gateway.consensus.state import ELECTION_TIMEOUT_US, NodeState, Role
+from lapisgrade.gateway.consensus.state import NodeState, Role, RoleTransitions
+from lapisgrade.gateway.consensus.voter import Voter
 
 
-class Election(NodeState):
-    """The part of a node that elects leaders and is elected."""
+@dataclass(slots=True)
+class VoteTally:
+    """Identities of those that granted the current pre-vote or vote."""
 
-    def _start_pre_vote(self) -> None:
-        """Ask first whether a vote would be granted (guards the term against one that was cut off)."""
-        self.leader = self.leader_address = ""
-        self.role, self._votes, self._idle = Role.PRE_CANDIDATE, {self.identity}, {self.identity}
-        self._unanimous_only = {self.identity} if self.now_us < self._lease_guard_until_us else set()
-        self._round += 1
-        self._request_votes(self.term + 1, pre_vote=True)
-        self._count_votes()
+    granted: set[str] = field(default_factory=set)
+    lease_free: set[str] = field(default_factory=set)  # of `granted`: those that hold no lease
+    unanimous_only: set[str] = field(default_factory=set)  # of `granted`: those that count if all grant
 
-    def _stand(self, lease_free: bool) -> None:
-        """Ask for votes in the next term; they and the own vote count once the own vote is on disk."""
-        self.role, self._votes, self._unanimous_only = Role.CANDIDATE, set(), set()
-        self.leader = self.leader_address = ""
-        self.term, self.voted_for = self.term + 1, self.identity
-        earlier, self.effects.sends = self.effects.sends, []
-        self._request_votes(self.term, pre_vote=False, lease_free=lease_free)
-        requests, self.effects.sends = self.effects.sends, earlier
-        own = (self.address, RequestVoteReply(self.term, self.identity, True, False))
-        self._write([HardState(self.term, self.identity)], [*requests, own])
-
-    def _request_votes(self, term: int, pre_vote: bool, lease_free: bool = False) -> None:
-        request = RequestVote(
-            term,
-            self.identity,
-            self.address,
-            self.log.last_index,
-            self.log.last_term,
-            pre_vote,
-            lease_free,
-            self._round,
-        )
-        for name, address in self.voters.items():
-            if name != self.identity:
-                self._send(address, request)
 
-    def _hears_leader(self) -> bool:
-        """Whether a lease may rest on what this node has said, as leader or follower."""
-        if self.is_leader:
-            return self.now_us - self._quorum_us() <= ELECTION_TIMEOUT_US
-        return bool(self.leader) and self.now_us - self._last_leader_contact_us < ELECTION_TIMEOUT_US
+class Election:
+    """Starts elections and counts votes; owns the tally and the number of the pre-vote."""
 
-    # Whether this node is a voter is the candidate's to know: the change that made it one may be in the
-    # candidate's log alone (thesis, 4.2.2). An emptied disk has another identity, which nobody counts.
+    def __init__(
+        self, state: NodeState, timer: ElectionTimer, voter: Voter, transitions: RoleTransitions
+    ) -> None:
+        """Make the candidate's part of a node.
 
-    def _log_is_current(self, request: RequestVote) -> bool:
-        return (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
+        Args:
+            state: the node's state.
+            timer: says when the next election is due.
+            voter: this node as a voter, whose own vote counts too.
+            transitions: used when an election is won, or a later term is seen.
+        """
+        self.state = state
+        self._timer = timer
+        self._voter = voter
+        self._transitions = transitions
+        self._tally = VoteTally()
+        self.pre_vote_round = 0
 
-    def _on_request_vote(self, request: RequestVote) -> None:
-        if request.pre_vote:
-            self._on_pre_vote(request)
-            return
-        held = self._hears_leader() or self.now_us < self._lease_guard_until_us
-        if request.term < self.term or (held and not request.lease_free):
-            self._send(request.address, RequestVoteReply(self.term, self.identity, False, False))
-            return
-        if request.term > self.term:
-            self._follow(request.term)
-        granted = self._log_is_current(request) and self.voted_for in ("", request.candidate)
-        reply = RequestVoteReply(self.term, self.identity, granted, False)
-        if not granted:
-            self._send(request.address, reply)
-            return
-        self.voted_for = request.candidate
-        self._postpone_election()
-        self._write([HardState(self.term, self.voted_for)], [(request.address, reply)])
-
-    def _on_pre_vote(self, request: RequestVote) -> None:
-        granted = (
-            not self.is_leader  # what it grants tells that it holds no lease, and it might be heard again
-            and not self._hears_leader()
-            and request.term > self.term
-            and self._log_is_current(request)
-        )
-        idle = granted and self.role is not Role.CANDIDATE
-        if idle:
-            # So it can't come to lead in a term up to the asker's, which would not know of the asker.
-            self._raise_term(request.term - 1)
-        reply = RequestVoteReply(
-            request.term if granted else self.term,
-            self.identity,
-            granted,
-            True,
-            self.now_us < self._lease_guard_until_us,
-            idle,
-            request.round,
-        )
-        self._send(request.address, reply)
+    def on_timeout(self) -> None:
+        """The timer is due: no leader was heard from, or an election came to nothing."""
+        state = self.state
+        self._timer.restart(state.now_us)
+        if self._voter.in_restart_guard():
+            # All that were killed together are soon back together.
+            self._timer.retry_soon(state.now_us)
+        if state.identity in state.voters and not state.is_stopping:
+            self._start_pre_vote()
+        else:
+            state.forget_leader()
 
-    def _on_vote_reply(self, reply: RequestVoteReply) -> None:
+    def on_timeout_now(self, message: TimeoutNow) -> None:
+        """Stand at once: the leader of this term has stepped down for good, so nobody holds a lease."""
+        state = self.state
+        is_meant = message.successor == state.identity and message.term == state.term
+        if is_meant and not (state.is_stopping or state.is_leader):
+            self._start_vote(lease_free=True)
+
+    def on_vote_reply(self, reply: RequestVoteReply) -> None:
+        """Count a reply, if it is one to the current pre-vote or vote."""
         if not reply.granted:
-            if reply.term > self.term:
-                self._follow(reply.term)
-            return
-        if reply.voter not in self.voters:
+            if reply.term > self.state.term:
+                self._transitions.become_follower(reply.term)
             return
-        if reply.pre_vote:
-            current = self.role is Role.PRE_CANDIDATE and reply.round == self._round
-            current = current and reply.term == self.term + 1
-        else:
-            current = self.role is Role.CANDIDATE and reply.term == self.term
-        if not current:
+        if reply.voter not in self.state.voters or not self._is_current(reply):
             return
-        self._votes.add(reply.voter)
-        if reply.idle:
-            self._idle.add(reply.voter)
+        self._tally.granted.add(reply.voter)
+        if reply.lease_free:
+            self._tally.lease_free.add(reply.voter)
         if reply.unanimous_only:
-            self._unanimous_only.add(reply.voter)
+            self._tally.unanimous_only.add(reply.voter)
+        self._count_votes()
+
+    def _is_current(self, reply: RequestVoteReply) -> bool:
+        state = self.state
+        if not reply.pre_vote:
+            return state.role is Role.CANDIDATE and reply.term == state.term
+        is_this_round = reply.pre_vote_round == self.pre_vote_round and reply.term == state.term + 1
+        return state.role is Role.PRE_CANDIDATE and is_this_round
+
+    def _start_pre_vote(self) -> None:
+        state = self.state
+        state.forget_leader()
+        state.role = Role.PRE_CANDIDATE
+        self._tally = VoteTally({state.identity}, {state.identity})
+        if self._voter.in_restart_guard():
+            self._tally.unanimous_only.add(state.identity)
+        self.pre_vote_round += 1
+        state.effects.sends += self._vote_requests(state.term + 1, pre_vote=True)
         self._count_votes()
 
+    def _start_vote(self, lease_free: bool) -> None:
+        """Ask for votes in the next term; requests and the own vote go out once that is on disk."""
+        state = self.state
+        state.role = Role.CANDIDATE
+        self._tally = VoteTally()
+        state.forget_leader()
+        state.term += 1
+        state.voted_for = state.identity
+        own_vote = RequestVoteReply(state.term, state.identity, True, False)
+        state.write(
+            [HardState(state.term, state.identity)],
+            [
+                *self._vote_requests(state.term, pre_vote=False, lease_free=lease_free),
+                OutgoingMessage(state.address, own_vote),
+            ],
+        )
+
+    def _vote_requests(self, term: int, pre_vote: bool, lease_free: bool = False) -> list[OutgoingMessage]:
+        state = self.state
+        request = RequestVote(
+            term,
+            state.identity,
+            state.address,
+            state.log.last_index,
+            state.log.last_term,
+            pre_vote,
+            lease_free,
+            self.pre_vote_round,
+        )
+        return [
+            OutgoingMessage(address, request)
+            for name, address in state.voters.items()
+            if name != state.identity
+        ]
+
     def _count_votes(self) -> None:
-        voters = set(self.voters)
-        votes = self._votes & voters
+        state, tally = self.state, self._tally
+        voters = set(state.voters)
+        votes = tally.granted & voters
         if 2 * len(votes) <= len(voters):
             return
-        if self._unanimous_only and votes != voters:
-            self._election_deadline_us = min(self._election_deadline_us, self._soon())
+        if tally.unanimous_only and votes != voters:
+            self._timer.retry_soon_at_the_latest(state.now_us)
             return
-        if self.role is Role.PRE_CANDIDATE:
-            self._stand(lease_free=self._idle >= voters)
-        elif self.role is Role.CANDIDATE:
-            self._lead()
-
-    def _on_timeout_now(self, message: TimeoutNow) -> None:
-        """The leader of this term has stepped down for good: nobody holds a lease."""
-        if (
-            message.to == self.identity
-            and message.term == self.term
-            and not (self.is_stopping or self.is_leader)
-        ):
-            self._stand(lease_free=True)
-
-    def _lead(self) -> None:
-        raise NotImplementedError
+        if state.role is Role.PRE_CANDIDATE:
+            self._start_vote(lease_free=tally.lease_free >= voters)
+        elif state.role is Role.CANDIDATE:
+            self._transitions.become_leader()
--- a/lapisgrade/gateway/consensus/log.py
+++ b/lapisgrade/gateway/consensus/log.py
@@ -1,86 +1,100 @@
-"""The replicated log of one node in memory: a snapshot, and the entries after it."""
+"""The replicated log of one node in memory: a snapshot, and the entries after it (thesis, 3.5 and 5.1)."""
 
 from lapisgrade.gateway.consensus.messages import Entry
 
+NO_TERM = -1
+"""The term of an entry that the log doesn't have."""
+
 
 class ReplicatedLog:
-    """`snapshot_index` is the index of the last entry that the snapshot `snapshot_state` covers."""
+    """A snapshot of all up to `snapshot_index`, and `entries`, which follow it without a gap."""
 
     def __init__(self, voters: dict[str, str]) -> None:
-        self.snapshot_index, self.snapshot_term, self.snapshot_state = 0, 0, b""
+        """Begin an empty log.
+
+        Args:
+            voters: identity to address of the first voters of all.
+        """
+        self.snapshot_index = 0
+        self.snapshot_term = 0
         self.snapshot_voters = voters
+        self.snapshot_state = b""
         self.entries: list[Entry] = []
-        self._changes: list[Entry] = []  # those of `entries` that change the voters
+        self._voter_changes: list[Entry] = []  # those of `entries` that change the voters
 
     @property
     def last_index(self) -> int:
+        """The index of the newest entry, 0 in an empty log."""
         return self.snapshot_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
+        """The term of the newest entry, 0 in an empty log."""
         return self.entries[-1].term if self.entries else self.snapshot_term
 
     @property
     def voters(self) -> dict[str, str]:
-        """In force from the moment that they are in the log, committed or not."""
-        return self._changes[-1].voters if self._changes else self.snapshot_voters
+        """The newest voters, in force as soon as they are in the log, committed or not (thesis, 4.1)."""
+        newest = self._voter_changes[-1].voters if self._voter_changes else None
+        return self.snapshot_voters if newest is None else newest
 
     @property
-    def size(self) -> int:
+    def data_bytes(self) -> int:
         """Bytes of data in the entries."""
         return sum(len(each.data) for each in self.entries)
 
-    def changes_voters_after(self, index: int) -> bool:
-        return bool(self._changes) and self._changes[-1].index > index
+    def has_voter_change_after(self, index: int) -> bool:
+        """Whether an entry after `index` changes the voters."""
+        return bool(self._voter_changes) and self._voter_changes[-1].index > index
 
     def term_at(self, index: int) -> int:
-        """-1 where the entry isn't held any more, or not yet."""
+        """The term of the entry at `index`; NO_TERM where the log lacks it or a snapshot took its place."""
         if index == self.snapshot_index:
             return self.snapshot_term
-        at = index - self.snapshot_index - 1
-        return self.entries[at].term if 0 <= at < len(self.entries) else -1
+        position = index - self.snapshot_index - 1
+        return self.entries[position].term if 0 <= position < len(self.entries) else NO_TERM
 
-    def after(self, index: int) -> list[Entry]:
+    def entries_after(self, index: int) -> list[Entry]:
+        """All entries after `index`."""
         return self.entries[max(0, index - self.snapshot_index) :]
 
-    def between(self, index: int, upto: int) -> list[Entry]:
-        """The entries after `index` up to and with `upto`."""
-        return self.entries[max(0, index - self.snapshot_index) : upto - self.snapshot_index]
+    def entries_between(self, index: int, last: int) -> list[Entry]:
+        """The entries after `index` up to and with `last`."""
+        return self.entries[max(0, index - self.snapshot_index) : last - self.snapshot_index]
 
     def append(self, entries: list[Entry]) -> None:
-        """Add entries; those held at the same index and after are dropped, those the snapshot covers passed
-        over."""
+        """Add entries in place of those at the same index and after; pass over those the snapshot covers."""
         fresh = [each for each in entries if each.index > self.snapshot_index]
         if not fresh:
             return
         self.truncate(fresh[0].index - 1)
         self.entries += fresh
-        self._changes += [each for each in fresh if each.voters is not None]
+        self._voter_changes += [each for each in fresh if each.voters is not None]
 
     def truncate(self, last: int) -> None:
         """Drop every entry after `last`."""
         del self.entries[max(0, last - self.snapshot_index) :]
-        while self._changes and self._changes[-1].index > last:
-            self._changes.pop()
+        while self._voter_changes and self._voter_changes[-1].index > last:
+            self._voter_changes.pop()
 
     def compact(self, index: int, state: bytes) -> None:
-        """Let a snapshot take the place of the entries up to `index`."""
+        """Replace the entries up to `index` by a snapshot of the state after them."""
         term = self.term_at(index)
-        for entry in self.between(self.snapshot_index, index):
+        for entry in self.entries_between(self.snapshot_index, index):
             if entry.voters is not None:
                 self.snapshot_voters = entry.voters
         del self.entries[: index - self.snapshot_index]
-        self._changes = [each for each in self._changes if each.index > index]
-        self.snapshot_index, self.snapshot_term, self.snapshot_state = index, term, state
+        self._voter_changes = [each for each in self._voter_changes if each.index > index]
+        self.snapshot_index = index
+        self.snapshot_term = term
+        self.snapshot_state = state
 
     def install(self, index: int, term: int, voters: dict[str, str], state: bytes) -> None:
-        """Take another node's snapshot; entries after it stay where they agree with it."""
-        kept = self.after(index) if self.term_at(index) == term else []
-        self.snapshot_index, self.snapshot_term, self.snapshot_voters, self.snapshot_state = (
-            index,
-            term,
-            voters,
-            state,
-        )
-        self.entries = kept
-        self._changes = [each for each in kept if each.voters is not None]
+        """Adopt another node's snapshot; entries after it stay where the log agrees with it."""
+        following = self.entries_after(index) if self.term_at(index) == term else []
+        self.snapshot_index = index
+        self.snapshot_term = term
+        self.snapshot_voters = voters
+        self.snapshot_state = state
+        self.entries = following
+        self._voter_changes = [each for each in following if each.voters is not None]
--- a/lapisgrade/gateway/consensus/membership.py
+++ b/lapisgrade/gateway/consensus/membership.py
@@ -1,115 +1,118 @@
-"""Which change of voters a leader makes next: pure, one voter at a time.
+"""Which change of voters a leader makes next: pure, one voter at a time (thesis, 4.1).
 
-A change is made only if those who live and are caught up are a majority of the voters after it, so that no
+A change is made only if the nodes that are live and caught up are a majority of the voters after it: no
 change can leave a group that must wait for a machine that is gone, or that lacks what was committed.
 """
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 
-UNRESPONSIVE_AFTER_US = 1_500_000  # us without a word after which a voter may be replaced
-DISPLACED_AFTER_US = 150_000  # us that another disk must be heard at a voter's address after the voter itself
-MIN_VOTERS = 3  # voters that a group isn't shrunk below, except where a disk is known to be lost
+from lapisgrade.gateway.consensus.progress import PeerStatus
 
+UNRESPONSIVE_AFTER_US = 1_500_000
+"""Time without a message from a voter after which it may be replaced."""
 
-@dataclass(slots=True)
-class Peer:
-    """What a leader knows of another disk."""
+DISPLACED_AFTER_US = 150_000
+"""How much longer than the voter another disk must have been heard from at the voter's address."""
 
-    address: str
-    match_index: int  # the last entry that it has on disk
-    last_contact_us: int  # its last message of this term
+MIN_VOTERS = 3
+"""A group isn't shrunk below it, except where a disk is known to be lost."""
 
 
 @dataclass(slots=True)
-class Group:
+class ClusterView:
     """The group as its leader sees it."""
 
     now_us: int
-    me: str
-    my_address: str
+    identity: str  # the leader's own
+    address: str
     voters: dict[str, str]  # identity to address
-    peers: dict[str, Peer]  # all others that speak to the leader, voters and learners
-    leaving: set[str]  # those that shut down in order
+    peers: Mapping[str, PeerStatus]  # all others that talk to the leader, voters and learners
+    leaving: set[str]  # identities of those that shut down in order
     commit_index: int
 
     def live(self) -> set[str]:
-        return {self.me} | {
+        """The leader and all that it has heard from lately."""
+        return {self.identity} | {
             name
-            for name, each in self.peers.items()
-            if self.now_us - each.last_contact_us < UNRESPONSIVE_AFTER_US
+            for name, peer in self.peers.items()
+            if self.now_us - peer.last_contact_us < UNRESPONSIVE_AFTER_US
         }
 
     def caught_up(self) -> set[str]:
+        """Those of the live nodes that have all committed entries on disk."""
         live = self.live()
-        return {self.me} | {
+        return {self.identity} | {
             name
-            for name, each in self.peers.items()
-            if each.match_index >= self.commit_index and name in live
+            for name, peer in self.peers.items()
+            if peer.match_index >= self.commit_index and name in live
         }
 
 
-def next_voters(group: Group) -> dict[str, str] | None:
+def next_voters(view: ClusterView) -> dict[str, str] | None:
     """The voters after the next change, None where none is needed or safe."""
-    wanted = _wanted(group)
-    if wanted is None:
-        wanted = _moved(group)
-    if wanted is None:
+    voters = desired_voters(view)
+    if voters is None:
         return None
-    ready = set(wanted) & group.caught_up()
-    return wanted if 2 * len(ready) > len(wanted) else None
+    ready = set(voters) & view.caught_up()
+    return voters if 2 * len(ready) > len(voters) else None
+
+
+def desired_voters(view: ClusterView) -> dict[str, str] | None:
+    """The voters after the next change that is needed, whether it is safe now or not; None for no need."""
+    voters = _voters_after_departure_or_join(view)
+    return voters if voters is not None else _voters_at_current_addresses(view)
 
 
-def _wanted(group: Group) -> dict[str, str] | None:
-    voters, live = group.voters, group.live()
+def _voters_after_departure_or_join(view: ClusterView) -> dict[str, str] | None:
+    voters, live, caught_up = view.voters, view.live(), view.caught_up()
     learners = [
-        name
-        for name in group.peers
-        if name not in voters and name in group.caught_up() and name not in group.leaving
+        name for name in view.peers if name not in voters and name in caught_up and name not in view.leaving
     ]
-    lost = [name for name in voters if _lost(group, name)]
-    silent = [name for name in voters if name not in live]
-    leaving = [name for name in voters if name in group.leaving and name != group.me]
-    if lost:
-        return _without(voters, lost[0])
-    if learners and silent and len(voters) > 1:
-        return _without(voters, silent[0])
+    displaced = [name for name in voters if _is_displaced(view, name)]
+    unresponsive = [name for name in voters if name not in live]
+    leaving = [name for name in voters if name in view.leaving and name != view.identity]
+    if displaced:
+        return _without(voters, displaced[0])
+    if learners and unresponsive and len(voters) > 1:
+        return _without(voters, unresponsive[0])
     if learners:
-        return {**voters, learners[0]: group.peers[learners[0]].address}
+        return {**voters, learners[0]: view.peers[learners[0]].address}
     if len(voters) > MIN_VOTERS and leaving:
         return _without(voters, leaving[0])
-    if len(voters) > MIN_VOTERS and len(voters) % 2 == 0 and silent:
-        return _without(voters, silent[0])
+    if len(voters) > MIN_VOTERS and len(voters) % 2 == 0 and unresponsive:
+        return _without(voters, unresponsive[0])
     return None
 
 
-def _lost(group: Group, voter: str) -> bool:
+def _is_displaced(view: ClusterView, voter: str) -> bool:
     """Whether another disk has taken the voter's address: its own disk was emptied.
 
-    One message is not enough: one of an earlier life at that address may come late.
+    One message is not enough: it may be a late one, of a disk that was at that address before.
     """
-    known = group.peers.get(voter)
-    if known is None:
+    status = view.peers.get(voter)
+    if status is None:
         return False
     return any(
-        each.address == group.voters[voter]
-        and each.last_contact_us - known.last_contact_us > DISPLACED_AFTER_US
-        and group.now_us - each.last_contact_us < DISPLACED_AFTER_US
-        for name, each in group.peers.items()
+        peer.address == view.voters[voter]
+        and peer.last_contact_us - status.last_contact_us > DISPLACED_AFTER_US
+        and view.now_us - peer.last_contact_us < DISPLACED_AFTER_US
+        for name, peer in view.peers.items()
         if name != voter
     )
 
 
-def _moved(group: Group) -> dict[str, str] | None:
-    """The same voters at the addresses that they speak from now."""
-    live = group.live()
-    now = {
-        name: group.peers[name].address if name in live and name in group.peers else address
-        for name, address in group.voters.items()
+def _voters_at_current_addresses(view: ClusterView) -> dict[str, str] | None:
+    """The same voters at the addresses that they send from now, None where none has moved."""
+    live = view.live()
+    voters = {
+        name: view.peers[name].address if name in live and name in view.peers else address
+        for name, address in view.voters.items()
     }
-    if group.me in now:
-        now[group.me] = group.my_address
-    return now if now != group.voters else None
+    if view.identity in voters:
+        voters[view.identity] = view.address
+    return voters if voters != view.voters else None
 
 
-def _without(voters: dict[str, str], gone: str) -> dict[str, str]:
-    return {name: address for name, address in voters.items() if name != gone}
+def _without(voters: dict[str, str], removed: str) -> dict[str, str]:
+    return {name: address for name, address in voters.items() if name != removed}
--- a/lapisgrade/gateway/consensus/node.py
+++ b/lapisgrade/gateway/consensus/node.py
@@ -1,13 +1,47 @@
-"""One node of the consensus group: pure. The shell around it calls `tick` at `next_tick_us`, hands it
-messages and completed writes, and carries out `effects` after every call.
+"""One node of the consensus group: the roles, their transitions, and what the shell around it calls.
 
-A node with an empty disk has no voters in its log, so it doesn't stand, and an identity of its own, so its
-vote counts for nobody until a leader has let it in. What a voter says waits until it is on its disk. Times
-are whole microseconds on the steady clock.
+Idea: a node is a state machine that does no input or output. The shell calls `tick` at `next_tick_us`, hands
+it messages (`receive`) and completed writes (`on_write_durable`), and carries out `take_effects()` after
+every call. Times are whole microseconds on the steady clock.
+
+                 election time-out               majority of pre-votes
+    FOLLOWER ----------------------> PRE-CANDIDATE ----------------------> CANDIDATE
+     ^ ^  ^                             |      ^                             |   |
+     | |  | a leader, or a later term   |      | election time-out           |   | majority of votes,
+     | |  +-----------------------------+      +-----------------------------+   | on disk
+     | |                                                                     |   v
+     | +---------------------------------------------------------------------+  LEADER
+     |             a leader of this term, or a later term                         |
+     +----------------------------------------------------------------------------+
+       a later term; no contact with a majority; its own removal is committed; step_down
+
+Besides, TimeoutNow takes any role but the leader's straight to CANDIDATE (leadership transfer), and a further
+time-out takes a pre-candidate to its next pre-vote. A node that is no voter by its own log, or that is
+stopping, starts no election.
+
+Who owns what:
+
+    state.NodeState           term, vote, log, commit index, role, leader, and the effects to carry out
+    election_timer            when the next election is due, and its random part
+    voter.Voter               where a vote is granted; last contact with a leader; the guard after a restart
+    election.Election         pre-vote and vote as a candidate; the tally
+    follower.Follower         entries and snapshots from the leader; how far the logs agree
+    replication.Replication   the followers' progress, commits and the lease of a leader
+    reconfiguration           changes of voters by a leader; who is leaving
+    node.Node                 the transitions between roles
+
+A node with an empty disk has no voters in its log, so it starts no election, and an identity of its own, so
+its vote counts for nobody until a leader has taken it in. What a voter replies waits until it is on its disk.
 """
 
+from collections.abc import Sequence
 from random import Random
+from typing import Self
 
+from lapisgrade.gateway.consensus.election import Election
+from lapisgrade.gateway.consensus.election_timer import ElectionTimer
+from lapisgrade.gateway.consensus.follower import Follower
+from lapisgrade.gateway.consensus.log import ReplicatedLog
 from lapisgrade.gateway.consensus.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -22,270 +56,325 @@
     RequestVoteReply,
     TimeoutNow,
 )
-from lapisgrade.gateway.consensus.records import EntriesRecord, HardState, Record
-from lapisgrade.gateway.consensus.replication import Replication
-from lapisgrade.gateway.consensus.state import (
-    ELECTION_TIMEOUT_US,
-    HEARTBEAT_INTERVAL_US,
-    LEASE_US,
-    RESTART_GUARD_US,
-    Role,
+from lapisgrade.gateway.consensus.progress import FollowerProgress
+from lapisgrade.gateway.consensus.reconfiguration import Reconfiguration
+from lapisgrade.gateway.consensus.records import (
+    Effects,
+    EntriesRecord,
+    HardState,
+    Record,
+    SnapshotRecord,
 )
+from lapisgrade.gateway.consensus.replication import Replication
+from lapisgrade.gateway.consensus.state import NodeState, Role
+from lapisgrade.gateway.consensus.timing import HEARTBEAT_INTERVAL_US
+from lapisgrade.gateway.consensus.voter import Voter
+
+MAX_LOG_ENTRIES = 128
+"""Committed entries in the log after which a snapshot takes their place."""
+
+MAX_LOG_BYTES = 2 * 1024 * 1024
+"""Bytes in the log after which a snapshot takes its place."""
+
+TRANSFER_LOG_FACTOR = 4
+"""So many times as much is kept while a follower is being sent a snapshot."""
 
-MAX_LOG_ENTRIES = 128  # entries, and
-MAX_LOG_BYTES = 2 * 1024 * 1024  # bytes, after which a snapshot takes their place
-TRANSFER_LOG_FACTOR = 4  # times as much is kept while a follower reads a snapshot
 
+class Node:
+    """One node of the consensus group; see the module."""
 
-class Node(Replication):
-    """See the module."""
+    def __init__(
+        self,
+        identity: str,
+        address: str,
+        random: Random,
+        now_us: int,
+        voters: dict[str, str] | None = None,
+    ) -> None:
+        """Make a node with an empty disk.
+
+        Args:
+            identity: the name of its disk.
+            address: where other nodes send their messages to.
+            random: for the random part of election time-outs.
+            now_us: the time on the steady clock.
+            voters: identity to address of the first voters of all, where the whole system starts for the
+                first time; a node that joins a running system has none.
+        """
+        self.state = NodeState(identity, address, now_us, voters or {})
+        self.timer = ElectionTimer(random, now_us)
+        self.replication = Replication(self.state, self)
+        self.reconfiguration = Reconfiguration(self.state, self.replication)
+        self.voter = Voter(self.state, self.timer, self, self.replication.quorum_contact_us)
+        self.election = Election(self.state, self.timer, self.voter, self)
+        self.follower = Follower(self.state, self.timer, self.voter, self)
 
     @classmethod
     def recover(
         cls,
-        records: list[Record],
+        records: Sequence[Record],
         address: str,
         random: Random,
         now_us: int,
         started_us: int | None = None,
-    ) -> "Node":
-        """A node as its disk tells it; the first record is a SnapshotRecord. What was read may not be synced:
-        nothing of it counts as on this disk before the shell has written it anew. `started_us` is when the
-        process began, which can't be before its earlier life ended."""
+    ) -> Self:
+        """Make a node of what is on its disk.
+
+        What was read may not be synced: nothing of it counts as durable before the shell has written it anew.
+
+        Args:
+            records: a generation of the log's file, which begins with a SnapshotRecord.
+            address: where other nodes send their messages to.
+            random: for the random part of election time-outs.
+            now_us: the time on the steady clock.
+            started_us: when this process began, and the one before it had ended; now, where that isn't known.
+        """
         first = records[0]
+        assert isinstance(first, SnapshotRecord)
         node = cls(first.identity, address, random, now_us)
-        node.term, node.voted_for, node.commit_index = first.term, first.voted, first.base
-        node.log.install(first.base, first.base_term, first.voters, first.state)
-        node.log.append(first.entries)
-        committed = first.commit
+        state = node.state
+        state.term = first.term
+        state.voted_for = first.voted_for
+        state.commit_index = first.snapshot_index
+        state.log.install(first.snapshot_index, first.snapshot_term, first.voters, first.state)
+        state.log.append(first.entries)
+        commit_index = first.commit_index
         for record in records[1:]:
             if isinstance(record, HardState):
-                node.term, node.voted_for = record.term, record.voted
+                state.term = record.term
+                state.voted_for = record.voted_for
             elif isinstance(record, EntriesRecord):
-                node.log.append(record.entries)
-                committed = max(committed, record.commit)
-        # A leader may hold a lease on what the earlier life said.
-        node._lease_guard_until_us = (now_us if started_us is None else started_us) + RESTART_GUARD_US
-        node._election_deadline_us = node._soon()
-        if node.log.snapshot_state:
-            node.effects.snapshot = node.log.snapshot_state
-        node._commit_up_to(committed)
+                state.log.append(record.entries)
+                commit_index = max(commit_index, record.commit_index)
+        node.voter.guard_after_restart(now_us if started_us is None else started_us)
+        node.timer.retry_soon(now_us)
+        if state.log.snapshot_state:
+            state.effects.snapshot = state.log.snapshot_state
+        state.commit_up_to(commit_index)
         return node
 
-    # ---- what the shell asks
+    # ---- what the shell reads
+
+    @property
+    def identity(self) -> str:
+        """The name of the node's disk."""
+        return self.state.identity
+
+    @property
+    def address(self) -> str:
+        """Where other nodes send their messages to."""
+        return self.state.address
+
+    @property
+    def now_us(self) -> int:
+        """The newest time that the shell has told the node."""
+        return self.state.now_us
+
+    @property
+    def term(self) -> int:
+        """The current term."""
+        return self.state.term
+
+    @property
+    def log(self) -> ReplicatedLog:
+        """The replicated log, to be read only."""
+        return self.state.log
+
+    @property
+    def commit_index(self) -> int:
+        """The index of the last entry that is known to be committed."""
+        return self.state.commit_index
+
+    @property
+    def durable_index(self) -> int:
+        """The index of the last entry that is surely on this disk."""
+        return self.state.durable_index
+
+    @property
+    def voters(self) -> dict[str, str]:
+        """Identity to address of the voters in force."""
+        return self.state.voters
+
+    @property
+    def followers(self) -> dict[str, FollowerProgress]:
+        """The progress of the followers by identity; empty unless this node is the leader."""
+        return self.replication.followers
+
+    @property
+    def role(self) -> Role:
+        """The current role."""
+        return self.state.role
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether the node is the leader of its term; it may not know of a later one."""
+        return self.state.is_leader
+
+    @property
+    def leader(self) -> str:
+        """The identity of the leader, empty where none is known."""
+        return self.state.leader
+
+    @property
+    def leader_address(self) -> str:
+        """The address of the leader, or of a node that may know it; empty for none."""
+        return self.state.leader_address
+
+    @property
+    def is_stopping(self) -> bool:
+        """Whether the node shuts down in order."""
+        return self.state.is_stopping
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it leads, and all that was committed before is known here."""
-        return self.is_leader and self.commit_index >= self._first_index
+        """Whether it is the leader, and all that was committed before is known here."""
+        return self.replication.has_committed_in_term
 
     def has_lease(self) -> bool:
-        """Whether no other can have been elected yet, and all that was acknowledged before is known here."""
-        return self.has_committed_in_term and self.now_us - self._quorum_us() <= LEASE_US
-
-    def propose(self, data: bytes) -> tuple[int, int] | None:
-        """Put a change into the log; its index and term, or None where this isn't the leader."""
-        if not self.is_leader:
-            return None
-        entry = Entry(self.log.last_index + 1, self.term, data)
-        self._extend([entry])
-        self._send_to_all()
-        self._advance_commit()
-        return entry.index, entry.term
+        """Whether no other leader can have been elected yet, and all that was committed before is known."""
+        return self.replication.has_lease()
 
     @property
     def needs_compaction(self) -> bool:
         """Whether it is time for a snapshot."""
-        if self.commit_index == self.log.snapshot_index:
+        log = self.state.log
+        committed = self.state.commit_index - log.snapshot_index
+        if committed == 0:
             return False
-        times = TRANSFER_LOG_FACTOR if self.is_leader and self.transferring else 1
-        entries, size = self.commit_index - self.log.snapshot_index, self.log.size
-        return entries > MAX_LOG_ENTRIES * times or size > MAX_LOG_BYTES * times
-
-    def compact(self, state: bytes) -> None:
-        """Take the shell's snapshot of all entries up to `commit` in their place."""
-        self.log.compact(self.commit_index, state)
-        self._write([self.snapshot_record()])
-
-    def step_down(self) -> None:
-        """Shut down in order: hand over to a voter that has all of the log, where there is one."""
-        self.is_stopping = True
-        if not self.is_leader:
-            return
-        heirs = [
-            (each.address, TimeoutNow(self.term, name))
-            for name, each in self.followers.items()
-            if name in self.voters
-            and each.match_index == self.log.last_index
-            and self.now_us - each.last_contact_us < ELECTION_TIMEOUT_US
-        ]
-        self._follow(self.term)
-        self.effects.sends += heirs[:1]
-
-    # ---- events
+        has_transfer = self.state.is_leader and self.replication.has_transfer()
+        factor = TRANSFER_LOG_FACTOR if has_transfer else 1
+        return committed > MAX_LOG_ENTRIES * factor or log.data_bytes > MAX_LOG_BYTES * factor
 
     @property
     def next_tick_us(self) -> int:
-        return self._heartbeat_due_us if self.is_leader else self._election_deadline_us
+        """When `tick` is to be called next."""
+        return self.replication.heartbeat_due_us if self.state.is_leader else self.timer.deadline_us
+
+    def snapshot_record(self) -> SnapshotRecord:
+        """All that the node has to remember, as the first record of a new generation."""
+        return self.state.snapshot_record()
+
+    # ---- what the shell calls
+
+    def take_effects(self) -> Effects:
+        """Return what is to be carried out since the last call."""
+        effects, self.state.effects = self.state.effects, Effects()
+        return effects
 
     def advance_clock(self, now_us: int) -> None:
         """Bring the node's clock up to the shell's; it never runs backwards."""
-        self.now_us = max(self.now_us, now_us)
+        self.state.advance_clock(now_us)
 
-    def tick(self, now_us: int) -> None:
-        self.advance_clock(now_us)
-        if self.is_leader:
-            self._tick_leader()
-        elif self.now_us >= self._election_deadline_us:
-            self._postpone_election()
-            if self.now_us < self._lease_guard_until_us:
-                # Others may be about to listen: all that were killed together are soon back together.
-                self._election_deadline_us = self._soon()
-            if self.identity in self.voters and not self.is_stopping:
-                self._start_pre_vote()
-            else:
-                self.leader = self.leader_address = ""  # it is looked for anew, wherever it is now
-
-    def _tick_leader(self) -> None:
-        if self.now_us < self._heartbeat_due_us:
+    def propose(self, data: bytes) -> tuple[int, int] | None:
+        """Put a command into the log; returns its index and term, or None where this isn't the leader."""
+        state = self.state
+        if not state.is_leader:
+            return None
+        entry = Entry(state.log.last_index + 1, state.term, data)
+        state.append([entry])
+        self.replication.send_to_all()
+        self.replication.advance_commit()
+        return entry.index, entry.term
+
+    def compact(self, state: bytes) -> None:
+        """Take the state machine's state after all entries up to `commit_index` in their place."""
+        self.state.log.compact(self.state.commit_index, state)
+        self.state.write([self.state.snapshot_record()])
+
+    def step_down(self) -> None:
+        """Shut down in order: transfer leadership to a voter that has all of the log (thesis, 3.10)."""
+        state = self.state
+        state.is_stopping = True
+        if not state.is_leader:
             return
-        if len(self.voters) > 1 and self.now_us - self._quorum_us() > ELECTION_TIMEOUT_US:
-            self._follow(self.term)  # nobody hears it, or it hears nobody
+        successors = self.replication.successors()
+        self.become_follower(state.term)
+        for name, address in successors[:1]:
+            state.send(address, TimeoutNow(state.term, name))
+
+    def tick(self, now_us: int) -> None:
+        """Do what is due: a leader's heartbeat, or an election."""
+        state = self.state
+        state.advance_clock(now_us)
+        if not state.is_leader:
+            if self.timer.is_due(state.now_us):
+                self.election.on_timeout()
+        elif state.now_us >= self.replication.heartbeat_due_us:
+            self._on_heartbeat_due()
+
+    def _on_heartbeat_due(self) -> None:
+        if self.replication.has_lost_quorum():
+            self.become_follower(self.state.term)
             return
-        self._heartbeat_due_us = self.now_us + HEARTBEAT_INTERVAL_US
-        self._change_voters()
-        self._send_to_all(heartbeat=True)
+        self.replication.heartbeat_due_us = self.state.now_us + HEARTBEAT_INTERVAL_US
+        self.reconfiguration.change_voters()
+        self.replication.send_to_all(heartbeat=True)
 
     def on_write_durable(self, now_us: int, last_index: int, last_term: int) -> None:
         """Everything up to that entry is on this disk."""
-        self.advance_clock(now_us)
-        if last_index <= self.log.snapshot_index or self.log.term_at(last_index) == last_term:
-            self.durable_index = max(self.durable_index, min(last_index, self.log.last_index))
-        if self.is_leader:
-            self._advance_commit()
-        elif self._unanswered is not None:
-            message, self._unanswered = self._unanswered, None
-            self._acknowledge(message)
+        state = self.state
+        state.advance_clock(now_us)
+        if last_index <= state.log.snapshot_index or state.log.term_at(last_index) == last_term:
+            state.durable_index = max(state.durable_index, min(last_index, state.log.last_index))
+        if state.is_leader:
+            self.replication.advance_commit()
+        else:
+            self.follower.on_write_durable()
 
     def receive(self, now_us: int, message: Message) -> None:
-        self.advance_clock(now_us)
+        """Take in a message of another node, or of the node to itself."""
+        self.state.advance_clock(now_us)
         match message:
             case RequestVote():
-                self._on_request_vote(message)
+                self.voter.on_request_vote(message)
             case RequestVoteReply():
-                self._on_vote_reply(message)
+                self.election.on_vote_reply(message)
             case AppendEntries():
-                self._on_append(message)
+                self.follower.on_append_entries(message)
             case AppendEntriesReply():
-                self._on_append_reply(message)
+                self.replication.on_append_reply(message)
             case InstallSnapshot():
-                self._on_snapshot(message)
+                self.follower.on_install_snapshot(message)
             case InstallSnapshotReply():
-                self._on_snapshot_reply(message)
+                self.replication.on_snapshot_reply(message)
+            case _:
+                self._receive_administrative(message)
+
+    def _receive_administrative(self, message: JoinRequest | LeaveRequest | LeaderHint | TimeoutNow) -> None:
+        match message:
             case JoinRequest():
-                self._on_join(message)
+                self.reconfiguration.on_join(message)
             case LeaderHint():
-                if message.term >= self.term and not self.leader:
-                    self.leader_address = message.address
+                self._on_leader_hint(message)
             case TimeoutNow():
-                self._on_timeout_now(message)
+                self.election.on_timeout_now(message)
             case LeaveRequest():
-                if self.is_leader:
-                    self._leaving.add(message.node)
-                    self._change_voters()
+                self.reconfiguration.on_leave(message)
 
-    # ---- the follower's part
+    def _on_leader_hint(self, hint: LeaderHint) -> None:
+        if hint.term >= self.state.term and not self.state.leader:
+            self.state.leader_address = hint.address
 
-    def _hear_leader(self, message: AppendEntries | InstallSnapshot) -> bool:
-        """Follow the leader of the message; False where it is of an earlier term or for another node."""
-        if message.to != self.identity or message.term < self.term:
-            return False
-        if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != message.leader:
-            self._follow(message.term, message.leader, message.address)
-        self.leader_address, self._last_leader_contact_us = message.address, self.now_us
-        self._postpone_election()
-        return True
-
-    def _on_append(self, message: AppendEntries) -> None:
-        if not self._hear_leader(message):
-            if message.to == self.identity:
-                self._refuse(message, self.log.last_index)  # tells the term
-            return
-        previous, log = message.prev_index, self.log
-        expected = list(range(previous + 1, previous + 1 + len(message.entries)))
-        if [each.index for each in message.entries] != expected:
-            return  # not a leader's words
-        if previous >= log.snapshot_index and log.term_at(previous) != message.prev_term:
-            # Up to the commit all logs agree; past it the leader tries from there.
-            self._refuse(message, log.last_index if previous > log.last_index else self.commit_index)
-            return
-        fresh = [
-            each
-            for each in message.entries
-            if each.index > log.snapshot_index and log.term_at(each.index) != each.term
-        ]
-        if fresh:
-            self.durable_index = min(self.durable_index, fresh[0].index - 1)
-            self.agreed_index = min(self.agreed_index, fresh[0].index - 1)
-            self._extend(fresh)
-        self.agreed_index = max(self.agreed_index, previous + len(message.entries), self.commit_index)
-        self._commit_up_to(min(message.commit, self.agreed_index))
-        self._acknowledge(message)
-        if self.durable_index < self.agreed_index:
-            self._unanswered = message
-
-    def _refuse(self, message: AppendEntries, index: int) -> None:
-        reply = AppendEntriesReply(self.term, self.identity, self.address, False, index, message.sent_us)
-        self._send(message.address, reply)
-
-    def _acknowledge(self, message: AppendEntries) -> None:
-        if message.term != self.term or message.leader != self.leader:
-            return
-        match = min(self.durable_index, self.agreed_index)
-        reply = AppendEntriesReply(self.term, self.identity, self.address, True, match, message.sent_us)
-        self._send(message.address, reply)
+    # ---- transitions
 
-    def _on_snapshot(self, message: InstallSnapshot) -> None:
-        if not self._hear_leader(message):
-            return
-        if message.index <= self.commit_index:
-            # It has all of that on record; the reply tells the leader to go on with entries.
-            self.agreed_index = max(self.agreed_index, self.commit_index)
-            self._answer_installed(message)
-            return
-        state = self._assembly.take(message)
-        if state is None:
-            reply = InstallSnapshotReply(
-                self.term,
-                self.identity,
-                self.address,
-                message.index,
-                len(self._assembly.data),
-                message.sent_us,
-            )
-            self._send(message.address, reply)
-            return
-        self._assembly.clear()
-        self.log.install(message.index, message.index_term, message.voters, state)
-        self.commit_index = self.agreed_index = message.index
-        self.durable_index = 0
-        self.effects.committed, self.effects.snapshot = [], state
-        self._write([self.snapshot_record()])
-        self._answer_installed(message)
-
-    def _answer_installed(self, message: InstallSnapshot) -> None:
-        """Acknowledge the entries that the snapshot stands for, now or once they are on disk."""
-        heartbeat = AppendEntries(
-            message.term,
-            message.leader,
-            message.address,
-            self.identity,
-            message.index,
-            message.index_term,
-            message.index,
-            message.sent_us,
-        )
-        if self.durable_index < message.index:
-            self._unanswered = heartbeat
-        else:
-            self._acknowledge(heartbeat)
+    def become_follower(self, term: int, leader: str = "", leader_address: str = "") -> None:
+        """Follow in that term, with a leader where one is known."""
+        state = self.state
+        state.raise_term(term)
+        if state.role is not Role.FOLLOWER:
+            self.timer.restart(state.now_us)
+        state.role = Role.FOLLOWER
+        if leader != state.leader:
+            self.follower.on_new_leader()
+        state.leader = leader
+        state.leader_address = leader_address
+        self.replication.stop()
+
+    def become_leader(self) -> None:
+        """Lead in the current term."""
+        state = self.state
+        state.role = Role.LEADER
+        state.leader = state.identity
+        state.leader_address = state.address
+        self.reconfiguration.start()
+        self.replication.start()
--- a/lapisgrade/gateway/consensus/records.py
+++ b/lapisgrade/gateway/consensus/records.py
@@ -1,38 +1,41 @@
-"""What a node keeps on its disk, and what it asks of the shell around it."""
+"""What a node keeps on its disk, and what it asks of the shell around it.
+
+Records are encoded as msgpack arrays by tag and position: names may change, tags, order and types may not.
+"""
 
 from dataclasses import dataclass, field
 
 import msgspec
 
-from lapisgrade.gateway.consensus.messages import Entry, Message
+from lapisgrade.gateway.consensus.messages import Entry, OutgoingMessage
 
 
 class HardState(msgspec.Struct, array_like=True, tag="h", frozen=True):
-    """The current term and the vote in it."""
+    """The current term and the vote in it, empty for none (thesis, figure 3.1)."""
 
     term: int
-    voted: str
+    voted_for: str
 
 
 class EntriesRecord(msgspec.Struct, array_like=True, tag="e", frozen=True):
-    """Entries; earlier ones at the same index and after are void. All up to `commit` were committed."""
+    """Entries of the log; earlier ones at the same index and after are void."""
 
     entries: list[Entry]
-    commit: int = 0
+    commit_index: int = 0  # all up to it were committed as this was written
 
 
 class SnapshotRecord(msgspec.Struct, array_like=True, tag="w", frozen=True):
-    """First record of a generation of the log's file: all that the node knows."""
+    """First record of a generation of the log's file: all that the node has to remember."""
 
     identity: str
     term: int
-    voted: str
-    base: int  # the last entry that `state` covers, and its term
-    base_term: int
-    voters: dict[str, str]
+    voted_for: str
+    snapshot_index: int  # of the last entry that `state` covers
+    snapshot_term: int
+    voters: dict[str, str]  # as of that entry
     state: bytes
     entries: list[Entry]
-    commit: int = 0
+    commit_index: int = 0
 
 
 Record = HardState | EntriesRecord | SnapshotRecord
@@ -40,19 +43,19 @@
 
 @dataclass(slots=True)
 class DurableWrite:
-    """Records to bring onto the disk, in order, and messages that may be sent only then."""
+    """Records to bring onto the disk, in order, and messages that may be sent only after that."""
 
     records: list[Record]
-    sends_when_durable: list[tuple[str, Message]]  # address, message
-    last_index: int  # of the log once this is written, and that entry's term
+    sends_when_durable: list[OutgoingMessage]
+    last_index: int  # of the log once this is written
     last_term: int
 
 
 @dataclass(slots=True)
 class Effects:
-    """What the shell has to do since effects were last taken."""
+    """What the shell has to do since effects were last taken: first `snapshot`, then `committed`."""
 
     writes: list[DurableWrite] = field(default_factory=list)
-    sends: list[tuple[str, Message]] = field(default_factory=list)  # address, message
-    committed: list[Entry] = field(default_factory=list)
-    snapshot: bytes | None = None  # a snapshot to load before the commits are applied
+    sends: list[OutgoingMessage] = field(default_factory=list)
+    committed: list[Entry] = field(default_factory=list)  # to be applied to the state machine
+    snapshot: bytes | None = None  # to be loaded into the state machine before
--- a/lapisgrade/gateway/consensus/replication.py
+++ b/lapisgrade/gateway/consensus/replication.py
@@ -1,211 +1,259 @@
-"""The leader's part: entries and snapshots to the others, commits, and changes of voters."""
+"""The leader's part of replication: entries and snapshots to the followers, commits, the lease.
 
-from lapisgrade.gateway.consensus.election import Election
-from lapisgrade.gateway.consensus.membership import UNRESPONSIVE_AFTER_US, Group, next_voters
+Sources: thesis, 3.5 and 3.6.2 (commit), 5.3 (snapshots), 6.2 (check-quorum), 6.4.1 (lease).
+"""
+
+from lapisgrade.gateway.consensus.membership import UNRESPONSIVE_AFTER_US
 from lapisgrade.gateway.consensus.messages import (
     AppendEntries,
     AppendEntriesReply,
     Entry,
     InstallSnapshot,
     InstallSnapshotReply,
-    JoinRequest,
-    LeaderHint,
 )
-from lapisgrade.gateway.consensus.replication_state import Follower
-from lapisgrade.gateway.consensus.snapshots import Snapshot, Transfer
-from lapisgrade.gateway.consensus.state import HEARTBEAT_INTERVAL_US, Role
+from lapisgrade.gateway.consensus.progress import FollowerProgress
+from lapisgrade.gateway.consensus.snapshots import Snapshot, SnapshotTransfer
+from lapisgrade.gateway.consensus.state import NodeState, RoleTransitions
+from lapisgrade.gateway.consensus.timing import ELECTION_TIMEOUT_US, HEARTBEAT_INTERVAL_US, LEASE_US
+
+MAX_APPEND_BYTES = 256 * 1024
+"""Bytes of entries in one message; the entry that exceeds it is the last one."""
+
+RETRANSMIT_AFTER_US = 300_000
+"""Time after which what was sent and not acknowledged is sent again."""
+
+
+class Replication:
+    """Brings the leader's log to the followers; owns their progress, and the leader's first entry."""
 
-MAX_APPEND_BYTES = 256 * 1024  # bytes of entries in one message
-RETRANSMIT_AFTER_US = 300_000  # us after which what was sent and not answered goes again
-MAX_FOLLOWERS = 64  # nodes that a leader speaks to; a flood of names holds no more of it
+    def __init__(self, state: NodeState, transitions: RoleTransitions) -> None:
+        """Make the leading part of a node.
 
+        Args:
+            state: the node's state.
+            transitions: used when a later term is seen, or the leader has committed its own removal.
+        """
+        self.state = state
+        self._transitions = transitions
+        self.followers: dict[
+            str, FollowerProgress
+        ] = {}  # by identity, voters and learners; empty unless leader
+        self.first_index = 0  # of this leader's entries
+        self.heartbeat_due_us = 0
 
-class Replication(Election):
-    """The part of a node that leads."""
+    # ---- beginning and end of leadership
 
-    def _lead(self) -> None:
-        self.role, self.leader, self.leader_address = Role.LEADER, self.identity, self.address
-        self._leaving = set()
+    def start(self) -> None:
+        """Begin to lead, with an entry of this term, by which earlier ones are committed (thesis, 3.6.2)."""
+        state = self.state
         self.followers = {
-            name: Follower(address, 0, self.now_us, next_index=self.log.last_index + 1, acked_us=self.now_us)
-            for name, address in self.voters.items()
-            if name != self.identity
+            name: FollowerProgress(
+                address, 0, state.now_us, next_index=state.log.last_index + 1, acked_us=state.now_us
+            )
+            for name, address in state.voters.items()
+            if name != state.identity
         }
         # With the voters, as a node that joins learns them from the log alone.
-        self._extend([Entry(self.log.last_index + 1, self.term, b"", dict(self.voters))])
-        self._first_index, self._heartbeat_due_us = self.log.last_index, self.now_us + HEARTBEAT_INTERVAL_US
-        self._send_to_all(heartbeat=True)
-        self._advance_commit()
+        state.append([Entry(state.log.last_index + 1, state.term, b"", dict(state.voters))])
+        self.first_index = state.log.last_index
+        self.heartbeat_due_us = state.now_us + HEARTBEAT_INTERVAL_US
+        self.send_to_all(heartbeat=True)
+        self.advance_commit()
+
+    def stop(self) -> None:
+        """Lead no more."""
+        self.followers = {}
+
+    def successors(self) -> list[tuple[str, str]]:
+        """Identity and address of the voters that have all of the log and answer, for a transfer (3.10)."""
+        state = self.state
+        return [
+            (name, follower.address)
+            for name, follower in self.followers.items()
+            if name in state.voters
+            and follower.match_index == state.log.last_index
+            and state.now_us - follower.last_contact_us < ELECTION_TIMEOUT_US
+        ]
+
+    # ---- lease
 
-    def _send_to_all(self, heartbeat: bool = False) -> None:
+    def quorum_contact_us(self) -> int:
+        """When the newest message was sent that a majority of the voters has replied to, on the own clock."""
+        state = self.state
+        times = [self.followers[name].acked_us for name in state.voters if name in self.followers]
+        if state.identity in state.voters:
+            times.append(state.now_us)
+        times.sort(reverse=True)
+        majority = len(state.voters) // 2
+        return times[majority] if majority < len(times) else -ELECTION_TIMEOUT_US
+
+    @property
+    def has_committed_in_term(self) -> bool:
+        """Whether an entry of this leader is committed: all that was committed before is known then."""
+        return self.state.is_leader and self.state.commit_index >= self.first_index
+
+    def has_lease(self) -> bool:
+        """Whether no other leader can have been elected yet, and all that was committed before is known."""
+        return self.has_committed_in_term and self.state.now_us - self.quorum_contact_us() <= LEASE_US
+
+    def has_lost_quorum(self) -> bool:
+        """Whether the leader has had no contact with a majority for an election time-out (thesis, 6.2)."""
+        state = self.state
+        return len(state.voters) > 1 and state.now_us - self.quorum_contact_us() > ELECTION_TIMEOUT_US
+
+    # ---- messages to followers
+
+    def send_to_all(self, heartbeat: bool = False) -> None:
+        """Send each follower what it lacks."""
         for name in self.followers:
-            self._send_to(name, heartbeat)
-
-    def _send_to(self, name: str, heartbeat: bool = False) -> None:
-        """Send what the follower lacks, as far as one message goes; with `heartbeat` at least a message."""
-        other = self.followers[name]
-        if other.sent_index > other.match_index and self.now_us - other.sent_us > RETRANSMIT_AFTER_US:
-            other.next_index = other.match_index + 1  # what was sent may be lost
-        if other.next_index <= self.log.snapshot_index or other.transfer is not None:
-            self._send_snapshot(name, other)
+            self.send_to(name, heartbeat)
+
+    def send_to(self, name: str, heartbeat: bool = False) -> None:
+        """Send a follower what it lacks, up to one message; with `heartbeat` at least an empty one."""
+        state, follower = self.state, self.followers[name]
+        is_unacknowledged = follower.sent_index > follower.match_index
+        if is_unacknowledged and state.now_us - follower.sent_us > RETRANSMIT_AFTER_US:
+            follower.next_index = follower.match_index + 1  # what was sent may be lost
+        if follower.next_index <= state.log.snapshot_index or follower.transfer is not None:
+            self._send_chunk(name, follower)
             if heartbeat:
-                # Its reply holds up the lease while a snapshot is under way.
-                self._send_entries(name, other, self.log.last_index, [])
+                # Its reply upholds the lease while a snapshot is being sent.
+                self._send_entries(name, follower, state.log.last_index, [])
             return
+        entries = self._next_entries(follower)
+        if entries or heartbeat:
+            self._send_entries(name, follower, follower.next_index - 1, entries)
+        if entries:
+            follower.next_index = entries[-1].index + 1
+            follower.sent_index = entries[-1].index
+            follower.sent_us = state.now_us
+
+    def _next_entries(self, follower: FollowerProgress) -> list[Entry]:
         entries, size = [], 0
-        for entry in self.log.after(other.next_index - 1):
+        for entry in self.state.log.entries_after(follower.next_index - 1):
             entries.append(entry)
             size += len(entry.data)
             if size > MAX_APPEND_BYTES:
                 break
-        if entries or heartbeat:
-            self._send_entries(name, other, other.next_index - 1, entries)
-        if entries:
-            other.next_index, other.sent_index, other.sent_us = (
-                entries[-1].index + 1,
-                entries[-1].index,
-                self.now_us,
-            )
+        return entries
 
-    def _send_entries(self, name: str, other: Follower, previous: int, entries: list[Entry]) -> None:
+    def _send_entries(
+        self, name: str, follower: FollowerProgress, previous: int, entries: list[Entry]
+    ) -> None:
+        state = self.state
         message = AppendEntries(
-            self.term,
-            self.identity,
-            self.address,
+            state.term,
+            state.identity,
+            state.address,
             name,
             previous,
-            self.log.term_at(previous),
-            self.commit_index,
-            self.now_us,
+            state.log.term_at(previous),
+            state.commit_index,
+            state.now_us,
             entries,
         )
-        self._send(other.address, message)
+        state.send(follower.address, message)
 
-    def _send_snapshot(self, name: str, other: Follower) -> None:
-        log = self.log
-        if other.transfer is None:
-            snapshot = Snapshot(
-                log.snapshot_index, log.snapshot_term, log.snapshot_voters, log.snapshot_state
-            )
-            other.transfer = Transfer(snapshot)
-        transfer = other.transfer
-        if not transfer.due(self.now_us, RETRANSMIT_AFTER_US):
+    def _send_chunk(self, name: str, follower: FollowerProgress) -> None:
+        """Send the next chunk of a snapshot, of the newest one where none is being sent yet."""
+        state, log = self.state, self.state.log
+        if follower.transfer is None:
+            newest = Snapshot(log.snapshot_index, log.snapshot_term, log.snapshot_voters, log.snapshot_state)
+            follower.transfer = SnapshotTransfer(newest)
+        transfer = follower.transfer
+        if not transfer.is_due(state.now_us, RETRANSMIT_AFTER_US):
             return
-        transfer.sent_us, snapshot = self.now_us, transfer.snapshot
+        transfer.sent_us = state.now_us
+        snapshot = transfer.snapshot
         message = InstallSnapshot(
-            self.term,
-            self.identity,
-            self.address,
+            state.term,
+            state.identity,
+            state.address,
             name,
             snapshot.index,
             snapshot.term,
             snapshot.voters,
-            transfer.piece(),
-            self.now_us,
+            transfer.chunk(),
+            state.now_us,
             transfer.offset,
             len(snapshot.state),
         )
-        self._send(other.address, message)
+        state.send(follower.address, message)
 
-    @property
-    def transferring(self) -> bool:
-        """Whether a live follower is sent a snapshot."""
+    def has_transfer(self) -> bool:
+        """Whether a live follower is being sent a snapshot."""
         return any(
-            each.transfer is not None and self.now_us - each.last_contact_us < UNRESPONSIVE_AFTER_US
-            for each in self.followers.values()
+            follower.transfer is not None
+            and self.state.now_us - follower.last_contact_us < UNRESPONSIVE_AFTER_US
+            for follower in self.followers.values()
         )
 
     # ---- replies
 
-    def _heard_from(self, name: str, address: str, term: int) -> Follower | None:
-        """The follower that a message comes from, None where this node leads it not in that term."""
-        if term > self.term:
-            self._follow(term)
+    def on_contact(self, name: str, address: str, term: int) -> FollowerProgress | None:
+        """Take note of a follower's message; None where this node doesn't lead it in that term."""
+        state = self.state
+        if term > state.term:
+            self._transitions.become_follower(term)
             return None
-        other = self.followers.get(name)
-        if not self.is_leader or term != self.term or other is None:
+        follower = self.followers.get(name)
+        if not state.is_leader or term != state.term or follower is None:
             return None
-        other.address, other.last_contact_us = address, self.now_us
-        return other
+        follower.address = address
+        follower.last_contact_us = state.now_us
+        return follower
 
-    def _on_append_reply(self, reply: AppendEntriesReply) -> None:
-        other = self._heard_from(reply.follower, reply.address, reply.term)
-        if other is None:
+    def on_append_reply(self, reply: AppendEntriesReply) -> None:
+        """Take note of what a follower has on disk, commit by it, and send it what it lacks."""
+        state = self.state
+        follower = self.on_contact(reply.follower, reply.address, reply.term)
+        if follower is None:
             return
-        other.acked_us = max(other.acked_us, min(reply.sent_us, self.now_us))
+        self._on_acknowledged(follower, reply.sent_us)
         if reply.success:
-            other.match_index = max(other.match_index, min(reply.match, self.log.last_index))
-            other.next_index = max(other.next_index, other.match_index + 1)
-            if other.transfer is not None and other.match_index >= other.transfer.snapshot.index:
-                other.transfer, other.next_index = None, other.match_index + 1
-            self._advance_commit()
-        elif other.transfer is None:
-            other.next_index = max(1, min(reply.match + 1, other.next_index, self.log.last_index + 1))
-            other.sent_index = other.match_index
-        if self.is_leader and reply.follower in self.followers and other.next_index <= self.log.last_index:
-            self._send_to(reply.follower)
-
-    def _on_snapshot_reply(self, reply: InstallSnapshotReply) -> None:
-        other = self._heard_from(reply.follower, reply.address, reply.term)
-        if other is None or other.transfer is None:
-            return
-        other.acked_us = max(other.acked_us, min(reply.sent_us, self.now_us))
-        other.transfer.wanted(reply.index, reply.offset)
-        self._send_snapshot(reply.follower, other)
-
-    def _advance_commit(self) -> None:
-        """Commit what a majority of the voters has on disk; of earlier terms only with an entry of this."""
-        voters = self.voters
-        have = [self.followers[name].match_index if name in self.followers else 0 for name in voters]
-        if self.identity in voters:
-            have[list(voters).index(self.identity)] = self.durable_index
-        have.sort(reverse=True)
-        index = have[len(voters) // 2] if voters else 0
-        if index > self.commit_index and self.log.term_at(index) == self.term:
-            self._commit_up_to(index)
-            self._send_to_all(heartbeat=True)
-        if self.identity not in voters and self.commit_index >= self.log.last_index:
-            self._follow(self.term)  # it has led its own removal to its end
-
-    # ---- voters
-
-    def _on_join(self, offer: JoinRequest) -> None:
-        if not self.is_leader:
-            if self.leader_address and self.leader_address != offer.address:
-                self._send(offer.address, LeaderHint(self.term, self.leader, self.leader_address))
-            return
-        if offer.node == self.identity:
-            return
-        if offer.node not in self.followers and len(self.followers) < MAX_FOLLOWERS:
-            other = Follower(offer.address, 0, self.now_us, next_index=self.log.last_index + 1)
-            self.followers[offer.node] = other
-        if self._heard_from(offer.node, offer.address, self.term) is not None:
-            self._leaving.discard(offer.node)
-            self._send_to(offer.node, heartbeat=True)
-
-    def _change_voters(self) -> None:
-        """Make the next change of voters; the one before must be committed, and an entry of this term."""
-        if self.log.changes_voters_after(self.commit_index) or self.commit_index < self._first_index:
-            return
-        group = Group(
-            self.now_us,
-            self.identity,
-            self.address,
-            self.voters,
-            dict(self.followers),
-            self._leaving,
-            self.commit_index,
-        )
-        voters = next_voters(group)
-        if voters is None:
+            self._on_match(follower, reply.match_index)
+            self.advance_commit()
+        elif follower.transfer is None:
+            follower.next_index = max(
+                1, min(reply.match_index + 1, follower.next_index, state.log.last_index + 1)
+            )
+            follower.sent_index = follower.match_index
+        is_led = state.is_leader and reply.follower in self.followers
+        if is_led and follower.next_index <= state.log.last_index:
+            self.send_to(reply.follower)
+
+    def on_snapshot_reply(self, reply: InstallSnapshotReply) -> None:
+        """Send a follower the next chunk of its snapshot."""
+        follower = self.on_contact(reply.follower, reply.address, reply.term)
+        if follower is None or follower.transfer is None:
             return
-        self._extend([Entry(self.log.last_index + 1, self.term, b"", voters)])
-        for name, address in voters.items():
-            if name != self.identity and name not in self.followers:
-                self.followers[name] = Follower(address, 0, next_index=self.log.last_index)
-        live = group.live()
-        self.followers = {
-            name: each for name, each in self.followers.items() if name in voters or name in live
-        }
-        self._send_to_all()
-        self._advance_commit()
+        self._on_acknowledged(follower, reply.sent_us)
+        follower.transfer.on_reply(reply.last_index, reply.next_offset)
+        self._send_chunk(reply.follower, follower)
+
+    def _on_acknowledged(self, follower: FollowerProgress, sent_us: int) -> None:
+        """The lease runs from when the message was sent, not from when its reply came."""
+        follower.acked_us = max(follower.acked_us, min(sent_us, self.state.now_us))
+
+    def _on_match(self, follower: FollowerProgress, match_index: int) -> None:
+        follower.match_index = max(follower.match_index, min(match_index, self.state.log.last_index))
+        follower.next_index = max(follower.next_index, follower.match_index + 1)
+        transfer = follower.transfer
+        if transfer is not None and follower.match_index >= transfer.snapshot.index:
+            follower.transfer = None
+            follower.next_index = follower.match_index + 1
+
+    def advance_commit(self) -> None:
+        """Commit what a majority of the voters has on disk, by entries of this term alone (thesis, 3.6.2)."""
+        state = self.state
+        voters = state.voters
+        durable = [self.followers[name].match_index if name in self.followers else 0 for name in voters]
+        if state.identity in voters:
+            durable[list(voters).index(state.identity)] = state.durable_index
+        durable.sort(reverse=True)
+        index = durable[len(voters) // 2] if voters else 0
+        if index > state.commit_index and state.log.term_at(index) == state.term:
+            state.commit_up_to(index)
+            self.send_to_all(heartbeat=True)
+        if state.identity not in voters and state.commit_index >= state.log.last_index:
+            self._transitions.become_follower(state.term)  # its own removal is committed (thesis, 4.2.2)
--- a/lapisgrade/gateway/consensus/snapshots.py
+++ b/lapisgrade/gateway/consensus/snapshots.py
@@ -1,21 +1,24 @@
-"""Transfer of a snapshot in pieces: one piece is under way at a time, and the next goes once it was taken.
+"""Transfer of a snapshot in chunks (thesis, 5.3): the next chunk is sent once the one before has arrived.
 
-So a slow link holds one piece, never a queue of whole snapshots, and a transfer that is cut goes on at the
-byte where it stopped. The sender keeps its snapshot until the reader has it all, whatever the leader compacts
-meanwhile (guards a member that would otherwise chase the log's end for ever).
+A slow link has one chunk in flight, never a queue of whole snapshots, and a transfer that is interrupted
+resumes at the byte where it stopped. The sender keeps its snapshot until the follower has all of it, whatever
+the leader compacts meanwhile (guards a node that would otherwise chase the log's end for ever).
 """
 
 from dataclasses import dataclass, field
 
 from lapisgrade.gateway.consensus.messages import InstallSnapshot
 
-CHUNK_BYTES = 64 * 1024  # bytes; a quarter of a second on a link of 2 Mbit/s
-MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024  # bytes that a reader takes at all
+CHUNK_BYTES = 64 * 1024
+"""A quarter of a second on a link of 2 Mbit/s."""
+
+MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024
+"""A follower accepts no larger snapshot."""
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """State up to the entry `index`, and the voters then."""
+    """The state machine's state up to the entry `index`, and the voters then."""
 
     index: int
     term: int
@@ -24,48 +27,54 @@
 
 
 @dataclass(slots=True)
-class Transfer:
+class SnapshotTransfer:
     """The leader's side: how much of one snapshot a follower has."""
 
     snapshot: Snapshot
     offset: int = 0
-    sent_us: int | None = None  # when the piece at `offset` was sent, None where it has not been
+    sent_us: int | None = None  # when the chunk at `offset` was sent, None where it has not been
 
-    def due(self, now_us: int, resend_us: int) -> bool:
-        return self.sent_us is None or now_us - self.sent_us > resend_us
+    def is_due(self, now_us: int, retransmit_after_us: int) -> bool:
+        """Whether the chunk at `offset` is to be sent, for the first time or again."""
+        return self.sent_us is None or now_us - self.sent_us > retransmit_after_us
 
-    def piece(self) -> bytes:
+    def chunk(self) -> bytes:
+        """The bytes to send next."""
         return self.snapshot.state[self.offset : self.offset + CHUNK_BYTES]
 
-    def wanted(self, index: int, offset: int) -> None:
-        """What the follower asks for next; a late reply about an earlier piece changes nothing."""
-        if index != self.snapshot.index or offset == self.offset:
+    def on_reply(self, last_index: int, next_offset: int) -> None:
+        """Move on to the byte that the follower needs next; late replies change nothing."""
+        if last_index != self.snapshot.index or next_offset == self.offset:
             return
-        if offset > self.offset or offset == 0:  # 0: it was started anew and has nothing
-            self.offset, self.sent_us = min(offset, len(self.snapshot.state)), None
+        has_restarted = next_offset == 0  # the follower has lost what it had
+        if next_offset > self.offset or has_restarted:
+            self.offset = min(next_offset, len(self.snapshot.state))
+            self.sent_us = None
 
 
 @dataclass(slots=True)
-class Assembly:
-    """The follower's side: the pieces of one snapshot, as they come."""
+class SnapshotAssembly:
+    """The follower's side: the chunks of one snapshot, as they arrive."""
 
     leader: str = ""
     term: int = 0
-    index: int = 0
+    last_index: int = 0
     total: int = 0
     data: bytearray = field(default_factory=bytearray)
 
-    def take(self, piece: InstallSnapshot) -> bytes | None:
-        """Add one piece; the whole snapshot once it is complete."""
-        if piece.total > MAX_SNAPSHOT_BYTES:
+    def add(self, chunk: InstallSnapshot) -> bytes | None:
+        """Add one chunk; returns the complete snapshot, None while more is missing."""
+        if chunk.total > MAX_SNAPSHOT_BYTES:
             return None
-        if (self.leader, self.term, self.index) != (piece.leader, piece.term, piece.index):
-            self.leader, self.term, self.index = piece.leader, piece.term, piece.index
+        if (self.leader, self.term, self.last_index) != (chunk.leader, chunk.term, chunk.last_index):
+            self.leader, self.term, self.last_index = chunk.leader, chunk.term, chunk.last_index
             self.data = bytearray()
-        self.total = piece.total
-        if piece.offset == len(self.data):
-            self.data += piece.data[: self.total - piece.offset]
+        self.total = chunk.total
+        if chunk.offset == len(self.data):
+            self.data += chunk.data[: self.total - chunk.offset]
         return bytes(self.data) if len(self.data) == self.total else None
 
     def clear(self) -> None:
-        self.leader, self.data = "", bytearray()
+        """Forget all chunks."""
+        self.leader = ""
+        self.data = bytearray()
--- a/lapisgrade/gateway/consensus/state.py
+++ b/lapisgrade/gateway/consensus/state.py
@@ -1,10 +1,16 @@
-"""What one node of the group holds, and the few steps that its parts share."""
+"""The state of one node that all of its concerns read: term, vote, log, role, and the effects they collect.
 
+Who writes what: `term` and `voted_for` change here and in `voter` and `election`; `commit_index` here alone;
+`durable_index` in `node` and `follower`; `role` and `leader` in `node` and `election`. What only one concern
+needs is that concern's own.
+"""
+
+from collections.abc import Iterable
 from enum import Enum
-from random import Random
+from typing import Protocol
 
 from lapisgrade.gateway.consensus.log import ReplicatedLog
-from lapisgrade.gateway.consensus.messages import AppendEntries, Entry, Message
+from lapisgrade.gateway.consensus.messages import Entry, Message, OutgoingMessage
 from lapisgrade.gateway.consensus.records import (
     DurableWrite,
     Effects,
@@ -13,71 +19,65 @@
     Record,
     SnapshotRecord,
 )
-from lapisgrade.gateway.consensus.replication_state import Follower
-from lapisgrade.gateway.consensus.snapshots import Assembly
-
-# Times in microseconds.
-HEARTBEAT_INTERVAL_US = 100_000  # between a leader's messages; some round trips between zones
-ELECTION_TIMEOUT_US = 400_000  # without a leader, at the least, before an election; several heartbeats
-ELECTION_JITTER_US = 300_000  # more, at random (split votes are rare then)
-LEASE_US = 300_000  # that a majority's replies last; below ELECTION_TIMEOUT_US, the least a follower waits
-RESTART_GUARD_US = 330_000  # after a restart in which an earlier reply may back a lease: LEASE_US and drift
-RETRY_DELAY_US = 10_000  # between elections of a node that has just started, at the least; a few round trips
-RETRY_JITTER_US = 50_000  # more, at random
 
 
 class Role(Enum):
+    """The roles of a node; `node` has the diagram of their transitions."""
+
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
+class RoleTransitions(Protocol):
+    """Changes of role, which concern all parts of a node."""
+
+    def become_follower(self, term: int, leader: str = "", leader_address: str = "") -> None:
+        """Follow in that term, with a leader where one is known."""
+
+    def become_leader(self) -> None:
+        """Lead in the current term."""
+
+
 class NodeState:
-    """Shared by the parts of a node. `voted` is the vote in `term`."""
-
-    def __init__(
-        self,
-        identity: str,
-        address: str,
-        random: Random,
-        now_us: int,
-        voters: dict[str, str] | None = None,
-    ) -> None:
-        """`voters` are the first ones of all, where the whole system starts for the first time."""
-        self.identity, self.address, self.random, self.now_us = identity, address, random, now_us
-        self.term, self.voted_for = 0, ""
-        self.log = ReplicatedLog(voters or {})
-        self.commit_index = 0  # the last entry that is known to be committed
-        self.durable_index = 0  # the last entry that is surely on this disk
-        self.agreed_index = 0  # the last entry that is known to be the leader's too
-        self.role, self.leader, self.leader_address = Role.FOLLOWER, "", ""
-        self.followers: dict[str, Follower] = {}
+    """The state that a node's concerns share."""
+
+    def __init__(self, identity: str, address: str, now_us: int, voters: dict[str, str]) -> None:
+        """Begin as a follower with an empty log.
+
+        Args:
+            identity: the name of this node's disk.
+            address: where other nodes send their messages to.
+            now_us: the time on the node's steady clock.
+            voters: the first voters of all, where the whole system starts for the first time; else empty.
+        """
+        self.identity = identity
+        self.address = address
+        self.now_us = now_us
+        self.term = 0
+        self.voted_for = ""  # in `term`; empty for none
+        self.log = ReplicatedLog(voters)
+        self.commit_index = 0  # of the last entry that is known to be committed
+        self.durable_index = 0  # of the last entry that is surely on this disk
+        self.role = Role.FOLLOWER
+        self.leader = ""  # identity of the leader of `term`, empty where none is known
+        self.leader_address = ""
+        self.is_stopping = False  # shuts down in order: starts no election any more
         self.effects = Effects()
-        self.is_stopping = False  # shuts down in order: never stands again
-        self._votes: set[str] = set()
-        self._idle: set[str] = set()  # of `_votes`: those that neither lead nor stand
-        self._unanimous_only: set[str] = set()  # of `_votes`: those that count only if all grant
-        self._round = 0
-        self._last_leader_contact_us = -ELECTION_TIMEOUT_US
-        self._lease_guard_until_us = now_us
-        self._election_deadline_us = now_us + ELECTION_TIMEOUT_US // 2 + random.randrange(ELECTION_JITTER_US)
-        self._heartbeat_due_us = 0
-        self._first_index = 0  # of the entries of this node's own term as leader
-        self._unanswered: AppendEntries | None = None  # answered again once more is on disk
-        self._leaving: set[str] = set()
-        self._assembly = Assembly()
 
     @property
     def voters(self) -> dict[str, str]:
+        """Identity to address of the voters in force."""
         return self.log.voters
 
     @property
     def is_leader(self) -> bool:
+        """Whether the node is the leader of its term; it may not know of a later one."""
         return self.role is Role.LEADER
 
     def snapshot_record(self) -> SnapshotRecord:
-        """All of this node, as the first record of a new generation."""
+        """All that the node has to remember, as the first record of a new generation."""
         log = self.log
         return SnapshotRecord(
             self.identity,
@@ -91,53 +91,39 @@
             self.commit_index,
         )
 
-    def _send(self, address: str, message: Message) -> None:
-        self.effects.sends.append((address, message))
+    def advance_clock(self, now_us: int) -> None:
+        """Bring the node's clock up to the shell's; it never runs backwards."""
+        self.now_us = max(self.now_us, now_us)
 
-    def _write(self, records: list[Record], then: list[tuple[str, Message]] | None = None) -> None:
-        write = DurableWrite(records, then or [], self.log.last_index, self.log.last_term)
+    def send(self, address: str, message: Message) -> None:
+        """Send a message now."""
+        self.effects.sends.append(OutgoingMessage(address, message))
+
+    def write(self, records: list[Record], sends_when_durable: Iterable[OutgoingMessage] = ()) -> None:
+        """Bring records onto the disk, and send messages once they are there."""
+        write = DurableWrite(records, list(sends_when_durable), self.log.last_index, self.log.last_term)
         self.effects.writes.append(write)
 
-    def _extend(self, entries: list[Entry]) -> None:
+    def append(self, entries: list[Entry]) -> None:
+        """Append entries to the log, in memory and on disk."""
         self.log.append(entries)
-        self._write([EntriesRecord(entries, self.commit_index)])
-
-    def _postpone_election(self) -> None:
-        self._election_deadline_us = (
-            self.now_us + ELECTION_TIMEOUT_US + self.random.randrange(ELECTION_JITTER_US)
-        )
-
-    def _soon(self) -> int:
-        """When to try again where others are about to come back, or to say more."""
-        return self.now_us + RETRY_DELAY_US + self.random.randrange(RETRY_JITTER_US)
+        self.write([EntriesRecord(entries, self.commit_index)])
 
-    def _raise_term(self, term: int) -> None:
+    def raise_term(self, term: int) -> None:
+        """Move on to a later term, without a vote in it yet; an earlier one changes nothing."""
         if term > self.term:
-            self.term, self.voted_for = term, ""
-            self._write([HardState(term, "")])
-
-    def _follow(self, term: int, leader: str = "", address: str = "") -> None:
-        """Be a follower in that term."""
-        self._raise_term(term)
-        if self.role is not Role.FOLLOWER:
-            self._postpone_election()
-        self.role = Role.FOLLOWER
-        if leader != self.leader:
-            self.agreed_index, self._unanswered = 0, None
-        self.leader, self.leader_address = leader, address
-        self.followers = {}
+            self.term = term
+            self.voted_for = ""
+            self.write([HardState(term, "")])
+
+    def forget_leader(self) -> None:
+        """Know of no leader, so that it is looked for anew."""
+        self.leader = ""
+        self.leader_address = ""
 
-    def _commit_up_to(self, index: int) -> None:
+    def commit_up_to(self, index: int) -> None:
+        """Commit all entries up to `index` that the log has."""
         index = min(index, self.log.last_index)
         if index > self.commit_index:
-            self.effects.committed += self.log.between(self.commit_index, index)
+            self.effects.committed += self.log.entries_between(self.commit_index, index)
             self.commit_index = index
-
-    def _quorum_us(self) -> int:
-        """The leader's own time of the newest message that a majority of the voters has answered."""
-        times = [self.followers[name].acked_us for name in self.voters if name in self.followers]
-        if self.identity in self.voters:
-            times.append(self.now_us)
-        times.sort(reverse=True)
-        need = len(self.voters) // 2
-        return times[need] if need < len(times) else -ELECTION_TIMEOUT_US
--- a/lapisgrade/gateway/controller/process.py
+++ b/lapisgrade/gateway/controller/process.py
@@ -18,7 +18,7 @@
 from lapisgrade.gateway.consensus.messages import Entry, JoinRequest, LeaveRequest
 from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
 from lapisgrade.gateway.consensus.node import Node
-from lapisgrade.gateway.consensus.records import DurableWrite, Effects, Record
+from lapisgrade.gateway.consensus.records import DurableWrite, Record
 from lapisgrade.gateway.storage.log_store import Damaged, LogStore
 from lapisgrade.gateway.http_server import HttpServer
 from lapisgrade.gateway.settings import Address, Bad, Settings, address
@@ -193,7 +193,7 @@
 
     def _carry_out(self, node: Node) -> bool:
         """Whether the node said something to itself, which may have had effects of its own."""
-        effects, node.effects = node.effects, Effects()
+        effects = node.take_effects()
         if effects.snapshot is not None:
             self.state_machine.load(effects.snapshot)
             self._applied()
--- a/lapisgrade/lab/explore/cluster.py
+++ b/lapisgrade/lab/explore/cluster.py
@@ -8,7 +8,7 @@
 
 from lapisgrade.gateway.consensus.messages import JoinRequest
 from lapisgrade.gateway.consensus.node import Node
-from lapisgrade.gateway.consensus.records import Effects, Record, SnapshotRecord
+from lapisgrade.gateway.consensus.records import Record, SnapshotRecord
 
 RECORD = msgspec.msgpack.Decoder(Record)
 SECOND = 1_000_000
@@ -74,7 +74,7 @@
 
     def drain(self, name: str) -> None:
         controller = self.controllers[name]
-        out, controller.effects = controller.effects, Effects()
+        out = controller.take_effects()
         for write in out.writes:
             # A disk takes one write after another.
             done = max(self.written.get(name, 0) + 1, self.now + self.random.randrange(500, 6000))
--- a/lapisgrade/lab/explore/log.py
+++ b/lapisgrade/lab/explore/log.py
@@ -8,8 +8,9 @@
 
 from lapisgrade.lab.explore.defects import Defects, switched
 from lapisgrade.lab.explore.cluster import Cluster
+from lapisgrade.gateway.consensus.follower import Follower
 from lapisgrade.gateway.consensus.messages import AppendEntries, AppendEntriesReply
-from lapisgrade.gateway.consensus.node import Node
+from lapisgrade.gateway.consensus.replication import Replication
 
 UNIT = "changes"
 MOST_SAID = 24  # lines that are told of what led to the first thing that was wrong
@@ -86,26 +87,28 @@
     self.disk[name] = self.disk[name][:1] if len(self.disk[name]) < 5 else self.disk[name][:-4]
 
 
-def _alone(self: Node) -> None:
+def _alone(self: Replication) -> None:
     """A leader commits what is on its own disk."""
-    if self.durable_index > self.commit_index and self.log.term_at(self.durable_index) == self.term:
-        self._commit_up_to(self.durable_index)
-        self._send_to_all(heartbeat=True)
+    state = self.state
+    if state.durable_index > state.commit_index and state.log.term_at(state.durable_index) == state.term:
+        state.commit_up_to(state.durable_index)
+        self.send_to_all(heartbeat=True)
 
 
-def _unwritten(self: Node, message: AppendEntries) -> None:
+def _unwritten(self: Follower, message: AppendEntries) -> None:
     """A follower acknowledges what is not on its disk yet."""
-    if message.term == self.term and message.leader == self.leader:
-        told = AppendEntriesReply(
-            self.term, self.identity, self.address, True, self.agreed_index, message.sent_us
+    state = self.state
+    if message.term == state.term and message.leader == state.leader:
+        reply = AppendEntriesReply(
+            state.term, state.identity, state.address, True, self.agreed_index, message.sent_us
         )
-        self._send(message.address, told)
+        state.send(message.address, reply)
 
 
 DEFECTS: Defects = {
     "lying-disk": (Cluster, "kill", _lying),
-    "commits-alone": (Node, "_advance_commit", _alone),
-    "says-before-written": (Node, "_acknowledge", _unwritten),
+    "commits-alone": (Replication, "advance_commit", _alone),
+    "says-before-written": (Follower, "acknowledge", _unwritten),
 }
 
 
--- a/lapisgrade/lab/simulation/cluster.py
+++ b/lapisgrade/lab/simulation/cluster.py
@@ -87,7 +87,7 @@
         self.invariants.applied(self, entry)
 
     def _carry_out(self, node: Node) -> bool:
-        restored = node.effects.snapshot is not None
+        restored = node.state.effects.snapshot is not None
         again = super()._carry_out(node)
         self.invariants.stepped(self, restored)
         return again
--- a/lapisgrade/lab/simulation/disk.py
+++ b/lapisgrade/lab/simulation/disk.py
@@ -120,7 +120,7 @@
     def has_synced_vote(self, term: int, candidate: str) -> bool:
         """Whether a vote in that term, or a later term, is surely on it."""
         states = [each for each in self._surely() if not isinstance(each, EntriesRecord)]
-        return any(each.term > term or (each.term, each.voted) == (term, candidate) for each in states)
+        return any(each.term > term or (each.term, each.voted_for) == (term, candidate) for each in states)
 
     def has_synced(self, index: int, term: int) -> bool:
         """Whether an entry is surely on it: itself, or within a snapshot."""
@@ -129,7 +129,7 @@
             if isinstance(record, HardState):
                 continue
             if isinstance(record, SnapshotRecord):
-                found = index <= record.base
+                found = index <= record.snapshot_index
             if record.entries and record.entries[0].index <= index and isinstance(record, EntriesRecord):
                 found = False
             found = found or any((each.index, each.term) == (index, term) for each in record.entries)
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -96,7 +96,11 @@
         """One change of voters at a time, which leaves a majority that lives and has what was committed."""
         node, log = controller.node, controller.node.log
         changes = [each for each in log.entries if each.voters is not None and each.index > node.commit_index]
-        if not changes or changes[-1].index in self._changes or changes[-1].index <= node._first_index:
+        if (
+            not changes
+            or changes[-1].index in self._changes
+            or changes[-1].index <= node.replication.first_index
+        ):
             return
         change = changes[-1]
         self._changes.add(change.index)
--- a/lapisgrade/lab/simulation/mutants.py
+++ b/lapisgrade/lab/simulation/mutants.py
@@ -13,9 +13,11 @@
 from lapisgrade.lab.explore.defects import Defects
 from lapisgrade.lab.simulation.cluster import SimulatedController
 from lapisgrade.gateway import configuration
-from lapisgrade.gateway.consensus import membership, replication
+from lapisgrade.gateway.consensus import membership, reconfiguration
+from lapisgrade.gateway.consensus.election import Election
+from lapisgrade.gateway.consensus.follower import Follower
 from lapisgrade.gateway.consensus.log import ReplicatedLog
-from lapisgrade.gateway.consensus.membership import Group
+from lapisgrade.gateway.consensus.membership import ClusterView
 from lapisgrade.gateway.consensus.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -23,8 +25,11 @@
     RequestVoteReply,
 )
 from lapisgrade.gateway.consensus.node import Node
+from lapisgrade.gateway.consensus.reconfiguration import Reconfiguration
 from lapisgrade.gateway.consensus.records import DurableWrite, Record
-from lapisgrade.gateway.consensus.snapshots import Assembly
+from lapisgrade.gateway.consensus.replication import Replication
+from lapisgrade.gateway.consensus.snapshots import SnapshotAssembly
+from lapisgrade.gateway.consensus.voter import Voter
 from lapisgrade.gateway.controller import state_machine
 from lapisgrade.gateway.controller.state_machine import Answer, Change, StateMachine, NewVersion
 from lapisgrade.gateway.controller.log_writer import LogWriter
@@ -43,17 +48,17 @@
     return self._led
 
 
-_on_append_reply = Node._on_append_reply
+_on_append_reply = Replication.on_append_reply
 
 
-def _lease_from_receipt(self: Node, reply: AppendEntriesReply) -> None:
+def _lease_from_receipt(self: Replication, reply: AppendEntriesReply) -> None:
     """The lease runs from the answer's arrival, not from what it answers."""
     _on_append_reply(self, reply)
     if reply.follower in self.followers:
-        self.followers[reply.follower].acked_us = self.now_us
+        self.followers[reply.follower].acked_us = self.state.now_us
 
 
-def _hears_nobody(self: Node) -> bool:
+def _hears_nobody(self: Voter) -> bool:
     return False
 
 
@@ -63,28 +68,29 @@
 def _not_quiet(cls: type, *args: Any) -> Node:
     """A node that starts again forgets that a lease may rest on its earlier life."""
     node = _recovered(cls, *args)
-    node._lease_guard_until_us = 0
+    node.voter.restart_guard_until_us = 0
     return node
 
 
-def _grants_while_leading(self: Node, request: RequestVote) -> None:
+def _grants_while_leading(self: Voter, request: RequestVote) -> None:
     """A leader that a majority was not heard of for a while, and a candidate, say that they hold no lease."""
-    granted = request.term > self.term and not self._hears_leader() and self._log_is_current(request)
+    state = self.state
+    granted = request.term > state.term and not self.has_leader_contact() and self.log_is_current(request)
     if not granted:
         _on_pre_vote(self, request)
         return
-    reply = RequestVoteReply(request.term, self.identity, True, True, False, True, request.round)
-    self._send(request.address, reply)
+    reply = RequestVoteReply(request.term, state.identity, True, True, False, True, request.pre_vote_round)
+    state.send(request.address, reply)
 
 
-_on_pre_vote = Node._on_pre_vote
-_on_vote_reply = Node._on_vote_reply
+_on_pre_vote = Voter.on_pre_vote
+_on_vote_reply = Election.on_vote_reply
 
 
-def _any_round(self: Node, reply: RequestVoteReply) -> None:
+def _any_round(self: Election, reply: RequestVoteReply) -> None:
     """A pre-vote of an earlier round counts as one of this."""
-    if reply.pre_vote and reply.granted and reply.term == self.term + 1:
-        reply = msgspec.structs.replace(reply, round=self._round)
+    if reply.pre_vote and reply.granted and reply.term == self.state.term + 1:
+        reply = msgspec.structs.replace(reply, pre_vote_round=self.pre_vote_round)
     _on_vote_reply(self, reply)
 
 
@@ -143,19 +149,20 @@
 # ---- members
 
 
-def _counts_all(self: Node) -> None:
+def _counts_all(self: Replication) -> None:
     """Learners count towards a majority."""
-    have = [self.durable_index, *(each.match_index for each in self.followers.values())]
+    state = self.state
+    have = [state.durable_index, *(each.match_index for each in self.followers.values())]
     have.sort(reverse=True)
-    index = have[len(self.voters) // 2] if self.voters else 0
-    if index > self.commit_index and self.log.term_at(index) == self.term:
-        self._commit_up_to(index)
-        self._send_to_all(heartbeat=True)
+    index = have[len(state.voters) // 2] if state.voters else 0
+    if index > state.commit_index and state.log.term_at(index) == state.term:
+        state.commit_up_to(index)
+        self.send_to_all(heartbeat=True)
 
 
-def _any_change(group: Group) -> dict[str, str] | None:
+def _any_change(view: ClusterView) -> dict[str, str] | None:
     """A change of voters that those who are caught up need not be a majority of."""
-    return membership._wanted(group) or membership._moved(group)
+    return membership.desired_voters(view)
 
 
 def _changes_never_open(self: ReplicatedLog, index: int) -> bool:
@@ -163,15 +170,9 @@
     return False
 
 
-def _own_entry_at_once(self: Node) -> None:
+def _own_entry_at_once(self: Reconfiguration) -> bool:
     """A leader changes voters before an entry of its own term is committed (the note of 2015 on Raft)."""
-    self._first_index = 0
-    self.log.changes_voters_after = lambda index: False
-    _change_voters(self)
-    del self.log.changes_voters_after
-
-
-_change_voters = Node._change_voters
+    return False
 
 
 def _forgets_voters(self: ReplicatedLog, index: int, state: bytes) -> None:
@@ -208,42 +209,44 @@
 def _durable_as_read(cls: type, *args: Any) -> Node:
     """What a start reads counts as synced."""
     node = _recovered(cls, *args)
-    node.durable_index = node.log.last_index
+    node.state.durable_index = node.log.last_index
     return node
 
 
-def _acknowledges_unsynced(self: Node, message: AppendEntries) -> None:
-    if message.term == self.term and message.leader == self.leader:
+def _acknowledges_unsynced(self: Follower, message: AppendEntries) -> None:
+    state = self.state
+    if message.term == state.term and message.leader == state.leader:
         reply = AppendEntriesReply(
-            self.term, self.identity, self.address, True, self.agreed_index, message.sent_us
+            state.term, state.identity, state.address, True, self.agreed_index, message.sent_us
         )
-        self._send(message.address, reply)
+        state.send(message.address, reply)
 
 
 def _sends_before_sync(self: LogWriter, write: DurableWrite) -> None:
     """What should wait for the disk is said at once."""
     then, write.sends_when_durable = write.sends_when_durable, []
-    self._node.effects.sends += then
+    self._node.state.effects.sends += then
     _put(self, write)
 
 
 _put = LogWriter.put
 
 
-def _commits_any_term(self: Node) -> None:
+def _commits_any_term(self: Replication) -> None:
     """An entry of an earlier term is committed by counting its copies."""
+    state = self.state
     have = [
-        self.followers[name].match_index if name in self.followers else self.durable_index
-        for name in self.voters
+        self.followers[name].match_index if name in self.followers else state.durable_index
+        for name in state.voters
     ]
     have.sort(reverse=True)
     index = have[len(have) // 2] if have else 0
-    if index > self.commit_index:
-        self._commit_up_to(index)
-        self._send_to_all(heartbeat=True)
+    if index > state.commit_index:
+        state.commit_up_to(index)
+        self.send_to_all(heartbeat=True)
 
 
-def _any_log(self: Node, request: RequestVote) -> bool:
+def _any_log(self: Voter, request: RequestVote) -> bool:
     return True
 
 
@@ -268,8 +271,8 @@
 LEADER: Defects = {
     "lease-never-ends": (Node, "has_lease", _always_leased),
     "serves-without-lease": (SimulatedController, "_leads", _serves_as_led),
-    "lease-from-receipt": (Node, "_on_append_reply", _lease_from_receipt),
-    "votes-against-a-lease": (Node, "_hears_leader", _hears_nobody),
+    "lease-from-receipt": (Replication, "on_append_reply", _lease_from_receipt),
+    "votes-against-a-lease": (Voter, "has_leader_contact", _hears_nobody),
     "restart-forgets-lease": (Node, "recover", classmethod(_not_quiet)),
 }
 ORDERS: Defects = {
@@ -281,37 +284,37 @@
     "taken-judged-anew": (StateMachine, "judge", _without_digest),
 }
 MEMBERS: Defects = {
-    "learner-counted": (Node, "_advance_commit", _counts_all),
+    "learner-counted": (Replication, "advance_commit", _counts_all),
     "snapshot-without-voters": (ReplicatedLog, "compact", _forgets_voters),
 }
 EMPTIED: Defects = {
     "emptied-disk-votes": (SimulatedController, "_found", _votes_when_empty),
 }
 CHANGES: Defects = {
-    "two-changes-at-once": (ReplicatedLog, "changes_voters_after", _changes_never_open),
+    "two-changes-at-once": (ReplicatedLog, "has_voter_change_after", _changes_never_open),
 }
 MAJORITY: Defects = {
-    "change-without-majority": (replication, "next_voters", _any_change),
+    "change-without-majority": (reconfiguration, "next_voters", _any_change),
 }
 LOG: Defects = {
     "durable-as-read": (Node, "recover", classmethod(_durable_as_read)),
-    "acknowledged-before-sync": (Node, "_acknowledge", _acknowledges_unsynced),
-    "any-log-may-lead": (Node, "_log_is_current", _any_log),
+    "acknowledged-before-sync": (Follower, "acknowledge", _acknowledges_unsynced),
+    "any-log-may-lead": (Voter, "log_is_current", _any_log),
     "conflict-kept": (ReplicatedLog, "truncate", _never_truncates),
     "vote-before-sync": (LogWriter, "put", _sends_before_sync),
 }
 TERMS: Defects = {
-    "old-term-committed": (Node, "_advance_commit", _commits_any_term),
+    "old-term-committed": (Replication, "advance_commit", _commits_any_term),
 }
 SNAPSHOTS: Defects = {
     "stale-snapshot": (StateMachine, "dump", _stale_dump),
     "snapshot-not-loaded": (StateMachine, "load", _loads_nothing),
-    "piece-taken-for-all": (Assembly, "take", _adopts),
+    "piece-taken-for-all": (SnapshotAssembly, "add", _adopts),
 }
 BY_RULE: Defects = {
-    "pre-vote-of-any-round": (Node, "_on_vote_reply", _any_round),
-    "leader-grants-pre-votes": (Node, "_on_pre_vote", _grants_while_leading),
-    "change-before-own-entry": (Node, "_change_voters", _own_entry_at_once),
+    "pre-vote-of-any-round": (Election, "on_vote_reply", _any_round),
+    "leader-grants-pre-votes": (Voter, "on_pre_vote", _grants_while_leading),
+    "change-before-own-entry": (Reconfiguration, "is_change_pending", _own_entry_at_once),
 }
 COURSES_OF: list[tuple[Defects, str]] = [
     (LEADER, "leader-cut"),
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -205,11 +205,11 @@
             term=1146,
             candidate="text-147",
             address="text-148",
-            last_index=1149,
-            last_term=1150,
+            last_log_index=1149,
+            last_log_term=1150,
             pre_vote=True,
             lease_free=True,
-            round=1153,
+            pre_vote_round=1153,
         ),
         messages.Message,
     ),
@@ -220,8 +220,8 @@
             granted=True,
             pre_vote=True,
             unanimous_only=True,
-            idle=True,
-            round=1160,
+            lease_free=True,
+            pre_vote_round=1160,
         ),
         messages.Message,
     ),
@@ -230,10 +230,10 @@
             term=1161,
             leader="text-162",
             address="text-163",
-            to="text-164",
-            prev_index=1165,
-            prev_term=1166,
-            commit=1167,
+            follower="text-164",
+            prev_log_index=1165,
+            prev_log_term=1166,
+            leader_commit=1167,
             sent_us=1168,
             entries=[
                 messages.Entry(index=1169, term=1170, data=b"bytes-171", voters={"text-172": "text-173"}),
@@ -244,7 +244,7 @@
     ),
     "consensus/append-entries-reply": Sample(
         messages.AppendEntriesReply(
-            term=1179, follower="text-180", address="text-181", success=True, match=1183, sent_us=1184
+            term=1179, follower="text-180", address="text-181", success=True, match_index=1183, sent_us=1184
         ),
         messages.Message,
     ),
@@ -253,9 +253,9 @@
             term=1185,
             leader="text-186",
             address="text-187",
-            to="text-188",
-            index=1189,
-            index_term=1190,
+            follower="text-188",
+            last_index=1189,
+            last_term=1190,
             voters={"text-191": "text-192"},
             data=b"bytes-193",
             sent_us=1194,
@@ -266,7 +266,12 @@
     ),
     "consensus/install-snapshot-reply": Sample(
         messages.InstallSnapshotReply(
-            term=1197, follower="text-198", address="text-199", index=1200, offset=1201, sent_us=1202
+            term=1197,
+            follower="text-198",
+            address="text-199",
+            last_index=1200,
+            next_offset=1201,
+            sent_us=1202,
         ),
         messages.Message,
     ),
@@ -277,18 +282,18 @@
         messages.LeaderHint(term=1205, leader="text-206", address="text-207"), messages.Message
     ),
     "consensus/leave-request": Sample(messages.LeaveRequest(node="text-208"), messages.Message),
-    "consensus/timeout-now": Sample(messages.TimeoutNow(term=1209, to="text-210"), messages.Message),
+    "consensus/timeout-now": Sample(messages.TimeoutNow(term=1209, successor="text-210"), messages.Message),
 }
 
 DURABLE_RECORDS = {
-    "record/hard-state": Sample(records.HardState(term=1211, voted="text-212"), records.Record),
+    "record/hard-state": Sample(records.HardState(term=1211, voted_for="text-212"), records.Record),
     "record/entries-record": Sample(
         records.EntriesRecord(
             entries=[
                 messages.Entry(index=1213, term=1214, data=b"bytes-215", voters={"text-216": "text-217"}),
                 messages.Entry(index=1218, term=1219, data=b"bytes-220", voters={"text-221": "text-222"}),
             ],
-            commit=1223,
+            commit_index=1223,
         ),
         records.Record,
     ),
@@ -296,16 +301,16 @@
         records.SnapshotRecord(
             identity="text-224",
             term=1225,
-            voted="text-226",
-            base=1227,
-            base_term=1228,
+            voted_for="text-226",
+            snapshot_index=1227,
+            snapshot_term=1228,
             voters={"text-229": "text-230"},
             state=b"bytes-231",
             entries=[
                 messages.Entry(index=1232, term=1233, data=b"bytes-234", voters={"text-235": "text-236"}),
                 messages.Entry(index=1237, term=1238, data=b"bytes-239", voters={"text-240": "text-241"}),
             ],
-            commit=1242,
+            commit_index=1242,
         ),
         records.Record,
     ),
@@ -860,13 +865,15 @@
     ),
     "consensus/request-vote-reply/flags-1": Sample(
         msgspec.structs.replace(
-            CONSENSUS_MESSAGES["consensus/request-vote-reply"].instance, pre_vote=False, idle=False
+            CONSENSUS_MESSAGES["consensus/request-vote-reply"].instance, pre_vote=False, lease_free=False
         ),
         messages.Message,
     ),
     "consensus/request-vote-reply/flags-2": Sample(
         msgspec.structs.replace(
-            CONSENSUS_MESSAGES["consensus/request-vote-reply"].instance, unanimous_only=False, idle=False
+            CONSENSUS_MESSAGES["consensus/request-vote-reply"].instance,
+            unanimous_only=False,
+            lease_free=False,
         ),
         messages.Message,
     ),
--- a/tests/gateway/test_consensus.py
+++ b/tests/gateway/test_consensus.py
@@ -10,8 +10,8 @@
 from lapisgrade.gateway.consensus.membership import (
     UNRESPONSIVE_AFTER_US,
     DISPLACED_AFTER_US,
-    Group,
-    Peer,
+    ClusterView,
+    PeerStatus,
     next_voters,
 )
 from lapisgrade.gateway.consensus.messages import (
@@ -27,8 +27,9 @@
 )
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import Effects, EntriesRecord, HardState, SnapshotRecord
-from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, Assembly, Snapshot, Transfer
-from lapisgrade.gateway.consensus.state import ELECTION_TIMEOUT_US, LEASE_US, RESTART_GUARD_US, Role
+from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, SnapshotAssembly, Snapshot, SnapshotTransfer
+from lapisgrade.gateway.consensus.state import Role
+from lapisgrade.gateway.consensus.timing import ELECTION_TIMEOUT_US, LEASE_US, RESTART_GUARD_US
 
 VOTERS = {name: f"10.0.0.{i}:1" for i, name in enumerate("abc", 1)}
 NOW = 10_000_000
@@ -39,14 +40,13 @@
 
 
 def taken(one: Node) -> Effects:
-    effects, one.effects = one.effects, Effects()
-    return effects
+    return one.take_effects()
 
 
 def sync(one: Node) -> list:
     """All that waits is on disk; what may be said then."""
     said = []
-    while one.effects.writes:
+    while one.state.effects.writes:
         effects = taken(one)
         for write in effects.writes:
             one.on_write_durable(one.now_us, write.last_index, write.last_term)
@@ -61,10 +61,10 @@
 def leader(term: int = 2) -> Node:
     """`a`, elected by `b`, whose own first entry is not committed yet."""
     one = node()
-    one.term = term - 1
+    one.state.term = term - 1
     one.tick(one.next_tick_us)
     ask = taken(one).sends[0][1]
-    one.receive(one.now_us, RequestVoteReply(term, "b", True, True, False, False, ask.round))
+    one.receive(one.now_us, RequestVoteReply(term, "b", True, True, False, False, ask.pre_vote_round))
     sync(one)
     one.receive(one.now_us, RequestVoteReply(term, "b", True, False))
     sync(one)
@@ -85,7 +85,7 @@
 class Votes(unittest.TestCase):
     def ask(self, **over) -> RequestVote:
         asked = {
-            "term": 5, "candidate": "b", "address": VOTERS["b"], "last_index": 0, "last_term": 0,
+            "term": 5, "candidate": "b", "address": VOTERS["b"], "last_log_index": 0, "last_log_term": 0,
             "pre_vote": False,
         }  # fmt: skip
         return RequestVote(**{**asked, **over})
@@ -93,9 +93,9 @@
     def test_one_vote_a_term_and_only_once_it_is_on_disk(self) -> None:
         one = node()
         one.receive(NOW, self.ask())
-        self.assertEqual(one.effects.sends, [])
+        self.assertEqual(one.state.effects.sends, [])
         self.assertEqual(
-            [each for write in one.effects.writes for each in write.records][-1], HardState(5, "b")
+            [each for write in one.state.effects.writes for each in write.records][-1], HardState(5, "b")
         )
         self.assertEqual(sync(one), [(VOTERS["b"], RequestVoteReply(5, "a", True, False))])
         one.receive(NOW, self.ask(candidate="c", address=VOTERS["c"]))
@@ -114,7 +114,7 @@
             with self.subTest(last=last):
                 one = node()
                 one.log.append([Entry(1, 3), Entry(2, 3)])
-                one.receive(NOW, self.ask(last_index=last[0], last_term=last[1]))
+                one.receive(NOW, self.ask(last_log_index=last[0], last_log_term=last[1]))
                 self.assertEqual(sync(one)[-1][1].granted, granted)
 
     def test_no_vote_while_a_leader_is_heard_and_the_term_stays(self) -> None:
@@ -137,7 +137,7 @@
         one = node()
         one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
-        one.receive(NOW, RequestVoteReply(1, "emptied", True, True, False, True, asked.round))
+        one.receive(NOW, RequestVoteReply(1, "emptied", True, True, False, True, asked.pre_vote_round))
         self.assertIs(one.role, Role.PRE_CANDIDATE)
 
     def test_one_that_was_started_anew_may_hold_up_a_lease(self) -> None:
@@ -156,8 +156,8 @@
         one = Node.recover(records, VOTERS["a"], Random(1), NOW, NOW - RESTART_GUARD_US)
         taken(one)
         one.receive(NOW, self.ask())
-        self.assertEqual(one.effects.sends, [])
-        self.assertEqual(one.effects.writes[-1].records, [HardState(5, "b")])
+        self.assertEqual(one.state.effects.sends, [])
+        self.assertEqual(one.state.effects.writes[-1].records, [HardState(5, "b")])
 
     def test_a_pre_vote_of_an_earlier_round_counts_for_nothing(self) -> None:
         self.late_pre_vote()
@@ -170,10 +170,10 @@
         taken(one)
         one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
-        self.assertNotEqual(old.round, asked.round)
-        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, old.round))
+        self.assertNotEqual(old.pre_vote_round, asked.pre_vote_round)
+        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, old.pre_vote_round))
         self.assertIs(one.role, Role.PRE_CANDIDATE)
-        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, asked.round))
+        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, asked.pre_vote_round))
         self.assertIs(one.role, Role.CANDIDATE)
 
     def test_a_leader_and_a_candidate_never_say_that_no_lease_is_held(self) -> None:
@@ -181,28 +181,28 @@
 
     def pre_vote_of_leader(self) -> None:
         one = leader()
-        one.now_us += ELECTION_TIMEOUT_US * 2
-        one.receive(one.now_us, self.ask(term=3, pre_vote=True, last_index=9, last_term=9))
+        one.state.now_us += ELECTION_TIMEOUT_US * 2
+        one.receive(one.now_us, self.ask(term=3, pre_vote=True, last_log_index=9, last_log_term=9))
         self.assertFalse(sync(one)[-1][1].granted)
         other = node()
         other.tick(other.next_tick_us)
         asked = taken(other).sends[0][1]
-        other.receive(other.now_us, RequestVoteReply(1, "b", True, True, False, False, asked.round))
+        other.receive(other.now_us, RequestVoteReply(1, "b", True, True, False, False, asked.pre_vote_round))
         self.assertIs(other.role, Role.CANDIDATE)
         taken(other)
         other.receive(other.now_us, self.ask(term=3, pre_vote=True))
         answer = taken(other).sends[-1][1]
-        self.assertEqual((answer.granted, answer.idle), (True, False))
+        self.assertEqual((answer.granted, answer.lease_free), (True, False))
 
     def test_who_says_that_no_lease_is_held_can_not_come_to_lead_in_that_term(self) -> None:
         one = node()
         one.receive(NOW, self.ask(term=9, pre_vote=True))
-        self.assertTrue(taken(one).sends[-1][1].idle)
+        self.assertTrue(taken(one).sends[-1][1].lease_free)
         self.assertEqual(one.term, 8)
 
     def test_a_transfer_counts_in_its_own_term_alone(self) -> None:
         one = node()
-        one.term = 4
+        one.state.term = 4
         for message in (TimeoutNow(3, "a"), TimeoutNow(4, "b")):
             one.receive(NOW, message)
             self.assertIs(one.role, Role.FOLLOWER)
@@ -216,10 +216,10 @@
     def test_it_commits_by_an_entry_of_its_own_term_alone(self) -> None:
         one = node()
         one.log.append([Entry(1, 1, b"x")])
-        one.term = 1
+        one.state.term = 1
         one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
-        one.receive(one.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.round))
+        one.receive(one.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.pre_vote_round))
         sync(one)
         one.receive(one.now_us, RequestVoteReply(2, "b", True, False))
         sync(one)
@@ -240,10 +240,10 @@
     def test_its_lease_runs_from_when_it_asked(self) -> None:
         one = leader()
         sent = one.now_us
-        one.now_us += 200_000
+        one.state.now_us += 200_000
         reply(one, "b", one.log.last_index, sent_us=sent)
         self.assertTrue(one.has_lease())
-        one.now_us = sent + LEASE_US + 1
+        one.state.now_us = sent + LEASE_US + 1
         self.assertFalse(one.has_lease())
 
     def test_a_learner_holds_up_neither_lease_nor_commit(self) -> None:
@@ -251,7 +251,7 @@
         one.receive(one.now_us, JoinRequest("z", "10.0.0.9:1"))
         reply(one, "z", one.log.last_index)
         self.assertEqual(one.commit_index, 0)
-        one.now_us += LEASE_US + 1
+        one.state.now_us += LEASE_US + 1
         reply(one, "z", one.log.last_index)
         self.assertFalse(one.has_lease())
 
@@ -294,9 +294,9 @@
         self.assertEqual((one.log.last_index, one.durable_index, one.commit_index), (2, 0, 1))
         self.assertEqual([each.index for each in taken(one).committed], [1])
         one.receive(NOW, append(3, (2, 3), []))
-        self.assertEqual(taken(one).sends[-1][1].match, 0)
+        self.assertEqual(taken(one).sends[-1][1].match_index, 0)
         one.on_write_durable(NOW, 2, 3)
-        self.assertEqual(taken(one).sends[-1][1].match, 2)
+        self.assertEqual(taken(one).sends[-1][1].match_index, 2)
 
     def test_entries_of_another_leader_go_with_all_after_them(self) -> None:
         one = node()
@@ -333,23 +333,23 @@
 class Snapshots(unittest.TestCase):
     def transferred(self, lose=lambda turn: False, again=lambda turn: False) -> tuple[bytes, int]:
         state = bytes(range(256)) * (3 * CHUNK_BYTES // 256) + b"end"
-        transfer = Transfer(Snapshot(9, 2, VOTERS, state))
-        assembly, turns = Assembly(), 0
+        transfer = SnapshotTransfer(Snapshot(9, 2, VOTERS, state))
+        assembly, turns = SnapshotAssembly(), 0
         while True:
             turns += 1
-            piece = InstallSnapshot(
-                3, "b", "b:1", "a", 9, 2, VOTERS, transfer.piece(), 1, transfer.offset, len(state)
+            chunk = InstallSnapshot(
+                3, "b", "b:1", "a", 9, 2, VOTERS, transfer.chunk(), 1, transfer.offset, len(state)
             )
             transfer.sent_us = 1
             if lose(turns):
                 continue
-            whole = assembly.take(piece)
+            whole = assembly.add(chunk)
             if again(turns):
-                whole = assembly.take(piece) or whole
+                whole = assembly.add(chunk) or whole
             if whole is not None:
                 self.assertEqual(whole, state)
                 return whole, turns
-            transfer.wanted(9, len(assembly.data))
+            transfer.on_reply(9, len(assembly.data))
 
     def test_it_comes_whole_in_pieces_whatever_is_lost_or_comes_twice(self) -> None:
         self.assertEqual(self.transferred()[1], 4)
@@ -362,10 +362,10 @@
         one.compact(b"s" * (2 * CHUNK_BYTES + 5))
         sync(one)
         reply(one, "c", 0, success=False)
-        pieces = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
+        chunks = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
         one.tick(one.next_tick_us)
-        pieces += [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
-        self.assertEqual([each.offset for each in pieces], [0])
+        chunks += [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
+        self.assertEqual([each.offset for each in chunks], [0])
         one.propose(b"x")
         sync(one)
         reply(one, "b", one.log.last_index)
@@ -373,11 +373,12 @@
         taken(one)
         one.receive(
             one.now_us,
-            InstallSnapshotReply(one.term, "c", VOTERS["c"], pieces[0].index, CHUNK_BYTES, one.now_us),
+            InstallSnapshotReply(one.term, "c", VOTERS["c"], chunks[0].last_index, CHUNK_BYTES, one.now_us),
         )
-        (piece,) = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
+        (chunk,) = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
         self.assertEqual(
-            (piece.index, piece.offset, piece.data), (pieces[0].index, CHUNK_BYTES, b"s" * CHUNK_BYTES)
+            (chunk.last_index, chunk.offset, chunk.data),
+            (chunks[0].last_index, CHUNK_BYTES, b"s" * CHUNK_BYTES),
         )
 
     def test_the_log_keeps_more_while_a_snapshot_is_under_way(self) -> None:
@@ -385,7 +386,7 @@
         reply(one, "b", one.log.last_index)
         one.compact(b"s")
         reply(one, "c", 0, success=False)
-        self.assertTrue(one.transferring)
+        self.assertTrue(one.replication.has_transfer())
 
     def test_a_snapshot_keeps_the_voters(self) -> None:
         one = leader()
@@ -403,12 +404,12 @@
 
 
 class Members(unittest.TestCase):
-    def group(self, size: int, **peers) -> Group:
+    def group(self, size: int, **peers) -> ClusterView:
         names = "abcdefgh"[:size]
         voters = {name: f"10.0.0.{i}:1" for i, name in enumerate(names, 1)}
-        known = {name: Peer(address, 7, NOW) for name, address in voters.items() if name != "a"}
+        known = {name: PeerStatus(address, 7, NOW) for name, address in voters.items() if name != "a"}
         known.update(peers)
-        return Group(NOW, "a", voters["a"], voters, known, set(), 7)
+        return ClusterView(NOW, "a", voters["a"], voters, known, set(), 7)
 
     def test_no_change_leaves_fewer_caught_up_members_than_a_majority(self) -> None:
         """Every mix of states of the others, with and without new ones."""
@@ -425,7 +426,7 @@
                 for name, state in zip(names, mix, strict=True):
                     match, heard = states[state]
                     address = group.voters.get(name, f"10.0.9.{ord(name)}:1")
-                    group.peers[name] = Peer(address, match, heard)
+                    group.peers[name] = PeerStatus(address, match, heard)
                 voters = next_voters(group)
                 if voters is None:
                     continue
@@ -446,12 +447,12 @@
                 self.assertTrue(all(set(one) & set(other) for one in some for other in others))
 
     def test_an_emptied_disk_at_a_voter_s_address_takes_the_voter_s_place(self) -> None:
-        group = self.group(3, z=Peer("10.0.0.2:1", 0, NOW))
+        group = self.group(3, z=PeerStatus("10.0.0.2:1", 0, NOW))
         group.peers["b"].last_contact_us = NOW - DISPLACED_AFTER_US - 1
         self.assertEqual(set(next_voters(group)), {"a", "c"})
 
     def test_a_late_message_of_an_earlier_disk_displaces_nobody(self) -> None:
-        group = self.group(3, z=Peer("10.0.0.2:1", 0, NOW))
+        group = self.group(3, z=PeerStatus("10.0.0.2:1", 0, NOW))
         group.peers["b"].last_contact_us = NOW - DISPLACED_AFTER_US // 2  # it speaks every heartbeat
         self.assertIsNone(next_voters(group))
 
@@ -459,7 +460,7 @@
         group = self.group(3)
         group.peers["b"].last_contact_us = NOW - UNRESPONSIVE_AFTER_US - 1
         self.assertIsNone(next_voters(group))
-        group.peers["z"] = Peer("10.0.0.9:1", 7, NOW)
+        group.peers["z"] = PeerStatus("10.0.0.9:1", 7, NOW)
         self.assertEqual(set(next_voters(group)), {"a", "c"})
 
     def test_one_that_leaves_is_let_go_where_three_stay(self) -> None:
@@ -470,16 +471,16 @@
             self.assertEqual(after is not None and "b" not in after, goes)
 
     def test_one_that_leaves_is_not_taken_in(self) -> None:
-        group = self.group(3, z=Peer("10.0.0.9:1", 7, NOW))
+        group = self.group(3, z=PeerStatus("10.0.0.9:1", 7, NOW))
         group.leaving.add("z")
         self.assertIsNone(next_voters(group))
 
     def test_the_rule_is_what_refuses(self) -> None:
-        group = self.group(3, z=Peer("10.0.0.9:1", 7, NOW))
+        group = self.group(3, z=PeerStatus("10.0.0.9:1", 7, NOW))
         group.peers["b"].last_contact_us = NOW - UNRESPONSIVE_AFTER_US - 1
         group.peers["c"].match_index = 3
         self.assertIsNone(next_voters(group))
-        self.assertEqual(set(membership._wanted(group)), {"a", "c"})
+        self.assertEqual(set(membership.desired_voters(group)), {"a", "c"})
 
 
 if __name__ == "__main__":
