--- a/tests/gateway/consensus/test_follower.py
+++ b/tests/gateway/consensus/test_follower.py
@@ -20,9 +20,9 @@
         self.assertEqual((one.log.last_index, one.durable_index, one.commit_index), (2, 0, 1))
         self.assertEqual([each.index for each in taken(one).committed], [1])
         one.receive(NOW, append(3, (2, 3), []))
-        self.assertEqual(taken(one).sends[-1][1].match, 0)
+        self.assertEqual(taken(one).sends[-1][1].match_index, 0)
         one.on_write_durable(NOW, 2, 3)
-        self.assertEqual(taken(one).sends[-1][1].match, 2)
+        self.assertEqual(taken(one).sends[-1][1].match_index, 2)
 
     def test_entries_of_another_leader_go_with_all_after_them(self) -> None:
         one = node()
--- a/tests/gateway/consensus/test_snapshots.py
+++ b/tests/gateway/consensus/test_snapshots.py
@@ -7,30 +7,30 @@
     InstallSnapshotReply,
     JoinRequest,
 )
-from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, Assembly, Snapshot, Transfer
+from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, SnapshotAssembly, Snapshot, SnapshotTransfer
 from support.consensus_nodes import VOTERS, leader, reply, sync, taken
 
 
 class Snapshots(unittest.TestCase):
     def transferred(self, lose=lambda turn: False, again=lambda turn: False) -> tuple[bytes, int]:
         state = bytes(range(256)) * (3 * CHUNK_BYTES // 256) + b"end"
-        transfer = Transfer(Snapshot(9, 2, VOTERS, state))
-        assembly, turns = Assembly(), 0
+        transfer = SnapshotTransfer(Snapshot(9, 2, VOTERS, state))
+        assembly, turns = SnapshotAssembly(), 0
         while True:
             turns += 1
-            piece = InstallSnapshot(
-                3, "b", "b:1", "a", 9, 2, VOTERS, transfer.piece(), 1, transfer.offset, len(state)
+            chunk = InstallSnapshot(
+                3, "b", "b:1", "a", 9, 2, VOTERS, transfer.chunk(), 1, transfer.offset, len(state)
             )
             transfer.sent_us = 1
             if lose(turns):
                 continue
-            whole = assembly.take(piece)
+            whole = assembly.add(chunk)
             if again(turns):
-                whole = assembly.take(piece) or whole
+                whole = assembly.add(chunk) or whole
             if whole is not None:
                 self.assertEqual(whole, state)
                 return whole, turns
-            transfer.wanted(9, len(assembly.data))
+            transfer.on_reply(9, len(assembly.data))
 
     def test_it_comes_whole_in_pieces_whatever_is_lost_or_comes_twice(self) -> None:
         self.assertEqual(self.transferred()[1], 4)
@@ -43,10 +43,10 @@
         one.compact(b"s" * (2 * CHUNK_BYTES + 5))
         sync(one)
         reply(one, "c", 0, success=False)
-        pieces = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
+        chunks = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
         one.tick(one.next_tick_us)
-        pieces += [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
-        self.assertEqual([each.offset for each in pieces], [0])
+        chunks += [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
+        self.assertEqual([each.offset for each in chunks], [0])
         one.propose(b"x")
         sync(one)
         reply(one, "b", one.log.last_index)
@@ -54,11 +54,12 @@
         taken(one)
         one.receive(
             one.now_us,
-            InstallSnapshotReply(one.term, "c", VOTERS["c"], pieces[0].index, CHUNK_BYTES, one.now_us),
+            InstallSnapshotReply(one.term, "c", VOTERS["c"], chunks[0].last_index, CHUNK_BYTES, one.now_us),
         )
-        (piece,) = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
+        (chunk,) = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
         self.assertEqual(
-            (piece.index, piece.offset, piece.data), (pieces[0].index, CHUNK_BYTES, b"s" * CHUNK_BYTES)
+            (chunk.last_index, chunk.offset, chunk.data),
+            (chunks[0].last_index, CHUNK_BYTES, b"s" * CHUNK_BYTES),
         )
 
     def test_the_log_keeps_more_while_a_snapshot_is_under_way(self) -> None:
@@ -66,7 +67,7 @@
         reply(one, "b", one.log.last_index)
         one.compact(b"s")
         reply(one, "c", 0, success=False)
-        self.assertTrue(one.transferring)
+        self.assertTrue(one.replication.has_transfer())
 
     def test_a_snapshot_keeps_the_voters(self) -> None:
         one = leader()
--- a/tests/support/consensus_nodes.py
+++ b/tests/support/consensus_nodes.py
@@ -22,14 +22,13 @@
 
 
 def taken(one: Node) -> Effects:
-    effects, one.effects = one.effects, Effects()
-    return effects
+    return one.take_effects()
 
 
 def sync(one: Node) -> list:
     """All that waits is on disk; what may be said then."""
     said = []
-    while one.effects.writes:
+    while one.state.effects.writes:
         effects = taken(one)
         for write in effects.writes:
             one.on_write_durable(one.now_us, write.last_index, write.last_term)
@@ -44,10 +43,10 @@
 def leader(term: int = 2) -> Node:
     """`a`, elected by `b`, whose own first entry is not committed yet."""
     one = node()
-    one.term = term - 1
+    one.state.term = term - 1
     one.tick(one.next_tick_us)
     ask = taken(one).sends[0][1]
-    one.receive(one.now_us, RequestVoteReply(term, "b", True, True, False, False, ask.round))
+    one.receive(one.now_us, RequestVoteReply(term, "b", True, True, False, False, ask.pre_vote_round))
     sync(one)
     one.receive(one.now_us, RequestVoteReply(term, "b", True, False))
     sync(one)
