--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -4,6 +4,7 @@
 from random import Random
 
 from lapisgrade.gateway.configuration import Tenant
+from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.client import unseen
 from lapisgrade.gateway.quota.ownership import owner_of
 from support.quota_simulation import SECOND, SLO, Proxy, World, live_proxies
