--- a/lapisgrade/gateway/controller/consensus_driver.py
+++ b/lapisgrade/gateway/controller/consensus_driver.py
@@ -21,7 +21,7 @@
 from lapisgrade.gateway.consensus.messages import Entry
 from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
 from lapisgrade.gateway.consensus.node import Node
-from lapisgrade.gateway.consensus.records import DurableWrite, Effects
+from lapisgrade.gateway.consensus.records import DurableWrite
 from lapisgrade.gateway.controller.log_writer import LogWriter
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
 from lapisgrade.gateway.controller.state_machine import Answer, Item, StateMachine, encoded
@@ -191,7 +191,7 @@
 
     def _carry_out_effects(self, node: Node) -> bool:
         """Return whether the node sent messages to itself, which may have had effects of their own."""
-        effects, node.effects = node.effects, Effects()
+        effects = node.take_effects()
         if effects.snapshot is not None:
             self._state_machine.load(effects.snapshot)
             self._on_applied()
--- a/lapisgrade/gateway/proxy/control_updates.py
+++ b/lapisgrade/gateway/proxy/control_updates.py
@@ -8,7 +8,7 @@
 from lapisgrade.gateway.proxy.server_list import ServerList
 from lapisgrade.gateway.proxy.version_rollout import VersionRollout
 from lapisgrade.gateway.quota.owner import QuotaOwner
-from lapisgrade.gateway.quota.ownership import HOLDS
+from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.interface import Clock
 
@@ -59,15 +59,15 @@
         self.registry_incarnation = reply.life
         self.registry_revision = reply.turn
         self.wants_known_servers = reply.wants_known
-        members = self._quota_owner.heard(now_us(), reply)
+        members = self._quota_owner.on_watch_reply(now_us(), reply)
         if members is not None:
             self._apply_live_proxies(members)
         if self._context.settings.hostname in self._quota_owner.proxies:
             # The leader does not wait for one that is no member before it orders a version active.
             tables = self._router.tables
             tables.confirmed_us = max(tables.confirmed_us, sent_us)
-        if reply.fence == self._quota_owner.fence:
-            self.ownership_ends_us = sent_us + HOLDS
+        if reply.fence == self._quota_owner.fencing_token:
+            self.ownership_ends_us = sent_us + OWNERSHIP_LEASE_US
             self._router.set_proxy_count(len(self._quota_owner.proxies))
 
     def _apply_live_proxies(self, members: rpc_messages.Members) -> None:
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -210,7 +210,7 @@
         is_informed = (
             self.router.tables.active is not None
             and self.updates.registry_incarnation
-            and self.quota_owner.fence
+            and self.quota_owner.fencing_token
         )
         return bool(is_informed) and not self.client_front.ending and not self.is_isolated
 
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -54,11 +54,11 @@
     def add(self, task: Task, add: AddToCounter) -> None:
         """Have an add counted by the tenant's owner, and tell the host the result."""
         quota_client = self._router.quota_clients.get(add.counter_id)
-        owner_name = self._quota_owner.owners.owner(add.counter_id)
+        owner_name = self._quota_owner.owner(add.counter_id)
         if quota_client is None or not owner_name:
             return self._finish(task, CloseReason.REJECTED)
         hostname = self._context.settings.hostname
-        request = quota_client.ask(hostname, self._quota_owner.fence)
+        request = quota_client.ask(hostname, self._quota_owner.fencing_token)
         if owner_name == hostname and not self._quota_owner.predecessor(self._now_us(), request.tenant):
             return self._finish_with_reply(task, request, self._add_here(request))
         self._start(self._add_at_owner(task, request))
@@ -72,7 +72,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def _add_here(self, request: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
-        return self._quota_owner.take(self._now_us(), request, self._updates.ownership_ends_us)
+        return self._quota_owner.add(self._now_us(), request, self._updates.ownership_ends_us)
 
     async def _add_at_owner(self, task: Task, request: rpc_messages.QuotaRequest) -> None:
         """Ask the owner, here or elsewhere, until it replies under this proxy's membership.
@@ -81,7 +81,7 @@
         """
         ends_us = self._now_us() + int(ADD_TIMEOUT_S * SECOND)
         while True:
-            owner_name = self._quota_owner.owners.owner(request.tenant)
+            owner_name = self._quota_owner.owner(request.tenant)
             reply: rpc_messages.QuotaReply | CloseReason
             if owner_name == self._context.settings.hostname:
                 reply = await self.answer_add(request)
@@ -93,14 +93,14 @@
                 return self._finish_with_reply(task, request, reply)
             self._context.metrics.quota_calls_repeated += 1
             await asyncio.sleep(REPEAT_DELAY_S)
-            request = msgspec.structs.replace(request, fence=self._quota_owner.fence)
+            request = msgspec.structs.replace(request, fence=self._quota_owner.fencing_token)
 
     def _is_current(
         self, request: rpc_messages.QuotaRequest, owner_name: str, reply: rpc_messages.QuotaReply
     ) -> bool:
         """Whether a reply was given under this proxy's present membership."""
-        is_owner = self._quota_owner.owners.owner(request.tenant) == owner_name
-        return is_owner and reply.fence == self._quota_owner.fence
+        is_owner = self._quota_owner.owner(request.tenant) == owner_name
+        return is_owner and reply.fence == self._quota_owner.fencing_token
 
     def _is_too_late(self, ends_us: int) -> bool:
         """Whether there is no time left to ask again."""
@@ -176,21 +176,26 @@
     async def _take_over(self, request: rpc_messages.QuotaRequest, predecessor: str) -> None:
         """Ask a count's last owner for it, and take in what it replies."""
         owner = self._quota_owner
-        fence, member = owner.fence, owner.proxies.get(predecessor)
+        fence, member = owner.fencing_token, owner.proxies.get(predecessor)
         if member is None:
             return
         to = address(member[0])
         hand_over = rpc_messages.HandOverRequest(
-            request.tenant, self._context.settings.hostname, fence, request.rate, request.burst, owner.own
+            request.tenant,
+            self._context.settings.hostname,
+            fence,
+            request.rate,
+            request.burst,
+            owner.incarnation,
         )
         reply = (await self._rpc.call(to, hand_over, HAND_OVER_TIMEOUT_S)).value_or(None)
-        if owner.fence != fence:
+        if owner.fencing_token != fence:
             return  # the membership has changed meanwhile
         if isinstance(reply, rpc_messages.HandOverReply):
             self._context.metrics.hand_overs_received += not reply.wait
-            owner.handed(self._now_us(), request.tenant, reply, request.rate, request.burst, predecessor)
+            owner.on_hand_over(self._now_us(), hand_over, reply, predecessor)
         elif self._rpc.peer(to).refused:
-            owner.gone(self._now_us(), request.tenant, request.rate, request.burst, predecessor)
+            owner.on_owner_terminated(self._now_us(), hand_over, predecessor)
 
     def close(self) -> None:
         """Cancel the calls in progress."""
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -103,7 +103,7 @@
         """What this proxy knows, and what it wants to know beyond it."""
         settings, updates = self._context.settings, self._updates
         # The leader replies at once to one that names no membership: where a request was not answered.
-        fence = self._quota_owner.fence if not self._target.failures else 0
+        fence = self._quota_owner.fencing_token if not self._target.failures else 0
         return rpc_messages.WatchRequest(
             settings.hostname,
             self._own_address,
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -97,7 +97,7 @@
         super().__init__(settings, plane.clock.now_us)
         self.context.random.seed(plane.loop.random.getrandbits(64))
         self.context.incarnation = f"{self.context.random.getrandbits(64):016x}"
-        self.quota_owner.own = self.context.incarnation
+        self.quota_owner.ownership.incarnation = self.context.incarnation
         self.asked_us = 0  # when the last ask was sent that was answered by who leads
         self._numbers = 0
         plane.watch_owner(self)
--- a/tests/gateway/consensus/test_election.py
+++ b/tests/gateway/consensus/test_election.py
@@ -11,7 +11,8 @@
 )
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import HardState, SnapshotRecord
-from lapisgrade.gateway.consensus.state import ELECTION_TIMEOUT_US, LEASE_US, RESTART_GUARD_US, Role
+from lapisgrade.gateway.consensus.state import Role
+from lapisgrade.gateway.consensus.timing import ELECTION_TIMEOUT_US, LEASE_US, RESTART_GUARD_US
 from lapisgrade.lab.explore.defects import switched
 from lapisgrade.lab.simulation.mutants import BY_RULE
 from support.consensus_nodes import NOW, VOTERS, append, leader, node, sync, taken
@@ -20,7 +21,7 @@
 class Votes(unittest.TestCase):
     def ask(self, **over) -> RequestVote:
         asked = {
-            "term": 5, "candidate": "b", "address": VOTERS["b"], "last_index": 0, "last_term": 0,
+            "term": 5, "candidate": "b", "address": VOTERS["b"], "last_log_index": 0, "last_log_term": 0,
             "pre_vote": False,
         }  # fmt: skip
         return RequestVote(**{**asked, **over})
@@ -28,9 +29,9 @@
     def test_one_vote_a_term_and_only_once_it_is_on_disk(self) -> None:
         one = node()
         one.receive(NOW, self.ask())
-        self.assertEqual(one.effects.sends, [])
+        self.assertEqual(one.state.effects.sends, [])
         self.assertEqual(
-            [each for write in one.effects.writes for each in write.records][-1], HardState(5, "b")
+            [each for write in one.state.effects.writes for each in write.records][-1], HardState(5, "b")
         )
         self.assertEqual(sync(one), [(VOTERS["b"], RequestVoteReply(5, "a", True, False))])
         one.receive(NOW, self.ask(candidate="c", address=VOTERS["c"]))
@@ -49,7 +50,7 @@
             with self.subTest(last=last):
                 one = node()
                 one.log.append([Entry(1, 3), Entry(2, 3)])
-                one.receive(NOW, self.ask(last_index=last[0], last_term=last[1]))
+                one.receive(NOW, self.ask(last_log_index=last[0], last_log_term=last[1]))
                 self.assertEqual(sync(one)[-1][1].granted, granted)
 
     def test_no_vote_while_a_leader_is_heard_and_the_term_stays(self) -> None:
@@ -72,7 +73,7 @@
         one = node()
         one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
-        one.receive(NOW, RequestVoteReply(1, "emptied", True, True, False, True, asked.round))
+        one.receive(NOW, RequestVoteReply(1, "emptied", True, True, False, True, asked.pre_vote_round))
         self.assertIs(one.role, Role.PRE_CANDIDATE)
 
     def test_one_that_was_started_anew_may_hold_up_a_lease(self) -> None:
@@ -91,8 +92,8 @@
         one = Node.recover(records, VOTERS["a"], Random(1), NOW, NOW - RESTART_GUARD_US)
         taken(one)
         one.receive(NOW, self.ask())
-        self.assertEqual(one.effects.sends, [])
-        self.assertEqual(one.effects.writes[-1].records, [HardState(5, "b")])
+        self.assertEqual(one.state.effects.sends, [])
+        self.assertEqual(one.state.effects.writes[-1].records, [HardState(5, "b")])
 
     def test_a_pre_vote_of_an_earlier_round_counts_for_nothing(self) -> None:
         self.late_pre_vote()
@@ -105,10 +106,10 @@
         taken(one)
         one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
-        self.assertNotEqual(old.round, asked.round)
-        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, old.round))
+        self.assertNotEqual(old.pre_vote_round, asked.pre_vote_round)
+        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, old.pre_vote_round))
         self.assertIs(one.role, Role.PRE_CANDIDATE)
-        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, asked.round))
+        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, asked.pre_vote_round))
         self.assertIs(one.role, Role.CANDIDATE)
 
     def test_a_leader_and_a_candidate_never_say_that_no_lease_is_held(self) -> None:
@@ -116,28 +117,28 @@
 
     def pre_vote_of_leader(self) -> None:
         one = leader()
-        one.now_us += ELECTION_TIMEOUT_US * 2
-        one.receive(one.now_us, self.ask(term=3, pre_vote=True, last_index=9, last_term=9))
+        one.state.now_us += ELECTION_TIMEOUT_US * 2
+        one.receive(one.now_us, self.ask(term=3, pre_vote=True, last_log_index=9, last_log_term=9))
         self.assertFalse(sync(one)[-1][1].granted)
         other = node()
         other.tick(other.next_tick_us)
         asked = taken(other).sends[0][1]
-        other.receive(other.now_us, RequestVoteReply(1, "b", True, True, False, False, asked.round))
+        other.receive(other.now_us, RequestVoteReply(1, "b", True, True, False, False, asked.pre_vote_round))
         self.assertIs(other.role, Role.CANDIDATE)
         taken(other)
         other.receive(other.now_us, self.ask(term=3, pre_vote=True))
         answer = taken(other).sends[-1][1]
-        self.assertEqual((answer.granted, answer.idle), (True, False))
+        self.assertEqual((answer.granted, answer.lease_free), (True, False))
 
     def test_who_says_that_no_lease_is_held_can_not_come_to_lead_in_that_term(self) -> None:
         one = node()
         one.receive(NOW, self.ask(term=9, pre_vote=True))
-        self.assertTrue(taken(one).sends[-1][1].idle)
+        self.assertTrue(taken(one).sends[-1][1].lease_free)
         self.assertEqual(one.term, 8)
 
     def test_a_transfer_counts_in_its_own_term_alone(self) -> None:
         one = node()
-        one.term = 4
+        one.state.term = 4
         for message in (TimeoutNow(3, "a"), TimeoutNow(4, "b")):
             one.receive(NOW, message)
             self.assertIs(one.role, Role.FOLLOWER)
--- a/tests/gateway/consensus/test_membership.py
+++ b/tests/gateway/consensus/test_membership.py
@@ -7,20 +7,20 @@
 from lapisgrade.gateway.consensus.membership import (
     DISPLACED_AFTER_US,
     UNRESPONSIVE_AFTER_US,
-    Group,
-    Peer,
+    ClusterView,
+    PeerStatus,
     next_voters,
 )
 from support.consensus_nodes import NOW
 
 
 class Members(unittest.TestCase):
-    def group(self, size: int, **peers) -> Group:
+    def group(self, size: int, **peers) -> ClusterView:
         names = "abcdefgh"[:size]
         voters = {name: f"10.0.0.{i}:1" for i, name in enumerate(names, 1)}
-        known = {name: Peer(address, 7, NOW) for name, address in voters.items() if name != "a"}
+        known = {name: PeerStatus(address, 7, NOW) for name, address in voters.items() if name != "a"}
         known.update(peers)
-        return Group(NOW, "a", voters["a"], voters, known, set(), 7)
+        return ClusterView(NOW, "a", voters["a"], voters, known, set(), 7)
 
     def test_no_change_leaves_fewer_caught_up_members_than_a_majority(self) -> None:
         """Every mix of states of the others, with and without new ones."""
@@ -37,7 +37,7 @@
                 for name, state in zip(names, mix, strict=True):
                     match, heard = states[state]
                     address = group.voters.get(name, f"10.0.9.{ord(name)}:1")
-                    group.peers[name] = Peer(address, match, heard)
+                    group.peers[name] = PeerStatus(address, match, heard)
                 voters = next_voters(group)
                 if voters is None:
                     continue
@@ -58,12 +58,12 @@
                 self.assertTrue(all(set(one) & set(other) for one in some for other in others))
 
     def test_an_emptied_disk_at_a_voter_s_address_takes_the_voter_s_place(self) -> None:
-        group = self.group(3, z=Peer("10.0.0.2:1", 0, NOW))
+        group = self.group(3, z=PeerStatus("10.0.0.2:1", 0, NOW))
         group.peers["b"].last_contact_us = NOW - DISPLACED_AFTER_US - 1
         self.assertEqual(set(next_voters(group)), {"a", "c"})
 
     def test_a_late_message_of_an_earlier_disk_displaces_nobody(self) -> None:
-        group = self.group(3, z=Peer("10.0.0.2:1", 0, NOW))
+        group = self.group(3, z=PeerStatus("10.0.0.2:1", 0, NOW))
         group.peers["b"].last_contact_us = NOW - DISPLACED_AFTER_US // 2  # it speaks every heartbeat
         self.assertIsNone(next_voters(group))
 
@@ -71,7 +71,7 @@
         group = self.group(3)
         group.peers["b"].last_contact_us = NOW - UNRESPONSIVE_AFTER_US - 1
         self.assertIsNone(next_voters(group))
-        group.peers["z"] = Peer("10.0.0.9:1", 7, NOW)
+        group.peers["z"] = PeerStatus("10.0.0.9:1", 7, NOW)
         self.assertEqual(set(next_voters(group)), {"a", "c"})
 
     def test_one_that_leaves_is_let_go_where_three_stay(self) -> None:
@@ -82,13 +82,13 @@
             self.assertEqual(after is not None and "b" not in after, goes)
 
     def test_one_that_leaves_is_not_taken_in(self) -> None:
-        group = self.group(3, z=Peer("10.0.0.9:1", 7, NOW))
+        group = self.group(3, z=PeerStatus("10.0.0.9:1", 7, NOW))
         group.leaving.add("z")
         self.assertIsNone(next_voters(group))
 
     def test_the_rule_is_what_refuses(self) -> None:
-        group = self.group(3, z=Peer("10.0.0.9:1", 7, NOW))
+        group = self.group(3, z=PeerStatus("10.0.0.9:1", 7, NOW))
         group.peers["b"].last_contact_us = NOW - UNRESPONSIVE_AFTER_US - 1
         group.peers["c"].match_index = 3
         self.assertIsNone(next_voters(group))
-        self.assertEqual(set(membership._wanted(group)), {"a", "c"})
+        self.assertEqual(set(membership.desired_voters(group)), {"a", "c"})
--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -4,6 +4,7 @@
 from random import Random
 
 from lapisgrade.gateway.configuration import Tenant
+from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.client import unseen
 from lapisgrade.gateway.quota.ownership import owner_of
 from support.quota_simulation import SECOND, SLO, Proxy, World, live_proxies
@@ -81,8 +82,9 @@
         world.proxies = {name: Proxy(world, name) for name in world.names}
         world.run(until_told, 300)
         for each in world.proxies.values():
-            each.quota_owner.told(
-                world.now, world.fence, live_proxies(world.names, old if heirs else world.lives)
+            each.quota_owner.update_members(
+                world.now,
+                MembershipUpdate(world.fence, live_proxies(world.names, old if heirs else world.lives)),
             )
         world.run(0.15, 300)
         world.tell(world.names)
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -5,6 +5,7 @@
 from lapisgrade.engine import Engine
 from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.quota.client import QuotaClient
+from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.settings import Slo
@@ -48,11 +49,11 @@
     def add(self, task, add) -> None:
         world = self.world
         name = owner_of("t", self.quota_owner.proxies)
-        ask = self.quota_client.ask(self.name, self.quota_owner.fence)
+        ask = self.quota_client.ask(self.name, self.quota_owner.fencing_token)
         other = world.proxies.get(name)
         total = CounterReply(CounterOutcome.TIMED_OUT)
         if other is not None and not self.dark and not other.dark:
-            taken = other.quota_owner.take(world.now, ask, world.acts_until.get(name, world.now + SECOND))
+            taken = other.quota_owner.add(world.now, ask, world.acts_until.get(name, world.now + SECOND))
             total = (
                 CounterReply(CounterOutcome.ADDED, taken.total)
                 if taken.held
@@ -101,7 +102,9 @@
         self.fence += 1
         for each in self.proxies.values():
             if to is None or each.name in to:
-                each.quota_owner.told(self.now, self.fence, live_proxies(names, self.lives))
+                each.quota_owner.update_members(
+                    self.now, MembershipUpdate(self.fence, live_proxies(names, self.lives))
+                )
 
     def later(self, wait: int, call) -> None:
         self.order += 1
