--- a/lapisgrade/cli/lab.py
+++ b/lapisgrade/cli/lab.py
@@ -210,26 +210,11 @@
 
 
 @lab.command()
-@click.option(
-    "--limiters", default="", help="sizes with commas between them: hollow limiters at a real leader"
-)
-def capacity(limiters) -> None:
+def capacity() -> None:
     """Measure what the control plane's parts cost by size, and their slopes: a Markdown table."""
-    from lapisgrade.lab import hollow
     from lapisgrade.lab.capacity import report
 
-    if not limiters:
-        return report(click.echo)
-    sizes = limiters.split(",")
-    if strange := [each for each in sizes if not each.isdecimal() or not 0 < int(each) <= 400]:
-        raise click.BadParameter(f"{strange[0]} is no number of limiters from 1 to 400")
-    click.echo("| limiters | asks/s | cores | us an ask | resident MB | unanswered |")
-    click.echo("| --- | --- | --- | --- | --- | --- |")
-    for each in asyncio.run(hollow.measure([int(size) for size in sizes])):
-        click.echo(
-            f"| {each.limiters} | {each.asks:.0f} | {each.cores:.3f} | {each.us_an_ask:.0f} | "
-            f"{each.resident_mb:.1f} | {each.unanswered} |"
-        )
+    report(click.echo)
 
 
 EXPLORED = ("control", "data-plane", "activation", "log", "rejoin", "quota")
