--- /dev/null
+++ b/tests/gateway/routing/test_balancer.py
@@ -0,0 +1,75 @@
+"""Servers that fail, or that neighbours report as unhealthy."""
+
+import unittest
+from random import Random
+
+from lapisgrade.decide.fleet import Attempt
+from lapisgrade.gateway import SECOND, registry
+from lapisgrade.gateway.membership.subsets import Subsets
+from lapisgrade.gateway.routing.balancer import UpstreamCluster
+from lapisgrade.interface import AttemptOutcome, AttemptResult
+
+MS = 1_000
+
+
+class OutlierEjectionTest(unittest.TestCase):
+    def setUp(self) -> None:
+        self.cluster = UpstreamCluster(Random(1), "z", Subsets("l", "z"))
+        for name in ("s1", "s2"):
+            self.cluster.update(0, registry.Server(name, "a", "10.0.0.1:1", "z", 2, "up", 1))
+        self.latency = self.cluster.latency("r", 400 * MS)
+
+    def end(self, now: int, name: str, outcome: AttemptOutcome, blame: float = 1.0) -> None:
+        attempt = Attempt(None, self.cluster.servers[name], 0, now - 50 * MS)
+        self.cluster.on_attempt_started(now - 50 * MS, attempt)
+        self.cluster.on_attempt_finished(now, attempt, AttemptResult(outcome, 50 * MS), self.latency, blame)
+
+    def taken(self, now: int) -> float:
+        names = [self.cluster.choose(now, 50 * MS, []).address for _ in range(200)]
+        return names.count("s1") / 200
+
+    def test_a_server_that_fails_is_ejected_for_a_second_and_tried_again(self) -> None:
+        for _ in range(8):
+            self.end(SECOND, "s1", AttemptOutcome.ERROR)
+            self.end(SECOND, "s2", AttemptOutcome.OK)
+        self.assertEqual(self.taken(SECOND), 0.0)
+        self.assertEqual(self.taken(SECOND + 900 * MS), 0.0)
+        # Well again, it is used as soon as the other's slots are taken.
+        for _ in range(2):
+            self.cluster.on_attempt_started(
+                20 * SECOND, Attempt(None, self.cluster.servers["s2"], 0, 20 * SECOND)
+            )
+        self.assertEqual(self.taken(20 * SECOND), 1.0)
+
+    def test_neighbours_reports_change_the_choice_and_neither_one_nor_all_exclude_a_healthy_server(
+        self,
+    ) -> None:
+        subsets = self.cluster._subsets
+        subsets.told({name: ("10.0.0.9:1", "", "z") for name in ("l", "a", "b", "c")})
+        self.assertEqual(self.cluster.unhealthy_servers(SECOND), [])
+        for name in "abc":
+            subsets.heard(SECOND, name, {}, [])
+        subsets.heard(SECOND, "a", {}, ["s1"])
+        self.assertGreater(self.taken(SECOND), 0.2)
+        subsets.heard(SECOND, "b", {}, ["s1"])
+        self.assertEqual(self.taken(SECOND), 0.0)
+        for _ in range(2):
+            self.cluster.on_attempt_started(SECOND, Attempt(None, self.cluster.servers["s2"], 0, SECOND))
+        subsets.heard(SECOND, "c", {}, ["s1"])
+        # Its own good answers weigh more than what the others say.
+        for _ in range(12):
+            self.end(SECOND, "s1", AttemptOutcome.OK)
+        self.assertGreater(self.cluster.servers["s1"].confidence(SECOND, 3), 0.7)
+        self.assertEqual(self.taken(SECOND), 1.0)
+
+    def test_a_dropped_idle_connection_does_not_exclude_a_healthy_server(self) -> None:
+        for _ in range(3):
+            self.end(SECOND, "s1", AttemptOutcome.CONNECTION_LOST, 0.3)
+            self.end(SECOND, "s1", AttemptOutcome.OK)
+            self.end(SECOND, "s2", AttemptOutcome.OK)
+        self.assertGreater(self.cluster.servers["s1"].health(SECOND, 50 * MS), 0.5)
+        self.assertEqual(self.cluster.servers["s1"].ejected_until_us, 0)
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/gateway/routing/test_idle_connections.py
@@ -0,0 +1,41 @@
+"""Idle connections that servers drop: which are still trusted, and for which requests."""
+
+import unittest
+
+from lapisgrade.gateway import SECOND
+from lapisgrade.gateway.routing.idle_connections import LIMIT_HOLDS_US, IdleConnections
+
+MS = 1_000
+
+
+class IdleConnectionsTest(unittest.TestCase):
+    def setUp(self) -> None:
+        self.idle_connections = IdleConnections()
+
+    def broke(self, now: int, idle_us: int, took_us: int = 2 * MS, service: str = "a") -> bool:
+        attempt = object()
+        self.idle_connections.on_reuse(attempt, idle_us)
+        return self.idle_connections.on_attempt_finished(now, attempt, service, True, took_us)
+
+    def test_a_non_idempotent_request_avoids_connections_idle_as_long_as_one_that_was_dropped(self) -> None:
+        self.assertTrue(self.idle_connections.is_trusted(0, "a", 9 * SECOND, False))
+        self.assertTrue(self.broke(SECOND, 400 * MS))
+        self.assertFalse(self.idle_connections.is_trusted(SECOND, "a", 300 * MS, False))
+        self.assertTrue(self.idle_connections.is_trusted(SECOND, "a", 200 * MS, False))
+        self.assertTrue(self.idle_connections.is_trusted(SECOND, "b", 300 * MS, False))
+        # Idempotent requests go on testing, and a limit that nothing confirms expires.
+        self.assertTrue(self.idle_connections.is_trusted(SECOND, "a", 9 * SECOND, True))
+        self.assertTrue(self.idle_connections.is_trusted(SECOND + LIMIT_HOLDS_US, "a", 300 * MS, False))
+
+    def test_the_shortest_idle_time_counts_and_a_slow_or_early_reset_teaches_nothing(self) -> None:
+        self.broke(SECOND, 400 * MS)
+        self.broke(SECOND, 900 * MS)
+        self.assertFalse(self.idle_connections.is_trusted(SECOND, "a", 300 * MS, False))
+        self.assertFalse(self.broke(SECOND, 700 * MS, took_us=500 * MS, service="b"))
+        self.assertFalse(self.broke(SECOND, 10 * MS, service="b"))
+        self.assertFalse(self.idle_connections.on_attempt_finished(SECOND, object(), "b", True, 0))
+        self.assertTrue(self.idle_connections.is_trusted(SECOND, "b", 9 * SECOND, False))
+
+
+if __name__ == "__main__":
+    unittest.main()
--- /dev/null
+++ b/tests/gateway/routing/test_request_attempts.py
@@ -0,0 +1,184 @@
+"""The attempts of one request: queued, hedged inside its target time, retried, given up."""
+
+import unittest
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from lapisgrade.gateway import SECOND, configuration, registry
+from lapisgrade.gateway.configuration import Table
+from lapisgrade.gateway.routing.request import RoutedRequest
+from lapisgrade.gateway.routing.request_attempts import MAX_QUEUE_RATIO
+from lapisgrade.gateway.routing.router import Router
+from lapisgrade.gateway.settings import Slo
+from lapisgrade.interface import (
+    AttemptFinished,
+    AttemptOutcome,
+    AttemptResult,
+    Clock,
+    RejectReason,
+    Send,
+    Sleep,
+    WakeReason,
+)
+
+MS = 1_000
+USUAL_US, TARGET_US = 380 * MS, 1204 * MS  # a live script pull's
+
+
+@dataclass
+class ServedRequest:
+    """A request that is being served, driven by hand as the engine drives it."""
+
+    router: Router
+    generator: Any
+    sent: list[str]  # the servers of its attempts
+    yielded: Any = None
+    attempt: Any = None  # the last one
+
+    def go_on(self, event: Any) -> None:
+        """Up to its next sleep, its response or its end."""
+        self.yielded = self.generator.send(event)
+        while isinstance(self.yielded, Send):
+            self.attempt = self.yielded.attempt
+            self.sent.append(self.attempt.server.address)
+            self.yielded = self.generator.send(None)
+
+    def finish(self, outcome: AttemptOutcome) -> None:
+        """Let its last attempt end so, and go on."""
+        result = AttemptResult(outcome, 2 * MS)
+        self.router.landed(self.attempt, result)
+        self.go_on(AttemptFinished(self.attempt, result))
+
+    def sleep(self) -> int:
+        """Until the time that it sleeps to; that time in us."""
+        self.router.clock.now_us = self.yielded.until_us
+        self.go_on(WakeReason.TIMER)
+        return self.router.clock.now_us
+
+
+class RequestAttemptsTest(unittest.TestCase):
+    def setUp(self) -> None:
+        self.clock = Clock(100 * SECOND)
+        self.router = Router(self.clock, 1, Slo(), "z", "c")
+        self.router.started_us = 0
+        for name in ("s1", "s2", "s3"):
+            self.router.update_servers(
+                [registry.Server(name, "a", f"10.0.0.1:{name[1]}", "z", 4, "up", 1)], False
+            )
+        for _ in range(60):
+            self.router.cluster("a").latency("r", TARGET_US).add(self.clock.now_us, USUAL_US, 1.0)
+            self.router.cluster("a").overall_latency.add(self.clock.now_us, USUAL_US, 1.0)
+            self.router.retry_budget("a").on_request(self.clock.now_us)
+
+    def request(
+        self, mode: str = "idem", arrived_ago_us: int = 0, target_us: int = TARGET_US
+    ) -> ServedRequest:
+        action = {"Svc": "a", "Timeout": "3s", "Tries": 3}
+        rule = {"Name": "r", "Match": {"Pfx": "/"}, "Action": action, "Mode": mode,
+                "Target_time": f"{target_us // MS}ms"}  # fmt: skip
+        conf = {"Ver": 1, "Ports": [{"Vhost": "h", "Policy": [rule]}], "Pools": [{"Name": "a"}]}
+        table = Table(configuration.read(msgspec.json.decode(msgspec.json.encode(conf))))
+        found = table.entry("h", "/x", "")[0]
+        now = self.clock.now_us
+        operation = RoutedRequest(
+            customer="", arrived_us=now - arrived_ago_us,
+            deadline_us=now + 3 * SECOND, rule=found, tenant=None, service="a", handle=None,
+        )  # fmt: skip
+        made = ServedRequest(self.router, self.router.serve(operation), [])
+        made.go_on(None)
+        return made
+
+    def test_a_hedge_can_answer_inside_the_target_time(self) -> None:
+        began, one = self.clock.now_us, self.request()
+        at = one.sleep() - began
+        self.assertEqual(len(set(one.sent)), 2)
+        self.assertGreater(at, 1.5 * USUAL_US)  # most requests end before
+        self.assertLess(at + 1.2 * USUAL_US, TARGET_US)
+
+    def test_a_request_beyond_its_target_time_is_hedged_once_it_is_overdue(self) -> None:
+        began, one = self.clock.now_us, self.request(arrived_ago_us=800 * MS)
+        self.assertGreaterEqual(one.sleep() - began, 2.5 * USUAL_US)
+        self.assertEqual(len(one.sent), 2)
+
+    def test_a_non_idempotent_request_is_never_hedged(self) -> None:
+        one = self.request(mode="mutate")
+        self.assertIsInstance(one.yielded, Sleep)
+        self.assertGreaterEqual(one.yielded.until_us, self.clock.now_us + 2 * SECOND)
+        self.assertEqual(len(one.sent), 1)
+
+    def test_an_early_hedge_leaves_half_of_the_budget_to_retries(self) -> None:
+        budget = self.router.retry_budget("a")
+        while budget.try_spend(self.clock.now_us, is_early_hedge=True):
+            pass
+        self.assertGreater(budget.available(self.clock.now_us), 4)
+        one = self.request()
+        one.sleep()
+        self.assertEqual(len(one.sent), 1)
+        one.sleep()  # overdue: now it is what the budget is for
+        self.assertEqual(len(one.sent), 2)
+
+    def test_an_early_hedge_does_not_queue_at_a_server_whose_slots_are_taken(self) -> None:
+        fillers = [self.request(mode="mutate") for _ in range(12)]
+        self.assertEqual(sum(len(each.sent) for each in fillers), 12)
+        one = self.request()
+        one.sleep()
+        self.assertEqual(len(one.sent), 1)
+
+    def test_the_first_response_ends_the_request(self) -> None:
+        one = self.request()
+        one.sleep()
+        server = self.router.cluster("a").servers[one.sent[1]]
+        attempt = next(iter(server.out))
+        with self.assertRaises(StopIteration):
+            result = AttemptResult(AttemptOutcome.OK, USUAL_US)
+            result.is_final = True
+            self.router.landed(attempt, result)
+            one.go_on(AttemptFinished(attempt, result))
+
+    def test_a_request_is_queued_while_no_server_is_up_and_told_to_come_back(self) -> None:
+        self.router.update_servers([], True)
+        began_us, one = self.clock.now_us, self.request()
+        while isinstance(one.yielded, Sleep):
+            one.sleep()
+        self.assertEqual(one.sent, [])
+        self.assertEqual(self.clock.now_us - began_us, int(MAX_QUEUE_RATIO * TARGET_US))
+        self.assertEqual(one.yielded.status, 503)
+        self.assertTrue(0.1 * TARGET_US < one.yielded.retry_after_us < 0.6 * TARGET_US)
+
+    def test_a_queued_request_is_sent_to_a_server_that_comes_up(self) -> None:
+        self.router.update_servers([], True)
+        one = self.request()
+        self.router.update_servers([registry.Server("s9", "a", "10.0.0.1:9", "z", 4, "up", 1)], False)
+        one.sleep()
+        self.assertEqual(one.sent, ["s9"])
+
+    def test_a_non_idempotent_request_is_retried_only_where_it_has_not_run(self) -> None:
+        one = self.request(mode="mutate")
+        one.finish(AttemptOutcome.OVERLOADED)
+        self.assertEqual(len(set(one.sent)), 2)
+        one.finish(AttemptOutcome.CONNECTION_LOST)
+        self.assertEqual((len(one.sent), one.yielded.status), (2, 502))
+
+    def test_an_idempotent_request_is_retried_up_to_its_routes_attempts(self) -> None:
+        one = self.request()
+        for _ in range(3):
+            self.assertIsInstance(one.yielded, Sleep)
+            one.finish(AttemptOutcome.ERROR)
+        self.assertEqual((len(set(one.sent)), one.yielded.status), (3, 502))
+
+    def test_what_surely_has_not_run_is_told_to_come_back(self) -> None:
+        one = self.request(mode="mutate")
+        for _ in range(3):
+            one.finish(AttemptOutcome.OVERLOADED)
+        self.assertEqual((one.yielded.status, one.yielded.reason), (503, RejectReason.RETRY_LATER))
+
+    def test_a_request_is_given_up_at_its_deadline(self) -> None:
+        began_us, one = self.clock.now_us, self.request(mode="mutate")
+        one.sleep()
+        self.assertEqual((self.clock.now_us - began_us, one.yielded.status), (3 * SECOND, 504))
+
+
+if __name__ == "__main__":
+    unittest.main()
