--- a/lapisgrade/gateway/proxy/control_updates.py
+++ b/lapisgrade/gateway/proxy/control_updates.py
@@ -72,7 +72,7 @@
 
     def _apply_live_proxies(self, members: rpc_messages.Members) -> None:
         """Take in a newer membership."""
-        self._router.subsets.told(members)
+        self._router.subsets.update_members(members)
         addresses = [member[0] for member in members.values()]
         count = min(MAX_INTRODUCED, len(addresses))
         self._partial_view.introduced(self._context.random.sample(addresses, count))
--- a/lapisgrade/gateway/proxy/load_reporter.py
+++ b/lapisgrade/gateway/proxy/load_reporter.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.membership.subsets import REPEAT
+from lapisgrade.gateway.membership.subsets import REPORT_INTERVAL_US
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.rpc import RpcEndpoint
@@ -31,7 +31,7 @@
 
     def _send(self) -> None:
         # Repeated after a while, so that silence means that a neighbour has terminated.
-        self._timer = asyncio.get_running_loop().call_later(REPEAT / SECOND, self._send)
+        self._timer = asyncio.get_running_loop().call_later(REPORT_INTERVAL_US / SECOND, self._send)
         hostname = self._context.settings.hostname
         report = rpc_messages.ProxyLoads(hostname, self._router.in_flight(), self._router.unhealthy_servers())
         for neighbour in self._router.subsets.neighbours.values():
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -243,7 +243,7 @@
     def on_message(self, message: rpc_messages.Message) -> None:
         """Take in a message that wants no answer."""
         if isinstance(message, rpc_messages.ProxyLoads):
-            self.router.subsets.heard(self.context.now_us(), message.by, message.out, message.ill)
+            self.router.subsets.on_load_report(self.context.now_us(), message.by, message.out, message.ill)
 
     async def answer(self, message: rpc_messages.Message) -> rpc_messages.Message | None:
         """Answer another process's call; None where it is none that a proxy answers."""
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -8,6 +8,7 @@
 """
 
 import math
+from functools import partial
 from random import Random
 
 from lapisgrade.decide.fleet import Attempt, LatencyEstimate
@@ -144,7 +145,7 @@
         self.overall_latency = LatencyEstimate(FIRST_LATENCY_US)  # of all routes together
         self.servers: dict[str, UpstreamServer] = {}
         self._latencies: dict[str, LatencyEstimate] = {}  # by route
-        self._sorted_at = -1  # the subsets' change count when the following were made; -1: they are outdated
+        self._sorted_at = -1  # the subsets' revision when the following were made; -1: they are outdated
         self._subset_ids: set[str] = set()
         self._own_subset: list[UpstreamServer] = []
         self._own_zone: list[UpstreamServer] = []  # but for the own subset
@@ -169,9 +170,9 @@
 
     def _sort(self) -> None:
         """Sort the servers that take requests: the own subset's, the zone's others, and other zones'."""
-        if self._sorted_at == self._subsets.changes:
+        if self._sorted_at == self._subsets.revision:
             return
-        self._sorted_at = self._subsets.changes
+        self._sorted_at = self._subsets.revision
         up = [server for server in self.servers.values() if server.registration.state == "up"]
         own_zone = [server for server in up if server.registration.zone == self._zone]
         self._subset_ids = self._subsets.share([server.address for server in own_zone])
@@ -193,11 +194,8 @@
         candidates = self._candidates(now_us, tried)
         if not candidates:
             return None
-        is_known, mean_us = self._subsets.known(now_us), self.overall_latency.mean(now_us)
-
-        def cost(server: UpstreamServer) -> float:
-            return self._cost(now_us, usual_us, mean_us, server, is_known)
-
+        is_known, mean_us = self._subsets.is_load_known(now_us), self.overall_latency.mean(now_us)
+        cost = partial(self._cost, now_us, usual_us, mean_us, is_known)
         best = min(candidates, key=cost)
         return best if within_us == math.inf or cost(best) <= within_us else None
 
@@ -213,12 +211,12 @@
         return candidates or [server for server in self._own_zone + self._other_zones if fits(server)]
 
     def _cost(
-        self, now_us: int, usual_us: float, mean_us: float, server: UpstreamServer, is_known: bool
+        self, now_us: int, usual_us: float, mean_us: float, is_known: bool, server: UpstreamServer
     ) -> float:
         """The expected latency of a request at a server, with the penalties for where it is."""
         in_subset = server.address in self._subset_ids
-        neighbours = self._subsets.out(now_us, server.address) if is_known and in_subset else None
-        reports = self._subsets.doubts(now_us, server.address) if in_subset else 0
+        neighbours = self._subsets.in_flight(now_us, server.address) if is_known and in_subset else None
+        reports = self._subsets.unhealthy_reports(now_us, server.address) if in_subset else 0
         latency_us = server.expected_latency_us(now_us, usual_us, mean_us, neighbours, reports)
         latency_us *= 1 + JITTER * self._random.random()
         return latency_us + self._placement_penalty(server, in_subset) * usual_us
--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -119,7 +119,9 @@
     def __init__(self, spec: Spec, servers: list[Server], random: Random, number: int) -> None:
         self.spec, self.number = spec, number
         self.subsets = Subsets(spec.name(number), spec.zone(number))
-        self.subsets.told({spec.name(each): ("", "", spec.zone(each)) for each in range(spec.limiters)})
+        self.subsets.update_members(
+            {spec.name(each): ("", "", spec.zone(each)) for each in range(spec.limiters)}
+        )
         self.cluster = UpstreamCluster(random, spec.zone(number), self.subsets)
         self.latency = self.cluster.latency("r", spec.aim_us)
         self.numbers = {each.name: each.number for each in servers}
--- a/lapisgrade/lab/balancing/play.py
+++ b/lapisgrade/lab/balancing/play.py
@@ -180,7 +180,7 @@
             self.sim.after(self.spec.near_us, self.heard, int(name[1:]), own.subsets.name, out, ill)
 
     def heard(self, limiter: int, by: str, out: dict[str, int], ill: list[str]) -> None:
-        self.limiters[limiter].subsets.heard(self.sim.now, by, out, ill)
+        self.limiters[limiter].subsets.on_load_report(self.sim.now, by, out, ill)
 
 
 def table(spec: Spec, names: list[str]) -> list[str]:
--- a/tests/gateway/routing/test_balancer.py
+++ b/tests/gateway/routing/test_balancer.py
@@ -45,17 +45,17 @@
         self,
     ) -> None:
         subsets = self.cluster._subsets
-        subsets.told({name: ("10.0.0.9:1", "", "z") for name in ("l", "a", "b", "c")})
+        subsets.update_members({name: ("10.0.0.9:1", "", "z") for name in ("l", "a", "b", "c")})
         self.assertEqual(self.cluster.unhealthy_servers(SECOND), [])
         for name in "abc":
-            subsets.heard(SECOND, name, {}, [])
-        subsets.heard(SECOND, "a", {}, ["s1"])
+            subsets.on_load_report(SECOND, name, {}, [])
+        subsets.on_load_report(SECOND, "a", {}, ["s1"])
         self.assertGreater(self.taken(SECOND), 0.2)
-        subsets.heard(SECOND, "b", {}, ["s1"])
+        subsets.on_load_report(SECOND, "b", {}, ["s1"])
         self.assertEqual(self.taken(SECOND), 0.0)
         for _ in range(2):
             self.cluster.on_attempt_started(SECOND, Attempt(None, self.cluster.servers["s2"], 0, SECOND))
-        subsets.heard(SECOND, "c", {}, ["s1"])
+        subsets.on_load_report(SECOND, "c", {}, ["s1"])
         # Its own good answers weigh more than what the others say.
         for _ in range(12):
             self.end(SECOND, "s1", AttemptOutcome.OK)
