--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -190,9 +190,9 @@
             return  # the membership has changed meanwhile
         if isinstance(reply, rpc_messages.HandOverReply):
             self._context.metrics.hand_overs_received += not reply.wait
-            owner.handed(self._now_us(), request.tenant, reply, request.rate, request.burst, predecessor)
+            owner.on_hand_over(self._now_us(), hand_over, reply, predecessor)
         elif self._rpc.peer(to).refused:
-            owner.gone(self._now_us(), request.tenant, request.rate, request.burst, predecessor)
+            owner.on_owner_terminated(self._now_us(), hand_over, predecessor)
 
     def close(self) -> None:
         """Cancel the calls in progress."""
