--- a/tests/compatibility/test_recovery.py
+++ b/tests/compatibility/test_recovery.py
@@ -16,6 +16,7 @@
 
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.local_cluster import LocalCluster
+from support.loopback_network import wait_for_loopback_network
 
 DATA = Path(__file__).parent / "data"
 WITHIN_S = 20.0
@@ -57,7 +58,8 @@
 
 class RecoveredCluster(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.cluster = LocalCluster(net=NET)
+        network = self.enterContext(wait_for_loopback_network(NET))
+        self.cluster = LocalCluster(net=network.number)
         shutil.copytree(DATA / "stored" / "cluster", self.cluster.folder, dirs_exist_ok=True)
         await self.enterAsyncContext(self.cluster)
         self.ctl = "--ctl=" + ",".join(f"{host}:{port}" for host, port in self.cluster.ctl)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,15 @@
-"""What holds for every test: the garbage collector stays out of what is measured."""
+"""What holds for every test: event loops, reservations, and a collector that stays out of measured time."""
 
+import asyncio
 import gc
+import inspect
+import logging
+from collections.abc import Iterator
 
 import pytest
 
+from support.loopback_network import LoopbackNetwork, reserve_loopback_network
+
 
 def pytest_collection_finish() -> None:
     """Keep what collection loaded out of the garbage collector's scans.
@@ -14,8 +20,34 @@
     gc.freeze()
 
 
+@pytest.hookimpl(tryfirst=True)
+def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
+    """Run a test that is a coroutine function on an event loop of its own, in asyncio's debug mode."""
+    if not inspect.iscoroutinefunction(pyfuncitem.obj):
+        return None
+    arguments = {name: pyfuncitem.funcargs[name] for name in pyfuncitem._fixtureinfo.argnames}
+    with asyncio.Runner(debug=True) as runner:
+        runner.run(pyfuncitem.obj(**arguments))
+    return True
+
+
 @pytest.fixture
 def frozen_heap() -> None:
     """Also keep out what earlier tests left: the collector scans only what this test makes."""
     gc.collect()
     gc.freeze()
+
+
+@pytest.fixture
+def loopback_network() -> Iterator[LoopbackNetwork]:
+    """A loopback network that nobody else uses, for machines at fixed ports."""
+    with reserve_loopback_network() as network:
+        yield network
+
+
+@pytest.fixture
+def silent_logging() -> Iterator[None]:
+    """No log lines of the code under test: faults played on purpose would fill the output."""
+    logging.disable(logging.CRITICAL)
+    yield
+    logging.disable(logging.NOTSET)
--- a/tests/support/loopback_network.py
+++ b/tests/support/loopback_network.py
@@ -10,6 +10,7 @@
 import itertools
 import os
 import socket
+import time
 from collections.abc import Iterator
 from dataclasses import dataclass
 
@@ -19,6 +20,7 @@
 RESERVATION_PORT = 8999  # below the ports that the system hands out itself
 CHECKED_PORTS = (8080, 8405, 8406, 8407)  # a server's, and a machine's HTTP, readiness and control port
 CHECKED_HOSTS = range(1, 10)
+RETRY_INTERVAL_S = 0.1
 
 _next_network = itertools.count(os.getpid() * 13)  # processes that start together begin apart
 
@@ -47,17 +49,42 @@
     """
     for _ in range(MAX_NETWORKS):
         network = LoopbackNetwork(FIRST_NETWORK + next(_next_network) % MAX_NETWORKS)
-        with socket.socket() as reservation:
-            try:
-                reservation.bind((f"127.{network.number}.255.254", RESERVATION_PORT))
-            except OSError:
-                continue
-            if _is_idle(network):
+        with _reservation(network) as is_reserved:
+            if is_reserved:
                 yield network
                 return
     raise NoFreeNetworkError(f"none of {MAX_NETWORKS} loopback networks is free")
 
 
+@contextlib.contextmanager
+def wait_for_loopback_network(number: int, within_s: float = 120.0) -> Iterator[LoopbackNetwork]:
+    """Reserve the one network that stored data names, once nobody uses it, until the context ends.
+
+    Raises:
+        NoFreeNetworkError: It was in use all the time.
+    """
+    network, deadline = LoopbackNetwork(number), time.monotonic() + within_s
+    while time.monotonic() < deadline:
+        with _reservation(network) as is_reserved:
+            if is_reserved:
+                yield network
+                return
+        time.sleep(RETRY_INTERVAL_S)
+    raise NoFreeNetworkError(f"127.{number} was in use for {within_s:g} s")
+
+
+@contextlib.contextmanager
+def _reservation(network: LoopbackNetwork) -> Iterator[bool]:
+    """Whether the network could be reserved; it is released when the context ends."""
+    with socket.socket() as reservation:
+        try:
+            reservation.bind((f"127.{network.number}.255.254", RESERVATION_PORT))
+        except OSError:
+            yield False
+        else:
+            yield _is_idle(network)
+
+
 def _is_idle(network: LoopbackNetwork) -> bool:
     """Whether nobody listens there (guards against processes that outlived the test that started them)."""
     for subnet, host, port in itertools.product((0, 1), CHECKED_HOSTS, CHECKED_PORTS):
