--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -46,8 +46,8 @@
         self._quota_owner = quota_owner
         self._updates = updates
         self._reachability = reachability
-        self._tasks: set[asyncio.Task] = set()
-        self._fetches: dict[str, asyncio.Task] = {}  # by tenant: the call that asks for its count
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._fetches: dict[str, asyncio.Task[None]] = {}  # by tenant: the call that asks for its count
 
     # ---- this proxy's own adds
 
@@ -75,11 +75,14 @@
         return self._quota_owner.add(self._now_us(), request, self._updates.ownership_ends_us)
 
     async def _add_at_owner(self, task: Task, request: rpc_messages.QuotaRequest) -> None:
-        """Ask the owner, here or elsewhere, again while it has another membership than this proxy: one of the
-        two memberships is on its way."""
+        """Ask the owner, here or elsewhere, until it replies under this proxy's membership.
+
+        While it has another one, one of the two memberships is on its way.
+        """
         ends_us = self._now_us() + int(ADD_TIMEOUT_S * SECOND)
         while True:
             owner_name = self._quota_owner.owner(request.tenant)
+            reply: rpc_messages.QuotaReply | CloseReason
             if owner_name == self._context.settings.hostname:
                 reply = await self.answer_add(request)
             else:
@@ -161,7 +164,7 @@
             self._context.metrics.hand_overs_sent += 1
         return reply
 
-    def _fetch(self, request: rpc_messages.QuotaRequest, predecessor: str) -> asyncio.Task:
+    def _fetch(self, request: rpc_messages.QuotaRequest, predecessor: str) -> asyncio.Task[None]:
         """The call that asks the last owner for a count; one at a time for each tenant."""
         fetch = self._fetches.get(request.tenant)
         if fetch is None:
