--- a/lapisgrade/gateway/membership/gossip.py
+++ b/lapisgrade/gateway/membership/gossip.py
@@ -1,41 +1,47 @@
-"""The thin shell round a proxy's view: one socket for datagrams, one timer."""
+"""Sends and receives the shuffles of a proxy's partial view: one socket for datagrams, one timer."""
 
 import asyncio
 from collections.abc import Callable
 
+from lapisgrade.gateway import SECOND
+from lapisgrade.gateway.membership.partial_view import PartialView, SendShuffle, Shuffle
 from lapisgrade.peers import frame
 from lapisgrade.peers.udp import Udp
-from lapisgrade.gateway import SECOND
-from lapisgrade.gateway.membership.partial_view import Send, Shuffle, PartialView
 
 CODEC = frame.Codec(Shuffle)
+MIN_TIMER_S = 0.01
 
 
 class Gossip:
+    """Drives one proxy's partial view from `open` to `close`."""
+
     def __init__(
         self, name: str, partial_view: PartialView, now: Callable[[], int], say: Callable[[str], None]
     ) -> None:
-        self.partial_view, self._now = partial_view, now
-        self.udp = Udp(name, CODEC, lambda: 0, self._heard, say)
+        self.partial_view = partial_view
+        self._now = now
+        self.udp = Udp(name, CODEC, lambda: 0, self._on_frame, say)
         self._timer: asyncio.TimerHandle | None = None
 
     async def open(self, host: str, port: int) -> None:
+        """Receive datagrams there, and begin to send."""
         await self.udp.open(host, port)
-        self._due()
+        self._on_timer()
 
     def close(self) -> None:
+        """Stop."""
         if self._timer is not None:
             self._timer.cancel()
         self.udp.close()
 
-    def _heard(self, source: str, got: frame.Frame) -> None:
-        self._out(self.partial_view.heard(source, got.message))
+    def _on_frame(self, source: str, received: frame.Frame) -> None:
+        self._send(self.partial_view.on_shuffle(source, received.message))
 
-    def _due(self) -> None:
-        self._out(self.partial_view.due(self._now()))
-        wait = max(0.01, (self.partial_view.wakes_us - self._now()) / SECOND)
-        self._timer = asyncio.get_running_loop().call_later(wait, self._due)
+    def _on_timer(self) -> None:
+        self._send(self.partial_view.on_timer(self._now()))
+        delay_s = max(MIN_TIMER_S, (self.partial_view.next_shuffle_us - self._now()) / SECOND)
+        self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
-    def _out(self, sends: list[Send]) -> None:
-        for each in sends:
-            self.udp.send(each.to, each.message)
+    def _send(self, commands: list[SendShuffle]) -> None:
+        for command in commands:
+            self.udp.send(command.to, command.message)
--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -1,10 +1,13 @@
-"""Whom a proxy knows without asking control: a partial view, shuffled between neighbours. Pure.
+"""The proxies that a proxy knows without the controllers: a partial view, shuffled between neighbours. Pure.
 
-Cyclon (Voulgaris, Gavidia, van Steen, 2005): each round the neighbour heard of longest ago is asked to swap a
-few entries; it leaves the view as it is asked, so one that is gone is forgotten, and comes back as somebody
-younger tells of it. The graph stays connected and like a random one, and a round costs each the same however
-many they are. What rides on a swap is the newest word on who leads the controllers and where they are: a hint
-of where to ask, which the answer there proves or not, so that a lie costs one question. Times are us."""
+Cyclon (Voulgaris, Gavidia, van Steen, 2005): in each round the neighbour heard of longest ago is asked to
+exchange a few entries; it leaves the view as it is asked, so one that has terminated is forgotten, and comes
+back as somebody younger names it. The graph stays connected and like a random one, and a round costs each
+proxy the same however many they are.
+
+Each shuffle also carries the newest hint of who leads the controllers and where they are: where to ask, which
+the reply there proves or not, so that a lie costs one request. Times are in us.
+"""
 
 import re
 from dataclasses import dataclass
@@ -14,23 +17,25 @@
 
 from lapisgrade.gateway import SECOND
 
-MOST = 16  # neighbours that a view holds; twice the logarithm of some thousands
-SWAP = 6  # entries in one swap, one's own among them; a datagram holds them
-ROUND = SECOND  # us between swaps
-HASTE = SECOND // 5  # us between swaps while the view is poor, as after a start
-POOR = MOST // 2  # entries below which it is
-MOST_CONTROLLERS = 16  # addresses of controllers that a word may name
-MOST_TEXT = 64  # characters of a zone
-_PLACE = re.compile(r"\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}")
+MAX_VIEW = 16  # neighbours in a view; twice the logarithm of some thousands
+SHUFFLE_ENTRIES = 6  # in one shuffle, one's own among them; a datagram holds them
+SHUFFLE_INTERVAL_US = SECOND
+FAST_SHUFFLE_INTERVAL_US = SECOND // 5  # while the view is small, as after a start
+MIN_VIEW = MAX_VIEW // 2  # neighbours below which a view is small
+MAX_CONTROLLERS = 16  # addresses of controllers that a hint may name
+MAX_ZONE_LENGTH = 64  # characters
+_ADDRESS_PATTERN = re.compile(r"\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}")
 
 
-def sound(place: str) -> bool:
-    """Whether that is an address and a port: what others say is asked at, so it must be one."""
-    return _PLACE.fullmatch(place) is not None and int(place.rpartition(":")[2]) < 65_536
+def is_address(text: str) -> bool:
+    """Whether that is an IPv4 address and a port: requests are sent to what others name."""
+    return _ADDRESS_PATTERN.fullmatch(text) is not None and int(text.rpartition(":")[2]) < 65_536
 
 
 class Neighbour(msgspec.Struct, array_like=True, frozen=True):
-    address: str  # where it hears other proxies, datagrams as well
+    """One entry of a view."""
+
+    address: str  # where it receives other proxies' messages, datagrams as well
     zone: str
     age: int = 0  # rounds since it said so itself
 
@@ -44,7 +49,7 @@
 
 
 class Shuffle(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """Some whom I know; tell me some of yours, unless this is the answer already."""
+    """Some neighbours of the sender, which wants some of the receiver's unless this is the answer already."""
 
     answer: bool
     way: ControlHint
@@ -52,85 +57,112 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendShuffle:
+    """Send a shuffle to a neighbour."""
+
     to: str
     message: Shuffle
 
 
 class PartialView:
-    """`due` at `wakes_us` or later, `heard` for each swap: both give what is to be sent."""
+    """One proxy's view.
 
-    def __init__(self, address: str, zone: str, random: Random, now_us: int) -> None:
-        self.address, self.zone, self._random = address, zone, random
-        self.view: dict[str, Neighbour] = {}
-        self.way = ControlHint()
-        self.wakes_us = now_us + random.randrange(HASTE)
-        self._gave: list[str] = []  # in the swap that is under way: these make room for what comes back
+    It is driven by `on_timer` at `next_shuffle_us` or later and by `on_shuffle` for each shuffle received;
+    both return what is to be sent.
+    """
 
-    def introduced(self, others: list[str]) -> None:
-        """Some that likely live, as settings or control name them; halves that were cut meet by it."""
-        for address in others:
-            self._take(Neighbour(address, "", 1), [])
+    def __init__(self, address: str, zone: str, random: Random, now_us: int) -> None:
+        self.address = address
+        self.zone = zone
+        self._random = random
+        self.view: dict[str, Neighbour] = {}  # by address
+        self.control_hint = ControlHint()
+        self.next_shuffle_us = now_us + random.randrange(FAST_SHUFFLE_INTERVAL_US)
+        self._sent: list[str] = []  # in the shuffle in progress: these make room for what comes back
+
+    def introduce(self, addresses: list[str]) -> None:
+        """Add some that likely live, as settings or controllers name them; partitions meet again by it."""
+        for address in addresses:
+            self._add(Neighbour(address, "", 1), [])
 
     def neighbours(self) -> list[str]:
+        """The addresses in the view."""
         return list(self.view)
 
-    def leads(self, way: ControlHint) -> None:
-        """A word on the controllers, our own or a neighbour's; the newest term's is kept."""
-        if way.term < self.way.term or not sound(way.leader) or len(way.controllers) > MOST_CONTROLLERS:
+    # ---- the hint of the controllers
+
+    def on_control_hint(self, hint: ControlHint) -> None:
+        """Take in a hint, our own or a neighbour's; the newest term's is kept."""
+        is_older = hint.term < self.control_hint.term
+        if is_older or not is_address(hint.leader) or len(hint.controllers) > MAX_CONTROLLERS:
             return
-        if all(sound(each) for each in way.controllers):
-            self.way = way
+        if all(is_address(controller) for controller in hint.controllers):
+            self.control_hint = hint
+
+    def discard_leader(self, address: str) -> None:
+        """Nobody leads there: the hint was old, or a lie, and the next one of any term counts again."""
+        if address == self.control_hint.leader:
+            self.control_hint = ControlHint(0, "", self.control_hint.controllers)
 
-    def misled(self, leader: str) -> None:
-        """Nobody leads there: the word was old, or a lie, and the next one heard counts again."""
-        if leader == self.way.leader:
-            self.way = ControlHint(0, "", self.way.controllers)
+    # ---- shuffles
 
-    def due(self, now_us: int) -> list[Send]:
-        if now_us < self.wakes_us:
+    def on_timer(self, now_us: int) -> list[SendShuffle]:
+        """Begin a shuffle with the oldest neighbour, where it is time."""
+        if now_us < self.next_shuffle_us:
             return []
-        wait = ROUND if len(self.view) >= POOR else HASTE
-        self.wakes_us = now_us + wait * 3 // 4 + self._random.randrange(wait // 2)
+        interval_us = SHUFFLE_INTERVAL_US if len(self.view) >= MIN_VIEW else FAST_SHUFFLE_INTERVAL_US
+        self.next_shuffle_us = now_us + interval_us * 3 // 4 + self._random.randrange(interval_us // 2)
         if not self.view:
             return []
         self.view = {name: Neighbour(name, each.zone, each.age + 1) for name, each in self.view.items()}
-        eldest = max(self.view.values(), key=lambda each: each.age)
-        del self.view[eldest.address]
-        some = self._some(SWAP - 1, eldest.address)
-        self._gave = [each.address for each in some]
-        return [Send(eldest.address, Shuffle(False, self.way, [Neighbour(self.address, self.zone), *some]))]
-
-    def heard(self, source: str, swap: Shuffle) -> list[Send]:
-        """A neighbour's swap, and ours to it. What is out of bounds is passed over."""
-        self.leads(swap.way)
-        out, gave = [], self._gave
-        if not swap.answer:
-            some = self._some(SWAP, source)
-            out, gave = [Send(source, Shuffle(True, self.way, some))], [each.address for each in some]
-        for each in swap.news[:SWAP]:
-            self._take(each, gave)
-        return out
-
-    def _some(self, count: int, but: str) -> list[Neighbour]:
-        others = [each for each in self.view.values() if each.address != but]
+        oldest = max(self.view.values(), key=lambda neighbour: neighbour.age)
+        del self.view[oldest.address]
+        sample = self._sample(SHUFFLE_ENTRIES - 1, oldest.address)
+        self._sent = [neighbour.address for neighbour in sample]
+        own_entry = Neighbour(self.address, self.zone)
+        return [SendShuffle(oldest.address, Shuffle(False, self.control_hint, [own_entry, *sample]))]
+
+    def on_shuffle(self, source: str, shuffle: Shuffle) -> list[SendShuffle]:
+        """Take in a neighbour's entries, and answer with ours; entries out of bounds are ignored."""
+        self.on_control_hint(shuffle.way)
+        answer, sent = [], self._sent
+        if not shuffle.answer:
+            sample = self._sample(SHUFFLE_ENTRIES, source)
+            answer = [SendShuffle(source, Shuffle(True, self.control_hint, sample))]
+            sent = [neighbour.address for neighbour in sample]
+        for neighbour in shuffle.news[:SHUFFLE_ENTRIES]:
+            self._add(neighbour, sent)
+        return answer
+
+    def _sample(self, count: int, excluded: str) -> list[Neighbour]:
+        others = [neighbour for neighbour in self.view.values() if neighbour.address != excluded]
         return self._random.sample(others, min(count, len(others)))
 
-    def _take(self, each: Neighbour, gave: list[str]) -> None:
-        name = each.address
-        if name == self.address or not sound(name) or len(each.zone) > MOST_TEXT or each.age < 0:
+    def _add(self, neighbour: Neighbour, sent: list[str]) -> None:
+        """Add an entry to the view; those that were `sent` away, then older ones, make room for it."""
+        if not self._is_acceptable(neighbour):
             return
-        old = self.view.get(name)
-        if old is not None:
-            if each.age < old.age:
-                self.view[name] = each
+        known = self.view.get(neighbour.address)
+        if known is not None:
+            if neighbour.age < known.age:
+                self.view[neighbour.address] = neighbour
             return
-        if len(self.view) >= MOST:
-            # Those that we gave away make room, then the one heard of longest ago where it is older.
-            room = next((other for other in gave if other in self.view), "")
-            if not room:
-                room = max(self.view.values(), key=lambda other: other.age).address
-                if self.view[room].age <= each.age:
-                    return
-            del self.view[room]
-        self.view[name] = each
+        if len(self.view) >= MAX_VIEW:
+            replaced = self._replaceable(neighbour, sent)
+            if replaced is None:
+                return
+            del self.view[replaced]
+        self.view[neighbour.address] = neighbour
+
+    def _is_acceptable(self, neighbour: Neighbour) -> bool:
+        if neighbour.address == self.address or not is_address(neighbour.address):
+            return False
+        return len(neighbour.zone) <= MAX_ZONE_LENGTH and neighbour.age >= 0
+
+    def _replaceable(self, neighbour: Neighbour, sent: list[str]) -> str | None:
+        """The address that makes room for a neighbour in a full view; None where all are younger."""
+        exchanged = next((address for address in sent if address in self.view), None)
+        if exchanged is not None:
+            return exchanged
+        oldest = max(self.view.values(), key=lambda other: other.age)
+        return oldest.address if oldest.age > neighbour.age else None
--- a/lapisgrade/gateway/proxy/watch_target.py
+++ b/lapisgrade/gateway/proxy/watch_target.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.membership.partial_view import ControlHint, PartialView, sound
+from lapisgrade.gateway.membership.partial_view import ControlHint, PartialView, is_address
 
 RELAYED_US = 4 * SECOND  # that updates come through another proxy before the controllers are tried again
 MAX_CONTROLLERS = 64  # addresses of controllers that are remembered
@@ -46,7 +46,7 @@
         return self._address
 
     def _choose_controller(self) -> str:
-        hint = self._partial_view.way
+        hint = self._partial_view.control_hint
         if hint.leader and hint.leader != self._tried_hint:
             self._tried_hint = hint.leader  # tried once, until it has replied
             return hint.leader
@@ -67,7 +67,7 @@
         self._remember_controllers(reply)
         if self._relayed_since_us is None:
             self.leader, self.leader_replied_us, self._tried_hint = self._address, now_us, ""
-            self._partial_view.leads(ControlHint(self.term, self._address, self.controllers))
+            self._partial_view.on_control_hint(ControlHint(self.term, self._address, self.controllers))
         elif now_us - self._relayed_since_us > RELAYED_US:
             self._address = ""  # the controllers may be there again
 
@@ -75,17 +75,17 @@
         """Nobody replied, or one who does not lead: another address is asked next."""
         asked, self._address = self._address, ""
         self.failures += 1
-        self._partial_view.misled(asked)
+        self._partial_view.discard_leader(asked)
         if reply is None:
             return
         self._remember_controllers(reply)
         if self._relayed_since_us is None:
             # A controller that lives and knows no leader: another proxy knows none either.
             self.failures = 0
-            self._address = reply.leader if reply.leader != asked and sound(reply.leader) else ""
+            self._address = reply.leader if reply.leader != asked and is_address(reply.leader) else ""
 
     def _remember_controllers(self, reply: rpc_messages.WatchReply) -> None:
-        named = [address for address in reply.controllers[:MAX_CONTROLLERS] if sound(address)]
+        named = [address for address in reply.controllers[:MAX_CONTROLLERS] if is_address(address)]
         self.controllers = named or self.controllers
 
 
--- a/tests/gateway/membership/test_partial_view.py
+++ b/tests/gateway/membership/test_partial_view.py
@@ -7,8 +7,8 @@
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.membership.gossip import CODEC
 from lapisgrade.gateway.membership.partial_view import (
-    MOST,
-    MOST_CONTROLLERS,
+    MAX_VIEW,
+    MAX_CONTROLLERS,
     Neighbour,
     Shuffle,
     PartialView,
@@ -32,7 +32,7 @@
         partial_view = self.partial_view[name] = PartialView(
             name, "z", Random(self.random.random()), self.now
         )
-        partial_view.introduced(seeds)
+        partial_view.introduce(seeds)
         self.side.setdefault(name, 0)
         self.at(0, name, None, "")
 
@@ -47,9 +47,9 @@
             partial_view = self.partial_view.get(name)
             if partial_view is None:
                 continue
-            sends = partial_view.due(self.now) if swap is None else partial_view.heard(source, swap)
+            sends = partial_view.on_timer(self.now) if swap is None else partial_view.on_shuffle(source, swap)
             if swap is None:
-                self.at(max(1, partial_view.wakes_us - self.now), name, None, "")
+                self.at(max(1, partial_view.next_shuffle_us - self.now), name, None, "")
             for each in sends:
                 self.sent += 1
                 self.bytes += len(CODEC.encode(name, 0, each.message)) + 28
@@ -67,7 +67,7 @@
         return found
 
 
-class Shuffled(unittest.TestCase):
+class PartialViewTest(unittest.TestCase):
     def test_all_find_each_other_within_seconds_at_a_cost_that_does_not_grow(self) -> None:
         costs = []
         for count in (20, 300):
@@ -82,7 +82,7 @@
                 sum(name in each.view for each in world.partial_view.values()) for name in world.partial_view
             ]
             self.assertGreater(min(known), 0)
-            self.assertLess(max(known), 3 * MOST)  # nobody is everybody's neighbour
+            self.assertLess(max(known), 3 * MAX_VIEW)  # nobody is everybody's neighbour
         self.assertLess(costs[1], 1.2 * costs[0])
 
     def test_those_that_die_are_forgotten_and_the_others_stay_connected(self) -> None:
@@ -105,14 +105,14 @@
         world.run(40)
         self.assertEqual(world.reached(names[0]) & set(names[20:]), set())
         world.side = dict.fromkeys(names, 0)
-        world.partial_view[names[0]].introduced([names[30]])
+        world.partial_view[names[0]].introduce([names[30]])
         world.run(10)
         self.assertEqual(len(world.reached(names[0])), 40)
 
     def test_a_neighbour_that_lies_is_bounded(self) -> None:
         partial_view = PartialView("10.0.0.1:1", "z", Random(1), 0)
         flood = [Neighbour(f"10.1.0.{each}:1", "z") for each in range(200)]
-        partial_view.heard("10.0.0.9:1", Shuffle(False, ControlHint(), flood))
+        partial_view.on_shuffle("10.0.0.9:1", Shuffle(False, ControlHint(), flood))
         self.assertLessEqual(len(partial_view.view), 6)
         strange = [
             Neighbour("nobody", "z"),
@@ -121,11 +121,11 @@
             Neighbour("10.0.0.4:1", "z", -1),
         ]
         partial_view.view.clear()
-        partial_view.heard(
+        partial_view.on_shuffle(
             "10.0.0.9:1",
-            Shuffle(True, ControlHint(9, "here", ["10.0.0.2:1"] * (MOST_CONTROLLERS + 1)), strange),
+            Shuffle(True, ControlHint(9, "here", ["10.0.0.2:1"] * (MAX_CONTROLLERS + 1)), strange),
         )
-        self.assertEqual((partial_view.view, partial_view.way), ({}, ControlHint()))
+        self.assertEqual((partial_view.view, partial_view.control_hint), ({}, ControlHint()))
 
 
 if __name__ == "__main__":
--- a/tests/gateway/proxy/test_watch_target.py
+++ b/tests/gateway/proxy/test_watch_target.py
@@ -23,13 +23,15 @@
         self.assertTrue(
             self.watch_target.on_reply(0, self.news(True, controllers=["10.0.0.9:1", "10.0.0.5:1"]))
         )
-        self.assertEqual(self.partial_view.way, ControlHint(4, "10.0.0.9:1", ["10.0.0.9:1", "10.0.0.5:1"]))
+        self.assertEqual(
+            self.partial_view.control_hint, ControlHint(4, "10.0.0.9:1", ["10.0.0.9:1", "10.0.0.5:1"])
+        )
         self.assertEqual(self.watch_target.next(1), "10.0.0.9:1")
 
     def test_where_no_controller_answers_neighbours_are_asked_by_turns_and_controllers_again_after_a_while(
         self,
     ) -> None:
-        self.partial_view.introduced(["10.0.0.2:2"])
+        self.partial_view.introduce(["10.0.0.2:2"])
         first = self.watch_target.next(0)
         self.assertIn(first, self.watch_target.seeds)
         self.watch_target.on_reply(0, None)
@@ -43,11 +45,11 @@
 
     def test_all_seeds_gone_the_neighbours_word_leads_to_the_controllers_that_took_their_place(self) -> None:
         word = ControlHint(7, "10.0.3.3:1", ["10.0.3.3:1", "10.0.3.4:1"])
-        self.partial_view.heard("10.0.0.2:2", Shuffle(True, word))
+        self.partial_view.on_shuffle("10.0.0.2:2", Shuffle(True, word))
         self.assertEqual(self.watch_target.next(0), "10.0.3.3:1")
         # An old word, or a lie, costs one question.
         self.watch_target.on_reply(0, None)
-        self.assertEqual(self.partial_view.way.leader, "")
+        self.assertEqual(self.partial_view.control_hint.leader, "")
         asked = set()
         for _ in range(40):
             asked.add(self.watch_target.next(0))
