--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -58,26 +58,61 @@
 A settings file that can't be taken is told in one line, and the program ends with code 2.
 """
 
-from lapisgrade.gateway import startup  # first, before what takes long to load
+# A second command-line library beside click, on which `lapisgrade.cli` is written. Neither can take the
+# other's part without a change that is seen: this module's docstring is the usage text that docopt parses and
+# prints, and a bad command line prints it and ends with code 1 (click: other texts, code 2); and roles start
+# through here, where click costs 51 ms of processor time to import and docopt 20 ms (medians of 7 on a busy
+# machine). `lapisgrade.cli.gateway` hands these commands' arguments on as they are.
+
+# First, as it may switch off garbage collection while a role's code loads.
+from lapisgrade.gateway import startup  # isort: skip
 
 import asyncio
 import logging
 import signal
 import sys
+from collections.abc import Callable
+from typing import Any, Protocol
 
 from docopt import docopt
 
-from lapisgrade.net import loop
 from lapisgrade.gateway import settings
+from lapisgrade.gateway.cli.exit_codes import ExitCode
+from lapisgrade.net import loop
 
 log = logging.getLogger("gateway")
 
-OPERATORS = ("conf", "dump", "diff", "tenant", "status", "draft", "drafts", "plan", "show", "loss", "roll")
+OPERATOR_COMMANDS = (
+    "conf",
+    "dump",
+    "diff",
+    "tenant",
+    "status",
+    "draft",
+    "drafts",
+    "plan",
+    "show",
+    "loss",
+    "roll",
+)
+
+
+class Role(Protocol):
+    """A proxy or a controller."""
+
+    async def run(self) -> None:
+        """Serve until `end` is called."""
+
+    def end(self) -> None:
+        """Shut down in order."""
 
+    def reload(self, new_settings: settings.Settings) -> None:
+        """Take over settings that may change while it runs."""
 
-def program(role: str) -> type:
-    """The class that runs that role; its code is loaded only where it runs."""
-    if role == "proxy":
+
+def load_role(name: str) -> Callable[[settings.Settings], Role]:
+    """Return the class that runs a role; its code is loaded only where it runs."""
+    if name == "proxy":
         from lapisgrade.gateway.proxy.process import Proxy
 
         return Proxy
@@ -86,33 +121,60 @@
     return Controller
 
 
-async def serve(role: str, made: type, path: str | None, early: list[int]) -> None:
-    """One role until it is told to end: SIGTERM ends it, SIGHUP has it read its settings again, also one that
-    came `early`, while it started."""
-    told = settings.read(path)
-    if role == "proxy" and (told.bind.http is None or told.bind.readyz is None):
+def check_bindings(role_name: str, role_settings: settings.Settings) -> None:
+    """Raise Bad where the settings lack an address that the role listens at."""
+    bind = role_settings.bind
+    if role_name == "proxy" and (bind.http is None or bind.readyz is None):
         raise settings.Bad("Bind: a proxy needs Http and Readyz")
-    running = made(told)
+
+
+async def serve(
+    role_name: str,
+    role_class: Callable[[settings.Settings], Role],
+    path: str | None,
+    early_signals: list[int],
+) -> None:
+    """Run a role: SIGTERM ends it, SIGHUP has it read its settings again.
+
+    Args:
+        role_name: as on the command line.
+        role_class: what `load_role` returned.
+        path: the settings file; None for the one that the environment names.
+        early_signals: the SIGHUPs that came while the process started.
+    """
+    role_settings = settings.read(path)
+    check_bindings(role_name, role_settings)
+    role = role_class(role_settings)
 
     def reload() -> None:
         try:
-            running.reload(settings.read(path))
+            role.reload(settings.read(path))
             log.info("settings read again")
-        except settings.Bad as wrong:
-            log.warning("goes on as before: %s", wrong)
-
-    here = asyncio.get_running_loop()
-    for each in (signal.SIGTERM, signal.SIGINT):
-        here.add_signal_handler(each, running.end)
-    here.add_signal_handler(signal.SIGHUP, reload)
-    log.info("%s on %s", role, told.hostname)
-    if early:
+        except settings.Bad as error:
+            log.warning("goes on as before: %s", error)
+
+    event_loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        event_loop.add_signal_handler(number, role.end)
+    event_loop.add_signal_handler(signal.SIGHUP, reload)
+    log.info("%s on %s", role_name, role_settings.hostname)
+    if early_signals:
         reload()
-    await running.run()
+    await role.run()
+
 
+def run_role(name: str, path: str | None) -> None:
+    """Run a role until it is told to end."""
+    early_signals: list[int] = []  # a SIGHUP that nobody has a handler for ends a process
+    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
+    role_class = load_role(name)
+    startup.finished()
+    with asyncio.Runner(loop_factory=loop.new) as runner:
+        runner.run(serve(name, role_class, path, early_signals))
 
-def run_command(args: dict) -> int:
-    """Run an operator's command; the exit code."""
+
+def run_operator_command(args: dict[str, Any]) -> int:
+    """Run an operator's command; returns its exit code."""
     from lapisgrade.gateway.cli import commands
 
     if args["conf"]:
@@ -121,45 +183,48 @@
         return commands.dump(args["DATADIR"], args["--conf"], args["--history"])
     if args["diff"] and args["OTHER"]:
         return commands.diff_files(args["OTHER"], args["FILE"])
-    return asyncio.run(commands.operate(args))
+    return asyncio.run(commands.run_with_controllers(args))
 
 
-def run_role(role: str, path: str | None) -> None:
-    """Run a role until it is told to end."""
-    early: list[int] = []  # a SIGHUP that nobody has a handler for ends a process
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
-    made = program(role)
-    startup.finished()
-    with asyncio.Runner(loop_factory=loop.new) as runner:
-        runner.run(serve(role, made, path, early))
+def check_settings(path: str | None) -> None:
+    """Say that a settings file can be taken; raises Bad where it can't."""
+    print(f"{settings.read(path).hostname}: settings can be taken")
 
 
-def main(argv: list[str] | None = None) -> int:
-    """Run the command that `argv` names, that of the process if None; the exit code."""
-    args = docopt(__doc__, argv)
-    level = (args["--log"] or "info").upper()
+def configure_logging(level: str | None) -> None:
+    """Log to standard error, from that level on."""
     logging.basicConfig(
         stream=sys.stderr,
-        level=getattr(logging, level, logging.INFO),
+        level=getattr(logging, (level or "info").upper(), logging.INFO),
         format="%(name)s %(levelname)s %(message)s",
     )
-    operates = any(args[each] for each in OPERATORS)
+
+
+def run_command(args: dict[str, Any], is_operator_command: bool) -> int:
+    """Run the command that docopt read; returns its exit code."""
+    if is_operator_command:
+        return run_operator_command(args)
+    if args["system-demo"]:
+        from lapisgrade.gateway.cli.demo import run_demo
+
+        return asyncio.run(run_demo(float(args["--seconds"])))
+    if args["check"]:
+        check_settings(args["--settings"])
+    else:
+        run_role("proxy" if args["proxy"] else "controller", args["--settings"])
+    return ExitCode.DONE
+
+
+def main(argv: list[str] | None = None) -> int:
+    """Run the command that `argv` names, that of the process if None; returns its exit code."""
+    args = docopt(__doc__, argv)
+    configure_logging(args["--log"])
+    is_operator_command = any(args[name] for name in OPERATOR_COMMANDS)
     try:
-        if operates:
-            return run_command(args)
-        if args["check"]:
-            told = settings.read(args["--settings"])
-            print(f"{told.hostname}: settings can be taken")
-        elif args["system-demo"]:
-            from lapisgrade.gateway.cli.demo import demo
-
-            return asyncio.run(demo(float(args["--seconds"])))
-        else:
-            run_role("proxy" if args["proxy"] else "controller", args["--settings"])
-    except settings.Bad as wrong:
-        print(f"{'lapisgrade' if operates else 'settings'}: {wrong}", file=sys.stderr)
-        return 2
-    return 0
+        return run_command(args, is_operator_command)
+    except settings.Bad as error:
+        print(f"{'lapisgrade' if is_operator_command else 'settings'}: {error}", file=sys.stderr)
+        return ExitCode.INVALID_INPUT
 
 
 if __name__ == "__main__":
--- a/lapisgrade/gateway/cli/demo.py
+++ b/lapisgrade/gateway/cli/demo.py
@@ -3,15 +3,23 @@
 import asyncio
 import time
 from collections import Counter
-from collections.abc import Callable
 from dataclasses import dataclass, field
 
+import h11
+
+from lapisgrade.gateway.cli.exit_codes import ExitCode
+from lapisgrade.gateway.cli.operator_client import Print
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE, LocalCluster
 from lapisgrade.net.http import MalformedMessageError, Message
 
-SERVERS = 4
-PAUSE = 0.05  # s between two rounds of requests; within the tenant's limit in the sample
-MEANING = {
+SERVER_COUNT = 4
+ROUND_INTERVAL_S = 0.05
+"""Between two rounds of requests; within the tenant's limit in the sample configuration."""
+
+EXPECTED_ERRORS = (OSError, TimeoutError, MalformedMessageError)
+"""What may come in place of an answer."""
+
+STATUS_MEANINGS = {
     "401": "the proxy knows no such key",
     "404": "the proxy knows no such route",
     "429": "the tenant's count had no room, or could not be asked",
@@ -22,70 +30,77 @@
 
 
 @dataclass
-class Load:
-    """What came of the requests: how many by outcome, and the first of each that was not served."""
+class LoadResult:
+    """What came of the requests: how many by outcome, and the first failure of each kind."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
-    first_wrong: dict[str, str] = field(default_factory=dict)
+    first_failures: dict[str, str] = field(default_factory=dict)
 
     def add(self, at_s: float, proxy: str, answer: Message | BaseException) -> None:
         """Count one answer, or the error that came in its place."""
-        whole = isinstance(answer, Message)
-        outcome = str(answer.head.status_code) if whole else type(answer).__name__
+        outcome, retry_after = type(answer).__name__, None
+        if isinstance(answer, Message):
+            assert isinstance(answer.head, h11.Response)
+            outcome, retry_after = str(answer.head.status_code), answer.headers().get(b"retry-after")
         self.outcomes[outcome] += 1
-        if outcome == "200" or outcome in self.first_wrong:
+        if outcome == "200" or outcome in self.first_failures:
             return
-        back = answer.headers().get(b"retry-after") if whole else None
-        when = f", to come back after {back.decode()} s" if back else ""
-        self.first_wrong[outcome] = f"the first after {at_s:.2f} s at proxy {proxy}{when}"
+        when = f", to come back after {retry_after.decode()} s" if retry_after else ""
+        self.first_failures[outcome] = f"the first after {at_s:.2f} s at proxy {proxy}{when}"
 
-    def lines(self) -> list[str]:
-        """For people: what was not served, and why."""
+    def failure_lines(self) -> list[str]:
+        """Describe what was not served, and why."""
         return [
             f"  not served: {self.outcomes[outcome]} with {outcome}"
-            f" ({MEANING.get(outcome, 'no whole answer')}), {first}"
-            for outcome, first in sorted(self.first_wrong.items())
+            f" ({STATUS_MEANINGS.get(outcome, 'no whole answer')}), {first}"
+            for outcome, first in sorted(self.first_failures.items())
         ]
 
 
-async def drive(site: LocalCluster, seconds: float) -> Load:
-    """Ask each proxy in turn for so long; nothing is tried again."""
-    load, began = Load(), time.monotonic()
-    while time.monotonic() - began < seconds:
-        asked = [site.get(name, "/stock/1", "key-of-sfax", tries=1) for name in site.names]
-        at_s = time.monotonic() - began
-        for name, answer in zip(
-            site.names, await asyncio.gather(*asked, return_exceptions=True), strict=True
-        ):
-            if isinstance(answer, BaseException) and not isinstance(
-                answer, (OSError, TimeoutError, MalformedMessageError)
-            ):
+async def drive_load(site: LocalCluster, seconds: float) -> LoadResult:
+    """Send a request to each proxy in rounds, for so long; nothing is retried."""
+    result = LoadResult()
+    started_s = time.monotonic()
+    while time.monotonic() - started_s < seconds:
+        requests = [site.get(name, "/stock/1", "key-of-sfax", tries=1) for name in site.names]
+        at_s = time.monotonic() - started_s
+        answers = await asyncio.gather(*requests, return_exceptions=True)
+        for name, answer in zip(site.names, answers, strict=True):
+            if isinstance(answer, BaseException) and not isinstance(answer, EXPECTED_ERRORS):
                 raise answer
-            load.add(at_s, name, answer)
-        await asyncio.sleep(PAUSE)
-    return load
+            result.add(at_s, name, answer)
+        await asyncio.sleep(ROUND_INTERVAL_S)
+    return result
 
 
-async def demo(seconds: float, say: Callable[[str], None] = print) -> int:
-    """Start a cluster, apply the sample, drive some load; 0 where all was served, else 1 and why."""
+async def run_demo(seconds: float, print_line: Print = print) -> ExitCode:
+    """Start a cluster, apply the sample configuration, drive some load; an objection where any failed."""
     async with LocalCluster() as site:
-        for _ in range(SERVERS):
-            await site.start_server("garantie")
-        say(f"{len(site.names)} machines, each with a controller and a proxy; {SERVERS} servers that beat")
-        began = time.monotonic()
-        while await site.put(SAMPLE) != 200:
-            await asyncio.sleep(PAUSE)
-        say(f"configuration 1 is on a majority's disks after {time.monotonic() - began:.2f} s")
-        await site.until(lambda: all(each.ready for each in site.proxies.values()))
-        for name in site.names:
-            say(f"  proxy {name} takes requests at http://{site.ip[name]}:{HTTP}")
-        say(
-            "  try: curl -i -H 'Host: a.example' -H 'Try-Id: 1' -H 'Authorization: Bearer key-of-sfax' "
-            f"http://{site.ip['m1']}:{HTTP}/stock/1"
-        )
-        load = await drive(site, seconds)
-    told = ", ".join(f"{outcome}: {count}" for outcome, count in sorted(load.outcomes.items()))
-    say(f"answers in {seconds:.0f} s: {told}")
-    for line in load.lines():
-        say(line)
-    return 1 if load.first_wrong or not load.outcomes else 0
+        await _start(site, print_line)
+        result = await drive_load(site, seconds)
+    outcomes = ", ".join(f"{outcome}: {count}" for outcome, count in sorted(result.outcomes.items()))
+    print_line(f"answers in {seconds:.0f} s: {outcomes}")
+    for line in result.failure_lines():
+        print_line(line)
+    has_failed = bool(result.first_failures) or not result.outcomes
+    return ExitCode.OBJECTION if has_failed else ExitCode.DONE
+
+
+async def _start(site: LocalCluster, print_line: Print) -> None:
+    """Start servers, and wait until the sample configuration is in force everywhere."""
+    for _ in range(SERVER_COUNT):
+        await site.start_server("garantie")
+    print_line(
+        f"{len(site.names)} machines, each with a controller and a proxy; {SERVER_COUNT} servers that beat"
+    )
+    started_s = time.monotonic()
+    while await site.put(SAMPLE) != 200:
+        await asyncio.sleep(ROUND_INTERVAL_S)
+    print_line(f"configuration 1 is on a majority's disks after {time.monotonic() - started_s:.2f} s")
+    await site.until(lambda: all(proxy.ready for proxy in site.proxies.values()))
+    for name in site.names:
+        print_line(f"  proxy {name} takes requests at http://{site.ip[name]}:{HTTP}")
+    print_line(
+        "  try: curl -i -H 'Host: a.example' -H 'Try-Id: 1' -H 'Authorization: Bearer key-of-sfax' "
+        f"http://{site.ip['m1']}:{HTTP}/stock/1"
+    )
--- /dev/null
+++ b/lapisgrade/gateway/cli/drafts.py
@@ -0,0 +1,114 @@
+"""Drafts: edits that are kept where no majority can be asked.
+
+A draft is sent to a controller of the side that the operator is on, kept on disks there, and merged with the
+other side's edits at the rejoin. What couldn't be merged is shown with both values, and settled by one
+command. A draft's file is a JSON object with `Upsert` and `Del`, as `conf.update` takes them.
+"""
+
+import os
+from http import HTTPStatus
+
+import msgspec
+
+from lapisgrade.gateway.cli.exit_codes import ExitCode
+from lapisgrade.gateway.cli.operator_client import MAX_ATTEMPTS, JsonObject, OperatorClient
+from lapisgrade.gateway.settings import Bad, an_object
+
+STATE_PHRASES = {
+    "kept": "kept, not in force",
+    "stands": "merged, all of it stands",
+    "aside": "merged in part",
+    "invalid": "stays a draft",
+}
+OPEN_STATES = ("aside", "invalid")
+
+
+def read_change(text: bytes) -> JsonObject:
+    """Return the change in a draft's file.
+
+    Raises:
+        Bad: it holds none.
+    """
+    raw = an_object(text, "a draft")
+    if unknown := sorted(set(raw) - {"Upsert", "Del"}):
+        raise Bad(f"unknown: {', '.join(unknown)[:200]}; a draft has Upsert and Del")
+    return raw
+
+
+def describe_draft(draft: JsonObject) -> list[str]:
+    """Describe a draft, as `conf.drafts` lists it, for people."""
+    title = f"{draft['Id']} by {draft['By']} at {draft['At']} on version {draft['Base']}"
+    lines = [f"{title}: {STATE_PHRASES[draft['State']]}"]
+    if draft["State"] == "kept":
+        lines += [f"  {field}" for field in draft["Fields"]]
+    elif draft["Wrong"]:
+        lines.append(f"  what is wrong: {draft['Wrong']}")
+    for conflict in draft.get("Aside", ()):
+        current, wanted = (msgspec.json.encode(conflict[key]).decode() for key in ("Has", "Wants"))
+        lines.append(f"  {conflict['Field']}: has {current}, wants {wanted}: {conflict['Why']}")
+    return lines
+
+
+def author_name(given: str | None) -> str:
+    """Who makes a draft: the name that was given, else the user's."""
+    return given or os.environ.get("USER") or "an operator"
+
+
+class DraftClient(OperatorClient):
+    """Sends drafts, lists them, and ends them."""
+
+    async def send(self, text: bytes, author: str) -> ExitCode:
+        """Have a draft kept on a disk."""
+        change = read_change(text)
+        for _ in range(MAX_ATTEMPTS):
+            drafts = await self._fetch_drafts()
+            body = {**change, "Base": drafts["Newest"], "By": author}
+            status_code, reply = await self.call("conf.draft", msgspec.json.encode(body))
+            if status_code == HTTPStatus.PRECONDITION_FAILED:
+                continue  # the controller learned of a newer version between the two calls
+            if status_code != HTTPStatus.ACCEPTED:
+                self._print_line(f"answered {status_code}: {reply.get('Err', 'nothing was kept')}")
+                return ExitCode.OBJECTION
+            self._print_kept(reply)
+            return ExitCode.DONE
+        return ExitCode.OBJECTION
+
+    def _print_kept(self, reply: JsonObject) -> None:
+        disks = "1 disk" if reply["Disks"] == 1 else f"{reply['Disks']} disks"
+        self._print_line(f"draft {reply['Id']} on version {reply['Base']}: kept on {disks}, not in force")
+        if reply["Disks"] < 2:
+            self._print_line("  mind: no neighbour has a copy: it is lost with that machine")
+
+    async def print_drafts(self) -> ExitCode:
+        """Print all drafts; an objection where one is open."""
+        drafts = await self._fetch_drafts()
+        if not drafts["Leader"]:
+            self._print_line("no leader is reached from here: what was merged elsewhere is not known")
+        for draft in drafts["Drafts"]:
+            for line in describe_draft(draft):
+                self._print_line(line)
+        has_open = any(draft["State"] in OPEN_STATES for draft in drafts["Drafts"])
+        return ExitCode.OBJECTION if has_open else ExitCode.DONE
+
+    async def settle(self, draft_id: str) -> ExitCode:
+        """Have what was set aside of a draft come into force."""
+        return await self._end("conf.settle", draft_id, "what was set aside is acknowledged")
+
+    async def drop(self, draft_id: str) -> ExitCode:
+        """Have what was set aside of a draft forgotten."""
+        return await self._end("conf.close", draft_id, "closed")
+
+    async def _end(self, call: str, draft_id: str, outcome: str) -> ExitCode:
+        status_code, reply = await self.call(call, msgspec.json.encode({"Id": draft_id}))
+        if status_code != HTTPStatus.OK:
+            reason = reply.get("Err", "no majority has said so; look at drafts")
+            self._print_line(f"answered {status_code}: {reason}")
+            return ExitCode.OBJECTION
+        self._print_line(f"draft {draft_id}: {outcome}")
+        return ExitCode.DONE
+
+    async def _fetch_drafts(self) -> JsonObject:
+        status_code, drafts = await self.call("conf.drafts")
+        if status_code != HTTPStatus.OK:
+            raise Bad("no controller answers")
+        return drafts
--- /dev/null
+++ b/lapisgrade/gateway/cli/machine_loss.py
@@ -0,0 +1,85 @@
+"""What the loss of machines at once would do, by what the controllers say of themselves: pure."""
+
+from lapisgrade.gateway import SECOND
+from lapisgrade.gateway.cli.operator_client import JsonObject
+from lapisgrade.gateway.configuration import Configuration
+from lapisgrade.gateway.controller.watch import ALIVE
+from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
+from lapisgrade.gateway.settings import Bad
+
+
+def describe_loss(conf: Configuration, status: JsonObject, names: list[str]) -> tuple[list[str], bool]:
+    """Describe what the loss of those machines would do.
+
+    Args:
+        conf: the newest configuration.
+        status: `conf.status`.
+        names: the machines, by their proxies' names.
+
+    Returns:
+        Lines for people, and whether changes could still be made.
+
+    Raises:
+        Bad: there is no proxy of one of the names.
+    """
+    proxies = {proxy["Name"]: proxy for proxy in status["Proxies"]}
+    if unknown := sorted(set(names) - set(proxies)):
+        raise Bad(f"no proxy of that name: {', '.join(unknown)}")
+    lost_hosts = {_host(proxies[name]["At"]) for name in names}
+    voter_hosts = [_host(voter["At"]) for voter in status["Voters"]]
+    remaining = sum(host not in lost_hosts for host in voter_hosts)
+    has_majority = 2 * remaining > len(voter_hosts)
+    lines = [
+        _describe_voters(remaining, len(voter_hosts), has_majority),
+        *_describe_leader(_host(status["Leader"]) in lost_hosts, has_majority),
+        *_describe_zones(proxies, names),
+        *_describe_counts(conf, proxies, names),
+    ]
+    if len(names) == len(proxies):
+        lines.append("no proxy is left: nothing is served")
+    return lines, has_majority
+
+
+def _host(address: str) -> str:
+    return address.rpartition(":")[0]
+
+
+def _describe_voters(remaining: int, total: int, has_majority: bool) -> str:
+    consequence = (
+        "a majority, changes go on"
+        if has_majority
+        else "no majority, nothing is acknowledged until one is back"
+    )
+    return f"disks: {remaining} of {total} left: {consequence}"
+
+
+def _describe_leader(is_lost: bool, has_majority: bool) -> list[str]:
+    if not is_lost:
+        return []
+    consequence = "another is elected" if has_majority else "none can be elected"
+    return [f"the leader is among them: {consequence}"]
+
+
+def _describe_zones(proxies: dict[str, JsonObject], lost: list[str]) -> list[str]:
+    zones: dict[str, list[str]] = {}
+    for name, proxy in proxies.items():
+        zones.setdefault(proxy["Az"], []).append(name)
+    return [
+        f"zone {zone}: {len(set(names) - set(lost))} of {len(names)} proxies left"
+        for zone, names in sorted(zones.items())
+        if set(names) & set(lost)
+    ]
+
+
+def _describe_counts(conf: Configuration, proxies: dict[str, JsonObject], lost: list[str]) -> list[str]:
+    """Describe the tenants' counts whose owner is lost."""
+    beside_controllers = {name for name, proxy in proxies.items() if proxy["Core"]}
+    owners = eligible_owners(proxies, beside_controllers)
+    moved = [
+        tenant.name
+        for tenant in conf.tenants or ()
+        if tenant.rate_s and owner_of(tenant.name, owners) in lost
+    ]
+    if not moved:
+        return []
+    return [f"counts that others take over, dark for some {ALIVE / SECOND:g} s: {', '.join(moved)}"]
--- a/lapisgrade/gateway/renamed.py
+++ b/lapisgrade/gateway/renamed.py
@@ -1,17 +1,19 @@
-"""What earlier names of commands and roles are called now."""
+"""The command `lapisgrade-railway`, an earlier name of this program: says what the command is called now."""
 
 import sys
 
-ROLES = {"carrier": "proxy", "signalbox": "controller", "demo": "system-demo"}
+from lapisgrade.gateway.cli.exit_codes import ExitCode
 
+RENAMED_COMMANDS = {"carrier": "proxy", "signalbox": "controller", "demo": "system-demo"}
 
-def advice(arguments: list[str]) -> str:
-    """One line that says today's command for one of `lapisgrade-railway`."""
-    command = [ROLES.get(each, each) for each in arguments[:1]]
+
+def renamed_command_line(arguments: list[str]) -> str:
+    """Say today's command line for one of `lapisgrade-railway`."""
+    command = [RENAMED_COMMANDS.get(name, name) for name in arguments[:1]]
     return f"lapisgrade-railway is now: {' '.join(['lapisgrade', *command, *arguments[1:]])}"
 
 
 def main() -> int:
-    """The command `lapisgrade-railway`: says the new one and ends with code 2."""
-    print(advice(sys.argv[1:]), file=sys.stderr)
-    return 2
+    """Print the command line of today, and end with 2."""
+    print(renamed_command_line(sys.argv[1:]), file=sys.stderr)
+    return ExitCode.INVALID_INPUT
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -21,9 +21,9 @@
 
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
 from lapisgrade.net.http import MalformedMessageError
-from lapisgrade.gateway.cli.onboarding import OperatorClient, behind
+from lapisgrade.gateway.cli.operator_client import OperatorClient, lagging_proxies
 from lapisgrade.gateway.http_client import ask, told
-from lapisgrade.gateway.cli.draft import DraftClient
+from lapisgrade.gateway.cli.drafts import DraftClient
 from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE, Server
 
@@ -226,13 +226,13 @@
 
         async def everywhere() -> bool:
             try:
-                conf, where = await client.show()
+                conf, where = await client.fetch_newest()
             except Bad:
                 return False
             rule = next(each for each in conf["Ports"][0]["Policy"] if each["Name"] == "r-claim")
             both = (rule["Action"].get("Svc"), rule["Action"]["Timeout"]) == (NEW, timeout)
             names = {each["Name"] for each in where["Proxies"]}
-            return both and names == set(self.fleet.ip) and not behind(where, conf["Ver"])
+            return both and names == set(self.fleet.ip) and not lagging_proxies(where, conf["Ver"])
 
         await self.until(everywhere)
 
@@ -324,7 +324,7 @@
             await one.settled()
             pools = {"Upsert": {"Pools": [*SAMPLE["Pools"], {"Name": NEW}]}}
             await one.acknowledged(2, 1, pools)
-            await OperatorClient(fleet.ctl, lambda line: None).follow(2, WITHIN)
+            await OperatorClient(fleet.ctl, lambda line: None).wait_until_active(2, WITHIN)
             clients, began = Clients(fleet), time.monotonic()
             await asyncio.sleep(CALM)
             cut = time.monotonic()
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -6,8 +6,9 @@
 import msgspec
 
 from lapisgrade.gateway import configuration
-from lapisgrade.gateway.cli import check
-from lapisgrade.gateway.cli.onboarding import OperatorClient
+from lapisgrade.gateway.cli import configuration_check
+from lapisgrade.gateway.cli.machine_loss import describe_loss
+from lapisgrade.gateway.cli.operator_client import OperatorClient
 from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.settings import Address, Bad
@@ -65,27 +66,27 @@
 class Checked(unittest.TestCase):
     def test_every_kind_of_mistake_is_told_with_its_place_and_sent_nowhere(self) -> None:
         for edit, words in WRONG:
-            wrong, minded = check.checked(conf(edit))
+            wrong, minded = configuration_check.check_text(conf(edit))
             self.assertTrue(wrong and words in " ".join(wrong), (words, wrong))
             self.assertEqual(minded, [])
             self.assertNotIn("key-of-sfax", " ".join(wrong))
 
     def test_what_can_be_taken_but_may_be_meant_otherwise_is_minded(self) -> None:
-        self.assertEqual(check.checked(msgspec.json.encode(CONF)), ([], []))
+        self.assertEqual(configuration_check.check_text(msgspec.json.encode(CONF)), ([], []))
         for edit, words in MINDED:
-            wrong, minded = check.checked(conf(edit))
+            wrong, minded = configuration_check.check_text(conf(edit))
             self.assertEqual(wrong, [], words)
             self.assertIn(words, "\n".join(minded))
 
     def test_mistakes_say_how_they_are_mended(self) -> None:
-        wrong, _ = check.checked(conf(lambda c, r: action(r).update(Svc="nowhere")))
+        wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).update(Svc="nowhere")))
         hint = "(name the service under Pools, or send the route to one that is there)"
         self.assertEqual(wrong, [f"route r-claim: service 'nowhere' is not in Pools {hint}"])
-        wrong, _ = check.checked(conf(lambda c, r: action(r).pop("Timeout")))
+        wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).pop("Timeout")))
         place = "$.Ports[0].Policy[1].Action.Timeout"
         self.assertEqual(wrong, [f"required field missing @ {place} (it can't be left out)"])
         for edit, words in WRONG[1:8]:
-            self.assertTrue(check.checked(conf(edit))[0][0].endswith(")"), words)
+            self.assertTrue(configuration_check.check_text(conf(edit))[0][0].endswith(")"), words)
 
     def test_a_host_that_stands_twice_has_the_routes_of_both(self) -> None:
         def twice(c: dict, rules: list) -> None:
@@ -102,19 +103,19 @@
 class OnASite(unittest.IsolatedAsyncioTestCase):
     async def test_a_plan_says_what_then_happens(self) -> None:
         async with serving_cluster() as site:
-            current, where = await OperatorClient(site.ctl, lambda line: None).show()
+            current, where = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
             rule = {**SAMPLE["Ports"][0]["Policy"][1]}
             rule["Action"] = {**rule["Action"], "Svc": "reparation"}
             ports = [{"Vhost": "a.example", "Policy": [rule]}]
             change = {"Upsert": {"Ports": ports, "Pools": [{"Name": "reparation"}]}}
             lines = ["+ Pools/reparation", '  Routes/r-claim/Action/Svc: "garantie" -> "reparation"']
-            self.assertEqual(check.planned(current, change, where["Servers"]),
+            self.assertEqual(configuration_check.check_change(current, change, where["Servers"]),
                              (lines, [], ["service reparation: no server is up"]))  # fmt: skip
             self.assertEqual(await site.put({"Ver": 2, "Base": 1, **change}, "conf.update"), 200)
-            later, _ = await OperatorClient(site.ctl, lambda line: None).show()
-            self.assertEqual(check.changed(current, later), lines)
+            later, _ = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
+            self.assertEqual(configuration_check.describe_changes(current, later), lines)
             rule["Action"] = {"Svc": "nowhere", "Timeout": "1s"}
-            self.assertEqual(len(check.planned(current, change, where["Servers"])[1]), 1)
+            self.assertEqual(len(configuration_check.check_change(current, change, where["Servers"])[1]), 1)
 
 
 class Lost(unittest.IsolatedAsyncioTestCase):
@@ -123,20 +124,20 @@
 
     async def test_what_is_told_of_a_loss_is_what_then_happens(self) -> None:
         site = await self.enterAsyncContext(serving_cluster())
-        current, where = await self.client(site).show()
+        current, where = await self.client(site).fetch_newest()
         conf = configuration.read(current)
         keeper = owner_of("sfax", site.names)
         other = next(each for each in site.names if each != keeper)
-        lines, goes_on = check.loss(conf, where, [keeper])
+        lines, goes_on = describe_loss(conf, where, [keeper])
         self.assertEqual([goes_on, lines[0], lines[-1], "zone local: 2 of 3 proxies left" in lines],
                          [True, "disks: 2 of 3 left: a majority, changes go on",
                           "counts that others take over, dark for some 2 s: sfax", True])  # fmt: skip
-        self.assertFalse([line for line in check.loss(conf, where, [other])[0] if "counts" in line])
-        lines, goes_on = check.loss(conf, where, [keeper, other])
+        self.assertFalse([line for line in describe_loss(conf, where, [other])[0] if "counts" in line])
+        lines, goes_on = describe_loss(conf, where, [keeper, other])
         self.assertFalse(goes_on)
         self.assertIn("no majority, nothing is acknowledged until one is back", lines[0])
         with self.assertRaisesRegex(Bad, "no proxy of that name: m9"):
-            check.loss(conf, where, ["m9"])
+            describe_loss(conf, where, ["m9"])
         for part in (site.controllers[keeper], site.proxies[keeper]):
             await site.kill(part)
         change = {"Ver": 2, "Base": 1, "Upsert": {"Pools": [{"Name": "b"}]}}
--- a/tests/gateway/cli/test_demo.py
+++ b/tests/gateway/cli/test_demo.py
@@ -14,10 +14,10 @@
 
 class Demonstration(unittest.IsolatedAsyncioTestCase):
     def test_what_was_not_served_is_told_with_why_and_where(self) -> None:
-        load = demo.Load()
+        load = demo.LoadResult()
         load.add(0.25, "m2", TimeoutError())
         load.add(0.5, "m1", TimeoutError())
-        self.assertEqual(load.lines(), ["  not served: 2 with TimeoutError (no whole answer), "
+        self.assertEqual(load.failure_lines(), ["  not served: 2 with TimeoutError (no whole answer), "
                                         "the first after 0.25 s at proxy m2"])  # fmt: skip
 
     def setUp(self) -> None:
@@ -31,5 +31,5 @@
         for _ in range(5):
             said: list[str] = []
             with contextlib.redirect_stderr(io.StringIO()):
-                status = await demo.demo(1.0, said.append)
+                status = await demo.run_demo(1.0, said.append)
             self.assertEqual(status, 0, "\n".join(said))
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lapisgrade.gateway.cli.dump import DiskReport
+from lapisgrade.gateway.cli.disk_report import DiskReport
 from lapisgrade.gateway.consensus.messages import Entry
 from lapisgrade.gateway.consensus.records import EntriesRecord, HardState, Record, SnapshotRecord
 from lapisgrade.gateway.controller.state_machine import (
@@ -53,7 +53,7 @@
     def test_what_is_on_it_is_told_and_nothing_is_written(self) -> None:
         before = self.times()
         found = DiskReport(self.folder)
-        self.assertEqual(found.lines(), [
+        self.assertEqual(found.summary(), [
             "disk first, generation 1, 3 sound records",
             "term 2; a snapshot up to entry 0 (version 0), 3 entries after it",
             "voters: first at 10.0.0.1:7660",
@@ -97,7 +97,7 @@
         path = os.path.join(self.folder, "log-1.dat")
         with open(path, "ab") as file:
             file.write(b"LGD1 torn")
-        self.assertEqual(DiskReport(self.folder).records, 3)
+        self.assertEqual(DiskReport(self.folder).record_count, 3)
         with open(path, "r+b") as file:  # one bit of what was surely there
             file.seek(40)
             byte = file.read(1)
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -9,8 +9,9 @@
 import msgspec
 
 from lapisgrade.gateway import rpc_messages
-from lapisgrade.gateway.cli import onboarding
-from lapisgrade.gateway.cli.onboarding import OperatorClient, behind, plan
+from lapisgrade.gateway.cli import tenants
+from lapisgrade.gateway.cli.operator_client import lagging_proxies
+from lapisgrade.gateway.cli.tenants import TenantClient, plan_onboarding
 from lapisgrade.gateway.local_cluster import SAMPLE
 from lapisgrade.gateway.settings import Bad
 from support.local_clusters import serving_cluster
@@ -36,7 +37,7 @@
 
 class Planned(unittest.TestCase):
     def test_what_will_change_is_told(self) -> None:
-        made = plan(CURRENT, SERVERS, text())
+        made = plan_onboarding(CURRENT, SERVERS, text())
         self.assertEqual(
             made.lines,
             [
@@ -44,7 +45,7 @@
                 "route r-gabes: gabes.example/ to garantie",
             ],
         )
-        self.assertEqual((made.against, made.doubts), ([], ["service garantie: 40 a second within 0.4 s "
+        self.assertEqual((made.objections, made.warnings), ([], ["service garantie: 40 a second within 0.4 s "
                          "may take 16 slots at once, and it has 8"]))  # fmt: skip
 
     def test_what_speaks_against_it(self) -> None:
@@ -60,7 +61,7 @@
                 ["route r-new: service 'nowhere' is not in Pools"],
             ),
         ):
-            self.assertEqual(plan(CURRENT, SERVERS, ticket).against, against)
+            self.assertEqual(plan_onboarding(CURRENT, SERVERS, ticket).objections, against)
 
     def test_what_is_to_be_minded(self) -> None:
         quiet = {**TICKET, "RateS": 0}
@@ -68,9 +69,9 @@
             ("/stock/eu/", "route r-new takes from r-stock, whose prefix is shorter"),
             ("/", "route r-new is hidden in part by r-stock"),
         ):
-            made = plan(CURRENT, SERVERS, msgspec.json.encode({**quiet, "Ports": routed(pfx)}))
-            self.assertIn(doubt, made.doubts)
-            self.assertEqual(made.against, [])
+            made = plan_onboarding(CURRENT, SERVERS, msgspec.json.encode({**quiet, "Ports": routed(pfx)}))
+            self.assertIn(doubt, made.warnings)
+            self.assertEqual(made.objections, [])
 
     def test_a_ticket_that_can_t_be_taken_says_where(self) -> None:
         for ticket, word in (
@@ -82,14 +83,14 @@
             (text(Ports=routed("stock")), "does not begin with a slash"),
         ):
             with self.assertRaises(Bad) as got:
-                onboarding.read(ticket)
+                tenants.read_ticket(ticket)
             self.assertIn(word, str(got.exception))
 
     def test_who_holds_back_is_told_with_what_it_lacks(self) -> None:
         one = {"Name": "c1", "Az": "z", "Held": 4, "InForce": 3, "HeardMs": 20}
         told = {"Proxies": [one, {**one, "Name": "c2", "Held": 3, "HeardMs": 1900}, {**one, "InForce": 4}]}
         self.assertEqual(
-            behind(told, 4),
+            lagging_proxies(told, 4),
             [
                 "c1: holds 4 ready, acts by 3, heard 20 ms ago",
                 "c2: last told of 3, acts by 3, heard 1900 ms ago",
@@ -100,7 +101,7 @@
 class Applied(unittest.IsolatedAsyncioTestCase):
     async def test_from_a_ticket_to_the_first_calls_and_back(self) -> None:
         site, said = await self.enterAsyncContext(serving_cluster()), []
-        client = OperatorClient(site.ctl, said.append)
+        client = TenantClient(site.ctl, said.append)
         self.assertEqual(await client.apply(text(), 5.0), 0)
         self.assertEqual(
             said,
@@ -127,7 +128,7 @@
     async def test_two_operators_at_once_both_come_through(self) -> None:
         site = await self.enterAsyncContext(serving_cluster())
         other = {**TICKET, "Name": "lagos", "Apikeys": ["key-of-lagos"], "Ports": []}
-        offices = [OperatorClient(site.ctl, lambda line: None) for _ in range(2)]
+        offices = [TenantClient(site.ctl, lambda line: None) for _ in range(2)]
         got = await asyncio.gather(
             offices[0].apply(text(), 5.0), offices[1].apply(msgspec.json.encode(other), 5.0)
         )
@@ -146,7 +147,7 @@
             for each in range(350)
         ]
         more = {"Ver": 2, "Base": 1, "Upsert": {"Ports": [{"Vhost": "a.example", "Policy": rules}]}}
-        client = OperatorClient(site.ctl, lambda line: None)
+        client = TenantClient(site.ctl, lambda line: None)
         put, applied = await asyncio.gather(site.put(more, "conf.update"), client.apply(text(), 8.0))
         if put == 412:  # the tenant came first
             put = await site.put({**more, "Ver": 3, "Base": 2}, "conf.update")
@@ -172,7 +173,7 @@
 
         silent.rpc.call = unheard  # no news comes any more, and it does not know that yet
         said: list[str] = []
-        self.assertIn(await OperatorClient(site.ctl, said.append).apply(text(), 4.0), (0, 3))
+        self.assertIn(await TenantClient(site.ctl, said.append).apply(text(), 4.0), (0, 3))
         served = await site.get("m1", "/1", "key-of-gabes", host="gabes.example")
         met = await site.get("m3", "/1", "key-of-gabes", host="gabes.example", tries=1)
         old = await site.get("m3", "/stock/1", "key-of-sfax", tries=1)
--- a/tests/gateway/cli/test_rollout.py
+++ b/tests/gateway/cli/test_rollout.py
@@ -4,7 +4,7 @@
 import unittest
 
 from lapisgrade.gateway.cli import rollout
-from lapisgrade.gateway.cli.onboarding import OperatorClient
+from lapisgrade.gateway.cli.operator_client import OperatorClient
 from lapisgrade.gateway.local_cluster import CTL, LocalCluster
 from lapisgrade.gateway.settings import Address
 from support.local_clusters import serving_cluster
@@ -31,12 +31,16 @@
                 await asyncio.sleep(0.02)
 
         task = asyncio.create_task(pulls())
-        lives = {name: each.own for name, each in site.proxies.items()}
-        self.assertEqual(await rollout.roll(self.client(site), site.names, restart, said.append, 20.0), 0)
+        lives = {name: each.context.incarnation for name, each in site.proxies.items()}
+        self.assertEqual(
+            await rollout.RollingRestart(self.client(site), restart, said.append, 20.0).run(site.names), 0
+        )
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         self.assertEqual(said, ["1 of 3: m1", "2 of 3: m2", "3 of 3: m3", "all are back and well"])
-        self.assertFalse({name for name, each in site.proxies.items() if each.own == lives[name]})
+        self.assertFalse(
+            {name for name, each in site.proxies.items() if each.context.incarnation == lives[name]}
+        )
         self.assertEqual(set(answers), {200})
 
     async def test_a_rolling_restart_stops_at_the_machine_that_is_not_back(self) -> None:
@@ -46,7 +50,9 @@
             await site.kill(site.proxies[name])
             return 0
 
-        self.assertEqual(await rollout.roll(self.client(site), site.names, restart, said.append, 3.0), 3)
+        self.assertEqual(
+            await rollout.RollingRestart(self.client(site), restart, said.append, 3.0).run(site.names), 3
+        )
         self.assertEqual(said[:2], ["1 of 3: m1", "stopped at m1:"])
         # A leader that is new has not heard it, one that is not has counted it out.
         self.assertRegex(said[2], "^  proxy m1 (is not there|acts by version 0, not 1|was heard .* ago)$")
@@ -58,16 +64,18 @@
         said.clear()
         await site.start_proxy("m1")
         await site.until(lambda: site.proxies["m1"].ready)
-        self.assertEqual(await rollout.roll(self.client(site), ["m2"], failing, said.append, 10.0), 3)
+        self.assertEqual(
+            await rollout.RollingRestart(self.client(site), failing, said.append, 10.0).run(["m2"]), 3
+        )
         self.assertEqual(said, ["1 of 1: m2", "stopped at m2:", "  the command ended with 7"])
 
     def test_what_is_not_as_well_as_it_was_is_told(self) -> None:
         one = {"Name": "c1", "Life": "a", "HeardMs": 10, "InForce": 4}
         disk = {"Id": "d1", "HeardMs": 10}
         well = {"Proxies": [one], "Voters": [disk], "Servers": {"s": {"Up": 10}}, "Newest": 4}
-        watch = rollout.RolloutMonitor()
-        watch.begin(well)
-        self.assertEqual(watch.wrong(well), [])
+        monitor = rollout.RolloutMonitor()
+        monitor.record_baseline(well)
+        self.assertEqual(monitor.problems(well), [])
         for now, words in (
             ({**well, "Proxies": []}, "proxy c1 is not there"),
             ({**well, "Proxies": [{**one, "HeardMs": 2500}]}, "proxy c1 was heard 2500 ms ago"),
@@ -76,4 +84,4 @@
             ({**well, "Voters": [{**disk, "HeardMs": 9000}]}, "disk d1 was heard 9000 ms ago"),
             ({**well, "Servers": {"s": {"Up": 7}}}, "service s: 7 servers are up, 10 were"),
         ):
-            self.assertEqual(watch.wrong(now), [words])
+            self.assertEqual(monitor.problems(now), [words])
--- a/tests/gateway/controller/test_activation_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -17,7 +17,7 @@
 from support.loopback_network import reserve_loopback_network
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet
 from lapisgrade.lab.fleet.process import ROOT
-from lapisgrade.gateway.cli.onboarding import OperatorClient
+from lapisgrade.gateway.cli.tenants import TenantClient
 
 TICKET = {
     "Apikeys": ["key-of-gabes"], "Name": "gabes",
@@ -81,7 +81,7 @@
     async def onboard(self, calls: Calls, fault=None) -> None:
         """Bring the tenant in under calls at every proxy, with a fault as the change is sent."""
         fleet = calls.fleet
-        client = OperatorClient(fleet.ctl, calls.on_operator_line)
+        client = TenantClient(fleet.ctl, calls.on_operator_line)
         doing = asyncio.create_task(client.apply(msgspec.json.encode(TICKET), 8.0))
         if fault is not None:
             await fault()
@@ -125,7 +125,7 @@
 
             calls = Calls(fleet)
             await kill()
-            client = OperatorClient(fleet.ctl, lambda line: None)
+            client = TenantClient(fleet.ctl, lambda line: None)
 
             async def applied() -> bool:
                 try:
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lapisgrade.gateway.cli.draft import DraftClient
+from lapisgrade.gateway.cli.drafts import DraftClient
 from lapisgrade.gateway.controller import drafts
 from lapisgrade.gateway.http_client import told
 from lapisgrade.gateway.local_cluster import CTL, SAMPLE, Links, LocalCluster
@@ -64,7 +64,7 @@
             f"draft {name} on version 1: kept on 1 disk, not in force",
             "  mind: no neighbour has a copy: it is lost with that machine"]))  # fmt: skip
         said = []
-        self.assertEqual(await self.client(site, "m3", said).drafts(), 0)
+        self.assertEqual(await self.client(site, "m3", said).print_drafts(), 0)
         self.assertEqual(said, [
             "no leader is reached from here: what was merged elsewhere is not known",
             f"{name} by amel at m3 on version 1: kept, not in force",
@@ -83,7 +83,7 @@
             rule = self.rule(site, each)
             self.assertEqual((rule.action.svc, rule.action.timeout, rule.prio), ("reparation", 1_500_000, 0))
         said = []
-        self.assertEqual(await self.client(site, "m1", said).drafts(), 0)
+        self.assertEqual(await self.client(site, "m1", said).print_drafts(), 0)
         self.assertEqual(said, [f"{name} by amel at m3 on version 1: merged, all of it stands"])
         await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
 
@@ -104,22 +104,22 @@
         await site.until(lambda: len(site.controllers["m2"].state_machine.open_drafts()) == 2)
         said = []
         client = self.client(site, "m2", said)
-        self.assertEqual(await client.drafts(), 1)
+        self.assertEqual(await client.print_drafts(), 1)
         self.assertEqual(sorted(said), sorted([
             f"{name} by amel at m3 on version 1: merged in part",
             "  Routes/r-claim/Prio: has 0, wants 3: acknowledged since",
             f"{other} by badr at m3 on version 1: merged in part",
             "  Routes/r-claim/Prio: has 0, wants 5: acknowledged since"]))  # fmt: skip
-        self.assertEqual(await client.end(name, True), 0)
+        self.assertEqual(await client.settle(name), 0)
         await site.until(lambda: all(self.rule(site, each).prio == 3 for each in site.names))
         rule = self.rule(site, "m1")
         self.assertEqual((rule.action.svc, rule.mode), ("reparation", "idem"))
-        self.assertEqual(await client.end(other, False), 0)
-        self.assertEqual(await client.end(other, False), 1)
+        self.assertEqual(await client.drop(other), 0)
+        self.assertEqual(await client.drop(other), 1)
         self.assertEqual(said[-3:], [
             f"draft {name}: what was set aside is acknowledged", f"draft {other}: closed",
             "answered 404: no such draft is open"])  # fmt: skip
-        self.assertEqual(await client.drafts(), 0)
+        self.assertEqual(await client.print_drafts(), 0)
 
     async def test_a_copy_on_a_neighbour_s_disk_outlives_the_draft_s_own(self) -> None:
         site = await self.site()
