--- a/lapisgrade/gateway/membership/__init__.py
+++ b/lapisgrade/gateway/membership/__init__.py
@@ -1,2 +1,8 @@
-"""Which proxies know of each other: by partial views that neighbours shuffle (views.py, with its socket in
-shuffles.py), and those that share servers by groups cut from the list of live proxies (groups.py)."""
+"""How a proxy knows other proxies, beside the membership that the controllers commit.
+
+`partial_view` is a sample of the proxies, shuffled between neighbours (Cyclon), with `gossip` as its socket;
+`subsets` divides the committed membership into proxies that report their load to each other.
+
+`lapisgrade.members` is another package, as it serves another program: limiters without controllers, which
+find by themselves who lives (SWIM). Here the controllers decide that.
+"""
--- a/lapisgrade/gateway/membership/gossip.py
+++ b/lapisgrade/gateway/membership/gossip.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections.abc import Callable
+from typing import Any
 
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.membership.partial_view import PartialView, SendShuffle, Shuffle
@@ -34,7 +35,7 @@
             self._timer.cancel()
         self.udp.close()
 
-    def _on_frame(self, source: str, received: frame.Frame) -> None:
+    def _on_frame(self, source: str, received: frame.Frame[Any]) -> None:
         self._send(self.partial_view.on_shuffle(source, received.message))
 
     def _on_timer(self) -> None:
--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -53,7 +53,7 @@
 
     answer: bool
     way: ControlHint
-    news: list[Neighbour] = []
+    updates: list[Neighbour] = []
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
             sample = self._sample(SHUFFLE_ENTRIES, source)
             answer = [SendShuffle(source, Shuffle(True, self.control_hint, sample))]
             sent = [neighbour.address for neighbour in sample]
-        for neighbour in shuffle.news[:SHUFFLE_ENTRIES]:
+        for neighbour in shuffle.updates[:SHUFFLE_ENTRIES]:
             self._add(neighbour, sent)
         return answer
 
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -31,7 +31,7 @@
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import Settings
 from lapisgrade.net.http import Message as HttpMessage
-from lapisgrade.peers.frame import MOST_NAME
+from lapisgrade.peers.frame import MAX_NAME_LENGTH
 
 log = logging.getLogger("proxy")
 
@@ -82,7 +82,7 @@
         self.quota_owner = QuotaOwner(settings.hostname, context.incarnation, context.now_us())
         self.partial_view = PartialView(str(self.inner), settings.az, context.random, context.now_us())
         self.gossip = Gossip(
-            settings.hostname[:MOST_NAME], self.partial_view, context.now_us, context.log_diagnostic
+            settings.hostname[:MAX_NAME_LENGTH], self.partial_view, context.now_us, context.log_diagnostic
         )
         self.watch_target = WatchTarget(context.random, self.partial_view, [])
         self._apply_seeds()
--- a/lapisgrade/members/__main__.py
+++ b/lapisgrade/members/__main__.py
@@ -1,7 +1,6 @@
-"""One member as a process of its own: `python -m lapisgrade.members NAME HOST:PORT [--at HOST:PORT]
-[SEED...]`.
+"""One member as a process of its own: `python -m lapisgrade.members NAME HOST:PORT [SEED...]`.
 
-Prints its address, then a JSON line for each change it learns of; SIGTERM ends it. For trying a network
+Prints its address, then a JSON line for each change that it learns of; SIGTERM ends it. For trying a network
 out, and for the tests; a limiter hosts its membership itself.
 """
 
@@ -13,28 +12,50 @@
 import msgspec
 
 from lapisgrade import start
-from lapisgrade.members.core import News, State
+from lapisgrade.members.core import MemberMetrics
 from lapisgrade.members.host import Host, now_us
+from lapisgrade.members.messages import MemberState, Update
 
 
-def show(**what) -> None:
-    sys.stdout.buffer.write(msgspec.json.encode(what) + b"\n")
+def print_json(**fields: object) -> None:
+    """Print one JSON object on a line."""
+    sys.stdout.buffer.write(msgspec.json.encode(fields) + b"\n")
     sys.stdout.buffer.flush()
 
 
-async def run(name: str, listen: str, reached_at: str, seeds: list[str], chance: int) -> None:
-    def changed(news: News) -> None:
-        show(at=now_us(), name=news.name, state=State(news.state).name.lower(), by=news.by)
+def printed_counts(metrics: MemberMetrics) -> dict[str, int]:
+    """Return the counters by the keys that this command prints."""
+    return {
+        "sent": metrics.sent,
+        "heard": metrics.received,
+        "refuted": metrics.refuted,
+        "suspected": metrics.suspected,
+        "died": metrics.died,
+        "strange": metrics.invalid,
+    }
 
-    host = Host(name, lambda text: print(f"{name}: {text}", file=sys.stderr, flush=True), changed, chance)
+
+async def run(name: str, listen: str, reached_at: str, seeds: list[str], random_seed: int) -> None:
+    """Be a member until SIGTERM."""
+
+    def on_change(update: Update) -> None:
+        state = MemberState(update.state).name.lower()
+        print_json(at=now_us(), name=update.name, state=state, by=update.by)
+
+    def log_line(text: str) -> None:
+        print(f"{name}: {text}", file=sys.stderr, flush=True)
+
+    host = Host(name, log_line, on_change, random_seed)
     ending = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ending.set)
-    show(address=await host.open(*start.address(listen, "listen"), seeds, reached_at))
+    print_json(address=await host.open(*start.address(listen, "listen"), seeds, reached_at))
     try:
         await ending.wait()
     finally:
         host.close()
-        show(counts={**host.core.counts, **host.udp.counts}, alive=host.core.alive())
+        assert host.core is not None
+        counts = {**printed_counts(host.core.metrics), **host.udp.counts}
+        print_json(counts=counts, alive=host.core.alive())
 
 
 @click.command()
@@ -42,11 +63,11 @@
 @click.argument("listen")
 @click.argument("seeds", nargs=-1)
 @click.option("--at", "reached_at", default="", help="where others reach it, where that is not LISTEN")
-@click.option("--seed", "chance", type=int, default=0, help="of its chance")
-def main(name: str, listen: str, seeds: tuple[str, ...], reached_at: str, chance: int) -> None:
+@click.option("--seed", "random_seed", type=int, default=0, help="of its chance")
+def main(name: str, listen: str, seeds: tuple[str, ...], reached_at: str, random_seed: int) -> None:
     """One member NAME at LISTEN, met through SEEDS (host:port each)."""
     try:
-        asyncio.run(run(name, listen, reached_at, list(seeds), chance))
+        asyncio.run(run(name, listen, reached_at, list(seeds), random_seed))
     except (OSError, start.Malformed) as wrong:
         click.echo(f"the member could not start: {wrong}", err=True)
         sys.exit(2)
--- a/lapisgrade/members/core.py
+++ b/lapisgrade/members/core.py
@@ -1,146 +1,56 @@
-"""One limiter's view of which limiters live: pure, fed messages and a clock, handing out messages and a
-time to wake.
+"""One limiter's view of which limiters live: pure, driven by messages and a clock.
 
 SWIM (Das, Gupta, Motivala 2002): each period one member is probed, in a shuffled round; one that does not
 answer is probed through a few others; one that nobody reaches is suspected, and dead once nothing refuted
-that in time. News of this rides on the probes and their answers. Lifeguard (Dadgar, Phillips, Currey
-2017): a member that misses answers thinks less of its own health, and is slower to judge; a suspicion runs
-out sooner the more members share it.
+that in time. Updates on members are sent along with the probes and their answers. Lifeguard (Dadgar,
+Phillips, Currey 2017): a member that misses answers lowers its own health, and is slower to judge; a
+suspicion runs out sooner the more members share it.
 
-Whoever hosts a `Members` hands it each message with `heard`, calls `due` at `wakes_us` or later, and sends
-what both return. Times are whole microseconds of its own clock; nothing here needs clocks to agree. Chance
-comes from the `random.Random` that is handed in: the same events give the same messages.
+    ALIVE <-----------------(ALIVE, of a higher incarnation)-----------------------+
+      |                                                     |                      |
+      +--(nobody reaches it, or another suspects it)--> SUSPECT --(not refuted)--> DEAD --> forgotten
+
+A suspicion ends at `MemberTable.suspicion_ends_us`; a dead member is kept for `dead_retention_us`.
+
+The shell hands each message to `on_message`, calls `on_timer` at `wakes_us` or later, and sends what both
+return. Times are whole microseconds of its own clock; nothing here needs clocks to agree. Randomness comes
+from the `random.Random` that is handed in: the same events give the same messages.
 """
 
-import math
-from dataclasses import dataclass, field
-from enum import IntEnum
+from dataclasses import dataclass
 from random import Random
 
 import msgspec
 
-SECOND = 1_000_000
-
-
-class State(IntEnum):
-    """Of one incarnation, the later overrides the earlier."""
-
-    ALIVE = 0
-    SUSPECT = 1
-    DEAD = 2
-
-
-class News(msgspec.Struct, array_like=True, frozen=True):
-    """What one member says of another. `by` is who suspects it; news of death names who said so first."""
-
-    name: str
-    address: str
-    incarnation: int
-    state: int
-    by: str = ""
-
-
-class Ping(msgspec.Struct, array_like=True, tag="p", frozen=True):
-    """Answer this. `name` is who is meant: a process that took over an address does not answer for the
-    last."""
-
-    number: int
-    name: str
-    news: list[News] = []
-
-
-class Ask(msgspec.Struct, array_like=True, tag="q", frozen=True):
-    """Probe that member for me, and pass its answer on."""
-
-    number: int
-    name: str
-    address: str
-    news: list[News] = []
-
-
-class Ack(msgspec.Struct, array_like=True, tag="a", frozen=True):
-    """I live, or the one you asked about does. `missed` says that an asked-for probe got no answer in
-    time."""
-
-    number: int
-    missed: bool = False
-    news: list[News] = []
-
-
-class Sync(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """A part of what I know; tell me yours, unless this is the answer already."""
-
-    answer: bool
-    news: list[News] = []
-
-
-Message = Ping | Ask | Ack | Sync
-
-
-@dataclass(frozen=True, slots=True)
-class Pace:
-    """Times in us. With the defaults a member of ten is found dead within a second or two."""
+from lapisgrade.members.dissemination import UpdateQueue
+from lapisgrade.members.failure_detector import FailureDetector, Send
+from lapisgrade.members.health import LocalHealth
+from lapisgrade.members.messages import Ack, MemberState, Message, Ping, PingRequest, Sync, Update
+from lapisgrade.members.table import MAX_MEMBERS, MAX_SUSPECTERS, Member, MemberTable
+from lapisgrade.members.timing import Timing
 
-    period_us: int = 200_000  # between probes
-    answer_us: int = 80_000  # a probe unanswered so long is asked of others; below the period
-    others: int = 3  # members that are asked to probe instead
-    suspicion: float = 4.0  # periods x log10 of the members (1 at least): the least that a suspicion lasts
-    slowest: float = 6.0  # times the least: a suspicion that nobody shares lasts that
-    worst_health: int = 8  # Lifeguard's bound on the own health's count
-    spread: float = 4.0  # times log10 of the members: how often a piece of news is passed on
-    news_a_message: int = 8  # pieces; a datagram holds them
-    sync_us: int = 2 * SECOND  # between full exchanges, a slice of the table each
-    slice: int = 24  # members in one exchange
-    forget_us: int = 120 * SECOND  # a dead member is tried now and then for so long: halves meet again
+MAX_NAME_LENGTH = 64  # characters
+MAX_INCARNATION = 1 << 62  # an update may name any: one that leaves no room above it is ignored
 
 
 @dataclass(slots=True)
-class Member:
-    """One other limiter as this one sees it."""
+class MemberMetrics:
+    """Counters of one member since its start, in messages or updates."""
 
-    name: str
-    address: str
-    incarnation: int
-    state: State
-    since_us: int  # when it came to this state, here
-    suspects: set[str] = field(default_factory=set)  # who suspects it, as far as heard
-
-
-@dataclass(slots=True)
-class Probe:
-    """A probe under way."""
-
-    target: str
-    number: int
-    asks_at_us: int  # when others are asked; past that, 0
-    ends_us: int
-    asked: int = 0
-    missed: int = 0  # of those asked, who said that they got no answer either
-
-
-@dataclass(slots=True)
-class Relayed:
-    """A probe made for another."""
-
-    asker: str  # address
-    number: int  # the asker's
-    says_missed_at_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class Send:
-    to: str  # address
-    message: Message
-
-
-MOST_MEMBERS = 10_000  # a flood of names made up holds no more of us
-MOST_RELAYED = 64  # probes for others under way at once
-MOST_NAME = 64  # characters
+    sent: int = 0  # messages
+    received: int = 0  # messages
+    refuted: int = 0  # updates that held this member suspect or dead, or spoke of an earlier incarnation
+    suspected: int = 0  # members that came to be suspected here
+    died: int = 0  # members that came to be held dead here
+    invalid: int = 0  # updates out of bounds
 
 
 class Members:
-    """`alive()` is who is thought to live, this one among them; `changed` holds what changed since it was
-    read."""
+    """The members that one limiter knows.
+
+    `alive()` is who is thought to live, this one among them; `changed` holds what changed since it was last
+    emptied by the shell.
+    """
 
     def __init__(
         self,
@@ -149,284 +59,194 @@
         incarnation: int,
         now_us: int,
         random: Random,
-        pace: Pace | None = None,
+        timing: Timing | None = None,
     ) -> None:
-        """`incarnation` must be higher than in any earlier life of the name, as a start time in ms is."""
-        self.name, self.address, self.incarnation = name, address, incarnation
-        self.pace, self.random, self.now = pace or Pace(), random, now_us
-        self.members: dict[str, Member] = {}
-        self.health = 0  # 0 well; each missed answer makes it worse
-        self.changed: list[News] = []
-        self.counts = dict.fromkeys(("sent", "heard", "refuted", "suspected", "died", "strange"), 0)
-        self._round: list[str] = []
-        self._probe: Probe | None = None
-        self._relayed: dict[int, Relayed] = {}
-        self._number = random.getrandbits(31)
-        self._news: dict[str, tuple[News, int]] = {}  # what is passed on, and how often it was
-        self._next_probe = now_us + round(random.random() * self.pace.period_us)
-        self._next_sync = now_us + round(random.random() * self.pace.sync_us)
+        """Begin alone.
+
+        Args:
+            name: this member's.
+            address: where others reach it.
+            incarnation: higher than in any earlier process of the name, as a start time in ms is.
+            now_us: the time.
+            random: the source of all randomness.
+            timing: the protocol's times, the same at all members.
+        """
+        self.name = name
+        self.address = address
+        self.incarnation = incarnation
+        self.timing = timing or Timing()
+        self.changed: list[Update] = []
+        self.metrics = MemberMetrics()
+        self.table = MemberTable(self.timing)
+        self.health = LocalHealth(self.timing)
+        self.failure_detector = FailureDetector(
+            self.table, self.health, self.timing, random, now_us, self._send, self._suspect
+        )
+        self._random = random
+        self._now_us = now_us
+        self._updates = UpdateQueue(self.timing)
+        self._next_sync_us = now_us + round(random.random() * self.timing.sync_interval_us)
         self._seeds: list[str] = []
 
-    # ---- what the host does
+    # ---- what the shell calls
 
     def join(self, addresses: list[str]) -> list[Send]:
-        """Meet the members at these addresses; again now and then until one has answered."""
+        """Contact the members at these addresses; again now and then until one has answered."""
         self._seeds = [each for each in addresses if each != self.address]
         return [self._sync(each, False) for each in self._seeds]
 
     def alive(self) -> list[str]:
-        """Names of the members that live or are only suspected, this one among them, in order."""
-        live = [each.name for each in self.members.values() if each.state is not State.DEAD]
-        return sorted([self.name, *live])
+        """Return the names of those that live or are only suspected, this one among them, in order."""
+        return sorted([self.name, *self.table.not_dead()])
+
+    def holds_dead(self, name: str) -> bool:
+        """Return whether that member is known and held dead."""
+        member = self.table.by_name.get(name)
+        return member is not None and member.state is MemberState.DEAD
 
     @property
     def wakes_us(self) -> int:
-        """When `due` is to be called next, at the latest."""
-        times = [self._next_probe, self._next_sync]
-        if self._probe is not None:
-            times.append(self._probe.asks_at_us or self._probe.ends_us)
-        times += [each.says_missed_at_us for each in self._relayed.values()]
-        times += [self._ends(each) for each in self.members.values() if each.state is State.SUSPECT]
-        return min(times)
-
-    def due(self, now_us: int) -> list[Send]:
-        """The clock has come to `now_us`."""
-        self.now = max(self.now, now_us)
-        out = self._probing()
-        for member in list(self.members.values()):
-            if member.state is State.SUSPECT and self.now >= self._ends(member):
-                self._learn(News(member.name, member.address, member.incarnation, State.DEAD, self.name))
-            elif member.state is State.DEAD and self.now - member.since_us > self.pace.forget_us:
-                del self.members[member.name]
-                self._news.pop(member.name, None)
-        for number, each in list(self._relayed.items()):
-            if self.now >= each.says_missed_at_us:
-                del self._relayed[number]
-                out.append(self._send(each.asker, Ack(each.number, True)))
-        if self.now >= self._next_sync:
-            self._next_sync = self.now + self._spread_out(self.pace.sync_us)
-            # Dead ones too, and seeds never met: two halves of a partition that is healed meet this way, and
-            # two groups whose seeds were not up yet when they started.
-            known = [each.address for each in self.members.values()]
-            unmet = [each for each in self._seeds if each not in known]
-            places = unmet if unmet and (not known or self.random.random() < 0.5) else known
-            if places:
-                out.append(self._sync(self.random.choice(places), False))
+        """When `on_timer` is to be called next, at the latest."""
+        suspects = self.table.with_state(MemberState.SUSPECT)
+        times = [self._next_sync_us, *self.failure_detector.wake_times_us()]
+        return min(times + [self.table.suspicion_ends_us(member) for member in suspects])
+
+    def on_timer(self, now_us: int) -> list[Send]:
+        """Do what is due at `now_us`."""
+        self._now_us = max(self._now_us, now_us)
+        out = self.failure_detector.on_timer(self._now_us)
+        self._expire_members()
+        out += self.failure_detector.expire_relayed(self._now_us)
+        if self._now_us >= self._next_sync_us:
+            out += self._begin_sync()
         return out
 
-    def heard(self, now_us: int, source: str, message: Message) -> list[Send]:
-        """A message came from the address `source`."""
-        self.now = max(self.now, now_us)
-        self.counts["heard"] += 1
-        said = self.incarnation
-        for each in message.news[: max(self.pace.news_a_message, self.pace.slice) + 1]:
-            self._learn(each)
+    def on_message(self, now_us: int, source: str, message: Message) -> list[Send]:
+        """Take in a message from the address `source`."""
+        self._now_us = max(self._now_us, now_us)
+        self.metrics.received += 1
+        incarnation = self.incarnation
+        limit = max(self.timing.updates_per_message, self.timing.sync_members) + 1
+        for update in message.updates[:limit]:
+            self._apply(update)
         if isinstance(message, Ping):
             return [self._send(source, Ack(message.number))] if message.name == self.name else []
-        if isinstance(message, Ask):
-            return self._ask(source, message)
+        if isinstance(message, PingRequest):
+            return self.failure_detector.on_ping_request(self._now_us, source, message)
         if isinstance(message, Ack):
-            return self._ack(message)
-        # One that holds us dead hears at once that we live: halves that meet again need no second round.
-        return [self._sync(source, True)] if not message.answer or self.incarnation != said else []
-
-    # ---- probing
-
-    def _probing(self) -> list[Send]:
-        out: list[Send] = []
-        probe = self._probe
-        if probe is not None and probe.asks_at_us and self.now >= probe.asks_at_us:
-            probe.asks_at_us = 0
-            target = self.members.get(probe.target)
-            others = [
-                each
-                for each in self.members.values()
-                if each.state is State.ALIVE and each.name != probe.target
-            ]
-            if target is not None:
-                for other in self.random.sample(others, min(self.pace.others, len(others))):
-                    probe.asked += 1
-                    out.append(self._send(other.address, Ask(probe.number, target.name, target.address)))
-                # Once more itself: one lost datagram is no sign.
-                out.append(self._send(target.address, Ping(probe.number, target.name)))
-        if probe is not None and self.now >= probe.ends_us:
-            self._probe = None
-            target = self.members.get(probe.target)
-            # Those asked who did not even say that they got no answer: it is this member that is cut off or
-            # slow.
-            silent = probe.asked - probe.missed
-            self._feel(silent if probe.asked else 1)
-            # Where others suspect it already, this is a voice more.
-            if target is not None and target.state is not State.DEAD:
-                self._learn(News(target.name, target.address, target.incarnation, State.SUSPECT, self.name))
-        if self.now >= self._next_probe:
-            self._next_probe = self.now + self._slowed(self.pace.period_us)
-            target = self._next()
-            if target is not None and self._probe is None:
-                self._number = (self._number + 1) % (1 << 31)
-                self._probe = Probe(
-                    target.name,
-                    self._number,
-                    self.now + self._slowed(self.pace.answer_us),
-                    self.now + self._slowed(self.pace.period_us),
-                )
-                out.append(self._send(target.address, Ping(self._number, target.name)))
-        return out
-
-    def _next(self) -> Member | None:
-        """The next of a shuffled round over those not dead: each is probed once a round."""
-        while True:
-            if not self._round:
-                live = (each.name for each in self.members.values() if each.state is not State.DEAD)
-                self._round = sorted(live)
-                self.random.shuffle(self._round)
-                if not self._round:
-                    return None
-            member = self.members.get(self._round.pop())
-            if member is not None and member.state is not State.DEAD:
-                return member
-
-    def _ask(self, source: str, message: Ask) -> list[Send]:
-        if len(self._relayed) >= MOST_RELAYED:
-            return []
-        self._number = (self._number + 1) % (1 << 31)
-        wait = self.pace.answer_us * 4 // 5  # its word must come before the asker's time is up
-        self._relayed[self._number] = Relayed(source, message.number, self.now + wait)
-        return [self._send(message.address, Ping(self._number, message.name))]
-
-    def _ack(self, message: Ack) -> list[Send]:
-        relayed = self._relayed.pop(message.number, None)
-        if relayed is not None:
-            return [self._send(relayed.asker, Ack(relayed.number))]
-        probe = self._probe
-        if probe is not None and message.number == probe.number:
-            if message.missed:
-                probe.missed += 1
-            else:
-                self._probe = None
-                self._feel(-1)
-        return []
-
-    # ---- health and time
-
-    def _feel(self, worse: int) -> None:
-        self.health = max(0, min(self.pace.worst_health, self.health + worse))
-
-    def _slowed(self, us: int) -> int:
-        return us * (1 + self.health)
-
-    def _spread_out(self, us: int) -> int:
-        return round(us * (0.5 + self.random.random()))
-
-    def _tenfold(self) -> float:
-        return max(1.0, math.log10(max(1, len(self.members) + 1)))
-
-    def _ends(self, member: Member) -> int:
-        """When a suspicion becomes a death, here: the sooner the more share it (Lifeguard)."""
-        pace = self.pace
-        least = pace.suspicion * self._tenfold() * pace.period_us
-        wanted = max(1, min(pace.others, len(self.members) - 2))  # others' voices that make it certain
-        shared = math.log(len(member.suspects)) / math.log(wanted + 1) if member.suspects else 0.0
-        lasts = max(least, least * (pace.slowest - (pace.slowest - 1) * shared))
-        return member.since_us + round(lasts)
-
-    # ---- news
-
-    def _learn(self, news: News) -> None:
-        """Take in what somebody says of a member."""
-        if not 0 < len(news.name) <= MOST_NAME or news.state not in (0, 1, 2) or news.incarnation < 0:
-            self.counts["strange"] += 1
+            return self.failure_detector.on_ack(message)
+        # One that holds us dead learns at once that we live: partitions that meet again need no second round.
+        is_refuted = self.incarnation != incarnation
+        return [self._sync(source, True)] if not message.answer or is_refuted else []
+
+    # ---- time
+
+    def _expire_members(self) -> None:
+        for member in list(self.table):
+            if self._is_suspicion_over(member):
+                self._report(member, MemberState.DEAD)
+            elif self._is_retention_over(member):
+                del self.table.by_name[member.name]
+                self._updates.discard(member.name)
+
+    def _is_suspicion_over(self, member: Member) -> bool:
+        is_suspect = member.state is MemberState.SUSPECT
+        return is_suspect and self._now_us >= self.table.suspicion_ends_us(member)
+
+    def _is_retention_over(self, member: Member) -> bool:
+        is_dead = member.state is MemberState.DEAD
+        return is_dead and self._now_us - member.since_us > self.timing.dead_retention_us
+
+    def _begin_sync(self) -> list[Send]:
+        interval_us = self.timing.sync_interval_us
+        self._next_sync_us = self._now_us + round(interval_us * (0.5 + self._random.random()))
+        # Dead ones too, and seeds never met: two sides of a partition that is healed meet this way, and two
+        # groups whose seeds were not up yet when they started.
+        known = [member.address for member in self.table]
+        unmet = [each for each in self._seeds if each not in known]
+        addresses = unmet if unmet and (not known or self._random.random() < 0.5) else known
+        return [self._sync(self._random.choice(addresses), False)] if addresses else []
+
+    # ---- updates
+
+    def _suspect(self, member: Member) -> None:
+        self._report(member, MemberState.SUSPECT)
+
+    def _report(self, member: Member, state: MemberState) -> None:
+        """Take in this member's own judgement of another."""
+        self._apply(Update(member.name, member.address, member.incarnation, state, self.name))
+
+    def _apply(self, update: Update) -> None:
+        """Take in what somebody reports of a member (SWIM, section 4.2)."""
+        is_named = 0 < len(update.name) <= MAX_NAME_LENGTH
+        if not is_named or update.state not in (0, 1, 2) or update.incarnation < 0:
+            self.metrics.invalid += 1
             return
-        if news.name == self.name:
-            self._of_us(news)
+        if update.name == self.name:
+            self._refute(update)
             return
-        old = self.members.get(news.name)
-        if old is None:
-            if news.state == State.DEAD or len(self.members) >= MOST_MEMBERS:
+        known = self.table.by_name.get(update.name)
+        if known is None:
+            if update.state == MemberState.DEAD or len(self.table.by_name) >= MAX_MEMBERS:
                 return  # nothing is known that it could end
-        elif old.state == news.state == State.SUSPECT and news.incarnation == old.incarnation:
-            if news.by and news.by not in old.suspects and len(old.suspects) < MOST_RELAYED:
-                old.suspects.add(news.by)
-                self._pass_on(news)
+        elif self._is_same_suspicion(known, update):
+            self._add_suspecter(known, update)
             return
-        elif (news.incarnation, news.state) <= (old.incarnation, old.state):
+        elif (update.incarnation, update.state) <= (known.incarnation, known.state):
             return
-        state = State(news.state)
-        member = Member(news.name, news.address, news.incarnation, state, self.now)
-        if state is State.SUSPECT:
-            member.suspects.add(news.by)
-            self.counts["suspected"] += 1
-        elif state is State.DEAD:
-            self.counts["died"] += 1
-        self.members[news.name] = member
-        if old is None or old.state is not state or old.incarnation != news.incarnation:
-            self.changed.append(news)
-        self._pass_on(news)
-
-    def _of_us(self, news: News) -> None:
-        """Somebody thinks ill of us, or speaks of an earlier life: say louder that we live."""
-        ill = news.state != State.ALIVE and news.incarnation >= self.incarnation
-        if not ill and news.incarnation <= self.incarnation:
+        self._replace(known, update)
+
+    def _replace(self, known: Member | None, update: Update) -> None:
+        """Begin a member's new state or incarnation."""
+        state = MemberState(update.state)
+        member = Member(update.name, update.address, update.incarnation, state, self._now_us)
+        if state is MemberState.SUSPECT:
+            member.suspecters.add(update.by)
+            self.metrics.suspected += 1
+        elif state is MemberState.DEAD:
+            self.metrics.died += 1
+        self.table.by_name[update.name] = member
+        if known is None or known.state is not state or known.incarnation != update.incarnation:
+            self.changed.append(update)
+        self._updates.put(update)
+
+    @staticmethod
+    def _is_same_suspicion(known: Member, update: Update) -> bool:
+        is_suspicion = known.state == update.state == MemberState.SUSPECT
+        return is_suspicion and update.incarnation == known.incarnation
+
+    def _add_suspecter(self, known: Member, update: Update) -> None:
+        if update.by and update.by not in known.suspecters and len(known.suspecters) < MAX_SUSPECTERS:
+            known.suspecters.add(update.by)
+            self._updates.put(update)
+
+    def _refute(self, update: Update) -> None:
+        """Answer an update that holds this member suspect or dead, or names a later incarnation of it."""
+        is_doubted = update.state != MemberState.ALIVE and update.incarnation >= self.incarnation
+        if not is_doubted and update.incarnation <= self.incarnation:
             return
-        # A lie may name any incarnation: one that leaves no room above it is not followed.
-        if news.incarnation >= (1 << 62):
-            self.counts["strange"] += 1
+        if update.incarnation >= MAX_INCARNATION:
+            self.metrics.invalid += 1
             return
-        self.incarnation = news.incarnation + 1
-        self.counts["refuted"] += 1
-        self._feel(1)
-        self._pass_on(self._self())
-
-    def _self(self) -> News:
-        return News(self.name, self.address, self.incarnation, State.ALIVE)
-
-    def _pass_on(self, news: News) -> None:
-        # One voice of a suspicion is passed on in place of another: what is known of a member is one piece of
-        # news.
-        self._news[news.name] = (news, 0)
-
-    def _told(self) -> list[News]:
-        """The news for one message: what was passed on least, first."""
-        times = math.ceil(self.pace.spread * self._tenfold())
-        chosen = sorted(self._news, key=lambda name: (self._news[name][1], name))[: self.pace.news_a_message]
-        told = []
-        for name in chosen:
-            news, passed = self._news[name]
-            told.append(news)
-            if passed + 1 >= times:
-                del self._news[name]
-            else:
-                self._news[name] = (news, passed + 1)
-        return told
-
-    def _send(self, to: str, message: Ping | Ask | Ack) -> Send:
-        self.counts["sent"] += 1
-        return Send(to, msgspec.structs.replace(message, news=self._told()))
-
-    def _sync(self, to: str, answer: bool) -> Send:
-        """Ourselves, and a slice of the table drawn by chance; dead ones too, so that an old name is not
-        revived."""
-        self.counts["sent"] += 1
-        known = sorted(self.members)
-        picked = self.random.sample(known, min(self.pace.slice, len(known)))
-        table = [self._as_news(self.members[name]) for name in picked]
-        return Send(to, Sync(answer, [self._self(), *table]))
+        self.incarnation = update.incarnation + 1
+        self.metrics.refuted += 1
+        self.health.adjust(1)
+        self._updates.put(self._own_update())
 
-    @staticmethod
-    def _as_news(member: Member) -> News:
-        by = min(member.suspects, default="")
-        return News(member.name, member.address, member.incarnation, member.state, by)
+    def _own_update(self) -> Update:
+        return Update(self.name, self.address, self.incarnation, MemberState.ALIVE)
 
+    # ---- sending
 
-def detection_us(pace: Pace, members: int, lost: float = 0.0, slow: int = 0) -> dict[str, float]:
-    """The stated bounds of docs/design/membership.md, in us, for a member that dies among `members`, where
-    a share `lost` of datagrams is lost and no live member's health is worse than `slow`.
+    def _send(self, to: str, message: Ping | PingRequest | Ack) -> Send:
+        self.metrics.sent += 1
+        updates = self._updates.take(len(self.table.by_name) + 1)
+        return Send(to, msgspec.structs.replace(message, updates=updates))
 
-    `suspected`: some member's round has come to it, at the latest; `known`: every live member that hears
-    what is passed on holds it dead.
-    """
-    period = pace.period_us * (1 + slow)
-    suspected = (2 * members - 3) * period + period
-    least = pace.suspicion * max(1.0, math.log10(members)) * pace.period_us
-    spreads = math.ceil(math.log(members) / math.log(2 - lost)) * period + pace.period_us
-    return {"suspected": suspected, "known": suspected + pace.slowest * least + spreads}
+    def _sync(self, to: str, answer: bool) -> Send:
+        """Return this member itself and a random part of the table, dead ones too: none is revived by it."""
+        self.metrics.sent += 1
+        known = sorted(self.table.by_name)
+        picked = self._random.sample(known, min(self.timing.sync_members, len(known)))
+        part = [self.table.by_name[name].as_update() for name in picked]
+        return Send(to, Sync(answer, [self._own_update(), *part]))
--- a/lapisgrade/members/host.py
+++ b/lapisgrade/members/host.py
@@ -1,11 +1,15 @@
-"""The thin shell round the core: one socket, one timer, and whoever wants to know what changed."""
+"""The shell round a member: one socket, one timer, and a callback for each change."""
 
 import asyncio
 import time
 from collections.abc import Callable
 from random import Random
+from typing import Any
 
-from lapisgrade.members.core import Members, Message, News, Pace, Send
+from lapisgrade.members.core import Members
+from lapisgrade.members.failure_detector import Send
+from lapisgrade.members.messages import Message, Update
+from lapisgrade.members.timing import SECOND, Timing
 from lapisgrade.peers import frame
 from lapisgrade.peers.udp import Udp
 
@@ -13,57 +17,89 @@
 
 
 def now_us() -> int:
+    """Return the monotonic time."""
     return time.monotonic_ns() // 1000
 
 
+def _ignore(update: Update) -> None:
+    """Do nothing with a change."""
+
+
 class Host:
-    """`await open(...)`, then `core.alive()`; `changed(news)` is called for each change, `close()` at the
-    end."""
+    """One member's life: `await open(...)`, then `core.alive()`, and `close()` at the end."""
 
     def __init__(
         self,
         name: str,
-        say: Callable[[str], None],
-        changed: Callable[[News], None] = lambda news: None,
+        log_line: Callable[[str], None],
+        on_change: Callable[[Update], None] = _ignore,
         seed: int = 0,
-        pace: Pace | None = None,
+        timing: Timing | None = None,
     ) -> None:
-        self.name, self._changed, self._pace = name, changed, pace
-        self._random = Random(seed)
-        self.udp = Udp(name, CODEC, lambda: self.core.incarnation if self.core else 0, self._heard, say)
+        """Prepare a member.
+
+        Args:
+            name: the member's.
+            log_line: is called with what an operator should know, one line each.
+            on_change: is called for each change of another member.
+            seed: of its randomness.
+            timing: the protocol's times, the same at all members.
+        """
+        self.name = name
         self.core: Members | None = None
+        self._on_change = on_change
+        self._timing = timing
+        self._random = Random(seed)
+        self.udp = Udp(name, CODEC, self._incarnation, self._on_frame, log_line)
         self._timer: asyncio.TimerHandle | None = None
 
+    def _incarnation(self) -> int:
+        return self.core.incarnation if self.core else 0
+
     async def open(self, host: str, port: int, seeds: list[str], reached_at: str = "") -> str:
-        """Listen and meet the members at `seeds`; the address that others are told (`reached_at`, where
-        they reach this one through something else)."""
-        address = reached_at or await self.udp.open(host, port)
-        if reached_at:
-            await self.udp.open(host, port)
-        life = time.time_ns() // 1_000_000  # higher than in any earlier life of this name, on one machine
-        self.core = Members(self.name, address, life, now_us(), self._random, self._pace)
-        self._out(self.core.join(seeds))
+        """Listen, and contact the members at `seeds`.
+
+        Args:
+            host: to listen at.
+            port: to listen at; 0 for any.
+            seeds: addresses of other members.
+            reached_at: where others reach this one, if that is not where it listens.
+
+        Returns:
+            The address that others are told.
+
+        Raises:
+            OSError: The address is taken.
+        """
+        listens_at = await self.udp.open(host, port)
+        address = reached_at or listens_at
+        # Higher than in any earlier process of this name, on one machine.
+        incarnation = time.time_ns() // 1_000_000
+        self.core = Members(self.name, address, incarnation, now_us(), self._random, self._timing)
+        self._carry_out(self.core, self.core.join(seeds))
         return address
 
     def close(self) -> None:
+        """Stop, without a word to the others."""
         if self._timer is not None:
             self._timer.cancel()
         self.udp.close()
 
-    def _heard(self, source: str, got: frame.Frame) -> None:
-        if self.core is not None and got.name != self.name:
-            self._out(self.core.heard(now_us(), source, got.message))
+    def _on_frame(self, source: str, received: frame.Frame[Any]) -> None:
+        if self.core is not None and received.name != self.name:
+            self._carry_out(self.core, self.core.on_message(now_us(), source, received.message))
 
-    def _due(self) -> None:
-        self._out(self.core.due(now_us()))
+    def _on_timer(self, core: Members) -> None:
+        self._carry_out(core, core.on_timer(now_us()))
 
-    def _out(self, sends: list[Send]) -> None:
-        for each in sends:
-            self.udp.send(each.to, each.message)
-        changed, self.core.changed = self.core.changed, []
-        for news in changed:
-            self._changed(news)
+    def _carry_out(self, core: Members, sends: list[Send]) -> None:
+        for send in sends:
+            self.udp.send(send.to, send.message)
+        changed = core.changed
+        core.changed = []
+        for update in changed:
+            self._on_change(update)
         if self._timer is not None:
             self._timer.cancel()
-        wait = max(0, self.core.wakes_us - now_us()) / 1_000_000
-        self._timer = asyncio.get_running_loop().call_later(wait, self._due)
+        delay_s = max(0, core.wakes_us - now_us()) / SECOND
+        self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer, core)
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -1,13 +1,14 @@
-"""Membership beside a limiter, as an operator's file says: `lapisgrade serve CONFIG --site
-deploy/peers.toml`.
+"""Membership beside a limiter, as an operator's file says.
+
+`lapisgrade serve CONFIG --site deploy/peers.toml`, with a file such as:
 
     [peers]
     listen = "127.0.0.1:7400"      # UDP
     reached_at = ""                # where others reach it, if that is not `listen`
     seeds = ["127.0.0.1:7401"]     # some other limiters, to meet the rest by
 
-The limiter's own counters then tell `members alive` and what the peers' frames came to; its log says who
-came and went.
+The limiter's own counters then have `members alive` and how many frames of the peers were read and refused;
+its log says who came and went.
 """
 
 import contextlib
@@ -17,11 +18,16 @@
 from dataclasses import dataclass
 
 from lapisgrade import start
-from lapisgrade.members.core import MOST_NAME, News, State
+from lapisgrade.members.core import MAX_NAME_LENGTH
 from lapisgrade.members.host import Host
+from lapisgrade.members.messages import MemberState, Update
 from lapisgrade.net.service import Service
 
-STATES = {State.ALIVE: "lives", State.SUSPECT: "is suspected", State.DEAD: "is dead"}
+STATE_PHRASES = {
+    MemberState.ALIVE: "lives",
+    MemberState.SUSPECT: "is suspected",
+    MemberState.DEAD: "is dead",
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,17 +62,17 @@
     return Site(start.address(table.get("listen"), f"{path}: peers.listen"), reached_at, tuple(seeds))
 
 
-def beside(site: Site, name: str) -> Callable[[Service], contextlib.AbstractAsyncContextManager]:
+def beside(site: Site, name: str) -> Callable[[Service], contextlib.AbstractAsyncContextManager[None]]:
     """What `serve` runs beside the limiter of that name."""
 
     @contextlib.asynccontextmanager
     async def member(service: Service) -> AsyncIterator[None]:
-        def changed(news: News) -> None:
-            service.say(f"limiter {news.name} {STATES[State(news.state)]}")
+        def on_change(update: Update) -> None:
+            service.say(f"limiter {update.name} {STATE_PHRASES[MemberState(update.state)]}")
             service.counts["members alive"] = len(host.core.alive()) if host.core is not None else 1
 
         # Chance of its own, the same for the same name: what the decisions draw is not touched.
-        host = Host(name[:MOST_NAME], service.say, changed, zlib.crc32(name.encode()))
+        host = Host(name[:MAX_NAME_LENGTH], service.say, on_change, zlib.crc32(name.encode()))
         host.udp.counts = service.counts
         try:
             await host.open(*site.listen, list(site.seeds), site.reached_at)
--- a/lapisgrade/peers/__init__.py
+++ b/lapisgrade/peers/__init__.py
@@ -1,4 +1,5 @@
-"""Messages between limiters, for installations where they may talk: frames (`frame`) over UDP (`udp`).
+"""Datagrams between processes: frames (`frame`) over UDP (`udp`).
 
+`lapisgrade.members` and `lapisgrade.gateway.membership` send their messages by it.
 Off, and not imported, in `python -m lapisgrade`.
 """
--- a/lapisgrade/peers/frame.py
+++ b/lapisgrade/peers/frame.py
@@ -1,22 +1,24 @@
 """One frame: a version, who sends it, and one message, as msgspec msgpack. Pure.
 
-What a frame carries is the codec's to say: any msgspec struct or union of them. What rides on a message, as
-its list `news`, is left out from the end as far as a datagram can't hold it. A frame is refused with one
-plain reason, never with an exception of the library's: it came from anybody.
+A codec is made for any msgspec struct or union of them. What a message carries along, as its list `updates`,
+is left out from the end as far as a datagram can't hold it. A frame that can't be read raises `FrameError`
+with one plain reason, never an exception of the library: it came from anybody.
 """
 
 from typing import Any, Generic, TypeVar
 
 import msgspec
 
+from lapisgrade.errors import LapisgradeError
+
 VERSION = 1
-MOST_BYTES = 1400  # of one datagram: under the smallest usual path's packet, so that none is cut in two
-MOST_NAME = 64  # characters
+MAX_FRAME_BYTES = 1400  # of one datagram: under the smallest usual path's packet, so that none is cut in two
+MAX_NAME_LENGTH = 64  # characters
 T = TypeVar("T")
 
 
 class Frame(msgspec.Struct, Generic[T], array_like=True, frozen=True):
-    """What goes over the wire. The incarnation tells lives of one name apart."""
+    """What goes over the wire. The incarnation tells apart the processes of one name."""
 
     version: int
     name: str
@@ -24,8 +26,8 @@
     message: T
 
 
-class Refused(ValueError):
-    """Bytes that are no frame of ours; says why, in a few words that do not repeat them."""
+class FrameError(LapisgradeError, ValueError):
+    """Bytes that are no frame of ours; the message says why, in a few words that do not repeat them."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -42,29 +44,29 @@
         """The frame's bytes, in one datagram."""
         while True:
             data = _ENCODER.encode(Frame(VERSION, name, incarnation, message))
-            if len(data) <= MOST_BYTES or not message.news:
+            if len(data) <= MAX_FRAME_BYTES or not message.updates:
                 return data
-            over = len(data) - MOST_BYTES
-            fewer = max(1, over * len(message.news) // len(data))
-            message = msgspec.structs.replace(message, news=message.news[:-fewer])
-
-    def decode(self, data: bytes) -> Frame:
-        """The frame in these bytes; Refused where they hold none that we read."""
-        if len(data) > MOST_BYTES:
-            raise Refused("longer than a datagram of ours")
+            over = len(data) - MAX_FRAME_BYTES
+            fewer = max(1, over * len(message.updates) // len(data))
+            message = msgspec.structs.replace(message, updates=message.updates[:-fewer])
+
+    def decode(self, data: bytes) -> Frame[Any]:
+        """The frame in these bytes; FrameError where they hold none that this version reads."""
+        if len(data) > MAX_FRAME_BYTES:
+            raise FrameError("longer than a datagram of ours")
         try:
             frame = self._decoder.decode(data)
         except msgspec.MsgspecError:
-            raise Refused(_why(data)) from None
+            raise FrameError(_reason(data)) from None
         if frame.version != VERSION:
-            raise Refused(f"version {frame.version}, not {VERSION}")
-        if not 0 < len(frame.name) <= MOST_NAME or frame.incarnation < 0:
-            raise Refused("a name or incarnation out of range")
+            raise FrameError(f"version {frame.version}, not {VERSION}")
+        if not 0 < len(frame.name) <= MAX_NAME_LENGTH or frame.incarnation < 0:
+            raise FrameError("a name or incarnation out of range")
         return frame
 
 
-def _why(data: bytes) -> str:
-    """Another version may differ in all but its first field."""
+def _reason(data: bytes) -> str:
+    """Return why the bytes can't be read; another version may differ in all but its first field."""
     try:
         version = msgspec.msgpack.decode(_VERSION.decode(data)[0])
     except (msgspec.MsgspecError, IndexError):
--- a/lapisgrade/peers/udp.py
+++ b/lapisgrade/peers/udp.py
@@ -1,7 +1,7 @@
-"""Datagrams between limiters on asyncio: bounded per peer both ways, and quiet about what is strange.
+"""Datagrams between processes on asyncio: bounded per peer both ways, and sparing with log lines.
 
-A peer that floods is read up to `A_SECOND` frames a second and counted past that; one that sends what is
-no frame is said once in a while. Nothing is kept for a peer but its counts, and those for `MOST_PEERS`
+Of a peer that floods, `MAX_FRAMES_PER_SECOND` frames are read and the rest counted; one that sends what is no
+frame is logged once in a while. Nothing is kept of a peer but how much it sent, and that for `MAX_PEERS`
 addresses at most.
 """
 
@@ -14,54 +14,72 @@
 
 from lapisgrade.peers import frame
 
-A_SECOND = 400  # frames read from one address in a second; a member sends some tens
-MOST_PEERS = 4096  # addresses whose counts are kept
-SAID_EVERY_S = 30.0  # between two lines about strange frames
+MAX_FRAMES_PER_SECOND = 400  # read from one address; a member sends some tens
+MAX_PEERS = 4096  # addresses of which it is kept how much they sent
+LOG_INTERVAL_S = 30.0  # between two lines about frames that can't be read
 
 
 @dataclass(slots=True)
-class Read:
-    """What one address sent in the present second."""
+class ReceiveRate:
+    """How many frames one address sent in the present second."""
 
     second: int = 0
     frames: int = 0
 
 
 class Udp(asyncio.DatagramProtocol):
-    """One socket. `heard(source, frame)` gets what is sound; `send` is a plain call."""
+    """One socket."""
 
     def __init__(
         self,
         name: str,
         codec: frame.Codec,
         incarnation: Callable[[], int],
-        heard: Callable[[str, frame.Frame], None],
-        say: Callable[[str], None],
+        on_frame: Callable[[str, frame.Frame[Any]], None],
+        log_line: Callable[[str], None],
     ) -> None:
-        self._name, self._codec, self._incarnation = name, codec, incarnation
-        self._heard, self._say = heard, say
+        """Prepare a socket.
+
+        Args:
+            name: this process's, in each frame.
+            codec: of the messages.
+            incarnation: returns this process's incarnation, in each frame.
+            on_frame: is called with the sender's address and each frame that can be read.
+            log_line: is called with what an operator should know, one line each.
+        """
+        self._name = name
+        self._codec = codec
+        self._incarnation = incarnation
+        self._on_frame = on_frame
+        self._log_line = log_line
         self.counts: Counter[str] = Counter()
         self._transport: asyncio.DatagramTransport | None = None
-        self._read: dict[str, Read] = {}
-        self._said = -SAID_EVERY_S
+        self._rates: dict[str, ReceiveRate] = {}
+        self._last_log_s = -LOG_INTERVAL_S
 
     async def open(self, host: str, port: int) -> str:
-        """Listen; the address that peers reach this at. OSError where it is taken."""
+        """Listen, and return the address that peers reach this at.
+
+        Raises:
+            OSError: The address is taken.
+        """
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
         host, port = self._transport.get_extra_info("sockname")[:2]
         return f"{host}:{port}"
 
     def close(self) -> None:
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
 
     def send(self, to: str, message: Any) -> None:
+        """Send a message to an address; what can't be sent is counted and dropped."""
         host, _, port = to.rpartition(":")
         if self._transport is None or self._transport.is_closing() or not port.isdecimal():
             self.counts["peer frames unsent"] += 1
             return
-        if self._transport.get_write_buffer_size() > 64 * frame.MOST_BYTES:
+        if self._transport.get_write_buffer_size() > 64 * frame.MAX_FRAME_BYTES:
             self.counts["peer frames unsent"] += 1  # the socket is full: a late frame is worth nothing
             return
         try:
@@ -74,33 +92,37 @@
 
     # ---- asyncio's side
 
-    def datagram_received(self, data: bytes, source: tuple) -> None:
+    def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
+        """Read one datagram."""
         address = f"{source[0]}:{source[1]}"
-        if not self._may(address):
+        if not self._is_within_rate(address):
             self.counts["peer frames too many"] += 1
             return
         try:
-            got = self._codec.decode(data)
-        except frame.Refused as wrong:
+            received = self._codec.decode(data)
+        except frame.FrameError as wrong:
             self.counts["peer frames refused"] += 1
             now = time.monotonic()
-            if now - self._said >= SAID_EVERY_S:
-                self._said = now
-                self._say(f"a frame from {address}: {wrong}")
+            if now - self._last_log_s >= LOG_INTERVAL_S:
+                self._last_log_s = now
+                self._log_line(f"a frame from {address}: {wrong}")
             return
         self.counts["peer frames read"] += 1
-        self._heard(address, got)
+        self._on_frame(address, received)
 
-    def error_received(self, exc: OSError) -> None:
+    def error_received(self, exc: Exception) -> None:
+        """Count a datagram that its receiver's machine rejected."""
         self.counts["peer sends refused"] += 1  # nobody listens there: its probe tells as much
 
-    def _may(self, address: str) -> bool:
-        read = self._read.pop(address, None) or Read()
-        self._read[address] = read  # the one heard last stands last
-        if len(self._read) > MOST_PEERS:
-            del self._read[next(iter(self._read))]
+    def _is_within_rate(self, address: str) -> bool:
+        """Count a frame, and return whether that address may still be read in this second."""
+        rate = self._rates.pop(address, None) or ReceiveRate()
+        self._rates[address] = rate  # the one that sent last is the last
+        if len(self._rates) > MAX_PEERS:
+            del self._rates[next(iter(self._rates))]
         second = int(time.monotonic())
-        if read.second != second:
-            read.second, read.frames = second, 0
-        read.frames += 1
-        return read.frames <= A_SECOND
+        if rate.second != second:
+            rate.second = second
+            rate.frames = 0
+        rate.frames += 1
+        return rate.frames <= MAX_FRAMES_PER_SECOND
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -17,7 +17,8 @@
 from lapisgrade.gateway.merge import fields as merge_fields
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.storage import log_store
-from lapisgrade.members import core, host
+from lapisgrade.members import host
+from lapisgrade.members import messages as member_messages
 
 
 @dataclass(frozen=True)
@@ -403,7 +404,7 @@
         partial_view.Shuffle(
             answer=True,
             way=partial_view.ControlHint(term=1297, leader="text-298", controllers=["text-299", "text-300"]),
-            news=[
+            updates=[
                 partial_view.Neighbour(address="text-301", zone="text-302", age=1303),
                 partial_view.Neighbour(address="text-304", zone="text-305", age=1306),
             ],
@@ -414,48 +415,64 @@
 
 MEMBER_MESSAGES = {
     "member/ping": Sample(
-        core.Ping(
+        member_messages.Ping(
             number=1307,
             name="text-308",
-            news=[
-                core.News(name="text-309", address="text-310", incarnation=1311, state=1312, by="text-313"),
-                core.News(name="text-314", address="text-315", incarnation=1316, state=1317, by="text-318"),
+            updates=[
+                member_messages.Update(
+                    name="text-309", address="text-310", incarnation=1311, state=1312, by="text-313"
+                ),
+                member_messages.Update(
+                    name="text-314", address="text-315", incarnation=1316, state=1317, by="text-318"
+                ),
             ],
         ),
-        core.Message,
+        member_messages.Message,
     ),
     "member/ask": Sample(
-        core.Ask(
+        member_messages.PingRequest(
             number=1319,
             name="text-320",
             address="text-321",
-            news=[
-                core.News(name="text-322", address="text-323", incarnation=1324, state=1325, by="text-326"),
-                core.News(name="text-327", address="text-328", incarnation=1329, state=1330, by="text-331"),
+            updates=[
+                member_messages.Update(
+                    name="text-322", address="text-323", incarnation=1324, state=1325, by="text-326"
+                ),
+                member_messages.Update(
+                    name="text-327", address="text-328", incarnation=1329, state=1330, by="text-331"
+                ),
             ],
         ),
-        core.Message,
+        member_messages.Message,
     ),
     "member/ack": Sample(
-        core.Ack(
+        member_messages.Ack(
             number=1332,
             missed=True,
-            news=[
-                core.News(name="text-334", address="text-335", incarnation=1336, state=1337, by="text-338"),
-                core.News(name="text-339", address="text-340", incarnation=1341, state=1342, by="text-343"),
+            updates=[
+                member_messages.Update(
+                    name="text-334", address="text-335", incarnation=1336, state=1337, by="text-338"
+                ),
+                member_messages.Update(
+                    name="text-339", address="text-340", incarnation=1341, state=1342, by="text-343"
+                ),
             ],
         ),
-        core.Message,
+        member_messages.Message,
     ),
     "member/sync": Sample(
-        core.Sync(
+        member_messages.Sync(
             answer=True,
-            news=[
-                core.News(name="text-345", address="text-346", incarnation=1347, state=1348, by="text-349"),
-                core.News(name="text-350", address="text-351", incarnation=1352, state=1353, by="text-354"),
+            updates=[
+                member_messages.Update(
+                    name="text-345", address="text-346", incarnation=1347, state=1348, by="text-349"
+                ),
+                member_messages.Update(
+                    name="text-350", address="text-351", incarnation=1352, state=1353, by="text-354"
+                ),
             ],
         ),
-        core.Message,
+        member_messages.Message,
     ),
 }
 
@@ -861,13 +878,13 @@
     ),
     "consensus/request-vote/flags-1": Sample(
         msgspec.structs.replace(CONSENSUS_MESSAGES["consensus/request-vote"].instance, lease_free=False),
-        messages.Message,
+        member_messages.Message,
     ),
     "consensus/request-vote-reply/flags-1": Sample(
         msgspec.structs.replace(
             CONSENSUS_MESSAGES["consensus/request-vote-reply"].instance, pre_vote=False, lease_free=False
         ),
-        messages.Message,
+        member_messages.Message,
     ),
     "consensus/request-vote-reply/flags-2": Sample(
         msgspec.structs.replace(
@@ -875,7 +892,7 @@
             unanimous_only=False,
             lease_free=False,
         ),
-        messages.Message,
+        member_messages.Message,
     ),
     "drafts/kept/flags-1": Sample(
         [
--- a/tests/members/test_core.py
+++ b/tests/members/test_core.py
@@ -7,9 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapisgrade.members import core
-from lapisgrade.members.core import SECOND, Ack, Members, News, Pace, Ping, State, Sync, detection_us
+from lapisgrade.members import failure_detector, messages, table
+from lapisgrade.members.core import Members
+from lapisgrade.members.messages import Ack, MemberState, Ping, Sync, Update
 from lapisgrade.members.sim import Network, Wire
+from lapisgrade.members.timing import SECOND, Timing, detection_bounds_us
 
 
 def fleet(count: int, seed: int, wire: Wire | None = None) -> tuple[Network, list[str]]:
@@ -27,7 +29,7 @@
     for name in names[:4]:
         net.kill(name)
     took = net.run(60 * SECOND, lambda: net.agree(set(names[4:])))
-    assert took is not None and took <= detection_us(net.pace, 10)["known"]
+    assert took is not None and took <= detection_bounds_us(net.timing, 10)["known"]
 
 
 def test_members_that_stop_for_three_seconds_come_back_without_being_joined_again():
@@ -86,7 +88,7 @@
     assert wrong <= 60 * 10 * 9 // 100, wrong  # of all views at all looks, one in a hundred at the most
     net.kill(names[0])
     took = net.run(60 * SECOND, lambda: len(net.held_dead(names[0])) == 9)
-    assert took is not None and took <= detection_us(net.pace, 10, 0.2, slow=3)["known"]
+    assert took is not None and took <= detection_bounds_us(net.timing, 10, 0.2, slow=3)["known"]
 
 
 def test_a_member_that_comes_back_under_its_old_name_lives():
@@ -124,18 +126,18 @@
 @pytest.mark.parametrize(
     "lie",
     [
-        News("m000", "m000", 10**15, State.DEAD, "m009"),
-        News("m000", "m000", (1 << 62) + 5, State.DEAD, "m009"),
-        News("m000", "elsewhere", 0, State.ALIVE),
-        News("x" * 1000, "a", 1, State.ALIVE),
-        News("m000", "m000", -4, State.DEAD),
-        News("m000", "m000", 1, 7),
+        Update("m000", "m000", 10**15, MemberState.DEAD, "m009"),
+        Update("m000", "m000", (1 << 62) + 5, MemberState.DEAD, "m009"),
+        Update("m000", "elsewhere", 0, MemberState.ALIVE),
+        Update("x" * 1000, "a", 1, MemberState.ALIVE),
+        Update("m000", "m000", -4, MemberState.DEAD),
+        Update("m000", "m000", 1, 7),
     ],
 )
 def test_lies_about_a_member_are_refuted_or_refused(lie):
     net, names = fleet(10, 12)
     for node in net.live()[1:]:
-        net._out(node, node.core.heard(net.now, "m009", Ack(-1, False, [lie])))
+        net.deliver(node, node.core.on_message(net.now, "m009", Ack(-1, False, [lie])))
     net.run(15 * SECOND)
     if lie.incarnation < 1 << 62:  # past that nothing can be higher: the one limit, said in the design note
         assert net.agree(set(names))
@@ -144,12 +146,12 @@
 
 def test_a_flood_of_made_up_names_is_bounded():
     one = Members("a", "a", 1, SECOND, Random(1))
-    for i in range(core.MOST_MEMBERS + 500):
-        one.heard(SECOND, "b", Sync(True, [News(f"x{i}", "b", 1, State.ALIVE)]))
-    assert len(one.members) == core.MOST_MEMBERS
+    for i in range(table.MAX_MEMBERS + 500):
+        one.on_message(SECOND, "b", Sync(True, [Update(f"x{i}", "b", 1, MemberState.ALIVE)]))
+    assert len(one.table.by_name) == table.MAX_MEMBERS
     for i in range(1000):
-        one.heard(SECOND, "b", core.Ask(i, "x1", "b"))
-    assert len(one._relayed) == core.MOST_RELAYED
+        one.on_message(SECOND, "b", messages.PingRequest(i, "x1", "b"))
+    assert len(one.failure_detector.relayed) == failure_detector.MAX_RELAYED
 
 
 def test_the_same_events_give_the_same_messages():
@@ -162,8 +164,8 @@
     assert play() == play()
 
 
-NEWS = st.builds(
-    News,
+UPDATES = st.builds(
+    Update,
     st.sampled_from(["a", "b", "c", "d"]),
     st.sampled_from(["a", "b"]),
     st.integers(0, 4),
@@ -171,12 +173,16 @@
     st.sampled_from(["", "b", "c"]),
 )
 MESSAGES = st.one_of(
-    st.builds(Ping, st.integers(0, 9), st.sampled_from(["a", "b"]), st.lists(NEWS, max_size=4)),
+    st.builds(Ping, st.integers(0, 9), st.sampled_from(["a", "b"]), st.lists(UPDATES, max_size=4)),
     st.builds(
-        core.Ask, st.integers(0, 9), st.sampled_from(["b", "c"]), st.just("b"), st.lists(NEWS, max_size=4)
+        messages.PingRequest,
+        st.integers(0, 9),
+        st.sampled_from(["b", "c"]),
+        st.just("b"),
+        st.lists(UPDATES, max_size=4),
     ),
-    st.builds(Ack, st.integers(0, 9), st.booleans(), st.lists(NEWS, max_size=4)),
-    st.builds(Sync, st.booleans(), st.lists(NEWS, max_size=4)),
+    st.builds(Ack, st.integers(0, 9), st.booleans(), st.lists(UPDATES, max_size=4)),
+    st.builds(Sync, st.booleans(), st.lists(UPDATES, max_size=4)),
 )
 
 
@@ -187,12 +193,16 @@
     highest = {}
     for wait, message in events:
         now += wait
-        for send in one.heard(now, "b", message) + one.due(now):
+        for send in one.on_message(now, "b", message) + one.on_timer(now):
             wire = msgspec.msgpack.encode(send.message)
             assert len(wire) < 1400  # one datagram, with room for a frame
-            assert msgspec.msgpack.decode(wire, type=core.Message) == send.message
-        assert one.wakes_us > now - 1 and "a" in one.alive() and 0 <= one.health <= Pace().worst_health
-        for member in one.members.values():  # what is known of a member never goes back
+            assert msgspec.msgpack.decode(wire, type=messages.Message) == send.message
+        assert (
+            one.wakes_us > now - 1
+            and "a" in one.alive()
+            and 0 <= one.health.score <= Timing().max_health_score
+        )
+        for member in one.table.by_name.values():  # what is known of a member never goes back
             known = (member.incarnation, member.state)
             assert known >= highest.get(member.name, known)
             highest[member.name] = known
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -10,11 +10,11 @@
 
 from lapisgrade.lab.fleet.process import Process, Supervisor
 from lapisgrade.lab.fleet.relay import BACK, THERE, Link, UdpRelay
-from lapisgrade.members import core
-from lapisgrade.members.core import Pace, detection_us
+from lapisgrade.members import messages
 from lapisgrade.members.host import CODEC
+from lapisgrade.members.timing import Timing, detection_bounds_us
 from lapisgrade.peers import frame
-from lapisgrade.peers.udp import A_SECOND
+from lapisgrade.peers.udp import MAX_FRAMES_PER_SECOND
 from lapisgrade.fakes.site import free_port
 
 BUSY = 3.0  # times the stated bound: what a machine busy with other work may add
@@ -108,7 +108,7 @@
 
 
 def within(count: int, lost: float = 0.0) -> float:
-    return BUSY * detection_us(Pace(), count, lost, 1)["known"] / 1e6
+    return BUSY * detection_bounds_us(Timing(), count, lost, 1)["known"] / 1e6
 
 
 def test_killed_stopped_and_restarted_members_are_known_everywhere(tmp_path):
@@ -158,9 +158,9 @@
             flood, _ = await loop.create_datagram_endpoint(
                 asyncio.DatagramProtocol, remote_addr=("127.0.0.1", one.port)
             )
-            ping = CODEC.encode("m9", 1, core.Ping(1, "nobody"))
+            ping = CODEC.encode("m9", 1, messages.Ping(1, "nobody"))
             other = msgspec.msgpack.encode([frame.VERSION + 1, {"a": 1}])
-            for i in range(6 * A_SECOND):
+            for i in range(6 * MAX_FRAMES_PER_SECOND):
                 flood.sendto((ping, other, b"noise", b"\xc1" * 3000)[i % 4])
                 if i % 50 == 0:
                     await asyncio.sleep(0.005)
@@ -188,12 +188,12 @@
 
 def test_frames_fit_a_datagram_and_strange_ones_are_refused_plainly():
     news = [
-        core.News(f"limiter-with-a-long-name-{i:03}", f"127.0.0.1:{10_000 + i}", 1 << 40, 0)
+        messages.Update(f"limiter-with-a-long-name-{i:03}", f"127.0.0.1:{10_000 + i}", 1 << 40, 0)
         for i in range(40)
     ]
-    data = CODEC.encode("m0", 5, core.Sync(True, news))
+    data = CODEC.encode("m0", 5, messages.Sync(True, news))
     got = CODEC.decode(data)
-    assert len(data) <= frame.MOST_BYTES and 10 < len(got.message.news) < 40 and got.name == "m0"
+    assert len(data) <= frame.MAX_FRAME_BYTES and 10 < len(got.message.updates) < 40 and got.name == "m0"
     for bad, why in (
         (b"", "not a frame"),
         (b"x" * 2000, "longer"),
@@ -202,5 +202,5 @@
         (msgspec.msgpack.encode([1, "a", 1, ["z", 1]]), "not a frame"),
         (msgspec.msgpack.encode({"a": 1}), "not a frame"),
     ):
-        with pytest.raises(frame.Refused, match=why):
+        with pytest.raises(frame.FrameError, match=why):
             CODEC.decode(bad)
