--- /dev/null
+++ b/lapisgrade/cli/fake_site.py
@@ -0,0 +1,102 @@
+"""`lapisgrade demo` and `lapisgrade standins`: limiters and what they talk to, on loopback."""
+
+import asyncio
+import signal
+import sys
+
+import click
+
+from lapisgrade.cli.options import load_shape, parse_address, shape_options
+from lapisgrade.fakes.servers import Knobs
+from lapisgrade.fakes.site import Plan, sample
+
+
+@click.command()
+@click.option("--load/--no-load", default=False, help="drive an open-loop load at the limiters, then end")
+@click.option("--limiters", type=click.IntRange(1, 16), default=2, show_default=True)
+@click.option("--servers", type=click.IntRange(1, 64), default=4, show_default=True)
+@click.option(
+    "--capacity",
+    type=click.IntRange(1, 10_000),
+    default=8,
+    show_default=True,
+    help="operations at work at once on each server",
+)
+@click.option(
+    "--leave",
+    "leave_at_s",
+    type=float,
+    default=None,
+    help="s into the run at which server s0 drains and then dies",
+)
+@click.option("--seed", type=int, default=1, show_default=True)
+@shape_options
+def demo(
+    load: bool,
+    limiters: int,
+    servers: int,
+    capacity: int,
+    leave_at_s: float | None,
+    seed: int,
+    shape: str,
+    rate: float,
+    seconds: float,
+    peak: float,
+    at_s: float,
+    length_s: float,
+) -> None:
+    """Start stand-ins and limiters in one process on loopback; with --load, drive load and report."""
+    from lapisgrade.cli import demo as demo_run
+
+    knobs = Knobs(capacity=capacity, cold_from=0.3, warm_s=2.0)
+    options = demo_run.DemoOptions(
+        plan=Plan(limiters=limiters, servers=servers, knobs=knobs, seed=seed),
+        shape=load_shape(shape, rate, seconds, peak, at_s, length_s) if load else None,
+        seconds=seconds if load else 0.0,
+        leave_at_s=leave_at_s,
+        grace_s=sample()["settings"]["Rules"]["DrainGrace"] / 1000,
+    )
+    sys.exit(demo_run.main(options))
+
+
+@click.command()
+@click.option("--servers", type=click.IntRange(1, 64), default=4, show_default=True)
+@click.option("--seed", type=int, default=1, show_default=True)
+def standins(servers: int, seed: int) -> None:
+    """Counter and discovery at the sample configuration's addresses, and servers, until Ctrl-C.
+
+    Then `lapisgrade serve deploy/sample.json` (or `make run`) starts a limiter among them.
+    """
+    try:
+        asyncio.run(_run_fakes(servers, seed))
+    except OSError as error:
+        click.echo(f"the stand-ins could not start: {error.strerror or error}", err=True)
+        sys.exit(2)
+    click.echo("ended")
+
+
+async def _run_fakes(server_count: int, seed: int) -> None:
+    """Run a counter, a discovery and servers until SIGINT or SIGTERM."""
+    from lapisgrade.fakes.counter import Counter
+    from lapisgrade.fakes.discovery import Discovery, Row
+    from lapisgrade.fakes.servers import Pool
+
+    configuration = sample()
+    counter = await Counter(*parse_address(configuration["counter"], "counter")).open()
+    discovery = await Discovery(*parse_address(configuration["discovery"], "discovery")).open()
+    pool = await Pool(server_count, Knobs(), seed).open()
+    for index, server in enumerate(pool.servers):
+        discovery.put(Row(server.name, server.address, cell=index % 3))
+    click.echo(f"counter    {counter.address}\ndiscovery  {discovery.address}")
+    for server in pool.servers:
+        click.echo(f"server     {server.name} {server.address}")
+    click.echo("Ctrl-C or SIGTERM ends them")
+    ending = asyncio.Event()
+    for number in (signal.SIGINT, signal.SIGTERM):
+        asyncio.get_running_loop().add_signal_handler(number, ending.set)
+    try:
+        await ending.wait()
+    finally:
+        await pool.close()
+        await discovery.close()
+        await counter.close()
--- a/lapisgrade/cli/gateway.py
+++ b/lapisgrade/cli/gateway.py
@@ -1,11 +1,10 @@
-"""The gateway's subcommands of `lapisgrade`: they read their own arguments
-(`lapisgrade.gateway.__main__`)."""
+"""The gateway's subcommands of `lapisgrade`: their arguments are read by `lapisgrade.gateway.__main__`."""
 
 import sys
 
 import click
 
-COMMANDS = {
+HELP_LINES = {
     "proxy": "Run the role that carries requests, on every machine.",
     "controller": "Run the role that keeps the configuration and the server registry.",
     "check": "Check a settings file, or with conf a configuration.",
@@ -21,10 +20,11 @@
     "draft": "Keep an edit where no majority can be asked.",
     "drafts": "List the drafts that are kept, and what came of them.",
 }
+"""By command, its line in the help of `lapisgrade`."""
 
 
-def passed_on(name: str, help_line: str) -> click.Command:
-    """A command whose arguments, `--help` too, are handed to the gateway's own reader as they are."""
+def forwarding_command(name: str, help_line: str) -> click.Command:
+    """Return a command that hands its arguments, `--help` too, to the gateway's own reader as they are."""
 
     @click.command(
         name,
@@ -41,7 +41,7 @@
     return command
 
 
-def add_commands(group: click.Group) -> None:
-    """Add all of them to the group."""
-    for name, help_line in COMMANDS.items():
-        group.add_command(passed_on(name, help_line))
+def add_gateway_commands(group: click.Group) -> None:
+    """Add all of the gateway's commands to the group."""
+    for name, help_line in HELP_LINES.items():
+        group.add_command(forwarding_command(name, help_line))
--- a/lapisgrade/cli/lab_fleet.py
+++ b/lapisgrade/cli/lab_fleet.py
@@ -2,27 +2,37 @@
 
 import asyncio
 import sys
+from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
+if TYPE_CHECKING:
+    from lapisgrade.lab.emulator.scenario import Scenario
+    from lapisgrade.lab.fleet.checker import Findings
+
+FOLDER = click.Path(file_okay=False)
+RUNS_FOLDER = "fleet-runs"
+
+EXIT_INVALID_INPUT = 2
+EXIT_NOT_STARTED = 3  # processes could not be started, or ended by themselves
+EXIT_INTERRUPTED = 130  # 128 and SIGINT, as a shell says it
+
 
 @click.group()
 def fleet() -> None:
     """The proving ground: real processes, faults between them, and a checker of what they did."""
 
 
-FOLDER = click.Path(file_okay=False)
-
-
 @fleet.command("run")
 @click.argument("scenario", type=click.Path(dir_okay=False))
 @click.option("--seed", type=int, default=None, help="in place of the scenario's")
 @click.option("--limiters", type=click.IntRange(1, 200), default=None, help="in place of the scenario's")
 @click.option("--out", type=FOLDER, default=None, help="folder for the play (default: fleet-runs/NAME-SEED)")
-def fleet_run(scenario, seed, limiters, out) -> None:
+def run(scenario: str, seed: int | None, limiters: int | None, out: str | None) -> None:
     """Play SCENARIO with real processes; write history and findings; exit 1 where a rule or bound broke."""
-    played = _fleet(scenario, [seed], limiters, out)
-    sys.exit(0 if all(each.ok for each in played) else 1)
+    findings = _play(scenario, seed, limiters, Path(out) if out else None)
+    sys.exit(0 if findings.ok else 1)
 
 
 @fleet.command("repeat")
@@ -30,85 +40,99 @@
 @click.option("--seeds", default="1,2,3,4,5", show_default=True)
 @click.option("--limiters", type=click.IntRange(1, 200), default=None, help="in place of the scenarios'")
 @click.option("--out", type=FOLDER, default=None, help="folder that holds a folder for each play")
-def fleet_repeat(scenarios, seeds, limiters, out) -> None:
+def repeat(scenarios: tuple[str, ...], seeds: str, limiters: int | None, out: str | None) -> None:
     """Play each scenario with each seed; print a Markdown table of medians and the worst."""
-    from lapisgrade.lab.fleet import report
+    from lapisgrade.lab.fleet import report as reports
 
     try:
-        numbers = [int(each) for each in seeds.split(",")]
+        numbers = [int(seed) for seed in seeds.split(",")]
     except ValueError:
         raise click.BadParameter("seeds are whole numbers, with commas between them") from None
-    plays = [each for path in scenarios for each in _fleet(path, numbers, limiters, out)]
-    click.echo(report.table(plays))
-    sys.exit(0 if all(each.ok for each in plays) else 1)
+    is_single = len(numbers) == 1
+    folder = Path(out) if out and is_single else None
+    runs_folder = Path(out or RUNS_FOLDER)
+    findings = [_play(path, seed, limiters, folder, runs_folder) for path in scenarios for seed in numbers]
+    click.echo(reports.table(findings))
+    sys.exit(0 if all(each.ok for each in findings) else 1)
 
 
 @fleet.command("report")
 @click.argument("folders", nargs=-1, required=True, type=FOLDER)
 @click.option("--out", default="fleet-runs/report.html", show_default=True, type=click.Path(dir_okay=False))
-def fleet_report(folders, out) -> None:
+def report(folders: tuple[str, ...], out: str) -> None:
     """One HTML page, plots inside, of the plays in FOLDERS."""
-    from pathlib import Path
-
-    from lapisgrade.lab.fleet import report
+    from lapisgrade.lab.fleet import report as reports
 
     try:
-        plays = [report.load(f"{each}/findings.json") for each in folders]
-    except report.BadFindings as wrong:
-        click.echo(f"the findings: {wrong}", err=True)
-        sys.exit(2)
+        findings = [reports.load(f"{folder}/findings.json") for folder in folders]
+    except reports.BadFindings as error:
+        click.echo(f"the findings: {error}", err=True)
+        sys.exit(EXIT_INVALID_INPUT)
     Path(out).parent.mkdir(parents=True, exist_ok=True)
-    Path(out).write_text(report.page(plays), encoding="utf-8")
+    Path(out).write_text(reports.page(findings), encoding="utf-8")
     click.echo(f"written {out}")
 
 
 @fleet.command("counts")
 @click.argument("logs", nargs=-1, required=True, type=click.Path())
-def fleet_counts(logs) -> None:
+def counts(logs: tuple[str, ...]) -> None:
     """Add up the counters in LOGS: limiters' logs, or folders of them (a play's, or a bench's `--logs`)."""
-    from lapisgrade.lab.fleet import counts
+    from lapisgrade.lab.fleet import counts as fleet_counts
 
     try:
-        found = counts.read(list(logs))
-    except OSError as wrong:
-        click.echo(f"the logs: {wrong}", err=True)
-        sys.exit(2)
-    for line in counts.lines(found):
+        found = fleet_counts.read(list(logs))
+    except OSError as error:
+        click.echo(f"the logs: {error}", err=True)
+        sys.exit(EXIT_INVALID_INPUT)
+    for line in fleet_counts.lines(found):
         click.echo(line)
     sys.exit(0 if found.limiters else 1)
 
 
-def _fleet(path: str, seeds: list[int | None], limiters: int | None, out: str | None) -> list:
-    """Play the scenario at `path` with each seed; the findings. Ends the command where it can't be played."""
-    from pathlib import Path
-
-    from lapisgrade.lab.emulator import scenario as read_scenarios
-    from lapisgrade.lab.fleet import checker, ground, history, process, report
-
-    found = []
-    for seed in seeds:
-        changes = {"seed": seed, "limiters": limiters}
-        try:
-            text = read_scenarios.text_at(path)
-            played = read_scenarios.changed(read_scenarios.parse(text, path), changes)
-        except read_scenarios.ScenarioError as wrong:
-            click.echo(f"the scenario: {wrong}", err=True)
-            sys.exit(2)
-        folder = (
-            Path(out)
-            if out and len(seeds) == 1
-            else Path(out or "fleet-runs") / (f"{played.name}-{played.seed}")
-        )
-        try:
-            files = asyncio.run(ground.play(played, text, path, folder.resolve(), changes))
-        except process.Failed as wrong:
-            click.echo(f"the play: {wrong}", err=True)
-            sys.exit(3)
-        except KeyboardInterrupt:
-            click.echo("interrupted; every process of the play has been ended", err=True)
-            sys.exit(130)
-        found.append(checker.check(history.merged(files)))
-        report.save(found[-1], folder / "findings.json")
-        for line in report.lines(found[-1]):
-            click.echo(line)
-    return found
+def _play(
+    path: str,
+    seed: int | None,
+    limiters: int | None,
+    folder: Path | None,
+    runs_folder: Path = Path(RUNS_FOLDER),
+) -> "Findings":
+    """Play the scenario at `path`, save and print what the checker found; ends the command on an error.
+
+    Args:
+        path: the scenario's file.
+        seed: in place of the scenario's, None for that.
+        limiters: in place of the scenario's, None for that.
+        folder: of the play; None for one of its own in `runs_folder`.
+        runs_folder: holds a folder for each play.
+    """
+    from lapisgrade.lab.fleet import checker, ground, history, process
+    from lapisgrade.lab.fleet import report as reports
+
+    changes = {"seed": seed, "limiters": limiters}
+    text, scenario = _read_scenario(path, changes)
+    folder = folder or runs_folder / f"{scenario.name}-{scenario.seed}"
+    try:
+        files = asyncio.run(ground.play(scenario, text, path, folder.resolve(), changes))
+    except process.Failed as error:
+        click.echo(f"the play: {error}", err=True)
+        sys.exit(EXIT_NOT_STARTED)
+    except KeyboardInterrupt:
+        click.echo("interrupted; every process of the play has been ended", err=True)
+        sys.exit(EXIT_INTERRUPTED)
+    findings = checker.check(history.merged(files))
+    reports.save(findings, folder / "findings.json")
+    for line in reports.lines(findings):
+        click.echo(line)
+    return findings
+
+
+def _read_scenario(path: str, changes: dict[str, int | None]) -> tuple[str, "Scenario"]:
+    """Read a scenario's text, and the scenario with those changes; ends the command where it can't be."""
+    from lapisgrade.lab.emulator import scenario as scenarios
+
+    try:
+        text = scenarios.text_at(path)
+        return text, scenarios.changed(scenarios.parse(text, path), changes)
+    except scenarios.ScenarioError as error:
+        click.echo(f"the scenario: {error}", err=True)
+        sys.exit(EXIT_INVALID_INPUT)
--- /dev/null
+++ b/lapisgrade/cli/limiter.py
@@ -0,0 +1,34 @@
+"""`lapisgrade serve`: one limiter, until it is told to end."""
+
+import os
+import sys
+
+import click
+
+from lapisgrade import start
+
+
+@click.command()
+@click.argument("config", type=click.Path(dir_okay=False))
+@click.option(
+    "--site",
+    type=click.Path(dir_okay=False),
+    default=None,
+    help="an operator's file (deploy/peers.toml), for limiters that may talk to one another",
+)
+def serve(config: str, site: str | None) -> None:
+    """Run one limiter as the file CONFIG tells it (SIGTERM ends, SIGHUP reloads, SIGUSR1 counts)."""
+    from lapisgrade.__main__ import main as run_limiter
+    from lapisgrade.net.service import read
+
+    os.environ["ROUTER_CONFIG"] = config
+    peers = None
+    if site is not None:
+        from lapisgrade.members import site as members
+
+        try:
+            peers = members.beside(members.read(site), str(read(config).get("name", "")))
+        except start.Malformed as error:
+            click.echo(f"the configuration: {error}", err=True)
+            sys.exit(2)
+    sys.exit(run_limiter(peers))
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -16,7 +16,7 @@
 
 def ask_demo(seconds=3.0, leave=1.0):
     shape = schedule.Shape("poisson", rate=60, seconds=seconds)
-    return demo.Ask(Plan(limiters=2, servers=3, seed=4), shape, seconds, leave, 0.25)
+    return demo.DemoOptions(Plan(limiters=2, servers=3, seed=4), shape, seconds, leave, 0.25)
 
 
 def test_the_demo_under_load_with_a_server_leaving_keeps_the_rules():
