--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -70,7 +70,7 @@
         places = [address(each) for each in host.controllers() if each != str(host.inner)]
         asked = [host.rpc.call(place, rpc_messages.CopyDraft(draft), COPY_TIMEOUT_S) for place in places]
         got = [each.value_or(None) for each in await asyncio.gather(*asked)]
-        disks = 1 + sum(isinstance(each, rpc_messages.CopyDraftReply) and each.kept for each in got)
+        disks = 1 + sum(isinstance(each, rpc_messages.CopyDraftReply) and each.is_stored for each in got)
         told = {"Id": draft.id, "Base": draft.base, "Disks": disks, "InForce": False}
         return rpc_messages.ForwardCallReply(202, msgspec.json.encode(told))
 
--- a/lapisgrade/gateway/controller/process.py
+++ b/lapisgrade/gateway/controller/process.py
@@ -354,7 +354,7 @@
         if isinstance(message, rpc_messages.ForwardCall):
             if not self._leads():
                 return rpc_messages.ForwardCallReply(503)
-            return await self._lead(message.call, message.of, message.body)
+            return await self._lead(message.call, message.subject, message.body)
         if isinstance(message, rpc_messages.CopyDraft):
             return rpc_messages.CopyDraftReply(await self.drafts.keep(message.draft) == 200)
         return None
@@ -371,7 +371,7 @@
     async def _news(self, ask: rpc_messages.WatchRequest) -> rpc_messages.WatchReply:
         """Answer a proxy when there is news, or after a while with none."""
         self.counts["asks"] += 1
-        for name in ask.refused[:16]:
+        for name in ask.unreachable_proxies[:16]:
             known = self.watch.proxies.get(name)
             if known is not None and self._leads():
                 asyncio.get_running_loop().create_task(self._look(name, known.address))
@@ -446,7 +446,7 @@
         got = await self.rpc.call(place, rpc_messages.WatchRequest("", "", "", "", 0, "", 0, 0), 0.2)
         news = got.value_or(None)
         if isinstance(news, rpc_messages.WatchReply):
-            self._leader_hint = str(place) if news.leads else news.leader
+            self._leader_hint = str(place) if news.is_leader else news.leader_address
 
     async def _lead(self, call: str, of: str, body: bytes) -> rpc_messages.ForwardCallReply:
         try:
--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from lapisgrade.gateway.quota.ownership import HOLDS
-from lapisgrade.gateway.rpc_messages import Members, ProxyListDelta
+from lapisgrade.gateway.rpc_messages import ProxiesByName, ProxyListDelta
 
 MOST_LISTS = 12  # lists that are remembered: what is put into the log in two seconds, about
 
@@ -16,7 +16,7 @@
     """The last few lists, by their fences."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, Members] = {}
+        self._lists: dict[int, ProxiesByName] = {}
         self._owners: dict[
             int, tuple[int, tuple[str, ...]]
         ] = {}  # by fence: when it came, and who owned counts
@@ -26,7 +26,7 @@
         """Whether that list is remembered."""
         return fence in self._lists
 
-    def told(self, now_us: int, fence: int, members: Members, owners: Iterable[str] = ()) -> None:
+    def told(self, now_us: int, fence: int, members: ProxiesByName, owners: Iterable[str] = ()) -> None:
         """That list is in force, and those of it own counts."""
         if fence in self._lists:
             return
@@ -60,4 +60,4 @@
             changed = {name: each for name, each in new.items() if old.get(name) != each}
             made = ProxyListDelta(base, changed, sorted(old.keys() - new.keys()))
             self._deltas[base, fence] = made
-        return made if len(made.changed) + len(made.left) < len(new) else None
+        return made if len(made.changed) + len(made.removed) < len(new) else None
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -183,30 +183,43 @@
 
     def noted(self, ask: rpc_messages.WatchRequest) -> rpc_messages.WatchRequest:
         """The same ask, whose list of known servers was taken in."""
-        return msgspec.structs.replace(ask, known=[]) if ask.known else ask
+        return msgspec.structs.replace(ask, known_servers=[]) if ask.known_servers else ask
 
     def news(
         self, now_us: int, ask: rpc_messages.WatchRequest, state: State, controllers: list[str]
     ) -> rpc_messages.WatchReply | None:
-        if ask.name and len(self.proxies) < MOST:
-            held = max(ask.held, ask.ver)
-            self.proxies[ask.name] = ProxyStatus(
-                ask.address, ask.own, ask.zone, now_us, held, ask.ver, ask.core, ask.leaving
+        if ask.proxy and len(self.proxies) < MOST:
+            held = max(ask.staged_version, ask.active_version)
+            self.proxies[ask.proxy] = ProxyStatus(
+                ask.address,
+                ask.incarnation,
+                ask.zone,
+                now_us,
+                held,
+                ask.active_version,
+                ask.has_local_controller,
+                ask.is_terminating,
             )
-        if ask.known:
-            self.registry.known(now_us, ask.known)
+        if ask.known_servers:
+            self.registry.known(now_us, ask.known_servers)
         own = f"{self.life}+" if self._settled else self.life
         # What an unsettled register told of this life holds; any other is told anew.
-        other = ask.life != own and (self._settled or ask.life != f"{self.life}+")
-        changed = other or self.registry.turn > ask.turn
-        stale = ask.whole or state.acting_ver > ask.ver or state.ver > max(ask.held, ask.ver)
-        if not stale and not changed and ask.fence == state.fence:
+        other = ask.registry_incarnation != own and (
+            self._settled or ask.registry_incarnation != f"{self.life}+"
+        )
+        changed = other or self.registry.turn > ask.registry_revision
+        stale = (
+            ask.needs_full_version
+            or state.acting_ver > ask.active_version
+            or state.ver > max(ask.staged_version, ask.active_version)
+        )
+        if not stale and not changed and ask.fencing_token == state.fence:
             return None
-        listed = ask.fence != state.fence
-        unknown = ask.fence not in (state.fence, state.prior)
+        listed = ask.fencing_token != state.fence
+        unknown = ask.fencing_token not in (state.fence, state.prior)
         self._list_told(now_us, state)
-        delta = self.proxy_lists.delta(ask.fence, state.fence) if listed else None
-        held, acting = (0 if ask.whole else max(ask.held, ask.ver)), None
+        delta = self.proxy_lists.delta(ask.fencing_token, state.fence) if listed else None
+        held, acting = (0 if ask.needs_full_version else max(ask.staged_version, ask.active_version)), None
         if state.acting_ver > held:
             acting = self.feed.version(state.acting_ver, state.acting, held)
             held = state.acting_ver
@@ -220,16 +233,16 @@
             self.registry.turn,
             self._settled,
             other,
-            self.registry.since(now_us, 0 if other else ask.turn) if changed else [],
+            self.registry.since(now_us, 0 if other else ask.registry_revision) if changed else [],
             state.fence,
             state.live_proxies if listed and delta is None else None,
-            wants_known=ask.life not in (self.life, f"{self.life}+"),
-            staged=self.feed.chain(state.staged, held),
-            merged=state.merged,
-            core=state.core if listed else [],
-            prior=state.prior,
-            leaving=state.leaving if listed else [],
-            prior_owners=state.prior_owners if unknown else [],
+            wants_known_servers=ask.registry_incarnation not in (self.life, f"{self.life}+"),
+            staged_versions=self.feed.chain(state.staged, held),
+            merged_versions=state.merged,
+            proxies_with_controller=state.core if listed else [],
+            previous_fencing_token=state.prior,
+            terminating_proxies=state.leaving if listed else [],
+            previous_owners=state.prior_owners if unknown else [],
             earlier_owners=self.proxy_lists.earlier_owners(now_us, state.prior) if unknown else [],
             live_proxies_delta=delta,
         )
@@ -244,5 +257,15 @@
     ) -> rpc_messages.WatchReply:
         """No news: what the proxy has is as it is."""
         return rpc_messages.WatchReply(
-            True, "", controllers, ask.ver, None, ask.life, ask.turn, self._settled, False, [], state.fence
+            True,
+            "",
+            controllers,
+            ask.active_version,
+            None,
+            ask.registry_incarnation,
+            ask.registry_revision,
+            self._settled,
+            False,
+            [],
+            state.fence,
         )
--- a/lapisgrade/gateway/proxy/control_client.py
+++ b/lapisgrade/gateway/proxy/control_client.py
@@ -39,9 +39,9 @@
 
     def answered(self, now_us: int, news: rpc_messages.WatchReply | None) -> bool:
         """What came of the last question, None for nothing; whether it was news from who leads."""
-        if news is not None and news.leads and _term(news) < self.term:
+        if news is not None and news.is_leader and _term(news) < self.term:
             news = None  # a leader that was cut off, and does not know that it is none any more
-        if news is not None and news.leads:
+        if news is not None and news.is_leader:
             self.fails, self.term = 0, _term(news)
             self._told(news)
             if self._through is None:
@@ -58,7 +58,9 @@
             if self._through is None:
                 # A controller that lives and knows no leader: another proxy knows none either.
                 self.fails = 0
-                self._place = news.leader if news.leader != here and sound(news.leader) else ""
+                self._place = (
+                    news.leader_address if news.leader_address != here and sound(news.leader_address) else ""
+                )
         return False
 
     def _told(self, news: rpc_messages.WatchReply) -> None:
@@ -69,5 +71,5 @@
 
 def _term(news: rpc_messages.WatchReply) -> int:
     """The leader's term, in which its register's life is told."""
-    term = news.life.rstrip("+")
+    term = news.registry_incarnation.rstrip("+")
     return int(term) if term.isdecimal() else 0
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -182,7 +182,7 @@
 
     def _word(self, message: rpc_messages.Message) -> None:
         if isinstance(message, rpc_messages.ProxyLoads):
-            self.router.subsets.heard(now_us(), message.by, message.out, message.ill)
+            self.router.subsets.heard(now_us(), message.proxy, message.in_flight, message.unhealthy_servers)
 
     def loads_changed(self) -> None:
         """Tell the neighbours soon what is out, all changes of a moment together."""
@@ -241,7 +241,7 @@
             got = await self.rpc.call(place, ask, NEWS)
             news = got.value_or(None)
             if isinstance(news, rpc_messages.WatchReply):
-                self.touch(place, news.leads)
+                self.touch(place, news.is_leader)
             self.counts["asks"] += 1
             if control_client.answered(now_us(), news if isinstance(news, rpc_messages.WatchReply) else None):
                 try:
@@ -281,9 +281,13 @@
         """
         self.host.clock.now_us = max(self.host.clock.now_us, now_us())
         self._take_versions(news)
-        if news.servers or news.whole:
+        if news.servers or news.is_full_update:
             self._take_servers(news)
-        self.life, self.turn, self.wants_known = news.life, news.turn, news.wants_known
+        self.life, self.turn, self.wants_known = (
+            news.registry_incarnation,
+            news.registry_revision,
+            news.wants_known_servers,
+        )
         members = self.quota_owner.heard(now_us(), news)
         if members is not None:
             self._take_live_proxies(members)
@@ -291,27 +295,27 @@
             # One that the list of live proxies does not name may be unknown to a leader who orders a version
             # into force.
             self.router.heard_us = max(self.router.heard_us, sent)
-        if news.fence == self.quota_owner.fence:
+        if news.fencing_token == self.quota_owner.fence:
             self.acts_until = sent + HOLDS
             self.router.shared_by(len(self.quota_owner.proxies))
 
     def _take_versions(self, news: rpc_messages.WatchReply) -> None:
         """The version in force, and newer ones to be held ready."""
         held = self.router.held
-        if news.conf is not None and news.ver > self.ver:
-            self._act(self._table(news.conf))
-        elif news.ver in held:
-            self._act(held[news.ver])
-        elif news.ver > self.ver:
+        if news.active_configuration is not None and news.active_version > self.ver:
+            self._act(self._table(news.active_configuration))
+        elif news.active_version in held:
+            self._act(held[news.active_version])
+        elif news.active_version > self.ver:
             held.clear()  # what is in force was never held here: ask for it
-        for ver, encoded in news.staged.items():
+        for ver, encoded in news.staged_versions.items():
             if ver > self.ver and ver not in self.router.held:
-                self.router.hold(self._table(encoded), ver in news.merged)
+                self.router.hold(self._table(encoded), ver in news.merged_versions)
         self._lost_base = False
 
     def _take_servers(self, news: rpc_messages.WatchReply) -> None:
         """Servers that came, went or changed; all there are, where the news is whole."""
-        whole = news.whole and news.settled
+        whole = news.is_full_update and news.is_registry_complete
         if whole:
             self.register = {}
         for each in news.servers:
@@ -331,7 +335,7 @@
             if each.state == "lost" or len(self.register) > MOST_REGISTER:
                 del self.register[each.id]
 
-    def _take_live_proxies(self, members: rpc_messages.Members) -> None:
+    def _take_live_proxies(self, members: rpc_messages.ProxiesByName) -> None:
         """A newer list of live proxies."""
         self.router.subsets.told(members)
         places = [each[0] for each in members.values()]
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -79,12 +79,12 @@
             if isinstance(reply, CloseReason):
                 return process.host.put(CounterCallFinished(task, reply))
             elsewhere = process.quota_owner.owners.owner(ask.tenant) != name
-            same = reply.fence == process.quota_owner.fence and not elsewhere
-            if reply.held or same or now_us() + 2 * int(LISTED * SECOND) > ends_us:
+            same = reply.fencing_token == process.quota_owner.fence and not elsewhere
+            if reply.is_accepted or same or now_us() + 2 * int(LISTED * SECOND) > ends_us:
                 return self._told(task, ask, reply)
             process.counts["counts asked for again"] += 1
             await asyncio.sleep(LISTED)
-            ask = msgspec.structs.replace(ask, fence=process.quota_owner.fence)
+            ask = msgspec.structs.replace(ask, fencing_token=process.quota_owner.fence)
 
     async def _call(
         self, ask: rpc_messages.QuotaRequest, name: str, within: float
@@ -112,11 +112,11 @@
     def _told(self, task, ask: rpc_messages.QuotaRequest, reply: rpc_messages.QuotaReply) -> None:
         process = self._process
         quota_client = process.router.quota_clients.get(ask.tenant)
-        if not reply.held:
+        if not reply.is_accepted:
             process.counts["counts not held"] += 1
             return process.host.put(CounterCallFinished(task, CloseReason.REJECTED))
         if quota_client is not None:
-            quota_client.gateways = max(1, reply.limiters)
+            quota_client.gateways = max(1, reply.active_limiters)
         process.counts["counts added"] += 1
         process.host.put(CounterCallFinished(task, CloseReason.ANSWERED, reply.total))
 
@@ -138,7 +138,7 @@
     def answer_hand_over(self, ask: rpc_messages.HandOverRequest) -> rpc_messages.HandOverReply:
         """Leave a count to its new owner."""
         reply = self._process.quota_owner.hand_over(now_us(), ask)
-        self._process.counts["counts not handed over" if reply.wait else "counts handed over"] += 1
+        self._process.counts["counts not handed over" if reply.must_wait else "counts handed over"] += 1
         return reply
 
     def _fetch(self, ask: rpc_messages.QuotaRequest, predecessor: str) -> asyncio.Task:
@@ -163,7 +163,7 @@
         if owner.fence != fence:
             return  # another list has come meanwhile
         if isinstance(reply, rpc_messages.HandOverReply):
-            process.counts["counts taken over"] += not reply.wait
+            process.counts["counts taken over"] += not reply.must_wait
             owner.handed(now_us(), ask.tenant, reply, ask.rate, ask.burst, predecessor)
         elif process.rpc.peer(place).refused:
             owner.gone(now_us(), ask.tenant, ask.rate, ask.burst, predecessor)
--- a/lapisgrade/gateway/quota/count.py
+++ b/lapisgrade/gateway/quota/count.py
@@ -52,11 +52,11 @@
     @classmethod
     def continued(cls, now_us: int, handed: rpc_messages.HandedCount, rate: float, burst: float) -> "Count":
         """One that goes on where its owner before left off."""
-        count = cls(now_us - LEASE + min(max(0, handed.kept_back_us), LEASE), rate, burst)
+        count = cls(now_us - LEASE + min(max(0, handed.reserve_us), LEASE), rate, burst)
         count.bucket.put(now_us, min(max(0.0, handed.level), count.bucket.burst))
         count.first = now_us
-        if handed.leased > 0:
-            count.takers[PREVIOUS_OWNER] = Taker(now_us, handed.leased)
+        if handed.outstanding_grants > 0:
+            count.takers[PREVIOUS_OWNER] = Taker(now_us, handed.outstanding_grants)
         return count
 
     def handed(self, now_us: int) -> rpc_messages.HandedCount:
@@ -74,17 +74,21 @@
 
     def add(self, now_us: int, ask: rpc_messages.QuotaRequest) -> None:
         """Take units, and put back what was granted before and not spent."""
-        bucket, had = self.bucket, self.takers.pop(ask.by, NOBODY)
+        bucket, had = self.bucket, self.takers.pop(ask.requester, NOBODY)
         units = max(0.0, ask.units)
         # Only what this very count granted with the call before, and no more of it, comes back (guards
         # against a lease of the last owner's, or of a call that never got here, made units of this one).
-        back = min(max(0.0, ask.back), had.gave) if ask.of and ask.of == had.turn else 0.0
+        back = (
+            min(max(0.0, ask.returned_units), had.gave)
+            if ask.returned_from and ask.returned_from == had.turn
+            else 0.0
+        )
         # Who takes again has spent what it took, or gives the rest back with this.
         # One of what it takes is for the request that made it ask, and is spent at once (guards a tenant of
         # many limiters, each of which asks seldom: its room must not be held by what is spent already).
         left, gave = (units - 1.0, units) if units else (had.left - back, had.gave - back)
         left = max(0.0, left)
-        self.takers[ask.by] = Taker(now_us, left, gave, ask.turn)
+        self.takers[ask.requester] = Taker(now_us, left, gave, ask.sequence_number)
         self.takers = {name: each for name, each in self.takers.items() if now_us - each.at < SET}
         leased = sum(each.left for each in self.takers.values() if now_us - each.at < LEASE) - left
         if now_us - self.born < LEASE:
--- a/lapisgrade/gateway/quota/owner.py
+++ b/lapisgrade/gateway/quota/owner.py
@@ -106,18 +106,18 @@
         self._released = {tenant: each for tenant, each in self._released.items() if each[1] > fence}
         self._given = {tenant: each for tenant, each in self._given.items() if tenant in self._released}
 
-    def heard(self, now_us: int, news: rpc_messages.WatchReply) -> rpc_messages.Members | None:
+    def heard(self, now_us: int, news: rpc_messages.WatchReply) -> rpc_messages.ProxiesByName | None:
         """News from who leads; the newer list of live proxies in it, None without one."""
-        members = news.members(self.fence, self.proxies)
+        members = news.updated_proxies(self.fence, self.proxies)
         if members is not None:
             self.told(
                 now_us,
-                news.fence,
+                news.fencing_token,
                 members,
-                news.core,
-                news.prior,
-                news.leaving,
-                news.prior_owners,
+                news.proxies_with_controller,
+                news.previous_fencing_token,
+                news.terminating_proxies,
+                news.previous_owners,
                 news.earlier_owners,
             )
         return members
@@ -187,7 +187,7 @@
         by: str,
     ) -> None:
         """What `by`, who owned the count before, says in answer to this proxy under the newest list."""
-        if reply.wait or not self._lists or not self.owns(tenant):
+        if reply.must_wait or not self._lists or not self.owns(tenant):
             return
         settled = self._lists[-1].settled
         if tenant in settled or tenant in self.counts:
@@ -211,17 +211,17 @@
         wait, nothing = rpc_messages.HandOverReply(True), rpc_messages.HandOverReply(False)
         if not self._lists:
             return nothing  # a process that has just started
-        if ask.fence > self.fence:  # the list that names the other one is on its way here
+        if ask.fencing_token > self.fence:  # the list that names the other one is on its way here
             if not self.owns(ask.tenant) or self._acting(now_us, ask.tenant, self._lists):
                 return wait
             if len(self._released) >= MOST_COUNTS:
                 return wait
-            self._released[ask.tenant] = now_us + HOLDS, ask.fence
+            self._released[ask.tenant] = now_us + HOLDS, ask.fencing_token
             if ask.tenant not in self.counts:
                 self._keep(now_us, ask.tenant, self._fresh(now_us, ask, self._lists))
             return self._give(now_us, ask, self.counts[ask.tenant])
         newest, earlier = self._lists[-1], self._lists[:-1]
-        if ask.fence < self.fence or self.owns(ask.tenant) or newest.missed:
+        if ask.fencing_token < self.fence or self.owns(ask.tenant) or newest.missed:
             return wait
         if not earlier:
             return nothing  # the process that owned it is gone
@@ -245,7 +245,7 @@
         self, now_us: int, ask: rpc_messages.HandOverRequest, count: Count
     ) -> rpc_messages.HandOverReply:
         """The count, for the first life of its owner that asks; it may have granted from it already."""
-        if self._given.setdefault(ask.tenant, ask.life) != ask.life:
+        if self._given.setdefault(ask.tenant, ask.incarnation) != ask.incarnation:
             return rpc_messages.HandOverReply(False)
         return rpc_messages.HandOverReply(False, count.handed(now_us))
 
@@ -303,8 +303,8 @@
         """
         released = now_us < self._released.get(ask.tenant, (0, 0))[0]
         if (
-            not ask.fence
-            or not ask.by
+            not ask.fencing_token
+            or not ask.requester
             or now_us >= acts_until_us
             or released
             or not self.owns(ask.tenant)
--- a/lapisgrade/gateway/rpc_messages.py
+++ b/lapisgrade/gateway/rpc_messages.py
@@ -1,163 +1,279 @@
-"""What the system's processes say to each other, beside the log's own messages."""
+"""Messages between the gateway's processes, beside those of the consensus group.
+
+Each is encoded as a MessagePack array that starts with its tag; the order of the fields is the wire form,
+their names are free. Fields are only ever added at the end, with a default. Times are microseconds.
+"""
 
 import msgspec
 
-from lapisgrade.gateway.merge.three_way import Draft
 from lapisgrade.gateway.configuration_delta import EncodedVersion
 from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
+from lapisgrade.gateway.merge.three_way import Draft
 from lapisgrade.gateway.registry import Server
 
+ProxiesByName = dict[str, tuple[str, str, str]]
+"""Live proxies by name: the address, the process's incarnation and the zone of each."""
+
 
 class ForwardCall(msgspec.Struct, array_like=True, tag="R", frozen=True):
-    """A call of a server or operator, passed on to the leader."""
+    """A call of a server or an operator, forwarded to the leader.
+
+    Attributes:
+        call: The name of the call, as in `api.TABLE`.
+        subject: The server that it is about; empty for calls about none.
+        body: The body of the HTTP request.
+    """
 
     call: str
-    of: str
+    subject: str
     body: bytes
 
 
 class ForwardCallReply(msgspec.Struct, array_like=True, tag="r", frozen=True):
+    """The leader's answer to a forwarded call.
+
+    Attributes:
+        status: The HTTP status for the caller.
+        body: The body of the HTTP response.
+        leader_address: Where the leader takes such calls itself.
+    """
+
     status: int
     body: bytes = b""
-    leader: str = ""  # where the leader takes such calls itself
+    leader_address: str = ""
 
 
 class WatchRequest(msgspec.Struct, array_like=True, tag="N", frozen=True):
-    """A proxy asks for news, with what it has."""
-
-    name: str
-    address: str  # where it hears other proxies
-    own: str  # its process's life
+    """A proxy asks the leader for whatever differs from what it has.
+
+    The leader answers at once where something differs, else after a while.
+
+    Attributes:
+        proxy: The name of the proxy; empty for one that only looks for the leader.
+        address: Where the proxy listens for other proxies.
+        incarnation: Of the proxy's process.
+        zone: The proxy's zone.
+        active_version: The configuration version in force at the proxy.
+        registry_incarnation: Of the server registry that the proxy's servers are from.
+        registry_revision: The revision of that registry which the proxy has.
+        fencing_token: Of the list of live proxies which the proxy has; 0 for none.
+        known_servers: All servers that the proxy knows, for a leader that is new.
+        unreachable_proxies: Proxies whose machine refuses connections: their process has ended.
+        staged_version: The newest version that the proxy has ready, in force or not.
+        has_local_controller: Whether a controller runs on the proxy's machine.
+        needs_full_version: Whether the proxy failed to decode a delta and needs a version in full.
+        is_terminating: Whether the proxy's process was told to shut down.
+    """
+
+    proxy: str
+    address: str
+    incarnation: str
     zone: str
-    ver: int
-    life: str  # whose register it has
-    turn: int
-    fence: int  # of the list of live proxies it has
-    known: list[Server] = []  # all that it was told, for a leader that is new
-    refused: list[str] = []  # proxies whose machine says that nobody listens there
-    held: int = 0  # the newest version that it holds ready, in force or not
-    core: bool = False  # whether a controller stands beside it
-    whole: bool = False  # whether a delta on what it holds could not be read
-    leaving: bool = False  # whether its process was told to end
-
-
-Members = dict[str, tuple[str, str, str]]  # live proxies by name: address, life and zone of each
+    active_version: int
+    registry_incarnation: str
+    registry_revision: int
+    fencing_token: int
+    known_servers: list[Server] = []
+    unreachable_proxies: list[str] = []
+    staged_version: int = 0
+    has_local_controller: bool = False
+    needs_full_version: bool = False
+    is_terminating: bool = False
 
 
 class ProxyListDelta(msgspec.Struct, array_like=True, frozen=True):
-    """A list of live proxies by its changes from an earlier one."""
+    """A list of live proxies as its changes from an earlier list.
+
+    Attributes:
+        base: The fencing token of the earlier list.
+        changed: The proxies that were added or differ.
+        removed: The names of those that are no longer in the list.
+    """
 
-    base: int  # the earlier list's fence
-    changed: Members  # those that are new, or are otherwise than before
-    left: list[str]
+    base: int
+    changed: ProxiesByName
+    removed: list[str]
 
-    def applied(self, members: Members) -> Members:
-        """The list, made of the earlier one."""
-        kept = {name: each for name, each in members.items() if name not in self.left}
-        return {**kept, **self.changed}
+    def apply_to(self, proxies: ProxiesByName) -> ProxiesByName:
+        """Return the newer list, given the earlier one."""
+        remaining = {name: proxy for name, proxy in proxies.items() if name not in self.removed}
+        return {**remaining, **self.changed}
 
 
 class WatchReply(msgspec.Struct, array_like=True, tag="n", frozen=True):
-    leads: bool
-    leader: str = ""  # where else to ask
-    controllers: list[str] = []  # all that answer such questions
-    ver: int = 0  # in force
-    conf: EncodedVersion | None = None  # that, where the proxy lacks it
-    life: str = ""
-    turn: int = 0
-    settled: bool = False  # whether a whole register is all there is
-    whole: bool = False
+    """What differs from what the proxy has, or only where the leader may be found.
+
+    Attributes:
+        is_leader: Whether the leader sent this; else only the addresses below are set.
+        leader_address: Where the leader may be found.
+        controllers: Addresses of all controllers.
+        active_version: The configuration version in force.
+        active_configuration: That version, where the proxy lacks it.
+        registry_incarnation: Of the leader's server registry.
+        registry_revision: The revision of that registry which the proxy has with this reply.
+        is_registry_complete: Whether the registry knows every live server by now.
+        is_full_update: Whether `servers` are all servers of the registry, not changes alone.
+        servers: The servers that changed after the proxy's revision.
+        fencing_token: Of the current list of live proxies.
+        live_proxies: That list in full, where the proxy has another and gets no delta.
+        wants_known_servers: Whether the leader is new and wants to know the proxy's servers.
+        staged_versions: Newer versions that the proxy lacks, to be kept ready until they come into force.
+        merged_versions: Those of the staged versions that were merged from drafts. A request that must run
+            at most once is held back by them.
+        proxies_with_controller: Live proxies on whose machine a controller runs.
+        previous_fencing_token: Of the list of live proxies before the current one.
+        terminating_proxies: Live proxies that were told to shut down.
+        previous_owners: Who owned quota counts under the previous list, for a proxy that lacks that list.
+        earlier_owners: The same for the lists before it, the latest first, as far back as an owner may act.
+        live_proxies_delta: The current list as changes from the proxy's, in place of `live_proxies`.
+    """
+
+    is_leader: bool
+    leader_address: str = ""
+    controllers: list[str] = []
+    active_version: int = 0
+    active_configuration: EncodedVersion | None = None
+    registry_incarnation: str = ""
+    registry_revision: int = 0
+    is_registry_complete: bool = False
+    is_full_update: bool = False
     servers: list[Server] = []
-    fence: int = 0
-    live_proxies: Members | None = None  # who lives
-    wants_known: bool = False
-    staged: dict[
-        int, EncodedVersion
-    ] = {}  # newer ones that the proxy lacks, to be held ready until the order comes
-    merged: list[int] = []  # those of them that drafts made: a fence for what may run once
-    core: list[str] = []  # those of the list of live proxies beside whom a controller stands
-    prior: int = 0  # the fence of the list of live proxies before
-    leaving: list[str] = []  # those of the live proxies that were told to end
-    prior_owners: list[str] = []  # who owned counts under the list before, where the proxy was not told it
-    # The same of the lists before that one, the latest first, by which an owner may act still.
+    fencing_token: int = 0
+    live_proxies: ProxiesByName | None = None
+    wants_known_servers: bool = False
+    staged_versions: dict[int, EncodedVersion] = {}
+    merged_versions: list[int] = []
+    proxies_with_controller: list[str] = []
+    previous_fencing_token: int = 0
+    terminating_proxies: list[str] = []
+    previous_owners: list[str] = []
     earlier_owners: list[tuple[str, ...]] = []
-    live_proxies_delta: ProxyListDelta | None = None  # in place of the whole list, by an earlier one
+    live_proxies_delta: ProxyListDelta | None = None
+
+    def updated_proxies(self, fencing_token: int, proxies: ProxiesByName) -> ProxiesByName | None:
+        """Return the current list of live proxies for one that has `proxies` under that fencing token.
 
-    def members(self, fence: int, members: Members) -> Members | None:
-        """The newer list for one that has those members under that fence; None without one."""
+        Returns None where the reply brings no newer list, or a delta on another list.
+        """
         delta = self.live_proxies_delta
         if delta is not None:
-            return delta.applied(members) if delta.base == fence else None
+            return delta.apply_to(proxies) if delta.base == fencing_token else None
         return self.live_proxies
 
 
 class QuotaRequest(msgspec.Struct, array_like=True, tag="T", frozen=True):
-    """An add to a tenant's count, at its owner, under a fence."""
+    """Take units of a tenant's quota from the proxy that owns the tenant's count.
+
+    Attributes:
+        tenant: Whose quota it is.
+        units: How many units the requester takes.
+        requester: The name of the proxy that takes them.
+        fencing_token: Of the list of live proxies by which the requester found the owner.
+        rate: The tenant's limit, in units a second.
+        burst: The tenant's burst, in units.
+        returned_units: Units of an earlier grant that were not spent.
+        sequence_number: Of the requester's requests for this tenant.
+        returned_from: The sequence number of the request that granted `returned_units`.
+    """
 
     tenant: str
     units: float
-    by: str
-    fence: int
+    requester: str
+    fencing_token: int
     rate: float
     burst: float
-    back: float = 0.0  # units of an earlier take that were not spent
-    turn: int = 0  # the asker's calls are numbered
-    of: int = 0  # the one that `back` was granted by
+    returned_units: float = 0.0
+    sequence_number: int = 0
+    returned_from: int = 0
 
 
 class QuotaReply(msgspec.Struct, array_like=True, tag="t", frozen=True):
-    held: bool  # False: not held here, or not under this fence; nothing was added
+    """The owner's answer to a quota request.
+
+    Attributes:
+        is_accepted: Whether the units were counted. False where the receiver does not own the count now; then
+            nothing was counted.
+        total: Units in use of the tenant's burst, after this request.
+        active_limiters: How many proxies take units of this tenant.
+        fencing_token: Of the list of live proxies that the owner has.
+    """
+
+    is_accepted: bool
     total: float = 0.0
-    limiters: int = 1
-    fence: int = 0
+    active_limiters: int = 1
+    fencing_token: int = 0
 
 
 class HandOverRequest(msgspec.Struct, array_like=True, tag="O", frozen=True):
-    """A count's new owner asks the one before for it."""
+    """The new owner of a count asks the previous owner for it.
+
+    Attributes:
+        tenant: Whose quota is counted.
+        requester: The name of the new owner.
+        fencing_token: Of the list of live proxies under which the requester is the owner.
+        rate: The tenant's limit, in units a second.
+        burst: The tenant's burst, in units.
+        incarnation: Of the requester's process.
+    """
 
     tenant: str
-    by: str
-    fence: int  # of the list of live proxies under which the asker is the owner
+    requester: str
+    fencing_token: int
     rate: float
     burst: float
-    life: str = ""  # of the asker's process
+    incarnation: str = ""
 
 
 class HandedCount(msgspec.Struct, array_like=True, frozen=True):
-    """A count as its owner leaves it; units of room."""
+    """A count as its previous owner leaves it.
+
+    Attributes:
+        level: Units that are available.
+        outstanding_grants: Units that were granted and may not be spent yet.
+        reserve_us: How much longer half of the burst is reserved for grants of an owner before that.
+    """
 
     level: float
-    leased: float  # of what it granted, what may not be spent yet
-    kept_back_us: int  # how much longer half of the room is kept back for what an owner before it granted
+    outstanding_grants: float
+    reserve_us: int
 
 
 class HandOverReply(msgspec.Struct, array_like=True, tag="o", frozen=True):
-    """`wait`: the count can't be given, and somebody may still act for it. Else nobody does any more, and
-    `count` is what there is to go on with, if that is known."""
+    """The previous owner's answer to a hand-over request.
 
-    wait: bool
+    Attributes:
+        must_wait: The count can't be given, and somebody may still act as its owner. If False, nobody does.
+        count: The count to go on with, where it is known.
+    """
+
+    must_wait: bool
     count: HandedCount | None = None
 
 
 class ProxyLoads(msgspec.Struct, array_like=True, tag="L", frozen=True):
-    """What a proxy has out at each server, where it has any, and which answer it badly: for those who share
-    servers."""
+    """The requests of one proxy at each server, for proxies that share servers with it.
+
+    Attributes:
+        proxy: The name of the proxy.
+        in_flight: Requests in flight by server, where there are any.
+        unhealthy_servers: Servers that answer the proxy badly.
+    """
 
-    by: str
-    out: dict[str, int]
-    ill: list[str] = []
+    proxy: str
+    in_flight: dict[str, int]
+    unhealthy_servers: list[str] = []
 
 
 class CopyDraft(msgspec.Struct, array_like=True, tag="H", frozen=True):
-    """A draft, to be kept on another disk too."""
+    """A draft that the receiving controller is to store too."""
 
     draft: Draft
 
 
 class CopyDraftReply(msgspec.Struct, array_like=True, tag="h", frozen=True):
-    """Whether it is on that disk."""
+    """Whether the draft is on the receiving controller's disk."""
 
-    kept: bool
+    is_stored: bool
 
 
 Message = (
@@ -174,3 +290,4 @@
     | CopyDraft
     | CopyDraftReply
 )
+"""Every message that `rpc.Codec` carries between the gateway's processes."""
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -209,7 +209,7 @@
 
 def ask(name: str) -> rpc_messages.WatchRequest:
     return rpc_messages.WatchRequest(
-        name, "10.0.0.1:7661", "0123456789abcdef", "zone", 7, "0+", 1 << 30, 0, held=7
+        name, "10.0.0.1:7661", "0123456789abcdef", "zone", 7, "0+", 1 << 30, 0, staged_version=7
     )
 
 
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -76,8 +76,8 @@
             "1+",
             1 << 30,
             self.fence,
-            held=held,
-            leaving=self.leaving,
+            staged_version=held,
+            is_terminating=self.leaving,
         )
         sent = self.world.sim.now
         self.world.carry(self, self.world.asked, self, ask, self.life, self.asked, sent)
@@ -95,20 +95,20 @@
         if life != self.life or asked != self.asked:
             return
         router = self.router
-        members = news.members(self.fence, self.live_proxies)
+        members = news.updated_proxies(self.fence, self.live_proxies)
         if members is not None:
             self.live_proxies = members
         if self.name in self.live_proxies:
             router.heard_us = max(router.heard_us, sent)
-        if news.conf is not None and news.ver > self.ver:
-            self.act(self.read(news.conf))
-        elif news.ver in router.held:
-            self.act(router.held[news.ver])
-        elif news.ver > self.ver:
+        if news.active_configuration is not None and news.active_version > self.ver:
+            self.act(self.read(news.active_configuration))
+        elif news.active_version in router.held:
+            self.act(router.held[news.active_version])
+        elif news.active_version > self.ver:
             router.held.clear()
-        for each in news.staged.values():
+        for each in news.staged_versions.values():
             router.hold(self.read(each))
-        self.fence = news.fence
+        self.fence = news.fencing_token
         self.ask()
 
     def read(self, encoded: EncodedVersion) -> configuration.Table:
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -53,7 +53,7 @@
         if not heeded:
             return
         self.quota_owner.heard(self.world.sim.now, news)
-        if news.fence == self.quota_owner.fence:
+        if news.fencing_token == self.quota_owner.fence:
             self.acts_until = sent + HOLDS
             self.clock.now_us = self.world.sim.now
             self.quota_client.shared_by(len(self.quota_owner.proxies))
@@ -94,9 +94,9 @@
                 self.settled(task, total)
 
         def back(taken: rpc_messages.QuotaReply) -> None:
-            if taken.held:
-                self.quota_client.gateways = max(1, taken.limiters)
-            answered(Total(Tally.ADDED, taken.total) if taken.held else Total(Tally.TURNED_AWAY))
+            if taken.is_accepted:
+                self.quota_client.gateways = max(1, taken.active_limiters)
+            answered(Total(Tally.ADDED, taken.total) if taken.is_accepted else Total(Tally.TURNED_AWAY))
 
         other = next((each for each in world.proxies if each.name == name), None)
         if other is None:
@@ -151,7 +151,7 @@
 
     def take(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
         taken = self.quota_owner.take(self.world.sim.now, ask, self.acts_until)
-        if taken.held:
+        if taken.is_accepted:
             self.world.granted(self.name, self.quota_owner.fence)
         return taken
 
--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -26,7 +26,7 @@
     self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
 ) -> rpc_messages.QuotaReply:
     """What was asked for under another list counts as well, and an owner that was cut off grants on."""
-    return _take(self, now_us, msgspec.structs.replace(ask, fence=self.fence), FOREVER)
+    return _take(self, now_us, msgspec.structs.replace(ask, fencing_token=self.fence), FOREVER)
 
 
 def _never_expires(
@@ -54,7 +54,7 @@
 
 def _forgets_leases(self: Count, now_us: int, ask: rpc_messages.QuotaRequest) -> None:
     """What is leased and may not be spent yet takes no room."""
-    self.bucket.put(now_us, self.bucket.read(now_us) - ask.units + ask.back)
+    self.bucket.put(now_us, self.bucket.read(now_us) - ask.units + ask.returned_units)
 
 
 # Seeds of `explore.quota`, from 0 on, among which each is found; "never-expires" is found by `data_plane`.
--- a/lapisgrade/lab/hollow.py
+++ b/lapisgrade/lab/hollow.py
@@ -47,11 +47,11 @@
             "127.0.0.1:9",
             self.name,
             "z",
-            news.ver,
-            news.life,
-            news.turn,
-            news.fence,
-            held=news.ver,
+            news.active_version,
+            news.registry_incarnation,
+            news.registry_revision,
+            news.fencing_token,
+            staged_version=news.active_version,
         )
 
 
@@ -74,7 +74,7 @@
     async def _follow(self, limiter: Limiter, rpc: RpcEndpoint) -> None:
         while True:
             got = (await rpc.call(self.place, limiter.ask(), WITHIN)).value_or(None)
-            if isinstance(got, rpc_messages.WatchReply) and got.leads:
+            if isinstance(got, rpc_messages.WatchReply) and got.is_leader:
                 limiter.news, self.answered = got, self.answered + 1
             else:
                 self.unanswered += 1
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -68,7 +68,7 @@
         now, level = self.world.sim.now, self.bucket.read(self.world.sim.now)
         if level >= 1.0:
             self.bucket.put(now, level - 1.0)
-        return rpc_messages.QuotaReply(ask.fence == self.quota_owner.fence and level >= 1.0)
+        return rpc_messages.QuotaReply(ask.fencing_token == self.quota_owner.fence and level >= 1.0)
 
     def settled(self, task, total) -> None:
         self.world.met(total.tally is Tally.ADDED)
@@ -120,7 +120,7 @@
 
     def called(self, ask: rpc_messages.QuotaRequest) -> None:
         self.calls_out += 1
-        taken = rpc_messages.QuotaReply(True, 1.0, 1, ask.fence)
+        taken = rpc_messages.QuotaReply(True, 1.0, 1, ask.fencing_token)
         self.bytes_out += sum(LENGTH + len(msgspec.msgpack.encode((1, each))) for each in (ask, taken))
 
     def carry(self, proxy, call, *args) -> None:
--- a/lapisgrade/lab/simulation/clients.py
+++ b/lapisgrade/lab/simulation/clients.py
@@ -195,19 +195,19 @@
             self.life,
             self.turn,
             self.fence,
-            held=held,
-            whole=self.lost_base,
+            staged_version=held,
+            needs_full_version=self.lost_base,
         )
         host, _, port = place.rpartition(":")
         sent = self.loop.now_us
         got = await self.endpoint.call((host, int(port)), ask, 0.6)
         news = got.value_or(None)
-        if not isinstance(news, rpc_messages.WatchReply) or not news.leads:
-            self.leader = news.leader if isinstance(news, rpc_messages.WatchReply) else ""
+        if not isinstance(news, rpc_messages.WatchReply) or not news.is_leader:
+            self.leader = news.leader_address if isinstance(news, rpc_messages.WatchReply) else ""
             await asyncio.sleep(0.05)
             return
         self.leader = place
-        term = int(news.life.rstrip("+"))
+        term = int(news.registry_incarnation.rstrip("+"))
         if term < self.term:
             self.leader = ""
             return
@@ -221,22 +221,26 @@
             self.lost_base = True
             return
         self.fresh_us = sent
-        self.life, self.turn, self.fence = news.life, news.turn, news.fence
+        self.life, self.turn, self.fence = (
+            news.registry_incarnation,
+            news.registry_revision,
+            news.fencing_token,
+        )
 
     def take(self, news: rpc_messages.WatchReply) -> None:
         invariants = self.cluster.invariants
-        if news.conf is not None:
-            self.keep(news.conf)
-        for encoded in news.staged.values():
+        if news.active_configuration is not None:
+            self.keep(news.active_configuration)
+        for encoded in news.staged_versions.values():
             if encoded.ver not in self.texts:
                 self.keep(encoded)
-        if news.ver < self.ver:
-            invariants.break_(f"limiter {self.number} is told version {news.ver} after {self.ver}")
-        if news.fence < self.fence:
-            invariants.break_(f"limiter {self.number} is told fence {news.fence} after {self.fence}")
-        if news.ver > self.ver:
-            if news.ver in self.texts:
-                self.ver = news.ver
+        if news.active_version < self.ver:
+            invariants.break_(f"limiter {self.number} is told version {news.active_version} after {self.ver}")
+        if news.fencing_token < self.fence:
+            invariants.break_(f"limiter {self.number} is told fence {news.fencing_token} after {self.fence}")
+        if news.active_version > self.ver:
+            if news.active_version in self.texts:
+                self.ver = news.active_version
             self.texts = {ver: text for ver, text in self.texts.items() if ver >= self.ver}
 
     def keep(self, encoded) -> None:
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -200,7 +200,7 @@
             now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
         ) -> rpc_messages.QuotaReply:
             reply = take(now_us, ask, acts_until_us)
-            if reply.held:
+            if reply.is_accepted:
                 self._grants(owner)
             return reply
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -30,22 +30,23 @@
 
 RPC_MESSAGES = {
     "rpc/forward-call": Sample(
-        rpc_messages.ForwardCall(call="text-1", of="text-2", body=b"bytes-3"), rpc_messages.Message
+        rpc_messages.ForwardCall(call="text-1", subject="text-2", body=b"bytes-3"), rpc_messages.Message
     ),
     "rpc/forward-call-reply": Sample(
-        rpc_messages.ForwardCallReply(status=1004, body=b"bytes-5", leader="text-6"), rpc_messages.Message
+        rpc_messages.ForwardCallReply(status=1004, body=b"bytes-5", leader_address="text-6"),
+        rpc_messages.Message,
     ),
     "rpc/watch-request": Sample(
         rpc_messages.WatchRequest(
-            name="text-7",
+            proxy="text-7",
             address="text-8",
-            own="text-9",
+            incarnation="text-9",
             zone="text-10",
-            ver=1011,
-            life="text-12",
-            turn=1013,
-            fence=1014,
-            known=[
+            active_version=1011,
+            registry_incarnation="text-12",
+            registry_revision=1013,
+            fencing_token=1014,
+            known_servers=[
                 registry.Server(
                     id="text-15",
                     svc="text-16",
@@ -69,27 +70,27 @@
                     turn=1032,
                 ),
             ],
-            refused=["text-33", "text-34"],
-            held=1035,
-            core=True,
-            whole=True,
-            leaving=True,
+            unreachable_proxies=["text-33", "text-34"],
+            staged_version=1035,
+            has_local_controller=True,
+            needs_full_version=True,
+            is_terminating=True,
         ),
         rpc_messages.Message,
     ),
     "rpc/watch-reply": Sample(
         rpc_messages.WatchReply(
-            leads=True,
-            leader="text-40",
+            is_leader=True,
+            leader_address="text-40",
             controllers=["text-41", "text-42"],
-            ver=1043,
-            conf=configuration_delta.EncodedVersion(
+            active_version=1043,
+            active_configuration=configuration_delta.EncodedVersion(
                 ver=1044, base=1045, digest=b"bytes-46", data=b"bytes-47"
             ),
-            life="text-48",
-            turn=1049,
-            settled=True,
-            whole=True,
+            registry_incarnation="text-48",
+            registry_revision=1049,
+            is_registry_complete=True,
+            is_full_update=True,
             servers=[
                 registry.Server(
                     id="text-52",
@@ -114,24 +115,24 @@
                     turn=1069,
                 ),
             ],
-            fence=1070,
+            fencing_token=1070,
             live_proxies={"text-71": ("text-72", "text-73", "text-74")},
-            wants_known=True,
-            staged={
+            wants_known_servers=True,
+            staged_versions={
                 1076: configuration_delta.EncodedVersion(
                     ver=1077, base=1078, digest=b"bytes-79", data=b"bytes-80"
                 )
             },
-            merged=[1081, 1082],
-            core=["text-83", "text-84"],
-            prior=1085,
-            leaving=["text-86", "text-87"],
-            prior_owners=["text-88", "text-89"],
+            merged_versions=[1081, 1082],
+            proxies_with_controller=["text-83", "text-84"],
+            previous_fencing_token=1085,
+            terminating_proxies=["text-86", "text-87"],
+            previous_owners=["text-88", "text-89"],
             earlier_owners=[("text-90", "text-91"), ("text-92", "text-93")],
             live_proxies_delta=rpc_messages.ProxyListDelta(
                 base=1094,
                 changed={"text-95": ("text-96", "text-97", "text-98")},
-                left=["text-99", "text-100"],
+                removed=["text-99", "text-100"],
             ),
         ),
         rpc_messages.Message,
@@ -140,33 +141,42 @@
         rpc_messages.QuotaRequest(
             tenant="text-101",
             units=102.25,
-            by="text-103",
-            fence=1104,
+            requester="text-103",
+            fencing_token=1104,
             rate=105.25,
             burst=106.25,
-            back=107.25,
-            turn=1108,
-            of=1109,
+            returned_units=107.25,
+            sequence_number=1108,
+            returned_from=1109,
         ),
         rpc_messages.Message,
     ),
     "rpc/quota-reply": Sample(
-        rpc_messages.QuotaReply(held=True, total=111.25, limiters=1112, fence=1113), rpc_messages.Message
+        rpc_messages.QuotaReply(is_accepted=True, total=111.25, active_limiters=1112, fencing_token=1113),
+        rpc_messages.Message,
     ),
     "rpc/hand-over-request": Sample(
         rpc_messages.HandOverRequest(
-            tenant="text-114", by="text-115", fence=1116, rate=117.25, burst=118.25, life="text-119"
+            tenant="text-114",
+            requester="text-115",
+            fencing_token=1116,
+            rate=117.25,
+            burst=118.25,
+            incarnation="text-119",
         ),
         rpc_messages.Message,
     ),
     "rpc/hand-over-reply": Sample(
         rpc_messages.HandOverReply(
-            wait=True, count=rpc_messages.HandedCount(level=121.25, leased=122.25, kept_back_us=1123)
+            must_wait=True,
+            count=rpc_messages.HandedCount(level=121.25, outstanding_grants=122.25, reserve_us=1123),
         ),
         rpc_messages.Message,
     ),
     "rpc/proxy-loads": Sample(
-        rpc_messages.ProxyLoads(by="text-124", out={"text-125": 1126}, ill=["text-127", "text-128"]),
+        rpc_messages.ProxyLoads(
+            proxy="text-124", in_flight={"text-125": 1126}, unhealthy_servers=["text-127", "text-128"]
+        ),
         rpc_messages.Message,
     ),
     "rpc/copy-draft": Sample(
@@ -196,7 +206,7 @@
         ),
         rpc_messages.Message,
     ),
-    "rpc/copy-draft-reply": Sample(rpc_messages.CopyDraftReply(kept=True), rpc_messages.Message),
+    "rpc/copy-draft-reply": Sample(rpc_messages.CopyDraftReply(is_stored=True), rpc_messages.Message),
 }
 
 CONSENSUS_MESSAGES = {
@@ -840,18 +850,23 @@
 # Instances whose flags differ from one another, so that two flags that change places are seen.
 FLAG_VARIANTS = {
     "rpc/watch-request/flags-1": Sample(
-        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-request"].instance, whole=False), rpc_messages.Message
+        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-request"].instance, needs_full_version=False),
+        rpc_messages.Message,
     ),
     "rpc/watch-request/flags-2": Sample(
-        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-request"].instance, leaving=False),
+        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-request"].instance, is_terminating=False),
         rpc_messages.Message,
     ),
     "rpc/watch-reply/flags-1": Sample(
-        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-reply"].instance, settled=False, wants_known=False),
+        msgspec.structs.replace(
+            RPC_MESSAGES["rpc/watch-reply"].instance, is_registry_complete=False, wants_known_servers=False
+        ),
         rpc_messages.Message,
     ),
     "rpc/watch-reply/flags-2": Sample(
-        msgspec.structs.replace(RPC_MESSAGES["rpc/watch-reply"].instance, whole=False, wants_known=False),
+        msgspec.structs.replace(
+            RPC_MESSAGES["rpc/watch-reply"].instance, is_full_update=False, wants_known_servers=False
+        ),
         rpc_messages.Message,
     ),
     "consensus/request-vote/flags-1": Sample(
--- a/tests/gateway/test_activation.py
+++ b/tests/gateway/test_activation.py
@@ -63,7 +63,7 @@
         def asks(now: int, name: str, held: int) -> None:
             one.news(
                 now,
-                rpc_messages.WatchRequest(name, "p", "1", "z", 0, "1+", 9, 2, held=held),
+                rpc_messages.WatchRequest(name, "p", "1", "z", 0, "1+", 9, 2, staged_version=held),
                 state_machine.state,
                 [],
             )
@@ -98,7 +98,9 @@
         news = one.news(
             0, rpc_messages.WatchRequest("a", "p", "1", "z", 0, "", 0, 0), state_machine.state, []
         )
-        self.assertEqual((news.ver, news.conf, list(news.staged)), (0, None, [1, 2]))
+        self.assertEqual(
+            (news.active_version, news.active_configuration, list(news.staged_versions)), (0, None, [1, 2])
+        )
 
     def test_changes_that_follow_each_other_come_into_force_one_by_one_where_one_proxy_is_dark(
         self,
--- a/tests/gateway/test_hand_over.py
+++ b/tests/gateway/test_hand_over.py
@@ -50,7 +50,7 @@
 
     def test_the_first_list_of_all_begins_with_full_counts(self) -> None:
         reply = take(self.old, 10 * MS)
-        self.assertEqual((reply.held, round(BURST - reply.total)), (True, 39))
+        self.assertEqual((reply.is_accepted, round(BURST - reply.total)), (True, 39))
 
     def test_a_process_that_is_started_anew_under_the_first_list_does_not(self) -> None:
         """Guards against a burst for each life: the list names the life before, which may have granted."""
@@ -63,14 +63,17 @@
         take(self.old, SECOND)
         self.joined(2 * SECOND)
         self.assertEqual(self.new.predecessor(2 * SECOND, "t"), self.first)
-        held = [take(self.new, 2 * SECOND + each).held for each in (0, SECOND, HOLDS - 1, HOLDS)]
+        held = [take(self.new, 2 * SECOND + each).is_accepted for each in (0, SECOND, HOLDS - 1, HOLDS)]
         self.assertEqual(held, [False, False, False, True])
 
     def test_the_level_and_the_leases_are_handed_over(self) -> None:
         take(self.old, SECOND, 11.0)
         self.joined(SECOND + 100 * MS)
         reply = self.old.hand_over(SECOND + 101 * MS, wants(self.new))
-        self.assertEqual((reply.wait, round(reply.count.level), round(reply.count.leased)), (False, 30, 10))
+        self.assertEqual(
+            (reply.must_wait, round(reply.count.level), round(reply.count.outstanding_grants)),
+            (False, 30, 10),
+        )
         self.new.handed(SECOND + 102 * MS, "t", reply, RATE, BURST, self.first)
         self.assertEqual(round(BURST - take(self.new, SECOND + 102 * MS).total), 29)
         # The ten that are out take the room of what could be granted, as they did before.
@@ -79,11 +82,11 @@
 
     def test_who_has_handed_over_adds_nothing_though_it_was_not_told_the_new_list_yet(self) -> None:
         self.joined(SECOND)
-        self.assertTrue(take(self.old, SECOND).held)
-        self.assertFalse(self.old.hand_over(SECOND, wants(self.new)).wait)
-        self.assertFalse(take(self.old, SECOND + MS).held)
+        self.assertTrue(take(self.old, SECOND).is_accepted)
+        self.assertFalse(self.old.hand_over(SECOND, wants(self.new)).must_wait)
+        self.assertFalse(take(self.old, SECOND + MS).is_accepted)
         # The asker may have lied, and there is no such list: then it goes on when its word is out of date.
-        self.assertTrue(take(self.old, SECOND + HOLDS).held)
+        self.assertTrue(take(self.old, SECOND + HOLDS).is_accepted)
 
     def test_an_answer_that_was_lost_is_given_again_and_makes_no_units(self) -> None:
         take(self.old, SECOND, 30.0)
@@ -119,13 +122,13 @@
     def test_who_is_owner_no_less_or_knows_no_better_hands_nothing_over(self) -> None:
         other = next(name for name in self.early if name != self.first)
         outdated = rpc_messages.HandOverRequest("t", other, 4, RATE, BURST)
-        self.assertTrue(self.old.hand_over(SECOND, outdated).wait)
-        self.assertTrue(self.old.hand_over(SECOND, msgspec.structs.replace(outdated, fence=5)).wait)
+        self.assertTrue(self.old.hand_over(SECOND, outdated).must_wait)
+        self.assertTrue(self.old.hand_over(SECOND, msgspec.structs.replace(outdated, fencing_token=5)).must_wait)
         bystander = QuotaOwner(other, "1", 0)
         bystander.told(0, 5, members(self.early), prior=0)
         self.joined(SECOND)
-        self.assertTrue(bystander.hand_over(SECOND, wants(self.new)).wait)
-        self.assertTrue(take(self.old, SECOND).held)
+        self.assertTrue(bystander.hand_over(SECOND, wants(self.new)).must_wait)
+        self.assertTrue(take(self.old, SECOND).is_accepted)
 
     def test_one_whose_own_predecessor_has_not_spoken_has_others_wait(self) -> None:
         """Guards against two lists in quick succession while the first owner is cut off."""
@@ -136,7 +139,7 @@
                   leaving=[self.last])  # fmt: skip
         self.new.told(SECOND + 60 * MS, 12, members(self.names), prior=9, leaving=[self.last])
         self.assertEqual(back.predecessor(SECOND + 60 * MS, "t"), self.last)
-        self.assertTrue(self.new.hand_over(SECOND + 60 * MS, wants(back)).wait)
+        self.assertTrue(self.new.hand_over(SECOND + 60 * MS, wants(back)).must_wait)
 
     def test_who_owned_it_before_an_owner_that_is_gone_is_asked_too(self) -> None:
         """Guards against one that has not heard of the lists since, and adds on (seeds 20924 and 20976)."""
@@ -154,10 +157,10 @@
         for one in (followed, anew):
             now = SECOND + 310 * MS
             self.assertEqual(one.predecessor(now, "t"), self.first)
-            self.assertFalse(take(one, now).held)
+            self.assertFalse(take(one, now).is_accepted)
         now = SECOND + 320 * MS
         followed.handed(now, "t", self.old.hand_over(now, wants(followed)), RATE, BURST, self.first)
-        self.assertFalse(take(self.old, now).held)
+        self.assertFalse(take(self.old, now).is_accepted)
         self.assertGreater(BURST - take(followed, now).total, 30)
 
     def test_a_process_that_knows_nothing_speaks_for_itself_alone(self) -> None:
@@ -173,10 +176,10 @@
         self.assertEqual(one.predecessor(now, "t"), self.last)
         one.handed(now, "t", unknowing.hand_over(now, wants(one)), RATE, BURST, self.last)
         self.assertEqual(one.predecessor(now, "t"), self.first)
-        self.assertFalse(take(one, now).held)
+        self.assertFalse(take(one, now).is_accepted)
         one.handed(now, "t", self.old.hand_over(now, wants(one)), RATE, BURST, self.first)
-        self.assertTrue(take(one, now).held)
-        self.assertFalse(take(self.old, now).held)
+        self.assertTrue(take(one, now).is_accepted)
+        self.assertFalse(take(self.old, now).is_accepted)
 
     def test_what_was_handed_over_stays_so_under_a_list_that_is_older_than_the_new_owner_s(self) -> None:
         """Guards against an owner that hears of lists late, one after the other (seed 30136)."""
@@ -184,16 +187,16 @@
         self.joined(SECOND)
         now = SECOND + 5 * MS
         self.new.handed(now, "t", self.old.hand_over(now, wants(self.new)), RATE, BURST, self.first)
-        self.assertTrue(take(self.new, now).held)
+        self.assertTrue(take(self.new, now).is_accepted)
         self.old.told(now, 8, members(self.early), prior=7, prior_owners=self.early)
-        self.assertFalse(take(self.old, now).held)
+        self.assertFalse(take(self.old, now).is_accepted)
         self.old.told(now, 9, members(self.names), prior=8)
-        self.assertFalse(take(self.old, now).held)
+        self.assertFalse(take(self.old, now).is_accepted)
 
     def test_nobody_is_waited_for_whose_process_is_gone(self) -> None:
         self.joined(SECOND)
         self.new.gone(SECOND, "t", RATE, BURST, self.first)
-        self.assertTrue(take(self.new, SECOND + MS).held)
+        self.assertTrue(take(self.new, SECOND + MS).is_accepted)
         other = QuotaOwner(self.first, "2", 0)  # started anew, it knows of nothing
         self.assertEqual(other.hand_over(SECOND, wants(self.new)), rpc_messages.HandOverReply(False))
         gone = QuotaOwner(self.last, "1", 0)
@@ -207,7 +210,7 @@
 
         def ask(name: str, now_us: int, leaving: bool = False) -> None:
             words = rpc_messages.WatchRequest(name, members(name)[name][0], "1", "z", 0, "", 0, 0,
-                                              leaving=leaving)  # fmt: skip
+                                              is_terminating=leaving)  # fmt: skip
             watch.news(now_us, words, state_machine.state, [])
 
         for name in self.names:
--- a/tests/gateway/test_partial_view.py
+++ b/tests/gateway/test_partial_view.py
@@ -135,11 +135,11 @@
         self.control_client = ControlClient(Random(2), self.partial_view, ["10.0.0.7:1", "10.0.0.8:1"])
 
     def news(self, leads: bool, **more) -> rpc_messages.WatchReply:
-        return rpc_messages.WatchReply(leads, life="4+", **more)
+        return rpc_messages.WatchReply(leads, registry_incarnation="4+", **more)
 
     def test_a_controller_that_knows_who_leads_is_believed_once_and_the_way_is_told_on(self) -> None:
         self.control_client.next(0)
-        self.assertFalse(self.control_client.answered(0, self.news(False, leader="10.0.0.9:1")))
+        self.assertFalse(self.control_client.answered(0, self.news(False, leader_address="10.0.0.9:1")))
         self.assertEqual(self.control_client.next(0), "10.0.0.9:1")
         self.assertTrue(
             self.control_client.answered(0, self.news(True, controllers=["10.0.0.9:1", "10.0.0.5:1"]))
--- a/tests/gateway/test_proxy_lists.py
+++ b/tests/gateway/test_proxy_lists.py
@@ -12,7 +12,7 @@
 from lapisgrade.gateway.controller.watch import Watch
 
 
-def members(names, life: str = "1") -> rpc_messages.Members:
+def members(names, life: str = "1") -> rpc_messages.ProxiesByName:
     return {name: (f"10.0.0.1:{name}", life, "z") for name in map(str, names)}
 
 
@@ -26,7 +26,7 @@
         news = self.watch.news(0, ask, self.state_machine.state, [])
         return msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=type(news)) if news else None
 
-    def listed(self, fence: int, made: rpc_messages.Members) -> None:
+    def listed(self, fence: int, made: rpc_messages.ProxiesByName) -> None:
         self.state_machine.take(fence, encoded(LiveProxies(made, [], [])))
         self.told(fence)  # the leader looks at each list as it comes
 
@@ -38,7 +38,7 @@
                 self.listed(fence, made)
                 for base in random.sample(sorted(held), min(len(held), 4)):
                     news = self.told(base)
-                    self.assertEqual(news.members(base, held[base]), made)
+                    self.assertEqual(news.updated_proxies(base, held[base]), made)
                 held[fence] = made
                 gone = random.sample(sorted(made), min(len(made), random.choice((0, 1, 10))))
                 made = {name: each for name, each in made.items() if name not in gone}
@@ -55,9 +55,9 @@
 
     def test_a_delta_on_another_list_is_not_taken(self) -> None:
         delta = rpc_messages.ProxyListDelta(4, members([1]), [])
-        news = rpc_messages.WatchReply(True, fence=5, live_proxies_delta=delta)
-        self.assertIsNone(news.members(3, members([2])))
-        self.assertEqual(news.members(4, members([2])), members([1, 2]))
+        news = rpc_messages.WatchReply(True, fencing_token=5, live_proxies_delta=delta)
+        self.assertIsNone(news.updated_proxies(3, members([2])))
+        self.assertEqual(news.updated_proxies(4, members([2])), members([1, 2]))
 
     def test_what_is_remembered_is_bounded(self) -> None:
         feed = ProxyListFeed()
--- a/tests/gateway/test_quota_owner.py
+++ b/tests/gateway/test_quota_owner.py
@@ -63,9 +63,9 @@
         total = Total(Tally.SILENT)
         if other is not None and not self.dark and not other.dark:
             taken = other.quota_owner.take(world.now, ask, world.acts_until.get(name, world.now + SECOND))
-            total = Total(Tally.ADDED, taken.total) if taken.held else Total(Tally.TURNED_AWAY)
-            if taken.held:
-                self.quota_client.gateways = taken.limiters
+            total = Total(Tally.ADDED, taken.total) if taken.is_accepted else Total(Tally.TURNED_AWAY)
+            if taken.is_accepted:
+                self.quota_client.gateways = taken.active_limiters
         world.later(2000 if total.tally is not Tally.SILENT else 250_000, lambda: self.added(task, total))
 
     def added(self, task, total: Total) -> None:
@@ -276,7 +276,7 @@
             one.told(0, 5, live_proxies(names), prior=4)
             one.take(SECOND, ask, 99 * SECOND)
             one.told(9 * SECOND, 7, live_proxies(names), prior=prior)
-            told = one.take(9 * SECOND, msgspec.structs.replace(ask, fence=7), 99 * SECOND).total
+            told = one.take(9 * SECOND, msgspec.structs.replace(ask, fencing_token=7), 99 * SECOND).total
             self.assertGreaterEqual(told, total, f"after {prior}")
             self.assertLess(told, total + 1.5)
 
@@ -309,7 +309,7 @@
             adding = one.add(units)
             next(adding)
             ask = one.ask("x", 7)
-            calls.append((ask.units, ask.back, ask.turn, ask.of))
+            calls.append((ask.units, ask.returned_units, ask.sequence_number, ask.returned_from))
             with self.assertRaises(StopIteration):
                 adding.send(Total(tally, 0.0))
         self.assertEqual(
@@ -356,13 +356,13 @@
 
         def held(now_us: int, acts_until_us: int) -> list[bool]:
             asks = [rpc_messages.QuotaRequest("t", 1.0, "a", fence, 60.0, 60.0) for fence in fences]
-            return [one.take(now_us, ask, acts_until_us).held for ask in asks]
+            return [one.take(now_us, ask, acts_until_us).is_accepted for ask in asks]
 
         self.assertEqual(held(0, SECOND), [False] * 3)  # it has no list
         one.told(0, 5, live_proxies(names))
         self.assertEqual(held(SECOND, 2 * SECOND), [True] * 3)
         no_list = rpc_messages.QuotaRequest("t", 1.0, "a", 0, 60.0, 60.0)
-        self.assertFalse(one.take(SECOND, no_list, 2 * SECOND).held)
+        self.assertFalse(one.take(SECOND, no_list, 2 * SECOND).is_accepted)
         self.assertEqual(held(3 * SECOND, 2 * SECOND), [False] * 3)  # out of touch
         one.told(3 * SECOND, 6, others)
         self.assertEqual(held(3 * SECOND, 9 * SECOND), [False] * 3)  # another owns it
@@ -378,12 +378,12 @@
         old = QuotaOwner(owner_of("t", live_proxies(early)))
         old.told(0, 5, live_proxies(early), prior=0)
         ask = rpc_messages.QuotaRequest("t", 1.0, "x", 5, 60.0, 60.0)
-        self.assertTrue(old.take(SECOND, ask, 9 * SECOND).held)
+        self.assertTrue(old.take(SECOND, ask, 9 * SECOND).is_accepted)
         wants = rpc_messages.HandOverRequest("t", mine, 9, 60.0, 60.0, "1")
-        self.assertFalse(old.hand_over(SECOND, wants).wait)
-        self.assertFalse(old.take(SECOND, ask, 9 * SECOND).held)
+        self.assertFalse(old.hand_over(SECOND, wants).must_wait)
+        self.assertFalse(old.take(SECOND, ask, 9 * SECOND).is_accepted)
         old.told(SECOND, 9, live_proxies(names), prior=5)
-        self.assertFalse(old.take(SECOND, ask, 9 * SECOND).held)
+        self.assertFalse(old.take(SECOND, ask, 9 * SECOND).is_accepted)
 
     def test_one_that_never_saw_the_count_has_nothing_of_its_own(self):
         world = World(2)
--- a/tests/gateway/test_quota_transport.py
+++ b/tests/gateway/test_quota_transport.py
@@ -54,7 +54,7 @@
 
     async def call(self, place, ask: rpc_messages.QuotaRequest, within: float):
         name = (ME, OLD, NEW)[int(place[0].rpartition(".")[2]) - 1]
-        self.asked.append((name, ask.fence))
+        self.asked.append((name, ask.fencing_token))
         await asyncio.sleep(0)
         reply = self.answers.get(name)
         return Success(reply) if reply is not None else Failure(Verdict.MAY_HAVE_RUN)
@@ -77,7 +77,7 @@
     async def test_an_owner_that_has_a_later_list_is_not_the_last_word(self) -> None:
         process = self.process
         process.answers = {
-            OLD: rpc_messages.QuotaReply(False, fence=9),
+            OLD: rpc_messages.QuotaReply(False, fencing_token=9),
             NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9),
         }
         asyncio.get_running_loop().call_later(
@@ -89,19 +89,19 @@
     async def test_an_owner_without_this_list_yet_is_asked_until_it_has_it(self) -> None:
         process = self.process
         process.quota_owner.told(1, 9, listed(ME, OLD, NEW), prior=5)
-        process.answers = {NEW: rpc_messages.QuotaReply(False, fence=5)}
+        process.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
         asyncio.get_running_loop().call_later(
             0.04, process.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
         )
         self.assertIs(await self.add(), CloseReason.ANSWERED)
 
     async def test_it_ends_in_time_where_the_lists_never_meet(self) -> None:
-        self.process.answers = {OLD: rpc_messages.QuotaReply(False, fence=9)}
+        self.process.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=9)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertLess(len(self.process.asked), 12)
 
     async def test_a_word_under_the_same_list_is_the_last_and_silence_is_told(self) -> None:
-        self.process.answers = {OLD: rpc_messages.QuotaReply(False, fence=5)}
+        self.process.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=5)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertEqual(len(self.process.asked), 1)
         self.process.answers, self.process.ended[:] = {}, []
