--- a/tests/gateway/test_rejoin.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from loopback_network import reserve_loopback_network
+from support.loopback_network import reserve_loopback_network
 from lapisgrade.lab.partitions import cuts, rejoin
 from lapisgrade.lab.partitions.fleet import Stamped
 from lapisgrade.gateway.http_client import told
@@ -54,7 +54,7 @@
         await site.until(lambda: all(each.ver == ver for each in site.proxies.values()))
 
     def rule(self, site: LocalCluster, name: str):
-        table = site.proxies[name].router.table
+        table = site.proxies[name].router.tables.active
         return next(rule for rule in table.made.ports[0].policy if rule.name == "r-claim")
 
     async def test_one_route_that_keeps_both_and_the_tool_s_words(self) -> None:
--- a/tests/gateway/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -123,7 +123,9 @@
         other = next(name for name in self.early if name != self.first)
         outdated = rpc_messages.HandOverRequest("t", other, 4, RATE, BURST)
         self.assertTrue(self.old.hand_over(SECOND, outdated).must_wait)
-        self.assertTrue(self.old.hand_over(SECOND, msgspec.structs.replace(outdated, fencing_token=5)).must_wait)
+        self.assertTrue(
+            self.old.hand_over(SECOND, msgspec.structs.replace(outdated, fencing_token=5)).must_wait
+        )
         bystander = QuotaOwner(other, "1", 0)
         bystander.told(0, 5, members(self.early), prior=0)
         self.joined(SECOND)
