--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -7,7 +7,7 @@
     JoinRequest,
     RequestVoteReply,
 )
-from lapisgrade.gateway.consensus.state import LEASE_US
+from lapisgrade.gateway.consensus.timing import LEASE_US
 from lapisgrade.lab.explore.defects import switched
 from lapisgrade.lab.simulation.mutants import BY_RULE
 from support.consensus_nodes import VOTERS, leader, node, reply, sync, taken
@@ -17,10 +17,10 @@
     def test_it_commits_by_an_entry_of_its_own_term_alone(self) -> None:
         one = node()
         one.log.append([Entry(1, 1, b"x")])
-        one.term = 1
+        one.state.term = 1
         one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
-        one.receive(one.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.round))
+        one.receive(one.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.pre_vote_round))
         sync(one)
         one.receive(one.now_us, RequestVoteReply(2, "b", True, False))
         sync(one)
@@ -41,10 +41,10 @@
     def test_its_lease_runs_from_when_it_asked(self) -> None:
         one = leader()
         sent = one.now_us
-        one.now_us += 200_000
+        one.state.now_us += 200_000
         reply(one, "b", one.log.last_index, sent_us=sent)
         self.assertTrue(one.has_lease())
-        one.now_us = sent + LEASE_US + 1
+        one.state.now_us = sent + LEASE_US + 1
         self.assertFalse(one.has_lease())
 
     def test_a_learner_holds_up_neither_lease_nor_commit(self) -> None:
@@ -52,7 +52,7 @@
         one.receive(one.now_us, JoinRequest("z", "10.0.0.9:1"))
         reply(one, "z", one.log.last_index)
         self.assertEqual(one.commit_index, 0)
-        one.now_us += LEASE_US + 1
+        one.state.now_us += LEASE_US + 1
         reply(one, "z", one.log.last_index)
         self.assertFalse(one.has_lease())
 
