--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -243,7 +243,7 @@
     def on_message(self, message: rpc_messages.Message) -> None:
         """Take in a message that wants no answer."""
         if isinstance(message, rpc_messages.ProxyLoads):
-            self.router.subsets.heard(
+            self.router.subsets.on_load_report(
                 self.context.now_us(), message.proxy, message.in_flight, message.unhealthy_servers
             )
 
