--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -140,7 +140,7 @@
         settings = self.settings
         controller_port, hosts = settings.portrange[0], [each[0] for each in settings.peers]
         self.watch_target.seeds = [f"{host}:{controller_port}" for host in hosts]
-        self.partial_view.introduced([f"{host}:{self.inner[1]}" for host in hosts])
+        self.partial_view.introduce([f"{host}:{self.inner[1]}" for host in hosts])
 
     # ---- start and shutdown
 
@@ -243,7 +243,9 @@
     def on_message(self, message: rpc_messages.Message) -> None:
         """Take in a message that wants no answer."""
         if isinstance(message, rpc_messages.ProxyLoads):
-            self.router.subsets.on_load_report(self.context.now_us(), message.by, message.out, message.ill)
+            self.router.subsets.on_load_report(
+                self.context.now_us(), message.proxy, message.in_flight, message.unhealthy_servers
+            )
 
     async def answer(self, message: rpc_messages.Message) -> rpc_messages.Message | None:
         """Answer another process's call; None where it is none that a proxy answers."""
--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -42,15 +42,15 @@
             msgspec.MsgspecError: A version is no JSON of that form.
         """
         staged = self._router.tables.staged
-        if reply.conf is not None and reply.ver > self.active_version:
-            self._activate(self._read(reply.conf))
-        elif reply.ver in staged:
-            self._activate(staged[reply.ver])
-        elif reply.ver > self.active_version:
+        if reply.active_configuration is not None and reply.active_version > self.active_version:
+            self._activate(self._read(reply.active_configuration))
+        elif reply.active_version in staged:
+            self._activate(staged[reply.active_version])
+        elif reply.active_version > self.active_version:
             staged.clear()  # the active version was never staged here: ask for it
-        for version, encoded in reply.staged.items():
+        for version, encoded in reply.staged_versions.items():
             if version > self.active_version and version not in self._router.tables.staged:
-                self._router.tables.stage(self._read(encoded), version in reply.merged)
+                self._router.tables.stage(self._read(encoded), version in reply.merged_versions)
         self.has_lost_base = False
 
     def _activate(self, table: Table) -> None:
--- a/lapisgrade/gateway/proxy/watch_target.py
+++ b/lapisgrade/gateway/proxy/watch_target.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.membership.partial_view import ControlHint, PartialView, sound
+from lapisgrade.gateway.membership.partial_view import ControlHint, PartialView, is_address
 
 RELAYED_US = 4 * SECOND  # that updates come through another proxy before the controllers are tried again
 MAX_CONTROLLERS = 64  # addresses of controllers that are remembered
@@ -46,7 +46,7 @@
         return self._address
 
     def _choose_controller(self) -> str:
-        hint = self._partial_view.way
+        hint = self._partial_view.control_hint
         if hint.leader and hint.leader != self._tried_hint:
             self._tried_hint = hint.leader  # tried once, until it has replied
             return hint.leader
@@ -54,9 +54,9 @@
 
     def on_reply(self, now_us: int, reply: rpc_messages.WatchReply | None) -> bool:
         """Take in what came of the last request, None for nothing; whether it is the leader's reply."""
-        if reply is not None and reply.leads and _term(reply) < self.term:
+        if reply is not None and reply.is_leader and _term(reply) < self.term:
             reply = None  # a leader that was cut off, and does not know that it is none any more
-        if reply is not None and reply.leads:
+        if reply is not None and reply.is_leader:
             self._on_leader_reply(now_us, reply)
             return True
         self._on_failure(reply)
@@ -67,7 +67,7 @@
         self._remember_controllers(reply)
         if self._relayed_since_us is None:
             self.leader, self.leader_replied_us, self._tried_hint = self._address, now_us, ""
-            self._partial_view.leads(ControlHint(self.term, self._address, self.controllers))
+            self._partial_view.on_control_hint(ControlHint(self.term, self._address, self.controllers))
         elif now_us - self._relayed_since_us > RELAYED_US:
             self._address = ""  # the controllers may be there again
 
@@ -75,21 +75,25 @@
         """Nobody replied, or one who does not lead: another address is asked next."""
         asked, self._address = self._address, ""
         self.failures += 1
-        self._partial_view.misled(asked)
+        self._partial_view.discard_leader(asked)
         if reply is None:
             return
         self._remember_controllers(reply)
         if self._relayed_since_us is None:
             # A controller that lives and knows no leader: another proxy knows none either.
             self.failures = 0
-            self._address = reply.leader if reply.leader != asked and sound(reply.leader) else ""
+            self._address = (
+                reply.leader_address
+                if reply.leader_address != asked and is_address(reply.leader_address)
+                else ""
+            )
 
     def _remember_controllers(self, reply: rpc_messages.WatchReply) -> None:
-        named = [address for address in reply.controllers[:MAX_CONTROLLERS] if sound(address)]
+        named = [address for address in reply.controllers[:MAX_CONTROLLERS] if is_address(address)]
         self.controllers = named or self.controllers
 
 
 def _term(reply: rpc_messages.WatchReply) -> int:
     """The leader's term, which names its registry's incarnation."""
-    term = reply.life.rstrip("+")
+    term = reply.registry_incarnation.rstrip("+")
     return int(term) if term.isdecimal() else 0
--- a/tests/gateway/quota/test_client.py
+++ b/tests/gateway/quota/test_client.py
@@ -23,7 +23,7 @@
             adding = one.add(units)
             next(adding)
             ask = one.ask("x", 7)
-            calls.append((ask.units, ask.back, ask.turn, ask.of))
+            calls.append((ask.units, ask.returned_units, ask.sequence_number, ask.returned_from))
             with self.assertRaises(StopIteration):
                 adding.send(CounterReply(tally, 0.0))
         self.assertEqual(
