--- a/lapisgrade/gateway/consensus/follower.py
+++ b/lapisgrade/gateway/consensus/follower.py
@@ -10,6 +10,7 @@
     AppendEntriesReply,
     InstallSnapshot,
     InstallSnapshotReply,
+    LeaderHint,
 )
 from lapisgrade.gateway.consensus.snapshots import SnapshotAssembly
 from lapisgrade.gateway.consensus.state import NodeState, Role, RoleTransitions
@@ -91,6 +92,12 @@
         self._install(message, snapshot)
         self._acknowledge_snapshot(message)
 
+    def on_leader_hint(self, hint: LeaderHint) -> None:
+        """Remember where a leader may be found, while none is known."""
+        state = self.state
+        if hint.term >= state.term and not state.leader:
+            state.leader_address = hint.address
+
     def acknowledge(self, message: AppendEntries) -> None:
         """Reply how much of the leader's log is on this disk, if it still is the leader."""
         state = self.state
--- a/lapisgrade/gateway/consensus/node.py
+++ b/lapisgrade/gateway/consensus/node.py
@@ -27,6 +27,7 @@
     election.Election         pre-vote and vote as a candidate; the tally
     follower.Follower         entries and snapshots from the leader; how far the logs agree
     replication.Replication   the followers' progress, commits and the lease of a leader
+    compaction.Compaction     when a snapshot takes the place of the log's entries
     reconfiguration           changes of voters by a leader; who is leaving
     node.Node                 the transitions between roles
 
@@ -38,47 +39,22 @@
 from random import Random
 from typing import Self
 
+from lapisgrade.gateway.consensus import messages
+from lapisgrade.gateway.consensus.compaction import Compaction
 from lapisgrade.gateway.consensus.election import Election
 from lapisgrade.gateway.consensus.election_timer import ElectionTimer
 from lapisgrade.gateway.consensus.follower import Follower
 from lapisgrade.gateway.consensus.log import ReplicatedLog
-from lapisgrade.gateway.consensus.messages import (
-    AppendEntries,
-    AppendEntriesReply,
-    Entry,
-    InstallSnapshot,
-    InstallSnapshotReply,
-    JoinRequest,
-    LeaderHint,
-    LeaveRequest,
-    Message,
-    RequestVote,
-    RequestVoteReply,
-    TimeoutNow,
-)
+from lapisgrade.gateway.consensus.messages import Message, TimeoutNow
 from lapisgrade.gateway.consensus.progress import FollowerProgress
 from lapisgrade.gateway.consensus.reconfiguration import Reconfiguration
-from lapisgrade.gateway.consensus.records import (
-    Effects,
-    EntriesRecord,
-    HardState,
-    Record,
-    SnapshotRecord,
-)
+from lapisgrade.gateway.consensus.records import Effects, Record, SnapshotRecord
+from lapisgrade.gateway.consensus.recovery import replay
 from lapisgrade.gateway.consensus.replication import Replication
 from lapisgrade.gateway.consensus.state import NodeState, Role
 from lapisgrade.gateway.consensus.timing import HEARTBEAT_INTERVAL_US
 from lapisgrade.gateway.consensus.voter import Voter
 
-MAX_LOG_ENTRIES = 128
-"""Committed entries in the log after which a snapshot takes their place."""
-
-MAX_LOG_BYTES = 2 * 1024 * 1024
-"""Bytes in the log after which a snapshot takes its place."""
-
-TRANSFER_LOG_FACTOR = 4
-"""So many times as much is kept while a follower is being sent a snapshot."""
-
 
 class Node:
     """One node of the consensus group; see the module."""
@@ -105,6 +81,7 @@
         self.timer = ElectionTimer(random, now_us)
         self.replication = Replication(self.state, self)
         self.reconfiguration = Reconfiguration(self.state, self.replication)
+        self.compaction = Compaction(self.state, self.replication)
         self.voter = Voter(self.state, self.timer, self, self.replication.quorum_contact_us)
         self.election = Election(self.state, self.timer, self.voter, self)
         self.follower = Follower(self.state, self.timer, self.voter, self)
@@ -120,11 +97,9 @@
     ) -> Self:
         """Make a node of what is on its disk.
 
-        What was read may not be synced: nothing of it counts as durable before the shell has written it anew.
-
         Args:
             records: a generation of the log's file, which begins with a SnapshotRecord.
-            address: where other nodes send their messages to.
+            address: as for a node with an empty disk, like the next two.
             random: for the random part of election time-outs.
             now_us: the time on the steady clock.
             started_us: when this process began, and the one before it had ended; now, where that isn't known.
@@ -132,25 +107,9 @@
         first = records[0]
         assert isinstance(first, SnapshotRecord)
         node = cls(first.identity, address, random, now_us)
-        state = node.state
-        state.term = first.term
-        state.voted_for = first.voted_for
-        state.commit_index = first.snapshot_index
-        state.log.install(first.snapshot_index, first.snapshot_term, first.voters, first.state)
-        state.log.append(first.entries)
-        commit_index = first.commit_index
-        for record in records[1:]:
-            if isinstance(record, HardState):
-                state.term = record.term
-                state.voted_for = record.voted_for
-            elif isinstance(record, EntriesRecord):
-                state.log.append(record.entries)
-                commit_index = max(commit_index, record.commit_index)
         node.voter.guard_after_restart(now_us if started_us is None else started_us)
         node.timer.retry_soon(now_us)
-        if state.log.snapshot_state:
-            state.effects.snapshot = state.log.snapshot_state
-        state.commit_up_to(commit_index)
+        replay(node.state, first, records[1:])
         return node
 
     # ---- what the shell reads
@@ -165,11 +124,6 @@
         """Where other nodes send their messages to."""
         return self.state.address
 
-    @property
-    def now_us(self) -> int:
-        """The newest time that the shell has told the node."""
-        return self.state.now_us
-
     @property
     def term(self) -> int:
         """The current term."""
@@ -185,11 +139,6 @@
         """The index of the last entry that is known to be committed."""
         return self.state.commit_index
 
-    @property
-    def durable_index(self) -> int:
-        """The index of the last entry that is surely on this disk."""
-        return self.state.durable_index
-
     @property
     def voters(self) -> dict[str, str]:
         """Identity to address of the voters in force."""
@@ -200,11 +149,6 @@
         """The progress of the followers by identity; empty unless this node is the leader."""
         return self.replication.followers
 
-    @property
-    def role(self) -> Role:
-        """The current role."""
-        return self.state.role
-
     @property
     def is_leader(self) -> bool:
         """Whether the node is the leader of its term; it may not know of a later one."""
@@ -237,13 +181,7 @@
     @property
     def needs_compaction(self) -> bool:
         """Whether it is time for a snapshot."""
-        log = self.state.log
-        committed = self.state.commit_index - log.snapshot_index
-        if committed == 0:
-            return False
-        has_transfer = self.state.is_leader and self.replication.has_transfer()
-        factor = TRANSFER_LOG_FACTOR if has_transfer else 1
-        return committed > MAX_LOG_ENTRIES * factor or log.data_bytes > MAX_LOG_BYTES * factor
+        return self.compaction.is_due()
 
     @property
     def next_tick_us(self) -> int:
@@ -267,19 +205,11 @@
 
     def propose(self, data: bytes) -> tuple[int, int] | None:
         """Put a command into the log; returns its index and term, or None where this isn't the leader."""
-        state = self.state
-        if not state.is_leader:
-            return None
-        entry = Entry(state.log.last_index + 1, state.term, data)
-        state.append([entry])
-        self.replication.send_to_all()
-        self.replication.advance_commit()
-        return entry.index, entry.term
-
-    def compact(self, state: bytes) -> None:
+        return self.replication.propose(data)
+
+    def compact(self, snapshot: bytes) -> None:
         """Take the state machine's state after all entries up to `commit_index` in their place."""
-        self.state.log.compact(self.state.commit_index, state)
-        self.state.write([self.state.snapshot_record()])
+        self.compaction.compact(snapshot)
 
     def step_down(self) -> None:
         """Shut down in order: transfer leadership to a voter that has all of the log (thesis, 3.10)."""
@@ -325,35 +255,34 @@
         """Take in a message of another node, or of the node to itself."""
         self.state.advance_clock(now_us)
         match message:
-            case RequestVote():
+            case messages.RequestVote():
                 self.voter.on_request_vote(message)
-            case RequestVoteReply():
+            case messages.RequestVoteReply():
                 self.election.on_vote_reply(message)
-            case AppendEntries():
+            case messages.AppendEntries():
                 self.follower.on_append_entries(message)
-            case AppendEntriesReply():
+            case messages.AppendEntriesReply():
                 self.replication.on_append_reply(message)
-            case InstallSnapshot():
+            case messages.InstallSnapshot():
                 self.follower.on_install_snapshot(message)
-            case InstallSnapshotReply():
+            case messages.InstallSnapshotReply():
                 self.replication.on_snapshot_reply(message)
             case _:
                 self._receive_administrative(message)
 
-    def _receive_administrative(self, message: JoinRequest | LeaveRequest | LeaderHint | TimeoutNow) -> None:
+    def _receive_administrative(
+        self,
+        message: messages.JoinRequest | messages.LeaveRequest | messages.LeaderHint | TimeoutNow,
+    ) -> None:
         match message:
-            case JoinRequest():
+            case messages.JoinRequest():
                 self.reconfiguration.on_join(message)
-            case LeaderHint():
-                self._on_leader_hint(message)
+            case messages.LeaveRequest():
+                self.reconfiguration.on_leave(message)
+            case messages.LeaderHint():
+                self.follower.on_leader_hint(message)
             case TimeoutNow():
                 self.election.on_timeout_now(message)
-            case LeaveRequest():
-                self.reconfiguration.on_leave(message)
-
-    def _on_leader_hint(self, hint: LeaderHint) -> None:
-        if hint.term >= self.state.term and not self.state.leader:
-            self.state.leader_address = hint.address
 
     # ---- transitions
 
--- a/lapisgrade/gateway/consensus/replication.py
+++ b/lapisgrade/gateway/consensus/replication.py
@@ -103,6 +103,17 @@
 
     # ---- messages to followers
 
+    def propose(self, data: bytes) -> tuple[int, int] | None:
+        """Append a command and replicate it; returns its index and term, or None if this isn't the leader."""
+        state = self.state
+        if not state.is_leader:
+            return None
+        entry = Entry(state.log.last_index + 1, state.term, data)
+        state.append([entry])
+        self.send_to_all()
+        self.advance_commit()
+        return entry.index, entry.term
+
     def send_to_all(self, heartbeat: bool = False) -> None:
         """Send each follower what it lacks."""
         for name in self.followers:
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -184,5 +184,5 @@
                 self.break_(f"{machine.name} has caught up to {have} of {newest} after a calm time")
             elif machine.controller.state_machine.state.ver != leader.controller.state_machine.state.ver:
                 self.break_(f"{machine.name} has another version than the leader")
-        if leader.controller.node.now_us < self.cluster.loop.now_us - SECOND:
+        if leader.controller.node.state.now_us < self.cluster.loop.now_us - SECOND:
             self.break_("the leader stands still")
--- a/lapisgrade/lab/simulation/plays.py
+++ b/lapisgrade/lab/simulation/plays.py
@@ -8,7 +8,7 @@
 from lapisgrade.lab.simulation.cluster import Cluster, Machine
 from lapisgrade.lab.simulation.linearizability import UNANSWERED, Event, TooLarge, first_wrong
 from lapisgrade.lab.simulation.virtual_loop import SECOND, VirtualLoop
-from lapisgrade.gateway.consensus import node, replication, snapshots
+from lapisgrade.gateway.consensus import compaction, replication, snapshots
 
 SYNC = 4.0  # s that a machine counts as lost after it is back
 COMMIT = 0.5  # s in which an entry that is under way at a play's end reaches all
@@ -301,12 +301,16 @@
 def limits(most_log: int, piece: int, most_sent: int = replication.MAX_APPEND_BYTES) -> Iterator[None]:
     """Have snapshots come after so many entries and travel in pieces of so many bytes, and messages hold so
     many bytes of entries."""
-    before = node.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES
-    node.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES = most_log, piece, most_sent
+    before = compaction.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES
+    compaction.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES = (
+        most_log,
+        piece,
+        most_sent,
+    )
     try:
         yield
     finally:
-        node.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES = before
+        compaction.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES = before
 
 
 def drawn(seed: int) -> Play:
--- a/tests/gateway/consensus/test_cluster.py
+++ b/tests/gateway/consensus/test_cluster.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest import mock
 
-from lapisgrade.gateway.consensus import node
+from lapisgrade.gateway.consensus import compaction
 from lapisgrade.lab.explore import log
 from lapisgrade.lab.explore.cluster import Cluster
 
@@ -112,7 +112,7 @@
         self.assertNotIn(cluster.leader(), ("", old))
 
     def test_a_snapshot_reaches_a_controller_that_lacks_the_entries(self):
-        with mock.patch.object(node, "MAX_LOG_ENTRIES", 8):
+        with mock.patch.object(compaction, "MAX_LOG_ENTRIES", 8):
             cluster = Cluster(4)
             cluster.run(2)
             away = next(name for name in "abc" if name != cluster.leader())
--- a/tests/gateway/consensus/test_election.py
+++ b/tests/gateway/consensus/test_election.py
@@ -74,7 +74,7 @@
         one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
         one.receive(NOW, RequestVoteReply(1, "emptied", True, True, False, True, asked.pre_vote_round))
-        self.assertIs(one.role, Role.PRE_CANDIDATE)
+        self.assertIs(one.state.role, Role.PRE_CANDIDATE)
 
     def test_one_that_was_started_anew_may_hold_up_a_lease(self) -> None:
         first = SnapshotRecord("a", 4, "", 0, 0, VOTERS, b"", [])
@@ -102,15 +102,15 @@
         one = node()
         one.tick(one.next_tick_us)
         old = taken(one).sends[0][1]
-        one.receive(one.now_us, append(0, (0, 0), []))
+        one.receive(one.state.now_us, append(0, (0, 0), []))
         taken(one)
         one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
         self.assertNotEqual(old.pre_vote_round, asked.pre_vote_round)
-        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, old.pre_vote_round))
-        self.assertIs(one.role, Role.PRE_CANDIDATE)
-        one.receive(one.now_us, RequestVoteReply(1, "b", True, True, False, True, asked.pre_vote_round))
-        self.assertIs(one.role, Role.CANDIDATE)
+        one.receive(one.state.now_us, RequestVoteReply(1, "b", True, True, False, True, old.pre_vote_round))
+        self.assertIs(one.state.role, Role.PRE_CANDIDATE)
+        one.receive(one.state.now_us, RequestVoteReply(1, "b", True, True, False, True, asked.pre_vote_round))
+        self.assertIs(one.state.role, Role.CANDIDATE)
 
     def test_a_leader_and_a_candidate_never_say_that_no_lease_is_held(self) -> None:
         self.pre_vote_of_leader()
@@ -118,15 +118,17 @@
     def pre_vote_of_leader(self) -> None:
         one = leader()
         one.state.now_us += ELECTION_TIMEOUT_US * 2
-        one.receive(one.now_us, self.ask(term=3, pre_vote=True, last_log_index=9, last_log_term=9))
+        one.receive(one.state.now_us, self.ask(term=3, pre_vote=True, last_log_index=9, last_log_term=9))
         self.assertFalse(sync(one)[-1][1].granted)
         other = node()
         other.tick(other.next_tick_us)
         asked = taken(other).sends[0][1]
-        other.receive(other.now_us, RequestVoteReply(1, "b", True, True, False, False, asked.pre_vote_round))
-        self.assertIs(other.role, Role.CANDIDATE)
+        other.receive(
+            other.state.now_us, RequestVoteReply(1, "b", True, True, False, False, asked.pre_vote_round)
+        )
+        self.assertIs(other.state.role, Role.CANDIDATE)
         taken(other)
-        other.receive(other.now_us, self.ask(term=3, pre_vote=True))
+        other.receive(other.state.now_us, self.ask(term=3, pre_vote=True))
         answer = taken(other).sends[-1][1]
         self.assertEqual((answer.granted, answer.lease_free), (True, False))
 
@@ -141,9 +143,9 @@
         one.state.term = 4
         for message in (TimeoutNow(3, "a"), TimeoutNow(4, "b")):
             one.receive(NOW, message)
-            self.assertIs(one.role, Role.FOLLOWER)
+            self.assertIs(one.state.role, Role.FOLLOWER)
         one.receive(NOW, TimeoutNow(4, "a"))
-        self.assertEqual((one.role, one.term), (Role.CANDIDATE, 5))
+        self.assertEqual((one.state.role, one.term), (Role.CANDIDATE, 5))
         one.receive(NOW, TimeoutNow(4, "a"))  # once more, late
         self.assertEqual(one.term, 5)
 
--- a/tests/gateway/consensus/test_follower.py
+++ b/tests/gateway/consensus/test_follower.py
@@ -17,7 +17,7 @@
         first = SnapshotRecord("a", 3, "b", 0, 0, VOTERS, b"", [Entry(1, 3)])
         records = [first, EntriesRecord([Entry(2, 3, b"x")], 1)]
         one = Node.recover(records, VOTERS["a"], Random(1), NOW)
-        self.assertEqual((one.log.last_index, one.durable_index, one.commit_index), (2, 0, 1))
+        self.assertEqual((one.log.last_index, one.state.durable_index, one.commit_index), (2, 0, 1))
         self.assertEqual([each.index for each in taken(one).committed], [1])
         one.receive(NOW, append(3, (2, 3), []))
         self.assertEqual(taken(one).sends[-1][1].match_index, 0)
@@ -28,10 +28,10 @@
         one = node()
         one.receive(NOW, append(3, (0, 0), [Entry(1, 3), Entry(2, 3, b"old"), Entry(3, 3)]))
         sync(one)
-        self.assertEqual(one.durable_index, 3)
+        self.assertEqual(one.state.durable_index, 3)
         one.receive(NOW, append(4, (1, 3), [Entry(2, 4, b"new")]))
         self.assertEqual([(each.index, each.term) for each in one.log.entries], [(1, 3), (2, 4)])
-        self.assertEqual(one.durable_index, 1)
+        self.assertEqual(one.state.durable_index, 1)
 
     def test_an_earlier_message_that_comes_again_takes_nothing_away(self) -> None:
         one = node()
--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -20,9 +20,11 @@
         one.state.term = 1
         one.tick(one.next_tick_us)
         asked = taken(one).sends[0][1]
-        one.receive(one.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.pre_vote_round))
+        one.receive(
+            one.state.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.pre_vote_round)
+        )
         sync(one)
-        one.receive(one.now_us, RequestVoteReply(2, "b", True, False))
+        one.receive(one.state.now_us, RequestVoteReply(2, "b", True, False))
         sync(one)
         reply(one, "b", 1)
         self.assertEqual((one.commit_index, one.has_committed_in_term), (0, False))
@@ -40,7 +42,7 @@
 
     def test_its_lease_runs_from_when_it_asked(self) -> None:
         one = leader()
-        sent = one.now_us
+        sent = one.state.now_us
         one.state.now_us += 200_000
         reply(one, "b", one.log.last_index, sent_us=sent)
         self.assertTrue(one.has_lease())
@@ -49,7 +51,7 @@
 
     def test_a_learner_holds_up_neither_lease_nor_commit(self) -> None:
         one = leader()
-        one.receive(one.now_us, JoinRequest("z", "10.0.0.9:1"))
+        one.receive(one.state.now_us, JoinRequest("z", "10.0.0.9:1"))
         reply(one, "z", one.log.last_index)
         self.assertEqual(one.commit_index, 0)
         one.state.now_us += LEASE_US + 1
@@ -61,7 +63,7 @@
 
     def change_before_own_entry(self) -> None:
         one = leader()
-        one.receive(one.now_us, JoinRequest("z", "10.0.0.9:1"))
+        one.receive(one.state.now_us, JoinRequest("z", "10.0.0.9:1"))
         reply(one, "z", one.log.last_index)
         one.tick(one.next_tick_us)
         self.assertEqual(one.voters, VOTERS)
--- a/tests/gateway/consensus/test_snapshots.py
+++ b/tests/gateway/consensus/test_snapshots.py
@@ -53,8 +53,10 @@
         one.compact(b"t")  # the reader goes on with what it began
         taken(one)
         one.receive(
-            one.now_us,
-            InstallSnapshotReply(one.term, "c", VOTERS["c"], chunks[0].last_index, CHUNK_BYTES, one.now_us),
+            one.state.now_us,
+            InstallSnapshotReply(
+                one.term, "c", VOTERS["c"], chunks[0].last_index, CHUNK_BYTES, one.state.now_us
+            ),
         )
         (chunk,) = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
         self.assertEqual(
@@ -72,7 +74,7 @@
     def test_a_snapshot_keeps_the_voters(self) -> None:
         one = leader()
         reply(one, "b", one.log.last_index)
-        one.receive(one.now_us, JoinRequest("z", "10.0.0.9:1"))
+        one.receive(one.state.now_us, JoinRequest("z", "10.0.0.9:1"))
         reply(one, "z", one.log.last_index)
         one.tick(one.next_tick_us)
         sync(one)
--- a/tests/support/consensus_nodes.py
+++ b/tests/support/consensus_nodes.py
@@ -31,9 +31,9 @@
     while one.state.effects.writes:
         effects = taken(one)
         for write in effects.writes:
-            one.on_write_durable(one.now_us, write.last_index, write.last_term)
+            one.on_write_durable(one.state.now_us, write.last_index, write.last_term)
             for address, message in write.sends_when_durable:
-                one.receive(one.now_us, message) if address == one.address else said.append(
+                one.receive(one.state.now_us, message) if address == one.address else said.append(
                     (address, message)
                 )
         said += effects.sends
@@ -46,18 +46,18 @@
     one.state.term = term - 1
     one.tick(one.next_tick_us)
     ask = taken(one).sends[0][1]
-    one.receive(one.now_us, RequestVoteReply(term, "b", True, True, False, False, ask.pre_vote_round))
+    one.receive(one.state.now_us, RequestVoteReply(term, "b", True, True, False, False, ask.pre_vote_round))
     sync(one)
-    one.receive(one.now_us, RequestVoteReply(term, "b", True, False))
+    one.receive(one.state.now_us, RequestVoteReply(term, "b", True, False))
     sync(one)
     assert one.is_leader and not one.has_committed_in_term
     return one
 
 
 def reply(one: Node, name: str, match: int, success: bool = True, sent_us: int | None = None) -> None:
-    sent = one.now_us if sent_us is None else sent_us
+    sent = one.state.now_us if sent_us is None else sent_us
     address = VOTERS.get(name, f"10.0.1.{ord(name) % 250}:1")
-    one.receive(one.now_us, AppendEntriesReply(one.term, name, address, success, match, sent))
+    one.receive(one.state.now_us, AppendEntriesReply(one.term, name, address, success, match, sent))
 
 
 def append(term: int, previous: tuple[int, int], entries: list[Entry], commit: int = 0) -> AppendEntries:
