--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -1,6 +1,6 @@
 """What is news to which proxy, and which proxies live: pure. Held by the leader alone.
 
-A proxy asks with the version of the configuration, the turn of the register and the fence that it has.
+A proxy asks with the version of the configuration, the revision of the register and the fence that it has.
 The list of live proxies names the proxies that live; by it the duties are cut. It stands in the log, and its
 place there is the fence under which a duty is done: so a new leader goes on with the last one's, and nothing
 changes hands for it."""
@@ -68,7 +68,7 @@
             for name, each in state.live_proxies.items()
         }
         for server in state.server_snapshot:
-            self.registry.known(now_us, [msgspec.structs.replace(server, turn=0)])
+            self.registry.restore(now_us, [msgspec.structs.replace(server, revision=0)])
         self._snapshot_at, self._snapshotted = (
             now_us,
             {each.id: each.address for each in state.server_snapshot},
@@ -83,24 +83,24 @@
         for name, gone in left.items():
             known = self.registry.servers.get(name)
             if known is not None and known.state != "gone" and known.state != ("gone" if gone else "drain"):
-                self.registry.left(now_us, name, gone)
+                self.registry.mark_left(now_us, name, gone)
         self._left = left
 
     def beat(self, now_us: int, server: Server) -> bool:
         """A server's beat; whether it is news."""
-        turn = self.registry.turn
+        revision = self.registry.revision
         if server.id in self._left:
             server.state = "gone" if self._left[server.id] else "drain"
-        self.registry.beat(now_us, server)
-        return self.registry.turn != turn
+        self.registry.on_heartbeat(now_us, server)
+        return self.registry.revision != revision
 
     def due(self, now_us: int) -> bool:
         """Whether time alone has made news."""
-        turn = self.registry.turn
-        self.registry.due(now_us)
+        revision = self.registry.revision
+        self.registry.expire(now_us)
         self.proxies = {name: each for name, each in self.proxies.items() if now_us - each.at < ALIVE}
-        settled, self._settled = self._settled, self.registry.settled(now_us)
-        return (turn, settled) != (self.registry.turn, self._settled)
+        settled, self._settled = self._settled, self.registry.is_complete(now_us)
+        return (revision, settled) != (self.registry.revision, self._settled)
 
     def refused(self, name: str, address: str) -> None:
         """Its process is surely gone: it acts no more."""
@@ -148,7 +148,7 @@
         self._snapshot_at, self._snapshotted = now_us, live
         return ServerSnapshot(
             [
-                msgspec.structs.replace(each, warm_us=0)
+                msgspec.structs.replace(each, warm_up_us=0)
                 for each in self.registry.servers.values()
                 if each.id in live
             ]
@@ -158,8 +158,8 @@
         """For operators: who holds and acts by which version, and what serves."""
         servers: dict[str, dict[str, int]] = {}
         for each in self.registry.servers.values():
-            if each.state == "up" and each.svc:
-                of = servers.setdefault(each.svc, {"Up": 0, "Slots": 0})
+            if each.state == "up" and each.service:
+                of = servers.setdefault(each.service, {"Up": 0, "Slots": 0})
                 of["Up"] += 1
                 of["Slots"] += each.slots
         proxies = [
@@ -203,13 +203,13 @@
                 ask.is_terminating,
             )
         if ask.known_servers:
-            self.registry.known(now_us, ask.known_servers)
+            self.registry.restore(now_us, ask.known_servers)
         own = f"{self.life}+" if self._settled else self.life
         # What an unsettled register told of this life holds; any other is told anew.
         other = ask.registry_incarnation != own and (
             self._settled or ask.registry_incarnation != f"{self.life}+"
         )
-        changed = other or self.registry.turn > ask.registry_revision
+        changed = other or self.registry.revision > ask.registry_revision
         stale = (
             ask.needs_full_version
             or state.acting_ver > ask.active_version
@@ -232,10 +232,10 @@
             state.acting_ver,
             acting,
             own,
-            self.registry.turn,
+            self.registry.revision,
             self._settled,
             other,
-            self.registry.since(now_us, 0 if other else ask.registry_revision) if changed else [],
+            self.registry.changes_since(now_us, 0 if other else ask.registry_revision) if changed else [],
             state.fence,
             state.live_proxies if listed and delta is None else None,
             wants_known_servers=ask.registry_incarnation not in (self.life, f"{self.life}+"),
--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -24,7 +24,7 @@
         for server in reply.servers:
             known = self.by_id.get(server.id)
             if known is not None and not server.address:
-                server.address, server.svc = known.address, known.svc
+                server.address, server.service = known.address, known.service
             self.by_id[server.id] = server
         self._router.update_servers(reply.servers, is_complete)
         self._pool.known(
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -52,7 +52,7 @@
     def __init__(self, registration: registry.Server, now_us: int) -> None:
         super().__init__(registration.id)
         self.registration = registration
-        self.warm_up_ends_us = now_us + registration.warm_us
+        self.warm_up_ends_us = now_us + registration.warm_up_us
         self.reported_load = 0.0  # requests there beside ours, by its own last report
         self.reported_us = 0  # when that came; 0: never
         self.ejected_until_us = 0
@@ -166,7 +166,7 @@
             self.servers[registration.id] = UpstreamServer(registration, now_us)
         else:
             known.registration = registration
-            known.warm_up_ends_us = now_us + registration.warm_us
+            known.warm_up_ends_us = now_us + registration.warm_up_us
 
     def _sort(self) -> None:
         """Sort the servers that take requests: the own subset's, the zone's others, and other zones'."""
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -26,7 +26,7 @@
 
 STALE_CONNECTION_BLAME = 0.3  # of a failure, for a server that likely closed an idle connection
 MAX_QUOTA_CLIENTS = 8192  # tenants whose quota client is kept; the one unused for longest is dropped
-MAX_SERVER_IDS = 4 * registry.MOST  # whose service is remembered; departed servers' among them
+MAX_SERVER_IDS = 4 * registry.MAX_SERVERS  # whose service is remembered; departed servers' among them
 MIN_RETRY_AFTER_US = 1_000  # a client over its quota is told to wait at least
 
 
@@ -78,11 +78,11 @@
         if is_complete:
             self._remove_unlisted(now_us, {server.id for server in servers})
         for server in servers:
-            service = server.svc or self.service_of_server.get(server.id, "")
+            service = server.service or self.service_of_server.get(server.id, "")
             if not service:
                 continue
             self.service_of_server[server.id] = service
-            server.svc = service
+            server.service = service
             cluster = self.cluster(service)
             if not server.address and (known := cluster.servers.get(server.id)) is not None:
                 server.address = known.registration.address
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -155,13 +155,13 @@
 
         def beat(watch: Watch = watch, server=server) -> None:
             made, _ = api.beat("i-1", body)
-            made.seq = server.seq = server.seq + 1
+            made.sequence_number = server.sequence_number = server.sequence_number + 1
             watch.beat(2_000_000, made)
 
         beats.append(best_us(beat, 50))
         watch._settled = True
-        lists.append(best_us(lambda watch=watch: watch.registry.since(2_000_000, 0)))
-        sizes_of.append(len(msgspec.msgpack.encode(watch.registry.since(2_000_000, 0))))
+        lists.append(best_us(lambda watch=watch: watch.registry.changes_since(2_000_000, 0)))
+        sizes_of.append(len(msgspec.msgpack.encode(watch.registry.changes_since(2_000_000, 0))))
     return [
         Row("the register at the leader", "bytes of memory", sizes, tuple(memory)),
         Row("a beat at the leader", "us", sizes, tuple(beats)),
--- a/lapisgrade/lab/simulation/data_plane_mutants.py
+++ b/lapisgrade/lab/simulation/data_plane_mutants.py
@@ -36,7 +36,7 @@
     """A server's leaving is acknowledged by the leader's memory alone."""
     if not isinstance(item, ServerLeaving):
         return await _commit(self, item)
-    self.watch_service.watch.registry.left(self.clock(), item.server, item.gone)
+    self.watch_service.watch.registry.mark_left(self.clock(), item.server, item.gone)
     self.watch_service.notify_watchers()
     return rpc_messages.ForwardCallReply(Answer(200).status)
 
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -32,7 +32,14 @@
         }  # fmt: skip
         server, _ = api.beat("i-1", msgspec.json.encode(beat))
         self.assertEqual(
-            (server.svc, server.address, server.zone, server.slots, server.seq, server.warm_us),
+            (
+                server.service,
+                server.address,
+                server.zone,
+                server.slots,
+                server.sequence_number,
+                server.warm_up_us,
+            ),
             ("a", "10.0.0.1:80", "z", 4, 4, 900_000),
         )
 
