--- a/lapisgrade/__main__.py
+++ b/lapisgrade/__main__.py
@@ -7,7 +7,7 @@
 
 from lapisgrade.net import loop
 from lapisgrade.net.service import serve
-from lapisgrade.start import Malformed
+from lapisgrade.settings import MalformedInputError
 
 
 def main(beside=None) -> int:
@@ -16,7 +16,7 @@
         gc.freeze()
         with asyncio.Runner(loop_factory=loop.new) as runner:
             runner.run(serve(os.environ.get("ROUTER_CONFIG", ""), beside))
-    except Malformed as wrong:
+    except MalformedInputError as wrong:
         print(f"the configuration: {wrong}", file=sys.stderr)
         return 2
     return 0
--- a/lapisgrade/drill/__main__.py
+++ b/lapisgrade/bench_adapter/__main__.py
@@ -1,12 +1,12 @@
-"""python -m lapisgrade.drill: the wire on standard input and output."""
+"""python -m lapisgrade.bench_adapter: the wire on standard input and output."""
 
 import gc
 import sys
 from typing import TextIO
 
-from lapisgrade.drill.host import Host
-from lapisgrade.drill.wire import entry, parse
-from lapisgrade.start import Malformed
+from lapisgrade.bench_adapter.host import Host
+from lapisgrade.bench_adapter.wire import parse, read_endpoint
+from lapisgrade.settings import MalformedInputError
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
@@ -25,18 +25,18 @@
             name, fields = parse(line)
             if rows_left:
                 if name != "ROW":
-                    raise Malformed(f"{rows_left} more ROW lines were due")
-                rows.append(entry(fields))
+                    raise MalformedInputError(f"{rows_left} more ROW lines were due")
+                rows.append(read_endpoint(fields))
                 rows_left -= 1
                 if not rows_left:
                     host.pool(pool, rows)
             elif name == "MARK":
                 if inside:
-                    raise Malformed("MARK inside a batch")
+                    raise MalformedInputError("MARK inside a batch")
                 host.clock(fields)
                 inside = True
             elif not inside:
-                raise Malformed(f"{name} outside a batch")
+                raise MalformedInputError(f"{name} outside a batch")
             elif name == "YOUR_TURN":
                 inside = False
                 host.lines.append("EOR\n")
@@ -44,15 +44,15 @@
                 sink.flush()
                 host.lines.clear()
             elif name == "POOL":
-                pool, rows_left, rows = fields.whole("Buffer"), fields.whole("Entries"), []
+                pool, rows_left, rows = fields.integer("Buffer"), fields.integer("Entries"), []
                 if not rows_left:
                     host.pool(pool, rows)
             else:
                 host.event(name, fields)
-        except Malformed as wrong:
-            raise Malformed(f"line {number}: {wrong}: {line[:200]!r}") from None
+        except MalformedInputError as wrong:
+            raise MalformedInputError(f"line {number}: {wrong}: {line[:200]!r}") from None
     if inside:
-        raise Malformed(f"line {number}: the input ends inside a batch")
+        raise MalformedInputError(f"line {number}: the input ends inside a batch")
 
 
 def main() -> int:
@@ -61,7 +61,7 @@
         sys.stdin.reconfigure(encoding="utf-8", newline="\n")
         sys.stdout.reconfigure(encoding="utf-8", newline="\n")
         serve(sys.stdin, sys.stdout)
-    except Malformed as wrong:
+    except MalformedInputError as wrong:
         print(wrong, file=sys.stderr)
         return 2
     except UnicodeDecodeError as wrong:
--- a/lapisgrade/drill/wire.py
+++ b/lapisgrade/bench_adapter/wire.py
@@ -3,7 +3,7 @@
 from typing import NoReturn
 
 from lapisgrade.interface import AttemptOutcome, CounterOutcome, ServerEndpoint, ServerState
-from lapisgrade.start import Fields, Malformed
+from lapisgrade.settings import Fields, MalformedInputError
 
 OUTCOMES = {
     "200": AttemptOutcome.OK,
@@ -15,14 +15,14 @@
     "499": AttemptOutcome.CANCELLED,
     "410": AttemptOutcome.NOT_SENT,
 }
-TALLIES = {
+COUNTER_OUTCOMES = {
     "200": CounterOutcome.ADDED,
     "503": CounterOutcome.REJECTED,
     "502": CounterOutcome.REJECTED,
     "504": CounterOutcome.TIMED_OUT,
 }
-STATES = {"IN": ServerState.READY, "LAME": ServerState.DRAINING, "OUT": ServerState.REMOVED}
-FORMS = ("update", "replace", "restored", "unavailable")
+SERVER_STATES = {"IN": ServerState.READY, "LAME": ServerState.DRAINING, "OUT": ServerState.REMOVED}
+TOPOLOGY_FORMS = ("update", "replace", "restored", "unavailable")
 
 
 def parse(line: str) -> tuple[str, Fields]:
@@ -33,7 +33,7 @@
         for part in rest.split(" "):
             key, mark, value = part.partition("=")
             if not mark or not key:
-                raise Malformed(f"{part!r} is not name=value")
+                raise MalformedInputError(f"{part!r} is not name=value")
             fields[key] = value
     return name, fields
 
@@ -45,26 +45,26 @@
     for pair in text.split(","):
         name, mark, value = pair.partition(":")
         if not mark:
-            raise Malformed(f"Stats holds {pair!r}, not name:value")
+            raise MalformedInputError(f"Stats holds {pair!r}, not name:value")
         report[name] = value
     return {name: report.number(name) for name in report}
 
 
-def entry(fields: Fields) -> ServerEndpoint:
+def read_endpoint(fields: Fields) -> ServerEndpoint:
     return ServerEndpoint(
         address=fields.text("Server"),
-        state=fields.among("Availability", STATES, "IN"),
+        state=fields.choice("Availability", SERVER_STATES, "IN"),
         zone=fields.get("FailureDomain", ""),
-        cell=fields.whole("Bay", 0),
+        cell=fields.integer("Bay", 0),
         weight=fields.number("Heft", 1.0),
         shape=fields.get("Shape", ""),
-        started_us=fields.micros("CameUp"),
+        started_us=fields.duration_us("CameUp"),
     )
 
 
-def ms(us: int) -> str:
+def format_ms(us: int) -> str:
     return f"{us / 1000:.3f}"
 
 
-def unknown(name: str) -> NoReturn:
-    raise Malformed(f"unknown message {name!r}")
+def reject_unknown_message(name: str) -> NoReturn:
+    raise MalformedInputError(f"unknown message {name!r}")
--- a/lapisgrade/cli/main.py
+++ b/lapisgrade/cli/main.py
@@ -21,12 +21,12 @@
 
 import click
 
-from lapisgrade import start
 from lapisgrade.cli.gateway import add_commands
 from lapisgrade.cli.lab import lab
-from lapisgrade.lab.load import client, schedule
 from lapisgrade.fakes.servers import Knobs
 from lapisgrade.fakes.site import Plan, sample
+from lapisgrade.lab.load import client, schedule
+from lapisgrade.settings import MalformedInputError, parse_address
 
 SHAPE = click.Choice(schedule.SHAPES)
 
@@ -85,7 +85,7 @@
 
         try:
             beside = members.beside(members.read(site), str(read(config).get("name", "")))
-        except start.Malformed as wrong:
+        except MalformedInputError as wrong:
             click.echo(f"the configuration: {wrong}", err=True)
             sys.exit(2)
     sys.exit(limiter(beside))
@@ -221,8 +221,8 @@
 def _address(text: str, name: str = "target") -> tuple[str, int]:
     """Host and port, read as the limiter reads its own addresses; a bad one is a bad parameter."""
     try:
-        return start.address(text, name)
-    except start.Malformed as wrong:
+        return parse_address(text, name)
+    except MalformedInputError as wrong:
         raise click.BadParameter(str(wrong)) from None
 
 
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -54,11 +54,11 @@
         super()._landed(event)
         self.on_load_change()
 
-    def answer(self, operation: RoutedRequest, answer: Reject) -> None:
+    def reject(self, operation: RoutedRequest, answer: Reject) -> None:
         """Answer a client ourselves; with a server's error response as it came, where there is only that."""
         handle = operation.handle
         if handle.failure is None or handle.client is None or self.worded(answer)[0] != BAD_GATEWAY:
-            return super().answer(operation, answer)
+            return super().reject(operation, answer)
         del self.owed[handle]
         self.deliver(handle.client, handle.failure)
 
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -136,7 +136,7 @@
             return self._finish(task, CloseReason.REJECTED)
         quota_client = self._router.quota_clients.get(request.tenant)
         if quota_client is not None:
-            quota_client.gateways = max(1, reply.limiters)
+            quota_client.gateway_count = max(1, reply.limiters)
         self._context.metrics.quota_calls_granted += 1
         self._finish(task, CloseReason.ANSWERED, reply.total)
 
--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -1,19 +1,19 @@
 """A tenant's quota at a proxy: the design's account, whose count is held by one of the proxies. Pure.
 
-Leases, cached refusals and the breaker are lapisgrade.decide's. What differs is the count: it is told in
+Leases, cached refusals and the breaker are lapisgrade.policy's. What differs is the count: it is told in
 units of room, not as a sum that forgets, and without it nothing is let in but what `unseen` states.
 """
 
 import math
 from collections.abc import Generator
 
-from lapisgrade.decide.account import SILENT_CALLS, Account, Counter
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.quota.count import LEASE_US, capacity
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import AddToCounter, Clock, CounterOutcome, CounterReply, Plan
-from lapisgrade.sums import Bucket
+from lapisgrade.policy.account import MAX_CONSECUTIVE_TIMEOUTS, Account, CounterBreaker
+from lapisgrade.rate import TokenBucket
 
 LATE = 0.25  # s between a unit's grant and its arrival at a server, at most, beside the lease's life
 STORE = 0.8  # of what may be let in unseen that may go at once; most spans without a count are short
@@ -37,38 +37,38 @@
     return max(0.0, allowed - seen) / max(1, limiters)
 
 
-class Breaker(Counter):
+class Breaker(CounterBreaker):
     """Of one tenant's count: its owner may be gone while the others' are there, and back in a moment."""
 
-    knock_every = KNOCK
+    probe_interval_us = KNOCK
 
     def __init__(self) -> None:
         super().__init__(True)
         # One call a lease, at the most; what is crowded is the owner's machine, not a service of all.
-        self.calls = Bucket(0, CALLS, CALLS, CALLS)
+        self.call_budget = TokenBucket(0, CALLS, CALLS, CALLS)
 
-    def heard(self, now: int, tally: CounterOutcome, sent: int) -> None:
-        self.silent = 0 if tally is CounterOutcome.ADDED else self.silent + 1
+    def record_reply(self, now: int, tally: CounterOutcome, sent: int) -> None:
+        self.consecutive_timeouts = 0 if tally is CounterOutcome.ADDED else self.consecutive_timeouts + 1
 
 
 class QuotaClient(Account):
     """One tenant here."""
 
-    lease_life = LEASE_US
+    lease_duration_us = LEASE_US
 
     def __init__(self, clock: Clock, tenant: Tenant, slo: Slo, limiters: int, began_us: int) -> None:
-        self.gateways, self.tenant = 1, tenant
+        self.gateway_count, self.tenant = 1, tenant
         rate, now = float(tenant.rate_s), clock.now_us
         plan = Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0)
-        self.clock, self.counter, self.plan, self.customer = clock, Breaker(), plan, tenant.name
-        self.life = SECOND
-        self._begin(now, plan)
+        self.clock, self.counter_breaker, self.plan, self.customer = clock, Breaker(), plan, tenant.name
+        self.decay_us = SECOND
+        self._reset(now, plan)
         # What is owed is owed whole; it does not fade as a decaying count's does.
-        self.owed.life = 1 << 60
+        self.unreported.decay_us = 1 << 60
         self._slo = slo
         # What an earlier life of this process let in unseen must be out of the window first.
         self.ripe = began_us + slo.quota_win
-        self.slice = Bucket(now, 0.0, 0.0, 0.0)
+        self.local_bucket = TokenBucket(now, 0.0, 0.0, 0.0)
         self.turn, self.of = 0, 0  # calls so far, and the last that may have been counted
         self.parts = (0.0, 0.0)  # of the call that is out: what it takes, and what it gives back
         self.turn_at = now  # when the last one that was refused may have room
@@ -79,51 +79,57 @@
         now, window = self.clock.now_us, self._slo.quota_win / SECOND
         # Most as a store, the rest as its refill: no window sees more than the whole.
         units = unseen(self._slo, self.plan.rate, self.tenant.burst, limiters)
-        level = self.slice.read(now)
+        level = self.local_bucket.read(now)
         store = max(STORE * units, min(1.0, units))
-        self.slice = Bucket(now, (units - store) / window, store, 0.0)
-        self.slice.put(now, min(level, self.slice.burst))
+        self.local_bucket = TokenBucket(now, (units - store) / window, store, 0.0)
+        self.local_bucket.set_level(now, min(level, self.local_bucket.burst))
 
     def limited(self, tenant: Tenant) -> None:
         """A newer configuration's limit for it."""
         rate, now = float(tenant.rate_s), self.clock.now_us
-        level = self.store.read(now)
+        level = self.bucket.read(now)
         self.tenant, self.plan = (
             tenant,
             Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0),
         )
-        self.store = Bucket(now, rate, self.plan.burst, min(level, self.plan.burst))
+        self.bucket = TokenBucket(now, rate, self.plan.burst, min(level, self.plan.burst))
 
-    def waits(self, now: int) -> bool:
+    def may_wait_for_counter(self, now: int) -> bool:
         """As the account's; but for a count that has not answered of late only the one that knocks waits."""
-        return self.counter.silent < SILENT_CALLS if self.calling else self.counter.asks(now)
+        return (
+            self.counter_breaker.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS
+            if self.is_calling
+            else self.counter_breaker.try_acquire_call(now)
+        )
 
-    def take(self, now: int, units: float, alone: bool = False) -> None:
+    def consume(self, now: int, units: float, alone: bool = False) -> None:
         """What the owner granted takes nothing from what may be let in unseen: `unseen` is beside it."""
 
-    def add(self, units: float) -> Generator:
+    def add_to_counter(self, units: float) -> Generator:
         now = self.clock.now_us
-        new, owed = units + self.owed.value, self.owed.value
-        self.owed.value = 0.0
+        new, owed = units + self.unreported.value, self.unreported.value
+        self.unreported.value = 0.0
         self.turn += 1
         # What is taken and what comes back are told apart: who holds the count now may know of one only.
         some = units > 0
         self.parts = max(0.0, units + max(0.0, owed) if some else new), max(0.0, -owed if some else -new)
         got: CounterReply = yield AddToCounter(self.customer, new, COUNT_LIFE)
         sent, now = now, self.clock.now_us
-        self.counter.heard(now, got.outcome, sent)
+        self.counter_breaker.record_reply(now, got.outcome, sent)
         if got.outcome is not CounterOutcome.REJECTED:
             self.of = self.turn
         if got.outcome is CounterOutcome.REJECTED:
-            self.owed.value += new - units
+            self.unreported.value += new - units
         elif got.outcome is CounterOutcome.ADDED:
-            if not self.looked:
-                self.slice.put(now, self.slice.burst)  # nothing before the count was ever seen
+            if not self.last_read_us:
+                self.local_bucket.set_level(
+                    now, self.local_bucket.burst
+                )  # nothing before the count was ever seen
                 self.epoch = 0  # the room is known from here on
-            self.looked = now
-            self.store.put(now, self.plan.burst - got.total)
+            self.last_read_us = now
+            self.bucket.set_level(now, self.plan.burst - got.total)
         else:
-            self.store.put(now, self.store.read(now) - new)
+            self.bucket.set_level(now, self.bucket.read(now) - new)
         return got.outcome
 
     def ask(self, by: str, fence: int) -> rpc_messages.QuotaRequest:
@@ -141,19 +147,19 @@
         refill (guards against all of them coming back for the same unit, to be refused once more). Where it
         says nothing, as soon as it may: another limiter may reach it.
         """
-        if self.counter.silent or self.store.read(now) >= 1.0 or not self.plan.rate:
+        if self.counter_breaker.consecutive_timeouts or self.bucket.read(now) >= 1.0 or not self.plan.rate:
             return wait
-        step = math.ceil(self.gateways / self.plan.rate * SECOND)
+        step = math.ceil(self.gateway_count / self.plan.rate * SECOND)
         self.turn_at = min(max(self.turn_at + step, now + wait), now + LONGEST)
         return self.turn_at - now
 
-    def alone(self, now: int, units: float, counted: bool = False) -> int | None:
+    def admit_locally(self, now: int, units: float, counted: bool = False) -> int | None:
         """No word from the count: what `unseen` leaves, and nothing beyond it."""
-        if self.looked and now >= self.ripe and self.slice.read(now) >= units:
-            self.slice.put(now, self.slice.read(now) - units)
+        if self.last_read_us and now >= self.ripe and self.local_bucket.read(now) >= units:
+            self.local_bucket.set_level(now, self.local_bucket.read(now) - units)
             if not counted:
-                self.owed.value += units
+                self.unreported.value += units
             return None
         if counted:
-            self.owed.value -= units
-        return min(math.ceil(BACK * SECOND), self.slice.wait(now, units))
+            self.unreported.value -= units
+        return min(math.ceil(BACK * SECOND), self.local_bucket.wait_us(now, units))
--- a/lapisgrade/gateway/quota/count.py
+++ b/lapisgrade/gateway/quota/count.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.sums import Bucket
+from lapisgrade.rate import TokenBucket
 
 LEASE_US = 3 * SECOND  # us that a lease lasts; an election fits
 MAX_LEASED_FRACTION = 0.5  # of the capacity: what leases together hold at most, however long, by the design
@@ -43,7 +43,7 @@
 
     def __init__(self, since_us: int, rate: float, burst: float) -> None:
         """Begin anew at `since_us`, from when on nobody else can have granted units of this count."""
-        self.bucket = Bucket(since_us, rate, capacity(burst, rate), 0.0)
+        self.bucket = TokenBucket(since_us, rate, capacity(burst, rate), 0.0)
         self.since_us = since_us
         self.first_request_us = since_us
         self.leases: dict[str, Lease] = {}  # by the quota client's name
@@ -52,7 +52,7 @@
     def full(cls, now_us: int, rate: float, burst: float) -> "Count":
         """Return a count of which nobody has ever leased: full, with nothing reserved."""
         count = cls(now_us - LEASE_US, rate, burst)
-        count.bucket.put(now_us, count.bucket.burst)
+        count.bucket.set_level(now_us, count.bucket.burst)
         count.first_request_us = now_us
         return count
 
@@ -63,7 +63,7 @@
         """Return a count that continues the one which its owner before has handed over."""
         reserved_us = min(max(0, handed.kept_back_us), LEASE_US)
         count = cls(now_us - LEASE_US + reserved_us, rate, burst)
-        count.bucket.put(now_us, min(max(0.0, handed.level), count.bucket.burst))
+        count.bucket.set_level(now_us, min(max(0.0, handed.level), count.bucket.burst))
         count.first_request_us = now_us
         if handed.leased > 0:
             count.leases[PREVIOUS_OWNER] = Lease(now_us, handed.leased)
@@ -77,9 +77,9 @@
     def set_limit(self, now_us: int, rate: float, burst: float) -> None:
         """Apply a newer limit: the level stays as it is, in the new capacity."""
         bucket = self.bucket
-        if bucket.rate != rate or bucket.burst != capacity(burst, rate):
-            bucket.put(now_us, bucket.read(now_us))
-            bucket.rate = rate
+        if bucket.rate_per_s != rate or bucket.burst != capacity(burst, rate):
+            bucket.set_level(now_us, bucket.read(now_us))
+            bucket.rate_per_s = rate
             bucket.burst = capacity(burst, rate)
 
     def add(self, now_us: int, request: rpc_messages.QuotaRequest) -> None:
@@ -111,7 +111,7 @@
         if now_us - self.since_us < LEASE_US:
             leased = max(leased, MAX_LEASED_FRACTION * bucket.burst)  # leases of the last owner's may be out
         available = min(max(0.0, bucket.burst - leased), bucket.read(now_us))
-        bucket.put(now_us, available - units + returned)
+        bucket.set_level(now_us, available - units + returned)
 
     def _leased(self, now_us: int) -> float:
         """Return the units of all leases that have not ended and may not be spent yet."""
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -10,12 +10,11 @@
 import math
 from random import Random
 
-from lapisgrade.decide.fleet import Attempt, LatencyEstimate
-from lapisgrade.decide.fleet import Server as ObservedServer
 from lapisgrade.gateway import SECOND, registry
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.interface import AttemptOutcome, AttemptResult
+from lapisgrade.policy.fleet import Attempt, LatencyEstimate, ObservedServer
 
 OTHER_CANDIDATES = 2  # servers of the zone's other subsets, and of other zones, that each choice looks at
 MAX_SUBSET_CANDIDATES = 12  # servers of the own subset that each choice looks at
@@ -62,7 +61,7 @@
 
     def has_room(self) -> bool:
         """Whether this proxy may send it one more request."""
-        return len(self.out) < self.registration.slots + MAX_QUEUED
+        return len(self.in_flight) < self.registration.slots + MAX_QUEUED
 
     def load_of_others(self, now_us: int, neighbours_in_flight: int | None) -> float:
         """Requests of other proxies that are likely there; the neighbours' are None where unknown."""
@@ -74,7 +73,7 @@
 
     def on_load_report(self, now_us: int, running: int, waiting: int) -> None:
         """Take in the load that an answer reports, without ours and the request that was answered."""
-        self.reported_load = max(0.0, running + waiting - len(self.out) - 1.0)
+        self.reported_load = max(0.0, running + waiting - len(self.in_flight) - 1.0)
         self.reported_us = now_us
 
     def on_rejection(self, now_us: int) -> None:
@@ -84,7 +83,7 @@
 
     def confidence(self, now_us: int, unhealthy_reports: int) -> float:
         """What so many neighbours' reports leave of its health: more, the better it answered us of late."""
-        own = PRIOR_WEIGHT + self.good.read(now_us)
+        own = PRIOR_WEIGHT + self.successes.read(now_us)
         return own / (own + UNHEALTHY_REPORT_WEIGHT * unhealthy_reports)
 
     def expected_latency_us(
@@ -98,7 +97,9 @@
         """What a request that takes `usual_us` elsewhere takes here, behind others of `mean_us` each."""
         slots = max(1, self.registration.slots)
         ahead = self.load(now_us, mean_us) + self.load_of_others(now_us, neighbours_in_flight)
-        slowness = (self.stretch.read(now_us) + PRIOR_WEIGHT) / (self.hops.read(now_us) + PRIOR_WEIGHT)
+        slowness = (self.latency_ratio.read(now_us) + PRIOR_WEIGHT) / (
+            self.latency_samples.read(now_us) + PRIOR_WEIGHT
+        )
         warm_up = 1 / WARM_UP_SPEED if now_us < self.warm_up_ends_us else 1.0
         queued = max(0.0, ahead + 1 - slots) / slots
         health = self.health(now_us, usual_us) * self.confidence(now_us, unhealthy_reports)
@@ -106,23 +107,23 @@
 
     def on_good_answer(self, now_us: int, latency_ratio: float) -> None:
         """It answered; `latency_ratio`: in how many times the usual latency."""
-        self.stretch.add(now_us, min(latency_ratio, MAX_LATENCY_RATIO))
-        self.hops.add(now_us, 1)
-        self.good.add(now_us, 1)
+        self.latency_ratio.add(now_us, min(latency_ratio, MAX_LATENCY_RATIO))
+        self.latency_samples.add(now_us, 1)
+        self.successes.add(now_us, 1)
 
     def on_failure(self, now_us: int, blame: float) -> None:
         """It failed a request; one that fails most is ejected (outlier ejection)."""
-        self.ill.add(now_us, blame)
-        allowed = EJECTION_FAILURES + EJECTION_FAILURE_RATIO * self.good.read(now_us)
-        if self.ill.read(now_us) > allowed:
+        self.failures.add(now_us, blame)
+        allowed = EJECTION_FAILURES + EJECTION_FAILURE_RATIO * self.successes.read(now_us)
+        if self.failures.read(now_us) > allowed:
             self.ejected_until_us = now_us + EJECTION_US
 
     def is_unhealthy(self, now_us: int) -> bool:
         """Whether neighbours are told that it answers badly: not where that is long past."""
-        failures = self.ill.read(now_us)
+        failures = self.failures.read(now_us)
         if failures <= UNHEALTHY_FAILURES:
             return False
-        return failures > UNHEALTHY_FAILURE_RATIO * self.good.read(now_us)
+        return failures > UNHEALTHY_FAILURE_RATIO * self.successes.read(now_us)
 
 
 class UpstreamAttempt(Attempt):
@@ -159,7 +160,7 @@
         if registration.state in ("gone", "lost") or not registration.address:
             if known is not None:
                 known.registration = registration
-                if not known.out:
+                if not known.in_flight:
                     del self.servers[registration.id]
         elif known is None:
             self.servers[registration.id] = UpstreamServer(registration, now_us)
@@ -243,9 +244,9 @@
     def on_attempt_started(self, now_us: int, attempt: UpstreamAttempt) -> None:
         """A request is sent to a server."""
         server = attempt.server
-        server.out[attempt] = None
-        server.last_sent = now_us
-        server.silent_from = server.silent_from or now_us
+        server.in_flight[attempt] = None
+        server.last_sent_us = now_us
+        server.unresponsive_since_us = server.unresponsive_since_us or now_us
 
     def on_attempt_finished(
         self,
@@ -265,17 +266,17 @@
             blame: The server's part in a failure, from 0 to 1.
         """
         server, outcome = attempt.server, result.outcome
-        attempt.out = False
-        server.out.pop(attempt, None)
+        attempt.is_in_flight = False
+        server.in_flight.pop(attempt, None)
         if result.server_load is not None:
             server.on_load_report(
                 now_us, int(result.server_load["running"]), int(result.server_load["waiting"])
             )
         if (
             outcome in (AttemptOutcome.OK, AttemptOutcome.OVERLOADED, AttemptOutcome.INVALID_REQUEST)
-            or not server.out
+            or not server.in_flight
         ):
-            server.silent_from = now_us if server.out else 0
+            server.unresponsive_since_us = now_us if server.in_flight else 0
         if outcome is AttemptOutcome.OVERLOADED:
             server.on_rejection(now_us)
         elif outcome is AttemptOutcome.OK:
@@ -283,7 +284,7 @@
         elif outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):
             # A server's own failure is an answer, but no sound one; it says little of how long work takes.
             server.on_failure(now_us, blame)
-        if server.is_removed() and not server.out:
+        if server.is_removed() and not server.in_flight:
             self.servers.pop(server.address, None)
 
     def _on_good_answer(
@@ -302,4 +303,4 @@
 
     def in_flight(self) -> dict[str, int]:
         """How many requests this proxy has in flight at each server that has any, by the server's id."""
-        return {server.address: len(server.out) for server in self.servers.values() if server.out}
+        return {server.address: len(server.in_flight) for server in self.servers.values() if server.in_flight}
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -33,7 +33,6 @@
 from enum import Enum, auto
 from random import Random
 
-from lapisgrade.decide.fleet import LatencyEstimate
 from lapisgrade.gateway.configuration import Rule
 from lapisgrade.gateway.routing.balancer import UpstreamAttempt, UpstreamCluster, UpstreamServer
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
@@ -48,6 +47,7 @@
     Sleep,
     WakeReason,
 )
+from lapisgrade.policy.fleet import LatencyEstimate
 
 RESPONSE_MARGIN_US = 12_000  # before the client's deadline that we end a request; the way back to the client
 MAX_QUEUE_RATIO = 0.2  # of the target time that a request may be queued for a server; a quarter is priced
@@ -206,7 +206,7 @@
         return attempt
 
     def _in_flight(self) -> list[UpstreamAttempt]:
-        return [attempt for attempt in self._attempts if attempt.out]
+        return [attempt for attempt in self._attempts if attempt.is_in_flight]
 
     # ---- hedging
 
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -1,6 +1,6 @@
 """What a proxy does with each request: match, quota, then the attempts at the service's servers.
 
-Pure: `operation` is a generator for `lapisgrade.engine`, as those of `lapisgrade.decide` are. A host starts
+Pure: `operation` is a generator for `lapisgrade.engine`, as those of `lapisgrade.policy` are. A host starts
 it for each request and calls `landed` for each attempt that has ended, before it resumes the generator; the
 proxy's process passes on what the controllers say. What is given up is answered at once: where it surely has
 not run with a status that promises so (429, 503), and with the time to come back.
@@ -130,12 +130,12 @@
         """The rule and tenant of a request, or the HTTP status that refuses it."""
         return self.tables.match(now_us, host, target, key)
 
-    def operation(self, request: RoutedRequest) -> Generator[Any, Any, None]:
+    def handle(self, request: RoutedRequest) -> Generator[Any, Any, None]:
         """Serve a request within its tenant's quota, else answer 429; a generator for the engine."""
         self.retry_budget(request.service).on_request(self.clock.now_us)
         if request.tenant is not None and request.tenant.rate_s > 0:
             quota_client = self.quota_client(request.tenant)
-            quota_client.used = self.clock.now_us
+            quota_client.last_used_us = self.clock.now_us
             wait_us = yield from quota_client.admit(request)
             if request.is_abandoned:
                 return
@@ -151,7 +151,7 @@
         cluster, retry_budget = self.cluster(request.service), self.retry_budget(request.service)
         return RequestAttempts(request, self.clock, self.random, cluster, retry_budget).run()
 
-    def landed(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
+    def on_attempt_finished(self, attempt: UpstreamAttempt, result: AttemptResult) -> None:
         """Learn from how an attempt ended; called by the host before its request goes on."""
         request = attempt.operation
         now_us, cluster = self.clock.now_us, self.cluster(request.service)
--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -8,12 +8,12 @@
 from random import Random
 from typing import Protocol
 
-from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import registry
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.routing.balancer import UpstreamCluster
 from lapisgrade.interface import AttemptOutcome, AttemptResult
 from lapisgrade.lab.balancing.model import Server, Spec
+from lapisgrade.policy.fleet import Attempt
 
 
 class Chooser(Protocol):
--- a/lapisgrade/lab/baselines/central.py
+++ b/lapisgrade/lab/baselines/central.py
@@ -14,7 +14,7 @@
 class CentralCount(Plain):
     """Asks the counter before each operation; a counter that does not answer turns the operation back."""
 
-    def operation(self, op: Operation) -> Generator:
+    def handle(self, op: Operation) -> Generator:
         window = self.clock.now_us // WINDOW
         name = int.from_bytes(blake2b(f"{op.customer}/{window}".encode(), digest_size=6).digest(), "big")
         total = yield AddToCounter(name, float(op.units), LIFE)
--- a/lapisgrade/lab/baselines/common.py
+++ b/lapisgrade/lab/baselines/common.py
@@ -42,14 +42,14 @@
         self.ready: list[str] = []
         self._states: dict[str, ServerState] = {}
 
-    def listed(self, entries: list[ServerEndpoint], whole: bool) -> None:
+    def update_servers(self, entries: list[ServerEndpoint], whole: bool) -> None:
         if whole:
             self._states = {}
         for entry in entries:
             self._states[entry.address] = entry.state
         self.ready = sorted(name for name, state in self._states.items() if state is ServerState.READY)
 
-    def landed(self, hop: Hop, report) -> None:
+    def on_attempt_finished(self, hop: Hop, report) -> None:
         """Nothing is learnt from a hop's end."""
 
     def send(self, op: Operation) -> Generator:
--- a/lapisgrade/lab/baselines/local.py
+++ b/lapisgrade/lab/baselines/local.py
@@ -15,7 +15,7 @@
         super().__init__(clock, seed)
         self.buckets: dict[str, tuple[float, int]] = {}
 
-    def operation(self, op: Operation) -> Generator:
+    def handle(self, op: Operation) -> Generator:
         now, share = self.clock.now_us, max(1, op.gateway_count)
         rate, burst = op.plan.rate / share, op.plan.burst / share
         level, at = self.buckets.get(op.customer, (burst, now))
--- a/lapisgrade/lab/emulator/gate.py
+++ b/lapisgrade/lab/emulator/gate.py
@@ -42,7 +42,7 @@
         """An operation arrives from a client."""
         self.owed[id(record.op)] = record
         self.now()
-        self.engine.run(self.module.operation(record.op), record.op)
+        self.engine.run(self.module.handle(record.op), record.op)
 
     def listed(self, entries: list, whole: bool) -> None:
         now = self.world.sim.now
@@ -51,17 +51,17 @@
             if old is None or old[0] is not entry.state:
                 self.told[entry.address] = (entry.state, now)
         self.now()
-        self.module.listed(entries, whole)
+        self.module.update_servers(entries, whole)
 
     def landed(self, hop: Any, report: AttemptResult) -> None:
         self.now()
-        self.module.landed(hop, report)
+        self.module.on_attempt_finished(hop, report)
         record = self.owed.get(id(hop.operation))
         if record is not None:
             if report.is_final:
                 del self.owed[id(hop.operation)]
                 self.world.finished(self, record)
-            self.engine.landed(hop, report)
+            self.engine.attempt_finished(hop, report)
 
     def leave(self, record: rules.Record) -> None:
         """The client goes early."""
@@ -69,21 +69,21 @@
             record.op.is_abandoned = True
             self.world.left(record)
             self.now()
-            self.engine.told(record.op, WakeReason.CLIENT_GONE)
+            self.engine.wake(record.op, WakeReason.CLIENT_GONE)
 
     def tick(self) -> None:
         if self.alive:
             self.now()
-            self.engine.time(ticked=True)
+            self.engine.run_due_timers(ticked=True)
 
     def counted(self, task: Any, total: CounterReply) -> None:
         if self.alive:
             self.now()
-            self.engine.added(task, total)
+            self.engine.counter_replied(task, total)
 
     def now(self) -> None:
         self.clock.now_us = self.world.sim.now
-        self.engine.time()
+        self.engine.run_due_timers()
 
     # ---- what the module asks for (the engine's Host)
 
@@ -93,7 +93,7 @@
     def cancel(self, hop: Any) -> None:
         self.world.cancel(self, hop)
 
-    def answer(self, operation: Operation, answer: Reject) -> None:
+    def reject(self, operation: Operation, answer: Reject) -> None:
         record = self.owed.pop(id(operation), None)
         if record is None:
             record = self.world.records.get(id(operation))
@@ -101,11 +101,11 @@
                 return
         self.world.answered(self, record, answer.reason is RejectReason.RETRY_LATER, answer.retry_after_us)
 
-    def add(self, task: Any, add: AddToCounter) -> None:
+    def add_to_counter(self, task: Any, add: AddToCounter) -> None:
         self.world.add(self, task, add)
 
-    def say(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self.said += 1
 
-    def wake_at(self, when_us: int) -> None:
+    def schedule_wakeup(self, when_us: int) -> None:
         self.world.sim.at(when_us, self.tick)
--- a/lapisgrade/lab/emulator/world.py
+++ b/lapisgrade/lab/emulator/world.py
@@ -8,7 +8,6 @@
 import time
 from random import Random
 
-from lapisgrade.decide import Limiter
 from lapisgrade.interface import (
     AttemptOutcome,
     AttemptResult,
@@ -25,6 +24,7 @@
 from lapisgrade.lab.emulator.metrics import Metrics, Result
 from lapisgrade.lab.emulator.scenario import Fault, Scenario
 from lapisgrade.lab.emulator.sim import Sim
+from lapisgrade.policy import Limiter
 
 SECOND = 1_000_000
 LAG_SPREAD = 0.5  # of the discovery lag, drawn evenly, that each limiter hears later than the lag itself
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -81,7 +81,7 @@
 
     # ---- the engine's host
 
-    def add(self, task, add) -> None:
+    def add_to_counter(self, task, add) -> None:
         world, life = self.world, self.life
         name = owner_of("t", self.quota_owner.eligible_owners)
         ask = self.quota_client.ask(self.name, self.quota_owner.fencing_token)
@@ -94,7 +94,7 @@
 
         def back(taken: rpc_messages.QuotaReply) -> None:
             if taken.held:
-                self.quota_client.gateways = max(1, taken.limiters)
+                self.quota_client.gateway_count = max(1, taken.limiters)
             answered(
                 CounterReply(CounterOutcome.ADDED, taken.total)
                 if taken.held
@@ -112,7 +112,7 @@
         world.between(self, other, self.asked_there, other, ask, life, back)
 
     def settled(self, task, total: CounterReply) -> None:
-        self.engine.added(task, total)
+        self.engine.counter_replied(task, total)
 
     def asked_there(
         self, other: "Limiter", ask: rpc_messages.QuotaRequest, life: int, back: Callable
@@ -160,13 +160,13 @@
             self.world.granted(self.name, self.quota_owner.fencing_token)
         return taken
 
-    def answer(self, operation, answer) -> None: ...
+    def reject(self, operation, answer) -> None: ...
     def send(self, hop) -> None: ...
     def cancel(self, hop) -> None: ...
-    def say(self, text: str) -> None: ...
+    def log(self, text: str) -> None: ...
 
-    def wake_at(self, when_us: int) -> None:
-        self.world.sim.at(when_us, self.when_awake, self.life, self.engine.time, True)
+    def schedule_wakeup(self, when_us: int) -> None:
+        self.world.sim.at(when_us, self.when_awake, self.life, self.engine.run_due_timers, True)
 
 
 class World(activation.World):
--- a/lapisgrade/lab/fleet/checker.py
+++ b/lapisgrade/lab/fleet/checker.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from lapisgrade import start
 from lapisgrade.interface import Category, DeduplicationScope, Plan, RepeatSafety
 from lapisgrade.lab import quota
 from lapisgrade.lab.fleet import history as h
+from lapisgrade.settings import flatten, read_categories, read_plans, read_server_rules
 
 SECOND = 1_000_000
 GRACE_US = 500_000  # the protocol's figure: past its time an answer is late for so long, then it is lost
@@ -199,13 +199,13 @@
     # ---- events
 
     def _begin(self, event: h.Begin) -> None:
-        found, info = self.found, start.flat(event.settings)
+        found, info = self.found, flatten(event.settings)
         found.name, found.seed, found.limiters = event.name, event.seed, event.limiters
         found.seconds, found.over_bound = event.seconds, event.over_bound
         found.calls = {kind: [] for kind in CALLS}  # what came before the play is not counted
-        self._categories = {each.name: each for each in start.categories(info)}
-        self._plans = {each.name: each for each in start.plans(info)}
-        self._begun, self._grace_us = event.at, start.duties(info).drain_grace_us
+        self._categories = {each.name: each for each in read_categories(info)}
+        self._plans = {each.name: each for each in read_plans(info)}
+        self._begun, self._grace_us = event.at, read_server_rules(info).drain_grace_us
         self._leeway_us = AFTER_US + event.leeway_us
 
     def _sent(self, event: h.Sent) -> None:
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -7,33 +7,34 @@
 import sys
 from dataclasses import replace
 
-from lapisgrade import decide, start
-from lapisgrade.decide import limiter
+from lapisgrade import policy
 from lapisgrade.interface import Operation, RepeatSafety, ServerState
-from lapisgrade.net import discovery
+from lapisgrade.net import discovery, service
+from lapisgrade.policy import limiter
+from lapisgrade.settings import Fields
 
 
 def swallow() -> None:
     """One operation in ten never gets an answer (rule 1)."""
-    honest = decide.Limiter.operation
+    honest = policy.Limiter.handle
 
-    def operation(self: decide.Limiter, op: Operation):
+    def operation(self: policy.Limiter, op: Operation):
         if self.random.random() < 0.1:
             return
         yield from honest(self, op)
 
-    decide.Limiter.operation = operation
+    policy.Limiter.handle = operation
 
 
 def twice() -> None:
     """What must not repeat is sent again before its answer can come (rule 2)."""
-    honest = decide.Limiter.operation
+    honest = policy.Limiter.handle
 
-    def operation(self: decide.Limiter, op: Operation):
+    def operation(self: policy.Limiter, op: Operation):
         op.category = replace(op.category, repeat_safety=RepeatSafety.IDEMPOTENT)
         yield from honest(self, op)
 
-    decide.Limiter.operation, limiter.PATIENCE = operation, -1000.0
+    policy.Limiter.handle, limiter.OVERDUE_DEVIATIONS = operation, -1000.0
 
 
 def deaf() -> None:
@@ -43,15 +44,15 @@
 
 def unmetered() -> None:
     """No plan has a quota or a ceiling (rule 5, and any stated bound)."""
-    honest = start.plans
+    honest = service.read_plans
 
-    def plans(info: start.Fields) -> list:
+    def plans(info: Fields) -> list:
         made = honest(info)
         for plan in made:
             plan.rate = plan.rate_limit_per_s = 0.0
         return made
 
-    start.plans = plans
+    service.read_plans = plans
 
 
 DEFECTS = {"swallow": (swallow, 1), "twice": (twice, 2), "deaf": (deaf, 3), "unmetered": (unmetered, 5)}
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -18,7 +18,7 @@
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.lab.explore import quota as explored
 from lapisgrade.lab.partitions.quota import allowed, most
-from lapisgrade.sums import Bucket
+from lapisgrade.rate import TokenBucket
 
 # s: until all know the list of live proxies and have leased, then what is measured
 WARM, CALM, DARK, AFTER = 8, 8, 4, 4
@@ -31,8 +31,8 @@
 class Own(explored.Limiter):
     """The program's."""
 
-    def add(self, task, add) -> None:
-        super().add(task, add)
+    def add_to_counter(self, task, add) -> None:
+        super().add_to_counter(task, add)
         self.world.called(self.quota_client.ask(self.name, self.quota_owner.fencing_token))
 
 
@@ -43,13 +43,13 @@
         super().start()
         tenant, count = self.world.tenant, self.world.count
         room = self.world.room / count
-        self.bucket = Bucket(self.world.sim.now, tenant.rate_s / count, max(1.0, room), max(1.0, room))
+        self.bucket = TokenBucket(self.world.sim.now, tenant.rate_s / count, max(1.0, room), max(1.0, room))
 
     def request(self) -> None:
         now, level = self.world.sim.now, self.bucket.read(self.world.sim.now)
         self.world.met(level >= 1.0)
         if level >= 1.0:
-            self.bucket.put(now, level - 1.0)
+            self.bucket.set_level(now, level - 1.0)
 
 
 class Central(explored.Limiter):
@@ -57,17 +57,17 @@
 
     def start(self) -> None:
         super().start()
-        self.bucket = Bucket(self.world.sim.now, self.world.tenant.rate_s, self.world.room, 0.0)
+        self.bucket = TokenBucket(self.world.sim.now, self.world.tenant.rate_s, self.world.room, 0.0)
 
     def request(self) -> None:
         self.quota_client.parts = (1.0, 0.0)
-        self.add(None, None)
+        self.add_to_counter(None, None)
         self.world.called(self.quota_client.ask(self.name, self.quota_owner.fencing_token))
 
     def take(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
         now, level = self.world.sim.now, self.bucket.read(self.world.sim.now)
         if level >= 1.0:
-            self.bucket.put(now, level - 1.0)
+            self.bucket.set_level(now, level - 1.0)
         return rpc_messages.QuotaReply(ask.fence == self.quota_owner.fencing_token and level >= 1.0)
 
     def settled(self, task, total) -> None:
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -13,7 +13,6 @@
 
 import msgspec
 
-from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.lab.partitions.quota import allowed, most
@@ -22,6 +21,7 @@
 from lapisgrade.lab.simulation.plays import Play
 from lapisgrade.lab.simulation.proxies import ProxyMachine, SimulatedClock, SimulatedProxy
 from lapisgrade.lab.simulation.virtual_loop import SECOND
+from lapisgrade.policy.fleet import Attempt
 
 PROXIES, SERVERS = 5, 4
 TENANT, KEY = "t", "key"
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -11,7 +11,6 @@
 import h11
 from returns.result import Result
 
-from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.http_server import framed
 from lapisgrade.gateway.proxy.process import Proxy
@@ -25,6 +24,7 @@
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import AttemptFinished, RequestReceived
 from lapisgrade.net.http import MessageParser
+from lapisgrade.policy.fleet import Attempt
 
 if TYPE_CHECKING:
     from lapisgrade.lab.simulation.data_plane import DataPlane
--- a/lapisgrade/members/__main__.py
+++ b/lapisgrade/members/__main__.py
@@ -12,9 +12,9 @@
 import click
 import msgspec
 
-from lapisgrade import start
 from lapisgrade.members.core import News, State
 from lapisgrade.members.host import Host, now_us
+from lapisgrade.settings import MalformedInputError, parse_address
 
 
 def show(**what) -> None:
@@ -29,7 +29,7 @@
     host = Host(name, lambda text: print(f"{name}: {text}", file=sys.stderr, flush=True), changed, chance)
     ending = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ending.set)
-    show(address=await host.open(*start.address(listen, "listen"), seeds, reached_at))
+    show(address=await host.open(*parse_address(listen, "listen"), seeds, reached_at))
     try:
         await ending.wait()
     finally:
@@ -47,7 +47,7 @@
     """One member NAME at LISTEN, met through SEEDS (host:port each)."""
     try:
         asyncio.run(run(name, listen, reached_at, list(seeds), chance))
-    except (OSError, start.Malformed) as wrong:
+    except (OSError, MalformedInputError) as wrong:
         click.echo(f"the member could not start: {wrong}", err=True)
         sys.exit(2)
 
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -16,10 +16,10 @@
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
 
-from lapisgrade import start
 from lapisgrade.members.core import MOST_NAME, News, State
 from lapisgrade.members.host import Host
 from lapisgrade.net.service import Service
+from lapisgrade.settings import MalformedInputError, parse_address
 
 STATES = {State.ALIVE: "lives", State.SUSPECT: "is suspected", State.DEAD: "is dead"}
 
@@ -39,21 +39,21 @@
         with open(path, "rb") as file:
             table = tomllib.load(file).get("peers")
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
-        raise start.Malformed(f"{path}: {wrong}") from None
+        raise MalformedInputError(f"{path}: {wrong}") from None
     if not isinstance(table, dict):
-        raise start.Malformed(f"{path}: there is no table [peers]")
+        raise MalformedInputError(f"{path}: there is no table [peers]")
     strange = sorted(set(table) - {"listen", "reached_at", "seeds"})
     if strange:
-        raise start.Malformed(f"{path}: peers.{strange[0]} is unknown")
+        raise MalformedInputError(f"{path}: peers.{strange[0]} is unknown")
     seeds = table.get("seeds", [])
     if not isinstance(seeds, list):
-        raise start.Malformed(f"{path}: peers.seeds is not a list")
+        raise MalformedInputError(f"{path}: peers.seeds is not a list")
     for each in seeds:
-        start.address(each, f"{path}: a seed")
+        parse_address(each, f"{path}: a seed")
     reached_at = table.get("reached_at", "")
     if reached_at:
-        start.address(reached_at, f"{path}: peers.reached_at")
-    return Site(start.address(table.get("listen"), f"{path}: peers.listen"), reached_at, tuple(seeds))
+        parse_address(reached_at, f"{path}: peers.reached_at")
+    return Site(parse_address(table.get("listen"), f"{path}: peers.listen"), reached_at, tuple(seeds))
 
 
 def beside(site: Site, name: str) -> Callable[[Service], contextlib.AbstractAsyncContextManager]:
@@ -71,7 +71,7 @@
         try:
             await host.open(*site.listen, list(site.seeds), site.reached_at)
         except OSError as wrong:
-            raise start.Malformed(f"peers.listen: {wrong.strerror or wrong}") from None
+            raise MalformedInputError(f"peers.listen: {wrong.strerror or wrong}") from None
         service.counts["members alive"] = 1
         try:
             yield
--- a/lapisgrade/net/discovery.py
+++ b/lapisgrade/net/discovery.py
@@ -9,12 +9,11 @@
 
 import h11
 
-from lapisgrade import start
 from lapisgrade.interface import ServerEndpoint, ServerState
 from lapisgrade.net.events import Event, ServersUpdated
 from lapisgrade.net.hops import Pool
 from lapisgrade.net.http import READ_BYTES, MalformedMessageError, MessageParser
-from lapisgrade.start import Fields, Malformed
+from lapisgrade.settings import Fields, MalformedInputError, parse_address
 
 STATES = {
     "in_service": ServerState.READY,
@@ -101,18 +100,18 @@
         self._watches = watches
 
     def take(self, told: dict[str, Any]) -> int:
-        """Put a list, or changes of it, before the decisions; its version. Malformed if it makes no sense."""
+        """Put a list, or changes of it, before the decisions; its version; raises MalformedInputError."""
         if not isinstance(told, dict) or not isinstance(told.get("instances"), list):
-            raise Malformed("not a list of servers")
-        version, whole = Fields(told).whole("generation"), told.get("reset") is True
+            raise MalformedInputError("not a list of servers")
+        version, whole = Fields(told).integer("generation"), told.get("reset") is True
         entries, addresses = [], {}
         for row in told["instances"]:
             if not isinstance(row, dict):
-                raise Malformed("a server is not an object")
+                raise MalformedInputError("a server is not an object")
             entry = self._entry(Fields(row))
             entries.append(entry)
             ready = entry.state is ServerState.READY
-            addresses[entry.address] = start.address(row.get("hostPort"), "hostPort") if ready else None
+            addresses[entry.address] = parse_address(row.get("hostPort"), "hostPort") if ready else None
         if whole:
             addresses.update({each: None for each in self._pool.addresses if each not in addresses})
         self._pool.known(addresses)
@@ -138,7 +137,7 @@
             except Busy as wrong:
                 self._failed(wrong)
                 after = self._turns.turned_away()
-            except (OSError, TimeoutError, MalformedMessageError, Malformed, ValueError) as wrong:
+            except (OSError, TimeoutError, MalformedMessageError, MalformedInputError, ValueError) as wrong:
                 self._failed(wrong)
 
     def _failed(self, wrong: Exception) -> None:
@@ -175,9 +174,9 @@
         started_ms = row.number("startedAtMs")
         return ServerEndpoint(
             address=row.text("instanceId"),
-            state=row.among("lifecycle", STATES, "in_service"),
+            state=row.choice("lifecycle", STATES, "in_service"),
             zone=row.get("zone") or "",
-            cell=row.whole("cell", 0),
+            cell=row.integer("cell", 0),
             weight=row.number("weight", 1.0),
             shape=row.get("machineType") or "",
             started_us=round(started_ms * 1000) if started_ms > 0 else 0,
--- a/lapisgrade/net/hops.py
+++ b/lapisgrade/net/hops.py
@@ -238,7 +238,7 @@
         not run; on an idle one it might have, for all that we know (guards operations that must not repeat).
         """
         server = hop.server.address
-        if self.heard.get(server, 0) < hop.sent < self.now() - self.lines.connect_timeout_us:
+        if self.heard.get(server, 0) < hop.sent_us < self.now() - self.lines.connect_timeout_us:
             for link in list(self._idle.get(server, [])):
                 link.end(CloseReason.IDLE)
 
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -90,8 +90,8 @@
 
     def _give_up_broken(self) -> None:
         """An operation whose generator broke off is given up alone, and at once (guards the others)."""
-        for operation in [each for each in self.owed.values() if each.task is None or each.task.ended]:
-            self.answer(operation, Reject(RejectReason.FAILED))
+        for operation in [each for each in self.owed.values() if each.task is None or each.task.is_finished]:
+            self.reject(operation, Reject(RejectReason.FAILED))
 
     # ---- what the sockets bring
 
@@ -101,14 +101,14 @@
             return  # gone already
         self.owed[operation.handle] = operation
         self._counts["operations"] += 1
-        self.engine.run(self.module.operation(operation), operation)
+        self.engine.run(self.module.handle(operation), operation)
 
     def _left(self, event: ClientDisconnected) -> None:
         operation = event.operation
         operation.is_abandoned = True
         if self.owed.pop(operation.handle, None) is not None:
             self._counts["operations whose client left"] += 1
-            self.engine.told(operation, WakeReason.CLIENT_GONE)
+            self.engine.wake(operation, WakeReason.CLIENT_GONE)
 
     def _landed(self, event: AttemptFinished) -> None:
         hop, ending = event.attempt, event.reason
@@ -121,9 +121,9 @@
             self.deliver(client, message)
             client = None
         load = self.load(message) if message is not None else None
-        report = AttemptResult(ending.outcome, self.clock.now_us - hop.sent, client is None, load)
-        self.module.landed(hop, report)
-        self.engine.landed(hop, report)
+        report = AttemptResult(ending.outcome, self.clock.now_us - hop.sent_us, client is None, load)
+        self.module.on_attempt_finished(hop, report)
+        self.engine.attempt_finished(hop, report)
 
     def deliver(self, client: Any, message: Any) -> None:
         client.answer(message.head.status_code, message.body, message.size)
@@ -132,13 +132,13 @@
     worded = staticmethod(front.worded)
 
     def _counted(self, event: CounterCallFinished) -> None:
-        self.engine.added(event.task, CounterReply(event.reason.counter_outcome, event.total))
+        self.engine.counter_replied(event.task, CounterReply(event.reason.counter_outcome, event.total))
 
     def _news(self, event: ServersUpdated) -> None:
-        self.module.listed(event.entries, event.whole)
+        self.module.update_servers(event.entries, event.whole)
 
     def _tick(self, event: TimerFired) -> None:
-        self.engine.time(ticked=event.due_us == self._due)
+        self.engine.run_due_timers(ticked=event.due_us == self._due)
 
     # ---- what the engine wants carried out
 
@@ -148,7 +148,7 @@
     def cancel(self, hop: Any) -> None:
         self.pool.cancel(hop)
 
-    def answer(self, operation: Operation, answer: Reject) -> None:
+    def reject(self, operation: Operation, answer: Reject) -> None:
         client = operation.handle.client
         if client is None:
             return  # it left while this was on its way
@@ -156,13 +156,13 @@
         status, more = self.worded(answer)
         client.answer(status, [], 0, more)
 
-    def add(self, task: Task, add: AddToCounter) -> None:
+    def add_to_counter(self, task: Task, add: AddToCounter) -> None:
         self.counter.add(task, add)
 
-    def say(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self._say(text)
 
-    def wake_at(self, when_us: int) -> None:
+    def schedule_wakeup(self, when_us: int) -> None:
         self._due = when_us
         delay = max(0, when_us - self.now()) / SECOND
         asyncio.get_running_loop().call_later(
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -8,11 +8,23 @@
 from collections.abc import Callable
 from typing import Any
 
-from lapisgrade import start
-from lapisgrade.decide import Limiter
 from lapisgrade.net import counter, discovery, front, hops, log
 from lapisgrade.net.host import Host, wall
-from lapisgrade.start import Fields, Malformed
+from lapisgrade.policy import Limiter
+from lapisgrade.settings import (
+    Fields,
+    MalformedInputError,
+    flatten,
+    parse_address,
+    read_categories,
+    read_connection_settings,
+    read_counter_settings,
+    read_max_units,
+    read_permissions,
+    read_placement,
+    read_plans,
+    read_server_rules,
+)
 
 FORM = {
     "name": str,
@@ -32,53 +44,53 @@
     """One limiter. `run` ends once it has been told to end and nothing is owed any more."""
 
     def __init__(self, told: dict[str, Any]) -> None:
-        """Takes what the configuration holds; Malformed, where that can't be read."""
+        """Takes what the configuration holds; MalformedInputError, where that can't be read."""
         for name, kind in FORM.items():
             if not isinstance(told.get(name), kind):
-                raise Malformed(f"{name} is missing or not of the kind {kind.__name__}")
-        info = start.flat(told["settings"])
+                raise MalformedInputError(f"{name} is missing or not of the kind {kind.__name__}")
+        info = flatten(told["settings"])
         try:
             seed = int(told["seed"], 16)
-            sockets = Fields(told["limits"]).whole("sockets", 1024)
+            sockets = Fields(told["limits"]).integer("sockets", 1024)
         except ValueError as wrong:
-            raise Malformed(f"seed: {wrong}") from None
+            raise MalformedInputError(f"seed: {wrong}") from None
         self.counts: Counter[str] = Counter()
         self._log = log.Log(told["name"])
         if not isinstance(clock := told.get("clock", {}), dict):
-            raise Malformed("clock is not of the kind dict")
+            raise MalformedInputError("clock is not of the kind dict")
         clock = Fields(clock)
-        self.say, now = self._log.say, wall(clock.micros("offset_ms"), clock.number("drift_ppm"))
+        self.say, now = self._log.say, wall(clock.duration_us("offset_ms"), clock.number("drift_ppm"))
         say = self.say
-        self._listen, self._known = start.address(told["listen"], "listen"), told["known"]
+        self._listen, self._known = parse_address(told["listen"], "listen"), told["known"]
         self.host = Host(
             lambda clock: Limiter(
                 clock,
                 seed,
-                start.post(info),
-                start.desk(info),
-                start.categories(info),
-                start.duties(info),
-                start.leave(info),
+                read_placement(info),
+                read_counter_settings(info),
+                read_categories(info),
+                read_server_rules(info),
+                read_permissions(info),
             ),
             now,
             say,
             self.counts,
         )
-        put, lines = self.host.put, start.lines(info)
+        put, lines = self.host.put, read_connection_settings(info)
         # Half of the descriptors for clients, a quarter for servers; the rest is for all else.
         self._front = front.Front(
             put,
             now,
             say,
             self.counts,
-            start.categories(info),
-            start.plans(info),
+            read_categories(info),
+            read_plans(info),
             sockets // 2,
-            start.post(info).limiter_count,
-            start.most_units(info),
+            read_placement(info).limiter_count,
+            read_max_units(info),
         )
         self.host.pool = hops.Pool(put, now, say, self.counts, lines, sockets // 4)
-        desk = start.desk(info)
+        desk = read_counter_settings(info)
         watched, counted = addresses(told, desk.is_available)
         if counted is not None:
             self.host.counter = counter.Counter(
@@ -91,7 +103,7 @@
             watched,
             self.host.pool,
             self.host.module.random,
-            start.post(info).limiter_count,
+            read_placement(info).limiter_count,
         )
         self._end = asyncio.Event()
 
@@ -138,8 +150,8 @@
 
 def addresses(told: dict[str, Any], counts: bool) -> tuple[tuple[str, int], tuple[str, int] | None]:
     """Where discovery and, for a limiter that counts, the counter are."""
-    watched = start.address(told.get("discovery"), "discovery")
-    return watched, start.address(told.get("counter"), "counter") if counts else None
+    watched = parse_address(told.get("discovery"), "discovery")
+    return watched, parse_address(told.get("counter"), "counter") if counts else None
 
 
 def read(path: str) -> dict[str, Any]:
@@ -148,9 +160,9 @@
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except (OSError, ValueError) as wrong:
-        raise Malformed(f"{path}: {wrong}") from None
+        raise MalformedInputError(f"{path}: {wrong}") from None
     if not isinstance(told, dict):
-        raise Malformed(f"{path}: not an object")
+        raise MalformedInputError(f"{path}: not an object")
     return told
 
 
@@ -167,7 +179,7 @@
     def reload() -> None:
         try:
             service.reload(read(path))
-        except Malformed as wrong:
+        except MalformedInputError as wrong:
             service.say(f"goes on as before: {wrong}")
 
     loop = asyncio.get_running_loop()
--- a/tests/bench_adapter/test_host.py
+++ b/tests/bench_adapter/test_host.py
@@ -18,7 +18,11 @@
 def drill(*batches):
     text = "".join(f"MARK SimTime={1000 + 2 * i}.0\n{batch}YOUR_TURN\n" for i, batch in enumerate(batches))
     return subprocess.run(
-        [sys.executable, "-m", "lapisgrade.drill"], input=text, capture_output=True, text=True, timeout=30
+        [sys.executable, "-m", "lapisgrade.bench_adapter"],
+        input=text,
+        capture_output=True,
+        text=True,
+        timeout=30,
     )
 
 
--- a/tests/compatibility/test_bench_adapter.py
+++ b/tests/compatibility/test_bench_adapter.py
@@ -1,4 +1,4 @@
-"""The bench adapter (`python -m lapisgrade.drill`) understands and says the same lines.
+"""The bench adapter (`python -m lapisgrade.bench_adapter`) understands and says the same lines.
 
 `data/bench/events.txt` is what a small bench of two limiters and six servers sent to revision 761b3d6, with
 each kind of message and each state code; `replies.txt` is what it answered. All chance in the adapter comes
@@ -15,7 +15,11 @@
 
 def run_adapter(events: str) -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-m", "lapisgrade.drill"], input=events, capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "lapisgrade.bench_adapter"],
+        input=events,
+        capture_output=True,
+        text=True,
+        timeout=60,
     )
 
 
--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -3,11 +3,12 @@
 import unittest
 from random import Random
 
+from support.quota_simulation import SECOND, SLO, Proxy, World, live_proxies
+
 from lapisgrade.gateway.configuration import Tenant
-from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.client import unseen
+from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.ownership import owner_of
-from support.quota_simulation import SECOND, SLO, Proxy, World, live_proxies
 
 
 class Count(unittest.TestCase):
@@ -34,7 +35,7 @@
         one.dark = True
         world.run(1.5, 30, [one.name])
         world.run(1.0, 60, [one.name])
-        self.assertLessEqual(len(one.quota_client.queue), 1)
+        self.assertLessEqual(len(one.quota_client.pending), 1)
 
     def test_the_bound_holds_at_eight_times_the_usual_and_the_quota_is_used(self):
         for proxies in (1, 14, 96):
--- a/tests/gateway/quota/test_client.py
+++ b/tests/gateway/quota/test_client.py
@@ -19,8 +19,8 @@
             (1.0, 2.0, CounterOutcome.REJECTED),
             (-2.0, 0.0, CounterOutcome.ADDED), (-2.0, 5.0, CounterOutcome.ADDED),
         ):  # fmt: skip
-            one.owed.value = owed
-            adding = one.add(units)
+            one.unreported.value = owed
+            adding = one.add_to_counter(units)
             next(adding)
             ask = one.ask("x", 7)
             calls.append((ask.units, ask.back, ask.turn, ask.of))
@@ -36,14 +36,14 @@
     def test_those_refused_for_want_of_room_come_back_one_by_one_and_for_want_of_a_word_at_once(self):
         clock = Clock(10 * SECOND)
         one = QuotaClient(clock, Tenant("t", rate_s=10, burst=5), SLO, 4, 0)
-        one.gateways = 4
-        one.store.put(clock.now_us, -1.0)
+        one.gateway_count = 4
+        one.bucket.set_level(clock.now_us, -1.0)
         told = [one.comes_back(clock.now_us, 200_000) for _ in range(4)]
         self.assertEqual(told, [400_000, 800_000, 1_200_000, 1_600_000])
         self.assertEqual(
             one.comes_back(clock.now_us + 9 * SECOND, 300_000), 300_000
         )  # room again: nobody is before it
-        one.store.put(clock.now_us, -500.0)
+        one.bucket.set_level(clock.now_us, -500.0)
         self.assertLessEqual(max(one.comes_back(clock.now_us, 200_000) for _ in range(50)), 5 * SECOND)
-        one.counter.silent = 1
+        one.counter_breaker.consecutive_timeouts = 1
         self.assertEqual([one.comes_back(clock.now_us, 300_000) for _ in range(3)], [300_000] * 3)
--- a/tests/gateway/routing/test_hedging.py
+++ b/tests/gateway/routing/test_hedging.py
@@ -119,11 +119,11 @@
         one = self.request()
         one.sleep()
         server = self.router.cluster("a").servers[one.sent[1]]
-        hop = next(iter(server.out))
+        hop = next(iter(server.in_flight))
         with self.assertRaises(StopIteration):
             report = AttemptResult(AttemptOutcome.OK, USUAL)
             report.is_final = True
-            self.router.landed(hop, report)
+            self.router.on_attempt_finished(hop, report)
             one.go_on(AttemptFinished(hop, report))
 
 
--- a/tests/gateway/routing/test_router.py
+++ b/tests/gateway/routing/test_router.py
@@ -7,7 +7,6 @@
 
 import attrs
 
-from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import SECOND, configuration, registry
 from lapisgrade.gateway.configuration import Table
 from lapisgrade.gateway.membership.subsets import Subsets
@@ -18,6 +17,7 @@
 from lapisgrade.gateway.routing.split import SplitChooser
 from lapisgrade.gateway.settings import Slo, Span
 from lapisgrade.interface import AttemptOutcome, AttemptResult, Clock
+from lapisgrade.policy.fleet import Attempt
 
 MS = 1_000
 
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -9,11 +9,11 @@
 from unittest import mock
 
 import msgspec
+from support.local_clusters import local_cluster, serving_cluster
 
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.local_cluster import SAMPLE, Links, LocalCluster, ask, told
 from lapisgrade.net.http import Message
-from support.local_clusters import local_cluster, serving_cluster
 
 KEY = "key-of-sfax"
 READY = 8406
@@ -255,7 +255,7 @@
 class Apart(unittest.TestCase):
     def test_the_limiter_in_service_loads_nothing_of_the_system(self):
         code = (
-            "import sys, lapisgrade.__main__, lapisgrade.drill.host;"
+            "import sys, lapisgrade.__main__, lapisgrade.bench_adapter.host;"
             "print([name for name in sys.modules if 'gateway' in name])"
         )
         got = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/lab/fleet/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from lapisgrade.decide.account import KNOCK_EVERY, SLICE
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.emulator.world import World
 from lapisgrade.lab.fleet import checker, ground, history
 from lapisgrade.lab.quota import Bound
+from lapisgrade.policy.account import LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US
 
 BASE = """
 [run]
@@ -71,7 +71,7 @@
 
 
 def bound(rate: float, burst: float, limiters: int) -> Bound:
-    return Bound(rate, burst, limiters, UNITS, SLICE, KNOCK_EVERY / 1e6)
+    return Bound(rate, burst, limiters, UNITS, LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US / 1e6)
 
 
 def most(case: str, seconds: float, limiters: int, lasts: float) -> dict[str, float]:
--- a/tests/lab/fleet/test_peers.py
+++ b/tests/lab/fleet/test_peers.py
@@ -12,7 +12,7 @@
 from lapisgrade.lab.fleet import checker, ground, history
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.members import site
-from lapisgrade.start import Malformed
+from lapisgrade.settings import MalformedInputError
 
 SCENE = """
 [run]
@@ -67,7 +67,7 @@
 
 def test_the_program_without_an_operators_file_imports_none_of_it():
     code = (
-        "import sys, lapisgrade.__main__, lapisgrade.drill.host\n"
+        "import sys, lapisgrade.__main__, lapisgrade.bench_adapter.host\n"
         "print([m for m in sys.modules if m.startswith(('lapisgrade.members', 'lapisgrade.peers', "
         "'lapisgrade.lab', 'lapisgrade.fakes', 'msgspec', 'click'))])"
     )
@@ -91,7 +91,7 @@
 def test_an_operators_file_that_makes_no_sense_is_refused_in_one_line(text, what, tmp_path):
     path = tmp_path / "peers.toml"
     path.write_text(text)
-    with pytest.raises(Malformed, match=what):
+    with pytest.raises(MalformedInputError, match=what):
         site.read(str(path))
     sample = str(ROOT / "deploy" / "sample.json")
     done = CliRunner().invoke(cli, ["serve", sample, "--site", str(path)])
--- a/tests/net/test_end.py
+++ b/tests/net/test_end.py
@@ -11,12 +11,12 @@
 from types import SimpleNamespace
 
 import pytest
-
-from lapisgrade import start
 from support.event_loop import on_loopback, until
 from support.fake_peers import Agent, Till, heard
 from support.limiter_site import Site
 
+from lapisgrade.settings import MalformedInputError
+
 
 @on_loopback
 async def test_what_is_owed_at_the_end_is_answered():
@@ -96,7 +96,7 @@
     async with Site() as site:
         pool, rows = site.service.host.pool, site.agent.rows
         agent, till = await Agent(rows).open(), await Till().open()
-        with pytest.raises(start.Malformed):
+        with pytest.raises(MalformedInputError):
             site.service.reload({**site.told(), "counter": 7})
         site.service.reload({**site.told(), "discovery": "127.0.0.1:1"})  # nobody listens there yet
         site.agent.change(s0="terminating")
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -3,10 +3,20 @@
 from types import SimpleNamespace
 
 import pytest
+from support.limiter_site import Site
 
-from lapisgrade import start
 from lapisgrade.net.log import LINES_A_SECOND, Log
-from support.limiter_site import Site
+from lapisgrade.settings import (
+    Fields,
+    MalformedInputError,
+    flatten,
+    read_categories,
+    read_connection_settings,
+    read_counter_settings,
+    read_permissions,
+    read_plans,
+    read_server_rules,
+)
 
 SECOND = 1_000_000
 
@@ -14,15 +24,22 @@
 def test_settings_read_the_same_from_a_line_and_from_a_tree():
     site = Site()
     site.port, site.agent = 1, SimpleNamespace(port=1, told=lambda: {})
-    tree = start.flat(site.told()["settings"])
-    line = start.Fields(
+    tree = flatten(site.told()["settings"])
+    line = Fields(
         {name: str(value).lower() if value in (True, False) else str(value) for name, value in tree.items()}
     )
-    for read in (start.categories, start.plans, start.duties, start.leave, start.desk, start.lines):
+    for read in (
+        read_categories,
+        read_plans,
+        read_server_rules,
+        read_permissions,
+        read_counter_settings,
+        read_connection_settings,
+    ):
         assert read(tree) == read(line)
-    assert [each.name for each in start.categories(tree)] == ["look", "file", "burn"]
-    with pytest.raises(start.Malformed):
-        start.lines(start.flat({"Ceilings": {"DialTimeout": "soon"}}))
+    assert [each.name for each in read_categories(tree)] == ["look", "file", "burn"]
+    with pytest.raises(MalformedInputError):
+        read_connection_settings(flatten({"Ceilings": {"DialTimeout": "soon"}}))
 
 
 def test_lines_are_so_many_a_second(capfd, monkeypatch):
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -3,8 +3,8 @@
 import pytest
 from support.limiter_simulation import PLANS, SECOND, World
 
-from lapisgrade.decide.account import Counter
 from lapisgrade.interface import AttemptOutcome, AttemptResult, CounterOutcome
+from lapisgrade.policy.account import CounterBreaker
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -94,11 +94,13 @@
         world.run(world.now + 4_000)
         for sent in gate.hops[id(op)]:
             sent.ended = AttemptOutcome.OK
-            gate.module.landed(sent.hop, AttemptResult(AttemptOutcome.OK, 4_000, True, settled_units=4.0))
+            gate.module.on_attempt_finished(
+                sent.hop, AttemptResult(AttemptOutcome.OK, 4_000, True, settled_units=4.0)
+            )
             del gate.owed[id(op)]
         world.run(world.now + 10_000)
     lease = 3  # a half of the seven units that were left after the first
-    left = gate.module.accounts["c0"].store.level
+    left = gate.module.accounts["c0"].bucket.level
     assert left == pytest.approx(store.burst - 4 - lease, abs=0.1)
 
 
@@ -136,14 +138,14 @@
 def test_a_crowded_counter_is_asked_for_what_it_can_count():
     """Four limiters want 400 calls a second of one that takes 150: no flood and then nothing."""
     now, free, answered, silent, due = SECOND, 0, 0, 0, []
-    counters = [Counter(True) for _ in range(4)]
+    counters = [CounterBreaker(True) for _ in range(4)]
     while now < 20 * SECOND:
         now += 2_500
         for when, counter, *heard in [each for each in due if each[0] <= now]:
-            counter.heard(when, *heard)
+            counter.record_reply(when, *heard)
         due = [each for each in due if each[0] > now]
         counter = counters[now // 2_500 % 4]
-        if counter.asks(now):
+        if counter.try_acquire_call(now):
             free = max(now, free) + SECOND // 150
             in_time = free - now <= 30_000
             answered += in_time
@@ -165,7 +167,7 @@
     world.arrive(0, plan=3)
     world.run(world.now + SECOND)
     gate = world.gates[0]
-    gate.module.counter.asks, gate.module.fleet.bound = lambda now: False, 99.0
+    gate.module.counter_breaker.try_acquire_call, gate.module.server_pool.limit = lambda now: False, 99.0
     for _ in range(12):
         world.arrive(0, plan=3)
     world.run(world.now + 2 * SECOND)
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -3,8 +3,8 @@
 import pytest
 from support.limiter_simulation import DUTIES, SECOND, World
 
-from lapisgrade.decide.fleet import COLD_SHARE, PACE_LIFE
 from lapisgrade.interface import AttemptOutcome, ServerEndpoint, ServerState
+from lapisgrade.policy.fleet import LATENCY_DECAY_US, SLOW_START_SHARE
 
 READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
@@ -49,24 +49,24 @@
 def test_bound_falls_with_the_servers_that_go():
     """Found in two incidents: half the fleet went, and what had been out on it jammed the other half."""
     world = World(13, limiters=1, servers=6)
-    fleet = world.gates[0].module.fleet
-    before = fleet.bound
+    fleet = world.gates[0].module.server_pool
+    before = fleet.limit
     world.list(s0=GONE, s1=DRAINING, s2=GONE)
-    assert fleet.bound == pytest.approx(before / 2)
+    assert fleet.limit == pytest.approx(before / 2)
     world.list(s0=READY, s1=READY, s2=READY)
-    assert fleet.bound == pytest.approx(before / 2)
+    assert fleet.limit == pytest.approx(before / 2)
 
 
 def test_many_limiters_share_a_fleet_out_evenly():
     """Found in an incident: with all limiters at all servers, connections ran out and none was known."""
     world = World(16, limiters=60, servers=36)
-    parts = [gate.module.fleet.part for gate in world.gates]
+    parts = [gate.module.server_pool.subset for gate in world.gates]
     served = [sum(1 for part in parts for each in part if each.address == name) for name in world.entries]
     assert {len(part) for part in parts} == {6} and set(served) == {10}
     gone = parts[0][0].address
     world.list(**{gone: GONE})
-    assert all(len(g.module.fleet.part) == 6 for g in world.gates)
-    assert not any(each.address == gone for g in world.gates for each in g.module.fleet.part)
+    assert all(len(g.module.server_pool.subset) == 6 for g in world.gates)
+    assert not any(each.address == gone for g in world.gates for each in g.module.server_pool.subset)
 
 
 def test_what_turns_one_plan_away_still_serves_the_others():
@@ -78,10 +78,10 @@
         world.arrive(0, customer=f"c{step}")
         world.run(world.now + SECOND)
     world.list(s1=READY)
-    fleet, draws = world.gates[0].module.fleet, []
+    fleet, draws = world.gates[0].module.server_pool, []
     for plan in (0, 1):
         op = world.arrive(0, plan=plan, customer="late")
-        draws.append(sum(fleet.draw(op, [], lambda server: True).address == "s0" for _ in range(400)))
+        draws.append(sum(fleet.choose(op, [], lambda server: True).address == "s0" for _ in range(400)))
     assert draws[0] < 0.5 * draws[1]
 
 
@@ -97,7 +97,7 @@
         world.run(world.now + SECOND // 2)
     for gate in world.gates:
         assert len(gate.module.accounts) < 60
-        assert len(gate.module.fleet.servers) < 60
+        assert len(gate.module.server_pool.servers) < 60
 
 
 def test_many_limiters_use_cold_servers_for_what_they_can_do():
@@ -125,7 +125,7 @@
         world.run(world.now + 20_000)
     at_once = sum(when < op.arrived_us + 20_000 for op, _, when in world.answers)
     world.run(world.now + 2 * SECOND)
-    assert world.gates[0].module.fleet.bound < 2.5
+    assert world.gates[0].module.server_pool.limit < 2.5
     assert finished(world) >= 15
     assert at_once > 4  # the others would wait in vain, and are told so
 
@@ -133,13 +133,17 @@
 def test_a_cold_servers_room_goes_by_what_a_warm_one_carries():
     """Found on sockets at size: with half of the part cold, a mean over all halved what the cold ones got."""
     world = World(21, limiters=1, servers=6)
-    fleet = world.gates[0].module.fleet
+    fleet = world.gates[0].module.server_pool
     cold = ["s0", "s1", "s2"]
     world.list(**dict.fromkeys(cold, GONE))
     world.list(**dict.fromkeys(cold, READY))
-    fleet.carried.add(world.now, 3 * PACE_LIFE)  # three servers' full work, as three warm ones carry
+    fleet._completed_work.add(
+        world.now, 3 * LATENCY_DECAY_US
+    )  # three servers' full work, as three warm ones carry
     server = fleet.servers["s0"]
-    server.last_sent = world.now
-    fleet.cold_room(server, world.now)
-    even = COLD_SHARE * DUTIES.max_overload_factor * DUTIES.slow_start_initial_weight  # of a warm one's work
-    assert 0.8 * even < server.work.rate / SECOND < even
+    server.last_sent_us = world.now
+    fleet.has_slow_start_budget(server, world.now)
+    even = (
+        SLOW_START_SHARE * DUTIES.max_overload_factor * DUTIES.slow_start_initial_weight
+    )  # of a warm one's work
+    assert 0.8 * even < server.slow_start_budget.rate_per_s / SECOND < even
--- a/tests/support/limiter_simulation.py
+++ b/tests/support/limiter_simulation.py
@@ -3,7 +3,6 @@
 import heapq
 from random import Random
 
-from lapisgrade.decide import Limiter
 from lapisgrade.engine import Engine
 from lapisgrade.interface import (
     AttemptOutcome,
@@ -25,6 +24,7 @@
     ServerState,
     WakeReason,
 )
+from lapisgrade.policy import Limiter
 
 SECOND = 1_000_000
 
@@ -82,7 +82,7 @@
             self.entries[name] = ServerEndpoint(name, state, old.zone, old.cell, old.weight, "", started)
             for gate in self.gates:
                 gate.told[name] = (state, self.now)
-                gate.module.listed([self.entries[name]], False)
+                gate.module.update_servers([self.entries[name]], False)
 
     def arrive(self, i, category=0, plan=0, customer="c0", units=1, budget=None):
         kind = CATEGORIES[category]
@@ -91,7 +91,7 @@
         gate.owed[id(op)] = op
         gate.hops[id(op)] = []
         self.at(ends - self.now + 8_000, gate.overdue, op)
-        gate.engine.run(gate.module.operation(op), op)
+        gate.engine.run(gate.module.handle(op), op)
         return op
 
     def run(self, until):
@@ -102,12 +102,12 @@
                 if self.gates[owner.index] is not owner:
                     continue  # of an earlier life
                 owner.clock.now_us = self.now
-                owner.engine.time()
+                owner.engine.run_due_timers()
             call(*args)
         self.now = until
         for gate in self.gates:
             gate.clock.now_us = until
-            gate.engine.time()
+            gate.engine.run_due_timers()
 
     def chance(self):
         """How a hop ends, and when."""
@@ -139,7 +139,7 @@
             DUTIES,
             Permissions(4, True, world.second_copies, False, 500_000),
         )
-        self.module.listed(list(world.entries.values()), True)
+        self.module.update_servers(list(world.entries.values()), True)
 
     def send(self, hop):
         op, world, name = hop.operation, self.world, hop.server.address
@@ -176,19 +176,19 @@
         sent.ended = outcome
         closed = outcome is AttemptOutcome.OK or id(op) not in self.owed
         report = AttemptResult(outcome, self.world.now - sent.sent, closed)
-        self.module.landed(sent.hop, report)
+        self.module.on_attempt_finished(sent.hop, report)
         if id(op) in self.owed:
             if closed:
                 del self.owed[id(op)]
                 self.world.answers.append((op, AttemptOutcome.OK, self.world.now))
-            self.engine.landed(sent.hop, report)
+            self.engine.attempt_finished(sent.hop, report)
 
     def cancel(self, hop):
         for sent in self.hops[id(hop.operation)]:
             if sent.hop is hop:
                 self.world.at(2_000, self.land, hop.operation, sent, AttemptOutcome.CANCELLED)
 
-    def answer(self, op, answer):
+    def reject(self, op, answer):
         assert self.owed.pop(id(op), None) is op, "rule 1: a second final answer"
         live = [each for each in self.hops[id(op)] if not (each.ended and each.ended.never_ran)]
         if answer.reason is RejectReason.RETRY_LATER and live:
@@ -204,9 +204,9 @@
         """The client goes early."""
         if self.owed.pop(id(op), None) is not None:
             op.is_abandoned = True
-            self.engine.told(op, WakeReason.CLIENT_GONE)
+            self.engine.wake(op, WakeReason.CLIENT_GONE)
 
-    def add(self, task, add):
+    def add_to_counter(self, task, add):
         world = self.world
         assert abs(add.amount) <= 1e9, "more than the counter takes"
         if world.silent:
@@ -219,16 +219,16 @@
         world.at(world.random.randrange(800, 4_000), self.counted, task, total)
 
     def counted(self, task, total):
-        self.engine.added(task, total)
+        self.engine.counter_replied(task, total)
 
-    def say(self, text):
+    def log(self, text):
         self.said.append(text)
 
-    def wake_at(self, when_us):
+    def schedule_wakeup(self, when_us):
         self.world.at(when_us - self.world.now, self.tick)
 
     def tick(self):
-        self.engine.time(ticked=True)
+        self.engine.run_due_timers(ticked=True)
 
 
 class Sent:
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -46,7 +46,7 @@
 
         self.engine.run(run(), op)
 
-    def add(self, task, add) -> None:
+    def add_to_counter(self, task, add) -> None:
         world = self.world
         name = owner_of("t", self.quota_owner.proxies)
         ask = self.quota_client.ask(self.name, self.quota_owner.fencing_token)
@@ -60,7 +60,7 @@
                 else CounterReply(CounterOutcome.REJECTED)
             )
             if taken.held:
-                self.quota_client.gateways = taken.limiters
+                self.quota_client.gateway_count = taken.limiters
         world.later(
             2000 if total.outcome is not CounterOutcome.TIMED_OUT else 250_000,
             lambda: self.added(task, total),
@@ -69,17 +69,17 @@
     def added(self, task, total: CounterReply) -> None:
         if self.world.proxies.get(self.name) is self:
             self.clock.now_us = self.world.now
-            self.engine.added(task, total)
+            self.engine.counter_replied(task, total)
 
-    def answer(self, operation, answer: Reject) -> None: ...
+    def reject(self, operation, answer: Reject) -> None: ...
     def send(self, hop) -> None: ...
     def cancel(self, hop) -> None: ...
-    def say(self, text: str) -> None: ...
+    def log(self, text: str) -> None: ...
 
-    def wake_at(self, when_us: int) -> None:
+    def schedule_wakeup(self, when_us: int) -> None:
         def wake() -> None:
             self.clock.now_us = self.world.now
-            self.engine.time(ticked=True)
+            self.engine.run_due_timers(ticked=True)
 
         self.world.later(max(0, when_us - self.world.now), wake)
 
