--- a/lapisgrade/policy/__init__.py
+++ b/lapisgrade/policy/__init__.py
@@ -1,9 +1,9 @@
-"""Every decision of a limiter, by concern: account, fleet, limiter; docs/design.md says why.
+"""Every decision of a limiter, and every tuned constant that one rests on; docs/design.md says why.
 
-A host makes one `Limiter` per process and moves its clock. For each operation taken it runs
-`limiter.handle(operation)`, a generator that yields what it wants done and is resumed with the result; the
-end of every hop goes to `limiter.on_attempt_finished(attempt, result)` first and then to the operation. News of servers
-goes to `limiter.update_servers`. The interface is lapisgrade/interface.py, the engine lapisgrade/engine.py.
+A host makes one `Limiter` per process and advances its clock. For each operation it runs the generator
+`limiter.handle(operation)`, which yields commands and is resumed with events (`lapisgrade.interface`). The
+end of every attempt goes to `limiter.on_attempt_finished(attempt, result)` first, then to the operation;
+changes of the endpoint list go to `limiter.update_servers`.
 """
 
 from lapisgrade.policy.limiter import Limiter
