--- a/lapisgrade/gateway/controller/leader_discovery.py
+++ b/lapisgrade/gateway/controller/leader_discovery.py
@@ -58,7 +58,7 @@
         result = await self._rpc.call(address, request, DISCOVERY_TIMEOUT_S)
         reply = result.value_or(None)
         if isinstance(reply, rpc_messages.WatchReply):
-            self._leader_hint = str(address) if reply.leads else reply.leader
+            self._leader_hint = str(address) if reply.is_leader else reply.leader_address
 
 
 class ClusterMembership:
--- a/lapisgrade/gateway/proxy/control_updates.py
+++ b/lapisgrade/gateway/proxy/control_updates.py
@@ -54,11 +54,11 @@
         now_us = self._context.now_us
         self._clock.now_us = max(self._clock.now_us, now_us())
         self.versions.apply(reply)
-        if reply.servers or reply.whole:
+        if reply.servers or reply.is_full_update:
             self.servers.apply(reply)
-        self.registry_incarnation = reply.life
-        self.registry_revision = reply.turn
-        self.wants_known_servers = reply.wants_known
+        self.registry_incarnation = reply.registry_incarnation
+        self.registry_revision = reply.registry_revision
+        self.wants_known_servers = reply.wants_known_servers
         members = self._quota_owner.on_watch_reply(now_us(), reply)
         if members is not None:
             self._apply_live_proxies(members)
@@ -66,11 +66,11 @@
             # The leader does not wait for one that is no member before it orders a version active.
             tables = self._router.tables
             tables.confirmed_us = max(tables.confirmed_us, sent_us)
-        if reply.fence == self._quota_owner.fencing_token:
+        if reply.fencing_token == self._quota_owner.fencing_token:
             self.ownership_ends_us = sent_us + OWNERSHIP_LEASE_US
             self._router.set_proxy_count(len(self._quota_owner.proxies))
 
-    def _apply_live_proxies(self, members: rpc_messages.Members) -> None:
+    def _apply_live_proxies(self, members: rpc_messages.ProxiesByName) -> None:
         """Take in a newer membership."""
         self._router.subsets.update_members(members)
         addresses = [member[0] for member in members.values()]
--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -18,7 +18,7 @@
 
     def apply(self, reply: rpc_messages.WatchReply) -> None:
         """Take in servers that came, went or changed; all there are, where the list is complete."""
-        is_complete = reply.whole and reply.settled
+        is_complete = reply.is_full_update and reply.is_registry_complete
         if is_complete:
             self.by_id = {}
         for server in reply.servers:
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -96,7 +96,7 @@
         reply = result.value_or(None)
         if not isinstance(reply, rpc_messages.WatchReply):
             return None
-        self._reachability.on_reply(to, reply.leads)
+        self._reachability.on_reply(to, reply.is_leader)
         return reply
 
     def _request(self) -> rpc_messages.WatchRequest:
--- a/lapisgrade/gateway/quota/hand_over.py
+++ b/lapisgrade/gateway/quota/hand_over.py
@@ -57,7 +57,7 @@
     def on_reply(self, now_us: int, request: HandOverRequest, reply: HandOverReply, predecessor: str) -> None:
         """Take in the answer of `predecessor` to this proxy's request under the newest epoch."""
         ownership, tenant = self._ownership, request.tenant
-        if reply.wait or not ownership.epochs or not ownership.owns(tenant):
+        if reply.must_wait or not ownership.epochs or not ownership.owns(tenant):
             return
         newest = ownership.epochs[-1]
         if newest.claim(tenant) is ClaimState.EXCLUSIVE or tenant in self._counts.by_tenant:
@@ -87,9 +87,9 @@
         ownership = self._ownership
         if not ownership.epochs:
             return NO_COUNT  # a process that has just started
-        if request.fence > ownership.fencing_token:
+        if request.fencing_token > ownership.fencing_token:
             return self._release(now_us, request)
-        if request.fence < ownership.fencing_token or ownership.owns(request.tenant):
+        if request.fencing_token < ownership.fencing_token or ownership.owns(request.tenant):
             return WAIT
         return self._give_departed(now_us, request)
 
@@ -100,7 +100,7 @@
             return WAIT
         if len(self._released) >= MAX_COUNTS:
             return WAIT
-        self._released[tenant] = Release(now_us + OWNERSHIP_LEASE_US, request.fence)
+        self._released[tenant] = Release(now_us + OWNERSHIP_LEASE_US, request.fencing_token)
         if tenant not in self._counts.by_tenant:
             self._counts.keep(now_us, tenant, self._counts.begin(now_us, request, ownership.epochs))
         return self._give(now_us, request, self._counts.by_tenant[tenant])
@@ -133,6 +133,6 @@
 
     def _give(self, now_us: int, request: HandOverRequest, count: Count) -> HandOverReply:
         """Give the count to the first incarnation of its owner that asks; it may have granted units of it."""
-        if self._recipients.setdefault(request.tenant, request.life) != request.life:
+        if self._recipients.setdefault(request.tenant, request.incarnation) != request.incarnation:
             return NO_COUNT
         return HandOverReply(False, count.to_hand_over(now_us))
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -77,8 +77,8 @@
             "1+",
             1 << 30,
             self.fence,
-            held=held,
-            leaving=self.leaving,
+            staged_version=held,
+            is_terminating=self.leaving,
         )
         sent = self.world.sim.now
         self.world.carry(self, self.world.asked, self, ask, self.life, self.asked, sent)
@@ -96,20 +96,20 @@
         if life != self.life or asked != self.asked:
             return
         router = self.router
-        members = news.members(self.fence, self.live_proxies)
+        members = news.updated_proxies(self.fence, self.live_proxies)
         if members is not None:
             self.live_proxies = members
         if self.name in self.live_proxies:
             router.tables.confirmed_us = max(router.tables.confirmed_us, sent)
-        if news.conf is not None and news.ver > self.ver:
-            self.act(self.read(news.conf))
-        elif news.ver in router.tables.staged:
-            self.act(router.tables.staged[news.ver])
-        elif news.ver > self.ver:
+        if news.active_configuration is not None and news.active_version > self.ver:
+            self.act(self.read(news.active_configuration))
+        elif news.active_version in router.tables.staged:
+            self.act(router.tables.staged[news.active_version])
+        elif news.active_version > self.ver:
             router.tables.staged.clear()
-        for each in news.staged.values():
+        for each in news.staged_versions.values():
             router.tables.stage(self.read(each))
-        self.fence = news.fence
+        self.fence = news.fencing_token
         self.ask()
 
     def read(self, encoded: EncodedVersion) -> configuration.Table:
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -52,7 +52,7 @@
         if not heeded:
             return
         self.quota_owner.on_watch_reply(self.world.sim.now, news)
-        if news.fence == self.quota_owner.fencing_token:
+        if news.fencing_token == self.quota_owner.fencing_token:
             self.acts_until = sent + OWNERSHIP_LEASE_US
             self.clock.now_us = self.world.sim.now
             self.quota_client.shared_by(len(self.quota_owner.proxies))
@@ -93,11 +93,16 @@
                 self.settled(task, total)
 
         def back(taken: rpc_messages.QuotaReply) -> None:
+<<<<<<< HEAD
             if taken.held:
                 self.quota_client.gateway_count = max(1, taken.limiters)
+=======
+            if taken.is_accepted:
+                self.quota_client.gateways = max(1, taken.active_limiters)
+>>>>>>> integration
             answered(
                 CounterReply(CounterOutcome.ADDED, taken.total)
-                if taken.held
+                if taken.is_accepted
                 else CounterReply(CounterOutcome.REJECTED)
             )
 
@@ -156,7 +161,7 @@
 
     def take(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
         taken = self.quota_owner.add(self.world.sim.now, ask, self.acts_until)
-        if taken.held:
+        if taken.is_accepted:
             self.world.granted(self.name, self.quota_owner.fencing_token)
         return taken
 
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -66,7 +66,7 @@
 
     async def call(self, place, ask: rpc_messages.QuotaRequest, within: float):
         name = (ME, OLD, NEW)[int(place[0].rpartition(".")[2]) - 1]
-        self.asked.append((name, ask.fence))
+        self.asked.append((name, ask.fencing_token))
         await asyncio.sleep(0)
         reply = self.answers.get(name)
         return Success(reply) if reply is not None else Failure(Verdict.MAY_HAVE_RUN)
@@ -89,7 +89,7 @@
     async def test_an_owner_that_has_a_later_list_is_not_the_last_word(self) -> None:
         peers = self.peers
         peers.answers = {
-            OLD: rpc_messages.QuotaReply(False, fence=9),
+            OLD: rpc_messages.QuotaReply(False, fencing_token=9),
             NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9),
         }
         update = MembershipUpdate(9, listed(ME, OLD, NEW), (), 5)
@@ -100,19 +100,19 @@
     async def test_an_owner_without_this_list_yet_is_asked_until_it_has_it(self) -> None:
         peers = self.peers
         peers.quota_owner.update_members(1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_token=5))
-        peers.answers = {NEW: rpc_messages.QuotaReply(False, fence=5)}
+        peers.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
         asyncio.get_running_loop().call_later(
             0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
         )
         self.assertIs(await self.add(), CloseReason.ANSWERED)
 
     async def test_it_ends_in_time_where_the_lists_never_meet(self) -> None:
-        self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fence=9)}
+        self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=9)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertLess(len(self.peers.asked), 12)
 
     async def test_a_word_under_the_same_list_is_the_last_and_silence_is_told(self) -> None:
-        self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fence=5)}
+        self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=5)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertEqual(len(self.peers.asked), 1)
         self.peers.answers, self.peers.ended[:] = {}, []
--- a/tests/gateway/quota/test_owner.py
+++ b/tests/gateway/quota/test_owner.py
@@ -49,7 +49,7 @@
             one.update_members(0, MembershipUpdate(5, live_proxies(names), previous_token=4))
             one.add(SECOND, ask, 99 * SECOND)
             one.update_members(9 * SECOND, MembershipUpdate(7, live_proxies(names), previous_token=prior))
-            told = one.add(9 * SECOND, msgspec.structs.replace(ask, fence=7), 99 * SECOND).total
+            told = one.add(9 * SECOND, msgspec.structs.replace(ask, fencing_token=7), 99 * SECOND).total
             self.assertGreaterEqual(told, total, f"after {prior}")
             self.assertLess(told, total + 1.5)
 
@@ -79,13 +79,13 @@
 
         def held(now_us: int, acts_until_us: int) -> list[bool]:
             asks = [rpc_messages.QuotaRequest("t", 1.0, "a", fence, 60.0, 60.0) for fence in fences]
-            return [one.add(now_us, ask, acts_until_us).held for ask in asks]
+            return [one.add(now_us, ask, acts_until_us).is_accepted for ask in asks]
 
         self.assertEqual(held(0, SECOND), [False] * 3)  # it has no list
         one.update_members(0, MembershipUpdate(5, live_proxies(names)))
         self.assertEqual(held(SECOND, 2 * SECOND), [True] * 3)
         no_list = rpc_messages.QuotaRequest("t", 1.0, "a", 0, 60.0, 60.0)
-        self.assertFalse(one.add(SECOND, no_list, 2 * SECOND).held)
+        self.assertFalse(one.add(SECOND, no_list, 2 * SECOND).is_accepted)
         self.assertEqual(held(3 * SECOND, 2 * SECOND), [False] * 3)  # out of touch
         one.update_members(3 * SECOND, MembershipUpdate(6, others))
         self.assertEqual(held(3 * SECOND, 9 * SECOND), [False] * 3)  # another owns it
@@ -101,9 +101,9 @@
         old = QuotaOwner(owner_of("t", live_proxies(early)))
         old.update_members(0, MembershipUpdate(5, live_proxies(early), previous_token=0))
         ask = rpc_messages.QuotaRequest("t", 1.0, "x", 5, 60.0, 60.0)
-        self.assertTrue(old.add(SECOND, ask, 9 * SECOND).held)
+        self.assertTrue(old.add(SECOND, ask, 9 * SECOND).is_accepted)
         wants = rpc_messages.HandOverRequest("t", mine, 9, 60.0, 60.0, "1")
-        self.assertFalse(old.hand_over(SECOND, wants).wait)
-        self.assertFalse(old.add(SECOND, ask, 9 * SECOND).held)
+        self.assertFalse(old.hand_over(SECOND, wants).must_wait)
+        self.assertFalse(old.add(SECOND, ask, 9 * SECOND).is_accepted)
         old.update_members(SECOND, MembershipUpdate(9, live_proxies(names), previous_token=5))
-        self.assertFalse(old.add(SECOND, ask, 9 * SECOND).held)
+        self.assertFalse(old.add(SECOND, ask, 9 * SECOND).is_accepted)
