--- a/lapisgrade/cli/main.py
+++ b/lapisgrade/cli/main.py
@@ -9,24 +9,19 @@
     lapisgrade lab fleet run SCENARIO  the same scenario with real processes, and a checker of what they did
     lapisgrade proxy|controller        the gateway's roles; check, plan, status, tenant and others operate it
 
-Arguments are read by click. Bad input gets one plain line and exit code 2.
+Arguments are read by click; those of the gateway's commands by docopt (`lapisgrade.gateway.__main__` says why
+there are two). Bad input gets one plain line and exit code 2.
 """
 
-import asyncio
-import contextlib
-import csv
-import json
-import signal
-import sys
-
 import click
 
-from lapisgrade import start
+<<<<<<< HEAD
 from lapisgrade.cli.gateway import add_commands
 from lapisgrade.cli.lab import lab
-from lapisgrade.lab.load import client, schedule
 from lapisgrade.fakes.servers import Knobs
 from lapisgrade.fakes.site import Plan, sample
+from lapisgrade.lab.load import client, schedule
+from lapisgrade.settings import MalformedInputError, parse_address
 
 SHAPE = click.Choice(schedule.SHAPES)
 
@@ -56,6 +51,13 @@
     except schedule.BadShape as wrong:
         raise click.BadParameter(str(wrong)) from None
     return made
+=======
+from lapisgrade.cli.fake_site import demo, standins
+from lapisgrade.cli.gateway import add_gateway_commands
+from lapisgrade.cli.lab import lab
+from lapisgrade.cli.limiter import serve
+from lapisgrade.cli.load import load
+>>>>>>> integration
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -63,6 +65,7 @@
     """lapisgrade: a front door that meters many customers' use of one shared service."""
 
 
+<<<<<<< HEAD
 @cli.command()
 @click.argument("config", type=click.Path(dir_okay=False))
 @click.option(
@@ -85,7 +88,7 @@
 
         try:
             beside = members.beside(members.read(site), str(read(config).get("name", "")))
-        except start.Malformed as wrong:
+        except MalformedInputError as wrong:
             click.echo(f"the configuration: {wrong}", err=True)
             sys.exit(2)
     sys.exit(limiter(beside))
@@ -221,15 +224,20 @@
 def _address(text: str, name: str = "target") -> tuple[str, int]:
     """Host and port, read as the limiter reads its own addresses; a bad one is a bad parameter."""
     try:
-        return start.address(text, name)
-    except start.Malformed as wrong:
+        return parse_address(text, name)
+    except MalformedInputError as wrong:
         raise click.BadParameter(str(wrong)) from None
 
 
 cli.add_command(lab)
 add_commands(cli)
+=======
+for command in (serve, demo, standins, load, lab):
+    cli.add_command(command)
+add_gateway_commands(cli)
+>>>>>>> integration
 
 
 def main() -> None:
-    """The command `lapisgrade`."""
+    """Run the command `lapisgrade`."""
     cli(prog_name="lapisgrade")
--- a/tests/gateway/routing/test_request_attempts.py
+++ b/tests/gateway/routing/test_request_attempts.py
@@ -48,7 +48,7 @@
     def finish(self, outcome: AttemptOutcome) -> None:
         """Let its last attempt end so, and go on."""
         result = AttemptResult(outcome, 2 * MS)
-        self.router.landed(self.attempt, result)
+        self.router.on_attempt_finished(self.attempt, result)
         self.go_on(AttemptFinished(self.attempt, result))
 
     def sleep(self) -> int:
@@ -130,11 +130,11 @@
         one = self.request()
         one.sleep()
         server = self.router.cluster("a").servers[one.sent[1]]
-        attempt = next(iter(server.out))
+        attempt = next(iter(server.in_flight))
         with self.assertRaises(StopIteration):
             result = AttemptResult(AttemptOutcome.OK, USUAL_US)
             result.is_final = True
-            self.router.landed(attempt, result)
+            self.router.on_attempt_finished(attempt, result)
             one.go_on(AttemptFinished(attempt, result))
 
     def test_a_request_is_queued_while_no_server_is_up_and_told_to_come_back(self) -> None:
