--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -141,7 +141,7 @@
         quota_client = self._router.quota_clients.get(request.tenant)
         if quota_client is not None:
 <<<<<<< HEAD
-            quota_client.gateway_count = max(1, reply.limiters)
+            quota_client.gateway_count = max(1, reply.active_limiters)
 =======
             quota_client.gateways = max(1, reply.active_limiters)
 >>>>>>> integration
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -94,8 +94,8 @@
 
         def back(taken: rpc_messages.QuotaReply) -> None:
 <<<<<<< HEAD
-            if taken.held:
-                self.quota_client.gateway_count = max(1, taken.limiters)
+            if taken.is_accepted:
+                self.quota_client.gateway_count = max(1, taken.active_limiters)
 =======
             if taken.is_accepted:
                 self.quota_client.gateways = max(1, taken.active_limiters)
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -69,7 +69,7 @@
         if level >= 1.0:
 <<<<<<< HEAD
             self.bucket.set_level(now, level - 1.0)
-        return rpc_messages.QuotaReply(ask.fence == self.quota_owner.fencing_token and level >= 1.0)
+        return rpc_messages.QuotaReply(ask.fencing_token == self.quota_owner.fencing_token and level >= 1.0)
 =======
             self.bucket.put(now, level - 1.0)
         return rpc_messages.QuotaReply(ask.fencing_token == self.quota_owner.fencing_token and level >= 1.0)
