--- a/lapisgrade/cli/options.py
+++ b/lapisgrade/cli/options.py
@@ -5,7 +5,7 @@
 
 import click
 
-from lapisgrade import start
+from lapisgrade.settings import MalformedInputError, parse_address
 from lapisgrade.lab.load import schedule
 
 Command = TypeVar("Command", bound=Callable[..., Any])
@@ -56,8 +56,8 @@
         click.BadParameter: it is no address; `name` says whose.
     """
     try:
-        return start.address(text, name)
-    except start.Malformed as error:
+        return parse_address(text, name)
+    except MalformedInputError as error:
         raise click.BadParameter(str(error)) from None
 
 
