--- a/lapisgrade/cli/limiter.py
+++ b/lapisgrade/cli/limiter.py
@@ -5,7 +5,7 @@
 
 import click
 
-from lapisgrade import start
+from lapisgrade.settings import MalformedInputError
 
 
 @click.command()
@@ -28,7 +28,7 @@
 
         try:
             peers = members.beside(members.read(site), str(read(config).get("name", "")))
-        except start.Malformed as error:
+        except MalformedInputError as error:
             click.echo(f"the configuration: {error}", err=True)
             sys.exit(2)
     sys.exit(run_limiter(peers))
--- a/lapisgrade/cli/options.py
+++ b/lapisgrade/cli/options.py
@@ -5,8 +5,8 @@
 
 import click
 
-from lapisgrade import start
 from lapisgrade.lab.load import schedule
+from lapisgrade import settings
 
 Command = TypeVar("Command", bound=Callable[..., Any])
 
@@ -56,8 +56,8 @@
         click.BadParameter: it is no address; `name` says whose.
     """
     try:
-        return start.address(text, name)
-    except start.Malformed as error:
+        return settings.parse_address(text, name)
+    except settings.MalformedInputError as error:
         raise click.BadParameter(str(error)) from None
 
 
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -140,11 +140,7 @@
             return self._finish(task, CloseReason.REJECTED)
         quota_client = self._router.quota_clients.get(request.tenant)
         if quota_client is not None:
-<<<<<<< HEAD
-            quota_client.gateway_count = max(1, reply.limiters)
-=======
-            quota_client.gateways = max(1, reply.active_limiters)
->>>>>>> integration
+            quota_client.gateway_count = max(1, reply.active_limiters)
         self._context.metrics.quota_calls_granted += 1
         self._finish(task, CloseReason.ANSWERED, reply.total)
 
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -93,13 +93,8 @@
                 self.settled(task, total)
 
         def back(taken: rpc_messages.QuotaReply) -> None:
-<<<<<<< HEAD
-            if taken.held:
-                self.quota_client.gateway_count = max(1, taken.limiters)
-=======
             if taken.is_accepted:
-                self.quota_client.gateways = max(1, taken.active_limiters)
->>>>>>> integration
+                self.quota_client.gateway_count = max(1, taken.active_limiters)
             answered(
                 CounterReply(CounterOutcome.ADDED, taken.total)
                 if taken.is_accepted
--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -55,11 +55,7 @@
 
 def _forgets_leases(self: Count, now_us: int, ask: rpc_messages.QuotaRequest) -> None:
     """What is leased and may not be spent yet takes no room."""
-<<<<<<< HEAD
-    self.bucket.set_level(now_us, self.bucket.read(now_us) - ask.units + ask.back)
-=======
-    self.bucket.put(now_us, self.bucket.read(now_us) - ask.units + ask.returned_units)
->>>>>>> integration
+    self.bucket.set_level(now_us, self.bucket.read(now_us) - ask.units + ask.returned_units)
 
 
 # Seeds of `explore.quota`, from 0 on, among which each is found; "never-expires" is found by `data_plane`.
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -67,13 +67,8 @@
     def take(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
         now, level = self.world.sim.now, self.bucket.read(self.world.sim.now)
         if level >= 1.0:
-<<<<<<< HEAD
             self.bucket.set_level(now, level - 1.0)
-        return rpc_messages.QuotaReply(ask.fence == self.quota_owner.fencing_token and level >= 1.0)
-=======
-            self.bucket.put(now, level - 1.0)
         return rpc_messages.QuotaReply(ask.fencing_token == self.quota_owner.fencing_token and level >= 1.0)
->>>>>>> integration
 
     def settled(self, task, total) -> None:
         self.world.met(total.outcome is CounterOutcome.ADDED)
