--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -1,6 +1,6 @@
 """What is news to which proxy, and which proxies live: pure. Held by the leader alone.
 
-A proxy asks with the version of the configuration, the turn of the register and the fence that it has.
+A proxy asks with the version of the configuration, the revision of the register and the fence that it has.
 The list of live proxies names the proxies that live; by it the duties are cut. It stands in the log, and its
 place there is the fence under which a duty is done: so a new leader goes on with the last one's, and nothing
 changes hands for it."""
@@ -68,7 +68,7 @@
             for name, each in state.live_proxies.items()
         }
         for server in state.server_snapshot:
-            self.registry.known(now_us, [msgspec.structs.replace(server, turn=0)])
+            self.registry.restore(now_us, [msgspec.structs.replace(server, revision=0)])
         self._snapshot_at, self._snapshotted = (
             now_us,
             {each.id: each.address for each in state.server_snapshot},
@@ -83,24 +83,24 @@
         for name, gone in left.items():
             known = self.registry.servers.get(name)
             if known is not None and known.state != "gone" and known.state != ("gone" if gone else "drain"):
-                self.registry.left(now_us, name, gone)
+                self.registry.mark_left(now_us, name, gone)
         self._left = left
 
     def beat(self, now_us: int, server: Server) -> bool:
         """A server's beat; whether it is news."""
-        turn = self.registry.turn
+        revision = self.registry.revision
         if server.id in self._left:
             server.state = "gone" if self._left[server.id] else "drain"
-        self.registry.beat(now_us, server)
-        return self.registry.turn != turn
+        self.registry.on_heartbeat(now_us, server)
+        return self.registry.revision != revision
 
     def due(self, now_us: int) -> bool:
         """Whether time alone has made news."""
-        turn = self.registry.turn
-        self.registry.due(now_us)
+        revision = self.registry.revision
+        self.registry.expire(now_us)
         self.proxies = {name: each for name, each in self.proxies.items() if now_us - each.at < ALIVE}
-        settled, self._settled = self._settled, self.registry.settled(now_us)
-        return (turn, settled) != (self.registry.turn, self._settled)
+        settled, self._settled = self._settled, self.registry.is_complete(now_us)
+        return (revision, settled) != (self.registry.revision, self._settled)
 
     def refused(self, name: str, address: str) -> None:
         """Its process is surely gone: it acts no more."""
@@ -148,7 +148,7 @@
         self._snapshot_at, self._snapshotted = now_us, live
         return ServerSnapshot(
             [
-                msgspec.structs.replace(each, warm_us=0)
+                msgspec.structs.replace(each, warm_up_us=0)
                 for each in self.registry.servers.values()
                 if each.id in live
             ]
@@ -158,8 +158,8 @@
         """For operators: who holds and acts by which version, and what serves."""
         servers: dict[str, dict[str, int]] = {}
         for each in self.registry.servers.values():
-            if each.state == "up" and each.svc:
-                of = servers.setdefault(each.svc, {"Up": 0, "Slots": 0})
+            if each.state == "up" and each.service:
+                of = servers.setdefault(each.service, {"Up": 0, "Slots": 0})
                 of["Up"] += 1
                 of["Slots"] += each.slots
         proxies = [
@@ -185,30 +185,43 @@
 
     def noted(self, ask: rpc_messages.WatchRequest) -> rpc_messages.WatchRequest:
         """The same ask, whose list of known servers was taken in."""
-        return msgspec.structs.replace(ask, known=[]) if ask.known else ask
+        return msgspec.structs.replace(ask, known_servers=[]) if ask.known_servers else ask
 
     def news(
         self, now_us: int, ask: rpc_messages.WatchRequest, state: State, controllers: list[str]
     ) -> rpc_messages.WatchReply | None:
-        if ask.name and len(self.proxies) < MOST:
-            held = max(ask.held, ask.ver)
-            self.proxies[ask.name] = ProxyStatus(
-                ask.address, ask.own, ask.zone, now_us, held, ask.ver, ask.core, ask.leaving
+        if ask.proxy and len(self.proxies) < MOST:
+            held = max(ask.staged_version, ask.active_version)
+            self.proxies[ask.proxy] = ProxyStatus(
+                ask.address,
+                ask.incarnation,
+                ask.zone,
+                now_us,
+                held,
+                ask.active_version,
+                ask.has_local_controller,
+                ask.is_terminating,
             )
-        if ask.known:
-            self.registry.known(now_us, ask.known)
+        if ask.known_servers:
+            self.registry.restore(now_us, ask.known_servers)
         own = f"{self.life}+" if self._settled else self.life
         # What an unsettled register told of this life holds; any other is told anew.
-        other = ask.life != own and (self._settled or ask.life != f"{self.life}+")
-        changed = other or self.registry.turn > ask.turn
-        stale = ask.whole or state.acting_ver > ask.ver or state.ver > max(ask.held, ask.ver)
-        if not stale and not changed and ask.fence == state.fence:
+        other = ask.registry_incarnation != own and (
+            self._settled or ask.registry_incarnation != f"{self.life}+"
+        )
+        changed = other or self.registry.revision > ask.registry_revision
+        stale = (
+            ask.needs_full_version
+            or state.acting_ver > ask.active_version
+            or state.ver > max(ask.staged_version, ask.active_version)
+        )
+        if not stale and not changed and ask.fencing_token == state.fence:
             return None
-        listed = ask.fence != state.fence
-        unknown = ask.fence not in (state.fence, state.prior)
+        listed = ask.fencing_token != state.fence
+        unknown = ask.fencing_token not in (state.fence, state.prior)
         self._list_told(now_us, state)
-        delta = self.proxy_lists.delta(ask.fence, state.fence) if listed else None
-        held, acting = (0 if ask.whole else max(ask.held, ask.ver)), None
+        delta = self.proxy_lists.delta(ask.fencing_token, state.fence) if listed else None
+        held, acting = (0 if ask.needs_full_version else max(ask.staged_version, ask.active_version)), None
         if state.acting_ver > held:
             acting = self.feed.version(state.acting_ver, state.acting, held)
             held = state.acting_ver
@@ -219,19 +232,19 @@
             state.acting_ver,
             acting,
             own,
-            self.registry.turn,
+            self.registry.revision,
             self._settled,
             other,
-            self.registry.since(now_us, 0 if other else ask.turn) if changed else [],
+            self.registry.changes_since(now_us, 0 if other else ask.registry_revision) if changed else [],
             state.fence,
             state.live_proxies if listed and delta is None else None,
-            wants_known=ask.life not in (self.life, f"{self.life}+"),
-            staged=self.feed.chain(state.staged, held),
-            merged=state.merged,
-            core=state.core if listed else [],
-            prior=state.prior,
-            leaving=state.leaving if listed else [],
-            prior_owners=state.prior_owners if unknown else [],
+            wants_known_servers=ask.registry_incarnation not in (self.life, f"{self.life}+"),
+            staged_versions=self.feed.chain(state.staged, held),
+            merged_versions=state.merged,
+            proxies_with_controller=state.core if listed else [],
+            previous_fencing_token=state.prior,
+            terminating_proxies=state.leaving if listed else [],
+            previous_owners=state.prior_owners if unknown else [],
             earlier_owners=self.proxy_lists.earlier_owners(now_us, state.prior) if unknown else [],
             live_proxies_delta=delta,
         )
@@ -246,5 +259,15 @@
     ) -> rpc_messages.WatchReply:
         """No news: what the proxy has is as it is."""
         return rpc_messages.WatchReply(
-            True, "", controllers, ask.ver, None, ask.life, ask.turn, self._settled, False, [], state.fence
+            True,
+            "",
+            controllers,
+            ask.active_version,
+            None,
+            ask.registry_incarnation,
+            ask.registry_revision,
+            self._settled,
+            False,
+            [],
+            state.fence,
         )
--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -18,13 +18,13 @@
 
     def apply(self, reply: rpc_messages.WatchReply) -> None:
         """Take in servers that came, went or changed; all there are, where the list is complete."""
-        is_complete = reply.whole and reply.settled
+        is_complete = reply.is_full_update and reply.is_registry_complete
         if is_complete:
             self.by_id = {}
         for server in reply.servers:
             known = self.by_id.get(server.id)
             if known is not None and not server.address:
-                server.address, server.svc = known.address, known.svc
+                server.address, server.service = known.address, known.service
             self.by_id[server.id] = server
         self._router.update_servers(reply.servers, is_complete)
         self._pool.known(
--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -25,7 +25,7 @@
     self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
 ) -> rpc_messages.QuotaReply:
     """What was asked for under another list counts as well, and an owner that was cut off grants on."""
-    return _add(self, now_us, msgspec.structs.replace(ask, fence=self.fencing_token), FOREVER)
+    return _add(self, now_us, msgspec.structs.replace(ask, fencing_token=self.fencing_token), FOREVER)
 
 
 def _never_expires(
@@ -55,7 +55,7 @@
 
 def _forgets_leases(self: Count, now_us: int, ask: rpc_messages.QuotaRequest) -> None:
     """What is leased and may not be spent yet takes no room."""
-    self.bucket.put(now_us, self.bucket.read(now_us) - ask.units + ask.back)
+    self.bucket.set_level(now_us, self.bucket.read(now_us) - ask.units + ask.returned_units)
 
 
 # Seeds of `explore.quota`, from 0 on, among which each is found; "never-expires" is found by `data_plane`.
--- a/lapisgrade/members/__main__.py
+++ b/lapisgrade/members/__main__.py
@@ -11,10 +11,10 @@
 import click
 import msgspec
 
-from lapisgrade import start
 from lapisgrade.members.core import MemberMetrics
 from lapisgrade.members.host import Host, now_us
 from lapisgrade.members.messages import MemberState, Update
+from lapisgrade.settings import MalformedInputError, parse_address
 
 
 def print_json(**fields: object) -> None:
@@ -48,7 +48,7 @@
     host = Host(name, log_line, on_change, random_seed)
     ending = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ending.set)
-    print_json(address=await host.open(*start.address(listen, "listen"), seeds, reached_at))
+    print_json(address=await host.open(*parse_address(listen, "listen"), seeds, reached_at))
     try:
         await ending.wait()
     finally:
@@ -68,7 +68,7 @@
     """One member NAME at LISTEN, met through SEEDS (host:port each)."""
     try:
         asyncio.run(run(name, listen, reached_at, list(seeds), random_seed))
-    except (OSError, start.Malformed) as wrong:
+    except (OSError, MalformedInputError) as wrong:
         click.echo(f"the member could not start: {wrong}", err=True)
         sys.exit(2)
 
--- a/tests/gateway/routing/test_balancer.py
+++ b/tests/gateway/routing/test_balancer.py
@@ -3,7 +3,7 @@
 import unittest
 from random import Random
 
-from lapisgrade.decide.fleet import Attempt
+from lapisgrade.policy.fleet import Attempt
 from lapisgrade.gateway import SECOND, registry
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.routing.balancer import UpstreamCluster
