--- a/lapisgrade/gateway/cli/check.py
+++ b/lapisgrade/gateway/cli/check.py
@@ -9,7 +9,7 @@
 from lapisgrade.gateway import SECOND, configuration
 from lapisgrade.gateway.merge import fields as merge_fields
 from lapisgrade.gateway.settings import Bad, an_object, camel
-from lapisgrade.gateway.controller.watch import ALIVE
+from lapisgrade.gateway.controller.watch import PROXY_TIMEOUT_US
 from lapisgrade.gateway.configuration import Configuration, Rule
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
 
@@ -162,7 +162,9 @@
         if tenant.rate_s and owner_of(tenant.name, eligible_owners(proxies, core)) in names
     ]
     if moved:
-        out.append(f"counts that others take over, dark for some {ALIVE / SECOND:g} s: {', '.join(moved)}")
+        out.append(
+            f"counts that others take over, dark for some {PROXY_TIMEOUT_US / SECOND:g} s: {', '.join(moved)}"
+        )
     if len(names) == len(proxies):
         out.append("no proxy is left: nothing is served")
     return out, goes_on
--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -21,6 +21,7 @@
     StateMachine,
     encoded,
 )
+from lapisgrade.gateway.controller.status_report import status_report
 from lapisgrade.gateway.controller.watch_service import WatchService
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.three_way import Draft
@@ -123,7 +124,9 @@
         return ForwardCallReply(HTTPStatus.OK, state.conf)
 
     async def _show_status(self, of: str, body: bytes) -> ForwardCallReply:
-        status = self.watch_service.watch.status(self.clock(), self._state_machine.state)
+        watch = self.watch_service.watch
+        servers = list(watch.registry.servers.values())
+        status = status_report(self.clock(), self._state_machine.state, watch.proxies, servers)
         return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode({**status, **self._voter_status()}))
 
     def _voter_status(self) -> dict[str, object]:
--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -1,63 +1,70 @@
-"""What a proxy is sent of a newer list of live proxies, by the one that it has: pure, held by the leader.
+"""Remembers the last lists of live proxies, to send a proxy only the changes from the list it has. Pure.
 
-The list of hundreds is some KB; where ten of them restart it changes several times a second, for each of
-them. Who has one of the last few lists is told the changes alone.
+A list of hundreds of proxies takes some KB, and changes several times a second while ten of them restart.
 """
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 from lapisgrade.gateway.quota.ownership import HOLDS
 from lapisgrade.gateway.rpc_messages import Members, ProxyListDelta
 
-MOST_LISTS = 12  # lists that are remembered: what is put into the log in two seconds, about
+MAX_LISTS = 12  # lists that are remembered: about two seconds' worth, at the leader's highest rate
+
+
+@dataclass(frozen=True, slots=True)
+class _ProxyList:
+    members: Members
+    owners: tuple[str, ...]  # the members that own counts
+    since_us: int
 
 
 class ProxyListFeed:
-    """The last few lists, by their fences."""
+    """The last lists, by the fence that each is in force under."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, Members] = {}
-        self._owners: dict[
-            int, tuple[int, tuple[str, ...]]
-        ] = {}  # by fence: when it came, and who owned counts
-        self._deltas: dict[tuple[int, int], ProxyListDelta] = {}  # by base and fence
+        self._lists: dict[int, _ProxyList] = {}  # in the order in which they came
+        self._deltas: dict[tuple[int, int], ProxyListDelta] = {}  # to the newest list, by base and fence
 
     def knows(self, fence: int) -> bool:
-        """Whether that list is remembered."""
+        """Return whether that list is remembered."""
         return fence in self._lists
 
-    def told(self, now_us: int, fence: int, members: Members, owners: Iterable[str] = ()) -> None:
-        """That list is in force, and those of it own counts."""
+    def remember(self, now_us: int, fence: int, members: Members, owners: Iterable[str] = ()) -> None:
+        """Take in the list that is in force now, and which of its members own counts."""
         if fence in self._lists:
             return
-        self._lists[fence] = members
-        self._owners[fence] = now_us, tuple(owners)
-        while len(self._lists) > MOST_LISTS:
-            oldest = next(iter(self._lists))
-            del self._lists[oldest], self._owners[oldest]
+        self._lists[fence] = _ProxyList(members, tuple(owners), now_us)
+        while len(self._lists) > MAX_LISTS:
+            del self._lists[next(iter(self._lists))]
         self._deltas = {}
 
-    def earlier_owners(self, now_us: int, prior: int) -> list[tuple[str, ...]]:
-        """Who owned counts under the lists before `prior`, the latest first, as far back as an owner may act
-        by one still: until `HOLDS` after the next list came."""
-        out: list[tuple[str, ...]] = []
-        next_us = min((at for fence, (at, _) in self._owners.items() if fence >= prior), default=now_us)
-        for fence in sorted((each for each in self._owners if each < prior), reverse=True):
-            if now_us - next_us >= HOLDS:
+    def earlier_owners(self, now_us: int, fence: int) -> list[tuple[str, ...]]:
+        """Return who owned counts under the lists before `fence`, the latest first.
+
+        It goes back as far as an owner may still act by a list: until `HOLDS` after the next one came.
+        """
+        owners: list[tuple[str, ...]] = []
+        later = [each.since_us for each_fence, each in self._lists.items() if each_fence >= fence]
+        replaced_us = min(later, default=now_us)
+        for earlier_fence in sorted((each for each in self._lists if each < fence), reverse=True):
+            if now_us - replaced_us >= HOLDS:
                 break
-            next_us, owners = self._owners[fence]
-            out.append(owners)
-        return out
+            replaced_us = self._lists[earlier_fence].since_us
+            owners.append(self._lists[earlier_fence].owners)
+        return owners
 
     def delta(self, base: int, fence: int) -> ProxyListDelta | None:
-        """The changes from one list to another; None where either is not remembered, or the delta would hold
-        as much as the list."""
-        old, new = self._lists.get(base), self._lists.get(fence)
-        if old is None or new is None:
+        """Return the changes from the list `base` to the list `fence`.
+
+        None where one of them is not remembered, or where the changes are no smaller than the list.
+        """
+        if base not in self._lists or fence not in self._lists:
             return None
-        made = self._deltas.get((base, fence))
-        if made is None:
+        old, new = self._lists[base].members, self._lists[fence].members
+        delta = self._deltas.get((base, fence))
+        if delta is None:
             changed = {name: each for name, each in new.items() if old.get(name) != each}
-            made = ProxyListDelta(base, changed, sorted(old.keys() - new.keys()))
-            self._deltas[base, fence] = made
-        return made if len(made.changed) + len(made.left) < len(new) else None
+            delta = ProxyListDelta(base, changed, sorted(old.keys() - new.keys()))
+            self._deltas[base, fence] = delta
+        return delta if len(delta.changed) + len(delta.left) < len(new) else None
--- /dev/null
+++ b/lapisgrade/gateway/controller/status_report.py
@@ -0,0 +1,44 @@
+"""The part of `conf.status` that tells of versions, proxies and servers."""
+
+from typing import Any
+
+from lapisgrade.gateway.controller.state_machine import State
+from lapisgrade.gateway.controller.version_activation import ProxyStatus
+from lapisgrade.gateway.registry import Server
+
+
+def status_report(
+    now_us: int, state: State, proxies: dict[str, ProxyStatus], servers: list[Server]
+) -> dict[str, Any]:
+    """Return which versions are newest and active, each proxy's versions, and what serves; for JSON."""
+    return {
+        "Newest": state.ver,
+        "InForce": state.acting_ver,
+        "Proxies": [_proxy_report(now_us, name, proxy) for name, proxy in sorted(proxies.items())],
+        "Servers": _server_report(servers),
+    }
+
+
+def _proxy_report(now_us: int, name: str, proxy: ProxyStatus) -> dict[str, Any]:
+    return {
+        "Name": name,
+        "Az": proxy.zone,
+        "At": proxy.address,
+        "Life": proxy.incarnation,
+        "Core": proxy.is_beside_controller,
+        "Leaving": proxy.is_leaving,
+        "Held": proxy.staged_version,
+        "InForce": proxy.active_version,
+        "HeardMs": (now_us - proxy.last_seen_us) // 1000,
+    }
+
+
+def _server_report(servers: list[Server]) -> dict[str, dict[str, int]]:
+    """Return the number of servers that are up, and of their slots, by service."""
+    report: dict[str, dict[str, int]] = {}
+    for server in servers:
+        if server.state == "up" and server.svc:
+            totals = report.setdefault(server.svc, {"Up": 0, "Slots": 0})
+            totals["Up"] += 1
+            totals["Slots"] += server.slots
+    return report
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -1,9 +1,17 @@
-"""What is news to which proxy, and which proxies live: pure. Held by the leader alone.
+"""What the leader knows of live proxies and servers, and what is new for a proxy. Pure.
 
-A proxy asks with the version of the configuration, the turn of the register and the fence that it has.
-The list of live proxies names the proxies that live; by it the duties are cut. It stands in the log, and its
-place there is the fence under which a duty is done: so a new leader goes on with the last one's, and nothing
-changes hands for it."""
+A proxy's watch request names the version, the registry's revision and the list of live proxies that it has;
+the reply has what is newer. The leader remembers each proxy by its requests, and proposes three commands:
+
+* `Activate`: a version comes into force (rules in `version_activation`).
+* `LiveProxies`: the list of live proxies has changed. By it the owners of counts are chosen. Its index in the
+  log is the fencing token under which an owner acts, so a new leader goes on with the last leader's list,
+  and no count changes its owner for an election.
+* `ServerSnapshot`: the live servers, from which a new leader starts its registry.
+
+A registry is complete once all servers had time to send this leader a heartbeat. Its id is the leader's term,
+with a `+` once it is complete; a proxy that has another registry is sent a complete one.
+"""
 
 from dataclasses import dataclass
 
@@ -12,239 +20,267 @@
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.controller.configuration_feed import ConfigurationFeed
 from lapisgrade.gateway.controller.proxy_list_feed import ProxyListFeed
-from lapisgrade.gateway.controller.state_machine import LiveProxies, Activate, ServerSnapshot, State
+from lapisgrade.gateway.controller.state_machine import Activate, LiveProxies, ServerSnapshot, State
+from lapisgrade.gateway.controller.version_activation import ProxyStatus, VersionActivation
 from lapisgrade.gateway.quota.ownership import eligible_owners
-from lapisgrade.gateway.registry import Server, Registry
-from lapisgrade.gateway.watch_timing import LONG_POLL_US
-
-ALIVE = 2_000_000  # us without an ask after which a proxy's duties go to others; above HOLDS
-GATHER = 150_000  # us between two lists of live proxies at least: those who start together come in together
-SNAPSHOT_EVERY = 1_000_000  # us between two lists of servers in the log
-MOMENT = (
-    1_400_000  # us after a change at which it comes into force without the silent; above the time to doubt
-)
-REJOINS = 800_000  # us that a merged version waits for who was cut off with its draft to ask; above an ask
-REPEAT = 300_000  # us after which an order that did not commit is given again
-MOST = 4096  # proxies; a flood of names holds no more of us
-
-
-@dataclass(slots=True)
-class ProxyStatus:
-    address: str
-    life: str
-    zone: str
-    at: int  # last ask
-    held: int = 0  # the version that it holds ready
-    ver: int = 0  # and the one that it acts by
-    core: bool = False  # whether a controller stands beside it
-    leaving: bool = False  # whether its process was told to end
+from lapisgrade.gateway.registry import Registry, Server
+
+PROXY_TIMEOUT_US = 2_000_000  # without a request, until a proxy's counts go to others; above HOLDS
+PROXY_LIST_INTERVAL_US = 150_000  # between two lists, at least: proxies that start together share a list
+SERVER_SNAPSHOT_INTERVAL_US = 1_000_000  # between two server snapshots, at least
+MAX_PROXIES = 4096  # guards memory against a flood of names
+
+
+@dataclass(slots=True, frozen=True)
+class _Outdated:
+    """What of a proxy's knowledge is not the newest."""
+
+    is_other_registry: bool  # all of it has to be sent
+    has_registry_changes: bool
+    configuration: bool
+    proxy_list: bool
+    is_proxy_list_unknown: bool  # neither the newest list nor the one before it
+
+    def is_anything(self) -> bool:
+        return self.has_registry_changes or self.configuration or self.proxy_list
 
 
 class Watch:
-    HOLD = LONG_POLL_US  # that an ask without news waits
+    """The leader's knowledge; begun anew by `become_leader`."""
 
-    def __init__(self, beat_us: int, now_us: int) -> None:
-        self.beat_us, self.term = beat_us, 0
-        self.registry = Registry(beat_us, now_us)
+    def __init__(self, heartbeat_us: int, now_us: int) -> None:
+        """`heartbeat_us` is the interval of the servers' heartbeats."""
+        self.heartbeat_us = heartbeat_us
+        self.term = 0
+        self.registry = Registry(heartbeat_us, now_us)
+        self.is_registry_complete = False
         self.proxies: dict[str, ProxyStatus] = {}
-        self._settled, self._live_proxies_at = False, 0
-        self._left: dict[str, bool] = {}
-        self._snapshot_at, self._snapshotted = 0, {}
-        self._staged: dict[int, int] = {}  # versions that are not in force yet: since when
-        self._ordered, self._ordered_at = 0, 0
-        self.feed = ConfigurationFeed()
+        self.departed_servers: dict[str, bool] = {}  # by the log; True for those that are gone
+        self.configuration_feed = ConfigurationFeed()
         self.proxy_lists = ProxyListFeed()
+        self._activation = VersionActivation()
+        self._proxy_list_proposed_us = 0
+        self._snapshot_proposed_us = 0
+        self._snapshot_addresses: dict[str, str] = {}  # of the servers in the last snapshot
 
     @property
-    def life(self) -> str:
-        return str(self.term)
+    def registry_id(self) -> str:
+        """Identifies the registry at the proxies."""
+        return f"{self.term}+" if self.is_registry_complete else str(self.term)
 
-    def lead(self, now_us: int, term: int, state: State) -> None:
-        self.term, self._settled, self._live_proxies_at = term, False, now_us
-        self.registry = Registry(self.beat_us, now_us)
-        # Those of the last list of live proxies may still act, whenever they last asked.
+    def become_leader(self, now_us: int, term: int, state: State) -> None:
+        """Begin anew from what the log says."""
+        self.term = term
+        self.is_registry_complete = False
+        self._proxy_list_proposed_us = now_us
+        self.registry = Registry(self.heartbeat_us, now_us)
+        # The proxies of the last list may still act, whenever their last request was.
         self.proxies = {
-            name: ProxyStatus(*each, now_us, core=name in state.core, leaving=name in state.leaving)
+            name: ProxyStatus(
+                *each,
+                last_seen_us=now_us,
+                is_beside_controller=name in state.core,
+                is_leaving=name in state.leaving,
+            )
             for name, each in state.live_proxies.items()
         }
         for server in state.server_snapshot:
             self.registry.known(now_us, [msgspec.structs.replace(server, turn=0)])
-        self._snapshot_at, self._snapshotted = (
-            now_us,
-            {each.id: each.address for each in state.server_snapshot},
-        )
-        # Whoever was told a version by the last leader is heard by this one, or doubts by then.
-        self._staged, self._ordered = dict.fromkeys(state.staged, now_us), 0
-        self.leaves(now_us, state.left)
+        self._snapshot_proposed_us = now_us
+        self._snapshot_addresses = {server.id: server.address for server in state.server_snapshot}
+        self._activation.become_leader(now_us, state)
+        self.update_departed_servers(now_us, state.left)
         self.proxy_lists = ProxyListFeed()
-        self._list_told(now_us, state)
-
-    def leaves(self, now_us: int, left: dict[str, bool]) -> None:
-        for name, gone in left.items():
-            known = self.registry.servers.get(name)
-            if known is not None and known.state != "gone" and known.state != ("gone" if gone else "drain"):
-                self.registry.left(now_us, name, gone)
-        self._left = left
-
-    def beat(self, now_us: int, server: Server) -> bool:
-        """A server's beat; whether it is news."""
-        turn = self.registry.turn
-        if server.id in self._left:
-            server.state = "gone" if self._left[server.id] else "drain"
+        self._remember_proxy_list(now_us, state)
+
+    # ---- events
+
+    def update_departed_servers(self, now_us: int, departed: dict[str, bool]) -> None:
+        """Take in which servers drain (False) or are gone (True), by the log."""
+        for server_id, gone in departed.items():
+            server = self.registry.servers.get(server_id)
+            if server is not None and server.state not in ("gone", "gone" if gone else "drain"):
+                self.registry.left(now_us, server_id, gone)
+        self.departed_servers = departed
+
+    def on_heartbeat(self, now_us: int, server: Server) -> bool:
+        """Take a server's heartbeat in; return whether it changes what proxies know."""
+        revision = self.registry.turn
+        if server.id in self.departed_servers:
+            server.state = "gone" if self.departed_servers[server.id] else "drain"
         self.registry.beat(now_us, server)
-        return self.registry.turn != turn
+        return self.registry.turn != revision
 
-    def due(self, now_us: int) -> bool:
-        """Whether time alone has made news."""
-        turn = self.registry.turn
+    def advance(self, now_us: int) -> bool:
+        """Expire proxies and servers that fell silent; return whether that changes what proxies know."""
+        revision, was_complete = self.registry.turn, self.is_registry_complete
         self.registry.due(now_us)
-        self.proxies = {name: each for name, each in self.proxies.items() if now_us - each.at < ALIVE}
-        settled, self._settled = self._settled, self.registry.settled(now_us)
-        return (turn, settled) != (self.registry.turn, self._settled)
+        self.proxies = {
+            name: proxy
+            for name, proxy in self.proxies.items()
+            if now_us - proxy.last_seen_us < PROXY_TIMEOUT_US
+        }
+        self.is_registry_complete = self.registry.settled(now_us)
+        return (revision, was_complete) != (self.registry.turn, self.is_registry_complete)
 
-    def refused(self, name: str, address: str) -> None:
-        """Its process is surely gone: it acts no more."""
+    def on_proxy_unreachable(self, name: str, address: str) -> None:
+        """Drop a proxy whose machine refused a connection there: its process is gone, and acts no more."""
         if name in self.proxies and self.proxies[name].address == address:
             del self.proxies[name]
 
-    def live_proxies(self, now_us: int, state: State) -> LiveProxies | None:
-        """The list of live proxies to put into the log, where others live than the one in force says."""
-        live = {name: (each.address, each.life, each.zone) for name, each in self.proxies.items()}
-        core = sorted(name for name, each in self.proxies.items() if each.core)
-        leaving = sorted(name for name, each in self.proxies.items() if each.leaving)
-        same = (live, core, leaving) == (state.live_proxies, state.core, state.leaving)
-        if same or now_us - self._live_proxies_at < GATHER:
-            return None
-        self._live_proxies_at = now_us
-        return LiveProxies(live, core, leaving)
+    # ---- commands to propose
 
     def activation(self, now_us: int, state: State) -> Activate | None:
-        """The order for the newest version that all who live hold ready, or that is so old that those who
-        don't are in doubt and refuse nobody by less (guards a new tenant against a node that lacks it)."""
-        self._staged = {ver: self._staged.get(ver, now_us) for ver in state.staged}
-        if not self._staged:
+        """Return the activation that is due, if any."""
+        return self._activation.due(now_us, state, self.proxies.values())
+
+    def live_proxies(self, now_us: int, state: State) -> LiveProxies | None:
+        """Return the list of live proxies, where it differs from the one in the log and is due."""
+        members = {
+            name: (proxy.address, proxy.incarnation, proxy.zone) for name, proxy in self.proxies.items()
+        }
+        core = sorted(name for name, proxy in self.proxies.items() if proxy.is_beside_controller)
+        leaving = sorted(name for name, proxy in self.proxies.items() if proxy.is_leaving)
+        if (members, core, leaving) == (state.live_proxies, state.core, state.leaving):
             return None
-        held = min((each.held for each in self.proxies.values()), default=0)
-        # A proxy that was cut off is counted out: nobody waits for it, and it knows of no fence until it
-        # has asked (guards claims that would travel the old route there once one went by the merged one).
-        young = [ver for ver in state.merged if now_us - self._staged.get(ver, 0) < REJOINS]
-        held = min(held, min(young, default=held + 1) - 1)
-        due = [ver for ver, at in self._staged.items() if ver <= held or now_us - at >= MOMENT]
-        ver = max(due, default=0)
-        if not ver or (ver <= self._ordered and now_us - self._ordered_at < REPEAT):
+        if now_us - self._proxy_list_proposed_us < PROXY_LIST_INTERVAL_US:
             return None
-        self._ordered, self._ordered_at = ver, now_us
-        return Activate(ver)
+        self._proxy_list_proposed_us = now_us
+        return LiveProxies(members, core, leaving)
 
-    def server_snapshot(self, now_us: int, state: State) -> ServerSnapshot | None:
-        """The servers to put into the log, where others live than it says; seldom, and settled ones only."""
-        if now_us - self._snapshot_at < SNAPSHOT_EVERY:
+    def server_snapshot(self, now_us: int) -> ServerSnapshot | None:
+        """Return the live servers, where they differ from the last snapshot and one is due."""
+        if now_us - self._snapshot_proposed_us < SERVER_SNAPSHOT_INTERVAL_US:
             return None
-        live = {
-            each.id: each.address for each in self.registry.servers.values() if each.state in ("up", "drain")
-        }
-        if live == self._snapshotted:
+        live = [server for server in self.registry.servers.values() if server.state in ("up", "drain")]
+        addresses = {server.id: server.address for server in live}
+        if addresses == self._snapshot_addresses:
             return None
-        self._snapshot_at, self._snapshotted = now_us, live
-        return ServerSnapshot(
-            [
-                msgspec.structs.replace(each, warm_us=0)
-                for each in self.registry.servers.values()
-                if each.id in live
-            ]
-        )
+        self._snapshot_proposed_us = now_us
+        self._snapshot_addresses = addresses
+        return ServerSnapshot([msgspec.structs.replace(server, warm_us=0) for server in live])
 
-    def status(self, now_us: int, state: State) -> dict:
-        """For operators: who holds and acts by which version, and what serves."""
-        servers: dict[str, dict[str, int]] = {}
-        for each in self.registry.servers.values():
-            if each.state == "up" and each.svc:
-                of = servers.setdefault(each.svc, {"Up": 0, "Slots": 0})
-                of["Up"] += 1
-                of["Slots"] += each.slots
-        proxies = [
-            {
-                "Name": name,
-                "Az": each.zone,
-                "At": each.address,
-                "Life": each.life,
-                "Core": each.core,
-                "Leaving": each.leaving,
-                "Held": each.held,
-                "InForce": each.ver,
-                "HeardMs": (now_us - each.at) // 1000,
-            }
-            for name, each in sorted(self.proxies.items())
-        ]
-        return {
-            "Newest": state.ver,
-            "InForce": state.acting_ver,
-            "Proxies": proxies,
-            "Servers": servers,
-        }
+    # ---- watch requests
 
-    def noted(self, ask: rpc_messages.WatchRequest) -> rpc_messages.WatchRequest:
-        """The same ask, whose list of known servers was taken in."""
-        return msgspec.structs.replace(ask, known=[]) if ask.known else ask
-
-    def news(
-        self, now_us: int, ask: rpc_messages.WatchRequest, state: State, controllers: list[str]
+    def reply_if_changed(
+        self, now_us: int, request: rpc_messages.WatchRequest, state: State, controllers: list[str]
     ) -> rpc_messages.WatchReply | None:
-        if ask.name and len(self.proxies) < MOST:
-            held = max(ask.held, ask.ver)
-            self.proxies[ask.name] = ProxyStatus(
-                ask.address, ask.own, ask.zone, now_us, held, ask.ver, ask.core, ask.leaving
-            )
-        if ask.known:
-            self.registry.known(now_us, ask.known)
-        own = f"{self.life}+" if self._settled else self.life
-        # What an unsettled register told of this life holds; any other is told anew.
-        other = ask.life != own and (self._settled or ask.life != f"{self.life}+")
-        changed = other or self.registry.turn > ask.turn
-        stale = ask.whole or state.acting_ver > ask.ver or state.ver > max(ask.held, ask.ver)
-        if not stale and not changed and ask.fence == state.fence:
+        """Take a proxy's request in; return what is new for it, None if nothing is.
+
+        Args:
+            now_us: The steady clock.
+            request: What the proxy has.
+            state: The state machine's.
+            controllers: Addresses that take watch requests, for the reply.
+        """
+        self._observe(now_us, request)
+        outdated = self._outdated(request, state)
+        if not outdated.is_anything():
             return None
-        listed = ask.fence != state.fence
-        unknown = ask.fence not in (state.fence, state.prior)
-        self._list_told(now_us, state)
-        delta = self.proxy_lists.delta(ask.fence, state.fence) if listed else None
-        held, acting = (0 if ask.whole else max(ask.held, ask.ver)), None
-        if state.acting_ver > held:
-            acting = self.feed.version(state.acting_ver, state.acting, held)
-            held = state.acting_ver
+        self._remember_proxy_list(now_us, state)
+        return self._reply(now_us, request, state, controllers, outdated)
+
+    def unchanged_reply(
+        self, request: rpc_messages.WatchRequest, state: State, controllers: list[str]
+    ) -> rpc_messages.WatchReply:
+        """Return that what the proxy has is the newest."""
         return rpc_messages.WatchReply(
-            True,
-            "",
-            controllers,
-            state.acting_ver,
-            acting,
-            own,
-            self.registry.turn,
-            self._settled,
-            other,
-            self.registry.since(now_us, 0 if other else ask.turn) if changed else [],
-            state.fence,
-            state.live_proxies if listed and delta is None else None,
-            wants_known=ask.life not in (self.life, f"{self.life}+"),
-            staged=self.feed.chain(state.staged, held),
+            leads=True,
+            controllers=controllers,
+            ver=request.ver,
+            life=request.life,
+            turn=request.turn,
+            settled=self.is_registry_complete,
+            fence=state.fence,
+        )
+
+    def _observe(self, now_us: int, request: rpc_messages.WatchRequest) -> None:
+        """Remember the proxy, and the servers that it knew from an earlier leader."""
+        if request.name and len(self.proxies) < MAX_PROXIES:
+            self.proxies[request.name] = ProxyStatus(
+                request.address,
+                request.own,
+                request.zone,
+                last_seen_us=now_us,
+                staged_version=_newest_version(request),
+                active_version=request.ver,
+                is_beside_controller=request.core,
+                is_leaving=request.leaving,
+            )
+        if request.known:
+            self.registry.known(now_us, request.known)
+
+    def _outdated(self, request: rpc_messages.WatchRequest, state: State) -> _Outdated:
+        # A proxy with this term's incomplete registry is sent all of the complete one: it can't know which
+        # of its servers were never heard of again. One with the complete registry keeps it.
+        is_other_registry = request.life != self.registry_id and (
+            self.is_registry_complete or request.life != f"{self.term}+"
+        )
+        has_newer_version = state.acting_ver > request.ver or state.ver > _newest_version(request)
+        return _Outdated(
+            is_other_registry=is_other_registry,
+            has_registry_changes=is_other_registry or self.registry.turn > request.turn,
+            configuration=request.whole or has_newer_version,
+            proxy_list=request.fence != state.fence,
+            is_proxy_list_unknown=request.fence not in (state.fence, state.prior),
+        )
+
+    def _reply(
+        self,
+        now_us: int,
+        request: rpc_messages.WatchRequest,
+        state: State,
+        controllers: list[str],
+        outdated: _Outdated,
+    ) -> rpc_messages.WatchReply:
+        is_new_list, is_unknown_list = outdated.proxy_list, outdated.is_proxy_list_unknown
+        list_delta = self.proxy_lists.delta(request.fence, state.fence) if is_new_list else None
+        base = 0 if request.whole else _newest_version(request)
+        active = None
+        if state.acting_ver > base:
+            active = self.configuration_feed.version(state.acting_ver, state.acting, base)
+            base = state.acting_ver
+        return rpc_messages.WatchReply(
+            leads=True,
+            controllers=controllers,
+            ver=state.acting_ver,
+            conf=active,
+            staged=self.configuration_feed.chain(state.staged, base),
             merged=state.merged,
-            core=state.core if listed else [],
+            life=self.registry_id,
+            turn=self.registry.turn,
+            settled=self.is_registry_complete,
+            whole=outdated.is_other_registry,
+            servers=self._servers(now_us, request, outdated),
+            wants_known=request.life not in (str(self.term), f"{self.term}+"),
+            fence=state.fence,
             prior=state.prior,
-            leaving=state.leaving if listed else [],
-            prior_owners=state.prior_owners if unknown else [],
-            earlier_owners=self.proxy_lists.earlier_owners(now_us, state.prior) if unknown else [],
-            live_proxies_delta=delta,
+            live_proxies=state.live_proxies if is_new_list and list_delta is None else None,
+            live_proxies_delta=list_delta,
+            core=state.core if is_new_list else [],
+            leaving=state.leaving if is_new_list else [],
+            prior_owners=state.prior_owners if is_unknown_list else [],
+            earlier_owners=self.proxy_lists.earlier_owners(now_us, state.prior) if is_unknown_list else [],
         )
 
-    def _list_told(self, now_us: int, state: State) -> None:
+    def _servers(self, now_us: int, request: rpc_messages.WatchRequest, outdated: _Outdated) -> list[Server]:
+        """Return the servers that the proxy lacks, or whose state it lacks."""
+        if not outdated.has_registry_changes:
+            return []
+        return self.registry.since(now_us, 0 if outdated.is_other_registry else request.turn)
+
+    def _remember_proxy_list(self, now_us: int, state: State) -> None:
+        """Keep the list in force, for deltas and for the owners by it."""
         if not self.proxy_lists.knows(state.fence):
             owners = eligible_owners(state.live_proxies, state.core, state.leaving)
-            self.proxy_lists.told(now_us, state.fence, state.live_proxies, owners)
+            self.proxy_lists.remember(now_us, state.fence, state.live_proxies, owners)
 
-    def quiet(
-        self, ask: rpc_messages.WatchRequest, state: State, controllers: list[str]
-    ) -> rpc_messages.WatchReply:
-        """No news: what the proxy has is as it is."""
-        return rpc_messages.WatchReply(
-            True, "", controllers, ask.ver, None, ask.life, ask.turn, self._settled, False, [], state.fence
-        )
+
+def without_known_servers(request: rpc_messages.WatchRequest) -> rpc_messages.WatchRequest:
+    """Return the request, whose known servers were taken in, for its next look."""
+    return msgspec.structs.replace(request, known=[]) if request.known else request
+
+
+def _newest_version(request: rpc_messages.WatchRequest) -> int:
+    """Return the newest version that the proxy has, active or staged."""
+    return max(request.held, request.ver)
--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -1,7 +1,7 @@
 """Answers the watch requests of proxies (long polls), and tells watchers when to look again.
 
 A request is answered at once if something is new for that proxy, else when something becomes new, or after
-`Watch.HOLD` without news. What is new is decided by `watch.Watch`; this module waits, paces and probes.
+`LONG_POLL_US` without news. What is new is decided by `watch.Watch`; this module waits, paces and probes.
 """
 
 import asyncio
@@ -12,10 +12,11 @@
 from lapisgrade.gateway.controller.leader_discovery import LeaderDiscovery
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
 from lapisgrade.gateway.controller.state_machine import Item, StateMachine
-from lapisgrade.gateway.controller.watch import Watch
+from lapisgrade.gateway.controller.watch import Watch, without_known_servers
 from lapisgrade.gateway.registry import Server
 from lapisgrade.gateway.rpc import DIAL
 from lapisgrade.gateway.settings import address
+from lapisgrade.gateway.watch_timing import LONG_POLL_US
 
 MAX_PROBES = 16  # proxies that one request may report as refusing connections
 REPLY_COST_US = 200  # us of the leader's processor that one proxy's reply takes, at most
@@ -56,19 +57,21 @@
         """Return what is new for a proxy, or after a while that nothing is."""
         self._metrics.watch_requests += 1
         self._probe_refusing_proxies(request.refused)
-        ends_us = self._clock() + self.watch.HOLD
+        ends_us = self._clock() + LONG_POLL_US
         while True:
             if not self._consensus.is_leader():
                 return self._redirect()
             controllers = self._consensus.voter_addresses()
-            reply = self.watch.news(self._clock(), request, self._state_machine.state, controllers)
+            reply = self.watch.reply_if_changed(
+                self._clock(), request, self._state_machine.state, controllers
+            )
             self._propose_activation()
             remaining_s = (ends_us - self._clock()) / SECOND
             if reply is not None:
                 return reply
             if remaining_s <= 0:
                 return self._unchanged(request)
-            request = self.watch.noted(request)
+            request = without_known_servers(request)
             await self._wait_for_change(remaining_s)
 
     def _redirect(self) -> rpc_messages.WatchReply:
@@ -77,7 +80,9 @@
         return rpc_messages.WatchReply(False, leader, self._consensus.voter_addresses())
 
     def _unchanged(self, request: rpc_messages.WatchRequest) -> rpc_messages.WatchReply:
-        return self.watch.quiet(request, self._state_machine.state, self._consensus.voter_addresses())
+        return self.watch.unchanged_reply(
+            request, self._state_machine.state, self._consensus.voter_addresses()
+        )
 
     def _propose_activation(self) -> None:
         """Propose to activate a staged version at once, if this request was the last to be waited for."""
@@ -96,7 +101,7 @@
 
     def on_heartbeat(self, server: Server) -> None:
         """Take a server's heartbeat in, and notify watchers if it changes what they know."""
-        if self.watch.beat(self._clock(), server):
+        if self.watch.on_heartbeat(self._clock(), server):
             self.notify_watchers()
 
     # ---- probes
@@ -115,7 +120,7 @@
             writer.close()
         except ConnectionRefusedError:
             self._metrics.proxies_found_dead += 1
-            self.watch.refused(name, proxy_address)
+            self.watch.on_proxy_unreachable(name, proxy_address)
         except (OSError, TimeoutError, ValueError):
             pass
 
@@ -123,15 +128,15 @@
 
     def become_leader(self, term: int) -> None:
         """Begin to watch proxies and servers, from what the log says of them."""
-        self.watch.lead(self._clock(), term, self._state_machine.state)
+        self.watch.become_leader(self._clock(), term, self._state_machine.state)
 
     def on_applied(self) -> None:
         """Take in which servers left, by the log."""
-        self.watch.leaves(self._clock(), self._state_machine.state.left)
+        self.watch.update_departed_servers(self._clock(), self._state_machine.state.left)
 
     def on_timer(self) -> None:
         """Expire proxies and servers that fell silent."""
-        if self.watch.due(self._clock()):
+        if self.watch.advance(self._clock()):
             self.notify_watchers()
 
     def due_commands(self) -> list[Item | None]:
@@ -140,7 +145,7 @@
         return [
             self.watch.activation(now_us, state),
             self.watch.live_proxies(now_us, state),
-            self.watch.server_snapshot(now_us, state),
+            self.watch.server_snapshot(now_us),
         ]
 
     def notify_watchers(self) -> None:
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -156,10 +156,10 @@
         def beat(watch: Watch = watch, server=server) -> None:
             made, _ = api.beat("i-1", body)
             made.seq = server.seq = server.seq + 1
-            watch.beat(2_000_000, made)
+            watch.on_heartbeat(2_000_000, made)
 
         beats.append(best_us(beat, 50))
-        watch._settled = True
+        watch.is_registry_complete = True
         lists.append(best_us(lambda watch=watch: watch.registry.since(2_000_000, 0)))
         sizes_of.append(len(msgspec.msgpack.encode(watch.registry.since(2_000_000, 0))))
     return [
@@ -175,7 +175,7 @@
     for i in range(size):
         body = {"Svc": f"svc{i % 370}", "Addr": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:80", "Seq": 1}
         server, _ = api.beat(f"i-{i:08x}", msgspec.json.encode(body))
-        watch.beat(1_000_000, server)
+        watch.on_heartbeat(1_000_000, server)
     return watch
 
 
@@ -190,15 +190,15 @@
     for size in sizes:
         watch = registered(100)
         for i in range(size):
-            watch.news(1_000_000, ask(f"edge-{i}"), state_machine.state, [])
+            watch.reply_if_changed(1_000_000, ask(f"edge-{i}"), state_machine.state, [])
         live_proxies = watch.live_proxies(2_000_000, state_machine.state)
         lists.append(len(encoded(live_proxies)))
         frame = codec.frame(1, ask("edge-1"))
 
         def answered(watch: Watch = watch, frame: bytes = frame) -> None:
             ((number, asked),) = codec.read(bytearray(frame))
-            news = watch.news(1_100_000, asked, state_machine.state, [])
-            codec.frame(number, news or watch.quiet(asked, state_machine.state, []))
+            news = watch.reply_if_changed(1_100_000, asked, state_machine.state, [])
+            codec.frame(number, news or watch.unchanged_reply(asked, state_machine.state, []))
 
         asks.append(best_us(answered, 50))
     return [
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -16,12 +16,12 @@
 from lapisgrade.lab.emulator.sim import Sim
 from lapisgrade.lab.explore.defects import Defects, switched
 from lapisgrade.gateway import SECOND, rpc_messages, configuration
-from lapisgrade.gateway.controller import watch
+from lapisgrade.gateway.controller import version_activation
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
-from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
+from lapisgrade.gateway.watch_timing import LONG_POLL_US, MISSED_VERSION_AFTER_US
 from lapisgrade.gateway.routing import route_tables, router
 from lapisgrade.gateway.settings import Slo
-from lapisgrade.gateway.controller.state_machine import Change, StateMachine, State, encoded
+from lapisgrade.gateway.controller.state_machine import Activate, Change, StateMachine, State, encoded
 from lapisgrade.gateway.controller.watch import Watch
 
 MS = 1_000
@@ -150,14 +150,14 @@
     def lead(self, term: int) -> None:
         self.term, self.waiting = term, []
         self.watch = Watch(SECOND, self.sim.now)
-        self.watch.lead(self.sim.now, term, State() if self.EARLY else self.state_machine.state)
+        self.watch.become_leader(self.sim.now, term, State() if self.EARLY else self.state_machine.state)
         self.say(f"a leader of term {term} begins; list of live proxies {sorted(self.watch.proxies)}")
 
     def say(self, what: str) -> None:
         self.log.append(f"{self.sim.now / SECOND:9.3f} s  {what}")
 
     def tick(self) -> None:
-        self.watch.due(self.sim.now)
+        self.watch.advance(self.sim.now)
         self.order()
         self.sim.after(50 * MS, self.tick)
 
@@ -185,17 +185,17 @@
         self.commit(encoded(Change(True, conf(state.ver + 1, state.ver, names))), self.term)
 
     def asked(self, proxy: Proxy, ask: rpc_messages.WatchRequest, life: int, asked: int, sent: int) -> None:
-        self.waiting.append((proxy, ask, life, asked, sent, self.sim.now + Watch.HOLD))
-        self.sim.after(Watch.HOLD, self.turn)
+        self.waiting.append((proxy, ask, life, asked, sent, self.sim.now + LONG_POLL_US))
+        self.sim.after(LONG_POLL_US, self.turn)
         self.turn()
 
     def turn(self) -> None:
         """Answer those that have news, or have waited long enough."""
         waiting, self.waiting = self.waiting, []
         for proxy, ask, life, asked, sent, ends in waiting:
-            news = self.watch.news(self.sim.now, ask, self.state_machine.state, [])
+            news = self.watch.reply_if_changed(self.sim.now, ask, self.state_machine.state, [])
             if news is None and self.sim.now >= ends:
-                news = self.watch.quiet(ask, self.state_machine.state, [])
+                news = self.watch.unchanged_reply(ask, self.state_machine.state, [])
             if news is None:
                 self.waiting.append((proxy, ask, life, asked, sent, ends))
             else:
@@ -272,15 +272,15 @@
     return self.tables.active.entry(*asked) if self.tables.active else 503
 
 
-def _at_once(self: Watch, now: int, state: State) -> watch.Activate | None:
-    return watch.Activate(state.ver) if state.ver > state.acting_ver else None
+def _at_once(self: Watch, now: int, state: State) -> Activate | None:
+    return Activate(state.ver) if state.ver > state.acting_ver else None
 
 
 DEFECTS: Defects = {
     "serves-withdrawn": (router.Router, "match", _served),
     "acts-at-once": (Watch, "activation", _at_once),
     "never-doubts": (route_tables, "MISSED_VERSION_AFTER_US", 1 << 60),
-    "waits-for-nobody": (watch, "MOMENT", 0),
+    "waits-for-nobody": (version_activation, "ACTIVATION_TIMEOUT_US", 0),
     "leads-early": (World, "EARLY", True),
 }
 
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -14,7 +14,7 @@
 from lapisgrade.lab.partitions.quota import allowed, most
 from lapisgrade.lab.explore import quota as explored
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.controller import watch
+from lapisgrade.gateway.watch_timing import LONG_POLL_US
 from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.quota.count import room
 from lapisgrade.gateway.quota.ownership import owner_of
@@ -97,15 +97,15 @@
             super().order()
 
     def asked(self, proxy, ask, life, asked, sent) -> None:
-        news = self.watch.news(self.sim.now, ask, self.state_machine.state, [])
+        news = self.watch.reply_if_changed(self.sim.now, ask, self.state_machine.state, [])
         if news is not None:
             return self.carry(proxy, proxy.told, news, life, asked, sent)
-        self.waiting.append((proxy, ask, life, asked, sent, self.sim.now + watch.Watch.HOLD))
-        self.sim.after(watch.Watch.HOLD, self.quiet, *self.waiting[-1][:5])
+        self.waiting.append((proxy, ask, life, asked, sent, self.sim.now + LONG_POLL_US))
+        self.sim.after(LONG_POLL_US, self.quiet, *self.waiting[-1][:5])
 
     def quiet(self, proxy, ask, life, asked, sent) -> None:
         if (life, asked) == (proxy.life, proxy.asked):
-            news = self.watch.quiet(ask, self.state_machine.state, [])
+            news = self.watch.unchanged_reply(ask, self.state_machine.state, [])
             self.carry(proxy, proxy.told, news, life, asked, sent)
 
     def turn(self) -> None:
--- a/lapisgrade/lab/simulation/data_plane_mutants.py
+++ b/lapisgrade/lab/simulation/data_plane_mutants.py
@@ -41,9 +41,9 @@
     return rpc_messages.ForwardCallReply(Answer(200).status)
 
 
-def _forgets_who_left(self: watch.Watch, now_us: int, left: dict[str, bool]) -> None:
+def _forgets_who_left(self: watch.Watch, now_us: int, departed: dict[str, bool]) -> None:
     """A new leader goes by beats alone."""
-    self._left = {}
+    self.departed_servers = {}
 
 
 # The first seed and how many from it on are enough to find each; 0 and 12 where nothing else is said.
@@ -52,8 +52,8 @@
 DEFECTS: Defects = {
     **{name: quota_defects.DEFECTS[name] for name in OF_QUOTA},
     "old-fence": (StateMachine, "_take_live_proxies", _old_fence),
-    "counted-out-too-soon": (watch, "ALIVE", 400_000),
+    "counted-out-too-soon": (watch, "PROXY_TIMEOUT_US", 400_000),
     "sends-to-draining": (Router, "update_servers", _listed_as_up),
     "leaving-not-logged": (LeaderCalls, "commit", _unlogged),
-    "forgets-who-left": (watch.Watch, "leaves", _forgets_who_left),
+    "forgets-who-left": (watch.Watch, "update_departed_servers", _forgets_who_left),
 }
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -11,9 +11,13 @@
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.explore.activation import DEFECTS, MS, World, conf, explore
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.controller import watch
-from lapisgrade.gateway.controller.state_machine import LiveProxies, Change, StateMachine, encoded
-from lapisgrade.gateway.controller.watch import MOMENT, Watch
+from lapisgrade.gateway.controller.state_machine import Activate, Change, LiveProxies, StateMachine, encoded
+from lapisgrade.gateway.controller.version_activation import (
+    ACTIVATION_TIMEOUT_US,
+    MERGED_VERSION_DELAY_US,
+    ProxyStatus,
+)
+from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
 
 
@@ -59,10 +63,10 @@
         state_machine.take(1, encoded(Change(True, conf(1, 0, 1))))
         state_machine.take(2, encoded(LiveProxies({"a": ("p", "1", "z"), "b": ("p", "1", "z")})))
         one = Watch(SECOND, 0)
-        one.lead(0, 1, state_machine.state)
+        one.become_leader(0, 1, state_machine.state)
 
         def asks(now: int, name: str, held: int) -> None:
-            one.news(
+            one.reply_if_changed(
                 now,
                 rpc_messages.WatchRequest(name, "p", "1", "z", 0, "1+", 9, 2, held=held),
                 state_machine.state,
@@ -72,16 +76,16 @@
         asks(0, "a", 1)
         self.assertIsNone(one.activation(MS, state_machine.state))
         asks(2 * MS, "b", 1)
-        self.assertEqual(one.activation(3 * MS, state_machine.state), watch.Activate(1))
+        self.assertEqual(one.activation(3 * MS, state_machine.state), Activate(1))
         self.assertIsNone(one.activation(4 * MS, state_machine.state))  # it is under way
-        state_machine.take(3, encoded(watch.Activate(1)))
+        state_machine.take(3, encoded(Activate(1)))
         self.assertEqual(state_machine.state.acting_ver, 1)
         # The next one meets a proxy that is silent: it comes into force when that one must doubt.
         state_machine.take(4, encoded(Change(True, conf(2, 1, 2))))
         self.assertIsNone(one.activation(SECOND, state_machine.state))
         asks(SECOND, "a", 2)
         self.assertIsNone(one.activation(SECOND + MISSED_VERSION_AFTER_US, state_machine.state))
-        self.assertEqual(one.activation(SECOND + MOMENT, state_machine.state), watch.Activate(2))
+        self.assertEqual(one.activation(SECOND + ACTIVATION_TIMEOUT_US, state_machine.state), Activate(2))
 
     def test_what_was_refused_or_lost_its_race_is_never_held_nor_ordered(self) -> None:
         state_machine = StateMachine()
@@ -95,8 +99,8 @@
         self.assertEqual(answers, [200, 412, 400, 200])
         self.assertEqual(list(state_machine.state.staged), [1, 2])
         one = Watch(SECOND, 0)
-        one.lead(0, 1, state_machine.state)
-        news = one.news(
+        one.become_leader(0, 1, state_machine.state)
+        news = one.reply_if_changed(
             0, rpc_messages.WatchRequest("a", "p", "1", "z", 0, "", 0, 0), state_machine.state, []
         )
         self.assertEqual((news.ver, news.conf, list(news.staged)), (0, None, [1, 2]))
@@ -106,7 +110,7 @@
     ) -> None:
         state_machine = StateMachine()
         one = Watch(SECOND, 0)
-        one.proxies["dark"] = watch.ProxyStatus("p", "1", "z", 0)
+        one.proxies["dark"] = ProxyStatus("p", "1", "z", 0)
         moments = {}
         for now in range(0, 4 * SECOND, 100 * MS):
             if now % (500 * MS) == 0:
@@ -118,7 +122,7 @@
                 state_machine.take(100 + order.ver, encoded(order))
         self.assertEqual(
             {ver: at - (ver - 1) * 500 * MS for ver, at in moments.items()},
-            dict.fromkeys(range(1, 7), MOMENT),
+            dict.fromkeys(range(1, 7), ACTIVATION_TIMEOUT_US),
         )
 
     def test_a_merged_version_waits_for_those_who_were_cut_off_with_a_draft(self) -> None:
@@ -126,15 +130,15 @@
         state = StateMachine().state
         state.staged, state.merged = {5: b"{}"}, [5]
         one = Watch(SECOND, 0)
-        one.proxies = {"a": watch.ProxyStatus("p", "1", "z", SECOND, held=7)}
+        one.proxies = {"a": ProxyStatus("p", "1", "z", SECOND, staged_version=7)}
         self.assertIsNone(one.activation(SECOND, state))
         state.staged[7] = b"{}"  # acknowledged on top of it: goes by the merged one too
-        self.assertIsNone(one.activation(SECOND + watch.REJOINS - 1, state))
-        self.assertEqual(one.activation(SECOND + watch.REJOINS, state), watch.Activate(7))
-        one.proxies["b"] = watch.ProxyStatus("p", "1", "z", SECOND, held=4)  # it asked, and lacks both
-        self.assertIsNone(one.activation(SECOND + MOMENT - 1, state))
-        self.assertEqual(one.activation(SECOND + MOMENT, state), watch.Activate(5))
-        self.assertLess(watch.REJOINS, MOMENT)
+        self.assertIsNone(one.activation(SECOND + MERGED_VERSION_DELAY_US - 1, state))
+        self.assertEqual(one.activation(SECOND + MERGED_VERSION_DELAY_US, state), Activate(7))
+        one.proxies["b"] = ProxyStatus("p", "1", "z", SECOND, staged_version=4)  # it asked, and lacks both
+        self.assertIsNone(one.activation(SECOND + ACTIVATION_TIMEOUT_US - 1, state))
+        self.assertEqual(one.activation(SECOND + ACTIVATION_TIMEOUT_US, state), Activate(5))
+        self.assertLess(MERGED_VERSION_DELAY_US, ACTIVATION_TIMEOUT_US)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/controller/test_proxy_list_feed.py
+++ b/tests/gateway/controller/test_proxy_list_feed.py
@@ -7,7 +7,7 @@
 
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.controller.watch_service import MAX_FAN_OUT_INTERVAL_US, fan_out_interval_us
-from lapisgrade.gateway.controller.proxy_list_feed import MOST_LISTS, ProxyListFeed
+from lapisgrade.gateway.controller.proxy_list_feed import MAX_LISTS, ProxyListFeed
 from lapisgrade.gateway.controller.state_machine import LiveProxies, StateMachine, encoded
 from lapisgrade.gateway.controller.watch import Watch
 
@@ -19,11 +19,11 @@
 class ProxyLists(unittest.TestCase):
     def setUp(self) -> None:
         self.state_machine, self.watch = StateMachine(), Watch(SECOND, 0)
-        self.watch.lead(0, 1, self.state_machine.state)
+        self.watch.become_leader(0, 1, self.state_machine.state)
 
     def told(self, base: int) -> rpc_messages.WatchReply | None:
         ask = rpc_messages.WatchRequest("", "", "1", "z", 0, "1", 0, base)
-        news = self.watch.news(0, ask, self.state_machine.state, [])
+        news = self.watch.reply_if_changed(0, ask, self.state_machine.state, [])
         return msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=type(news)) if news else None
 
     def listed(self, fence: int, made: rpc_messages.Members) -> None:
@@ -61,10 +61,10 @@
 
     def test_what_is_remembered_is_bounded(self) -> None:
         feed = ProxyListFeed()
-        for fence in range(1, 10 * MOST_LISTS):
-            feed.told(fence, fence, members(range(fence % 7)))
-        self.assertIsNone(feed.delta(1, 10 * MOST_LISTS - 1))
-        self.assertLessEqual(len(feed._lists), MOST_LISTS)
+        for fence in range(1, 10 * MAX_LISTS):
+            feed.remember(fence, fence, members(range(fence % 7)))
+        self.assertIsNone(feed.delta(1, 10 * MAX_LISTS - 1))
+        self.assertLessEqual(len(feed._lists), MAX_LISTS)
 
 
 class FanOut(unittest.TestCase):
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -10,7 +10,7 @@
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.cli.demo import Load, demo
 from lapisgrade.gateway.controller.state_machine import LiveProxies, StateMachine, encoded
-from lapisgrade.gateway.controller.watch import GATHER, Watch
+from lapisgrade.gateway.controller.watch import PROXY_LIST_INTERVAL_US, Watch
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import HOLDS, eligible_owners, owner_of
 
@@ -203,18 +203,18 @@
 
     def test_one_that_is_told_to_end_owns_no_counts_where_others_stay(self) -> None:
         state_machine, watch = StateMachine(), Watch(SECOND, 0)
-        watch.lead(0, 1, state_machine.state)
+        watch.become_leader(0, 1, state_machine.state)
 
         def ask(name: str, now_us: int, leaving: bool = False) -> None:
             words = rpc_messages.WatchRequest(name, members(name)[name][0], "1", "z", 0, "", 0, 0,
                                               leaving=leaving)  # fmt: skip
-            watch.news(now_us, words, state_machine.state, [])
+            watch.reply_if_changed(now_us, words, state_machine.state, [])
 
         for name in self.names:
-            ask(name, GATHER)
-        state_machine.take(5, encoded(watch.live_proxies(GATHER, state_machine.state)))
-        ask(self.last, 2 * GATHER, leaving=True)
-        order = watch.live_proxies(2 * GATHER, state_machine.state)
+            ask(name, PROXY_LIST_INTERVAL_US)
+        state_machine.take(5, encoded(watch.live_proxies(PROXY_LIST_INTERVAL_US, state_machine.state)))
+        ask(self.last, 2 * PROXY_LIST_INTERVAL_US, leaving=True)
+        order = watch.live_proxies(2 * PROXY_LIST_INTERVAL_US, state_machine.state)
         self.assertEqual(order, LiveProxies(members(self.names), [], [self.last]))
         state_machine.take(6, encoded(order))
         state = state_machine.state
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -8,7 +8,7 @@
 from lapisgrade.lab.capacity import changed, sample_configuration
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
-from lapisgrade.gateway.controller.configuration_feed import MOST_TEXTS, ConfigurationFeed
+from lapisgrade.gateway.controller.configuration_feed import MAX_TEXTS, ConfigurationFeed
 from lapisgrade.gateway.proxy.control_client import ControlClient
 from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.controller.state_machine import (
@@ -79,9 +79,9 @@
 
     def test_it_goes_whole_where_the_base_is_not_known_any_more(self) -> None:
         feed = ConfigurationFeed()
-        for ver in range(1, MOST_TEXTS + 4):
+        for ver in range(1, MAX_TEXTS + 4):
             feed.version(ver, text(3, ver), 0)
-        self.assertEqual(feed.version(MOST_TEXTS + 3, text(3, MOST_TEXTS + 3), 1).base, 0)
+        self.assertEqual(feed.version(MAX_TEXTS + 3, text(3, MAX_TEXTS + 3), 1).base, 0)
 
 
 class Versions(unittest.TestCase):
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -171,13 +171,13 @@
     async def test_a_leader_begins_with_the_live_proxies_of_the_log_where_every_controller_was_killed(self):
         """Else it would give on duties that others hold, and order versions past those it has not heard."""
         site, began = await self.served(), []
-        lead = Watch.lead
+        lead = Watch.become_leader
 
         def seen(self, now_us, term, state):
             began.append(sorted(state.live_proxies))
             lead(self, now_us, term, state)
 
-        with mock.patch.object(Watch, "lead", seen):
+        with mock.patch.object(Watch, "become_leader", seen):
             for each in list(site.controllers.values()):
                 await site.kill(each)
             for name in site.names:
