--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lapisgrade.gateway.quota.ownership import HOLDS
+from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
 from lapisgrade.gateway.rpc_messages import Members, ProxyListDelta
 
 MAX_LISTS = 12  # lists that are remembered: about two seconds' worth, at the leader's highest rate
@@ -42,13 +42,13 @@
     def earlier_owners(self, now_us: int, fence: int) -> list[tuple[str, ...]]:
         """Return who owned counts under the lists before `fence`, the latest first.
 
-        It goes back as far as an owner may still act by a list: until `HOLDS` after the next one came.
+        It goes back as far as an owner may still act by a list: until `OWNERSHIP_LEASE_US` after the next one came.
         """
         owners: list[tuple[str, ...]] = []
         later = [each.since_us for each_fence, each in self._lists.items() if each_fence >= fence]
         replaced_us = min(later, default=now_us)
         for earlier_fence in sorted((each for each in self._lists if each < fence), reverse=True):
-            if now_us - replaced_us >= HOLDS:
+            if now_us - replaced_us >= OWNERSHIP_LEASE_US:
                 break
             replaced_us = self._lists[earlier_fence].since_us
             owners.append(self._lists[earlier_fence].owners)
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -11,13 +11,12 @@
 from collections.abc import Callable
 from random import Random
 
-from lapisgrade.gateway import SECOND, clock, rpc_messages
+from lapisgrade.gateway import SECOND, clock, registry, rpc_messages
 from lapisgrade.gateway.http_server import HttpServer
 from lapisgrade.gateway.membership.gossip import Gossip
 from lapisgrade.gateway.membership.partial_view import PartialView
 from lapisgrade.gateway.proxy.client_front import ClientFront
 from lapisgrade.gateway.proxy.context import ProxyContext
-from lapisgrade.gateway.proxy.control_client import ControlClient
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
 from lapisgrade.gateway.proxy.host import ProxyHost, ServerPool
 from lapisgrade.gateway.proxy.load_reporter import LoadReporter
@@ -26,6 +25,7 @@
 from lapisgrade.gateway.proxy.server_list import ServerList
 from lapisgrade.gateway.proxy.version_rollout import VersionRollout
 from lapisgrade.gateway.proxy.watch_client import WatchClient
+from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.rpc import RpcEndpoint
@@ -71,7 +71,7 @@
         self.router: Router = self.host.module
         sockets = max(MIN_SOCKETS, settings.caps.nofile - RESERVED_FILES)
         self.client_front = ClientFront(context, self.host, self.router, sockets // 2)
-        self.host.pool = self.make_pool(sockets // 4)
+        self.host.pool = self.pool = self.make_pool(sockets // 4)
         self.readiness = HttpServer(self._answer_readiness, MAX_READINESS_BODY_BYTES)
 
     def _build_control(self, settings: Settings) -> None:
@@ -84,7 +84,7 @@
         self.gossip = Gossip(
             settings.hostname[:MOST_NAME], self.partial_view, context.now_us, context.log_diagnostic
         )
-        self.control_client = ControlClient(context.random, self.partial_view, [])
+        self.watch_target = WatchTarget(context.random, self.partial_view, [])
         self._apply_seeds()
         self.reachability = PeerReachability(context)
         self.load_reporter = LoadReporter(context, self.router, self.rpc)
@@ -96,7 +96,7 @@
             self.quota_owner,
             self.partial_view,
             VersionRollout(self.router, self.client_front),
-            ServerList(self.router, self.host.pool),
+            ServerList(self.router, self.pool),
             self.reachability,
             self.load_reporter,
         )
@@ -107,7 +107,7 @@
             context,
             str(self.inner),
             self.rpc,
-            self.control_client,
+            self.watch_target,
             self.quota_owner,
             self.updates,
             self.reachability,
@@ -139,7 +139,7 @@
         """The machines that the settings name run a controller and a proxy each."""
         settings = self.settings
         controller_port, hosts = settings.portrange[0], [each[0] for each in settings.peers]
-        self.control_client.seeds = [f"{host}:{controller_port}" for host in hosts]
+        self.watch_target.seeds = [f"{host}:{controller_port}" for host in hosts]
         self.partial_view.introduced([f"{host}:{self.inner[1]}" for host in hosts])
 
     # ---- start and shutdown
@@ -185,7 +185,7 @@
 
     def _close(self) -> None:
         self.client_front.close()
-        self.host.pool.close()
+        self.pool.close()
         self.readiness.close()
         self.quota_transport.close()
         self.rpc.close()
@@ -195,7 +195,7 @@
         metrics = {**self.context.metrics.nonzero(), "gossip": dict(self.gossip.udp.counts)}
         log.info("metrics %s", dict(sorted(metrics.items())))
 
-    def _on_task_done(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         """End the process with a task that should run on (guards against a half of a proxy)."""
         if not task.cancelled():
             log.error("a task failed", exc_info=task.exception())
@@ -210,7 +210,7 @@
         is_informed = (
             self.router.tables.active is not None
             and self.updates.registry_incarnation
-            and self.quota_owner.fence
+            and self.quota_owner.fencing_token
         )
         return bool(is_informed) and not self.client_front.ending and not self.is_isolated
 
@@ -230,7 +230,7 @@
         return self.updates.versions.active_version
 
     @property
-    def servers(self) -> dict[str, rpc_messages.Server]:
+    def servers(self) -> dict[str, registry.Server]:
         """The servers that it knows, by id."""
         return self.updates.servers.by_id
 
--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -8,11 +8,11 @@
 from collections.abc import Generator
 
 from lapisgrade.decide.account import SILENT_CALLS, Account, Counter
-from lapisgrade.interface import Add, Clock, Plan, Tally, Total
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.configuration import Tenant
-from lapisgrade.gateway.quota.count import LEASE, room
+from lapisgrade.gateway.quota.count import LEASE_US, capacity
+from lapisgrade.gateway.settings import Slo
+from lapisgrade.interface import AddToCounter, Clock, CounterOutcome, CounterReply, Plan
 from lapisgrade.sums import Bucket
 
 LATE = 0.25  # s between a unit's grant and its arrival at a server, at most, beside the lease's life
@@ -31,7 +31,7 @@
     and what was leased before, is room + rate x window at most; what is late adds to it. The rest is shared
     out.
     """
-    window, full = slo.quota_win / SECOND, room(burst, rate)
+    window, full = slo.quota_win / SECOND, capacity(burst, rate)
     allowed = (rate * window + burst) * (1 + slo.quota_excess) + slo.quota_extra
     seen = full + rate * window + rate * LATE
     return max(0.0, allowed - seen) / max(1, limiters)
@@ -47,19 +47,19 @@
         # One call a lease, at the most; what is crowded is the owner's machine, not a service of all.
         self.calls = Bucket(0, CALLS, CALLS, CALLS)
 
-    def heard(self, now: int, tally: Tally, sent: int) -> None:
-        self.silent = 0 if tally is Tally.ADDED else self.silent + 1
+    def heard(self, now: int, tally: CounterOutcome, sent: int) -> None:
+        self.silent = 0 if tally is CounterOutcome.ADDED else self.silent + 1
 
 
 class QuotaClient(Account):
     """One tenant here."""
 
-    lease_life = LEASE
+    lease_life = LEASE_US
 
     def __init__(self, clock: Clock, tenant: Tenant, slo: Slo, limiters: int, began_us: int) -> None:
         self.gateways, self.tenant = 1, tenant
         rate, now = float(tenant.rate_s), clock.now_us
-        plan = Plan(tenant.name, rate, room(tenant.burst, rate) if rate else 0.0)
+        plan = Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0)
         self.clock, self.counter, self.plan, self.customer = clock, Breaker(), plan, tenant.name
         self.life = SECOND
         self._begin(now, plan)
@@ -88,7 +88,10 @@
         """A newer configuration's limit for it."""
         rate, now = float(tenant.rate_s), self.clock.now_us
         level = self.store.read(now)
-        self.tenant, self.plan = tenant, Plan(tenant.name, rate, room(tenant.burst, rate) if rate else 0.0)
+        self.tenant, self.plan = (
+            tenant,
+            Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0),
+        )
         self.store = Bucket(now, rate, self.plan.burst, min(level, self.plan.burst))
 
     def waits(self, now: int) -> bool:
@@ -106,14 +109,14 @@
         # What is taken and what comes back are told apart: who holds the count now may know of one only.
         some = units > 0
         self.parts = max(0.0, units + max(0.0, owed) if some else new), max(0.0, -owed if some else -new)
-        got: Total = yield Add(self.customer, new, COUNT_LIFE)
+        got: CounterReply = yield AddToCounter(self.customer, new, COUNT_LIFE)
         sent, now = now, self.clock.now_us
-        self.counter.heard(now, got.tally, sent)
-        if got.tally is not Tally.TURNED_AWAY:
+        self.counter.heard(now, got.outcome, sent)
+        if got.outcome is not CounterOutcome.REJECTED:
             self.of = self.turn
-        if got.tally is Tally.TURNED_AWAY:
+        if got.outcome is CounterOutcome.REJECTED:
             self.owed.value += new - units
-        elif got.tally is Tally.ADDED:
+        elif got.outcome is CounterOutcome.ADDED:
             if not self.looked:
                 self.slice.put(now, self.slice.burst)  # nothing before the count was ever seen
                 self.epoch = 0  # the room is known from here on
@@ -121,7 +124,7 @@
             self.store.put(now, self.plan.burst - got.total)
         else:
             self.store.put(now, self.store.read(now) - new)
-        return got.tally
+        return got.outcome
 
     def ask(self, by: str, fence: int) -> rpc_messages.QuotaRequest:
         """The call that is out, as the owner is told it."""
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -33,12 +33,21 @@
 from enum import Enum, auto
 from random import Random
 
-from lapisgrade.decide.fleet import Attempt, LatencyEstimate
+from lapisgrade.decide.fleet import LatencyEstimate
 from lapisgrade.gateway.configuration import Rule
-from lapisgrade.gateway.routing.balancer import UpstreamCluster, UpstreamServer
+from lapisgrade.gateway.routing.balancer import UpstreamAttempt, UpstreamCluster, UpstreamServer
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
-from lapisgrade.interface import Clock, Outcome, Pause, Report, Send, Verdict, Word
+from lapisgrade.interface import (
+    AttemptFinished,
+    AttemptOutcome,
+    AttemptResult,
+    Clock,
+    RejectReason,
+    Send,
+    Sleep,
+    WakeReason,
+)
 
 RESPONSE_MARGIN_US = 12_000  # before the client's deadline that we end a request; the way back to the client
 MAX_QUEUE_RATIO = 0.2  # of the target time that a request may be queued for a server; a quarter is priced
@@ -50,6 +59,7 @@
 CLIENT_ROUND_TRIP_US = 20_000  # of the target time that the ways to the client and back take
 MAX_UNREACHED_ATTEMPTS = 2  # that may fail before they reach a server, beyond the route's attempts
 TIMER_SLACK_US = 1  # that the deadline's timer may come early, by rounding
+BAD_GATEWAY, SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 
 
 class State(Enum):
@@ -95,14 +105,14 @@
         self._retry_budget = retry_budget
         self._latency: LatencyEstimate = cluster.latency(rule.name, rule.target_time)
         self._state = State.SELECTING
-        self._attempts: list[Attempt] = []
+        self._attempts: list[UpstreamAttempt] = []
         self._reached_servers = 0  # attempts that have ended and had reached a server
         self._may_have_run = False  # whether any attempt that has ended may have run
-        self._hedge_us = request.ends_us  # when the next attempt may start beside those in flight
-        self._overdue_us = request.ends_us  # when the last attempt takes longer than nearly all others
+        self._hedge_us = request.deadline_us  # when the next attempt may start beside those in flight
+        self._overdue_us = request.deadline_us  # when the last attempt takes longer than nearly all others
         self._queue_until_us = self._end_of_queueing(clock.now_us)
 
-    def run(self) -> Generator:
+    def run(self) -> Generator[Send | Sleep | Respond, WakeReason | AttemptFinished | None, None]:
         """Yield what to do until one attempt ends the request or none may follow."""
         while True:
             now_us = self._clock.now_us
@@ -114,29 +124,24 @@
             elif self._state is State.SELECTING:
                 if not self._may_queue(now_us):
                     break
-                event = yield Pause(min(now_us + QUEUE_POLL_US, self._queue_until_us))
-                if event is Word.GONE:
+                event = yield Sleep(min(now_us + QUEUE_POLL_US, self._queue_until_us))
+                if event is WakeReason.CLIENT_GONE:
                     return
                 continue
 
-            event = yield Pause(self._next_timer_us())
-            if event is Word.GONE:
+            event = yield Sleep(self._next_timer_us())
+            if event is WakeReason.CLIENT_GONE:
                 return
-            if event is Word.TIME or event is Word.WOKEN:
-                if self._is_timed_out():
-                    yield Respond(Verdict.GIVE_UP, 0, 504)
+            if isinstance(event, AttemptFinished):
+                if event.result.is_final:
                     return
-                self._on_timer()
-                continue
-            _, report = event
-            if report.closed:
+                if not self._on_attempt_failed(event.result):
+                    break
+            elif self._is_timed_out():
+                yield Respond(RejectReason.FAILED, 0, GATEWAY_TIMEOUT)
                 return
-            self._record(report)
-            if self._in_flight():
-                continue
-            if not self._may_retry():
-                break
-            self._state = State.SELECTING
+            else:
+                self._on_timer()
         yield self._failure_response()
 
     # ---- deadlines
@@ -148,16 +153,16 @@
 
     def _last_attempt_us(self) -> int:
         """When an attempt is too late, as its answer would no longer reach the client in time."""
-        return self._request.ends_us - RESPONSE_MARGIN_US
+        return self._request.deadline_us - RESPONSE_MARGIN_US
 
     def _next_timer_us(self) -> int:
         """Until when to sleep while attempts are in flight: the next hedge or the request's deadline."""
         if self._request.is_idempotent:
-            return min(self._hedge_us, self._request.ends_us)
-        return self._request.ends_us
+            return min(self._hedge_us, self._request.deadline_us)
+        return self._request.deadline_us
 
     def _is_timed_out(self) -> bool:
-        return self._clock.now_us >= self._request.ends_us - TIMER_SLACK_US
+        return self._clock.now_us >= self._request.deadline_us - TIMER_SLACK_US
 
     # ---- the first attempt, and what limits all of them
 
@@ -194,13 +199,13 @@
         """Whether an attempt is charged to the retry budget: all but the first that reaches a server."""
         return bool(self._reached_servers or in_flight)
 
-    def _start_attempt(self, server: UpstreamServer, now_us: int) -> Attempt:
-        attempt = Attempt(self._request, server, len(self._attempts), now_us)
+    def _start_attempt(self, server: UpstreamServer, now_us: int) -> UpstreamAttempt:
+        attempt = UpstreamAttempt(self._request, server, len(self._attempts), now_us)
         self._attempts.append(attempt)
         self._cluster.on_attempt_started(now_us, attempt)
         return attempt
 
-    def _in_flight(self) -> list[Attempt]:
+    def _in_flight(self) -> list[UpstreamAttempt]:
         return [attempt for attempt in self._attempts if attempt.out]
 
     # ---- hedging
@@ -234,16 +239,22 @@
             self._state = State.WAITING
             return
         self._state = State.HEDGING
-        self._hedge_us = self._overdue_us if now_us < self._overdue_us else self._request.ends_us
+        self._hedge_us = self._overdue_us if now_us < self._overdue_us else self._request.deadline_us
 
     # ---- the end of an attempt
 
-    def _record(self, report: Report) -> None:
-        """Take in how an attempt ended that was not the request's end."""
-        if report.outcome not in (Outcome.NO_CONNECTION, Outcome.NEVER_SENT):
+    def _on_attempt_failed(self, result: AttemptResult) -> bool:
+        """Take in the end of an attempt that was not the request's end; whether the request goes on."""
+        if result.outcome not in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT):
             self._reached_servers += 1
-        if not report.outcome.never_ran:
+        if not result.outcome.never_ran:
             self._may_have_run = True
+        if self._in_flight():
+            return True
+        if not self._may_retry():
+            return False
+        self._state = State.SELECTING
+        return True
 
     def _may_retry(self) -> bool:
         """Whether a further attempt may follow, now that none is in flight."""
@@ -254,8 +265,9 @@
     def _failure_response(self) -> Respond:
         """The final answer without a server's: what surely has not run may come back (503)."""
         if self._may_have_run:
-            return Respond(Verdict.GIVE_UP, 0, 502)
-        return Respond(Verdict.TURN_BACK, retry_after_us(self._random, self._request.rule), 503)
+            return Respond(RejectReason.FAILED, 0, BAD_GATEWAY)
+        return_after_us = retry_after_us(self._random, self._request.rule)
+        return Respond(RejectReason.RETRY_LATER, return_after_us, SERVICE_UNAVAILABLE)
 
 
 def retry_after_us(random: Random, rule: Rule) -> int:
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -97,7 +97,7 @@
         super().__init__(settings, plane.clock.now_us)
         self.context.random.seed(plane.loop.random.getrandbits(64))
         self.context.incarnation = f"{self.context.random.getrandbits(64):016x}"
-        self.quota_owner.own = self.context.incarnation
+        self.quota_owner.ownership.incarnation = self.context.incarnation
         self.asked_us = 0  # when the last ask was sent that was answered by who leads
         self._numbers = 0
         plane.watch_owner(self)
@@ -145,12 +145,8 @@
         handle = ForwardedRequest(client, b"GET", path.encode(), HOST.encode(), name, None, [])
         operation = RoutedRequest(
             customer=tenant.name if tenant else "",
-            plan=None,
-            category=None,
-            units=1.0,
             arrived_us=now,
-            ends_us=now + PATIENCE,
-            gateways=1,
+            deadline_us=now + PATIENCE,
             rule=rule,
             tenant=tenant,
             service=self.router.split.choose(rule),
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -13,6 +13,7 @@
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
 from lapisgrade.gateway.proxy.quota_transport import ADD_TIMEOUT_S, QuotaTransport
+from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.verdict import Verdict
@@ -38,7 +39,7 @@
         settings = SimpleNamespace(hostname=ME, ip="10.0.0.1")
         self.context = ProxyContext(settings, Random(1), now_us)
         self.quota_owner = QuotaOwner(ME, "1", 0)
-        self.quota_owner.told(0, 5, listed(ME, OLD), prior=0)
+        self.quota_owner.update_members(0, MembershipUpdate(5, listed(ME, OLD), previous_token=0))
         self.updates = SimpleNamespace(ownership_ends_us=1 << 60)
         self.asked, self.ended = [], []
         client = SimpleNamespace(ask=self._ask, gateways=1)
@@ -79,7 +80,7 @@
 
     async def add(self) -> CloseReason:
         began = time.monotonic()
-        self.transport.add(None, SimpleNamespace(name=self.peers.tenant))
+        self.transport.add(None, SimpleNamespace(counter_id=self.peers.tenant))
         while not self.peers.ended:
             await asyncio.sleep(0.005)
         self.assertLess(time.monotonic() - began, 3 * ADD_TIMEOUT_S)
@@ -91,13 +92,14 @@
             OLD: rpc_messages.QuotaReply(False, fence=9),
             NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9),
         }
-        asyncio.get_running_loop().call_later(0.03, peers.quota_owner.told, 1, 9, listed(ME, OLD, NEW), (), 5)
+        update = MembershipUpdate(9, listed(ME, OLD, NEW), (), 5)
+        asyncio.get_running_loop().call_later(0.03, peers.quota_owner.update_members, 1, update)
         self.assertIs(await self.add(), CloseReason.ANSWERED)
         self.assertEqual((peers.asked[0], peers.asked[-1]), ((OLD, 5), (NEW, 9)))
 
     async def test_an_owner_without_this_list_yet_is_asked_until_it_has_it(self) -> None:
         peers = self.peers
-        peers.quota_owner.told(1, 9, listed(ME, OLD, NEW), prior=5)
+        peers.quota_owner.update_members(1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_token=5))
         peers.answers = {NEW: rpc_messages.QuotaReply(False, fence=5)}
         asyncio.get_running_loop().call_later(
             0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
