--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -26,8 +26,6 @@
 from lapisgrade.gateway.registry import Registry, Server
 
 PROXY_TIMEOUT_US = 2_000_000  # without a request, until its counts go to others; above OWNERSHIP_LEASE_US
-    2_000_000  # without a request, until a proxy's counts go to others; above OWNERSHIP_LEASE_US
-)
 PROXY_LIST_INTERVAL_US = 150_000  # between two lists, at least: proxies that start together share a list
 SERVER_SNAPSHOT_INTERVAL_US = 1_000_000  # between two server snapshots, at least
 MAX_PROXIES = 4096  # guards memory against a flood of names
