--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -42,7 +42,7 @@
     def earlier_owners(self, now_us: int, fence: int) -> list[tuple[str, ...]]:
         """Return who owned counts under the lists before `fence`, the latest first.
 
-        It goes back as far as an owner may still act by a list: until `OWNERSHIP_LEASE_US` after the next one came.
+        Goes back as far as an owner may still act by a list: `OWNERSHIP_LEASE_US` after the next one came.
         """
         owners: list[tuple[str, ...]] = []
         later = [each.since_us for each_fence, each in self._lists.items() if each_fence >= fence]
