--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
-from lapisgrade.gateway.rpc_messages import Members, ProxyListDelta
+from lapisgrade.gateway.rpc_messages import ProxiesByName, ProxyListDelta
 
 MAX_LISTS = 12  # lists that are remembered: about two seconds' worth, at the leader's highest rate
 
 
 @dataclass(frozen=True, slots=True)
 class _ProxyList:
-    members: Members
+    members: ProxiesByName
     owners: tuple[str, ...]  # the members that own counts
     since_us: int
 
@@ -30,7 +30,7 @@
         """Return whether that list is remembered."""
         return fence in self._lists
 
-    def remember(self, now_us: int, fence: int, members: Members, owners: Iterable[str] = ()) -> None:
+    def remember(self, now_us: int, fence: int, members: ProxiesByName, owners: Iterable[str] = ()) -> None:
         """Take in the list that is in force now, and which of its members own counts."""
         if fence in self._lists:
             return
@@ -67,4 +67,4 @@
             changed = {name: each for name, each in new.items() if old.get(name) != each}
             delta = ProxyListDelta(base, changed, sorted(old.keys() - new.keys()))
             self._deltas[base, fence] = delta
-        return delta if len(delta.changed) + len(delta.left) < len(new) else None
+        return delta if len(delta.changed) + len(delta.removed) < len(new) else None
--- a/lapisgrade/gateway/controller/version_activation.py
+++ b/lapisgrade/gateway/controller/version_activation.py
@@ -1,8 +1,8 @@
 """Decides when a version of the configuration comes into force (becomes active). Pure; used by the leader.
 
-A version passes through these states, at each proxy and for the cluster as a whole:
+A version passes through these states, at each proxy and for the cluster (fields: those of `WatchReply`):
 
-            accepted, `WatchReply.staged`         `Activate` committed, `WatchReply.ver`
+          accepted, in `staged_versions`        `Activate` committed, `active_version`
     unknown ------------------------------> staged ------------------------------------> active
        |                                    |    |
        | no reply of the leader for         |    | made by merging drafts (`State.merged`)
@@ -46,8 +46,8 @@
         last_seen_us: When its last watch request came.
         staged_version: The newest version that it has, active or not.
         active_version: The version that it acts by.
-        is_beside_controller: Whether a controller runs on its machine.
-        is_leaving: Whether it is draining.
+        has_local_controller: Whether a controller runs on its machine.
+        is_terminating: Whether its process was told to shut down.
     """
 
     address: str
@@ -56,8 +56,8 @@
     last_seen_us: int
     staged_version: int = 0
     active_version: int = 0
-    is_beside_controller: bool = False
-    is_leaving: bool = False
+    has_local_controller: bool = False
+    is_terminating: bool = False
 
 
 class VersionActivation:
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -64,7 +64,7 @@
         self._snapshot_addresses: dict[str, str] = {}  # of the servers in the last snapshot
 
     @property
-    def registry_id(self) -> str:
+    def registry_incarnation(self) -> str:
         """Identifies the registry at the proxies."""
         return f"{self.term}+" if self.is_registry_complete else str(self.term)
 
@@ -79,8 +79,8 @@
             name: ProxyStatus(
                 *each,
                 last_seen_us=now_us,
-                is_beside_controller=name in state.core,
-                is_leaving=name in state.leaving,
+                has_local_controller=name in state.core,
+                is_terminating=name in state.leaving,
             )
             for name, each in state.live_proxies.items()
         }
@@ -139,8 +139,8 @@
         members = {
             name: (proxy.address, proxy.incarnation, proxy.zone) for name, proxy in self.proxies.items()
         }
-        core = sorted(name for name, proxy in self.proxies.items() if proxy.is_beside_controller)
-        leaving = sorted(name for name, proxy in self.proxies.items() if proxy.is_leaving)
+        core = sorted(name for name, proxy in self.proxies.items() if proxy.has_local_controller)
+        leaving = sorted(name for name, proxy in self.proxies.items() if proxy.is_terminating)
         if (members, core, leaving) == (state.live_proxies, state.core, state.leaving):
             return None
         if now_us - self._proxy_list_proposed_us < PROXY_LIST_INTERVAL_US:
@@ -185,44 +185,44 @@
     ) -> rpc_messages.WatchReply:
         """Return that what the proxy has is the newest."""
         return rpc_messages.WatchReply(
-            leads=True,
+            is_leader=True,
             controllers=controllers,
-            ver=request.ver,
-            life=request.life,
-            turn=request.turn,
-            settled=self.is_registry_complete,
-            fence=state.fence,
+            active_version=request.active_version,
+            registry_incarnation=request.registry_incarnation,
+            registry_revision=request.registry_revision,
+            is_registry_complete=self.is_registry_complete,
+            fencing_token=state.fence,
         )
 
     def _observe(self, now_us: int, request: rpc_messages.WatchRequest) -> None:
         """Remember the proxy, and the servers that it knew from an earlier leader."""
-        if request.name and len(self.proxies) < MAX_PROXIES:
-            self.proxies[request.name] = ProxyStatus(
+        if request.proxy and len(self.proxies) < MAX_PROXIES:
+            self.proxies[request.proxy] = ProxyStatus(
                 request.address,
-                request.own,
+                request.incarnation,
                 request.zone,
                 last_seen_us=now_us,
                 staged_version=_newest_version(request),
-                active_version=request.ver,
-                is_beside_controller=request.core,
-                is_leaving=request.leaving,
+                active_version=request.active_version,
+                has_local_controller=request.has_local_controller,
+                is_terminating=request.is_terminating,
             )
-        if request.known:
-            self.registry.known(now_us, request.known)
+        if request.known_servers:
+            self.registry.known(now_us, request.known_servers)
 
     def _outdated(self, request: rpc_messages.WatchRequest, state: State) -> _Outdated:
         # A proxy with this term's incomplete registry is sent all of the complete one: it can't know which
         # of its servers were never heard of again. One with the complete registry keeps it.
-        is_other_registry = request.life != self.registry_id and (
-            self.is_registry_complete or request.life != f"{self.term}+"
+        is_other_registry = request.registry_incarnation != self.registry_incarnation and (
+            self.is_registry_complete or request.registry_incarnation != f"{self.term}+"
         )
-        has_newer_version = state.acting_ver > request.ver or state.ver > _newest_version(request)
+        has_newer_version = state.acting_ver > request.active_version or state.ver > _newest_version(request)
         return _Outdated(
             is_other_registry=is_other_registry,
-            has_registry_changes=is_other_registry or self.registry.turn > request.turn,
-            configuration=request.whole or has_newer_version,
-            proxy_list=request.fence != state.fence,
-            is_proxy_list_unknown=request.fence not in (state.fence, state.prior),
+            has_registry_changes=is_other_registry or self.registry.turn > request.registry_revision,
+            configuration=request.needs_full_version or has_newer_version,
+            proxy_list=request.fencing_token != state.fence,
+            is_proxy_list_unknown=request.fencing_token not in (state.fence, state.prior),
         )
 
     def _reply(
@@ -234,32 +234,32 @@
         outdated: _Outdated,
     ) -> rpc_messages.WatchReply:
         is_new_list, is_unknown_list = outdated.proxy_list, outdated.is_proxy_list_unknown
-        list_delta = self.proxy_lists.delta(request.fence, state.fence) if is_new_list else None
-        base = 0 if request.whole else _newest_version(request)
+        list_delta = self.proxy_lists.delta(request.fencing_token, state.fence) if is_new_list else None
+        base = 0 if request.needs_full_version else _newest_version(request)
         active = None
         if state.acting_ver > base:
             active = self.configuration_feed.version(state.acting_ver, state.acting, base)
             base = state.acting_ver
         return rpc_messages.WatchReply(
-            leads=True,
+            is_leader=True,
             controllers=controllers,
-            ver=state.acting_ver,
-            conf=active,
-            staged=self.configuration_feed.chain(state.staged, base),
-            merged=state.merged,
-            life=self.registry_id,
-            turn=self.registry.turn,
-            settled=self.is_registry_complete,
-            whole=outdated.is_other_registry,
+            active_version=state.acting_ver,
+            active_configuration=active,
+            staged_versions=self.configuration_feed.chain(state.staged, base),
+            merged_versions=state.merged,
+            registry_incarnation=self.registry_incarnation,
+            registry_revision=self.registry.turn,
+            is_registry_complete=self.is_registry_complete,
+            is_full_update=outdated.is_other_registry,
             servers=self._servers(now_us, request, outdated),
-            wants_known=request.life not in (str(self.term), f"{self.term}+"),
-            fence=state.fence,
-            prior=state.prior,
+            wants_known_servers=request.registry_incarnation not in (str(self.term), f"{self.term}+"),
+            fencing_token=state.fence,
+            previous_fencing_token=state.prior,
             live_proxies=state.live_proxies if is_new_list and list_delta is None else None,
             live_proxies_delta=list_delta,
-            core=state.core if is_new_list else [],
-            leaving=state.leaving if is_new_list else [],
-            prior_owners=state.prior_owners if is_unknown_list else [],
+            proxies_with_controller=state.core if is_new_list else [],
+            terminating_proxies=state.leaving if is_new_list else [],
+            previous_owners=state.prior_owners if is_unknown_list else [],
             earlier_owners=self.proxy_lists.earlier_owners(now_us, state.prior) if is_unknown_list else [],
         )
 
@@ -267,7 +267,7 @@
         """Return the servers that the proxy lacks, or whose state it lacks."""
         if not outdated.has_registry_changes:
             return []
-        return self.registry.since(now_us, 0 if outdated.is_other_registry else request.turn)
+        return self.registry.since(now_us, 0 if outdated.is_other_registry else request.registry_revision)
 
     def _remember_proxy_list(self, now_us: int, state: State) -> None:
         """Keep the list in force, for deltas and for the owners by it."""
@@ -278,9 +278,9 @@
 
 def without_known_servers(request: rpc_messages.WatchRequest) -> rpc_messages.WatchRequest:
     """Return the request, whose known servers were taken in, for its next look."""
-    return msgspec.structs.replace(request, known=[]) if request.known else request
+    return msgspec.structs.replace(request, known_servers=[]) if request.known_servers else request
 
 
 def _newest_version(request: rpc_messages.WatchRequest) -> int:
     """Return the newest version that the proxy has, active or staged."""
-    return max(request.held, request.ver)
+    return max(request.staged_version, request.active_version)
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -89,18 +89,22 @@
                 reply = await self._call_owner(request, owner_name, (ends_us - self._now_us()) / SECOND)
             if isinstance(reply, CloseReason):
                 return self._finish(task, reply)
-            if reply.held or self._is_current(request, owner_name, reply) or self._is_too_late(ends_us):
+            if (
+                reply.is_accepted
+                or self._is_current(request, owner_name, reply)
+                or self._is_too_late(ends_us)
+            ):
                 return self._finish_with_reply(task, request, reply)
             self._context.metrics.quota_calls_repeated += 1
             await asyncio.sleep(REPEAT_DELAY_S)
-            request = msgspec.structs.replace(request, fence=self._quota_owner.fencing_token)
+            request = msgspec.structs.replace(request, fencing_token=self._quota_owner.fencing_token)
 
     def _is_current(
         self, request: rpc_messages.QuotaRequest, owner_name: str, reply: rpc_messages.QuotaReply
     ) -> bool:
         """Whether a reply was given under this proxy's present membership."""
         is_owner = self._quota_owner.owner(request.tenant) == owner_name
-        return is_owner and reply.fence == self._quota_owner.fencing_token
+        return is_owner and reply.fencing_token == self._quota_owner.fencing_token
 
     def _is_too_late(self, ends_us: int) -> bool:
         """Whether there is no time left to ask again."""
@@ -131,12 +135,12 @@
     def _finish_with_reply(
         self, task: Task, request: rpc_messages.QuotaRequest, reply: rpc_messages.QuotaReply
     ) -> None:
-        if not reply.held:
+        if not reply.is_accepted:
             self._context.metrics.quota_calls_refused += 1
             return self._finish(task, CloseReason.REJECTED)
         quota_client = self._router.quota_clients.get(request.tenant)
         if quota_client is not None:
-            quota_client.gateways = max(1, reply.limiters)
+            quota_client.gateways = max(1, reply.active_limiters)
         self._context.metrics.quota_calls_granted += 1
         self._finish(task, CloseReason.ANSWERED, reply.total)
 
@@ -158,7 +162,7 @@
     def answer_hand_over(self, request: rpc_messages.HandOverRequest) -> rpc_messages.HandOverReply:
         """Leave a count to its new owner."""
         reply = self._quota_owner.hand_over(self._now_us(), request)
-        if reply.wait:
+        if reply.must_wait:
             self._context.metrics.hand_overs_deferred += 1
         else:
             self._context.metrics.hand_overs_sent += 1
@@ -192,7 +196,7 @@
         if owner.fencing_token != fence:
             return  # the membership has changed meanwhile
         if isinstance(reply, rpc_messages.HandOverReply):
-            self._context.metrics.hand_overs_received += not reply.wait
+            self._context.metrics.hand_overs_received += not reply.must_wait
             owner.on_hand_over(self._now_us(), hand_over, reply, predecessor)
         elif self._rpc.peer(to).refused:
             owner.on_owner_terminated(self._now_us(), hand_over, predecessor)
--- a/lapisgrade/gateway/proxy/watch_target.py
+++ b/lapisgrade/gateway/proxy/watch_target.py
@@ -54,9 +54,9 @@
 
     def on_reply(self, now_us: int, reply: rpc_messages.WatchReply | None) -> bool:
         """Take in what came of the last request, None for nothing; whether it is the leader's reply."""
-        if reply is not None and reply.leads and _term(reply) < self.term:
+        if reply is not None and reply.is_leader and _term(reply) < self.term:
             reply = None  # a leader that was cut off, and does not know that it is none any more
-        if reply is not None and reply.leads:
+        if reply is not None and reply.is_leader:
             self._on_leader_reply(now_us, reply)
             return True
         self._on_failure(reply)
@@ -82,7 +82,11 @@
         if self._relayed_since_us is None:
             # A controller that lives and knows no leader: another proxy knows none either.
             self.failures = 0
-            self._address = reply.leader if reply.leader != asked and is_address(reply.leader) else ""
+            self._address = (
+                reply.leader_address
+                if reply.leader_address != asked and is_address(reply.leader_address)
+                else ""
+            )
 
     def _remember_controllers(self, reply: rpc_messages.WatchReply) -> None:
         named = [address for address in reply.controllers[:MAX_CONTROLLERS] if is_address(address)]
@@ -91,5 +95,5 @@
 
 def _term(reply: rpc_messages.WatchReply) -> int:
     """The leader's term, which names its registry's incarnation."""
-    term = reply.life.rstrip("+")
+    term = reply.registry_incarnation.rstrip("+")
     return int(term) if term.isdecimal() else 0
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -56,11 +56,11 @@
             taken = other.quota_owner.add(world.now, ask, world.acts_until.get(name, world.now + SECOND))
             total = (
                 CounterReply(CounterOutcome.ADDED, taken.total)
-                if taken.held
+                if taken.is_accepted
                 else CounterReply(CounterOutcome.REJECTED)
             )
-            if taken.held:
-                self.quota_client.gateways = taken.limiters
+            if taken.is_accepted:
+                self.quota_client.gateways = taken.active_limiters
         world.later(
             2000 if total.outcome is not CounterOutcome.TIMED_OUT else 250_000,
             lambda: self.added(task, total),
