--- a/tests/lab/emulator/test_emulator.py
+++ b/tests/lab/emulator/test_emulator.py
@@ -92,7 +92,7 @@
 class Twice(Plain):
     """A careless policy: sends every operation to two servers at once, and answers the second time too."""
 
-    def operation(self, op):
+    def handle(self, op):
         for name in self.ready[:2]:
             yield Send(Hop(op, Named(name)))
         yield Reject(RejectReason.RETRY_LATER, 0)
@@ -102,7 +102,7 @@
 class Mute(Plain):
     """A careless policy: takes every operation, waits past its hard stop, and never answers."""
 
-    def operation(self, op):
+    def handle(self, op):
         yield Sleep(op.deadline_us + 1_000_000)
 
 
@@ -121,7 +121,7 @@
 class Open(Plain):
     """A policy with no limit at all: it passes every ceiling."""
 
-    def operation(self, op):
+    def handle(self, op):
         yield from self.send(op)
 
 
