--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -27,8 +27,8 @@
 )
 from lapisgrade.gateway.merge.three_way import told
 from lapisgrade.gateway.settings import Bad
-from lapisgrade.gateway.storage.draft_store import read_kept
-from lapisgrade.gateway.storage.log_store import Damaged, LogStore
+from lapisgrade.gateway.storage.draft_store import read_drafts
+from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
 _RECORD_DECODER = msgspec.msgpack.Decoder(Record)
 _ITEM_DECODER = msgspec.msgpack.Decoder(Item)
@@ -65,7 +65,7 @@
         self.history: list[str] = []  # what the log's entries did, in their order
         for entry in replicated.entries:
             self._apply(entry)
-        self.drafts = read_kept(folder)
+        self.drafts = read_drafts(folder)
 
     def summary(self) -> list[str]:
         """Describe the disk: identity, log, voters, versions and drafts."""
@@ -110,7 +110,7 @@
     """Return the first record of the newest generation, and those after it."""
     try:
         records = [_RECORD_DECODER.decode(data) for data in log_store.recover()]
-    except (Damaged, OSError, msgspec.MsgspecError) as error:
+    except (CorruptLogError, OSError, msgspec.MsgspecError) as error:
         raise Bad(f"{folder}: {error}") from None
     if not records or not isinstance(records[0], SnapshotRecord):
         raise Bad(f"{folder}: no whole generation is there")
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -23,7 +23,7 @@
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
 from lapisgrade.gateway.settings import Address, Bad, address
-from lapisgrade.gateway.storage.draft_store import DraftStore, Full
+from lapisgrade.gateway.storage.draft_store import DraftStore, DraftStoreFullError
 
 log = logging.getLogger("controller")
 
@@ -58,7 +58,7 @@
 
     def stored(self) -> list[Draft]:
         """Return the drafts on this disk."""
-        return list(self._store.kept.values()) if self._store is not None else []
+        return list(self._store.drafts.values()) if self._store is not None else []
 
     async def store(self, draft: Draft) -> HTTPStatus:
         """Write a draft to this disk; OK once it is there, else why it is not."""
@@ -67,8 +67,8 @@
         if len(msgspec.msgpack.encode(draft)) > MOST_DRAFT:
             return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
         try:
-            await self._store.keep(draft)
-        except Full:
+            await self._store.add(draft)
+        except DraftStoreFullError:
             return HTTPStatus.TOO_MANY_REQUESTS
         except OSError as error:
             log.warning("a draft was not stored: %s", error)
@@ -79,12 +79,12 @@
 
     def start(self) -> None:
         """Begin to offer what is stored, if anything is and nothing is being offered."""
-        if self._store.kept and (self._task is None or self._task.done()):
+        if self._store.drafts and (self._task is None or self._task.done()):
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
         last_refused_id = ""
-        while self._store.kept:
+        while self._store.drafts:
             await asyncio.sleep(DELIVERY_INTERVAL_S * (0.5 + self._random.random()))
             for draft in self.stored():
                 reply = await self._forward(DELIVER_DRAFT, "", msgspec.msgpack.encode(draft))
@@ -99,7 +99,7 @@
     async def _remove(self, draft: Draft) -> None:
         """Remove a draft that the log has."""
         try:
-            await self._store.drop(draft.id)
+            await self._store.remove(draft.id)
             self._metrics.drafts_delivered += 1
         except OSError as error:
             log.warning("a draft that was delivered is still on this disk: %s", error)
--- a/lapisgrade/gateway/controller/node_recovery.py
+++ b/lapisgrade/gateway/controller/node_recovery.py
@@ -8,7 +8,7 @@
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import Record
 from lapisgrade.gateway.settings import Address, Settings
-from lapisgrade.gateway.storage.log_store import Damaged, LogStore
+from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
 log = logging.getLogger("controller")
 
@@ -19,7 +19,7 @@
     """Return the records on disk; none where they can't be read, as for an empty disk. Blocks."""
     try:
         return [_RECORD_DECODER.decode(data) for data in log_store.recover()]
-    except (Damaged, OSError, msgspec.MsgspecError) as error:
+    except (CorruptLogError, OSError, msgspec.MsgspecError) as error:
         log.warning("the disk can't be read and counts as empty: %s", error)
         return []
 
--- a/lapisgrade/gateway/controller/server.py
+++ b/lapisgrade/gateway/controller/server.py
@@ -184,7 +184,7 @@
             loop.create_task(log_writer.run()),
             loop.create_task(self.membership.run_join_requests()),
         ]
-        await storage.draft_store.recover()
+        await storage.draft_store.load()
         self.draft_delivery.start()
         return tasks
 
--- a/lapisgrade/gateway/storage/draft_store.py
+++ b/lapisgrade/gateway/storage/draft_store.py
@@ -1,8 +1,9 @@
-"""Drafts that one controller keeps on its disk, its own and copies of its neighbours', until the log has
-them.
+"""The drafts on one controller's disk, its own and copies of its peers', until the log has them.
 
-All of them are one record, written anew as a generation of its own at each change (`log store.py`): they are
-few, and the log's own file is never touched for them. Nothing is made on disk before the first one comes."""
+All of them are one record of a `LogStore` in the subfolder `drafts`, which every change writes anew as the
+next generation: they are few, and the log's own files are never touched for them. Nothing is made on disk
+before the first draft comes. When `add` or `remove` has returned, the drafts on disk are those of `drafts`.
+"""
 
 import asyncio
 import logging
@@ -11,83 +12,95 @@
 
 import msgspec
 
-from lapisgrade.gateway.storage.log_store import Damaged, LogStore
+from lapisgrade.errors import LapisgradeError
 from lapisgrade.gateway.merge.three_way import Draft
 from lapisgrade.gateway.settings import Bad
+from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
 log = logging.getLogger("controller")
 
-FOLDER = "drafts"  # beside the log's own files
-MOST = 64  # drafts kept here; with their most bytes each an eighth of a machine's disk
+FOLDER = "drafts"  # in the data folder, beside the log's own files
+MAX_DRAFTS = 64  # at their largest an eighth of a machine's disk
 
-_KEPT = msgspec.msgpack.Decoder(list[Draft])
+_DRAFTS_DECODER = msgspec.msgpack.Decoder(list[Draft])
 
 
-class Full(Exception):
-    """No more are kept here until some could be merged."""
+class DraftStoreFullError(LapisgradeError):
+    """No draft can be added until some were merged."""
 
 
 class DraftStore:
-    """`kept` is what is on disk, by id."""
-
-    def __init__(self, folder: str, disk: Executor) -> None:
-        self._folder, self._disk = os.path.join(folder, FOLDER), disk
-        self._depot = LogStore(self._folder)
-        self._turn = asyncio.Lock()
-        self.kept: dict[str, Draft] = {}
-
-    async def recover(self) -> None:
-        """What an earlier life kept."""
+    """Drafts by id in `drafts`; await `load` before anything else."""
+
+    def __init__(self, data_folder: str, executor: Executor) -> None:
+        """`executor` makes the blocking calls, one at a time."""
+        self.drafts: dict[str, Draft] = {}
+        self._folder = os.path.join(data_folder, FOLDER)
+        self._executor = executor
+        self._log_store = LogStore(self._folder)
+        self._lock = asyncio.Lock()
+
+    async def load(self) -> None:
+        """Read what is on disk; what can't be read counts as nothing."""
         loop = asyncio.get_running_loop()
-        self.kept = await loop.run_in_executor(self._disk, self._read)
-        if self.kept:
-            log.info("%d drafts are kept here", len(self.kept))
-
-    async def keep(self, draft: Draft) -> None:
-        """On disk when this returns; OSError where it may not be, Full where there are too many."""
-        async with self._turn:
-            if draft.id in self.kept:
+        self.drafts = await loop.run_in_executor(self._executor, self._read)
+        if self.drafts:
+            log.info("%d drafts are on this disk", len(self.drafts))
+
+    async def add(self, draft: Draft) -> None:
+        """Write a draft, unless it is there.
+
+        Raises:
+            DraftStoreFullError: There are `MAX_DRAFTS` already.
+            OSError: It may not be on disk.
+        """
+        async with self._lock:
+            if draft.id in self.drafts:
                 return
-            if len(self.kept) >= MOST:
-                raise Full(f"{MOST} drafts are kept here already")
-            await self._write({**self.kept, draft.id: draft})
+            if len(self.drafts) >= MAX_DRAFTS:
+                raise DraftStoreFullError(f"{MAX_DRAFTS} drafts are on this disk already")
+            await self._write({**self.drafts, draft.id: draft})
 
-    async def drop(self, name: str) -> None:
-        """The log has it, or refused it; OSError where the disk does."""
-        async with self._turn:
-            if name in self.kept:
-                await self._write({each: draft for each, draft in self.kept.items() if each != name})
+    async def remove(self, draft_id: str) -> None:
+        """Remove a draft, if it is there; OSError where it may still be on disk."""
+        async with self._lock:
+            if draft_id in self.drafts:
+                remaining = {each: draft for each, draft in self.drafts.items() if each != draft_id}
+                await self._write(remaining)
 
     def close(self) -> None:
-        self._depot.close()
+        """Close the file."""
+        self._log_store.close()
 
-    async def _write(self, kept: dict[str, Draft]) -> None:
-        data = msgspec.msgpack.encode(list(kept.values()))
-        await asyncio.get_running_loop().run_in_executor(self._disk, self._renew, data)
-        self.kept = kept
+    async def _write(self, drafts: dict[str, Draft]) -> None:
+        data = msgspec.msgpack.encode(list(drafts.values()))
+        await asyncio.get_running_loop().run_in_executor(self._executor, self._renew, data)
+        self.drafts = drafts
 
     def _renew(self, data: bytes) -> None:
         os.makedirs(self._folder, exist_ok=True)
-        self._depot.renew(data)
+        self._log_store.renew(data)
 
     def _read(self) -> dict[str, Draft]:
         try:
-            return recovered(self._folder, self._depot)
-        except (Damaged, OSError, msgspec.MsgspecError) as wrong:
-            log.warning("drafts on the disk can't be read: %s", wrong)
+            return _read_drafts(self._folder, self._log_store)
+        except (CorruptLogError, OSError, msgspec.MsgspecError) as error:
+            log.warning("drafts on the disk can't be read: %s", error)
             return {}
 
 
-def recovered(folder: str, log_store: LogStore) -> dict[str, Draft]:
-    """What is kept in that folder, by id; Damaged, OSError, MsgspecError."""
-    records = log_store.recover() if os.path.isdir(folder) else []
-    return {draft.id: draft for draft in _KEPT.decode(records[0])} if records else {}
+def read_drafts(data_folder: str) -> dict[str, Draft]:
+    """Return the drafts on a controller's disk by id, while it is down; raises Bad for unreadable ones."""
+    folder = os.path.join(data_folder, FOLDER)
+    try:
+        return _read_drafts(folder, LogStore(folder))
+    except (CorruptLogError, OSError, msgspec.MsgspecError) as error:
+        raise Bad(f"{folder}: {error}") from None
 
 
-def read_kept(datadir: str) -> dict[str, Draft]:
-    """The drafts on a controller's disk, while it is down; Bad where they can't be read."""
-    folder = os.path.join(datadir, FOLDER)
-    try:
-        return recovered(folder, LogStore(folder))
-    except (Damaged, OSError, msgspec.MsgspecError) as wrong:
-        raise Bad(f"{folder}: {wrong}") from None
+def _read_drafts(folder: str, log_store: LogStore) -> dict[str, Draft]:
+    """Return the drafts in that folder; raises CorruptLogError, OSError or MsgspecError."""
+    records = log_store.recover() if os.path.isdir(folder) else []
+    if not records:
+        return {}
+    return {draft.id: draft for draft in _DRAFTS_DECODER.decode(records[0])}
--- a/lapisgrade/gateway/storage/log_store.py
+++ b/lapisgrade/gateway/storage/log_store.py
@@ -1,139 +1,140 @@
-"""What one process keeps on its disk: a log of records, in generations, on dbm.dumb.
+"""A log of records on disk, in generations: one data file each, written through dbm.dumb.
 
-dbm.dumb appends each new key's value at the next block of its data file, and never syncs. So a key is
-never written twice, a value carries its own order, length and check sum, the data file alone is synced, and
-recovery reads that file from its start; the index that dbm.dumb keeps beside it may be torn or lost.
+dbm.dumb appends the value of a new key at the next block of its data file, and never syncs. So no key is
+written twice, a value carries its own sequence, length and checksum (`log_format`), the data file alone is
+synced, and recovery reads that file alone; the index that dbm.dumb keeps beside it may be torn or lost.
 
-A record also tells which record was surely on disk when it was written. The first record that can't be read
-ends the log; where a later one says that it was surely on disk, the disk is damaged, not torn, and is no
-longer what it says it is (`Damaged`). Sources: Pillai et al., "All File Systems Are Not Created Equal", 2014;
-Rebello et al., "Can Applications Recover from fsync Failures?", 2020: after a failed sync a file is not
-written on, but made anew as the next generation.
+What is on disk after each call has returned:
+
+    call                 log-N.dat                       log-(N+1).dat
+    renew(first)         removed, or left without use    first, synced; the folder synced too
+    append(records)                                      first ... records, synced in this order
+    (append fails)                                       first ... and any part of the records
+
+After a failed sync a file is not written on: its last records may be on disk or not. Everything is written
+anew as the next generation, which counts once its first record is readable. Until then the one before counts.
+A generation whose synced records are unreadable is reported as corrupt, and never passed over.
+
+Sources: Pillai et al., "All File Systems Are Not Created Equal", 2014; Rebello et al., "Can Applications
+Recover from fsync Failures?", 2020.
 """
 
 import contextlib
 import dbm.dumb
 import os
-import struct
-import zlib
-
-_HEAD = struct.Struct(">4sIQQI")  # mark, length, order, surely on disk up to, check sum
-_MARK = b"LGD1"
-_BLOCK = 512  # bytes; dbm.dumb's own
-
-
-class Damaged(Exception):
-    """What was surely on disk can't be read any more."""
-
-
-def packed(order: int, sure: int, data: bytes) -> bytes:
-    check = zlib.crc32(struct.pack(">QQ", order, sure) + data)
-    return _HEAD.pack(_MARK, len(data), order, sure, check) + data
-
-
-def unpacked(blob: bytes) -> tuple[list[bytes], int]:
-    """The records at the start of a data file, in order, and up to which one it says it surely had."""
-    out, at, sure, broken = [], 0, 0, False
-    while at + _HEAD.size <= len(blob):
-        mark, size, order, known, check = _HEAD.unpack_from(blob, at)
-        data = blob[at + _HEAD.size : at + _HEAD.size + size]
-        sound = (
-            mark == _MARK
-            and len(data) == size
-            and (zlib.crc32(struct.pack(">QQ", order, known) + data) == check)
-        )
-        if sound:
-            sure = max(sure, known)
-            if not broken and order == len(out) + 1:
-                out.append(data)
-            else:
-                broken = True
-            at += _HEAD.size + size
-            at += -at % _BLOCK
-        else:
-            broken = True
-            at += _BLOCK
-    return out, sure
+from typing import Any
+
+from lapisgrade.errors import LapisgradeError
+from lapisgrade.gateway.storage.log_format import decode_records, encode_record
+
+_PREFIX = "log-"
+_DATA_SUFFIX = ".dat"
+
+
+class CorruptLogError(LapisgradeError):
+    """Records that were surely on disk can't be read any more."""
 
 
 class LogStore:
-    """One folder. Its calls block; a thread of the process makes them."""
+    """The log in one folder. Calls block; one thread of the process makes them."""
 
     def __init__(self, folder: str) -> None:
-        self._folder, self._db = folder, None
-        self.generation, self._order, self._sure = 0, 0, 0
+        """Nothing is read or made yet."""
+        self.generation = 0
+        self._folder = folder
+        self._database: Any = None
+        self._sequence = 0  # of the last record written to this generation
+        self._durable = 0  # of the last record synced
 
     def recover(self) -> list[bytes]:
-        """The records of the newest generation that is whole; none on an empty disk. Damaged, OSError."""
+        """Return the records of the newest generation with a readable first record; none on an empty disk.
+
+        Raises:
+            CorruptLogError: A record that was synced can't be read.
+            OSError: The folder or a file can't be read.
+        """
         os.makedirs(self._folder, exist_ok=True)
-        found = sorted(
-            (
-                int(name[4:-4])
-                for name in os.listdir(self._folder)
-                if name.startswith("log-") and name.endswith(".dat") and name[4:-4].isdigit()
-            ),
-            reverse=True,
-        )
-        for number in found:
-            with open(self._path(number), "rb") as file:
-                records, sure = unpacked(file.read())
-            if sure > len(records):
-                raise Damaged(f"generation {number}: {len(records)} records of {sure} can be read")
-            if records:  # the first one is whole before a generation counts
-                self.generation = number
-                return records
+        for generation in self._data_files():
+            with open(self._data_path(generation), "rb") as file:
+                contents = decode_records(file.read())
+            if contents.is_corrupt():
+                raise CorruptLogError(
+                    f"generation {generation}: {len(contents.records)} records of "
+                    f"{contents.durable_count} can be read"
+                )
+            if contents.records:
+                self.generation = generation
+                return contents.records
         return []
 
-    def renew(self, beginning: bytes) -> None:
-        """Begin the next generation with one record that says all; the last ones go once it is on disk.
+    def renew(self, first_record: bytes) -> None:
+        """Begin the next generation with a record that says everything, and remove the older ones.
 
         After an OSError here or in `append` nothing may be appended until this has succeeded: what failed
-        may come up whole after a loss of power, and must then hold no less than the generation before.
+        may be complete on disk after a loss of power, and must then say no less than the generation before.
         """
-        number = self.generation + 1
-        while os.path.exists(self._path(number)):
-            number += 1
+        generation = self.generation + 1
+        while os.path.exists(self._data_path(generation)):
+            generation += 1
         self.close()
-        self._db, self._order, self._sure = dbm.dumb.open(self._path(number)[:-4], "c"), 0, 0  # noqa: SIM115
-        self._put([beginning])
-        self._sync(self._path(number))
-        folder = os.open(self._folder, os.O_RDONLY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
-        self.generation, self._sure = number, self._order
-        for name in os.listdir(self._folder):
-            turn = name[4:].partition(".")[0]
-            if name.startswith("log-") and turn.isdigit() and int(turn) < number:
-                with contextlib.suppress(OSError):
-                    os.remove(os.path.join(self._folder, name))
+        self._database = dbm.dumb.open(self._data_path(generation).removesuffix(_DATA_SUFFIX), "c")  # noqa: SIM115
+        self._sequence = 0
+        self._durable = 0
+        self._put([first_record])
+        self._sync_data(generation)
+        self._sync_folder()
+        self.generation = generation
+        self._durable = self._sequence
+        self._remove_before(generation)
 
     def append(self, records: list[bytes]) -> None:
-        """Records on disk, in order, when this returns; OSError where they may not be."""
+        """Write records, which are on disk in order when this returns; OSError where they may not be."""
         self._put(records)
-        self._sync(self._path(self.generation))
-        self._sure = self._order
+        self._sync_data(self.generation)
+        self._durable = self._sequence
 
     def close(self) -> None:
-        """Nothing more is written; dbm.dumb's own index, which nothing reads, may be left as it is."""
+        """Close the file; what dbm.dumb writes of its index then is never read, and may fail."""
         with contextlib.suppress(OSError):
-            if self._db is not None:
-                self._db.close()
-        self._db = None
+            if self._database is not None:
+                self._database.close()
+        self._database = None
 
     def _put(self, records: list[bytes]) -> None:
         for data in records:
-            self._order += 1
-            self._db[str(self._order)] = packed(self._order, self._sure, data)
-
-    @staticmethod
-    def _sync(path: str) -> None:
-        file = os.open(path, os.O_RDWR)
-        try:
-            os.fsync(file)
-        finally:
-            os.close(file)
-
-    def _path(self, number: int) -> str:
-        return os.path.join(self._folder, f"log-{number}.dat")
+            self._sequence += 1
+            self._database[str(self._sequence)] = encode_record(self._sequence, self._durable, data)
+
+    def _sync_data(self, generation: int) -> None:
+        _sync(self._data_path(generation), os.O_RDWR)
+
+    def _sync_folder(self) -> None:
+        _sync(self._folder, os.O_RDONLY)
+
+    def _data_files(self) -> list[int]:
+        """Return the generations that have a data file, the newest first."""
+        numbers = [
+            name.removeprefix(_PREFIX).removesuffix(_DATA_SUFFIX)
+            for name in os.listdir(self._folder)
+            if name.startswith(_PREFIX) and name.endswith(_DATA_SUFFIX)
+        ]
+        return sorted((int(number) for number in numbers if number.isdigit()), reverse=True)
+
+    def _data_path(self, generation: int) -> str:
+        return os.path.join(self._folder, f"{_PREFIX}{generation}{_DATA_SUFFIX}")
+
+    def _remove_before(self, generation: int) -> None:
+        """Remove all files of older generations, as far as that can be done."""
+        for name in os.listdir(self._folder):
+            number = name.removeprefix(_PREFIX).partition(".")[0]
+            if name.startswith(_PREFIX) and number.isdigit() and int(number) < generation:
+                with contextlib.suppress(OSError):
+                    os.remove(os.path.join(self._folder, name))
+
+
+def _sync(path: str, flags: int) -> None:
+    descriptor = os.open(path, flags)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
--- a/lapisgrade/lab/simulation/cluster.py
+++ b/lapisgrade/lab/simulation/cluster.py
@@ -44,9 +44,9 @@
     """In place of the drafts' own store: none are kept."""
 
     def __init__(self) -> None:
-        self.kept: dict = {}
+        self.drafts: dict = {}
 
-    async def recover(self) -> None:
+    async def load(self) -> None:
         pass
 
     def close(self) -> None:
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -16,7 +16,7 @@
 from lapisgrade.gateway.membership import gossip, partial_view
 from lapisgrade.gateway.merge import fields as merge_fields
 from lapisgrade.gateway.merge import three_way
-from lapisgrade.gateway.storage import log_store
+from lapisgrade.gateway.storage import log_format
 from lapisgrade.members import core, host
 
 
@@ -968,12 +968,13 @@
 
 def stored_record(order: int, synced_up_to: int, data: bytes) -> bytes:
     """A record as it stands in a log's data file."""
-    return log_store.packed(order, synced_up_to, data)
+    return log_format.encode_record(order, synced_up_to, data)
 
 
 def read_stored_records(data: bytes) -> tuple[list[bytes], int]:
     """The records at the start of a data file, and up to which one it says that it was synced."""
-    return log_store.unpacked(data)
+    contents = log_format.decode_records(data)
+    return contents.records, contents.durable_count
 
 
 # A settings file with each field, none at its default, and what is read of it.
--- a/tests/gateway/storage/test_log_store.py
+++ b/tests/gateway/storage/test_log_store.py
@@ -5,7 +5,8 @@
 import unittest
 from unittest import mock
 
-from lapisgrade.gateway.storage.log_store import Damaged, LogStore, packed, unpacked
+from lapisgrade.gateway.storage.log_format import LogFileContents, decode_records, encode_record
+from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
 
 class Disk(unittest.TestCase):
@@ -35,7 +36,7 @@
         with open(self.path(1), "rb") as file:
             whole = file.read()
         for size in range(0, len(whole), 37):
-            records, _ = unpacked(whole[:size])
+            records = decode_records(whole[:size]).records
             self.assertEqual(records, [b"begin", b"a" * 700, b"b"][: len(records)])
 
     def test_a_gap_below_what_was_surely_there_is_damage_and_above_it_a_torn_end(self):
@@ -44,13 +45,17 @@
         with open(self.path(1), "r+b") as file:
             file.seek(512 + 40)
             file.write(b"?")
-        with self.assertRaises(Damaged):
+        with self.assertRaises(CorruptLogError):
             LogStore(self.folder.name).recover()
         torn = bytearray().join(
             each.ljust(512, b"\0")
-            for each in (packed(1, 0, b"x"), packed(2, 1, b"y")[:-1] + b"?", packed(3, 1, b"z"))
+            for each in (
+                encode_record(1, 0, b"x"),
+                encode_record(2, 1, b"y")[:-1] + b"?",
+                encode_record(3, 1, b"z"),
+            )
         )
-        self.assertEqual(unpacked(bytes(torn)), ([b"x"], 1))
+        self.assertEqual(decode_records(bytes(torn)), LogFileContents([b"x"], 1))
 
     def test_a_new_generation_counts_only_once_it_is_whole(self):
         log_store = self.filled()
