--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -25,6 +25,7 @@
 from lapisgrade.gateway.controller.watch_service import WatchService
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.three_way import Draft
+from lapisgrade.gateway.registry import ServerState
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
 from lapisgrade.gateway.settings import Address, Bad
 
@@ -92,7 +93,7 @@
 
     async def _heartbeat(self, of: str, body: bytes) -> ForwardCallReply:
         server, state = api.beat(of, body)
-        if state == "drain" and of not in self._state_machine.state.left:
+        if state == ServerState.DRAIN and of not in self._state_machine.state.left:
             # Must outlive this leader: the server ends some time after the reply.
             reply = await self.commit(ServerLeaving(of, False))
             if reply.status != HTTPStatus.OK:
--- a/lapisgrade/gateway/controller/status_report.py
+++ b/lapisgrade/gateway/controller/status_report.py
@@ -4,7 +4,7 @@
 
 from lapisgrade.gateway.controller.state_machine import State
 from lapisgrade.gateway.controller.version_activation import ProxyStatus
-from lapisgrade.gateway.registry import Server
+from lapisgrade.gateway.registry import Server, ServerState
 
 
 def status_report(
@@ -37,8 +37,8 @@
     """Return the number of servers that are up, and of their slots, by service."""
     report: dict[str, dict[str, int]] = {}
     for server in servers:
-        if server.state == "up" and server.svc:
-            totals = report.setdefault(server.svc, {"Up": 0, "Slots": 0})
+        if server.state == ServerState.UP and server.service:
+            totals = report.setdefault(server.service, {"Up": 0, "Slots": 0})
             totals["Up"] += 1
             totals["Slots"] += server.slots
     return report
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -23,13 +23,15 @@
 from lapisgrade.gateway.controller.state_machine import Activate, LiveProxies, ServerSnapshot, State
 from lapisgrade.gateway.controller.version_activation import ProxyStatus, VersionActivation
 from lapisgrade.gateway.quota.ownership import eligible_owners
-from lapisgrade.gateway.registry import Registry, Server
+from lapisgrade.gateway.registry import Registry, Server, ServerState
 
 PROXY_TIMEOUT_US = 2_000_000  # without a request, until its counts go to others; above OWNERSHIP_LEASE_US
 PROXY_LIST_INTERVAL_US = 150_000  # between two lists, at least: proxies that start together share a list
 SERVER_SNAPSHOT_INTERVAL_US = 1_000_000  # between two server snapshots, at least
 MAX_PROXIES = 4096  # guards memory against a flood of names
 
+_LIVE_STATES = (ServerState.UP, ServerState.DRAIN)
+
 
 @dataclass(slots=True, frozen=True)
 class _Outdated:
@@ -85,7 +87,7 @@
             for name, each in state.live_proxies.items()
         }
         for server in state.server_snapshot:
-            self.registry.known(now_us, [msgspec.structs.replace(server, turn=0)])
+            self.registry.restore(now_us, [msgspec.structs.replace(server, revision=0)])
         self._snapshot_proposed_us = now_us
         self._snapshot_addresses = {server.id: server.address for server in state.server_snapshot}
         self._activation.become_leader(now_us, state)
@@ -99,29 +101,30 @@
         """Take in which servers drain (False) or are gone (True), by the log."""
         for server_id, gone in departed.items():
             server = self.registry.servers.get(server_id)
-            if server is not None and server.state not in ("gone", "gone" if gone else "drain"):
-                self.registry.left(now_us, server_id, gone)
+            state = ServerState.GONE if gone else ServerState.DRAIN
+            if server is not None and server.state not in (ServerState.GONE, state):
+                self.registry.mark_left(now_us, server_id, gone)
         self.departed_servers = departed
 
     def on_heartbeat(self, now_us: int, server: Server) -> bool:
         """Take a server's heartbeat in; return whether it changes what proxies know."""
-        revision = self.registry.turn
+        revision = self.registry.revision
         if server.id in self.departed_servers:
-            server.state = "gone" if self.departed_servers[server.id] else "drain"
-        self.registry.beat(now_us, server)
-        return self.registry.turn != revision
+            server.state = ServerState.GONE if self.departed_servers[server.id] else ServerState.DRAIN
+        self.registry.on_heartbeat(now_us, server)
+        return self.registry.revision != revision
 
     def advance(self, now_us: int) -> bool:
         """Expire proxies and servers that fell silent; return whether that changes what proxies know."""
-        revision, was_complete = self.registry.turn, self.is_registry_complete
-        self.registry.due(now_us)
+        revision, was_complete = self.registry.revision, self.is_registry_complete
+        self.registry.expire(now_us)
         self.proxies = {
             name: proxy
             for name, proxy in self.proxies.items()
             if now_us - proxy.last_seen_us < PROXY_TIMEOUT_US
         }
-        self.is_registry_complete = self.registry.settled(now_us)
-        return (revision, was_complete) != (self.registry.turn, self.is_registry_complete)
+        self.is_registry_complete = self.registry.is_complete(now_us)
+        return (revision, was_complete) != (self.registry.revision, self.is_registry_complete)
 
     def on_proxy_unreachable(self, name: str, address: str) -> None:
         """Drop a proxy whose machine refused a connection there: its process is gone, and acts no more."""
@@ -152,13 +155,13 @@
         """Return the live servers, where they differ from the last snapshot and one is due."""
         if now_us - self._snapshot_proposed_us < SERVER_SNAPSHOT_INTERVAL_US:
             return None
-        live = [server for server in self.registry.servers.values() if server.state in ("up", "drain")]
+        live = [server for server in self.registry.servers.values() if server.state in _LIVE_STATES]
         addresses = {server.id: server.address for server in live}
         if addresses == self._snapshot_addresses:
             return None
         self._snapshot_proposed_us = now_us
         self._snapshot_addresses = addresses
-        return ServerSnapshot([msgspec.structs.replace(server, warm_us=0) for server in live])
+        return ServerSnapshot([msgspec.structs.replace(server, warm_up_us=0) for server in live])
 
     # ---- watch requests
 
@@ -208,7 +211,7 @@
                 is_terminating=request.is_terminating,
             )
         if request.known_servers:
-            self.registry.known(now_us, request.known_servers)
+            self.registry.restore(now_us, request.known_servers)
 
     def _outdated(self, request: rpc_messages.WatchRequest, state: State) -> _Outdated:
         # A proxy with this term's incomplete registry is sent all of the complete one: it can't know which
@@ -219,7 +222,7 @@
         has_newer_version = state.acting_ver > request.active_version or state.ver > _newest_version(request)
         return _Outdated(
             is_other_registry=is_other_registry,
-            has_registry_changes=is_other_registry or self.registry.turn > request.registry_revision,
+            has_registry_changes=is_other_registry or self.registry.revision > request.registry_revision,
             configuration=request.needs_full_version or has_newer_version,
             proxy_list=request.fencing_token != state.fence,
             is_proxy_list_unknown=request.fencing_token not in (state.fence, state.prior),
@@ -248,7 +251,7 @@
             staged_versions=self.configuration_feed.chain(state.staged, base),
             merged_versions=state.merged,
             registry_incarnation=self.registry_incarnation,
-            registry_revision=self.registry.turn,
+            registry_revision=self.registry.revision,
             is_registry_complete=self.is_registry_complete,
             is_full_update=outdated.is_other_registry,
             servers=self._servers(now_us, request, outdated),
@@ -267,7 +270,9 @@
         """Return the servers that the proxy lacks, or whose state it lacks."""
         if not outdated.has_registry_changes:
             return []
-        return self.registry.since(now_us, 0 if outdated.is_other_registry else request.registry_revision)
+        return self.registry.changes_since(
+            now_us, 0 if outdated.is_other_registry else request.registry_revision
+        )
 
     def _remember_proxy_list(self, now_us: int, state: State) -> None:
         """Keep the list in force, for deltas and for the owners by it."""
