--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -65,6 +65,7 @@
 # machine). `lapisgrade.cli.gateway` hands these commands' arguments on as they are.
 
 # First, as it may switch off garbage collection while a role's code loads.
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import startup  # isort: skip
 
 import asyncio
@@ -122,10 +123,10 @@
 
 
 def check_bindings(role_name: str, role_settings: settings.Settings) -> None:
-    """Raise Bad where the settings lack an address that the role listens at."""
+    """Raise InvalidInputError where the settings lack an address that the role listens at."""
     bind = role_settings.bind
     if role_name == "proxy" and (bind.http is None or bind.readyz is None):
-        raise settings.Bad("Bind: a proxy needs Http and Readyz")
+        raise InvalidInputError("Bind: a proxy needs Http and Readyz")
 
 
 async def serve(
@@ -150,7 +151,7 @@
         try:
             role.reload(settings.read(path))
             log.info("settings read again")
-        except settings.Bad as error:
+        except InvalidInputError as error:
             log.warning("goes on as before: %s", error)
 
     event_loop = asyncio.get_running_loop()
@@ -187,7 +188,7 @@
 
 
 def check_settings(path: str | None) -> None:
-    """Say that a settings file can be taken; raises Bad where it can't."""
+    """Say that a settings file can be taken; raises InvalidInputError where it can't."""
     print(f"{settings.read(path).hostname}: settings can be taken")
 
 
@@ -222,7 +223,7 @@
     is_operator_command = any(args[name] for name in OPERATOR_COMMANDS)
     try:
         return run_command(args, is_operator_command)
-    except settings.Bad as error:
+    except InvalidInputError as error:
         print(f"{'lapisgrade' if is_operator_command else 'settings'}: {error}", file=sys.stderr)
         return ExitCode.INVALID_INPUT
 
--- a/lapisgrade/gateway/api.py
+++ b/lapisgrade/gateway/api.py
@@ -5,8 +5,9 @@
 import msgspec
 from attrs import define, field
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
-from lapisgrade.gateway.settings import Bad, Span, checker, take
+from lapisgrade.gateway.settings import Span, checker, take
 from lapisgrade.gateway.controller.state_machine import MOST_DRAFT
 from lapisgrade.gateway.registry import Server
 
@@ -73,11 +74,11 @@
 
 
 def beat(of: str, body: bytes) -> tuple[Server, str]:
-    """A server's beat as the register takes it, and its state; Bad for what is none."""
+    """A server's beat as the register takes it, and its state; InvalidInputError for what is none."""
     try:
         raw = msgspec.json.decode(body)
     except msgspec.MsgspecError:
-        raise Bad("the body is not JSON") from None
+        raise InvalidInputError("the body is not JSON") from None
     told: Beat = take(_CHECKER, raw, Beat)
     state = "drain" if told.state == "drain" else "up"
     return Server(of, told.svc, told.addr, told.az, told.slots, state, told.seq, int(told.warmup_time)), state
--- a/lapisgrade/gateway/cli/commands.py
+++ b/lapisgrade/gateway/cli/commands.py
@@ -1,6 +1,6 @@
 """Operators' commands: each is given what docopt read, prints for people or programs, and returns its code.
 
-What can't be read, and a controller that can't be reached, raise `settings.Bad`.
+What can't be read, and a controller that can't be reached, raise `InvalidInputError`.
 """
 
 import json
@@ -8,6 +8,7 @@
 from http import HTTPStatus
 from typing import Any
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration, settings
 from lapisgrade.gateway.cli import configuration_check
 from lapisgrade.gateway.cli.disk_report import DiskReport
@@ -26,13 +27,13 @@
     """Return the bytes of a file.
 
     Raises:
-        Bad: it can't be read.
+        InvalidInputError: it can't be read.
     """
     try:
         with open(path, "rb") as file:
             return file.read()
     except OSError as error:
-        raise settings.Bad(str(error)) from None
+        raise InvalidInputError(str(error)) from None
 
 
 def print_section(title: str, lines: list[str]) -> None:
@@ -72,7 +73,7 @@
     report = DiskReport(folder)
     if show_configuration:
         if not report.state_machine.state.conf:
-            raise settings.Bad(f"{folder}: no configuration is on it")
+            raise InvalidInputError(f"{folder}: no configuration is on it")
         print(report.state_machine.state.conf.decode())
         return ExitCode.DONE
     for line in report.history if show_history else report.summary():
@@ -141,7 +142,7 @@
     """Print a call's reply as the controllers have it, for programs."""
     status_code, reply = await client.call(call)
     if status_code != HTTPStatus.OK:
-        raise settings.Bad("no controller answers, or none leads")
+        raise InvalidInputError("no controller answers, or none leads")
     print(json.dumps(reply, indent=1))
     return ExitCode.DONE
 
@@ -180,4 +181,4 @@
         current, status = await client.fetch_newest()
         return await command(args, current, status, client)
     except (OSError, ValueError) as error:
-        raise settings.Bad(str(error)) from None
+        raise InvalidInputError(str(error)) from None
--- a/lapisgrade/gateway/cli/configuration_check.py
+++ b/lapisgrade/gateway/cli/configuration_check.py
@@ -10,11 +10,12 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import SECOND, configuration
 from lapisgrade.gateway.cli.operator_client import JsonObject
 from lapisgrade.gateway.configuration import Configuration, Rule, Tenant
 from lapisgrade.gateway.merge import fields as merge_fields
-from lapisgrade.gateway.settings import Bad, an_object, camel
+from lapisgrade.gateway.settings import an_object, camel
 
 WIRE_NAMES = {"target_time": "Target_time", "warmup_time": "Warmup_time"}
 """Fields that aren't encoded in camel case."""
@@ -42,7 +43,7 @@
     """Return a configuration's file as JSON.
 
     Raises:
-        Bad: it is none.
+        InvalidInputError: it is none.
     """
     return an_object(text, "a configuration")
 
@@ -146,7 +147,7 @@
     """Check a configuration's file; returns errors, each with how it is mended, and warnings."""
     try:
         conf = configuration.read(read(text))
-    except Bad as error:
+    except InvalidInputError as error:
         return _errors_with_hints(error), []
     return [], find_warnings(conf, servers)[:MAX_LINES]
 
@@ -165,7 +166,7 @@
         changed["Ver"] = current.get("Ver", 0) + 1
         changed.pop("Base", None)
         conf = configuration.read(changed)
-    except (Bad, KeyError, TypeError, AttributeError) as error:
+    except (InvalidInputError, KeyError, TypeError, AttributeError) as error:
         return [], _errors_with_hints(error), []
     known = set(find_warnings(configuration.read(current), servers)) if current else set()
     warnings = [warning for warning in find_warnings(conf, servers) if warning not in known]
--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.configuration_check import describe_changes
 from lapisgrade.gateway.consensus.log import ReplicatedLog
 from lapisgrade.gateway.consensus.messages import Entry
@@ -26,7 +27,6 @@
     StateMachine,
 )
 from lapisgrade.gateway.merge.three_way import told
-from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.storage.draft_store import read_kept
 from lapisgrade.gateway.storage.log_store import Damaged, LogStore
 
@@ -41,10 +41,10 @@
         """Read the folder.
 
         Raises:
-            Bad: there is no such folder, or its log is damaged or has no complete generation.
+            InvalidInputError: there is no such folder, or its log is damaged or has no complete generation.
         """
         if not os.path.isdir(folder):
-            raise Bad(f"{folder}: no such folder")
+            raise InvalidInputError(f"{folder}: no such folder")
         log_store = LogStore(folder)
         first, later = _read_records(folder, log_store)
         self.generation = log_store.generation
@@ -111,9 +111,9 @@
     try:
         records = [_RECORD_DECODER.decode(data) for data in log_store.recover()]
     except (Damaged, OSError, msgspec.MsgspecError) as error:
-        raise Bad(f"{folder}: {error}") from None
+        raise InvalidInputError(f"{folder}: {error}") from None
     if not records or not isinstance(records[0], SnapshotRecord):
-        raise Bad(f"{folder}: no whole generation is there")
+        raise InvalidInputError(f"{folder}: no whole generation is there")
     return records[0], records[1:]
 
 
--- a/lapisgrade/gateway/cli/drafts.py
+++ b/lapisgrade/gateway/cli/drafts.py
@@ -10,9 +10,10 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.exit_codes import ExitCode
 from lapisgrade.gateway.cli.operator_client import MAX_ATTEMPTS, JsonObject, OperatorClient
-from lapisgrade.gateway.settings import Bad, an_object
+from lapisgrade.gateway.settings import an_object
 
 STATE_PHRASES = {
     "kept": "kept, not in force",
@@ -27,11 +28,11 @@
     """Return the change in a draft's file.
 
     Raises:
-        Bad: it holds none.
+        InvalidInputError: it holds none.
     """
     raw = an_object(text, "a draft")
     if unknown := sorted(set(raw) - {"Upsert", "Del"}):
-        raise Bad(f"unknown: {', '.join(unknown)[:200]}; a draft has Upsert and Del")
+        raise InvalidInputError(f"unknown: {', '.join(unknown)[:200]}; a draft has Upsert and Del")
     return raw
 
 
@@ -110,5 +111,5 @@
     async def _fetch_drafts(self) -> JsonObject:
         status_code, drafts = await self.call("conf.drafts")
         if status_code != HTTPStatus.OK:
-            raise Bad("no controller answers")
+            raise InvalidInputError("no controller answers")
         return drafts
--- a/lapisgrade/gateway/cli/machine_loss.py
+++ b/lapisgrade/gateway/cli/machine_loss.py
@@ -1,11 +1,11 @@
 """What the loss of machines at once would do, by what the controllers say of themselves: pure."""
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.cli.operator_client import JsonObject
 from lapisgrade.gateway.configuration import Configuration
 from lapisgrade.gateway.controller.watch import ALIVE
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
-from lapisgrade.gateway.settings import Bad
 
 
 def describe_loss(conf: Configuration, status: JsonObject, names: list[str]) -> tuple[list[str], bool]:
@@ -20,11 +20,11 @@
         Lines for people, and whether changes could still be made.
 
     Raises:
-        Bad: there is no proxy of one of the names.
+        InvalidInputError: there is no proxy of one of the names.
     """
     proxies = {proxy["Name"]: proxy for proxy in status["Proxies"]}
     if unknown := sorted(set(names) - set(proxies)):
-        raise Bad(f"no proxy of that name: {', '.join(unknown)}")
+        raise InvalidInputError(f"no proxy of that name: {', '.join(unknown)}")
     lost_hosts = {_host(proxies[name]["At"]) for name in names}
     voter_hosts = [_host(voter["At"]) for voter in status["Voters"]]
     remaining = sum(host not in lost_hosts for host in voter_hosts)
--- a/lapisgrade/gateway/cli/operator_client.py
+++ b/lapisgrade/gateway/cli/operator_client.py
@@ -12,9 +12,10 @@
 import h11
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.exit_codes import ExitCode
 from lapisgrade.gateway.http_client import ask
-from lapisgrade.gateway.settings import Address, Bad
+from lapisgrade.gateway.settings import Address
 from lapisgrade.net.http import MalformedMessageError
 
 MAX_ATTEMPTS = 5
@@ -59,12 +60,12 @@
         """Return the newest configuration, empty for none, and `conf.status`.
 
         Raises:
-            Bad: no controller answers, or none leads.
+            InvalidInputError: no controller answers, or none leads.
         """
         _, configuration = await self.call("conf.show")
         status_code, status = await self.call("conf.status")
         if status_code != HTTPStatus.OK:
-            raise Bad("no controller answers, or none leads")
+            raise InvalidInputError("no controller answers, or none leads")
         return ({} if "Ver" not in configuration else configuration), status
 
     async def wait_until_active(self, version: int, timeout_s: float) -> ExitCode:
--- a/lapisgrade/gateway/cli/rollout.py
+++ b/lapisgrade/gateway/cli/rollout.py
@@ -9,9 +9,9 @@
 
 from attrs import define, field
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.exit_codes import ExitCode
 from lapisgrade.gateway.cli.operator_client import JsonObject, OperatorClient, Print
-from lapisgrade.gateway.settings import Bad
 
 POLL_INTERVAL_S = 0.2
 UNRESPONSIVE_AFTER_MS = 2_000
@@ -108,7 +108,7 @@
         _, status = await self._client.fetch_newest()
         self._monitor.record_baseline(status)
         if unknown := sorted(set(names) - set(self._monitor.incarnations)):
-            raise Bad(f"no proxy of that name: {', '.join(unknown)}")
+            raise InvalidInputError(f"no proxy of that name: {', '.join(unknown)}")
         for number, name in enumerate(names, 1):
             if problems := await self._restart_one(f"{number} of {len(names)}: {name}", name):
                 self._print_line(f"stopped at {name}:")
@@ -142,7 +142,7 @@
     async def _poll(self, is_done: Callable[[JsonObject], bool]) -> list[str]:
         try:
             _, status = await self._client.fetch_newest()
-        except Bad as error:
+        except InvalidInputError as error:
             return [str(error)]
         return self._monitor.problems(status) or ([] if is_done(status) else ["it has not begun a new life"])
 
--- a/lapisgrade/gateway/cli/tenants.py
+++ b/lapisgrade/gateway/cli/tenants.py
@@ -11,11 +11,12 @@
 import msgspec
 from attrs import define, field
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import SECOND, configuration
 from lapisgrade.gateway.cli.exit_codes import ExitCode
 from lapisgrade.gateway.cli.operator_client import MAX_ATTEMPTS, JsonObject, OperatorClient
 from lapisgrade.gateway.configuration import Configuration, Rule
-from lapisgrade.gateway.settings import Bad, an_object, take
+from lapisgrade.gateway.settings import an_object, take
 
 TENANT_FIELDS = ("Name", "Apikeys", "Prio", "RateS", "Burst")
 
@@ -51,14 +52,14 @@
     """Return a ticket, checked, and as it was written.
 
     Raises:
-        Bad: each mistake and its place.
+        InvalidInputError: each mistake and its place.
     """
     raw = an_object(text, "a ticket")
     if unknown := sorted(set(raw) - {*TENANT_FIELDS, "Ports", "Pools"}):
-        raise Bad(f"unknown: {', '.join(unknown)[:200]}")
+        raise InvalidInputError(f"unknown: {', '.join(unknown)[:200]}")
     ticket: Ticket = take(configuration.converter(), raw, Ticket)
     if not ticket.apikeys:
-        raise Bad("Apikeys: a tenant needs a key")
+        raise InvalidInputError("Apikeys: a tenant needs a key")
     return ticket, raw
 
 
@@ -89,7 +90,7 @@
         plan.lines.append(f"service {pool.name}: {'changes' if is_known else 'new'}")
     try:
         configuration.read(configuration.updated(current, plan.change))
-    except Bad as error:
+    except InvalidInputError as error:
         if not plan.objections:  # they say the same
             plan.objections.append(str(error))
     return plan
--- a/lapisgrade/gateway/configuration.py
+++ b/lapisgrade/gateway/configuration.py
@@ -13,8 +13,9 @@
 import msgspec
 from attrs import define, field
 
+from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway import SECOND
-from lapisgrade.gateway.settings import Bad, Span, camel, checker, take
+from lapisgrade.gateway.settings import Span, camel, checker, take
 
 MOST_BYTES = 8 * 1024 * 1024  # of one configuration; far beyond what a leader's memory is asked to hold
 HEADER, IDLE = Span(3 * SECOND), Span(15 * SECOND)  # what clients may take where the configuration is silent
@@ -150,9 +151,13 @@
 
 
 def read(raw: Any) -> Configuration:
-    """A configuration as it was put; Bad with each mistake and its place."""
+    """Return a configuration, read and checked.
+
+    Raises:
+        ConfigurationError: It can't be accepted; each mistake is named with its place.
+    """
     if not isinstance(raw, dict):
-        raise Bad("a configuration is an object")
+        raise ConfigurationError("a configuration is an object")
     made: Configuration = take(converter(), raw, Configuration)
     unique("service", [each.name for each in made.pools])
     unique("route", [rule.name for port in made.ports for rule in port.policy])
@@ -164,7 +169,7 @@
         for rule in port.policy:
             for share in rule.action.shares():
                 if share.svc not in services:
-                    raise Bad(f"route {rule.name}: service {share.svc!r} is not in Pools")
+                    raise ConfigurationError(f"route {rule.name}: service {share.svc!r} is not in Pools")
     return made
 
 
@@ -173,7 +178,9 @@
     for name in names:
         if name in seen:
             # A key is a secret and is never repeated to anybody.
-            raise Bad(f"a {what} stands twice" + ("" if what == "key" else f": {name[:100]!r}"))
+            raise ConfigurationError(
+                f"a {what} stands twice" + ("" if what == "key" else f": {name[:100]!r}")
+            )
         seen.add(name)
 
 
@@ -185,10 +192,14 @@
 
 
 def updated(current: dict, change: dict) -> dict:
-    """The whole configuration that a change of named items leaves; Bad where the change can't be read."""
+    """Return the whole configuration that a change of named items leaves.
+
+    Raises:
+        ConfigurationError: The change can't be read.
+    """
     put, drop = change.get("Upsert") or {}, change.get("Del") or {}
     if not isinstance(put, dict) or not isinstance(drop, dict):
-        raise Bad("Upsert and Del are objects")
+        raise ConfigurationError("Upsert and Del are objects")
     made = dict(current)
     made["Ver"] = change.get("Ver")
     gone = {name for word in ROUTES for name in names(drop, word)}
@@ -199,11 +210,11 @@
     for port in items(put, "Ports"):
         host = port.get("Vhost")
         if not isinstance(host, str):
-            raise Bad("an item of Ports has no Vhost")
+            raise ConfigurationError("an item of Ports has no Vhost")
         rules = ports.setdefault(host, [])
         for rule in port.get("Policy") or []:
             if not isinstance(rule, dict) or not isinstance(rule.get("Name"), str):
-                raise Bad("an item of Policy has no Name")
+                raise ConfigurationError("an item of Policy has no Name")
             old = place.get(rule["Name"])
             if old is not None and old != host:
                 ports[old] = [each for each in ports[old] if each["Name"] != rule["Name"]]
@@ -216,7 +227,7 @@
         old = {each["Name"]: each for each in current.get(word) or []}
         new = [each for name in also for each in items(put, name)]
         if any(not isinstance(each.get("Name"), str) for each in new):
-            raise Bad(f"an item of {word} has no Name")
+            raise ConfigurationError(f"an item of {word} has no Name")
         old.update({each["Name"]: each for each in new})
         lost = {name for key in also for name in names(drop, key)}
         if word in current or new:
@@ -229,14 +240,14 @@
 def items(put: dict, word: str) -> list[dict]:
     found = put.get(word) or []
     if not isinstance(found, list) or any(not isinstance(each, dict) for each in found):
-        raise Bad(f"{word} is not a list of objects")
+        raise ConfigurationError(f"{word} is not a list of objects")
     return found
 
 
 def names(drop: dict, word: str) -> list[str]:
     found = drop.get(word) or []
     if not isinstance(found, list):
-        raise Bad(f"{word} is not a list of names")
+        raise ConfigurationError(f"{word} is not a list of names")
     return [each["Name"] if isinstance(each, dict) and "Name" in each else str(each) for each in found]
 
 
--- a/lapisgrade/gateway/configuration_delta.py
+++ b/lapisgrade/gateway/configuration_delta.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway import configuration
-from lapisgrade.gateway.settings import Bad
 
 _BETWEEN_ITEMS = b"},{"
 _QUICK = 1  # zlib's fastest level: a processor's time is dearer than a tenth of the bytes
@@ -43,17 +43,21 @@
 
 
 def decode(encoded: EncodedVersion, base_text: bytes = b"") -> bytes:
-    """The version's text; Bad where it isn't one, or is no delta on that base."""
+    """Return the version's text.
+
+    Raises:
+        ConfigurationError: It isn't one, or is no delta on that base.
+    """
     try:
         inflate = zlib.decompressobj()
         plain = inflate.decompress(encoded.data, configuration.MOST_BYTES)
         if not inflate.eof:
-            raise Bad(f"version {encoded.ver} is too long")
+            raise ConfigurationError(f"version {encoded.ver} is too long")
         text = _patched(base_text, plain) if encoded.base else plain
     except (zlib.error, msgspec.MsgspecError, IndexError) as wrong:
-        raise Bad(f"version {encoded.ver} can't be read: {wrong}") from None
+        raise ConfigurationError(f"version {encoded.ver} can't be read: {wrong}") from None
     if digest_of(text) != encoded.digest:
-        raise Bad(f"version {encoded.ver} does not come out as it was")
+        raise ConfigurationError(f"version {encoded.ver} does not come out as it was")
     return text
 
 
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.controller.leader_calls import DELIVER_DRAFT
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
@@ -22,7 +23,7 @@
 from lapisgrade.gateway.merge.three_way import Draft
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
-from lapisgrade.gateway.settings import Address, Bad, address
+from lapisgrade.gateway.settings import Address, address
 from lapisgrade.gateway.storage.draft_store import DraftStore, Full
 
 log = logging.getLogger("controller")
@@ -131,7 +132,7 @@
             draft = self._decode(body)
         except msgspec.MsgspecError:
             return encode_error(HTTPStatus.BAD_REQUEST, "the body is not whole JSON")
-        except (Bad, KeyError, TypeError, AttributeError) as error:
+        except (InvalidInputError, KeyError, TypeError, AttributeError) as error:
             return encode_error(HTTPStatus.BAD_REQUEST, str(error))
         if isinstance(draft, Answer):
             return encode_result(draft)
@@ -143,11 +144,15 @@
         return ForwardCallReply(HTTPStatus.ACCEPTED, msgspec.json.encode(reply))
 
     def _decode(self, body: bytes) -> Draft | Answer:
-        """Return the draft that a call brings, or why it is refused; raises Bad and others for no draft."""
+        """Return the draft that a call brings, or why it is refused.
+
+        Raises:
+            InvalidInputError: It is no draft; other errors may say so too.
+        """
         state = self._state_machine.state
         edit = msgspec.json.decode(body)
         if not isinstance(edit, dict) or not isinstance(edit.get("By"), str):
-            raise Bad("a draft is an object, and says By whom it is")
+            raise InvalidInputError("a draft is an object, and says By whom it is")
         if not state.conf or not self._delivery.has_disk:
             return Answer(HTTPStatus.CONFLICT, "no configuration is known here, or no disk is here")
         if edit.get("Base") != state.ver:
--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import api
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
 from lapisgrade.gateway.controller.replies import decode_draft_id, encode_error, encode_result
@@ -25,7 +26,7 @@
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.three_way import Draft
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
-from lapisgrade.gateway.settings import Address, Bad
+from lapisgrade.gateway.settings import Address
 
 DELIVER_DRAFT = "drafts.hand"  # a controller's own call: one of its stored drafts, to be merged
 
@@ -75,7 +76,7 @@
         handler = self._handlers.get(call, self._update_configuration)
         try:
             return await handler(of, body)
-        except Bad as error:
+        except InvalidInputError as error:
             return encode_error(HTTPStatus.BAD_REQUEST, str(error))
         except msgspec.MsgspecError:
             return encode_error(HTTPStatus.BAD_REQUEST, "not a draft")
--- a/lapisgrade/gateway/controller/replies.py
+++ b/lapisgrade/gateway/controller/replies.py
@@ -4,19 +4,19 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.controller.state_machine import Answer
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
-from lapisgrade.gateway.settings import Bad
 
 
 def decode_draft_id(body: bytes) -> str:
-    """Return the id of the draft that a call names; raises Bad where it names none."""
+    """Return the id of the draft that a call names; raises InvalidInputError where it names none."""
     try:
         draft_id = msgspec.json.decode(body).get("Id")
     except (msgspec.MsgspecError, AttributeError):
         draft_id = None
     if not isinstance(draft_id, str):
-        raise Bad("the call names no Id")
+        raise InvalidInputError("the call names no Id")
     return draft_id
 
 
--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.fields import fields
 from lapisgrade.gateway.merge.three_way import Draft, Outcome
 from lapisgrade.gateway.quota.ownership import eligible_owners
-from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.registry import Server
 
 MOST_TAKEN = 4096  # versions whose changes are remembered, to know one that is sent again; days of changes
@@ -326,7 +326,7 @@
                 current = msgspec.json.decode(state.conf) if state.conf else {}
                 made = configuration.updated(current, raw)
             configuration.read(made)
-        except (Bad, KeyError, TypeError, AttributeError) as wrong:
+        except (InvalidInputError, KeyError, TypeError, AttributeError) as wrong:
             return Answer(400, str(wrong)), None
         if base != state.ver:
             return Answer(412, f"version {state.ver} is in force, not {base}"), None
--- /dev/null
+++ b/lapisgrade/gateway/errors.py
@@ -0,0 +1,15 @@
+"""Errors for what operators and peers hand in to the gateway."""
+
+from lapisgrade.errors import LapisgradeError
+
+
+class InvalidInputError(LapisgradeError):
+    """A file, call or message can't be accepted; the message says what is wrong with it and where."""
+
+
+class SettingsError(InvalidInputError):
+    """A settings file can't be read, or its content can't be accepted."""
+
+
+class ConfigurationError(InvalidInputError):
+    """A configuration, a change or a draft of one, or its encoded form, can't be accepted."""
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -19,10 +19,10 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import ConfigurationError, InvalidInputError
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.merge import fields as merge_fields
 from lapisgrade.gateway.merge.fields import Fields, Op, Path
-from lapisgrade.gateway.settings import Bad
 
 MOST_OPS = 4096  # fields of one draft; a configuration of several hundred routes
 GONE, NONE = "(gone)", "(none)"  # how an absent value is told
@@ -65,16 +65,19 @@
 
 
 def drafted(conf: dict, change: dict, by: str, at: str) -> Draft:
-    """The draft that a change of named items on top of `conf` is; Bad where it can't be read or changes
-    nothing."""
+    """Return a change of named items on top of `conf` as a draft.
+
+    Raises:
+        ConfigurationError: The change can't be read, or changes nothing.
+    """
     base = conf.get("Ver", 0)
     made = configuration.updated(conf, {**change, "Ver": base})
     configuration.read(made)
     ops = merge_fields.ops(merge_fields.fields(conf), merge_fields.fields(made))
     if not ops:
-        raise Bad("nothing would change")
+        raise ConfigurationError("nothing would change")
     if len(ops) > MOST_OPS:
-        raise Bad(f"{len(ops)} fields are too many for a draft")
+        raise ConfigurationError(f"{len(ops)} fields are too many for a draft")
     by, words = by[:MOST_WORDS], msgspec.json.encode((by[:MOST_WORDS], at, base, ops), order="sorted")
     return Draft(blake2b(words, digest_size=6).hexdigest(), by, at, base, ops)
 
@@ -90,7 +93,7 @@
             made = merge_fields.built(merged, conf)
             try:
                 configuration.read(made)
-            except Bad as wrong:
+            except InvalidInputError as wrong:
                 outcomes[draft.id] = Outcome(wrong=str(wrong))
                 continue
             conf, found = made, merged
@@ -183,7 +186,11 @@
 
 def forced(conf: dict, ops: list[Op]) -> dict:
     """The configuration with those fields as they are wanted, whatever they are now: an operator's word that
-    settles a draft. Bad where that makes none."""
+    settles a draft.
+
+    Raises:
+        ConfigurationError: That makes no configuration.
+    """
     found = merge_fields.fields(conf)
     for op in ops:
         for path in [path for path in found if _gives_way(path, op)]:
@@ -192,7 +199,7 @@
             found[op.path] = op.new
     for path in found:
         if merge_fields.in_item(path) and path[:2] not in found:
-            raise Bad(f"{merge_fields.shown(path[:2])} is gone: put it whole")
+            raise ConfigurationError(f"{merge_fields.shown(path[:2])} is gone: put it whole")
     made = merge_fields.built(found, conf)
     configuration.read(made)
     return made
--- a/lapisgrade/gateway/proxy/control_updates.py
+++ b/lapisgrade/gateway/proxy/control_updates.py
@@ -48,7 +48,7 @@
         """Apply the leader's reply to a watch request that was sent then.
 
         Raises:
-            Bad: A version can't be read.
+            InvalidInputError: A version can't be read.
             msgspec.MsgspecError: A version is no JSON of that form.
         """
         now_us = self._context.now_us
--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway import configuration, rpc_messages
 from lapisgrade.gateway.configuration import Table
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
 from lapisgrade.gateway.proxy.client_front import ClientFront
 from lapisgrade.gateway.routing.router import Router
-from lapisgrade.gateway.settings import Bad
 
 log = logging.getLogger("proxy")
 
@@ -38,7 +38,7 @@
         """Activate the version that the leader orders, and stage newer ones.
 
         Raises:
-            Bad: A version can't be read.
+            InvalidInputError: A version can't be read.
             msgspec.MsgspecError: A version is no JSON of that form.
         """
         staged = self._router.tables.staged
@@ -64,7 +64,7 @@
         text = decode(encoded, self._texts.get(encoded.base, b""))
         table = Table(configuration.read(msgspec.json.decode(text)))
         if table.ver != encoded.ver:
-            raise Bad(f"version {encoded.ver} calls itself {table.ver}")
+            raise ConfigurationError(f"version {encoded.ver} calls itself {table.ver}")
         kept = {self.active_version, table.ver, *self._router.tables.staged}
         self._texts = {version: each for version, each in self._texts.items() if version in kept}
         self._texts[table.ver] = text
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -6,6 +6,7 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
@@ -13,7 +14,7 @@
 from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.rpc import RpcEndpoint
-from lapisgrade.gateway.settings import Bad, address
+from lapisgrade.gateway.settings import address
 from lapisgrade.gateway.watch_timing import LONG_POLL_US
 
 log = logging.getLogger("proxy")
@@ -75,7 +76,7 @@
                 continue
             try:
                 self._apply_update(reply, sent_us)
-            except (Bad, msgspec.MsgspecError) as wrong:
+            except (InvalidInputError, msgspec.MsgspecError) as wrong:
                 log.error("a configuration that can't be read: %s", wrong)
                 self._updates.versions.has_lost_base = True
                 await asyncio.sleep(RETRY_DELAY_S)
--- a/lapisgrade/gateway/settings.py
+++ b/lapisgrade/gateway/settings.py
@@ -11,11 +11,9 @@
 from cattrs.v import format_exception
 from cattrs.gen import make_dict_structure_fn, override
 
-VARIABLE, PLACE = "LAPISGRADE_SETTINGS", "/etc/lapisgrade/node.json"
-
+from lapisgrade.gateway.errors import InvalidInputError, SettingsError
 
-class Bad(Exception):
-    """A settings file or a configuration that can't be taken; its words are for people."""
+VARIABLE, PLACE = "LAPISGRADE_SETTINGS", "/etc/lapisgrade/node.json"
 
 
 class Span(int):
@@ -138,7 +136,7 @@
 
 
 def take(conv: cattrs.Converter, raw: Any, kind: type) -> Any:
-    """`raw` as a record of `kind`; Bad with each mistake and its place."""
+    """`raw` as a record of `kind`; InvalidInputError with each mistake and its place."""
     try:
         return conv.structure(raw, kind)
     except Exception as wrong:
@@ -146,32 +144,32 @@
             words = "; ".join(cattrs.transform_error(wrong, format_exception=told)[:5])
         except Exception:
             words = str(wrong)
-        raise Bad(words[:500] or type(wrong).__name__) from None
+        raise InvalidInputError(words[:500] or type(wrong).__name__) from None
 
 
 def an_object(text: bytes, what: str) -> dict:
-    """The JSON object in a file; Bad where it holds none. `what` it should be is for people."""
+    """The JSON object in a file; InvalidInputError where it holds none. `what` it should be is for people."""
     try:
         raw = msgspec.json.decode(text)
     except msgspec.MsgspecError as wrong:
-        raise Bad(f"not JSON: {wrong}") from None
+        raise InvalidInputError(f"not JSON: {wrong}") from None
     if not isinstance(raw, dict):
-        raise Bad(f"{what} is an object")
+        raise InvalidInputError(f"{what} is an object")
     return raw
 
 
 def read(path: str | None = None) -> Settings:
-    """The settings in the file that the environment names; Bad where they can't be taken."""
+    """The settings in the file that the environment names; InvalidInputError where they can't be taken."""
     path = path or os.environ.get(VARIABLE, PLACE)
     try:
         with open(path, "rb") as file:
             raw = msgspec.json.decode(file.read())
     except (OSError, msgspec.MsgspecError) as wrong:
-        raise Bad(f"{path}: {wrong}") from None
+        raise SettingsError(f"{path}: {wrong}") from None
     if not isinstance(raw, dict):
-        raise Bad(f"{path}: not an object")
+        raise SettingsError(f"{path}: not an object")
     raw = {name: each for name, each in raw.items() if each is not None}  # a machine without it says null
     try:
         return take(checker(), raw, Settings)
-    except Bad as wrong:
-        raise Bad(f"{path}: {wrong}") from None
+    except InvalidInputError as wrong:
+        raise SettingsError(f"{path}: {wrong}") from None
--- a/lapisgrade/gateway/storage/draft_store.py
+++ b/lapisgrade/gateway/storage/draft_store.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.storage.log_store import Damaged, LogStore
 from lapisgrade.gateway.merge.three_way import Draft
-from lapisgrade.gateway.settings import Bad
 
 log = logging.getLogger("controller")
 
@@ -85,9 +85,9 @@
 
 
 def read_kept(datadir: str) -> dict[str, Draft]:
-    """The drafts on a controller's disk, while it is down; Bad where they can't be read."""
+    """The drafts on a controller's disk, while it is down; InvalidInputError where they can't be read."""
     folder = os.path.join(datadir, FOLDER)
     try:
         return recovered(folder, LogStore(folder))
     except (Damaged, OSError, msgspec.MsgspecError) as wrong:
-        raise Bad(f"{folder}: {wrong}") from None
+        raise InvalidInputError(f"{folder}: {wrong}") from None
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -10,9 +10,9 @@
 from lapisgrade.lab.explore.defects import Defects
 from lapisgrade.lab.explore.cluster import Cluster
 from lapisgrade.lab.explore.log import first_wrong
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge.fields import fields
 from lapisgrade.gateway.merge.three_way import Draft, drafted, merge_drafts
-from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.controller.state_machine import MergeDraft, Change, StateMachine, encoded
 
 UNIT = "entries"
@@ -68,7 +68,7 @@
         while len(made) < count:
             try:
                 made.append(drafted(conf, self.change(), f"editor {len(made)}", "m"))
-            except Bad:
+            except InvalidInputError:
                 continue
         return made
 
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -21,10 +21,10 @@
 
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
 from lapisgrade.net.http import MalformedMessageError
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.operator_client import OperatorClient, lagging_proxies
 from lapisgrade.gateway.http_client import ask, told
 from lapisgrade.gateway.cli.drafts import DraftClient
-from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE, Server
 
 CALM = 1.5  # s of calls before the break, to compare with
@@ -197,7 +197,7 @@
             said.clear()
             try:
                 done = await client.send(msgspec.json.encode(change), name) == 0
-            except Bad:
+            except InvalidInputError:
                 return False
             return done and (disks == 1 or f"kept on {disks} disks" in said[0])
 
@@ -227,7 +227,7 @@
         async def everywhere() -> bool:
             try:
                 conf, where = await client.fetch_newest()
-            except Bad:
+            except InvalidInputError:
                 return False
             rule = next(each for each in conf["Ports"][0]["Policy"] if each["Name"] == "r-claim")
             both = (rule["Action"].get("Svc"), rule["Action"]["Timeout"]) == (NEW, timeout)
--- a/lapisgrade/lab/simulation/clients.py
+++ b/lapisgrade/lab/simulation/clients.py
@@ -8,9 +8,9 @@
 from lapisgrade.lab.simulation.cluster import CALLS_PORT, PORT, CallReply, Cluster, OperatorCall
 from lapisgrade.lab.simulation.network import Endpoint
 from lapisgrade.lab.simulation.virtual_loop import CURRENT, Process
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.configuration_delta import decode
-from lapisgrade.gateway.settings import Bad
 
 PATIENCE = 1.0  # s that an operator waits for an answer
 TRIES = 40  # of one order; then it is left without a clear answer
@@ -215,7 +215,7 @@
         try:
             self.take(news)
             self.lost_base = False
-        except Bad as wrong:
+        except InvalidInputError as wrong:
             if self.lost_base:
                 self.cluster.invariants.break_(f"limiter {self.number} can't read a version: {wrong}")
             self.lost_base = True
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -5,13 +5,14 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.cli import configuration_check
 from lapisgrade.gateway.cli.machine_loss import describe_loss
 from lapisgrade.gateway.cli.operator_client import OperatorClient
 from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster
 from lapisgrade.gateway.quota.ownership import owner_of
-from lapisgrade.gateway.settings import Address, Bad
+from lapisgrade.gateway.settings import Address
 from support.local_clusters import serving_cluster
 from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
 
@@ -136,7 +137,7 @@
         lines, goes_on = describe_loss(conf, where, [keeper, other])
         self.assertFalse(goes_on)
         self.assertIn("no majority, nothing is acknowledged until one is back", lines[0])
-        with self.assertRaisesRegex(Bad, "no proxy of that name: m9"):
+        with self.assertRaisesRegex(InvalidInputError, "no proxy of that name: m9"):
             describe_loss(conf, where, ["m9"])
         for part in (site.controllers[keeper], site.proxies[keeper]):
             await site.kill(part)
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.disk_report import DiskReport
 from lapisgrade.gateway.consensus.messages import Entry
 from lapisgrade.gateway.consensus.records import EntriesRecord, HardState, Record, SnapshotRecord
@@ -21,7 +22,6 @@
 )
 from lapisgrade.gateway.local_cluster import SAMPLE
 from lapisgrade.gateway.merge.three_way import drafted
-from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.storage.log_store import LogStore
 from support.sample_configuration import CONF
 
@@ -103,5 +103,5 @@
             byte = file.read(1)
             file.seek(40)
             file.write(bytes([byte[0] ^ 1]))
-        with self.assertRaises(Bad):
+        with self.assertRaises(InvalidInputError):
             DiskReport(self.folder)
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.cli import tenants
 from lapisgrade.gateway.cli.operator_client import lagging_proxies
 from lapisgrade.gateway.cli.tenants import TenantClient, plan_onboarding
 from lapisgrade.gateway.local_cluster import SAMPLE
-from lapisgrade.gateway.settings import Bad
 from support.local_clusters import serving_cluster
 
 TICKET = {
@@ -82,7 +82,7 @@
             (text(RateS=-1), "RateS"),
             (text(Ports=routed("stock")), "does not begin with a slash"),
         ):
-            with self.assertRaises(Bad) as got:
+            with self.assertRaises(InvalidInputError) as got:
                 tenants.read_ticket(ticket)
             self.assertIn(word, str(got.exception))
 
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -11,11 +11,12 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.drafts import DraftClient
 from lapisgrade.gateway.controller import drafts
 from lapisgrade.gateway.http_client import told
 from lapisgrade.gateway.local_cluster import CTL, SAMPLE, Links, LocalCluster
-from lapisgrade.gateway.settings import Address, Bad
+from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.partitions import rejoin
 from support.local_clusters import serving_cluster
 
@@ -206,7 +207,7 @@
             self.assertEqual(status, 1)
             self.assertIn(wrong, said[0])
         for text in (b"{", b"[]", b'{"Ver": 3}'):
-            with self.assertRaises(Bad):
+            with self.assertRaises(InvalidInputError):
                 await self.drafted(site, "m2", text)
         body = msgspec.json.encode({"Base": 7, "By": "x", **claim(Prio=0)})
         self.assertEqual(await told(site.ctl[:1], "/-/rpc?call=conf.draft", body), 412)
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -7,10 +7,10 @@
 
 from lapisgrade.lab.explore import rejoin
 from lapisgrade.lab.explore.rejoin import Chance
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.merge.fields import built, fields, ops
 from lapisgrade.gateway.merge.three_way import Draft, drafted, forced, merge_drafts, told
-from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.controller.state_machine import (
     MOST_DRAFTS,
     MergeDraft,
@@ -138,7 +138,7 @@
         conf, (one,) = outcome(ours, edge)
         self.assertEqual((found(conf, CLAIM)["Action"]["Svc"], one.stand), ("a", []))
         self.assertIn("'b' is not in Pools", one.wrong)
-        with self.assertRaisesRegex(Bad, "put it whole"):
+        with self.assertRaisesRegex(InvalidInputError, "put it whole"):
             forced(acknowledged({"Del": {"Routes": [CLAIM]}}), edge.ops)
 
     def test_an_end_stands_only_where_nobody_changed_what_ends(self) -> None:
@@ -181,7 +181,7 @@
             try:
                 ground = configuration.updated(base, {"Ver": 10, **chance.change()})
                 configuration.read(ground)
-            except Bad:
+            except InvalidInputError:
                 ground = base
             drafts += chance.drafts(ground, 1)  # and on the newest one
             conf, outcomes = merge_drafts(ground, drafts)
--- a/tests/gateway/test_api.py
+++ b/tests/gateway/test_api.py
@@ -2,7 +2,8 @@
 
 import unittest
 
-from lapisgrade.gateway import api, settings
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway import api
 
 
 class Calls(unittest.TestCase):
@@ -16,5 +17,5 @@
         ]
         found = [each if isinstance(each := api.called(*one), int) else each[0].name for one in asked]
         self.assertEqual(found, ["servers.heartbeat", 405, 404, 404, 400])
-        with self.assertRaises(settings.Bad):
+        with self.assertRaises(InvalidInputError):
             api.beat("i-1", b'{"Svc":"garantie","Addr":"10.0.0.1:80","Seq":"4"}')
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -6,11 +6,11 @@
 import msgspec
 
 from lapisgrade.lab.capacity import changed, sample_configuration
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
 from lapisgrade.gateway.controller.configuration_feed import MOST_TEXTS, ConfigurationFeed
 from lapisgrade.gateway.proxy.watch_target import WatchTarget
-from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.controller.state_machine import (
     Answer,
     Change,
@@ -48,7 +48,7 @@
 
     def test_another_base_under_the_same_number_is_told(self) -> None:
         old, new, other = text(20), text(21, 8), text(19)
-        with self.assertRaises(Bad):
+        with self.assertRaises(InvalidInputError):
             decode(encode(8, new, 7, old), other)
 
     def test_what_is_no_version_is_told(self) -> None:
@@ -62,7 +62,7 @@
             EncodedVersion(8, 7, good.digest, encode(1, msgspec.msgpack.encode([(0, 1 << 40)])).data),
             bomb,
         ):
-            with self.subTest(bad=bad.digest), self.assertRaises(Bad):
+            with self.subTest(bad=bad.digest), self.assertRaises(InvalidInputError):
                 decode(bad, b"")
 
 
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import settings
 
 SECOND = 1_000_000
@@ -45,7 +46,7 @@
             ({"Caps": {"Nofile": "many"}}, "'many' is not of the kind int"),
             ({"Hostname": None}, "hostname"),
         ):
-            with self.subTest(over), self.assertRaises(settings.Bad) as caught:
+            with self.subTest(over), self.assertRaises(InvalidInputError) as caught:
                 self.read(**over)
             self.assertIn(words, str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
