--- a/lapisgrade/gateway/storage/draft_store.py
+++ b/lapisgrade/gateway/storage/draft_store.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from lapisgrade.errors import LapisgradeError
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge.three_way import Draft
-from lapisgrade.gateway.settings import Bad
 from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
 log = logging.getLogger("controller")
@@ -90,12 +90,12 @@
 
 
 def read_drafts(data_folder: str) -> dict[str, Draft]:
-    """Return the drafts on a controller's disk by id, while it is down; raises Bad for unreadable ones."""
+    """Return the drafts on a controller's disk by id, while it is down; raises InvalidInputError for unreadable ones."""
     folder = os.path.join(data_folder, FOLDER)
     try:
         return _read_drafts(folder, LogStore(folder))
     except (CorruptLogError, OSError, msgspec.MsgspecError) as error:
-        raise Bad(f"{folder}: {error}") from None
+        raise InvalidInputError(f"{folder}: {error}") from None
 
 
 def _read_drafts(folder: str, log_store: LogStore) -> dict[str, Draft]:
