--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -16,7 +16,7 @@
 from lapisgrade.gateway.membership import gossip, partial_view
 from lapisgrade.gateway.merge import fields as merge_fields
 from lapisgrade.gateway.merge import three_way
-from lapisgrade.gateway.storage import log_store
+from lapisgrade.gateway.storage import log_format
 from lapisgrade.members import host
 from lapisgrade.members import messages as member_messages
 
@@ -429,12 +429,8 @@
             number=1307,
             name="text-308",
             updates=[
-                member_messages.Update(
-                    name="text-309", address="text-310", incarnation=1311, state=1312, by="text-313"
-                ),
-                member_messages.Update(
-                    name="text-314", address="text-315", incarnation=1316, state=1317, by="text-318"
-                ),
+                member_messages.Update(name="text-309", address="text-310", incarnation=1311, state=1312, by="text-313"),
+                member_messages.Update(name="text-314", address="text-315", incarnation=1316, state=1317, by="text-318"),
             ],
         ),
         member_messages.Message,
@@ -445,12 +441,8 @@
             name="text-320",
             address="text-321",
             updates=[
-                member_messages.Update(
-                    name="text-322", address="text-323", incarnation=1324, state=1325, by="text-326"
-                ),
-                member_messages.Update(
-                    name="text-327", address="text-328", incarnation=1329, state=1330, by="text-331"
-                ),
+                member_messages.Update(name="text-322", address="text-323", incarnation=1324, state=1325, by="text-326"),
+                member_messages.Update(name="text-327", address="text-328", incarnation=1329, state=1330, by="text-331"),
             ],
         ),
         member_messages.Message,
@@ -460,12 +452,8 @@
             number=1332,
             missed=True,
             updates=[
-                member_messages.Update(
-                    name="text-334", address="text-335", incarnation=1336, state=1337, by="text-338"
-                ),
-                member_messages.Update(
-                    name="text-339", address="text-340", incarnation=1341, state=1342, by="text-343"
-                ),
+                member_messages.Update(name="text-334", address="text-335", incarnation=1336, state=1337, by="text-338"),
+                member_messages.Update(name="text-339", address="text-340", incarnation=1341, state=1342, by="text-343"),
             ],
         ),
         member_messages.Message,
@@ -474,12 +462,8 @@
         member_messages.Sync(
             answer=True,
             updates=[
-                member_messages.Update(
-                    name="text-345", address="text-346", incarnation=1347, state=1348, by="text-349"
-                ),
-                member_messages.Update(
-                    name="text-350", address="text-351", incarnation=1352, state=1353, by="text-354"
-                ),
+                member_messages.Update(name="text-345", address="text-346", incarnation=1347, state=1348, by="text-349"),
+                member_messages.Update(name="text-350", address="text-351", incarnation=1352, state=1353, by="text-354"),
             ],
         ),
         member_messages.Message,
@@ -893,13 +877,13 @@
     ),
     "consensus/request-vote/flags-1": Sample(
         msgspec.structs.replace(CONSENSUS_MESSAGES["consensus/request-vote"].instance, lease_free=False),
-        member_messages.Message,
+        messages.Message,
     ),
     "consensus/request-vote-reply/flags-1": Sample(
         msgspec.structs.replace(
             CONSENSUS_MESSAGES["consensus/request-vote-reply"].instance, pre_vote=False, lease_free=False
         ),
-        member_messages.Message,
+        messages.Message,
     ),
     "consensus/request-vote-reply/flags-2": Sample(
         msgspec.structs.replace(
@@ -907,7 +891,7 @@
             unanimous_only=False,
             lease_free=False,
         ),
-        member_messages.Message,
+        messages.Message,
     ),
     "drafts/kept/flags-1": Sample(
         [
@@ -985,12 +969,13 @@
 
 def stored_record(order: int, synced_up_to: int, data: bytes) -> bytes:
     """A record as it stands in a log's data file."""
-    return log_store.packed(order, synced_up_to, data)
+    return log_format.encode_record(order, synced_up_to, data)
 
 
 def read_stored_records(data: bytes) -> tuple[list[bytes], int]:
     """The records at the start of a data file, and up to which one it says that it was synced."""
-    return log_store.unpacked(data)
+    contents = log_format.decode_records(data)
+    return contents.records, contents.durable_count
 
 
 # A settings file with each field, none at its default, and what is read of it.
