--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -58,7 +58,7 @@
         if quota_client is None or not owner_name:
             return self._finish(task, CloseReason.REJECTED)
         hostname = self._context.settings.hostname
-        request = quota_client.ask(hostname, self._quota_owner.fencing_token)
+        request = quota_client.quota_request(hostname, self._quota_owner.fencing_token)
         if owner_name == hostname and not self._quota_owner.predecessor(self._now_us(), request.tenant):
             return self._finish_with_reply(task, request, self._add_here(request))
         self._start(self._add_at_owner(task, request))
--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -1,7 +1,12 @@
-"""A tenant's quota at a proxy: the design's account, whose count is held by one of the proxies. Pure.
+"""A proxy's side of one tenant's quota: it leases units of the tenant's count, which one proxy owns.
 
-Leases, cached refusals and the breaker are lapisgrade.policy's. What differs is the count: it is told in
-units of room, not as a sum that forgets, and without it nothing is let in but what `unseen` states.
+Pure. Leases, cached refusals and the breaker are those of `lapisgrade.policy.account`. What differs is the
+count: its owner reports the units taken, not a sum that decays, and without the owner nothing is admitted
+but what `unreported_allowance` states.
+
+The bound (QUOTA): in any window of `quota_win`, all proxies together admit at most (rate x window + burst) x
+(1 + excess) + extra units of a tenant. Units are requests; times are microseconds, where no other unit is
+named.
 """
 
 import math
@@ -15,151 +20,225 @@
 from lapisgrade.policy.account import MAX_CONSECUTIVE_TIMEOUTS, Account, CounterBreaker
 from lapisgrade.rate import TokenBucket
 
-LATE = 0.25  # s between a unit's grant and its arrival at a server, at most, beside the lease's life
-STORE = 0.8  # of what may be let in unseen that may go at once; most spans without a count are short
-BACK = 0.3  # s after which one refused without a count is told to come back: elsewhere there may be one
-LONGEST = 5 * SECOND  # us that one is told to wait at most; beyond what clients of the deployments have
-KNOCK = 80_000  # us between calls to a count that does not answer; a new owner is there within a second
-CALLS = 200.0  # calls a second for one tenant, at most
-COUNT_LIFE = 60 * SECOND  # us; what the interface wants told of a named count
+# s between a unit's grant and its arrival at a server, at most, beside the time that a lease lasts.
+MAX_GRANT_DELAY_S = 0.25
+# Of the unreported allowance, what may be used at once; most spans without the owner are short.
+UNREPORTED_BURST_FRACTION = 0.8
+# s after which one that is rejected without the owner is told to retry: another proxy may reach the owner.
+UNREPORTED_RETRY_S = 0.3
+# us that one is told to wait at most; beyond what clients of the deployments have.
+MAX_RETRY_AFTER_US = 5 * SECOND
+# us between calls to an owner that does not answer; a new one is there within a second.
+PROBE_INTERVAL_US = 80_000
+MAX_CALLS_PER_S = 200.0  # for one tenant
+COUNT_TTL_US = 60 * SECOND  # what the interface wants stated of a named count
+NEVER_DECAYS_US = 1 << 60
 
 
-def unseen(slo: Slo, rate: float, burst: float, limiters: int) -> float:
-    """Units that one limiter of so many may let in, in any QuotaWin, without the count.
+def unreported_allowance(slo: Slo, rate: float, burst: float, limiters: int) -> float:
+    """Return the units that one limiter of so many may admit, in any window, without the count's owner.
 
     In a window, QUOTA allows (rate x window + burst) x (1 + excess) + extra. What the owner grants in it,
-    and what was leased before, is room + rate x window at most; what is late adds to it. The rest is shared
-    out.
+    and what was leased before, is capacity + rate x window at most; what is late adds to it. The rest is
+    shared out.
+
+    Args:
+        slo: the window, and the excess that the operators allow.
+        rate: the tenant's, in units a second.
+        burst: the tenant's, in units.
+        limiters: how many proxies may be without the owner at once.
     """
-    window, full = slo.quota_win / SECOND, capacity(burst, rate)
-    allowed = (rate * window + burst) * (1 + slo.quota_excess) + slo.quota_extra
-    seen = full + rate * window + rate * LATE
-    return max(0.0, allowed - seen) / max(1, limiters)
+    window_s = slo.quota_win / SECOND
+    allowed = (rate * window_s + burst) * (1 + slo.quota_excess) + slo.quota_extra
+    reported = capacity(burst, rate) + rate * window_s + rate * MAX_GRANT_DELAY_S
+    return max(0.0, allowed - reported) / max(1, limiters)
+
 
+def _plan(tenant: Tenant) -> Plan:
+    rate = float(tenant.rate_s)
+    return Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0)
 
-class Breaker(CounterBreaker):
-    """Of one tenant's count: its owner may be gone while the others' are there, and back in a moment."""
 
-    probe_interval_us = KNOCK
+class OwnerBreaker(CounterBreaker):
+    """The breaker of one tenant's count: its owner may be gone while others' are there, and soon be back."""
+
+    probe_interval_us = PROBE_INTERVAL_US
 
     def __init__(self) -> None:
         super().__init__(True)
         # One call a lease, at the most; what is crowded is the owner's machine, not a service of all.
-        self.call_budget = TokenBucket(0, CALLS, CALLS, CALLS)
+        self.call_budget = TokenBucket(0, MAX_CALLS_PER_S, MAX_CALLS_PER_S, MAX_CALLS_PER_S)
 
     def record_reply(self, now: int, tally: CounterOutcome, sent: int) -> None:
-        self.consecutive_timeouts = 0 if tally is CounterOutcome.ADDED else self.consecutive_timeouts + 1
+        """Count the calls in a row that the owner did not answer."""
+        if tally is CounterOutcome.ADDED:
+            self.consecutive_timeouts = 0
+        else:
+            self.consecutive_timeouts += 1
 
 
 class QuotaClient(Account):
-    """One tenant here."""
+    """One tenant's quota at this proxy."""
 
     lease_duration_us = LEASE_US
 
     def __init__(self, clock: Clock, tenant: Tenant, slo: Slo, limiters: int, began_us: int) -> None:
-        self.gateway_count, self.tenant = 1, tenant
-        rate, now = float(tenant.rate_s), clock.now_us
-        plan = Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0)
-        self.clock, self.counter_breaker, self.plan, self.customer = clock, Breaker(), plan, tenant.name
+        """Begin for a tenant that is new here; `began_us` is when this process began."""
+        now_us = clock.now_us
+        self.gateway_count = 1
+        self.tenant = tenant
+        self.clock = clock
+        self.counter_breaker = OwnerBreaker()
+        self.plan = _plan(tenant)
+        self.customer = tenant.name
         self.decay_us = SECOND
-        self._reset(now, plan)
-        # What is owed is owed whole; it does not fade as a decaying count's does.
-        self.unreported.decay_us = 1 << 60
+        self._reset(now_us, self.plan)
+        # What is to be reported stays whole; it does not fade as a decaying count's does.
+        self.unreported.decay_us = NEVER_DECAYS_US
         self._slo = slo
-        # What an earlier life of this process let in unseen must be out of the window first.
-        self.ripe = began_us + slo.quota_win
-        self.local_bucket = TokenBucket(now, 0.0, 0.0, 0.0)
-        self.turn, self.of = 0, 0  # calls so far, and the last that may have been counted
-        self.parts = (0.0, 0.0)  # of the call that is out: what it takes, and what it gives back
-        self.turn_at = now  # when the last one that was refused may have room
-        self.shared_by(limiters)
-
-    def shared_by(self, limiters: int) -> None:
-        """So many limiters may be without the count at once."""
-        now, window = self.clock.now_us, self._slo.quota_win / SECOND
-        # Most as a store, the rest as its refill: no window sees more than the whole.
-        units = unseen(self._slo, self.plan.rate, self.tenant.burst, limiters)
-        level = self.local_bucket.read(now)
-        store = max(STORE * units, min(1.0, units))
-        self.local_bucket = TokenBucket(now, (units - store) / window, store, 0.0)
-        self.local_bucket.set_level(now, min(level, self.local_bucket.burst))
-
-    def limited(self, tenant: Tenant) -> None:
-        """A newer configuration's limit for it."""
-        rate, now = float(tenant.rate_s), self.clock.now_us
-        level = self.bucket.read(now)
-        self.tenant, self.plan = (
-            tenant,
-            Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0),
-        )
-        self.bucket = TokenBucket(now, rate, self.plan.burst, min(level, self.plan.burst))
+        # What an earlier process of this machine admitted unreported must be out of the window first.
+        self._may_go_unreported_us = began_us + slo.quota_win
+        self.local_bucket = TokenBucket(now_us, 0.0, 0.0, 0.0)
+        self._calls = 0
+        self._last_counted_call = 0  # the number of the last call that the owner may have counted
+        self.taken_units = 0.0  # by the call in progress
+        self.returned_units = 0.0  # by the call in progress
+        self._next_retry_us = now_us  # when the last one that was rejected may find a unit
+        self.set_limiter_count(limiters)
+
+    # ---- limits
+
+    def set_limiter_count(self, limiters: int) -> None:
+        """Share the unreported allowance among so many limiters: they may be without the owner at once."""
+        now_us = self.clock.now_us
+        window_s = self._slo.quota_win / SECOND
+        # Most as a burst, the rest as its refill: no window sees more than the whole.
+        units = unreported_allowance(self._slo, self.plan.rate, self.tenant.burst, limiters)
+        level = self.local_bucket.read(now_us)
+        burst = max(UNREPORTED_BURST_FRACTION * units, min(1.0, units))
+        self.local_bucket = TokenBucket(now_us, (units - burst) / window_s, burst, 0.0)
+        self.local_bucket.set_level(now_us, min(level, self.local_bucket.burst))
+
+    def set_limit(self, tenant: Tenant) -> None:
+        """Apply the limit of a newer configuration."""
+        now_us = self.clock.now_us
+        level = self.bucket.read(now_us)
+        self.tenant = tenant
+        self.plan = _plan(tenant)
+        self.bucket = TokenBucket(now_us, self.plan.rate, self.plan.burst, min(level, self.plan.burst))
+
+    # ---- admission
 
     def may_wait_for_counter(self, now: int) -> bool:
-        """As the account's; but for a count that has not answered of late only the one that knocks waits."""
-        return (
-            self.counter_breaker.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS
-            if self.is_calling
-            else self.counter_breaker.try_acquire_call(now)
-        )
+        """Return whether a request waits for the owner.
 
-    def consume(self, now: int, units: float, alone: bool = False) -> None:
-        """What the owner granted takes nothing from what may be let in unseen: `unseen` is beside it."""
+        While that does not answer, only the probing one does.
+        """
+        breaker = self.counter_breaker
+        if self.is_calling:
+            return breaker.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS
+        return breaker.try_acquire_call(now)
 
-    def add_to_counter(self, units: float) -> Generator:
-        now = self.clock.now_us
-        new, owed = units + self.unreported.value, self.unreported.value
-        self.unreported.value = 0.0
-        self.turn += 1
-        # What is taken and what comes back are told apart: who holds the count now may know of one only.
-        some = units > 0
-        self.parts = max(0.0, units + max(0.0, owed) if some else new), max(0.0, -owed if some else -new)
-        got: CounterReply = yield AddToCounter(self.customer, new, COUNT_LIFE)
-        sent, now = now, self.clock.now_us
-        self.counter_breaker.record_reply(now, got.outcome, sent)
-        if got.outcome is not CounterOutcome.REJECTED:
-            self.of = self.turn
-        if got.outcome is CounterOutcome.REJECTED:
-            self.unreported.value += new - units
-        elif got.outcome is CounterOutcome.ADDED:
-            if not self.last_read_us:
-                self.local_bucket.set_level(
-                    now, self.local_bucket.burst
-                )  # nothing before the count was ever seen
-                self.epoch = 0  # the room is known from here on
-            self.last_read_us = now
-            self.bucket.set_level(now, self.plan.burst - got.total)
-        else:
-            self.bucket.set_level(now, self.bucket.read(now) - new)
-        return got.outcome
+    def consume(self, now: int, units: float, alone: bool = False) -> None:
+        """Do nothing: what the owner granted is no part of the unreported allowance, which is beside it."""
 
-    def ask(self, by: str, fence: int) -> rpc_messages.QuotaRequest:
-        """The call that is out, as the owner is told it."""
-        takes, back = self.parts
-        rate, burst = float(self.tenant.rate_s), float(self.tenant.burst)
-        return rpc_messages.QuotaRequest(
-            self.customer, takes, by, fence, rate, burst, back, self.turn, self.of
-        )
+    def admit_locally(self, now: int, units: float, counted: bool = False) -> int | None:
+        """Admit by the unreported allowance, as the owner does not answer.
 
-    def comes_back(self, now: int, wait: int) -> int:
-        """When one that is refused may come back, in us.
+        Args:
+            now: the time.
+            units: what the request takes.
+            counted: whether the call that timed out may have been counted with these units.
 
-        Where the count says that there is no room, each comes after the other, at this limiter's part of the
-        refill (guards against all of them coming back for the same unit, to be refused once more). Where it
-        says nothing, as soon as it may: another limiter may reach it.
+        Returns:
+            None where it is admitted, else the us until it may retry.
         """
-        if self.counter_breaker.consecutive_timeouts or self.bucket.read(now) >= 1.0 or not self.plan.rate:
-            return wait
-        step = math.ceil(self.gateway_count / self.plan.rate * SECOND)
-        self.turn_at = min(max(self.turn_at + step, now + wait), now + LONGEST)
-        return self.turn_at - now
-
-    def admit_locally(self, now: int, units: float, counted: bool = False) -> int | None:
-        """No word from the count: what `unseen` leaves, and nothing beyond it."""
-        if self.last_read_us and now >= self.ripe and self.local_bucket.read(now) >= units:
+        is_allowed = self.last_read_us and now >= self._may_go_unreported_us
+        if is_allowed and self.local_bucket.read(now) >= units:
             self.local_bucket.set_level(now, self.local_bucket.read(now) - units)
             if not counted:
                 self.unreported.value += units
             return None
         if counted:
             self.unreported.value -= units
-        return min(math.ceil(BACK * SECOND), self.local_bucket.wait_us(now, units))
+        return min(math.ceil(UNREPORTED_RETRY_S * SECOND), self.local_bucket.wait_us(now, units))
+
+    def retry_after_us(self, now_us: int, wait_us: int) -> int:
+        """Return when one that is rejected may retry, in us from now.
+
+        Where the count has no units left, each retries after the other, at this limiter's part of the refill
+        (guards against all of them coming back for the same unit, to be rejected once more). Where the owner
+        does not answer, as soon as it may: another limiter may reach it.
+
+        Args:
+            now_us: the time.
+            wait_us: the least that it must wait.
+        """
+        has_units = self.bucket.read(now_us) >= 1.0
+        if self.counter_breaker.consecutive_timeouts or has_units or not self.plan.rate:
+            return wait_us
+        step_us = math.ceil(self.gateway_count / self.plan.rate * SECOND)
+        earliest_us = max(self._next_retry_us + step_us, now_us + wait_us)
+        self._next_retry_us = min(earliest_us, now_us + MAX_RETRY_AFTER_US)
+        return self._next_retry_us - now_us
+
+    # ---- calls to the owner
+
+    def add_to_counter(self, units: float) -> Generator[AddToCounter, CounterReply, CounterOutcome]:
+        """Add units to the count, with what is to be reported; negative units are given back."""
+        unreported = self.unreported.value
+        added = units + unreported
+        self.unreported.value = 0.0
+        self._begin_call(units, unreported)
+        sent_us = self.clock.now_us
+        # The tenant's name stands for the counter's id: the shell finds the owner by it.
+        reply = yield AddToCounter(self.customer, added, COUNT_TTL_US)  # type: ignore[arg-type]
+        now_us = self.clock.now_us
+        self.counter_breaker.record_reply(now_us, reply.outcome, sent_us)
+        if reply.outcome is CounterOutcome.REJECTED:
+            self.unreported.value += added - units
+            return reply.outcome
+        self._last_counted_call = self._calls
+        if reply.outcome is CounterOutcome.ADDED:
+            self._record_total(now_us, reply.total)
+        else:
+            self.bucket.set_level(now_us, self.bucket.read(now_us) - added)
+        return reply.outcome
+
+    def _begin_call(self, units: float, unreported: float) -> None:
+        """Tell apart what the call takes and what it gives back: its owner may know of one of them only."""
+        self._calls += 1
+        if units > 0:
+            self.taken_units = max(0.0, units + max(0.0, unreported))
+            self.returned_units = max(0.0, -unreported)
+        else:
+            self.taken_units = max(0.0, units + unreported)
+            self.returned_units = max(0.0, -(units + unreported))
+
+    def _record_total(self, now_us: int, total: float) -> None:
+        """Note how many units the owner says are taken of the count."""
+        if not self.last_read_us:
+            # Nothing was admitted before the owner was first reached.
+            self.local_bucket.set_level(now_us, self.local_bucket.burst)
+            self.epoch = 0  # the level is known from here on
+        self.last_read_us = now_us
+        self.bucket.set_level(now_us, self.plan.burst - total)
+
+    def quota_request(self, proxy: str, fencing_token: int) -> rpc_messages.QuotaRequest:
+        """Return the message of the call in progress, to the count's owner.
+
+        Args:
+            proxy: this proxy's name.
+            fencing_token: of the membership that names the owner.
+        """
+        return rpc_messages.QuotaRequest(
+            self.customer,
+            self.taken_units,
+            proxy,
+            fencing_token,
+            float(self.tenant.rate_s),
+            float(self.tenant.burst),
+            self.returned_units,
+            self._calls,
+            self._last_counted_call,
+        )
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -59,8 +59,8 @@
             if tenant is None:
                 del self.quota_clients[name]
             elif tenant != quota_client.tenant:
-                quota_client.limited(tenant)
-                quota_client.shared_by(self.proxy_count)
+                quota_client.set_limit(tenant)
+                quota_client.set_limiter_count(self.proxy_count)
 
     def set_proxy_count(self, proxy_count: int) -> None:
         """Share quotas and retry budgets among so many live proxies."""
@@ -70,7 +70,7 @@
         for retry_budget in self.retry_budgets.values():
             retry_budget.proxy_count = proxy_count
         for quota_client in self.quota_clients.values():
-            quota_client.shared_by(proxy_count)
+            quota_client.set_limiter_count(proxy_count)
 
     def update_servers(self, servers: list[registry.Server], is_complete: bool) -> None:
         """Take in servers that came, went or changed; a complete list names all there are."""
@@ -141,7 +141,7 @@
                 return
             if wait_us is not None:
                 minimum_us = max(MIN_RETRY_AFTER_US, int(wait_us))
-                retry_after_us = quota_client.comes_back(self.clock.now_us, minimum_us)
+                retry_after_us = quota_client.retry_after_us(self.clock.now_us, minimum_us)
                 yield Respond(RejectReason.RETRY_LATER, retry_after_us, 429)
                 return
         yield from self.serve(request)
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -55,7 +55,7 @@
         if news.fencing_token == self.quota_owner.fencing_token:
             self.acts_until = sent + OWNERSHIP_LEASE_US
             self.clock.now_us = self.world.sim.now
-            self.quota_client.shared_by(len(self.quota_owner.proxies))
+            self.quota_client.set_limiter_count(len(self.quota_owner.proxies))
 
     def awake(self) -> bool:
         return self.world.sim.now >= self.frozen_until
@@ -84,7 +84,7 @@
     def add_to_counter(self, task, add) -> None:
         world, life = self.world, self.life
         name = owner_of("t", self.quota_owner.eligible_owners)
-        ask = self.quota_client.ask(self.name, self.quota_owner.fencing_token)
+        ask = self.quota_client.quota_request(self.name, self.quota_owner.fencing_token)
         over: list[CounterReply] = []  # the first answer counts
 
         def answered(total: CounterReply) -> None:
--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -10,7 +10,11 @@
 from lapisgrade.lab.explore.defects import Defects
 
 FOREVER = 1 << 60  # us
-_add, _update_members, _unseen = QuotaOwner.add, QuotaOwner.update_members, client.unseen
+_add, _update_members, _unreported_allowance = (
+    QuotaOwner.add,
+    QuotaOwner.update_members,
+    client.unreported_allowance,
+)
 
 
 class Full(Count):
@@ -70,7 +74,11 @@
 DEFECTS: Defects = {
     "starts-full": (owned_counts, "Count", Full),
     "any-fence": (QuotaOwner, "add", _any_fence),
-    "undivided": (client, "unseen", lambda slo, rate, burst, limiters: _unseen(slo, rate, burst, 1)),
+    "undivided": (
+        client,
+        "unreported_allowance",
+        lambda slo, rate, burst, limiters: _unreported_allowance(slo, rate, burst, 1),
+    ),
     "asks-nobody": (QuotaOwner, "add", _asks_nobody),
     "forgets-last-life": (QuotaOwner, "update_members", _forgets_last_incarnation),
     "forgets-leases": (Count, "add", _forgets_leases),
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -33,7 +33,7 @@
 
     def add_to_counter(self, task, add) -> None:
         super().add_to_counter(task, add)
-        self.world.called(self.quota_client.ask(self.name, self.quota_owner.fencing_token))
+        self.world.called(self.quota_client.quota_request(self.name, self.quota_owner.fencing_token))
 
 
 class Local(explored.Limiter):
@@ -60,9 +60,10 @@
         self.bucket = TokenBucket(self.world.sim.now, self.world.tenant.rate_s, self.world.room, 0.0)
 
     def request(self) -> None:
-        self.quota_client.parts = (1.0, 0.0)
+        self.quota_client.taken_units = 1.0
+        self.quota_client.returned_units = 0.0
         self.add_to_counter(None, None)
-        self.world.called(self.quota_client.ask(self.name, self.quota_owner.fencing_token))
+        self.world.called(self.quota_client.quota_request(self.name, self.quota_owner.fencing_token))
 
     def take(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
         now, level = self.world.sim.now, self.bucket.read(self.world.sim.now)
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -42,7 +42,7 @@
         self.quota_owner.update_members(0, MembershipUpdate(5, listed(ME, OLD), previous_token=0))
         self.updates = SimpleNamespace(ownership_ends_us=1 << 60)
         self.asked, self.ended = [], []
-        client = SimpleNamespace(ask=self._ask, gateways=1)
+        client = SimpleNamespace(quota_request=self._ask, gateways=1)
         self.router = SimpleNamespace(quota_clients={self.tenant: client})
         self.host = SimpleNamespace(put=self.ended.append)
         self.answers = {}
--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -6,7 +6,7 @@
 from support.quota_simulation import SECOND, SLO, Proxy, World, live_proxies
 
 from lapisgrade.gateway.configuration import Tenant
-from lapisgrade.gateway.quota.client import unseen
+from lapisgrade.gateway.quota.client import unreported_allowance
 from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.ownership import owner_of
 
@@ -124,7 +124,7 @@
         world.run(4, 300)
         world.tenant = Tenant("t", ("k",), None, 20.0, 20.0)
         for each in world.proxies.values():
-            each.quota_client.limited(world.tenant)
+            each.quota_client.set_limit(world.tenant)
         world.run(5, 300)
         world.let.clear()
         world.run(8, 300)
@@ -132,4 +132,4 @@
 
     def test_the_bound_as_it_is_stated(self):
         # (60 x 5 + 60) x 1.1 + 20 - 60 - 300 - 15, among 14
-        self.assertAlmostEqual(unseen(SLO, 60.0, 60.0, 14), (396 + 20 - 375) / 14)
+        self.assertAlmostEqual(unreported_allowance(SLO, 60.0, 60.0, 14), (396 + 20 - 375) / 14)
--- a/tests/gateway/quota/test_client.py
+++ b/tests/gateway/quota/test_client.py
@@ -22,7 +22,7 @@
             one.unreported.value = owed
             adding = one.add_to_counter(units)
             next(adding)
-            ask = one.ask("x", 7)
+            ask = one.quota_request("x", 7)
             calls.append((ask.units, ask.returned_units, ask.sequence_number, ask.returned_from))
             with self.assertRaises(StopIteration):
                 adding.send(CounterReply(tally, 0.0))
@@ -38,12 +38,12 @@
         one = QuotaClient(clock, Tenant("t", rate_s=10, burst=5), SLO, 4, 0)
         one.gateway_count = 4
         one.bucket.set_level(clock.now_us, -1.0)
-        told = [one.comes_back(clock.now_us, 200_000) for _ in range(4)]
+        told = [one.retry_after_us(clock.now_us, 200_000) for _ in range(4)]
         self.assertEqual(told, [400_000, 800_000, 1_200_000, 1_600_000])
         self.assertEqual(
-            one.comes_back(clock.now_us + 9 * SECOND, 300_000), 300_000
+            one.retry_after_us(clock.now_us + 9 * SECOND, 300_000), 300_000
         )  # room again: nobody is before it
         one.bucket.set_level(clock.now_us, -500.0)
-        self.assertLessEqual(max(one.comes_back(clock.now_us, 200_000) for _ in range(50)), 5 * SECOND)
+        self.assertLessEqual(max(one.retry_after_us(clock.now_us, 200_000) for _ in range(50)), 5 * SECOND)
         one.counter_breaker.consecutive_timeouts = 1
-        self.assertEqual([one.comes_back(clock.now_us, 300_000) for _ in range(3)], [300_000] * 3)
+        self.assertEqual([one.retry_after_us(clock.now_us, 300_000) for _ in range(3)], [300_000] * 3)
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -49,7 +49,7 @@
     def add_to_counter(self, task, add) -> None:
         world = self.world
         name = owner_of("t", self.quota_owner.proxies)
-        ask = self.quota_client.ask(self.name, self.quota_owner.fencing_token)
+        ask = self.quota_client.quota_request(self.name, self.quota_owner.fencing_token)
         other = world.proxies.get(name)
         total = CounterReply(CounterOutcome.TIMED_OUT)
         if other is not None and not self.dark and not other.dark:
