--- a/lapisgrade/gateway/api.py
+++ b/lapisgrade/gateway/api.py
@@ -1,84 +1,127 @@
-"""The calls of servers and operators: one table says each one's name, what it is of, and what its body is."""
+"""The control API: the calls of servers and operators, and how a request names one.
 
+A call is an HTTP POST to `PATH`, with its name in the query's `call` and, where it is about a server, that
+server's identity in `of`. `TABLE` lists all calls.
+"""
+
+from http import HTTPStatus
+from typing import NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 import msgspec
 from attrs import define, field
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
-from lapisgrade.gateway.settings import Span, checker, take
 from lapisgrade.gateway.controller.state_machine import MOST_DRAFT
-from lapisgrade.gateway.registry import Server
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway.registry import Server, ServerState
+from lapisgrade.gateway.settings import Span, strict_converter, structure
 
 PATH = "/-/rpc"
-WARM = Span(0)
-MOST_BEAT = 4096  # bytes of a server's call, and of what answers it
+NO_WARM_UP = Span(0)
+MAX_SMALL_BODY_BYTES = 4096  # of calls that carry neither a configuration nor a draft
+MAX_SERVER_ID_LENGTH = 256  # characters
 
 
 @define(frozen=True, slots=True)
-class Beat:
-    """What a server says of itself."""
+class Heartbeat:
+    """The body of a server's heartbeat; its fields bear the names of the wire in lower case.
+
+    Attributes:
+        svc: The service that the server runs.
+        addr: Where it takes requests.
+        seq: Counts the server's heartbeats.
+        az: The failure domain that it runs in.
+        slots: How many requests it runs at once.
+        state: `drain` where it takes no new requests; anything else is `up`.
+        warmup_time: How much longer it is slower than usual.
+    """
 
     svc: str
     addr: str
     seq: int
     az: str = ""
-    slots: int = field(default=1, validator=configuration.positive)
+    slots: int = field(default=1, validator=configuration.check_positive)
     state: str = "up"
-    warmup_time: Span = configuration.wired("Warmup_time", default=WARM)
+    warmup_time: Span = configuration.wire_field("Warmup_time", default=NO_WARM_UP)
 
 
 @define(frozen=True, slots=True)
 class Call:
+    """One call of the control API.
+
+    Attributes:
+        name: As requests and metrics have it.
+        has_subject: Whether it is about a server, which the request names.
+        max_body_bytes: What its body may have at most.
+        description: What it tells or asks, for people.
+    """
+
     name: str
-    of: bool  # whether it names a server
-    most: int  # bytes of its body
-    what: str  # for people
-
-
-TABLE = {
-    each.name: each
-    for each in (
-        Call("servers.heartbeat", True, MOST_BEAT, "a server lives, or drains"),
-        Call("servers.deregister", True, MOST_BEAT, "a server is about to end"),
-        Call("conf.replace", False, configuration.MOST_BYTES, "a whole configuration"),
-        Call("conf.update", False, configuration.MOST_BYTES, "a change of named items"),
-        Call("conf.show", False, MOST_BEAT, "the newest configuration"),
-        Call("conf.draft", False, MOST_DRAFT, "a change of named items, kept here until it can be merged"),
-        Call("conf.drafts", False, MOST_BEAT, "drafts, what came of each, and what is open"),
-        Call("conf.settle", False, MOST_BEAT, "a draft's fields that were set aside come into force"),
-        Call("conf.close", False, MOST_BEAT, "what is open of a draft is not wanted any more"),
-        Call("conf.status", False, MOST_BEAT, "which proxies hold and act by which version; servers"),
-    )
-}
+    has_subject: bool
+    max_body_bytes: int
+    description: str
+
 
-_CHECKER = checker()
+class ParsedCall(NamedTuple):
+    """A call and the server that it is about; empty for none."""
 
+    call: Call
+    subject: str
 
-def called(method: str, target: str) -> tuple[Call, str] | int:
-    """The call that a request line stands for and what it is of, or the status that refuses it."""
+
+_CALLS = (
+    Call("servers.heartbeat", True, MAX_SMALL_BODY_BYTES, "a server lives, or drains"),
+    Call("servers.deregister", True, MAX_SMALL_BODY_BYTES, "a server is about to end"),
+    Call("conf.replace", False, configuration.MAX_BYTES, "a whole configuration"),
+    Call("conf.update", False, configuration.MAX_BYTES, "a change of named items"),
+    Call("conf.show", False, MAX_SMALL_BODY_BYTES, "the newest configuration"),
+    Call("conf.draft", False, MOST_DRAFT, "a change of named items, stored here until it can be merged"),
+    Call("conf.drafts", False, MAX_SMALL_BODY_BYTES, "drafts, what came of each, and what is open"),
+    Call("conf.settle", False, MAX_SMALL_BODY_BYTES, "a draft's fields that were set aside come into force"),
+    Call("conf.close", False, MAX_SMALL_BODY_BYTES, "what is open of a draft is not wanted any more"),
+    Call("conf.status", False, MAX_SMALL_BODY_BYTES, "which proxies have which version; servers"),
+)
+TABLE = {call.name: call for call in _CALLS}
+
+_CONVERTER = strict_converter()
+
+
+def parse_call(method: str, target: str) -> ParsedCall | HTTPStatus:
+    """Return the call that a request line names, or the HTTP status that refuses it."""
     parts = urlsplit(target)
     if parts.path != PATH:
-        return 404
+        return HTTPStatus.NOT_FOUND
     query = parse_qs(parts.query)
     call = TABLE.get(query.get("call", [""])[0])
-    of = query.get("of", [""])[0]
+    subject = query.get("of", [""])[0]
     if call is None:
-        return 404
+        return HTTPStatus.NOT_FOUND
     if method != "POST":
-        return 405
-    if call.of and not 0 < len(of) <= 256:
-        return 400
-    return call, of
+        return HTTPStatus.METHOD_NOT_ALLOWED
+    if call.has_subject and not 0 < len(subject) <= MAX_SERVER_ID_LENGTH:
+        return HTTPStatus.BAD_REQUEST
+    return ParsedCall(call, subject)
+
 
+def parse_heartbeat(server_id: str, body: bytes) -> Server:
+    """Return the server that a heartbeat describes, as the registry takes it in.
 
-def beat(of: str, body: bytes) -> tuple[Server, str]:
-    """A server's beat as the register takes it, and its state; InvalidInputError for what is none."""
+    Raises:
+        InvalidInputError: The body is no heartbeat.
+    """
     try:
         raw = msgspec.json.decode(body)
     except msgspec.MsgspecError:
         raise InvalidInputError("the body is not JSON") from None
-    told: Beat = take(_CHECKER, raw, Beat)
-    state = "drain" if told.state == "drain" else "up"
-    return Server(of, told.svc, told.addr, told.az, told.slots, state, told.seq, int(told.warmup_time)), state
+    heartbeat: Heartbeat = structure(_CONVERTER, raw, Heartbeat)
+    return Server(
+        id=server_id,
+        service=heartbeat.svc,
+        address=heartbeat.addr,
+        zone=heartbeat.az,
+        slots=heartbeat.slots,
+        state=ServerState.DRAIN if heartbeat.state == "drain" else ServerState.UP,
+        sequence_number=heartbeat.seq,
+        warm_up_us=int(heartbeat.warmup_time),
+    )
--- a/lapisgrade/gateway/cli/commands.py
+++ b/lapisgrade/gateway/cli/commands.py
@@ -8,7 +8,6 @@
 from http import HTTPStatus
 from typing import Any
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration, settings
 from lapisgrade.gateway.cli import configuration_check
 from lapisgrade.gateway.cli.disk_report import DiskReport
@@ -18,6 +17,7 @@
 from lapisgrade.gateway.cli.operator_client import JsonObject, OperatorClient
 from lapisgrade.gateway.cli.rollout import RollingRestart, run_shell
 from lapisgrade.gateway.cli.tenants import TenantClient
+from lapisgrade.gateway.errors import InvalidInputError
 
 Arguments = dict[str, Any]
 """What docopt read: by the name of a command, option or argument, as in `gateway.__main__`."""
@@ -165,7 +165,7 @@
 async def run_with_controllers(args: Arguments) -> ExitCode:
     """Run a command that asks the controllers for something."""
     try:
-        controllers = [settings.address(each) for each in args["--ctl"].split(",")]
+        controllers = [settings.parse_address(each) for each in args["--ctl"].split(",")]
         client = OperatorClient(controllers, print)
         if args["tenant"]:
             return await tenant(args, TenantClient(controllers, print))
--- a/lapisgrade/gateway/cli/configuration_check.py
+++ b/lapisgrade/gateway/cli/configuration_check.py
@@ -10,15 +10,16 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import SECOND, configuration
 from lapisgrade.gateway.cli.operator_client import JsonObject
 from lapisgrade.gateway.configuration import Configuration, Rule, Tenant
+from lapisgrade.gateway.configuration_change import apply_change
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge import fields as merge_fields
-from lapisgrade.gateway.settings import an_object, camel
+from lapisgrade.gateway.settings import decode_object, wire_name
 
 WIRE_NAMES = {"target_time": "Target_time", "warmup_time": "Warmup_time"}
-"""Fields that aren't encoded in camel case."""
+"""Fields that aren't encoded in wire_name case."""
 
 MAX_LINES = 200
 """Lines of one kind that are shown; a configuration may have many hundred routes."""
@@ -45,7 +46,7 @@
     Raises:
         InvalidInputError: it is none.
     """
-    return an_object(text, "a configuration")
+    return decode_object(text, "a configuration")
 
 
 # ---- differences
@@ -162,7 +163,7 @@
     """
     is_whole = "Upsert" not in change and "Del" not in change
     try:
-        changed = {**change} if is_whole else configuration.updated(current, change)
+        changed = {**change} if is_whole else apply_change(current, change)
         changed["Ver"] = current.get("Ver", 0) + 1
         changed.pop("Base", None)
         conf = configuration.read(changed)
@@ -180,7 +181,7 @@
 def _with_hint(error: str) -> str:
     """The error with its place in the file's own names, and how it is mended."""
     message, separator, place = error.partition(" @ $")
-    place = re.sub(r"\.(\w+)", lambda name: f".{WIRE_NAMES.get(name[1]) or camel(name[1])}", place)
+    place = re.sub(r"\.(\w+)", lambda name: f".{WIRE_NAMES.get(name[1]) or wire_name(name[1])}", place)
     error = message + separator + place
     hint = next((hint for text, hint in HINTS if text in error), "")
     return f"{error} ({hint})" if hint else error
--- a/lapisgrade/gateway/cli/drafts.py
+++ b/lapisgrade/gateway/cli/drafts.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.exit_codes import ExitCode
 from lapisgrade.gateway.cli.operator_client import MAX_ATTEMPTS, JsonObject, OperatorClient
-from lapisgrade.gateway.settings import an_object
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway.settings import decode_object
 
 STATE_PHRASES = {
     "kept": "kept, not in force",
@@ -30,7 +30,7 @@
     Raises:
         InvalidInputError: it holds none.
     """
-    raw = an_object(text, "a draft")
+    raw = decode_object(text, "a draft")
     if unknown := sorted(set(raw) - {"Upsert", "Del"}):
         raise InvalidInputError(f"unknown: {', '.join(unknown)[:200]}; a draft has Upsert and Del")
     return raw
--- a/lapisgrade/gateway/cli/tenants.py
+++ b/lapisgrade/gateway/cli/tenants.py
@@ -11,12 +11,13 @@
 import msgspec
 from attrs import define, field
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import SECOND, configuration
 from lapisgrade.gateway.cli.exit_codes import ExitCode
 from lapisgrade.gateway.cli.operator_client import MAX_ATTEMPTS, JsonObject, OperatorClient
 from lapisgrade.gateway.configuration import Configuration, Rule
-from lapisgrade.gateway.settings import an_object, take
+from lapisgrade.gateway.configuration_change import apply_change
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway.settings import decode_object, structure
 
 TENANT_FIELDS = ("Name", "Apikeys", "Prio", "RateS", "Burst")
 
@@ -25,11 +26,11 @@
 class Ticket:
     """One tenant with the routes and services that come with it; encoded as in a configuration."""
 
-    name: str = field(validator=configuration.named)
+    name: str = field(validator=configuration.check_name)
     apikeys: tuple[str, ...] = ()
     prio: int | None = None
-    rate_s: float = field(default=0.0, validator=configuration.natural, metadata={"wire": "RateS"})
-    burst: float = field(default=0.0, validator=configuration.natural)
+    rate_s: float = field(default=0.0, validator=configuration.check_not_negative, metadata={"wire": "RateS"})
+    burst: float = field(default=0.0, validator=configuration.check_not_negative)
     ports: tuple[configuration.Port, ...] = ()
     pools: tuple[configuration.Pool, ...] = ()
 
@@ -54,10 +55,10 @@
     Raises:
         InvalidInputError: each mistake and its place.
     """
-    raw = an_object(text, "a ticket")
+    raw = decode_object(text, "a ticket")
     if unknown := sorted(set(raw) - {*TENANT_FIELDS, "Ports", "Pools"}):
         raise InvalidInputError(f"unknown: {', '.join(unknown)[:200]}")
-    ticket: Ticket = take(configuration.converter(), raw, Ticket)
+    ticket: Ticket = structure(configuration.converter(), raw, Ticket)
     if not ticket.apikeys:
         raise InvalidInputError("Apikeys: a tenant needs a key")
     return ticket, raw
@@ -89,7 +90,7 @@
         is_known = pool.name in {each.name for each in existing.pools}
         plan.lines.append(f"service {pool.name}: {'changes' if is_known else 'new'}")
     try:
-        configuration.read(configuration.updated(current, plan.change))
+        configuration.read(apply_change(current, plan.change))
     except InvalidInputError as error:
         if not plan.objections:  # they say the same
             plan.objections.append(str(error))
--- /dev/null
+++ b/lapisgrade/gateway/configuration_change.py
@@ -0,0 +1,117 @@
+"""Changes of a configuration by named items, and the digest that tells two changes apart. Pure.
+
+A change (`conf.update`) holds whole items to be put under `Upsert`, and names of items to be removed under
+`Del`. A configuration is handled here as the operator laid it out, so that it can be read back the same.
+"""
+
+from collections.abc import Iterable
+from hashlib import blake2b
+from typing import Any
+
+import msgspec
+
+from lapisgrade.gateway.errors import ConfigurationError
+
+DIGEST_BYTES = 16
+
+# Lists of named items, with the keys that a change may give them under: whole items, or names alone.
+ITEM_LISTS = {"Pools": ("Pools", "Svcs"), "Tenants": ("Tenants",)}
+ROUTE_KEYS = ("Routes", "Ports", "Policy")  # under which names of routes to be removed may stand
+
+Json = dict[str, Any]
+
+
+def apply_change(current: Json, change: Json) -> Json:
+    """Return the whole configuration that a change of named items leaves.
+
+    Raises:
+        ConfigurationError: The change can't be read.
+    """
+    upsert, delete = change.get("Upsert") or {}, change.get("Del") or {}
+    if not isinstance(upsert, dict) or not isinstance(delete, dict):
+        raise ConfigurationError("Upsert and Del are objects")
+    changed = dict(current)
+    changed["Ver"] = change.get("Ver")
+    changed["Ports"] = _change_routes(current, upsert, delete)
+    for key, given_under in ITEM_LISTS.items():
+        items = _change_items(current, key, given_under, upsert, delete)
+        if items is not None:
+            changed[key] = items
+    if "Caps" in upsert:
+        changed["Caps"] = upsert["Caps"]
+    return changed
+
+
+def _change_routes(current: Json, upsert: Json, delete: Json) -> list[Json]:
+    """Return the hosts with their routes: a route that is put under another host moves there."""
+    deleted = {name for key in ROUTE_KEYS for name in _names(delete, key)}
+    rules_by_host: dict[str, list[Json]] = {}
+    for port in current.get("Ports") or []:  # a host may stand twice
+        rules_by_host.setdefault(port["Vhost"], []).extend(port.get("Policy") or [])
+    host_of_rule = {rule["Name"]: host for host, rules in rules_by_host.items() for rule in rules}
+    for port in _items(upsert, "Ports"):
+        host = port.get("Vhost")
+        if not isinstance(host, str):
+            raise ConfigurationError("an item of Ports has no Vhost")
+        rules_by_host.setdefault(host, [])
+        for rule in port.get("Policy") or []:
+            _put_rule(rules_by_host, host_of_rule, host, rule)
+    remaining = {
+        host: [rule for rule in rules if rule["Name"] not in deleted] for host, rules in rules_by_host.items()
+    }
+    return [{"Vhost": host, "Policy": rules} for host, rules in remaining.items() if rules]
+
+
+def _put_rule(
+    rules_by_host: dict[str, list[Json]], host_of_rule: dict[str, str], host: str, rule: Any
+) -> None:
+    """Put one route under a host: in the place of the one of its name there, else at the end."""
+    if not isinstance(rule, dict) or not isinstance(rule.get("Name"), str):
+        raise ConfigurationError("an item of Policy has no Name")
+    name = rule["Name"]
+    old_host = host_of_rule.get(name)
+    if old_host is not None and old_host != host:
+        rules_by_host[old_host] = [each for each in rules_by_host[old_host] if each["Name"] != name]
+    rules = rules_by_host[host]
+    position = next((i for i, each in enumerate(rules) if each["Name"] == name), None)
+    if position is None:
+        rules.append(rule)
+    else:
+        rules[position] = rule
+    host_of_rule[name] = host
+
+
+def _change_items(
+    current: Json, key: str, given_under: Iterable[str], upsert: Json, delete: Json
+) -> list[Json] | None:
+    """Return a list of named items after the change; None where there is none before and after."""
+    items = {item["Name"]: item for item in current.get(key) or []}
+    put = [item for name in given_under for item in _items(upsert, name)]
+    if any(not isinstance(item.get("Name"), str) for item in put):
+        raise ConfigurationError(f"an item of {key} has no Name")
+    items.update({item["Name"]: item for item in put})
+    deleted = {name for given in given_under for name in _names(delete, given)}
+    if key not in current and not put:
+        return None
+    return [item for name, item in items.items() if name not in deleted]
+
+
+def _items(upsert: Json, key: str) -> list[Json]:
+    items = upsert.get(key) or []
+    if not isinstance(items, list) or any(not isinstance(item, dict) for item in items):
+        raise ConfigurationError(f"{key} is not a list of objects")
+    return items
+
+
+def _names(delete: Json, key: str) -> list[str]:
+    """Return the names under a key, each given as text or as an item with its name."""
+    given = delete.get(key) or []
+    if not isinstance(given, list):
+        raise ConfigurationError(f"{key} is not a list of names")
+    return [each["Name"] if isinstance(each, dict) and "Name" in each else str(each) for each in given]
+
+
+def digest(body: bytes) -> bytes:
+    """Return a digest of a body's meaning: the same JSON laid out another way is the same change."""
+    ordered = msgspec.json.encode(msgspec.json.decode(body), order="sorted")
+    return blake2b(ordered, digest_size=DIGEST_BYTES).digest()
--- a/lapisgrade/gateway/configuration_delta.py
+++ b/lapisgrade/gateway/configuration_delta.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway import configuration
+from lapisgrade.gateway.errors import ConfigurationError
 
 _BETWEEN_ITEMS = b"},{"
 _QUICK = 1  # zlib's fastest level: a processor's time is dearer than a tenth of the bytes
@@ -50,7 +50,7 @@
     """
     try:
         inflate = zlib.decompressobj()
-        plain = inflate.decompress(encoded.data, configuration.MOST_BYTES)
+        plain = inflate.decompress(encoded.data, configuration.MAX_BYTES)
         if not inflate.eof:
             raise ConfigurationError(f"version {encoded.ver} is too long")
         text = _patched(base_text, plain) if encoded.base else plain
@@ -92,7 +92,7 @@
                 raise IndexError("a run lies outside of the base")
             part = pieces[first : first + count]
         size += sum(map(len, part)) + len(part) * len(_BETWEEN_ITEMS)
-        if size > configuration.MOST_BYTES:
+        if size > configuration.MAX_BYTES:
             raise IndexError("it is too long")
         out += part
     return _BETWEEN_ITEMS.join(out)
--- a/lapisgrade/gateway/controller/call_forwarding.py
+++ b/lapisgrade/gateway/controller/call_forwarding.py
@@ -11,7 +11,7 @@
 from lapisgrade.gateway.controller.replies import encode_error
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.rpc_messages import ForwardCall, ForwardCallReply
-from lapisgrade.gateway.settings import address
+from lapisgrade.gateway.settings import parse_address
 
 LEADER_WAIT_S = 0.7  # that a call waits for a leader to be known
 FORWARD_TIMEOUT_S = 0.9  # that the leader may take for a forwarded call
@@ -54,7 +54,7 @@
 
     async def _call_leader(self, leader: str, call: ForwardCall) -> ForwardCallReply | None:
         """Return the reply; None for no reply in time, or one that says that it doesn't lead."""
-        result = await self._rpc.call(address(leader), call, FORWARD_TIMEOUT_S)
+        result = await self._rpc.call(parse_address(leader), call, FORWARD_TIMEOUT_S)
         reply = result.value_or(None)
         if isinstance(reply, ForwardCallReply) and reply.status != HTTPStatus.SERVICE_UNAVAILABLE:
             return reply
--- a/lapisgrade/gateway/controller/control_api.py
+++ b/lapisgrade/gateway/controller/control_api.py
@@ -21,18 +21,18 @@
 
     async def handle_call(self, message: Message) -> HttpReply:
         """Return the reply to one HTTP request."""
-        found = api.called(message.head.method.decode(), message.head.target.decode("latin-1"))
+        found = api.parse_call(message.head.method.decode(), message.head.target.decode("latin-1"))
         if isinstance(found, int):
             return found, b'{"Err":"no such call"}', b""
-        call, of = found
+        call, subject = found
         self._metrics.calls[call.name] += 1
-        if message.size > call.most:
+        if message.size > call.max_body_bytes:
             return HTTPStatus.REQUEST_ENTITY_TOO_LARGE, b'{"Err":"the body is too long"}', b""
         body = b"".join(message.body)
         if call.name == "conf.draft":
             reply = await self._drafts.accept(body)
         else:
-            reply = await self._forwarder.forward(call.name, of, body)
+            reply = await self._forwarder.forward(call.name, subject, body)
             if call.name == "conf.drafts":
                 reply = self._drafts.add_stored_drafts(reply)
         self._metrics.call_replies[f"{call.name} {reply.status}"] += 1
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -13,17 +13,17 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.controller.leader_calls import DELIVER_DRAFT
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
 from lapisgrade.gateway.controller.replies import encode_error, encode_result
 from lapisgrade.gateway.controller.state_machine import MOST_DRAFT, Answer, StateMachine
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.three_way import Draft
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
-from lapisgrade.gateway.settings import Address, address
+from lapisgrade.gateway.settings import Address, parse_address
 from lapisgrade.gateway.storage.draft_store import DraftStore, Full
 
 log = logging.getLogger("controller")
@@ -163,7 +163,7 @@
 
     async def _copy_to_peers(self, draft: Draft) -> int:
         """Return how many other controllers have stored a copy."""
-        peers = [address(each) for each in self._voter_addresses() if each != str(self._own_address)]
+        peers = [parse_address(each) for each in self._voter_addresses() if each != str(self._own_address)]
         request = rpc_messages.CopyDraft(draft)
         calls = [self._rpc.call(peer, request, COPY_TIMEOUT_S) for peer in peers]
         replies = [result.value_or(None) for result in await asyncio.gather(*calls)]
--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -9,7 +9,6 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import api
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
 from lapisgrade.gateway.controller.replies import decode_draft_id, encode_error, encode_result
@@ -23,8 +22,10 @@
     encoded,
 )
 from lapisgrade.gateway.controller.watch_service import WatchService
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.three_way import Draft
+from lapisgrade.gateway.registry import ServerState
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
 from lapisgrade.gateway.settings import Address
 
@@ -91,8 +92,8 @@
     # ---- servers
 
     async def _heartbeat(self, of: str, body: bytes) -> ForwardCallReply:
-        server, state = api.beat(of, body)
-        if state == "drain" and of not in self._state_machine.state.left:
+        server = api.parse_heartbeat(of, body)
+        if server.state == ServerState.DRAIN and of not in self._state_machine.state.left:
             # Must outlive this leader: the server ends some time after the reply.
             reply = await self.commit(ServerLeaving(of, False))
             if reply.status != HTTPStatus.OK:
--- a/lapisgrade/gateway/controller/leader_discovery.py
+++ b/lapisgrade/gateway/controller/leader_discovery.py
@@ -38,7 +38,7 @@
         self._rpc = rpc
         self._settings = settings
         self._random = random
-        self._own_address = settings().inner(0)
+        self._own_address = settings().internal_address(0)
         self._leader_hint = ""  # what another controller said, where this one has no node
 
     def remote_leader_address(self) -> str:
@@ -78,7 +78,7 @@
         self._settings = settings
         self._clock = clock
         self._random = random
-        self._port = settings().inner(0)[1]  # of every controller
+        self._port = settings().internal_address(0)[1]  # of every controller
 
     async def run_join_requests(self) -> None:
         """Request to join whenever the node needs to, until cancelled. The driver must be started."""
--- a/lapisgrade/gateway/controller/server.py
+++ b/lapisgrade/gateway/controller/server.py
@@ -35,7 +35,7 @@
 from lapisgrade.gateway.controller.watch_service import WatchService
 from lapisgrade.gateway.http_server import HttpServer
 from lapisgrade.gateway.rpc import RpcEndpoint
-from lapisgrade.gateway.settings import Settings, address
+from lapisgrade.gateway.settings import Settings, parse_address
 from lapisgrade.gateway.storage.draft_store import DraftStore
 from lapisgrade.gateway.storage.log_store import LogStore
 from lapisgrade.net.http import Message as HttpMessage
@@ -107,7 +107,7 @@
         self.metrics = ControllerMetrics()
         self.state_machine = StateMachine()
         self._environment = environment
-        self._own_address = settings.inner(0)
+        self._own_address = settings.internal_address(0)
         self._end_requested = asyncio.Event()
         clock = environment.clock
         self.rpc = environment.rpc(self._on_call, self._on_message)
@@ -141,7 +141,7 @@
             lambda: self.settings.hostname,
         )
         self.control_api = ControlApi(self.forwarder, self.drafts, self.metrics)
-        self.control_server = HttpServer(self.control_api.handle_call, configuration.MOST_BYTES)
+        self.control_server = HttpServer(self.control_api.handle_call, configuration.MAX_BYTES)
         self.readiness_server = HttpServer(self._handle_readiness, MAX_READINESS_BODY_BYTES)
 
     @property
@@ -237,7 +237,7 @@
 
     def _send(self, to: str, message: ConsensusMessage) -> None:
         try:
-            self.rpc.post(address(to), message)
+            self.rpc.post(parse_address(to), message)
         except ValueError:
             self.metrics.invalid_peer_addresses += 1
 
--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -4,9 +4,10 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
+from lapisgrade.gateway.configuration_change import apply_change, digest
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.fields import fields
 from lapisgrade.gateway.merge.three_way import Draft, Outcome
@@ -30,7 +31,7 @@
     @property
     def digest(self) -> bytes:
         """Of its meaning; msgspec.DecodeError where it has none."""
-        return configuration.digest(self.body) + (b"w" if self.whole else b"u")
+        return digest(self.body) + (b"w" if self.whole else b"u")
 
 
 class NewVersion(msgspec.Struct, array_like=True, tag="v", frozen=True):
@@ -301,7 +302,7 @@
 
     def judge(self, change: Change) -> tuple[Answer, tuple[bytes, int] | None]:
         """What a change would be answered now, and the configuration and version that it would make."""
-        if len(change.body) > configuration.MOST_BYTES:
+        if len(change.body) > configuration.MAX_BYTES:
             return Answer(413, "the configuration is too long"), None
         try:
             raw = msgspec.json.decode(change.body)
@@ -324,7 +325,7 @@
                 made = {name: each for name, each in raw.items() if name != "Base"}
             else:
                 current = msgspec.json.decode(state.conf) if state.conf else {}
-                made = configuration.updated(current, raw)
+                made = apply_change(current, raw)
             configuration.read(made)
         except (InvalidInputError, KeyError, TypeError, AttributeError) as wrong:
             return Answer(400, str(wrong)), None
--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -15,7 +15,7 @@
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.registry import Server
 from lapisgrade.gateway.rpc import DIAL
-from lapisgrade.gateway.settings import address
+from lapisgrade.gateway.settings import parse_address
 
 MAX_PROBES = 16  # proxies that one request may report as refusing connections
 REPLY_COST_US = 200  # us of the leader's processor that one proxy's reply takes, at most
@@ -111,7 +111,7 @@
         """Connect to a proxy that refused another one: its process is gone if it refuses here too."""
         try:
             async with asyncio.timeout(DIAL):
-                _, writer = await asyncio.open_connection(*address(proxy_address))
+                _, writer = await asyncio.open_connection(*parse_address(proxy_address))
             writer.close()
         except ConnectionRefusedError:
             self._metrics.proxies_found_dead += 1
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -19,8 +19,9 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import ConfigurationError, InvalidInputError
 from lapisgrade.gateway import configuration
+from lapisgrade.gateway.configuration_change import apply_change
+from lapisgrade.gateway.errors import ConfigurationError, InvalidInputError
 from lapisgrade.gateway.merge import fields as merge_fields
 from lapisgrade.gateway.merge.fields import Fields, Op, Path
 
@@ -71,7 +72,7 @@
         ConfigurationError: The change can't be read, or changes nothing.
     """
     base = conf.get("Ver", 0)
-    made = configuration.updated(conf, {**change, "Ver": base})
+    made = apply_change(conf, {**change, "Ver": base})
     configuration.read(made)
     ops = merge_fields.ops(merge_fields.fields(conf), merge_fields.fields(made))
     if not ops:
--- a/lapisgrade/gateway/proxy/load_reporter.py
+++ b/lapisgrade/gateway/proxy/load_reporter.py
@@ -7,7 +7,7 @@
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.rpc import RpcEndpoint
-from lapisgrade.gateway.settings import address
+from lapisgrade.gateway.settings import parse_address
 
 BATCH_DELAY_S = 0.006  # in which changes are gathered into one report
 
@@ -35,4 +35,4 @@
         hostname = self._context.settings.hostname
         report = rpc_messages.ProxyLoads(hostname, self._router.in_flight(), self._router.unhealthy_servers())
         for neighbour in self._router.subsets.neighbours.values():
-            self._rpc.post(address(neighbour), report)
+            self._rpc.post(parse_address(neighbour), report)
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -52,7 +52,7 @@
     def __init__(self, settings: Settings, now_us: Callable[[], int] = clock.now_us) -> None:
         random = Random(int.from_bytes(os.urandom(8), "big"))
         self.context = ProxyContext(settings, random, now_us)
-        self.inner = settings.inner(1)  # where other proxies and the controllers reach this one
+        self.inner = settings.internal_address(1)  # where other proxies and the controllers reach this one
         self._shutdown = asyncio.Event()
         self._build_routing(settings)
         self._build_control(settings)
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -15,7 +15,7 @@
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.rpc import RpcEndpoint
-from lapisgrade.gateway.settings import address
+from lapisgrade.gateway.settings import parse_address
 from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.interface import AddToCounter
 from lapisgrade.net.close_reason import CloseReason
@@ -117,7 +117,7 @@
         member = self._quota_owner.proxies.get(owner_name)
         if member is None:
             return CloseReason.CONNECTION_REFUSED
-        to = address(member[0])
+        to = parse_address(member[0])
         result = await self._rpc.call(to, request, timeout_s)
         reply = result.value_or(None)
         self._reachability.on_call_finished(owner_name, self._rpc.peer(to).refused)
@@ -183,7 +183,7 @@
         fence, member = owner.fencing_token, owner.proxies.get(predecessor)
         if member is None:
             return
-        to = address(member[0])
+        to = parse_address(member[0])
         hand_over = rpc_messages.HandOverRequest(
             request.tenant,
             self._context.settings.hostname,
--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -3,7 +3,7 @@
 from lapisgrade.gateway import registry, rpc_messages
 from lapisgrade.gateway.proxy.host import ServerPool
 from lapisgrade.gateway.routing.router import Router
-from lapisgrade.gateway.settings import address
+from lapisgrade.gateway.settings import parse_address
 
 MAX_SERVERS = 4096  # servers beyond which those that are gone are forgotten
 
@@ -29,7 +29,7 @@
         self._router.update_servers(reply.servers, is_complete)
         self._pool.known(
             {
-                server.id: tuple(address(server.address)) if server.state in ("up", "drain") else None
+                server.id: tuple(parse_address(server.address)) if server.state in ("up", "drain") else None
                 for server in reply.servers
                 if server.address
             }
--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway import configuration, rpc_messages
-from lapisgrade.gateway.configuration import Table
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
+from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway.proxy.client_front import ClientFront
+from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.routing.router import Router
 
 log = logging.getLogger("proxy")
@@ -53,19 +53,19 @@
                 self._router.tables.stage(self._read(encoded), version in reply.merged_versions)
         self.has_lost_base = False
 
-    def _activate(self, table: Table) -> None:
-        self.active_version = table.ver
-        self._client_front.apply_limits(table.made.caps)
+    def _activate(self, table: RouteTable) -> None:
+        self.active_version = table.version
+        self._client_front.apply_limits(table.configuration.caps)
         self._router.activate(table)
         log.info("version %d", self.active_version)
 
-    def _read(self, encoded: EncodedVersion) -> Table:
+    def _read(self, encoded: EncodedVersion) -> RouteTable:
         """Decode a version, and remember its text as the base of the next one."""
         text = decode(encoded, self._texts.get(encoded.base, b""))
-        table = Table(configuration.read(msgspec.json.decode(text)))
-        if table.ver != encoded.ver:
-            raise ConfigurationError(f"version {encoded.ver} calls itself {table.ver}")
-        kept = {self.active_version, table.ver, *self._router.tables.staged}
+        table = RouteTable(configuration.read(msgspec.json.decode(text)))
+        if table.version != encoded.ver:
+            raise ConfigurationError(f"version {encoded.ver} calls itself {table.version}")
+        kept = {self.active_version, table.version, *self._router.tables.staged}
         self._texts = {version: each for version, each in self._texts.items() if version in kept}
-        self._texts[table.ver] = text
+        self._texts[table.version] = text
         return table
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import SECOND, rpc_messages
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
 from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
 from lapisgrade.gateway.proxy.watch_target import WatchTarget
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.rpc import RpcEndpoint
-from lapisgrade.gateway.settings import address
+from lapisgrade.gateway.settings import parse_address
 from lapisgrade.gateway.watch_timing import LONG_POLL_US
 
 log = logging.getLogger("proxy")
@@ -67,7 +67,7 @@
         """Send one watch request after another."""
         target, metrics, now_us = self._target, self._context.metrics, self._context.now_us
         while True:
-            to, sent_us = address(target.next(now_us())), now_us()
+            to, sent_us = parse_address(target.next(now_us())), now_us()
             reply = await self._ask(to)
             metrics.watch_requests += 1
             if not target.on_reply(now_us(), reply) or reply is None:
@@ -88,7 +88,7 @@
         if not leader or silent_us > REPLY_TIMEOUT_S * SECOND:
             return rpc_messages.WatchReply(False)
         self._context.metrics.watch_requests_relayed += 1
-        reply = await self._rpc.call(address(leader), request, REPLY_TIMEOUT_S)
+        reply = await self._rpc.call(parse_address(leader), request, REPLY_TIMEOUT_S)
         return reply.value_or(None) or rpc_messages.WatchReply(False)
 
     async def _ask(self, to: tuple[str, int]) -> rpc_messages.WatchReply | None:
--- a/lapisgrade/gateway/routing/route_tables.py
+++ b/lapisgrade/gateway/routing/route_tables.py
@@ -10,37 +10,33 @@
 is told to come back (503).
 """
 
-from typing import TypeAlias
-
-from lapisgrade.gateway.configuration import Rule, Table, Tenant
+from lapisgrade.gateway.routing.route_table import RouteMatch, RouteTable
 from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
 
 SERVICE_UNAVAILABLE = 503
 
-RouteMatch: TypeAlias = tuple[Rule, Tenant | None]
-
 
 class RouteTables:
     """One proxy's active route table, and the staged ones."""
 
     def __init__(self) -> None:
-        self.active: Table | None = None
-        self.staged: dict[int, Table] = {}  # by version: newer than the active one
+        self.active: RouteTable | None = None
+        self.staged: dict[int, RouteTable] = {}  # by version: newer than the active one
         self.merged_versions: set[int] = set()  # staged ones made of drafts from both sides of a partition
         self.confirmed_us = (
             -MISSED_VERSION_AFTER_US
         )  # when a watch request was sent that the leader answered: nothing missed
 
-    def stage(self, table: Table, is_merged: bool = False) -> None:
+    def stage(self, table: RouteTable, is_merged: bool = False) -> None:
         """Hold a newer version ready; `is_merged`: made of drafts from both sides of a partition."""
-        self.staged[table.ver] = table
+        self.staged[table.version] = table
         if is_merged:
-            self.merged_versions.add(table.ver)
+            self.merged_versions.add(table.version)
 
-    def activate(self, table: Table) -> None:
+    def activate(self, table: RouteTable) -> None:
         """Match by that version from now on, and drop the staged ones that it replaces."""
         self.active = table
-        self.staged = {version: each for version, each in self.staged.items() if version > table.ver}
+        self.staged = {version: each for version, each in self.staged.items() if version > table.version}
         self.merged_versions &= set(self.staged)
 
     def match(self, now_us: int, host: str, target: str, key: str) -> RouteMatch | int:
@@ -53,8 +49,8 @@
         """
         if self.active is None:
             return SERVICE_UNAVAILABLE
-        found = self.active.entry(host, target, key)
-        refused_by_staged = (isinstance(each.entry(host, target, key), int) for each in self.staged.values())
+        found = self.active.match(host, target, key)
+        refused_by_staged = (isinstance(each.match(host, target, key), int) for each in self.staged.values())
         if any(is_refused is not isinstance(found, int) for is_refused in refused_by_staged):
             return SERVICE_UNAVAILABLE
         if isinstance(found, int):
@@ -75,5 +71,5 @@
         if rule.mode == "idem":
             return False
         merged = (self.staged[version] for version in self.merged_versions if version in self.staged)
-        matches = (table.entry(host, target, key) for table in merged)
+        matches = (table.match(host, target, key) for table in merged)
         return any(not isinstance(each, int) and each[0] != rule for each in matches)
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lapisgrade.gateway import registry
-from lapisgrade.gateway.configuration import Table, Tenant
+from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.quota.client import QuotaClient
 from lapisgrade.gateway.routing.balancer import UpstreamAttempt, UpstreamCluster
@@ -19,6 +19,7 @@
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
 from lapisgrade.gateway.routing.request_attempts import RequestAttempts
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
+from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.routing.route_tables import RouteMatch, RouteTables
 from lapisgrade.gateway.routing.split import SplitChooser
 from lapisgrade.gateway.settings import Slo
@@ -51,7 +52,7 @@
 
     # ---- what the controllers say
 
-    def activate(self, table: Table) -> None:
+    def activate(self, table: RouteTable) -> None:
         """Route by that version from now on, and apply its tenants' quotas."""
         self.tables.activate(table)
         for name, quota_client in list(self.quota_clients.items()):
--- a/lapisgrade/gateway/settings.py
+++ b/lapisgrade/gateway/settings.py
@@ -1,34 +1,52 @@
-"""The settings file of one process: records (attrs), reading and checks (cattrs). Unknown fields are ignored;
-what is wrong is told in one line with its place, and the process ends with code 2."""
+"""The settings file of one process: its records (attrs), and how it is read and checked (cattrs).
+
+The fields of the records bear the file's own keys in lower case (`MemMb` is `mem_mb`), as messages about
+faults name them. Unknown keys are ignored. Times are microseconds.
+"""
 
 import os
 import re
+from collections.abc import Callable
 from typing import Any
 
 import cattrs
 import msgspec
 from attrs import define, fields, has
-from cattrs.v import format_exception
 from cattrs.gen import make_dict_structure_fn, override
+from cattrs.v import format_exception
 
 from lapisgrade.gateway.errors import InvalidInputError, SettingsError
 
-VARIABLE, PLACE = "LAPISGRADE_SETTINGS", "/etc/lapisgrade/node.json"
+PATH_VARIABLE = "LAPISGRADE_SETTINGS"  # the environment variable that names the file
+DEFAULT_PATH = "/etc/lapisgrade/node.json"
+MAX_PORT = 65_535
+MAX_FAULTS = 5  # that one message names
+MAX_MESSAGE_LENGTH = 500  # characters
+MAX_SHOWN_LENGTH = 60  # characters of a value in a message
 
 
 class Span(int):
-    """A time in us; on the wire a number and its unit, `ms` or `s`."""
+    """A duration in us; in files a number and its unit, `ms` or `s`."""
 
 
-class Address(tuple):
-    """An IP address and a port; on the wire `10.0.0.4:8407`."""
+class Address(tuple[str, int]):
+    """An IP address and a port; in files `10.0.0.4:8407`."""
 
     def __str__(self) -> str:
+        """Return the address as files have it."""
         return f"{self[0]}:{self[1]}"
 
 
 @define(frozen=True, slots=True)
 class Bind:
+    """Where a process listens; None for what its role does not serve.
+
+    Attributes:
+        http: For clients.
+        readyz: For the platform's readiness checks.
+        ctl: For calls of servers and operators.
+    """
+
     http: Address | None = None
     readyz: Address | None = None
     ctl: Address | None = None
@@ -36,7 +54,13 @@
 
 @define(frozen=True, slots=True)
 class Caps:
-    """What the machine has. `nofile` counts descriptors, `cpu` is a share of a core."""
+    """What the machine has.
+
+    Attributes:
+        nofile: File descriptors that a process may open.
+        mem_mb: Memory, in MB.
+        cpu: The share of a core.
+    """
 
     nofile: int = 1024
     mem_mb: int = 256
@@ -45,7 +69,19 @@
 
 @define(frozen=True, slots=True)
 class Slo:
-    """The figures of the rules in force; times in us."""
+    """The service's objectives, with their figures as agreed.
+
+    Attributes:
+        drain: How long a draining server still answers.
+        grace: How long a process may take to shut down.
+        contact: How long a proxy may act without hearing from the controllers.
+        retry_ratio: Retries allowed, as a part of the requests in `retry_window`.
+        retry_window: The window of the retry budget.
+        retry_extra: Retries allowed in the window beside that.
+        quota_win: The window in which a quota's excess is measured.
+        quota_excess: The part by which a quota may be exceeded in the window.
+        quota_extra: Requests by which it may be exceeded beside that.
+    """
 
     drain: Span = Span(2_500_000)
     grace: Span = Span(6_000_000)
@@ -60,6 +96,23 @@
 
 @define(frozen=True, slots=True)
 class Settings:
+    """What a process is told when it starts.
+
+    Attributes:
+        hostname: The machine's name.
+        ip: The machine's address.
+        az: The failure domain that it stands in.
+        bind: Where the process listens for others than the gateway's own processes.
+        portrange: The first and last port that the gateway's own processes may use.
+        peers: Where the first controllers take calls.
+        bootstrap: Whether this start may found a new cluster.
+        quorum: Whether a controller runs on this machine.
+        datadir: Where a controller stores its log; empty for one without a disk.
+        heartbeat: The interval between a server's heartbeats.
+        caps: What the machine has.
+        slo: The service's objectives.
+    """
+
     hostname: str
     ip: str
     az: str
@@ -73,103 +126,131 @@
     caps: Caps = Caps()
     slo: Slo = Slo()
 
-    def inner(self, turn: int) -> Address:
-        """Where the process of role number `turn` on this machine listens for the system's own talk."""
-        return Address((self.ip, self.portrange[0] + turn))
+    def internal_address(self, role_number: int) -> Address:
+        """Return where the process of that role on this machine listens for the gateway's own processes."""
+        return Address((self.ip, self.portrange[0] + role_number))
+
 
+def parse_span(text: Any, _: type = Span) -> Span:
+    """Return `1500ms` or `2.5s` as a duration.
 
-def span(text: Any, _: type = Span) -> Span:
-    """`1500ms` or `2.5s` in us; ValueError for anything else."""
+    Raises:
+        ValueError: The text is no duration.
+    """
     found = re.fullmatch(r"(\d{1,12}(?:\.\d{1,9})?)(ms|s)", text) if isinstance(text, str) else None
     if found is None:
         raise ValueError(f"{text!r} is not a time such as 1500ms or 2.5s")
     return Span(round(float(found[1]) * (1_000 if found[2] == "ms" else 1_000_000)))
 
 
-def address(text: Any, _: type = Address) -> Address:
-    """`10.0.0.4:8407` as host and port; ValueError for anything else."""
+def parse_address(text: Any, _: type = Address) -> Address:
+    """Return `10.0.0.4:8407` as an address.
+
+    Raises:
+        ValueError: The text is no address.
+    """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is not an address such as 10.0.0.4:8407")
     return Address((host, int(port)))
 
 
-def camel(name: str) -> str:
-    """How the wire writes a field: `retry_ratio` is `RetryRatio`."""
+def wire_name(name: str) -> str:
+    """Return the key of a field in files: `RetryRatio` for `retry_ratio`."""
     return "".join(part.capitalize() for part in name.split("_"))
 
 
-def checker() -> cattrs.Converter:
-    """A converter that reads JSON values strictly: no text for a number, no number for a switch."""
-    conv = cattrs.Converter(detailed_validation=True, forbid_extra_keys=False)
-    conv.register_structure_hook(Span, span)
-    conv.register_structure_hook(Address, address)
-
-    def exact(kind: type, *also: type):
-        def hook(value: Any, _: type) -> Any:
-            if type(value) not in (kind, *also):
-                raise ValueError(f"{str(value)[:60]!r} is not of the kind {kind.__name__}")
-            return value
-
-        return hook
-
-    for kind, also in ((int, ()), (float, (int,)), (str, ()), (bool, ())):
-        conv.register_structure_hook(kind, exact(kind, *also))
-    conv.register_structure_hook_factory(
-        has,
-        lambda cls: make_dict_structure_fn(
-            cls,
-            conv,
-            **{
-                each.name: override(rename=each.metadata.get("wire", camel(each.name)))
-                for each in fields(cls)
-            },
-        ),
-    )
-    return conv
-
-
-def told(wrong: BaseException, kind: type | None) -> str:
-    """What a record or a hook says is wrong, in its own words."""
-    own = isinstance(wrong, ValueError) and not isinstance(wrong, UnicodeError)
-    return str(wrong) if own else format_exception(wrong, kind)
-
-
-def take(conv: cattrs.Converter, raw: Any, kind: type) -> Any:
-    """`raw` as a record of `kind`; InvalidInputError with each mistake and its place."""
+def strict_converter() -> cattrs.Converter:
+    """Return a converter that reads JSON values strictly: no text for a number, no number for a switch."""
+    converter = cattrs.Converter(detailed_validation=True, forbid_extra_keys=False)
+    converter.register_structure_hook(Span, parse_span)
+    converter.register_structure_hook(Address, parse_address)
+    converter.register_structure_hook(int, _exact_hook(int))
+    converter.register_structure_hook(float, _exact_hook(float, int))
+    converter.register_structure_hook(str, _exact_hook(str))
+    converter.register_structure_hook(bool, _exact_hook(bool))
+    converter.register_structure_hook_factory(has, lambda kind: _record_hook(converter, kind))
+    return converter
+
+
+def _exact_hook(kind: type, *also_accepted: type) -> Callable[[Any, type], Any]:
+    """Return a hook that takes values of exactly those types."""
+
+    def check(value: Any, _: type) -> Any:
+        if type(value) not in (kind, *also_accepted):
+            raise ValueError(f"{str(value)[:MAX_SHOWN_LENGTH]!r} is not of the kind {kind.__name__}")
+        return value
+
+    return check
+
+
+def _record_hook(converter: cattrs.Converter, kind: type) -> Callable[..., Any]:
+    """Return a hook that reads a record whose fields have their keys of the wire."""
+    overrides = {
+        each.name: override(rename=each.metadata.get("wire", wire_name(each.name))) for each in fields(kind)
+    }
+    return make_dict_structure_fn(kind, converter, **overrides)
+
+
+def _describe_fault(error: BaseException, kind: type | None) -> str:
+    """Return what a record's validator or a hook says is wrong, in its own words."""
+    is_own = isinstance(error, ValueError) and not isinstance(error, UnicodeError)
+    return str(error) if is_own else format_exception(error, kind)
+
+
+def structure(
+    converter: cattrs.Converter,
+    raw: Any,
+    kind: type,
+    error_type: type[InvalidInputError] = InvalidInputError,
+) -> Any:
+    """Return `raw` as a record of `kind`.
+
+    Raises:
+        InvalidInputError: It is none; of `error_type`, with the first few mistakes and their places.
+    """
     try:
-        return conv.structure(raw, kind)
-    except Exception as wrong:
+        return converter.structure(raw, kind)
+    except Exception as error:
         try:
-            words = "; ".join(cattrs.transform_error(wrong, format_exception=told)[:5])
+            faults = cattrs.transform_error(error, format_exception=_describe_fault)
+            message = "; ".join(faults[:MAX_FAULTS])
         except Exception:
-            words = str(wrong)
-        raise InvalidInputError(words[:500] or type(wrong).__name__) from None
+            message = str(error)
+        raise error_type(message[:MAX_MESSAGE_LENGTH] or type(error).__name__) from None
 
 
-def an_object(text: bytes, what: str) -> dict:
-    """The JSON object in a file; InvalidInputError where it holds none. `what` it should be is for people."""
+def decode_object(text: bytes, what: str) -> dict[str, Any]:
+    """Return the JSON object in a file; `what` it should be is for people.
+
+    Raises:
+        InvalidInputError: The file holds none.
+    """
     try:
         raw = msgspec.json.decode(text)
-    except msgspec.MsgspecError as wrong:
-        raise InvalidInputError(f"not JSON: {wrong}") from None
+    except msgspec.MsgspecError as error:
+        raise InvalidInputError(f"not JSON: {error}") from None
     if not isinstance(raw, dict):
         raise InvalidInputError(f"{what} is an object")
     return raw
 
 
 def read(path: str | None = None) -> Settings:
-    """The settings in the file that the environment names; InvalidInputError where they can't be taken."""
-    path = path or os.environ.get(VARIABLE, PLACE)
+    """Return the settings in a file, by default the one that the environment names.
+
+    Raises:
+        SettingsError: The file can't be read or accepted.
+    """
+    path = path or os.environ.get(PATH_VARIABLE, DEFAULT_PATH)
     try:
         with open(path, "rb") as file:
             raw = msgspec.json.decode(file.read())
-    except (OSError, msgspec.MsgspecError) as wrong:
-        raise SettingsError(f"{path}: {wrong}") from None
+    except (OSError, msgspec.MsgspecError) as error:
+        raise SettingsError(f"{path}: {error}") from None
     if not isinstance(raw, dict):
         raise SettingsError(f"{path}: not an object")
-    raw = {name: each for name, each in raw.items() if each is not None}  # a machine without it says null
+    raw = {key: value for key, value in raw.items() if value is not None}  # null: the machine has none
     try:
-        return take(checker(), raw, Settings)
-    except InvalidInputError as wrong:
-        raise SettingsError(f"{path}: {wrong}") from None
+        return structure(strict_converter(), raw, Settings)
+    except InvalidInputError as error:
+        raise SettingsError(f"{path}: {error}") from None
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -12,11 +12,12 @@
 
 import msgspec
 
-from lapisgrade.gateway import api, rpc_messages, configuration
+from lapisgrade.gateway import api, configuration, rpc_messages
 from lapisgrade.gateway.configuration_delta import decode
 from lapisgrade.gateway.controller.configuration_feed import ConfigurationFeed
-from lapisgrade.gateway.controller.state_machine import Change, StateMachine, ServerLeaving, encoded
+from lapisgrade.gateway.controller.state_machine import Change, ServerLeaving, StateMachine, encoded
 from lapisgrade.gateway.controller.watch import Watch
+from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.rpc import Codec
 
 REPEATS = 5
@@ -124,11 +125,11 @@
     }
 
 
-def table(text: bytes) -> configuration.Table:
-    return configuration.Table(configuration.read(msgspec.json.decode(text)))
+def table(text: bytes) -> RouteTable:
+    return RouteTable(configuration.read(msgspec.json.decode(text)))
 
 
-def table_alone(text: bytes) -> configuration.Table:
+def table_alone(text: bytes) -> RouteTable:
     """With all that is remembered of it: nothing was read before."""
     configuration.converter.cache_clear()
     return table(text)
@@ -151,10 +152,10 @@
     for size in sizes:
         watch = registered(size)
         memory.append(held_bytes(lambda size=size: registered(size)))
-        server, _ = api.beat("i-1", body)
+        server = api.parse_heartbeat("i-1", body)
 
         def beat(watch: Watch = watch, server=server) -> None:
-            made, _ = api.beat("i-1", body)
+            made = api.parse_heartbeat("i-1", body)
             made.sequence_number = server.sequence_number = server.sequence_number + 1
             watch.beat(2_000_000, made)
 
@@ -174,7 +175,7 @@
     watch = Watch(1_300_000, 0)
     for i in range(size):
         body = {"Svc": f"svc{i % 370}", "Addr": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:80", "Seq": 1}
-        server, _ = api.beat(f"i-{i:08x}", msgspec.json.encode(body))
+        server = api.parse_heartbeat(f"i-{i:08x}", msgspec.json.encode(body))
         watch.beat(1_000_000, server)
     return watch
 
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -12,17 +12,18 @@
 
 import msgspec
 
-from lapisgrade.interface import Clock
-from lapisgrade.lab.emulator.sim import Sim
-from lapisgrade.lab.explore.defects import Defects, switched
-from lapisgrade.gateway import SECOND, rpc_messages, configuration
-from lapisgrade.gateway.controller import watch
+from lapisgrade.gateway import SECOND, configuration, rpc_messages
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
-from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
+from lapisgrade.gateway.controller import watch
+from lapisgrade.gateway.controller.state_machine import Change, State, StateMachine, encoded
+from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.routing import route_tables, router
+from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.settings import Slo
-from lapisgrade.gateway.controller.state_machine import Change, StateMachine, State, encoded
-from lapisgrade.gateway.controller.watch import Watch
+from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
+from lapisgrade.interface import Clock
+from lapisgrade.lab.emulator.sim import Sim
+from lapisgrade.lab.explore.defects import Defects, switched
 
 MS = 1_000
 UNIT = "calls"  # what is counted of a play
@@ -112,13 +113,13 @@
         self.fence = news.fencing_token
         self.ask()
 
-    def read(self, encoded: EncodedVersion) -> configuration.Table:
+    def read(self, encoded: EncodedVersion) -> RouteTable:
         text = decode(encoded, self.texts.get(encoded.base, b""))
         self.texts[encoded.ver] = text
-        return configuration.Table(configuration.read(msgspec.json.decode(text)))
+        return RouteTable(configuration.read(msgspec.json.decode(text)))
 
-    def act(self, table: configuration.Table) -> None:
-        self.ver = table.ver
+    def act(self, table: RouteTable) -> None:
+        self.ver = table.version
         self.router.activate(table)
         self.world.say(f"{self.name} acts by version {self.ver}")
 
@@ -269,7 +270,7 @@
 
 
 def _served(self: router.Router, now: int, *asked: str) -> Any:
-    return self.tables.active.entry(*asked) if self.tables.active else 503
+    return self.tables.active.match(*asked) if self.tables.active else 503
 
 
 def _at_once(self: Watch, now: int, state: State) -> watch.Activate | None:
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -4,17 +4,19 @@
 import unittest
 
 import msgspec
+from support.local_clusters import serving_cluster
+from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.cli import configuration_check
 from lapisgrade.gateway.cli.machine_loss import describe_loss
 from lapisgrade.gateway.cli.operator_client import OperatorClient
+from lapisgrade.gateway.configuration_change import apply_change
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster
 from lapisgrade.gateway.quota.ownership import owner_of
+from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.settings import Address
-from support.local_clusters import serving_cluster
-from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
 
 WRONG = [
     (lambda c, r: action(r).update(Svc="nowhere"), "route r-claim: service 'nowhere' is not in Pools"),
@@ -94,10 +96,10 @@
             c["Ports"] = [{"Vhost": "a.example", "Policy": [each]} for each in rules]
 
         made = msgspec.json.decode(conf(twice))
-        table = configuration.Table(configuration.read(made))
-        self.assertEqual([table.route("a.example", f"/{each}/1").name for each in ("stock", "claim")],
+        table = RouteTable(configuration.read(made))
+        self.assertEqual([table.find_rule("a.example", f"/{each}/1").name for each in ("stock", "claim")],
                          ["r-stock", "r-claim"])  # fmt: skip
-        later = configuration.updated(made, {"Ver": 2, "Del": {"Routes": ["r-none"]}})
+        later = apply_change(made, {"Ver": 2, "Del": {"Routes": ["r-none"]}})
         self.assertEqual(len(later["Ports"][0]["Policy"]), 2)
 
 
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -10,15 +10,15 @@
 from unittest import mock
 
 import msgspec
+from support.local_clusters import serving_cluster
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.drafts import DraftClient
 from lapisgrade.gateway.controller import drafts
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.http_client import told
 from lapisgrade.gateway.local_cluster import CTL, SAMPLE, Links, LocalCluster
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.partitions import rejoin
-from support.local_clusters import serving_cluster
 
 POOLS = [*SAMPLE["Pools"], {"Name": "reparation"}]
 
@@ -54,7 +54,7 @@
 
     def rule(self, site: LocalCluster, name: str):
         table = site.proxies[name].router.tables.active
-        return next(rule for rule in table.made.ports[0].policy if rule.name == "r-claim")
+        return next(rule for rule in table.configuration.ports[0].policy if rule.name == "r-claim")
 
     async def test_one_route_that_keeps_both_and_the_tool_s_words(self) -> None:
         site = await self.site()
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -5,20 +5,21 @@
 
 import msgspec
 
-from lapisgrade.lab.explore import rejoin
-from lapisgrade.lab.explore.rejoin import Chance
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
-from lapisgrade.gateway.merge.fields import built, fields, ops
-from lapisgrade.gateway.merge.three_way import Draft, drafted, forced, merge_drafts, told
+from lapisgrade.gateway.configuration_change import apply_change
 from lapisgrade.gateway.controller.state_machine import (
     MOST_DRAFTS,
-    MergeDraft,
     Change,
     CloseDraft,
+    MergeDraft,
     StateMachine,
     encoded,
 )
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway.merge.fields import built, fields, ops
+from lapisgrade.gateway.merge.three_way import Draft, drafted, forced, merge_drafts, told
+from lapisgrade.lab.explore import rejoin
+from lapisgrade.lab.explore.rejoin import Chance
 
 CLAIM, SCRIPT = "r-claim", "r-script"
 
@@ -57,7 +58,7 @@
 
 def acknowledged(change: dict) -> dict:
     """What the majority's side has, once it took that."""
-    return configuration.updated(GROUND, {"Ver": 5, **change})
+    return apply_change(GROUND, {"Ver": 5, **change})
 
 
 def found(conf: dict, name: str) -> dict:
@@ -179,7 +180,7 @@
             base = chance.conf()
             drafts = chance.drafts(base, 2)  # on the version before, as on a side that heard nothing since
             try:
-                ground = configuration.updated(base, {"Ver": 10, **chance.change()})
+                ground = apply_change(base, {"Ver": 10, **chance.change()})
                 configuration.read(ground)
             except InvalidInputError:
                 ground = base
--- a/tests/gateway/routing/test_request_attempts.py
+++ b/tests/gateway/routing/test_request_attempts.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from lapisgrade.gateway import SECOND, configuration, registry
-from lapisgrade.gateway.configuration import Table
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.gateway.routing.request_attempts import MAX_QUEUE_RATIO
+from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import (
@@ -79,8 +79,8 @@
         rule = {"Name": "r", "Match": {"Pfx": "/"}, "Action": action, "Mode": mode,
                 "Target_time": f"{target_us // MS}ms"}  # fmt: skip
         conf = {"Ver": 1, "Ports": [{"Vhost": "h", "Policy": [rule]}], "Pools": [{"Name": "a"}]}
-        table = Table(configuration.read(msgspec.json.decode(msgspec.json.encode(conf))))
-        found = table.entry("h", "/x", "")[0]
+        table = RouteTable(configuration.read(msgspec.json.decode(msgspec.json.encode(conf))))
+        found = table.match("h", "/x", "")[0]
         now = self.clock.now_us
         operation = RoutedRequest(
             customer="", arrived_us=now - arrived_ago_us,
--- a/tests/gateway/routing/test_route_tables.py
+++ b/tests/gateway/routing/test_route_tables.py
@@ -3,7 +3,7 @@
 import unittest
 
 from lapisgrade.gateway import SECOND, configuration
-from lapisgrade.gateway.configuration import Table
+from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import Clock
@@ -12,7 +12,7 @@
 class MergedVersionTest(unittest.TestCase):
     """A version made of drafts from both sides of a partition is staged and not yet active."""
 
-    def table(self, ver: int, claims: str, looks: str) -> Table:
+    def table(self, ver: int, claims: str, looks: str) -> RouteTable:
         rules = [
             {
                 "Name": name,
@@ -31,7 +31,7 @@
             "Ports": [{"Vhost": "h", "Policy": rules}],
             "Pools": [{"Name": "a"}, {"Name": "b"}],
         }
-        return Table(configuration.read(conf))
+        return RouteTable(configuration.read(conf))
 
     def test_a_non_idempotent_request_on_a_merged_route_waits_for_it_and_all_others_go_on(self) -> None:
         router = Router(Clock(SECOND), 1, Slo(), "z", "c")
--- a/tests/gateway/test_api.py
+++ b/tests/gateway/test_api.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import api
+from lapisgrade.gateway.errors import InvalidInputError
 
 
 class Calls(unittest.TestCase):
@@ -15,7 +15,7 @@
             ("POST", "/other"),
             ("POST", "/-/rpc?call=servers.deregister"),
         ]
-        found = [each if isinstance(each := api.called(*one), int) else each[0].name for one in asked]
+        found = [each if isinstance(each := api.parse_call(*one), int) else each[0].name for one in asked]
         self.assertEqual(found, ["servers.heartbeat", 405, 404, 404, 400])
         with self.assertRaises(InvalidInputError):
-            api.beat("i-1", b'{"Svc":"garantie","Addr":"10.0.0.1:80","Seq":"4"}')
+            api.parse_heartbeat("i-1", b'{"Svc":"garantie","Addr":"10.0.0.1:80","Seq":"4"}')
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -3,9 +3,10 @@
 import unittest
 
 import msgspec
+from support.configurations import WHOLE, changed, with_rule
 
 from lapisgrade.gateway import api, configuration
-from support.configurations import WHOLE, changed, with_rule
+from lapisgrade.gateway.routing.route_table import RouteTable
 
 
 class Read(unittest.TestCase):
@@ -30,7 +31,7 @@
             "Svc": "a", "Addr": "10.0.0.1:80", "Az": "z", "Ver": "v1", "Slots": 4, "State": "up",
             "Warmup_time": "900ms", "Seq": 4,
         }  # fmt: skip
-        server, _ = api.beat("i-1", msgspec.json.encode(beat))
+        server = api.parse_heartbeat("i-1", msgspec.json.encode(beat))
         self.assertEqual(
             (
                 server.service,
@@ -46,11 +47,9 @@
 
 class Routes(unittest.TestCase):
     def test_the_longest_prefix_of_the_host_that_begins_the_path(self):
-        table = configuration.Table(
-            configuration.read({name: each for name, each in WHOLE.items() if name != "Base"})
-        )
+        table = RouteTable(configuration.read({name: each for name, each in WHOLE.items() if name != "Base"}))
         asked = ["/stock/2f", "/stock/claim/1?x=/stock/", "/stockroom", "/", "/stock/claim"]
-        found = [rule.name if (rule := table.route("A.example", path)) else None for path in asked]
+        found = [rule.name if (rule := table.find_rule("A.example", path)) else None for path in asked]
         self.assertEqual(found, ["r-stock", "r-claim", None, None, "r-stock"])
-        self.assertIsNone(table.route("b.example", "/stock/"))
-        self.assertEqual(table.keys["k2"].name, "sfax")
+        self.assertIsNone(table.find_rule("b.example", "/stock/"))
+        self.assertEqual(table.tenants_by_key["k2"].name, "sfax")
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -37,7 +37,7 @@
         self.assertEqual(
             (told.datadir, told.slo.retry_window, told.peers[0]), ("", 10 * SECOND, ("10.1.0.5", 8407))
         )
-        self.assertEqual(str(told.inner(1)), "10.1.0.5:7661")
+        self.assertEqual(str(told.internal_address(1)), "10.1.0.5:7661")
 
     def test_each_mistake_is_told_with_its_place(self):
         for over, words in (
