--- a/lapisgrade/gateway/cli/machine_loss.py
+++ b/lapisgrade/gateway/cli/machine_loss.py
@@ -4,7 +4,7 @@
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.cli.operator_client import JsonObject
 from lapisgrade.gateway.configuration import Configuration
-from lapisgrade.gateway.controller.watch import ALIVE
+from lapisgrade.gateway.controller.watch import PROXY_TIMEOUT_US
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
 
 
@@ -82,4 +82,6 @@
     ]
     if not moved:
         return []
-    return [f"counts that others take over, dark for some {ALIVE / SECOND:g} s: {', '.join(moved)}"]
+    return [
+        f"counts that others take over, dark for some {PROXY_TIMEOUT_US / SECOND:g} s: {', '.join(moved)}"
+    ]
--- a/lapisgrade/gateway/configuration.py
+++ b/lapisgrade/gateway/configuration.py
@@ -1,8 +1,8 @@
 """The configuration that operators put into force: its records, and how it is read and checked. Pure.
 
 The fields of the records bear the configuration's own keys in lower case (`Apikeys` is `apikeys`), as
-messages about faults name them. What the operator sent is stored as it was laid out, so that it can be read back the
-same; the records are what the data plane needs of it. Times are microseconds.
+messages about faults name them. What the operator sent is stored as it was laid out, so that it can be
+read back the same; the records are what the data plane needs of it. Times are microseconds.
 """
 
 import functools
