--- a/lapisgrade/gateway/membership/__init__.py
+++ b/lapisgrade/gateway/membership/__init__.py
@@ -1,2 +1,5 @@
-"""Which proxies know of each other: by partial views that neighbours shuffle (views.py, with its socket in
-shuffles.py), and those that share servers by groups cut from the list of live proxies (groups.py)."""
+"""Which proxies know of each other.
+
+* `partial_view`, with its socket in `gossip`: a few neighbours, known without the controllers.
+* `subsets`: the proxies that report their load to each other, and the servers that they prefer.
+"""
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -117,7 +117,7 @@
         while True:
             now_us = self._clock.now_us
             usual_us = self._latency.mean(now_us)
-            server = None if self._state is State.WAITING else self._select_server(now_us, usual_us)
+            server = self._select_server(now_us, usual_us)
             if server is not None:
                 yield Send(self._start_attempt(server, now_us))
                 self._schedule_hedge(now_us, usual_us)
@@ -179,7 +179,9 @@
         )
 
     def _select_server(self, now_us: int, usual_us: float) -> UpstreamServer | None:
-        """The server of the next attempt, paid for; None where none may take one now."""
+        """The server of the next attempt, paid for; None where none is wanted, or none may take one now."""
+        if self._state is State.WAITING:
+            return None
         in_flight = len(self._in_flight())
         if not self._has_attempts_left(in_flight):
             return None
