--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -5,9 +5,9 @@
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.routing import upstream_protocol
-from lapisgrade.gateway.routing.balancer import UpstreamAttempt
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
 from lapisgrade.gateway.routing.request import RoutedRequest
+from lapisgrade.gateway.routing.upstream_server import UpstreamAttempt
 from lapisgrade.interface import ConnectionSettings, Reject
 from lapisgrade.net import front, hops
 from lapisgrade.net.close_reason import CloseReason
--- a/lapisgrade/gateway/routing/__init__.py
+++ b/lapisgrade/gateway/routing/__init__.py
@@ -4,7 +4,7 @@
 
 * `route_tables`: by which version of the configuration is it matched?
 * `split`: which service takes it, where its route has several?
-* `balancer`: which server of the service is it sent to?
+* `balancer`: which server of the service is it sent to? `upstream_server`: what would it take there?
 * `request_attempts`: when is it queued, hedged, retried, given up?
 * `retry_budget`: may one more attempt be sent?
 * `idle_connections`: is an idle connection to the server still trusted?
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -34,9 +34,10 @@
 from random import Random
 
 from lapisgrade.gateway.configuration import Rule
-from lapisgrade.gateway.routing.balancer import UpstreamAttempt, UpstreamCluster, UpstreamServer
+from lapisgrade.gateway.routing.balancer import UpstreamCluster
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
+from lapisgrade.gateway.routing.upstream_server import UpstreamAttempt, UpstreamServer
 from lapisgrade.interface import (
     AttemptFinished,
     AttemptOutcome,
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -14,13 +14,14 @@
 from lapisgrade.gateway.configuration import Table, Tenant
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.quota.client import QuotaClient
-from lapisgrade.gateway.routing.balancer import UpstreamAttempt, UpstreamCluster
+from lapisgrade.gateway.routing.balancer import UpstreamCluster
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
 from lapisgrade.gateway.routing.request_attempts import RequestAttempts
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
 from lapisgrade.gateway.routing.route_tables import RouteMatch, RouteTables
 from lapisgrade.gateway.routing.split import SplitChooser
+from lapisgrade.gateway.routing.upstream_server import UpstreamAttempt
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import AttemptOutcome, AttemptResult, Clock, RejectReason
 
