--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -162,7 +162,7 @@
         request = rpc_messages.CopyDraft(draft)
         calls = [self._rpc.call(peer, request, COPY_TIMEOUT_S) for peer in peers]
         replies = [result.value_or(None) for result in await asyncio.gather(*calls)]
-        return sum(isinstance(each, rpc_messages.CopyDraftReply) and each.kept for each in replies)
+        return sum(isinstance(each, rpc_messages.CopyDraftReply) and each.is_stored for each in replies)
 
     async def store_copy(self, request: rpc_messages.CopyDraft) -> rpc_messages.CopyDraftReply:
         """Store another controller's draft here too."""
--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -55,7 +55,7 @@
     async def handle_watch(self, request: rpc_messages.WatchRequest) -> rpc_messages.WatchReply:
         """Return what is new for a proxy, or after a while that nothing is."""
         self._metrics.watch_requests += 1
-        self._probe_refusing_proxies(request.refused)
+        self._probe_refusing_proxies(request.unreachable_proxies)
         ends_us = self._clock() + self.watch.HOLD
         while True:
             if not self._consensus.is_leader():
--- a/lapisgrade/gateway/quota/count.py
+++ b/lapisgrade/gateway/quota/count.py
@@ -61,12 +61,12 @@
         cls, now_us: int, handed: rpc_messages.HandedCount, rate: float, burst: float
     ) -> "Count":
         """Return a count that continues the one which its owner before has handed over."""
-        reserved_us = min(max(0, handed.kept_back_us), LEASE_US)
+        reserved_us = min(max(0, handed.reserve_us), LEASE_US)
         count = cls(now_us - LEASE_US + reserved_us, rate, burst)
         count.bucket.set_level(now_us, min(max(0.0, handed.level), count.bucket.burst))
         count.first_request_us = now_us
-        if handed.leased > 0:
-            count.leases[PREVIOUS_OWNER] = Lease(now_us, handed.leased)
+        if handed.outstanding_grants > 0:
+            count.leases[PREVIOUS_OWNER] = Lease(now_us, handed.outstanding_grants)
         return count
 
     def to_hand_over(self, now_us: int) -> rpc_messages.HandedCount:
@@ -85,12 +85,12 @@
     def add(self, now_us: int, request: rpc_messages.QuotaRequest) -> None:
         """Take units, and put back what was granted before and not spent."""
         bucket = self.bucket
-        lease = self.leases.pop(request.by, NO_LEASE)
+        lease = self.leases.pop(request.requester, NO_LEASE)
         units = max(0.0, request.units)
         # Only what this very count granted with the call before, and no more of it, comes back (guards
         # against a lease of the last owner's, or of a call that never got here, made units of this one).
-        is_returning = request.of and request.of == lease.request_number
-        returned = min(max(0.0, request.back), lease.returnable) if is_returning else 0.0
+        is_returning = request.returned_from and request.returned_from == lease.request_number
+        returned = min(max(0.0, request.returned_units), lease.returnable) if is_returning else 0.0
         # A client that takes again has spent what it took, or gives the rest back with this call. One of
         # the units that it takes is for the request that made it call, and is spent at once (guards a tenant
         # of many limiters, each of which calls seldom: units that are spent must not reserve capacity).
@@ -103,7 +103,7 @@
             )
         )
         unspent = max(0.0, unspent)
-        self.leases[request.by] = Lease(now_us, unspent, returnable, request.turn)
+        self.leases[request.requester] = Lease(now_us, unspent, returnable, request.sequence_number)
         self.leases = {
             name: each for name, each in self.leases.items() if now_us - each.granted_us < LESSEE_EXPIRY_US
         }
--- a/lapisgrade/gateway/quota/epochs.py
+++ b/lapisgrade/gateway/quota/epochs.py
@@ -33,7 +33,7 @@
 from itertools import pairwise
 
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US, OwnerTable, eligible_owners, owner_of
-from lapisgrade.gateway.rpc_messages import Members, WatchReply
+from lapisgrade.gateway.rpc_messages import ProxiesByName, WatchReply
 
 MAX_EARLIER_EPOCHS = 16  # epochs kept beside the newest, to know since when a count is owned here
 MAX_CLAIMS = 4096  # tenants whose claim an epoch remembers
@@ -79,7 +79,7 @@
     """A newer membership of live proxies, as the leader of the controllers sends it."""
 
     fencing_token: int
-    proxies: Members
+    proxies: ProxiesByName
     core: Sequence[str] = ()  # those of the proxies beside which a controller runs
     previous_token: int | None = None  # of the membership before; None for the one that came here last
     leaving: Sequence[str] = ()  # those of the proxies that are shutting down
@@ -88,15 +88,15 @@
     earlier_owners: Sequence[Sequence[str]] = ()
 
     @classmethod
-    def from_watch_reply(cls, reply: WatchReply, proxies: Members) -> "MembershipUpdate":
+    def from_watch_reply(cls, reply: WatchReply, proxies: ProxiesByName) -> "MembershipUpdate":
         """Return the update in a leader's reply, whose membership is `proxies`."""
         return cls(
-            reply.fence,
+            reply.fencing_token,
             proxies,
-            reply.core,
-            reply.prior,
-            reply.leaving,
-            reply.prior_owners,
+            reply.proxies_with_controller,
+            reply.previous_fencing_token,
+            reply.terminating_proxies,
+            reply.previous_owners,
             reply.earlier_owners,
         )
 
@@ -151,8 +151,8 @@
         self.name = name
         self.incarnation = incarnation
         self.fencing_token = 0
-        self.proxies: Members = {}
-        self.eligible_owners: Members = {}
+        self.proxies: ProxiesByName = {}
+        self.eligible_owners: ProxiesByName = {}
         self.epochs: list[OwnershipEpoch] = []  # the newest last
         self._began_us = began_us
         self._owner_table = OwnerTable()
--- a/lapisgrade/gateway/quota/owner.py
+++ b/lapisgrade/gateway/quota/owner.py
@@ -12,7 +12,7 @@
 from lapisgrade.gateway.rpc_messages import (
     HandOverReply,
     HandOverRequest,
-    Members,
+    ProxiesByName,
     QuotaReply,
     QuotaRequest,
     WatchReply,
@@ -44,12 +44,12 @@
         return self.ownership.fencing_token
 
     @property
-    def proxies(self) -> Members:
+    def proxies(self) -> ProxiesByName:
         """The live proxies of the newest membership, by name."""
         return self.ownership.proxies
 
     @property
-    def eligible_owners(self) -> Members:
+    def eligible_owners(self) -> ProxiesByName:
         """Those of the live proxies that own counts."""
         return self.ownership.eligible_owners
 
@@ -67,9 +67,9 @@
         ownership.advance(now_us, update)
         self._hand_over.on_new_epoch()
 
-    def on_watch_reply(self, now_us: int, reply: WatchReply) -> Members | None:
+    def on_watch_reply(self, now_us: int, reply: WatchReply) -> ProxiesByName | None:
         """Take in a leader's reply; the newer membership in it, None without one."""
-        proxies = reply.members(self.ownership.fencing_token, self.ownership.proxies)
+        proxies = reply.updated_proxies(self.ownership.fencing_token, self.ownership.proxies)
         if proxies is not None:
             self.update_members(now_us, MembershipUpdate.from_watch_reply(reply, proxies))
         return proxies
@@ -133,7 +133,7 @@
         return QuotaReply(True, taken, lessees, self.ownership.fencing_token)
 
     def _may_serve(self, now_us: int, request: QuotaRequest, acts_until_us: int) -> bool:
-        is_valid = request.fence and request.by
+        is_valid = request.fencing_token and request.requester
         if not is_valid or now_us >= acts_until_us:
             return False
         if self._hand_over.is_released(now_us, request.tenant) or not self.owns(request.tenant):
