--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -58,7 +58,7 @@
             self.servers[registration.id] = UpstreamServer(registration, now_us)
         else:
             known.registration = registration
-            known.warm_up_ends_us = now_us + registration.warm_us
+            known.warm_up_ends_us = now_us + registration.warm_up_us
 
     def _sort(self) -> None:
         """Sort the servers that take requests: the own subset's, the zone's others, and other zones'."""
--- a/lapisgrade/gateway/routing/upstream_server.py
+++ b/lapisgrade/gateway/routing/upstream_server.py
@@ -35,7 +35,7 @@
     def __init__(self, registration: registry.Server, now_us: int) -> None:
         super().__init__(registration.id)
         self.registration = registration
-        self.warm_up_ends_us = now_us + registration.warm_us
+        self.warm_up_ends_us = now_us + registration.warm_up_us
         self.reported_load = 0.0  # requests there beside ours, by its own last report
         self.reported_us = 0  # when that came; 0: never
         self.ejected_until_us = 0
