--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -2,9 +2,12 @@
 
 from lapisgrade.gateway import registry, rpc_messages
 from lapisgrade.gateway.proxy.host import ServerPool
+from lapisgrade.gateway.registry import ServerState
 from lapisgrade.gateway.routing.router import Router
+from lapisgrade.gateway.routing.upstream_server import REMOVED_STATES
 from lapisgrade.gateway.settings import address
 
+SERVING_STATES = (ServerState.UP, ServerState.DRAIN)  # a draining server finishes what it has begun
 MAX_SERVERS = 4096  # servers beyond which those that are gone are forgotten
 
 
@@ -29,7 +32,7 @@
         self._router.update_servers(reply.servers, is_complete)
         self._pool.known(
             {
-                server.id: tuple(address(server.address)) if server.state in ("up", "drain") else None
+                server.id: tuple(address(server.address)) if server.state in SERVING_STATES else None
                 for server in reply.servers
                 if server.address
             }
@@ -37,6 +40,6 @@
         self._forget_departed()
 
     def _forget_departed(self) -> None:
-        for server in [each for each in self.by_id.values() if each.state in ("gone", "lost")]:
-            if server.state == "lost" or len(self.by_id) > MAX_SERVERS:
+        for server in [each for each in self.by_id.values() if each.state in REMOVED_STATES]:
+            if server.state == ServerState.LOST or len(self.by_id) > MAX_SERVERS:
                 del self.by_id[server.id]
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -13,7 +13,8 @@
 
 from lapisgrade.gateway import registry
 from lapisgrade.gateway.membership.subsets import Subsets
-from lapisgrade.gateway.routing.upstream_server import UpstreamAttempt, UpstreamServer
+from lapisgrade.gateway.registry import ServerState
+from lapisgrade.gateway.routing.upstream_server import REMOVED_STATES, UpstreamAttempt, UpstreamServer
 from lapisgrade.interface import AttemptOutcome, AttemptResult
 from lapisgrade.policy.fleet import LatencyEstimate
 
@@ -49,7 +50,7 @@
         """Take in a server that came, went or changed."""
         self._sorted_at = -1
         known = self.servers.get(registration.id)
-        if registration.state in ("gone", "lost") or not registration.address:
+        if registration.state in REMOVED_STATES or not registration.address:
             if known is not None:
                 known.registration = registration
                 if not known.in_flight:
@@ -65,7 +66,7 @@
         if self._sorted_at == self._subsets.revision:
             return
         self._sorted_at = self._subsets.revision
-        up = [server for server in self.servers.values() if server.registration.state == "up"]
+        up = [server for server in self.servers.values() if server.registration.state == ServerState.UP]
         own_zone = [server for server in up if server.registration.zone == self._zone]
         self._subset_ids = self._subsets.share([server.address for server in own_zone])
         self._own_subset = [server for server in own_zone if server.address in self._subset_ids]
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -95,7 +95,7 @@
         for cluster in self.clusters.values():
             for server in list(cluster.servers.values()):
                 if server.address not in listed_ids:
-                    server.registration.state = "gone"
+                    server.registration.state = registry.ServerState.GONE
                     cluster.update(now_us, server.registration)
 
     # ---- what is kept for each service and tenant
--- a/lapisgrade/gateway/routing/upstream_server.py
+++ b/lapisgrade/gateway/routing/upstream_server.py
@@ -6,9 +6,11 @@
 import math
 
 from lapisgrade.gateway import SECOND, registry
+from lapisgrade.gateway.registry import ServerState
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.policy.fleet import Attempt, ObservedServer
 
+REMOVED_STATES = (ServerState.GONE, ServerState.LOST)
 UNREPORTED_LOAD_WEIGHT = 0.5  # of a reported load beyond the neighbours' that is likely still there
 UNREPORTED_REQUESTS = 0.05  # requests that proxies other than neighbours have at a server of the subset
 LOAD_REPORT_DECAY_US = 400_000  # a reported load counts 1/e after it, a few requests' work
@@ -42,7 +44,7 @@
 
     def is_removed(self) -> bool:
         """Whether it takes no requests any more and will not come back."""
-        return self.registration.state in ("gone", "lost")
+        return self.registration.state in REMOVED_STATES
 
     def has_room(self) -> bool:
         """Whether this proxy may send it one more request."""
--- a/tests/gateway/proxy/test_server_list.py
+++ b/tests/gateway/proxy/test_server_list.py
@@ -47,9 +47,13 @@
 
     def test_a_complete_list_replaces_all_and_one_of_an_unsettled_registry_does_not(self) -> None:
         self.servers.apply(WatchReply(True, servers=[server("s1")]))
-        self.servers.apply(WatchReply(True, whole=True, settled=False, servers=[server("s2")]))
+        self.servers.apply(
+            WatchReply(True, is_full_update=True, is_registry_complete=False, servers=[server("s2")])
+        )
         self.assertEqual(sorted(self.servers.by_id), ["s1", "s2"])
-        self.servers.apply(WatchReply(True, whole=True, settled=True, servers=[server("s3")]))
+        self.servers.apply(
+            WatchReply(True, is_full_update=True, is_registry_complete=True, servers=[server("s3")])
+        )
         self.assertEqual(sorted(self.servers.by_id), ["s3"])
         self.assertEqual(sorted(self.router.cluster("a").servers), ["s3"])
 
--- a/tests/gateway/proxy/test_version_rollout.py
+++ b/tests/gateway/proxy/test_version_rollout.py
@@ -37,40 +37,58 @@
         return self.rollout.active_version, sorted(self.router.tables.staged)
 
     def test_a_version_is_staged_and_activated_when_the_leader_orders_it(self) -> None:
-        self.rollout.apply(WatchReply(True, ver=1, conf=complete(1)))
-        self.rollout.apply(WatchReply(True, ver=1, staged={2: delta(2, 1), 3: delta(3, 2)}))
+        self.rollout.apply(WatchReply(True, active_version=1, active_configuration=complete(1)))
+        self.rollout.apply(
+            WatchReply(True, active_version=1, staged_versions={2: delta(2, 1), 3: delta(3, 2)})
+        )
         self.assertEqual((self.state(), self.rollout.staged_version), ((1, [2, 3]), 3))
-        self.rollout.apply(WatchReply(True, ver=2))
+        self.rollout.apply(WatchReply(True, active_version=2))
         self.assertEqual((self.state(), self.router.tables.active.ver), ((2, [3]), 2))
         self.assertEqual(len(self.limits), 2)
 
     def test_an_earlier_or_known_version_changes_nothing(self) -> None:
-        self.rollout.apply(WatchReply(True, ver=3, conf=complete(3)))
-        self.rollout.apply(WatchReply(True, ver=2, conf=complete(2), staged={3: complete(3)}))
+        self.rollout.apply(WatchReply(True, active_version=3, active_configuration=complete(3)))
+        self.rollout.apply(
+            WatchReply(
+                True, active_version=2, active_configuration=complete(2), staged_versions={3: complete(3)}
+            )
+        )
         self.assertEqual((self.state(), len(self.limits)), ((3, []), 1))
 
     def test_an_active_version_that_was_never_staged_here_is_asked_for(self) -> None:
-        self.rollout.apply(WatchReply(True, ver=1, conf=complete(1), staged={2: delta(2, 1)}))
-        self.rollout.apply(WatchReply(True, ver=5))
+        self.rollout.apply(
+            WatchReply(
+                True, active_version=1, active_configuration=complete(1), staged_versions={2: delta(2, 1)}
+            )
+        )
+        self.rollout.apply(WatchReply(True, active_version=5))
         self.assertEqual((self.state(), self.rollout.staged_version), ((1, []), 1))
 
     def test_a_merged_version_is_marked_until_it_is_active(self) -> None:
-        self.rollout.apply(WatchReply(True, ver=1, conf=complete(1), staged={2: delta(2, 1)}, merged=[2]))
+        self.rollout.apply(
+            WatchReply(
+                True,
+                active_version=1,
+                active_configuration=complete(1),
+                staged_versions={2: delta(2, 1)},
+                merged_versions=[2],
+            )
+        )
         self.assertEqual(self.router.tables.merged_versions, {2})
-        self.rollout.apply(WatchReply(True, ver=2))
+        self.rollout.apply(WatchReply(True, active_version=2))
         self.assertEqual(self.router.tables.merged_versions, set())
 
     def test_a_delta_on_an_unknown_base_is_refused_and_a_complete_version_helps(self) -> None:
-        self.rollout.apply(WatchReply(True, ver=1, conf=complete(1)))
+        self.rollout.apply(WatchReply(True, active_version=1, active_configuration=complete(1)))
         with self.assertRaises(Bad):
-            self.rollout.apply(WatchReply(True, ver=1, staged={3: delta(3, 2)}))
+            self.rollout.apply(WatchReply(True, active_version=1, staged_versions={3: delta(3, 2)}))
         self.rollout.has_lost_base = True
-        self.rollout.apply(WatchReply(True, ver=1, staged={3: complete(3)}))
+        self.rollout.apply(WatchReply(True, active_version=1, staged_versions={3: complete(3)}))
         self.assertEqual((self.state(), self.rollout.has_lost_base), ((1, [3]), False))
 
     def test_a_version_that_calls_itself_another_is_refused(self) -> None:
         with self.assertRaises(Bad):
-            self.rollout.apply(WatchReply(True, ver=2, conf=encode(2, text(1))))
+            self.rollout.apply(WatchReply(True, active_version=2, active_configuration=encode(2, text(1))))
 
 
 if __name__ == "__main__":
