--- a/tests/gateway/proxy/test_version_rollout.py
+++ b/tests/gateway/proxy/test_version_rollout.py
@@ -6,10 +6,11 @@
 import msgspec
 
 from lapisgrade.gateway.configuration_delta import EncodedVersion, encode
+from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway.proxy.version_rollout import VersionRollout
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.rpc_messages import WatchReply
-from lapisgrade.gateway.settings import Bad, Slo
+from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import Clock
 
 
@@ -80,14 +81,14 @@
 
     def test_a_delta_on_an_unknown_base_is_refused_and_a_complete_version_helps(self) -> None:
         self.rollout.apply(WatchReply(True, active_version=1, active_configuration=complete(1)))
-        with self.assertRaises(Bad):
+        with self.assertRaises(ConfigurationError):
             self.rollout.apply(WatchReply(True, active_version=1, staged_versions={3: delta(3, 2)}))
         self.rollout.has_lost_base = True
         self.rollout.apply(WatchReply(True, active_version=1, staged_versions={3: complete(3)}))
         self.assertEqual((self.state(), self.rollout.has_lost_base), ((1, [3]), False))
 
     def test_a_version_that_calls_itself_another_is_refused(self) -> None:
-        with self.assertRaises(Bad):
+        with self.assertRaises(ConfigurationError):
             self.rollout.apply(WatchReply(True, active_version=2, active_configuration=encode(2, text(1))))
 
 
