--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -92,7 +92,7 @@
             if (
                 reply.is_accepted
                 or self._is_current(request, owner_name, reply)
-                or self._is_too_late(ends_us)
+                or self._is_out_of_time(ends_us)
             ):
                 return self._finish_with_reply(task, request, reply)
             self._context.metrics.quota_calls_repeated += 1
@@ -106,7 +106,7 @@
         is_owner = self._quota_owner.owner(request.tenant) == owner_name
         return is_owner and reply.fencing_token == self._quota_owner.fencing_token
 
-    def _is_too_late(self, ends_us: int) -> bool:
+    def _is_out_of_time(self, ends_us: int) -> bool:
         """Whether there is no time left to ask again."""
         return self._now_us() + 2 * int(REPEAT_DELAY_S * SECOND) > ends_us
 
--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway import configuration, rpc_messages
 from lapisgrade.gateway.configuration import Table
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
+from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway.proxy.client_front import ClientFront
 from lapisgrade.gateway.routing.router import Router
 
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import SECOND, rpc_messages
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
 from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
@@ -68,7 +68,7 @@
         target, metrics, now_us = self._target, self._context.metrics, self._context.now_us
         while True:
             to, sent_us = address(target.next(now_us())), now_us()
-            reply = await self._ask(to)
+            reply = await self._send_request(to)
             metrics.watch_requests += 1
             if not target.on_reply(now_us(), reply) or reply is None:
                 metrics.watch_requests_unanswered += 1
@@ -91,7 +91,7 @@
         reply = await self._rpc.call(address(leader), request, REPLY_TIMEOUT_S)
         return reply.value_or(None) or rpc_messages.WatchReply(False)
 
-    async def _ask(self, to: tuple[str, int]) -> rpc_messages.WatchReply | None:
+    async def _send_request(self, to: tuple[str, int]) -> rpc_messages.WatchReply | None:
         """Send one request; None where it brings no reply."""
         result = await self._rpc.call(to, self._request(), REPLY_TIMEOUT_S)
         reply = result.value_or(None)
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -94,7 +94,7 @@
 
     def _candidates(self, now_us: int, tried: list[UpstreamServer]) -> list[UpstreamServer]:
         def fits(server: UpstreamServer) -> bool:
-            return server.has_room() and now_us >= server.ejected_until_us and server not in tried
+            return server.has_capacity() and now_us >= server.ejected_until_us and server not in tried
 
         candidates = [server for server in self._own_subset if fits(server)]
         if len(candidates) > MAX_SUBSET_CANDIDATES:
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -122,17 +122,14 @@
             if server is not None:
                 yield Send(self._start_attempt(server, now_us))
                 self._schedule_hedge(now_us, usual_us)
-            elif self._state is State.SELECTING:
-                if not self._may_queue(now_us):
-                    break
-                event = yield Sleep(min(now_us + QUEUE_POLL_US, self._queue_until_us))
-                if event is WakeReason.CLIENT_GONE:
-                    return
-                continue
+            elif self._state is State.SELECTING and not self._may_queue(now_us):
+                break
 
-            event = yield Sleep(self._next_timer_us())
+            event = yield Sleep(self._next_timer_us(now_us))
             if event is WakeReason.CLIENT_GONE:
                 return
+            if self._state is State.SELECTING:
+                continue  # still queued: look for a server again
             if isinstance(event, AttemptFinished):
                 if event.result.is_final:
                     return
@@ -156,8 +153,10 @@
         """When an attempt is too late, as its answer would no longer reach the client in time."""
         return self._request.deadline_us - RESPONSE_MARGIN_US
 
-    def _next_timer_us(self) -> int:
-        """Until when to sleep while attempts are in flight: the next hedge or the request's deadline."""
+    def _next_timer_us(self, now_us: int) -> int:
+        """Until when to sleep: the next search for a server, the next hedge or the request's deadline."""
+        if self._state is State.SELECTING:
+            return min(now_us + QUEUE_POLL_US, self._queue_until_us)
         if self._request.is_idempotent:
             return min(self._hedge_us, self._request.deadline_us)
         return self._request.deadline_us
--- a/lapisgrade/gateway/routing/upstream_server.py
+++ b/lapisgrade/gateway/routing/upstream_server.py
@@ -46,7 +46,7 @@
         """Whether it takes no requests any more and will not come back."""
         return self.registration.state in REMOVED_STATES
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether this proxy may send it one more request."""
         return len(self.in_flight) < self.registration.slots + MAX_QUEUED
 
