--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -4,8 +4,7 @@
 
 import msgspec
 
-from lapisgrade.gateway import configuration
-from lapisgrade.gateway.configuration_change import apply_change, digest
+from lapisgrade.gateway import configuration, configuration_change
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge import three_way
@@ -31,7 +30,7 @@
     @property
     def digest(self) -> bytes:
         """Of its meaning; msgspec.DecodeError where it has none."""
-        return digest(self.body) + (b"w" if self.whole else b"u")
+        return configuration_change.digest(self.body) + (b"w" if self.whole else b"u")
 
 
 class NewVersion(msgspec.Struct, array_like=True, tag="v", frozen=True):
@@ -325,7 +324,7 @@
                 made = {name: each for name, each in raw.items() if name != "Base"}
             else:
                 current = msgspec.json.decode(state.conf) if state.conf else {}
-                made = apply_change(current, raw)
+                made = configuration_change.apply_change(current, raw)
             configuration.read(made)
         except (InvalidInputError, KeyError, TypeError, AttributeError) as wrong:
             return Answer(400, str(wrong)), None
