--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -67,7 +67,7 @@
         """Send one watch request after another."""
         target, metrics, now_us = self._target, self._context.metrics, self._context.now_us
         while True:
-            to, sent_us = address(target.next(now_us())), now_us()
+            to, sent_us = parse_address(target.next(now_us())), now_us()
             reply = await self._send_request(to)
             metrics.watch_requests += 1
             if not target.on_reply(now_us(), reply) or reply is None:
