--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -15,7 +15,7 @@
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.rpc import RpcEndpoint
-from lapisgrade.gateway.settings import address
+from lapisgrade.gateway.settings import parse_address
 from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.interface import AddToCounter
 from lapisgrade.net.close_reason import CloseReason
@@ -92,7 +92,7 @@
             if (
                 reply.is_accepted
                 or self._is_current(request, owner_name, reply)
-                or self._is_too_late(ends_us)
+                or self._is_out_of_time(ends_us)
             ):
                 return self._finish_with_reply(task, request, reply)
             self._context.metrics.quota_calls_repeated += 1
@@ -106,7 +106,7 @@
         is_owner = self._quota_owner.owner(request.tenant) == owner_name
         return is_owner and reply.fencing_token == self._quota_owner.fencing_token
 
-    def _is_too_late(self, ends_us: int) -> bool:
+    def _is_out_of_time(self, ends_us: int) -> bool:
         """Whether there is no time left to ask again."""
         return self._now_us() + 2 * int(REPEAT_DELAY_S * SECOND) > ends_us
 
@@ -117,7 +117,7 @@
         member = self._quota_owner.proxies.get(owner_name)
         if member is None:
             return CloseReason.CONNECTION_REFUSED
-        to = address(member[0])
+        to = parse_address(member[0])
         result = await self._rpc.call(to, request, timeout_s)
         reply = result.value_or(None)
         self._reachability.on_call_finished(owner_name, self._rpc.peer(to).refused)
@@ -183,7 +183,7 @@
         fence, member = owner.fencing_token, owner.proxies.get(predecessor)
         if member is None:
             return
-        to = address(member[0])
+        to = parse_address(member[0])
         hand_over = rpc_messages.HandOverRequest(
             request.tenant,
             self._context.settings.hostname,
