--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -1,14 +1,16 @@
-"""Activation of versions explored: a new tenant is known to every proxy from one moment, and what one has
-taken none refuses afterwards; one that is withdrawn, and refused somewhere, is taken nowhere in touch.
+"""Activation of versions explored: all proxies accept or refuse a tenant from one moment on.
 
-The leader's watch and state machine and the proxies' routers in simulated time, as they are: news that comes
-late or not at all, proxies that freeze, start anew or are cut off, leaders that change, several tenants at
-once. A seed replays exactly. Known defects can be switched on; each must be found.
+What one proxy has accepted none refuses afterwards; a tenant that is withdrawn, and refused somewhere, is
+accepted by no proxy that is in touch. The leader's watch and state machine and the proxies' routers are as
+they are, in simulated time: updates that are late or lost, proxies that freeze, start anew or are cut off,
+leaders that change, several tenants at once. A seed replays exactly. Known defects can be put in; each must
+be found.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
 from random import Random
-from typing import Any
+from typing import Any, Self
 
 import msgspec
 
@@ -23,13 +25,25 @@
 from lapisgrade.gateway.watch_timing import LONG_POLL_US, MISSED_VERSION_AFTER_US
 from lapisgrade.interface import Clock
 from lapisgrade.lab.emulator.sim import Sim
-from lapisgrade.lab.explore.defects import Defects, switched
+from lapisgrade.lab.explore.defects import Defect, Defects
+from lapisgrade.lab.explore.exploration import (
+    Exploration,
+    ExplorationResult,
+    Print,
+    lines_up_to_violation,
+    print_nothing,
+)
 
 MS = 1_000
-UNIT = "calls"  # what is counted of a play
+UNIT = "calls"
+MESSAGE_LOSS = 0.02
+TICK_US = 50 * MS
+CALL_INTERVAL_US = 50 * MS
+WATCH_TIMEOUT_US = 900 * MS
 
 
-def conf(ver: int, base: int, tenants: "int | list[int]") -> bytes:
+def conf(ver: int, base: int, tenants: int | list[int]) -> bytes:
+    """Return a configuration, as JSON, with tenants of these numbers, or with so many."""
     names = [f"t{number}" for number in (range(tenants) if isinstance(tenants, int) else tenants)]
     return msgspec.json.encode(
         {
@@ -51,251 +65,305 @@
 
 
 class Proxy:
-    """One proxy's asks and its router."""
+    """One proxy's watch requests and its router."""
 
     def __init__(self, world: "World", name: str) -> None:
-        self.world, self.name, self.life = world, name, 0
+        """Start the proxy."""
+        self.world = world
+        self.name = name
+        self.incarnation = 0
         self.start()
 
     def start(self) -> None:
-        self.life += 1
-        self.leaving = False  # told to end
+        """Begin a new incarnation, which knows nothing."""
+        self.incarnation += 1
+        self.is_terminating = False
         self.router = router.Router(Clock(self.world.sim.now), 1, Slo(), "z", self.name)
-        self.ver, self.fence, self.frozen_until, self.asked, self.live_proxies = 0, 0, 0, 0, {}
-        self.texts: dict[int, bytes] = {}
-        self.ask()
-
-    def ask(self) -> None:
-        """Ask, and again when answered, or where no answer comes in time."""
-        self.asked += 1
-        held = max(self.router.tables.staged, default=self.ver)
-        ask = rpc_messages.WatchRequest(
+        self.active_version = 0
+        self.fencing_token = 0
+        self.frozen_until_us = 0
+        self.request_number = 0
+        self.live_proxies: rpc_messages.ProxiesByName = {}
+        self.texts: dict[int, bytes] = {}  # configurations by version, on which deltas are decoded
+        self.send_watch_request()
+
+    def send_watch_request(self) -> None:
+        """Ask for updates; once more when answered, or where no reply comes in time."""
+        self.request_number += 1
+        request = rpc_messages.WatchRequest(
             self.name,
             "10.0.0.1:1",
-            str(self.life),
+            str(self.incarnation),
             "z",
-            self.ver,
+            self.active_version,
             "1+",
             1 << 30,
-            self.fence,
-            staged_version=held,
-            is_terminating=self.leaving,
+            self.fencing_token,
+            staged_version=max(self.router.tables.staged, default=self.active_version),
+            is_terminating=self.is_terminating,
         )
-        sent = self.world.sim.now
-        self.world.carry(self, self.world.asked, self, ask, self.life, self.asked, sent)
-        self.world.sim.after(900 * MS, self.again, self.life, self.asked)
-
-    def again(self, life: int, asked: int) -> None:
-        if life == self.life and asked == self.asked:
-            self.ask()
-
-    def told(self, news: rpc_messages.WatchReply, life: int, asked: int, sent: int) -> None:
-        now = self.world.sim.now
-        if now < self.frozen_until:
-            self.world.sim.at(self.frozen_until, self.told, news, life, asked, sent)
+        call = WatchCall(self, request, self.incarnation, self.request_number, self.world.sim.now)
+        self.world.deliver(self, self.world.on_watch_request, call)
+        self.world.sim.after(WATCH_TIMEOUT_US, self._on_watch_timeout, call)
+
+    def _on_watch_timeout(self, call: "WatchCall") -> None:
+        if self.is_pending(call):
+            self.send_watch_request()
+
+    def is_pending(self, call: "WatchCall") -> bool:
+        """Whether that is the newest request of this incarnation."""
+        return (call.incarnation, call.number) == (self.incarnation, self.request_number)
+
+    def on_watch_reply(self, reply: rpc_messages.WatchReply, call: "WatchCall") -> None:
+        """Act by a reply, once the proxy isn't frozen; a late one changes nothing."""
+        if self.world.sim.now < self.frozen_until_us:
+            self.world.sim.at(self.frozen_until_us, self.on_watch_reply, reply, call)
             return
-        if life != self.life or asked != self.asked:
+        if not self.is_pending(call):
             return
-        router = self.router
-        members = news.updated_proxies(self.fence, self.live_proxies)
+        tables = self.router.tables
+        members = reply.updated_proxies(self.fencing_token, self.live_proxies)
         if members is not None:
             self.live_proxies = members
         if self.name in self.live_proxies:
-            router.tables.confirmed_us = max(router.tables.confirmed_us, sent)
-        if news.active_configuration is not None and news.active_version > self.ver:
-            self.act(self.read(news.active_configuration))
-        elif news.active_version in router.tables.staged:
-            self.act(router.tables.staged[news.active_version])
-        elif news.active_version > self.ver:
-            router.tables.staged.clear()
-        for each in news.staged_versions.values():
-            router.tables.stage(self.read(each))
-        self.fence = news.fencing_token
-        self.ask()
-
-    def read(self, encoded: EncodedVersion) -> RouteTable:
-        text = decode(encoded, self.texts.get(encoded.base, b""))
-        self.texts[encoded.ver] = text
+            tables.confirmed_us = max(tables.confirmed_us, call.sent_us)
+        if reply.active_configuration is not None and reply.active_version > self.active_version:
+            self._activate(self._decode(reply.active_configuration))
+        elif reply.active_version in tables.staged:
+            self._activate(tables.staged[reply.active_version])
+        elif reply.active_version > self.active_version:
+            tables.staged.clear()
+        for encoded_version in reply.staged_versions.values():
+            tables.stage(self._decode(encoded_version))
+        self.fencing_token = reply.fencing_token
+        self.send_watch_request()
+
+    def _decode(self, encoded_version: EncodedVersion) -> RouteTable:
+        text = decode(encoded_version, self.texts.get(encoded_version.base, b""))
+        self.texts[encoded_version.ver] = text
         return RouteTable(configuration.read(msgspec.json.decode(text)))
 
-    def act(self, table: RouteTable) -> None:
-        self.ver = table.version
+    def _activate(self, table: RouteTable) -> None:
+        self.active_version = table.version
         self.router.activate(table)
-        self.world.say(f"{self.name} acts by version {self.ver}")
+        self.world.note(f"{self.name} acts by version {self.active_version}")
 
     def call(self, tenant: int) -> int:
-        """What a tenant's call is met with here: 200 where it is taken."""
-        got = self.router.match(self.world.sim.now, f"t{tenant}.example", "/", f"key-t{tenant}")
-        return got if isinstance(got, int) else 200
+        """The status that a tenant's call gets here: 200 where it is accepted."""
+        match = self.router.match(self.world.sim.now, f"t{tenant}.example", "/", f"key-t{tenant}")
+        return match if isinstance(match, int) else 200
+
+
+@dataclass(slots=True)
+class WatchCall:
+    """A watch request under way."""
+
+    proxy: Proxy
+    request: rpc_messages.WatchRequest
+    incarnation: int  # of the proxy
+    number: int  # of the proxy's requests
+    sent_us: int
+    reply_by_us: int = 0  # when the leader replies also without an update
 
 
 class World:
-    PROXY = Proxy
-    EARLY = False  # a defect: a controller that was started anew leads before it has taken the log over
+    """A leader, proxies, the network between them, and clients that call all proxies."""
+
+    PROXY: type[Proxy] = Proxy
+    LEADS_EARLY = False  # a defect: a controller that was started anew leads before it has applied the log
 
     def __init__(self, seed: int, proxies: int = 8) -> None:
-        self.random, self.sim = Random(seed), Sim()
-        self.log: list[str] = []
+        """Start a leader and so many proxies, with a first tenant."""
+        self.random = Random(seed)
+        self.sim = Sim()
         self.sim.now = 10 * SECOND
-        self.state_machine, self.index, self.waiting = StateMachine(), 0, []
-        self.lead(1)
-        self.dark: set[str] = set()
-        self.tenants, self.taken, self.calls, self.refused_after = 0, {}, 0, []
-        self.withdrawn, self.refused, self.taken_after = set(), {}, []
+        self.transcript_lines: list[str] = []
+        self.state_machine = StateMachine()
+        self.last_index = 0
+        self.pending: list[WatchCall] = []
+        self.become_leader(1)
+        self.cut_off: set[str] = set()  # proxies that reach nobody
+        self.tenant_count = 0
+        self.withdrawn: set[int] = set()
+        self.first_accepted_us: dict[int, int] = {}  # by tenant
+        self.first_refused_us: dict[int, int] = {}  # by tenant that is withdrawn
+        self.refused_after_acceptance: list[tuple[int, str, int, int]] = []
+        self.accepted_after_refusal: list[tuple[int, str, int]] = []
+        self.call_count = 0
         self.change(1)
         self.proxies = [self.PROXY(self, f"c{number}") for number in range(proxies)]
-        self.tick()
+        self._tick()
 
     # ---- the leader
 
-    def lead(self, term: int) -> None:
-        self.term, self.waiting = term, []
+    def become_leader(self, term: int) -> None:
+        """Have a leader of a new term; what the one before had not committed is lost."""
+        self.term = term
+        self.pending = []
         self.watch = Watch(SECOND, self.sim.now)
-        self.watch.become_leader(self.sim.now, term, State() if self.EARLY else self.state_machine.state)
-        self.say(f"a leader of term {term} begins; list of live proxies {sorted(self.watch.proxies)}")
+        state = State() if self.LEADS_EARLY else self.state_machine.state
+        self.watch.become_leader(self.sim.now, term, state)
+        self.note(f"a leader of term {term} begins; list of live proxies {sorted(self.watch.proxies)}")
 
-    def say(self, what: str) -> None:
-        self.log.append(f"{self.sim.now / SECOND:9.3f} s  {what}")
-
-    def tick(self) -> None:
+    def _tick(self) -> None:
         self.watch.advance(self.sim.now)
-        self.order()
-        self.sim.after(50 * MS, self.tick)
+        self.propose_due_commands()
+        self.sim.after(TICK_US, self._tick)
 
-    def order(self) -> None:
+    def propose_due_commands(self) -> None:
+        """Have the leader propose what its watch asks for."""
         now, state = self.sim.now, self.state_machine.state
         for item in (self.watch.activation(now, state), self.watch.live_proxies(now, state)):
             if item is not None:
-                self.sim.after(self.random.randrange(2 * MS, 20 * MS), self.commit, encoded(item), self.term)
-
-    def commit(self, data: bytes, term: int) -> None:
-        if term == self.term:  # what an earlier leader had not committed is lost
-            self.index += 1
-            self.state_machine.take(self.index, data)
-            state = self.state_machine.state
-            live = sorted(state.live_proxies)
-            self.say(f"log: newest {state.ver}, in force {state.acting_ver}, live proxies {live}")
-            self.turn()
-
-    def change(self, more: int, less: int | None = None) -> None:
-        self.tenants += more
-        if less is not None:
-            self.withdrawn.add(less)
+                delay_us = self.random.randrange(2 * MS, 20 * MS)
+                self.sim.after(delay_us, self._commit, encoded(item), self.term)
+
+    def _commit(self, data: bytes, term: int) -> None:
+        if term != self.term:
+            return  # what an earlier leader had not committed is lost
+        self.last_index += 1
+        self.state_machine.take(self.last_index, data)
+        state = self.state_machine.state
+        live_proxies = sorted(state.live_proxies)
+        self.note(f"log: newest {state.ver}, in force {state.acting_ver}, live proxies {live_proxies}")
+        self.reply_to_pending()
+
+    def change(self, added: int, withdrawn: int | None = None) -> None:
+        """Commit a configuration with so many more tenants, and without one."""
+        self.tenant_count += added
+        if withdrawn is not None:
+            self.withdrawn.add(withdrawn)
         state = self.state_machine.state
-        names = [number for number in range(self.tenants) if number not in self.withdrawn]
-        self.commit(encoded(Change(True, conf(state.ver + 1, state.ver, names))), self.term)
-
-    def asked(self, proxy: Proxy, ask: rpc_messages.WatchRequest, life: int, asked: int, sent: int) -> None:
-        self.waiting.append((proxy, ask, life, asked, sent, self.sim.now + LONG_POLL_US))
-        self.sim.after(LONG_POLL_US, self.turn)
-        self.turn()
-
-    def turn(self) -> None:
-        """Answer those that have news, or have waited long enough."""
-        waiting, self.waiting = self.waiting, []
-        for proxy, ask, life, asked, sent, ends in waiting:
-            news = self.watch.reply_if_changed(self.sim.now, ask, self.state_machine.state, [])
-            if news is None and self.sim.now >= ends:
-                news = self.watch.unchanged_reply(ask, self.state_machine.state, [])
-            if news is None:
-                self.waiting.append((proxy, ask, life, asked, sent, ends))
+        tenants = [number for number in range(self.tenant_count) if number not in self.withdrawn]
+        self._commit(encoded(Change(True, conf(state.ver + 1, state.ver, tenants))), self.term)
+
+    def on_watch_request(self, call: WatchCall) -> None:
+        """Reply to a request as soon as there is an update, and after a while without."""
+        call.reply_by_us = self.sim.now + LONG_POLL_US
+        self.pending.append(call)
+        self.sim.after(LONG_POLL_US, self.reply_to_pending)
+        self.reply_to_pending()
+
+    def reply_to_pending(self) -> None:
+        """Reply to the requests that there is an update for, and to those that have waited long enough."""
+        pending, self.pending = self.pending, []
+        for call in pending:
+            state = self.state_machine.state
+            reply = self.watch.reply_if_changed(self.sim.now, call.request, state, [])
+            if reply is None and self.sim.now >= call.reply_by_us:
+                reply = self.watch.unchanged_reply(call.request, state, [])
+            if reply is None:
+                self.pending.append(call)
             else:
-                self.carry(proxy, proxy.told, news, life, asked, sent)
-        self.order()
+                self.deliver(call.proxy, call.proxy.on_watch_reply, reply, call)
+        self.propose_due_commands()
 
-    # ---- the world between
+    # ---- network, faults and clients
 
-    def carry(self, proxy: Proxy, call, *args) -> None:
-        if proxy.name not in self.dark and self.random.random() > 0.02:
-            self.sim.after(self.random.choice((1, 2, 5, 40)) * MS, call, *args)
+    def deliver(self, proxy: Proxy, handler: Callable[..., None], *args: Any) -> None:
+        """Call a handler some time later, unless the proxy is cut off or the message is lost."""
+        if proxy.name not in self.cut_off and self.random.random() > MESSAGE_LOSS:
+            self.sim.after(self.random.choice((1, 2, 5, 40)) * MS, handler, *args)
 
-    def trouble(self) -> None:
-        one, kind = self.random.choice(self.proxies), self.random.randrange(4)
-        self.say(("cut off", "frozen", "started anew", "leader changes")[kind] + f" ({one.name})")
+    def inject_fault(self) -> None:
+        """Bring a fault on, at random."""
+        proxy, kind = self.random.choice(self.proxies), self.random.randrange(4)
+        self.note(("cut off", "frozen", "started anew", "leader changes")[kind] + f" ({proxy.name})")
         match kind:
             case 0:
-                self.dark.add(one.name)
-                self.sim.after(self.random.randrange(3 * SECOND), self.dark.discard, one.name)
+                self.cut_off.add(proxy.name)
+                self.sim.after(self.random.randrange(3 * SECOND), self.cut_off.discard, proxy.name)
             case 1:
-                one.frozen_until = self.sim.now + self.random.randrange(3 * SECOND)
+                proxy.frozen_until_us = self.sim.now + self.random.randrange(3 * SECOND)
             case 2:
-                one.start()
+                proxy.start()
             case 3:
-                self.lead(self.term + 1)
+                self.become_leader(self.term + 1)
 
-    def clients(self) -> None:
-        """Every tenant there will be calls every proxy that is able to answer."""
-        for tenant in range(self.tenants):
+    def call_all_proxies(self) -> None:
+        """Have every tenant that there will be call every proxy that is able to answer."""
+        for tenant in range(self.tenant_count):
             for proxy in self.proxies:
-                if self.sim.now < proxy.frozen_until:
-                    continue
-                self.calls += 1
-                status = proxy.call(tenant)
-                doubts = self.sim.now - proxy.router.tables.confirmed_us > MISSED_VERSION_AFTER_US
-                if status == 200:
-                    self.taken.setdefault(tenant, self.sim.now)
-                    if tenant in self.refused and not doubts:
-                        self.taken_after.append((self.sim.now, proxy.name, tenant))
-                        self.say(f"WRONG: {proxy.name} takes t{tenant}, refused before")
-                elif tenant in self.withdrawn:
-                    if status != 503:
-                        self.refused.setdefault(tenant, self.sim.now)
-                elif status != 503 and tenant in self.taken:
-                    self.refused_after.append((self.sim.now, proxy.name, tenant, status))
-                    self.say(f"WRONG: {proxy.name} answers {status} to t{tenant}, taken before")
-
-    def run(self, changes: int = 4) -> "World":
+                if self.sim.now >= proxy.frozen_until_us:
+                    self.call_count += 1
+                    self._check_call(proxy, tenant, proxy.call(tenant))
+
+    def _check_call(self, proxy: Proxy, tenant: int, status: int) -> None:
+        if status == 200:
+            self._check_accepted(proxy, tenant)
+        elif status == 503:
+            return
+        elif tenant in self.withdrawn:
+            self.first_refused_us.setdefault(tenant, self.sim.now)
+        elif tenant in self.first_accepted_us:
+            self.refused_after_acceptance.append((self.sim.now, proxy.name, tenant, status))
+            self.note(f"WRONG: {proxy.name} answers {status} to t{tenant}, taken before")
+
+    def _check_accepted(self, proxy: Proxy, tenant: int) -> None:
+        self.first_accepted_us.setdefault(tenant, self.sim.now)
+        may_lack_version = self.sim.now - proxy.router.tables.confirmed_us > MISSED_VERSION_AFTER_US
+        if tenant in self.first_refused_us and not may_lack_version:
+            self.accepted_after_refusal.append((self.sim.now, proxy.name, tenant))
+            self.note(f"WRONG: {proxy.name} takes t{tenant}, refused before")
+
+    def run(self, changes: int = 4) -> Self:
+        """Play so many changes with faults beside them, and a calm end."""
         self.sim.run(self.sim.now + 3 * SECOND)
         for number in range(changes):
-            self.sim.at(self.sim.now + self.random.randrange(SECOND), self.trouble)
+            self.sim.at(self.sim.now + self.random.randrange(SECOND), self.inject_fault)
             self.sim.at(self.sim.now + self.random.randrange(SECOND), self.change, 1)
             if number == 2:  # the first tenant of all goes
                 self.sim.at(self.sim.now + self.random.randrange(SECOND), self.change, 0, 0)
-            ends = self.sim.now + self.random.choice((1, 3, 5)) * SECOND
-            while self.sim.now < ends:
-                self.sim.run(self.sim.now + 50 * MS)
-                self.clients()
+            end_us = self.sim.now + self.random.choice((1, 3, 5)) * SECOND
+            while self.sim.now < end_us:
+                self.sim.run(self.sim.now + CALL_INTERVAL_US)
+                self.call_all_proxies()
         self.sim.run(self.sim.now + 4 * SECOND)
-        self.clients()
+        self.call_all_proxies()
         return self
 
+    # ---- findings
+
+    def note(self, what: str) -> None:
+        """Add a line to the transcript."""
+        self.transcript_lines.append(f"{self.sim.now / SECOND:9.3f} s  {what}")
+
     @property
-    def wrong(self) -> bool:
-        return bool(self.refused_after or self.taken_after)
+    def is_wrong(self) -> bool:
+        """Whether a tenant was refused after it had been accepted, or the other way round."""
+        return bool(self.refused_after_acceptance or self.accepted_after_refusal)
 
     def transcript(self) -> list[str]:
         """What led to the first wrong answer, from the change before it on."""
-        at = next((i for i, line in enumerate(self.log) if "WRONG" in line), len(self.log) - 1)
-        return self.log[max(0, at - 24) : at + 1]
+        return lines_up_to_violation(self.transcript_lines)
 
 
-def _served(self: router.Router, now: int, *asked: str) -> Any:
-    return self.tables.active.match(*asked) if self.tables.active else 503
+def _match_active_only(self: router.Router, now: int, *request: str) -> Any:
+    """A proxy that may lack a version answers by the one that it has."""
+    return self.tables.active.match(*request) if self.tables.active else 503
 
 
-def _at_once(self: Watch, now: int, state: State) -> Activate | None:
+def _activate_at_once(self: Watch, now: int, state: State) -> Activate | None:
+    """A version comes into force before the proxies have staged it."""
     return Activate(state.ver) if state.ver > state.acting_ver else None
 
 
 DEFECTS: Defects = {
-    "serves-withdrawn": (router.Router, "match", _served),
-    "acts-at-once": (Watch, "activation", _at_once),
-    "never-doubts": (route_tables, "MISSED_VERSION_AFTER_US", 1 << 60),
-    "waits-for-nobody": (version_activation, "ACTIVATION_TIMEOUT_US", 0),
-    "leads-early": (World, "EARLY", True),
+    "serves-withdrawn": Defect(router.Router, "match", _match_active_only),
+    "acts-at-once": Defect(Watch, "activation", _activate_at_once),
+    "never-doubts": Defect(route_tables, "MISSED_VERSION_AFTER_US", 1 << 60),
+    "waits-for-nobody": Defect(version_activation, "ACTIVATION_TIMEOUT_US", 0),
+    "leads-early": Defect(World, "LEADS_EARLY", True),
 }
 
 
-def explore(seeds: range, name: str = "", say: Callable[[str], None] = lambda line: None) -> tuple[int, int]:
-    """Play each seed; the calls that were made, and the first seed with a wrong answer, -1 for none."""
-    calls = 0
-    with switched(DEFECTS, name):
-        for seed in seeds:
-            world = World(seed).run()
-            calls += world.calls
-            if world.wrong:
-                say(f"seed {seed}:")
-                for line in world.transcript():
-                    say(line)
-                return calls, seed
-    return calls, -1
+def _plays(seed: int) -> Iterator[tuple[str, World]]:
+    yield f"seed {seed}", World(seed).run()
+
+
+EXPLORATION = Exploration(DEFECTS, _plays, lambda world: world.call_count)
+
+
+def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
+    """Play each seed until one goes wrong; counts the calls that were made."""
+    return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/cluster.py
+++ b/lapisgrade/lab/explore/cluster.py
@@ -1,147 +1,255 @@
-"""controllers in simulated time: lossy links, cuts, kills, disks that lose what was not synced or all of
-it."""
+"""Consensus nodes in simulated time: links that lose and are cut, kills, disks that lose what was not synced.
+
+A node here is the pure `consensus.node.Node`; this module is its shell, its disk and its network. A seed
+replays exactly.
+"""
 
 import heapq
+from dataclasses import dataclass
 from random import Random
 
 import msgspec
 
-from lapisgrade.gateway.consensus.messages import JoinRequest
+from lapisgrade.gateway.consensus.messages import JoinRequest, Message
 from lapisgrade.gateway.consensus.node import Node
-from lapisgrade.gateway.consensus.records import Record, SnapshotRecord
+from lapisgrade.gateway.consensus.records import DurableWrite, Record, SnapshotRecord
+from lapisgrade.lab.explore.exploration import lines_up_to_violation
 
-RECORD = msgspec.msgpack.Decoder(Record)
 SECOND = 1_000_000
+MESSAGE_LOSS = 0.02
+FIRST_JOIN_US = 50_000
+JOIN_INTERVAL_US = 300_000
+MIN_TICK_US, MAX_TICK_US = 1_000, 20_000
+
+_RECORD_DECODER = msgspec.msgpack.Decoder(Record)
+
+
+@dataclass(frozen=True, slots=True)
+class Tick:
+    """A node's timer fires."""
+
+    incarnation: int
+
+
+@dataclass(frozen=True, slots=True)
+class JoinAttempt:
+    """A node without a leader offers itself to all others."""
+
+    incarnation: int
+
+
+@dataclass(frozen=True, slots=True)
+class WriteCompletion:
+    """A write is on a node's disk."""
+
+    incarnation: int
+    write: DurableWrite
+
+
+@dataclass(frozen=True, slots=True)
+class Arrival:
+    """A message arrives, at whichever incarnation is there."""
+
+    message: Message
+
+
+Event = Tick | JoinAttempt | WriteCompletion | Arrival
 
 
 class Cluster:
-    """Some controllers and the world between them. `acked` holds what a leader said is committed, `wrong`
-    what broke an invariant as it was seen, `said` what happened, for people."""
+    """Some nodes by name, each of one letter, and what lies between them."""
 
     def __init__(self, seed: int, names: str = "abc") -> None:
-        self.random, self.now, self._order = Random(seed), 0, 0
-        self.events: list = []
-        self.cut: set[tuple[str, str]] = set()
-        self.controllers: dict[str, Node | None] = {}
-        self.disk: dict[str, list[bytes]] = {}
-        self.lives: dict[str, int] = {}
-        self.taken: dict[str, list[bytes]] = {}
-        self.acked: dict[bytes, tuple[str, int]] = {}
-        self.leaders: dict[int, str] = {}
-        self.written: dict[str, int] = {}
-        self.wrong: list[str] = []
-        self.said: list[str] = []
-        voters = {name: f"10.0.0.{ord(name)}:1" for name in names}
+        """Start the nodes for the first time, as each other's voters."""
+        self.random = Random(seed)
+        self.now_us = 0
+        self.cut_links: set[tuple[str, str]] = set()  # from and to
+        self.nodes: dict[str, Node | None] = {}  # None: not running
+        self.disks: dict[str, list[bytes]] = {}  # records that are synced
+        self.incarnations: dict[str, int] = {}
+        self.applied: dict[str, list[bytes]] = {}  # commands that each node has applied
+        self.acknowledged: dict[bytes, tuple[str, int]] = {}  # by command: its leader and term
+        self.leaders: dict[int, str] = {}  # by term
+        self.violations: list[str] = []
+        self.transcript_lines: list[str] = []
+        self._events: list[tuple[int, int, str, Event]] = []  # a heap: when, order, whose, what
+        self._event_count = 0
+        self._disk_busy_until_us: dict[str, int] = {}
+        voters = {name: address_of(name) for name in names}
         for name in names:
             self.start(name, dict(voters))
 
-    def place(self, address: str) -> str:
-        return chr(int(address.split(".")[3].split(":")[0]))
+    # ---- nodes
 
-    def start(self, name: str, voters: dict | None = None, identity: str = "") -> None:
-        address, life = f"10.0.0.{ord(name)}:1", self.lives.get(name, 0) + 1
-        self.lives[name], self.taken[name] = life, []
-        records = [RECORD.decode(each) for each in self.disk.get(name, [])]
-        seed = Random(self.random.random())
+    def start(self, name: str, voters: dict[str, str] | None = None, identity: str = "") -> None:
+        """Start a node by what is on its disk; where that is empty, by these voters and this identity."""
+        address, incarnation = address_of(name), self.incarnations.get(name, 0) + 1
+        self.incarnations[name] = incarnation
+        self.applied[name] = []
+        records = [_RECORD_DECODER.decode(data) for data in self.disks.get(name, [])]
+        random = Random(self.random.random())
         if records:
-            controller = Node.recover(records, address, seed, self.now)
+            node = Node.recover(records, address, random, self.now_us)
         else:
-            controller = Node(identity or name, address, seed, self.now, voters)
-            self.disk[name] = [msgspec.msgpack.encode(controller.snapshot_record())]
-        self.controllers[name] = controller
-        self.at(50_000, "join", name, life)
-        self.drain(name)
-        self.at(0, "due", name, life)
+            node = Node(identity or name, address, random, self.now_us, voters)
+            self._rewrite_disk(name, node)
+        self.nodes[name] = node
+        self._schedule(FIRST_JOIN_US, name, JoinAttempt(incarnation))
+        self.carry_out_effects(name)
+        self._schedule(0, name, Tick(incarnation))
+
+    def restart_stopped(self, names: str) -> None:
+        """Start those that don't run; an emptied disk has another identity."""
+        for name in names:
+            if self.nodes[name] is None:
+                self.start(name, identity=f"{name}{self.incarnations[name]}")
 
     def kill(self, name: str, wipe: bool = False) -> None:
-        """Power is lost: what was not synced is gone, and with `wipe` all of it."""
-        self.say(f"{name} is killed" + (", its disk is emptied" if wipe else ""))
-        self.controllers[name] = None
-        self.lives[name] += 1
+        """Cut a node's power: what was not synced is lost, and with `wipe` all of it."""
+        self.note(f"{name} is killed" + (", its disk is emptied" if wipe else ""))
+        self.nodes[name] = None
+        self.incarnations[name] += 1
         if wipe:
-            self.disk[name] = []
-
-    def say(self, what: str) -> None:
-        self.said.append(f"{self.now / SECOND:9.3f} s  {what}")
-
-    def break_(self, what: str) -> None:
-        self.wrong.append(what)
-        self.say(f"WRONG: {what}")
-
-    def at(self, wait: int, *event) -> None:
-        self._order += 1
-        heapq.heappush(self.events, (self.now + wait, self._order, event))
+            self.disks[name] = []
 
-    def drain(self, name: str) -> None:
-        controller = self.controllers[name]
-        out = controller.take_effects()
-        for write in out.writes:
-            # A disk takes one write after another.
-            done = max(self.written.get(name, 0) + 1, self.now + self.random.randrange(500, 6000))
-            self.written[name] = done
-            self.at(done - self.now, "wrote", name, self.lives[name], write)
-        self.taken[name] += [each.data for each in out.committed if each.data]
-        if controller.is_leader:
-            if controller.term not in self.leaders:
-                self.say(f"{name} leads term {controller.term}")
-            if self.leaders.setdefault(controller.term, name) != name:
-                self.break_("two leaders in one term")
-            for each in out.committed:
-                if each.data:
-                    self.acked[each.data] = (name, controller.term)
-        for to, message in out.sends:
-            self.send(name, self.place(to), message)
-
-    def send(self, source: str, to: str, message) -> None:
-        if (source, to) not in self.cut and (source == to or self.random.random() > 0.02):
-            self.at(self.random.randrange(300, 5000), "heard", to, message)
-
-    def run(self, seconds: float) -> None:
-        ends = self.now + int(seconds * SECOND)
-        while self.events and self.events[0][0] <= ends:
-            self.now, _, (kind, name, *rest) = heapq.heappop(self.events)
-            controller = self.controllers.get(name)
-            if controller is None or (kind != "heard" and rest[0] != self.lives[name]):
-                continue
-            if kind == "due":
-                controller.tick(self.now)
-                self.at(min(20_000, max(1000, controller.next_tick_us - self.now)), "due", name, rest[0])
-            elif kind == "heard":
-                controller.receive(self.now, rest[0])
-            elif kind == "join":
-                if not controller.leader or controller.identity not in controller.voters:
-                    for other in self.controllers:
-                        self.send(name, other, JoinRequest(controller.identity, controller.address))
-                self.at(300_000, "join", name, rest[0])
-            else:
-                write = rest[1]
-                if any(isinstance(each, SnapshotRecord) for each in write.records):
-                    self.disk[name] = [msgspec.msgpack.encode(controller.snapshot_record())]
-                    controller.on_write_durable(self.now, controller.log.last_index, controller.log.last_term)
-                else:
-                    self.disk[name] += [msgspec.msgpack.encode(each) for each in write.records]
-                    controller.on_write_durable(self.now, write.last_index, write.last_term)
-                for to, message in write.sends_when_durable:
-                    self.send(name, self.place(to), message)
-            self.drain(name)
-            if controller.needs_compaction:
-                controller.compact(b"|".join(self.taken[name]))
-        self.now = ends
+    def cut_off(self, name: str, names: str, one_way: bool) -> None:
+        """Cut the links from a node to the others; those to it too unless `one_way`."""
+        self.note(f"{name} is cut off" + (", one way" if one_way else ""))
+        others = [other for other in names if other != name]
+        self.cut_links = {(name, other) for other in others}
+        if not one_way:
+            self.cut_links |= {(other, name) for other in others}
 
     def leader(self) -> str:
-        return next(
-            (
-                name
-                for name, controller in self.controllers.items()
-                if controller is not None and controller.is_leader
-            ),
-            "",
-        )
+        """The name of the first node that is a leader, empty for none."""
+        return next((name for name, node in self.nodes.items() if node is not None and node.is_leader), "")
+
+    def leader_node(self) -> Node:
+        """The node of `leader`; there must be one."""
+        node = self.nodes[self.leader()]
+        assert node is not None
+        return node
 
     def propose(self, data: bytes) -> str:
+        """Propose a command at the leader; returns its name, empty for none."""
         name = self.leader()
         if name:
-            self.controllers[name].advance_clock(self.now)
-            self.controllers[name].propose(data)
-            self.drain(name)
+            node = self.leader_node()
+            node.advance_clock(self.now_us)
+            node.propose(data)
+            self.carry_out_effects(name)
         return name
+
+    # ---- time
+
+    def run(self, seconds: float) -> None:
+        """Carry out all events of the next seconds."""
+        end_us = self.now_us + int(seconds * SECOND)
+        while self._events and self._events[0][0] <= end_us:
+            self.now_us, _, name, event = heapq.heappop(self._events)
+            node = self.nodes.get(name)
+            is_current = isinstance(event, Arrival) or event.incarnation == self.incarnations[name]
+            if node is None or not is_current:
+                continue
+            self._handle(name, node, event)
+            self.carry_out_effects(name)
+            if node.needs_compaction:
+                node.compact(b"|".join(self.applied[name]))
+        self.now_us = end_us
+
+    def _schedule(self, delay_us: int, name: str, event: Event) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (self.now_us + delay_us, self._event_count, name, event))
+
+    def _handle(self, name: str, node: Node, event: Event) -> None:
+        match event:
+            case Tick():
+                node.tick(self.now_us)
+                delay_us = min(MAX_TICK_US, max(MIN_TICK_US, node.next_tick_us - self.now_us))
+                self._schedule(delay_us, name, event)
+            case Arrival():
+                node.receive(self.now_us, event.message)
+            case JoinAttempt():
+                if not node.leader or node.identity not in node.voters:
+                    for other in self.nodes:
+                        self.send(name, other, JoinRequest(node.identity, node.address))
+                self._schedule(JOIN_INTERVAL_US, name, event)
+            case WriteCompletion():
+                self._complete_write(name, node, event.write)
+
+    def _complete_write(self, name: str, node: Node, write: DurableWrite) -> None:
+        if any(isinstance(record, SnapshotRecord) for record in write.records):
+            self._rewrite_disk(name, node)
+            node.on_write_durable(self.now_us, node.log.last_index, node.log.last_term)
+        else:
+            self.disks[name] += [msgspec.msgpack.encode(record) for record in write.records]
+            node.on_write_durable(self.now_us, write.last_index, write.last_term)
+        for address, message in write.sends_when_durable:
+            self.send(name, name_at(address), message)
+
+    def _rewrite_disk(self, name: str, node: Node) -> None:
+        self.disks[name] = [msgspec.msgpack.encode(node.snapshot_record())]
+
+    # ---- effects
+
+    def carry_out_effects(self, name: str) -> None:
+        """Write, apply and send what a node asks for, and check that it is the only leader of its term."""
+        node = self.nodes[name]
+        assert node is not None
+        effects = node.take_effects()
+        for write in effects.writes:
+            # A disk takes one write after another.
+            earliest_us = self._disk_busy_until_us.get(name, 0) + 1
+            done_us = max(earliest_us, self.now_us + self.random.randrange(500, 6000))
+            self._disk_busy_until_us[name] = done_us
+            self._schedule(done_us - self.now_us, name, WriteCompletion(self.incarnations[name], write))
+        commands = [entry.data for entry in effects.committed if entry.data]
+        self.applied[name] += commands
+        if node.is_leader:
+            self._check_leader(name, node.term)
+            for data in commands:
+                self.acknowledged[data] = (name, node.term)
+        for address, message in effects.sends:
+            self.send(name, name_at(address), message)
+
+    def _check_leader(self, name: str, term: int) -> None:
+        if term not in self.leaders:
+            self.note(f"{name} leads term {term}")
+        if self.leaders.setdefault(term, name) != name:
+            self.report_violation("two leaders in one term")
+
+    def send(self, source: str, destination: str, message: Message) -> None:
+        """Deliver a message some time later, unless its link is cut or it is lost."""
+        is_cut = (source, destination) in self.cut_links
+        if not is_cut and (source == destination or self.random.random() > MESSAGE_LOSS):
+            self._schedule(self.random.randrange(300, 5000), destination, Arrival(message))
+
+    # ---- findings
+
+    @property
+    def is_wrong(self) -> bool:
+        """Whether an invariant was broken."""
+        return bool(self.violations)
+
+    def note(self, what: str) -> None:
+        """Add a line to the transcript."""
+        self.transcript_lines.append(f"{self.now_us / SECOND:9.3f} s  {what}")
+
+    def report_violation(self, what: str) -> None:
+        """Take note of a broken invariant."""
+        self.violations.append(what)
+        self.note(f"WRONG: {what}")
+
+    def transcript(self) -> list[str]:
+        """What led to the first violation."""
+        return lines_up_to_violation(self.transcript_lines)
+
+
+def address_of(name: str) -> str:
+    """The address of the node of that name."""
+    return f"10.0.0.{ord(name)}:1"
+
+
+def name_at(address: str) -> str:
+    """The name of the node at that address."""
+    return chr(int(address.split(".")[3].split(":")[0]))
--- a/lapisgrade/lab/explore/control.py
+++ b/lapisgrade/lab/explore/control.py
@@ -1,33 +1,27 @@
 """The control plane explored: all courses of `lab/simulation/courses.py` by seed, and wrong versions."""
 
-from collections.abc import Callable
+from collections.abc import Iterator
 
-from lapisgrade.lab.explore.defects import Defects, switched
+from lapisgrade.lab.explore.exploration import Exploration, ExplorationResult, Print, print_nothing
 from lapisgrade.lab.simulation import mutants
 from lapisgrade.lab.simulation.courses import COURSES
 from lapisgrade.lab.simulation.plays import Play
 
 UNIT = "acknowledged changes"
-DEFECTS: Defects = mutants.MUTANTS
-MOST_SAID = 30  # lines that are told of what led to the first thing that was wrong
+DEFECTS = mutants.MUTANTS
 
 
-def courses_for(name: str) -> list[str]:
+def courses_for(defect: str) -> list[str]:
     """The courses that are played: the one that finds that wrong version, all for none."""
-    return [course for group, course in mutants.COURSES_OF if name in group] or list(COURSES)
-
-
-def explore(seeds: range, name: str = "", say: Callable[[str], None] = lambda line: None) -> tuple[int, int]:
-    """Play each seed; the changes that were acknowledged, and the first seed that went wrong, -1 for none."""
-    count = 0
-    with switched(DEFECTS, name):
-        for seed in seeds:
-            for course in courses_for(name):
-                play: Play = COURSES[course](seed)
-                count += play.acknowledged()
-                if play.wrong:
-                    say(f"seed {seed}, {course}:")
-                    for line in play.transcript(MOST_SAID):
-                        say(line)
-                    return count, seed
-    return count, -1
+    return [course for group, course in mutants.COURSES_OF if defect in group] or list(COURSES)
+
+
+def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
+    """Play each seed until one goes wrong; counts the changes that were acknowledged."""
+
+    def plays(seed: int) -> Iterator[tuple[str, Play]]:
+        for course in courses_for(defect):
+            yield f"seed {seed}, {course}", COURSES[course](seed)
+
+    exploration = Exploration(DEFECTS, plays, lambda play: play.acknowledged())
+    return exploration.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/data_plane.py
+++ b/lapisgrade/lab/explore/data_plane.py
@@ -1,28 +1,22 @@
-"""The data plane explored beside the control plane: `lab/simulation/data_plane.py` by seed, and wrong
-versions."""
+"""The data plane explored beside the control plane (`lab/simulation/data_plane.py`), and wrong versions."""
 
-from collections.abc import Callable
+from collections.abc import Iterator
 
-from lapisgrade.lab.explore.defects import Defects, switched
+from lapisgrade.lab.explore.exploration import Exploration, ExplorationResult, Print, print_nothing
 from lapisgrade.lab.simulation import data_plane_mutants
-from lapisgrade.lab.simulation.data_plane import played
+from lapisgrade.lab.simulation.data_plane import DataPlane, played
 
 UNIT = "requests"
-DEFECTS: Defects = data_plane_mutants.DEFECTS
-MOST_SAID = 30  # lines that are told of what led to the first thing that was wrong
-
-
-def explore(seeds: range, name: str = "", say: Callable[[str], None] = lambda line: None) -> tuple[int, int]:
-    """Play each seed; the requests that were sent to servers, and the first seed that went wrong, -1 for
-    none."""
-    count = 0
-    with switched(DEFECTS, name):
-        for seed in seeds:
-            play = played(seed)
-            count += len(play.sent_us)
-            if play.wrong:
-                say(f"seed {seed}:")
-                for line in play.transcript(MOST_SAID):
-                    say(line)
-                return count, seed
-    return count, -1
+DEFECTS = data_plane_mutants.DEFECTS
+
+
+def _plays(seed: int) -> Iterator[tuple[str, DataPlane]]:
+    yield f"seed {seed}", played(seed)
+
+
+EXPLORATION = Exploration(DEFECTS, _plays, lambda play: len(play.sent_us))
+
+
+def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
+    """Play each seed until one goes wrong; counts the requests that were sent to servers."""
+    return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/defects.py
+++ b/lapisgrade/lab/explore/defects.py
@@ -1,22 +1,32 @@
-"""Known defects that are put in on purpose: an exploration that does not find them proves nothing."""
+"""Known defects, put in on purpose: an exploration that does not find them proves nothing."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
-from typing import Any
+from typing import Any, NamedTuple
 
-Defects = dict[str, tuple[Any, str, Any]]  # by name: whose, which attribute, and what it is with the defect
+
+class Defect(NamedTuple):
+    """An attribute of a module or class, and what stands in its place with the defect."""
+
+    owner: Any
+    attribute: str
+    replacement: Any
+
+
+Defects = dict[str, Defect]
+"""Defects by name."""
 
 
 @contextmanager
-def switched(defects: Defects, name: str) -> Iterator[None]:
-    """With that defect switched on; with none for an empty name."""
+def injected(defects: Defects, name: str) -> Iterator[None]:
+    """Run with the defect of that name; with none for an empty name."""
     if not name:
         yield
         return
-    where, what, bad = defects[name]
-    good = getattr(where, what)
-    setattr(where, what, bad)
+    defect = defects[name]
+    original = getattr(defect.owner, defect.attribute)
+    setattr(defect.owner, defect.attribute, defect.replacement)
     try:
         yield
     finally:
-        setattr(where, what, good)
+        setattr(defect.owner, defect.attribute, original)
--- a/lapisgrade/lab/explore/log.py
+++ b/lapisgrade/lab/explore/log.py
@@ -1,93 +1,127 @@
-"""The controllers' log explored: what was acknowledged stays, whoever is killed, cut or emptied, and all
-logs say the same. No more disks are lost at once than may be; all may lose power beside it."""
+"""The replicated log explored under kills, cuts, and disks that are emptied.
 
-from collections.abc import Callable
+What was acknowledged stays, and all logs agree. No more disks are lost at once than may be; all may lose
+power beside it.
+"""
+
+from collections.abc import Iterator
 from random import Random
 
 import msgspec
 
-from lapisgrade.lab.explore.defects import Defects, switched
-from lapisgrade.lab.explore.cluster import Cluster
 from lapisgrade.gateway.consensus.follower import Follower
 from lapisgrade.gateway.consensus.messages import AppendEntries, AppendEntriesReply
+from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.replication import Replication
+from lapisgrade.lab.explore.cluster import Cluster
+from lapisgrade.lab.explore.defects import Defect, Defects
+from lapisgrade.lab.explore.exploration import Exploration, ExplorationResult, Print, print_nothing
 
 UNIT = "changes"
-MOST_SAID = 24  # lines that are told of what led to the first thing that was wrong
+CRASHES = (KeyError, IndexError, msgspec.MsgspecError)
+"""Errors by which a node with a defect breaks off."""
 
+FAULTS = ("kill", "wipe", "cut", "one way", "all", "all and a wipe")
 
-def play(seed: int, names: str = "abc", faults: int = 8) -> Cluster:
+
+class Schedule:
     """Changes under faults, one fault at a time, and a calm end."""
-    chance, cluster = Random(seed), Cluster(seed, names)
-    cluster.run(2)
-    number = 0
-    for _ in range(faults):
-        victim = chance.choice([*names, cluster.leader() or names[0]])
-        kind = chance.choice(("kill", "wipe", "cut", "one way", "all", "all and a wipe"))
-        for _ in range(chance.randrange(1, 5)):
-            cluster.propose(b"%d" % (number := number + 1))
-            cluster.run(chance.random() * chance.choice((0.02, 0.005)))
-        others = [each for each in names if each != victim]
-        if kind == "all and a wipe":  # right after an acknowledgement
-            cluster.propose(last := b"%d" % (number := number + 1))
-            for _ in range(100):
-                if last not in cluster.acked:
-                    cluster.run(0.0003)
-        if kind in ("all", "all and a wipe"):
-            for each in names:
-                cluster.kill(each, kind != "all" and each == victim)
-        elif kind in ("kill", "wipe"):
-            cluster.kill(victim, kind == "wipe")
-        else:
-            cluster.say(f"{victim} is cut off" + ("" if kind == "cut" else ", one way"))
-            cluster.cut = {(victim, each) for each in others}
-            cluster.cut |= {(each, victim) for each in others} if kind == "cut" else set()
-        for _ in range(chance.randrange(4)):
-            cluster.run(chance.random())
-            cluster.propose(b"%d" % (number := number + 1))
-        cluster.cut = set()
-        for each in names:
-            if cluster.controllers[each] is None:
-                cluster.start(each, identity=f"{each}{cluster.lives[each]}")
+
+    def __init__(self, seed: int, names: str = "abc") -> None:
+        """Make a schedule for a cluster of nodes with these names."""
+        self.random = Random(seed)
+        self.names = names
+        self.cluster = Cluster(seed, names)
+        self._last_number = 0
+
+    def play(self, fault_count: int = 8) -> Cluster:
+        """Play so many faults, check the logs, and return the cluster."""
+        cluster = self.cluster
+        cluster.run(2)
+        for _ in range(fault_count):
+            self._play_fault()
+        cluster.run(3)
+        check(cluster)
+        return cluster
+
+    def _play_fault(self) -> None:
+        cluster, random = self.cluster, self.random
+        victim = random.choice([*self.names, cluster.leader() or self.names[0]])
+        fault = random.choice(FAULTS)
+        for _ in range(random.randrange(1, 5)):
+            cluster.propose(self._next_command())
+            cluster.run(random.random() * random.choice((0.02, 0.005)))
+        self._bring_on(fault, victim)
+        for _ in range(random.randrange(4)):
+            cluster.run(random.random())
+            cluster.propose(self._next_command())
+        cluster.cut_links = set()
+        cluster.restart_stopped(self.names)
         cluster.run(4)
-    cluster.run(3)
-    check(cluster)
-    return cluster
+
+    def _bring_on(self, fault: str, victim: str) -> None:
+        cluster = self.cluster
+        if fault == "all and a wipe":
+            self._wait_for_acknowledgement()
+        match fault:
+            case "all" | "all and a wipe":
+                for name in self.names:
+                    cluster.kill(name, wipe=fault != "all" and name == victim)
+            case "kill" | "wipe":
+                cluster.kill(victim, wipe=fault == "wipe")
+            case _:
+                cluster.cut_off(victim, self.names, one_way=fault == "one way")
+
+    def _wait_for_acknowledgement(self) -> None:
+        command = self._next_command()
+        self.cluster.propose(command)
+        for _ in range(100):
+            if command not in self.cluster.acknowledged:
+                self.cluster.run(0.0003)
+
+    def _next_command(self) -> bytes:
+        self._last_number += 1
+        return b"%d" % self._last_number
+
+
+def play(seed: int, names: str = "abc", fault_count: int = 8) -> Cluster:
+    """Play the schedule of a seed."""
+    return Schedule(seed, names).play(fault_count)
 
 
 def check(cluster: Cluster) -> None:
-    """All logs say the same, and all that was acknowledged is in them."""
+    """Check that all logs agree, and that all that was acknowledged is in them."""
     if not cluster.leader():
-        return cluster.break_("nobody leads after a calm end")
-    leader = cluster.controllers[cluster.leader()]
-    held = [
-        each.data
-        for each in leader.log.entries[: leader.commit_index - leader.log.snapshot_index]
-        if each.data
-    ]
-    for data, (name, term) in cluster.acked.items():
-        if data not in held:
-            cluster.break_(f"{data!r} was acknowledged by {name} in term {term} and is gone")
-    for name, controller in cluster.controllers.items():
-        mine = [
-            each.data
-            for each in controller.log.entries[: controller.commit_index - controller.log.snapshot_index]
-            if each.data
-        ]
-        if mine != held[: len(mine)]:
-            cluster.break_(f"{name} has another log")
+        cluster.report_violation("nobody leads after a calm end")
+        return
+    committed = _committed_commands(cluster.leader_node())
+    for data, (name, term) in cluster.acknowledged.items():
+        if data not in committed:
+            cluster.report_violation(f"{data!r} was acknowledged by {name} in term {term} and is gone")
+    for name, node in cluster.nodes.items():
+        assert node is not None
+        own = _committed_commands(node)
+        if own != committed[: len(own)]:
+            cluster.report_violation(f"{name} has another log")
+
+
+def _committed_commands(node: Node) -> list[bytes]:
+    committed = node.log.entries[: node.commit_index - node.log.snapshot_index]
+    return [entry.data for entry in committed if entry.data]
+
 
+# ---- defects
 
 _kill = Cluster.kill
 
 
-def _lying(self: Cluster, name: str, wipe: bool = False) -> None:
-    """A disk that says that all is on it, and loses the last of it with the power."""
+def _lose_last_synced(self: Cluster, name: str, wipe: bool = False) -> None:
+    """A disk that reports writes as synced, and loses the last of them with the power."""
     _kill(self, name, wipe)
-    self.disk[name] = self.disk[name][:1] if len(self.disk[name]) < 5 else self.disk[name][:-4]
+    self.disks[name] = self.disks[name][:1] if len(self.disks[name]) < 5 else self.disks[name][:-4]
 
 
-def _alone(self: Replication) -> None:
+def _commit_alone(self: Replication) -> None:
     """A leader commits what is on its own disk."""
     state = self.state
     if state.durable_index > state.commit_index and state.log.term_at(state.durable_index) == state.term:
@@ -95,7 +129,7 @@
         self.send_to_all(heartbeat=True)
 
 
-def _unwritten(self: Follower, message: AppendEntries) -> None:
+def _acknowledge_unwritten(self: Follower, message: AppendEntries) -> None:
     """A follower acknowledges what is not on its disk yet."""
     state = self.state
     if message.term == state.term and message.leader == state.leader:
@@ -106,35 +140,19 @@
 
 
 DEFECTS: Defects = {
-    "lying-disk": (Cluster, "kill", _lying),
-    "commits-alone": (Replication, "advance_commit", _alone),
-    "says-before-written": (Follower, "acknowledge", _unwritten),
+    "lying-disk": Defect(Cluster, "kill", _lose_last_synced),
+    "commits-alone": Defect(Replication, "advance_commit", _commit_alone),
+    "says-before-written": Defect(Follower, "acknowledge", _acknowledge_unwritten),
 }
 
 
-def explore(
-    seeds: range, name: str = "", say: Callable[[str], None] = lambda cluster: None
-) -> tuple[int, int]:
-    """Play each seed; the changes that were acknowledged, and the first seed that went wrong, -1 for none."""
-    return first_wrong(seeds, DEFECTS, name, say, play)
-
-
-def first_wrong(
-    seeds: range, defects: Defects, name: str, say: Callable[[str], None], play: Callable[[int], Cluster]
-) -> tuple[int, int]:
-    count = 0
-    with switched(defects, name):
-        for seed in seeds:
-            try:
-                cluster = play(seed)
-            except (KeyError, IndexError, msgspec.MsgspecError) as wrong:  # a core that broke off
-                say(f"seed {seed}: WRONG: {type(wrong).__name__}")
-                return count, seed
-            count += len(cluster.acked)
-            if cluster.wrong:
-                at = next(i for i, each in enumerate(cluster.said) if "WRONG" in each)
-                say(f"seed {seed}:")
-                for each in cluster.said[max(0, at - MOST_SAID) : at + 1]:
-                    say(each)
-                return count, seed
-    return count, -1
+def _plays(seed: int) -> Iterator[tuple[str, Cluster]]:
+    yield f"seed {seed}", play(seed)
+
+
+EXPLORATION = Exploration(DEFECTS, _plays, lambda cluster: len(cluster.acknowledged), CRASHES)
+
+
+def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
+    """Play each seed until one goes wrong; counts the changes that were acknowledged."""
+    return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -1,15 +1,15 @@
-"""The quota explored: a tenant that asks for many times its limit at all limiters, and never gets more
-than QUOTA allows in any window, over all of them.
+"""The quota explored: a tenant that asks for many times its limit never gets more than QUOTA allows.
 
-Quota clients, owners, the leader's watch and the log's lists of live proxies as they are, in simulated time:
-halves that are cut off, owners that freeze and wake, processes that are killed one by one or all at once,
-leaders that change or are missing for seconds, answers that are late or lost, lists of live proxies that
-reach each limiter at its own time. A seed replays exactly. Known defects can be switched on; each must be
-found."""
+Over all limiters, in any window. Quota clients, owners, the leader's watch and the log's lists of live
+proxies are as they are, in simulated time: halves that are cut off, owners that freeze and wake, processes
+that are killed one by one or all at once, leaders that change or are missing for seconds, replies that are
+late or lost, lists of live proxies that reach each limiter at its own time. A seed replays exactly. Known
+defects can be put in; each must be found.
+"""
 
-from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Generator, Iterator
 from random import Random
+from typing import Any, Self
 
 from lapisgrade.engine import Engine
 from lapisgrade.gateway import SECOND, rpc_messages
@@ -20,307 +20,377 @@
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import Clock, CounterOutcome, CounterReply, Operation
 from lapisgrade.lab.explore import activation
-from lapisgrade.lab.explore.activation import MS
-from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.activation import MESSAGE_LOSS, MS
+from lapisgrade.lab.explore.exploration import (
+    NO_SEED,
+    Exploration,
+    ExplorationResult,
+    Print,
+    print_nothing,
+)
 from lapisgrade.lab.explore.quota_defects import DEFECTS
 from lapisgrade.lab.partitions.quota import allowed, most
 
 UNIT = "requests"
 SLO = Slo()
-COUNT = 150 * MS  # that an add may take, as at a proxy
-AWAY = 2600 * MS  # that one is cut off until it is surely counted out
-GRACE = 2600 * MS  # that a process goes on once it was told to end
-HAND_OVER = 100 * MS  # that it waits for the count's hand-over, as at a proxy
-PRESS = 7.5  # times its rate that the tenant asks for
-SIZES = ((24.0, 24.0), (60.0, 60.0), (12.0, 40.0), (40.0, 8.0))  # rate and burst
+TENANT = "t"
+COUNT_TIMEOUT_US = 150 * MS  # that an add may take, as at a proxy
+AWAY_US = 2600 * MS  # that a limiter is cut off until it is surely counted out
+TERMINATION_GRACE_US = 2600 * MS  # that a process goes on once it was told to end
+HAND_OVER_TIMEOUT_US = 100 * MS  # that an owner waits for the count's hand-over, as at a proxy
+PRESSURE = 7.5  # times its rate that the tenant asks for
+LIMITS = ((24.0, 24.0), (60.0, 60.0), (12.0, 40.0), (40.0, 8.0))  # rate and burst
+OWNER_FAULT_SHARE = 0.6  # of the faults that hit the count's owner
+MAX_LINES = 30
+
+FAULTS = (
+    "cut off",
+    "half cut off",
+    "frozen",
+    "killed",
+    "all killed",
+    "leader lost",
+    "told to end",
+    "back while the next is cut",
+)
 
 
 class Limiter(activation.Proxy):
-    """A proxy with a quota client and an owner; what it lets in is written down with its time."""
+    """A proxy with a quota client and an owner, and the engine's host for both."""
+
+    world: "World"
 
     def start(self) -> None:
+        """Begin a new incarnation, which owns nothing."""
         now = self.world.sim.now
-        self.clock, self.acts_until = Clock(now), 0
+        self.clock = Clock(now)
+        self.acts_until_us = 0  # as an owner
         self.engine = Engine(self, self.clock)
         super().start()
-        self.quota_owner = QuotaOwner(self.name, str(self.life), now)
+        self.quota_owner = QuotaOwner(self.name, str(self.incarnation), now)
         self.quota_client = QuotaClient(self.clock, self.world.tenant, SLO, 1, now)
 
-    def told(self, news: rpc_messages.WatchReply, life: int, asked: int, sent: int) -> None:
-        heeded = self.awake() and (life, asked) == (self.life, self.asked)
-        super().told(news, life, asked, sent)
-        if not heeded:
+    def on_watch_reply(self, reply: rpc_messages.WatchReply, call: activation.WatchCall) -> None:
+        """Also take over the list of live proxies, as an owner and as a client."""
+        is_heeded = self.is_awake() and self.is_pending(call)
+        super().on_watch_reply(reply, call)
+        if not is_heeded:
             return
-        self.quota_owner.on_watch_reply(self.world.sim.now, news)
-        if news.fencing_token == self.quota_owner.fencing_token:
-            self.acts_until = sent + OWNERSHIP_LEASE_US
+        self.quota_owner.on_watch_reply(self.world.sim.now, reply)
+        if reply.fencing_token == self.quota_owner.fencing_token:
+            self.acts_until_us = call.sent_us + OWNERSHIP_LEASE_US
             self.clock.now_us = self.world.sim.now
             self.quota_client.set_limiter_count(len(self.quota_owner.proxies))
 
-    def awake(self) -> bool:
-        return self.world.sim.now >= self.frozen_until
+    def is_awake(self) -> bool:
+        """Whether the process isn't frozen."""
+        return self.world.sim.now >= self.frozen_until_us
 
-    def when_awake(self, life: int, call: Callable, *args) -> None:
-        """Now, or when it wakes; never where the process is another by then."""
-        if not self.awake():
-            self.world.sim.at(self.frozen_until, self.when_awake, life, call, *args)
-        elif life == self.life:
+    def when_awake(self, incarnation: int, handler: Callable[..., object], *args: Any) -> None:
+        """Call a handler now, or when the process wakes; never where it is another one by then."""
+        if not self.is_awake():
+            self.world.sim.at(self.frozen_until_us, self.when_awake, incarnation, handler, *args)
+        elif incarnation == self.incarnation:
             self.clock.now_us = max(self.clock.now_us, self.world.sim.now)
-            call(*args)
+            handler(*args)
 
-    # ---- clients
+    # ---- as a client of the count
 
     def request(self) -> None:
-        op = Operation("t", None, None, 1.0, self.clock.now_us, self.clock.now_us + 2 * SECOND, 1)
-
-        def run():
-            wait = yield from self.quota_client.admit(op)
-            self.world.met(wait is None)
-
-        self.engine.run(run(), op)
-
-    # ---- the engine's host
-
-    def add_to_counter(self, task, add) -> None:
-        world, life = self.world, self.life
-        name = owner_of("t", self.quota_owner.eligible_owners)
-        ask = self.quota_client.quota_request(self.name, self.quota_owner.fencing_token)
-        over: list[CounterReply] = []  # the first answer counts
-
-        def answered(total: CounterReply) -> None:
-            if not over:
-                over.append(total)
-                self.settled(task, total)
-
-        def back(taken: rpc_messages.QuotaReply) -> None:
-            if taken.is_accepted:
-                self.quota_client.gateway_count = max(1, taken.active_limiters)
-            answered(
-                CounterReply(CounterOutcome.ADDED, taken.total)
-                if taken.is_accepted
-                else CounterReply(CounterOutcome.REJECTED)
+        """Have a request of the tenant admitted or refused."""
+        unused: Any = None  # a quota client reads neither plan nor category
+        now_us = self.clock.now_us
+        operation = Operation(TENANT, unused, unused, 1.0, now_us, now_us + 2 * SECOND, 1)
+
+        def run() -> Generator[Any, Any, None]:
+            admission: Any = self.quota_client.admit(operation)
+            retry_after = yield from admission
+            self.world.on_request_decided(retry_after is None)
+
+        self.engine.run(run(), operation)
+
+    def add_to_counter(self, task: Any, add: Any) -> None:
+        """Ask the count's owner, as the engine's host; the first of reply and time-out counts."""
+        world, incarnation = self.world, self.incarnation
+        owner = world.limiter_named(owner_of(TENANT, self.quota_owner.eligible_owners))
+        request = self.quota_client.quota_request(self.name, self.quota_owner.fencing_token)
+        replies: list[CounterReply] = []
+
+        def on_first_reply(reply: CounterReply) -> None:
+            if not replies:
+                replies.append(reply)
+                self.on_counter_reply(task, reply)
+
+        def on_quota_reply(reply: rpc_messages.QuotaReply) -> None:
+            on_first_reply(self._counter_reply(reply))
+
+        if owner is None:
+            rejected = CounterReply(CounterOutcome.REJECTED)
+            world.sim.after(0, self.when_awake, incarnation, on_first_reply, rejected)
+        elif owner is self:
+            self.after_hand_over(
+                request,
+                lambda: world.sim.after(0, self.when_awake, incarnation, on_quota_reply, self.add(request)),
             )
-
-        other = next((each for each in world.proxies if each.name == name), None)
-        if other is None:
-            return world.sim.after(0, self.when_awake, life, answered, CounterReply(CounterOutcome.REJECTED))
-        if other is self:
-            return other.prepared(
-                ask, lambda: world.sim.after(0, self.when_awake, life, back, self.take(ask))
+        else:
+            timed_out = CounterReply(CounterOutcome.TIMED_OUT)
+            world.sim.after(COUNT_TIMEOUT_US, self.when_awake, incarnation, on_first_reply, timed_out)
+            world.deliver_between(
+                self, owner, self._on_request_at, owner, request, incarnation, on_quota_reply
             )
-        world.sim.after(COUNT, self.when_awake, life, answered, CounterReply(CounterOutcome.TIMED_OUT))
-        world.between(self, other, self.asked_there, other, ask, life, back)
 
-    def settled(self, task, total: CounterReply) -> None:
-        self.engine.counter_replied(task, total)
+    def _counter_reply(self, reply: rpc_messages.QuotaReply) -> CounterReply:
+        if not reply.is_accepted:
+            return CounterReply(CounterOutcome.REJECTED)
+        self.quota_client.gateway_count = max(1, reply.active_limiters)
+        return CounterReply(CounterOutcome.ADDED, reply.total)
+
+    def on_counter_reply(self, task: Any, reply: CounterReply) -> None:
+        """Hand the engine what came of an add."""
+        self.engine.counter_replied(task, reply)
+
+    # ---- as the count's owner
 
-    def asked_there(
-        self, other: "Limiter", ask: rpc_messages.QuotaRequest, life: int, back: Callable
+    def _on_request_at(
+        self,
+        owner: "Limiter",
+        request: rpc_messages.QuotaRequest,
+        incarnation: int,
+        on_reply: Callable[[rpc_messages.QuotaReply], None],
     ) -> None:
-        def taking() -> None:
-            taken = other.take(ask)
-            self.world.between(other, self, self.when_awake, life, back, taken)
-
-        other.when_awake(other.life, other.prepared, ask, taking)
-
-    def prepared(self, ask: rpc_messages.QuotaRequest, then: Callable) -> None:
-        """`then`, once the count's owner before has handed it over, or has not in time."""
-        world, owner, life = self.world, self.quota_owner, self.life
-        fence = owner.fencing_token
-        name = owner.predecessor(world.sim.now, ask.tenant) if owner.owns(ask.tenant) else ""
-        other = next((each for each in world.proxies if each.name == name), None)
-        if other is None or other is self:
-            return then()
-        over: list[bool] = []  # the first of answer and time-out counts
-
-        def once() -> None:
-            if not over:
-                over.append(True)
+        def add_and_reply() -> None:
+            reply = owner.add(request)
+            self.world.deliver_between(owner, self, self.when_awake, incarnation, on_reply, reply)
+
+        owner.when_awake(owner.incarnation, owner.after_hand_over, request, add_and_reply)
+
+    def after_hand_over(self, request: rpc_messages.QuotaRequest, then: Callable[[], object]) -> None:
+        """Call `then` once the count's owner before has handed it over, or has not in time."""
+        world, owner, incarnation = self.world, self.quota_owner, self.incarnation
+        token = owner.fencing_token
+        name = owner.predecessor(world.sim.now, request.tenant) if owner.owns(request.tenant) else ""
+        predecessor = world.limiter_named(name)
+        if predecessor is None or predecessor is self:
+            then()
+            return
+        calls: list[bool] = []  # the first of reply and time-out counts
+
+        def call_once() -> None:
+            if not calls:
+                calls.append(True)
                 then()
 
-        def told(reply: rpc_messages.HandOverReply) -> None:
-            if owner is self.quota_owner and owner.fencing_token == fence:
-                owner.on_hand_over(world.sim.now, wants, reply, name)
-            once()
+        def on_reply(reply: rpc_messages.HandOverReply) -> None:
+            if owner is self.quota_owner and owner.fencing_token == token:
+                owner.on_hand_over(world.sim.now, hand_over, reply, name)
+            call_once()
 
-        wants = rpc_messages.HandOverRequest(
-            ask.tenant, self.name, fence, ask.rate, ask.burst, owner.incarnation
+        hand_over = rpc_messages.HandOverRequest(
+            request.tenant, self.name, token, request.rate, request.burst, owner.incarnation
         )
 
-        def asked() -> None:
-            reply = other.quota_owner.hand_over(world.sim.now, wants)
-            world.between(other, self, self.when_awake, life, told, reply)
+        def on_request() -> None:
+            reply = predecessor.quota_owner.hand_over(world.sim.now, hand_over)
+            world.deliver_between(predecessor, self, self.when_awake, incarnation, on_reply, reply)
 
-        world.between(self, other, other.when_awake, other.life, asked)
-        world.sim.after(HAND_OVER, self.when_awake, life, once)
+        world.deliver_between(self, predecessor, predecessor.when_awake, predecessor.incarnation, on_request)
+        world.sim.after(HAND_OVER_TIMEOUT_US, self.when_awake, incarnation, call_once)
 
-    def take(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
-        taken = self.quota_owner.add(self.world.sim.now, ask, self.acts_until)
-        if taken.is_accepted:
-            self.world.granted(self.name, self.quota_owner.fencing_token)
-        return taken
+    def add(self, request: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
+        """Add to the count that this limiter owns."""
+        reply = self.quota_owner.add(self.world.sim.now, request, self.acts_until_us)
+        if reply.is_accepted:
+            self.world.on_granted(self.name, self.quota_owner.fencing_token)
+        return reply
 
-    def reject(self, operation, answer) -> None: ...
-    def send(self, hop) -> None: ...
-    def cancel(self, hop) -> None: ...
-    def log(self, text: str) -> None: ...
+    # ---- the rest of the engine's host
 
     def schedule_wakeup(self, when_us: int) -> None:
-        self.world.sim.at(when_us, self.when_awake, self.life, self.engine.run_due_timers, True)
+        """Run the engine's timers when they are due."""
+        self.world.sim.at(when_us, self.when_awake, self.incarnation, self.engine.run_due_timers, True)
+
+    def reject(self, operation: Any, answer: Any) -> None:
+        """Nothing is sent to clients here."""
+
+    def send(self, attempt: Any) -> None:
+        """Nothing is sent to servers here."""
+
+    def cancel(self, attempt: Any) -> None:
+        """Nothing is sent to servers here."""
+
+    def log(self, text: str) -> None:
+        """Nothing is logged here."""
 
 
 class World(activation.World):
-    """The same control, and limits instead of tenants' routes."""
+    """The same leader, and one tenant with a limit in place of many with routes."""
 
     PROXY = Limiter
+    proxies: list[Limiter]  # type: ignore[assignment]
 
     def __init__(self, seed: int, limiters: int = 8, tenant: Tenant | None = None) -> None:
-        rate, burst = Random(seed).choice(SIZES)
-        self.tenant = tenant or Tenant("t", ("k",), None, rate, burst)
-        self.let: list[int] = []  # when each that was let in was
-        self.turned_back = 0
-        self.owners: dict[int, set[str]] = {}  # by fence, who granted under it
-        self.newest = (0, "")  # the newest fence that was granted under, and by whom
-        self.late = ""  # who granted under an older fence than another one before
-        self.leaderless_until = 0
+        """Start a leader and so many limiters; the tenant's limit is drawn unless it is given."""
+        rate, burst = Random(seed).choice(LIMITS)
+        self.tenant = tenant or Tenant(TENANT, ("k",), None, rate, burst)
+        self.admitted_us: list[float] = []  # when each request was that was admitted
+        self.refused_count = 0
+        self.granted_by: dict[int, set[str]] = {}  # by fencing token, who granted under it
+        self.newest_grant = (0, "")  # the newest fencing token that was granted under, and by whom
+        self.stale_grant = ""  # who granted under an older token than another one before
+        self.leaderless_until_us = 0
         super().__init__(seed, limiters)
 
-    def met(self, let_in: bool) -> None:
-        """How a request was met."""
-        if let_in:
-            self.let.append(self.sim.now)
+    def limiter_named(self, name: str) -> Limiter | None:
+        """The limiter of that name, None for none."""
+        return next((limiter for limiter in self.proxies if limiter.name == name), None)
+
+    def on_request_decided(self, is_admitted: bool) -> None:
+        """Count a request."""
+        if is_admitted:
+            self.admitted_us.append(self.sim.now)
         else:
-            self.turned_back += 1
+            self.refused_count += 1
 
-    def granted(self, name: str, fence: int) -> None:
-        names = self.owners.setdefault(fence, set())
+    def on_granted(self, name: str, fencing_token: int) -> None:
+        """Check a grant: one owner under each token, and none under an older one than before."""
+        names = self.granted_by.setdefault(fencing_token, set())
         if name not in names:
             names.add(name)
-            self.say(f"{name} grants under {fence}")
-        newest, by = self.newest
-        if fence < newest and name != by:
-            self.late = f"{name} grants under {fence}, after {by} under {newest}"
-        self.newest = max(self.newest, (fence, name))
-
-    # ---- the world between
-
-    def carry(self, proxy, call, *args) -> None:
-        if self.sim.now >= self.leaderless_until:
-            super().carry(proxy, call, *args)
-
-    def between(self, one: Limiter, other: Limiter, call: Callable, *args) -> None:
-        """From one limiter to another: those that are dark reach each other, and none of the rest."""
-        if (one.name in self.dark) == (other.name in self.dark) and self.random.random() > 0.02:
-            self.sim.after(self.random.choice((1, 1, 2, 5, 40, 140)) * MS, call, *args)
-
-    def trouble(self) -> None:
-        kind = self.random.randrange(8)
-        one = self.random.choice(self.proxies)
-        held = max(self.proxies, key=lambda each: each.quota_owner.fencing_token).quota_owner.eligible_owners
-        if held and self.random.random() < 0.6:  # where it hurts
-            name = owner_of("t", held)
-            one = next(each for each in self.proxies if each.name == name)
-        many = self.random.sample(self.proxies, self.random.randrange(1, len(self.proxies)))
-        lasts = self.random.randrange(200, 5000) * MS
-        what = (
-            "cut off",
-            "half cut off",
-            "frozen",
-            "killed",
-            "all killed",
-            "leader lost",
-            "told to end",
-            "back while the next is cut",
-        )[kind]
-        self.say(f"{what} ({one.name}, {len(many)}) for {lasts / SECOND:.1f} s")
-        match kind:
-            case 0 | 1:
-                names = {one.name, *(each.name for each in many)} if kind else {one.name}
-                self.dark |= names
-                self.sim.after(lasts, self.dark.difference_update, names)
-            case 2:
-                one.frozen_until = self.sim.now + lasts
-            case 3:
-                one.start()
-            case 4:
-                for each in self.proxies:
-                    each.start()
-            case 5:
-                self.leaderless_until = self.sim.now + lasts // 2
-                self.sim.at(self.leaderless_until, self.lead, self.term + 1)
-            case 6:
-                for each in (one, *many[:2]):
-                    each.leaving = True
-                    self.sim.after(GRACE, self.ends, each, each.life)
-            case 7:
-                self.dark.add(one.name)
-                self.sim.after(AWAY, self.back_while_next_is_cut, one.name)
-
-    def back_while_next_is_cut(self, name: str) -> None:
-        """One that was counted out is back, just as who owns its counts since is cut off."""
-        others = [each.name for each in self.proxies if each.name != name]
-        heir = owner_of("t", others)
-        self.say(f"{name} is back, {heir} is cut off")
-        self.dark.discard(name)
-        self.dark.add(heir)
-        self.sim.after(AWAY, self.dark.discard, heir)
-
-    def ends(self, one: Limiter, life: int) -> None:
-        """A process that was told to end does, unless it was killed before, and starts anew."""
-        if one.life == life:
-            one.start()
-
-    def ask_on(self) -> None:
-        """The next request of the open loop; where its limiter is frozen it waits there."""
-        one = self.random.choice(self.proxies)
-        self.calls += 1
-        one.when_awake(one.life, one.request)
-        self.sim.after(self.random.expovariate(PRESS * self.tenant.rate_s) * SECOND, self.ask_on)
-
-    def run(self, changes: int = 6) -> "World":
+            self.note(f"{name} grants under {fencing_token}")
+        newest, newest_by = self.newest_grant
+        if fencing_token < newest and name != newest_by:
+            self.stale_grant = f"{name} grants under {fencing_token}, after {newest_by} under {newest}"
+        self.newest_grant = max(self.newest_grant, (fencing_token, name))
+
+    # ---- network, faults and clients
+
+    def deliver(self, proxy: activation.Proxy, handler: Callable[..., None], *args: Any) -> None:
+        """As before, where there is a leader."""
+        if self.sim.now >= self.leaderless_until_us:
+            super().deliver(proxy, handler, *args)
+
+    def deliver_between(
+        self, sender: Limiter, receiver: Limiter, handler: Callable[..., object], *args: Any
+    ) -> None:
+        """Deliver between limiters: those that are cut off reach each other, and none of the rest."""
+        is_same_side = (sender.name in self.cut_off) == (receiver.name in self.cut_off)
+        if is_same_side and self.random.random() > MESSAGE_LOSS:
+            self.sim.after(self.random.choice((1, 1, 2, 5, 40, 140)) * MS, handler, *args)
+
+    def inject_fault(self) -> None:
+        """Bring a fault on, at random; more often than not where the count's owner is."""
+        kind = self.random.randrange(len(FAULTS))
+        victim = self.random.choice(self.proxies)
+        newest = max(self.proxies, key=lambda limiter: limiter.quota_owner.fencing_token)
+        owners = newest.quota_owner.eligible_owners
+        if owners and self.random.random() < OWNER_FAULT_SHARE:
+            name = owner_of(TENANT, owners)
+            victim = next(limiter for limiter in self.proxies if limiter.name == name)
+        others = self.random.sample(self.proxies, self.random.randrange(1, len(self.proxies)))
+        duration_us = self.random.randrange(200, 5000) * MS
+        self.note(f"{FAULTS[kind]} ({victim.name}, {len(others)}) for {duration_us / SECOND:.1f} s")
+        self._carry_out(FAULTS[kind], victim, others, duration_us)
+
+    def _carry_out(self, fault: str, victim: Limiter, others: list[Limiter], duration_us: int) -> None:
+        match fault:
+            case "cut off":
+                self._cut_off({victim.name}, duration_us)
+            case "half cut off":
+                self._cut_off({victim.name, *(limiter.name for limiter in others)}, duration_us)
+            case "frozen":
+                victim.frozen_until_us = self.sim.now + duration_us
+            case "killed":
+                victim.start()
+            case "all killed":
+                for limiter in self.proxies:
+                    limiter.start()
+            case "leader lost":
+                self.leaderless_until_us = self.sim.now + duration_us // 2
+                self.sim.at(self.leaderless_until_us, self.become_leader, self.term + 1)
+            case "told to end":
+                for limiter in (victim, *others[:2]):
+                    limiter.is_terminating = True
+                    self.sim.after(TERMINATION_GRACE_US, self._terminate, limiter, limiter.incarnation)
+            case _:
+                self.cut_off.add(victim.name)
+                self.sim.after(AWAY_US, self._return_while_next_is_cut, victim.name)
+
+    def _cut_off(self, names: set[str], duration_us: int) -> None:
+        self.cut_off |= names
+        self.sim.after(duration_us, self.cut_off.difference_update, names)
+
+    def _return_while_next_is_cut(self, name: str) -> None:
+        """One that was counted out is back, just as the owner of its counts since is cut off."""
+        others = [limiter.name for limiter in self.proxies if limiter.name != name]
+        next_owner = owner_of(TENANT, others)
+        self.note(f"{name} is back, {next_owner} is cut off")
+        self.cut_off.discard(name)
+        self.cut_off.add(next_owner)
+        self.sim.after(AWAY_US, self.cut_off.discard, next_owner)
+
+    def _terminate(self, limiter: Limiter, incarnation: int) -> None:
+        """End a process that was told to, unless it was killed before, and start it anew."""
+        if limiter.incarnation == incarnation:
+            limiter.start()
+
+    def send_requests(self) -> None:
+        """Send the next request of the open loop; where its limiter is frozen it waits there."""
+        limiter = self.random.choice(self.proxies)
+        self.call_count += 1
+        limiter.when_awake(limiter.incarnation, limiter.request)
+        pause_s = self.random.expovariate(PRESSURE * self.tenant.rate_s)
+        self.sim.after(pause_s * SECOND, self.send_requests)
+
+    def run(self, changes: int = 6) -> Self:
+        """Play so many faults, and a calm end."""
         self.sim.run(self.sim.now + 2 * SECOND)
-        self.ask_on()
+        self.send_requests()
         for _ in range(changes):
-            self.sim.after(self.random.randrange(2 * SECOND), self.trouble)
+            self.sim.after(self.random.randrange(2 * SECOND), self.inject_fault)
             self.sim.run(self.sim.now + self.random.randrange(500, 4000) * MS)
         self.sim.run(self.sim.now + 6 * SECOND)
         return self
 
-    # ---- what must hold
+    # ---- findings
 
     @property
-    def bound(self) -> float:
+    def max_allowed(self) -> float:
+        """Requests that QUOTA allows in a window."""
         return allowed(SLO, self.tenant.rate_s, self.tenant.burst)
 
     @property
-    def worst(self) -> int:
-        return most(self.let, SLO.quota_win)
+    def max_admitted(self) -> int:
+        """Requests that were admitted in the worst window."""
+        return most(self.admitted_us, SLO.quota_win)
 
     @property
-    def wrong(self) -> bool:
-        return (
-            self.worst > self.bound or bool(self.late) or any(len(each) > 1 for each in self.owners.values())
-        )
+    def is_wrong(self) -> bool:
+        """Whether QUOTA or the rule of one owner was broken."""
+        has_two_owners = any(len(names) > 1 for names in self.granted_by.values())
+        return self.max_admitted > self.max_allowed or bool(self.stale_grant) or has_two_owners
 
     def transcript(self) -> list[str]:
-        two = [f"fence {fence}: {sorted(names)}" for fence, names in self.owners.items() if len(names) > 1]
-        late = [self.late] if self.late else []
-        return [*self.log[-30:], *two, *late, f"WRONG: {self.worst} in a window, {self.bound:g} allowed"]
-
-
-def explore(seeds: range, name: str = "", say: Callable[[str], None] = lambda _: None) -> tuple[int, int]:
-    """Play each seed; the requests made, and the first seed where the rule broke, -1 for none. Tells how near
-    the worst came."""
-    calls, nearest = 0, Counter()
-    with switched(DEFECTS, name):
-        for seed in seeds:
-            world = World(seed).run()
-            calls += world.calls
-            nearest[seed] = world.worst / world.bound
-            if world.wrong:
-                say(f"seed {seed}:")
-                for line in world.transcript():
-                    say(line)
-                return calls, seed
-    say(f"nearest: {max(nearest.values()):.3f} of what is allowed (seed {nearest.most_common(1)[0][0]})")
-    return calls, -1
+        """The last lines, and what is wrong."""
+        two_owners = [
+            f"fence {token}: {sorted(names)}" for token, names in self.granted_by.items() if len(names) > 1
+        ]
+        stale = [self.stale_grant] if self.stale_grant else []
+        totals = f"WRONG: {self.max_admitted} in a window, {self.max_allowed:g} allowed"
+        return [*self.transcript_lines[-MAX_LINES:], *two_owners, *stale, totals]
+
+
+def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
+    """Play each seed until one goes wrong; counts the requests, and prints how near the worst one came."""
+    shares: dict[int, float] = {}  # of what is allowed, by seed
+
+    def plays(seed: int) -> Iterator[tuple[str, World]]:
+        world = World(seed).run()
+        shares[seed] = world.max_admitted / world.max_allowed
+        yield f"seed {seed}", world
+
+    exploration = Exploration(DEFECTS, plays, lambda world: world.call_count)
+    result = exploration.run(seeds, defect, print_line)
+    if result.wrong_seed == NO_SEED:
+        worst = max(shares, key=lambda seed: shares[seed])
+        print_line(f"nearest: {shares[worst]:.3f} of what is allowed (seed {worst})")
+    return result
--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -7,7 +7,7 @@
 from lapisgrade.gateway.quota.count import Count
 from lapisgrade.gateway.quota.epochs import MembershipUpdate, Origin
 from lapisgrade.gateway.quota.owner import QuotaOwner
-from lapisgrade.lab.explore.defects import Defects
+from lapisgrade.lab.explore.defects import Defect, Defects
 
 FOREVER = 1 << 60  # us
 _add, _update_members, _unreported_allowance = (
@@ -72,15 +72,15 @@
     "forgets-leases": 32,
 }
 DEFECTS: Defects = {
-    "starts-full": (owned_counts, "Count", Full),
-    "any-fence": (QuotaOwner, "add", _any_fence),
-    "undivided": (
+    "starts-full": Defect(owned_counts, "Count", Full),
+    "any-fence": Defect(QuotaOwner, "add", _any_fence),
+    "undivided": Defect(
         client,
         "unreported_allowance",
         lambda slo, rate, burst, limiters: _unreported_allowance(slo, rate, burst, 1),
     ),
-    "asks-nobody": (QuotaOwner, "add", _asks_nobody),
-    "forgets-last-life": (QuotaOwner, "update_members", _forgets_last_incarnation),
-    "forgets-leases": (Count, "add", _forgets_leases),
-    "never-expires": (QuotaOwner, "add", _never_expires),
+    "asks-nobody": Defect(QuotaOwner, "add", _asks_nobody),
+    "forgets-last-life": Defect(QuotaOwner, "update_members", _forgets_last_incarnation),
+    "forgets-leases": Defect(Count, "add", _forgets_leases),
+    "never-expires": Defect(QuotaOwner, "add", _never_expires),
 }
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -1,35 +1,47 @@
-"""Drafts explored: handed in under kills, cuts and one emptied disk at a time. None is lost that was on two
-disks, none is merged twice, and every controller comes to the same configuration: what the rule makes of the
-set."""
+"""Drafts explored: handed in under kills, cuts and one emptied disk at a time.
 
-from collections.abc import Callable
+None is lost that was on two disks, none is merged twice, and every controller comes to the same
+configuration: what the rule of `merge.three_way` makes of the set.
+"""
+
+from collections.abc import Iterator
 from random import Random
+from typing import Any
 
 import msgspec
 
-from lapisgrade.lab.explore.defects import Defects
-from lapisgrade.lab.explore.cluster import Cluster
-from lapisgrade.lab.explore.log import first_wrong
+from lapisgrade.gateway.controller.state_machine import Change, MergeDraft, StateMachine, encoded
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge.fields import fields
 from lapisgrade.gateway.merge.three_way import Draft, drafted, merge_drafts
-from lapisgrade.gateway.controller.state_machine import MergeDraft, Change, StateMachine, encoded
+from lapisgrade.lab.explore.cluster import Cluster
+from lapisgrade.lab.explore.defects import Defect, Defects
+from lapisgrade.lab.explore.exploration import Exploration, ExplorationResult, Print, print_nothing
+from lapisgrade.lab.explore.log import CRASHES
 
 UNIT = "entries"
 NAMES = "abc"
-TURNS, CALM = 16, 5  # turns of a play, the last of them without faults
+ROUNDS = 16
+CALM_ROUNDS = 5  # the last of them, without faults
+DRAFT_COUNT = 4
+HAND_IN_CHANCE = 0.6  # that a holder hands a draft in, in each round
+FAULTS = ("kill", "wipe", "cut", "one way", "calm")
 
+JsonObject = dict[str, Any]
 
-class Chance(Random):
-    """Configurations and edits by chance, all of them valid."""
 
-    def split(self) -> dict:
+class ConfigurationRandom(Random):
+    """Configurations and edits at random, all of them valid."""
+
+    def split(self) -> JsonObject:
+        """Return the services of a route: one, or some with weights."""
         names = self.sample("abc", self.randrange(1, 4))
         if len(names) == 1:
             return {"Svc": names[0]}
         return {"Split": [{"Svc": each, "Wt": self.randrange(1, 4)} for each in names]}
 
-    def rule(self, name: str) -> dict:
+    def rule(self, name: str) -> JsonObject:
+        """Return a route of that name."""
         return {
             "Name": name,
             "Mode": self.choice(["idem", "mutate"]),
@@ -38,7 +50,8 @@
             "Action": {**self.split(), "Timeout": f"{self.randrange(1, 3)}s"},
         }
 
-    def conf(self) -> dict:
+    def configuration(self) -> JsonObject:
+        """Return a whole configuration."""
         rules = [self.rule(f"r{i}") for i in range(4) if self.random() < 0.8]
         return {
             "Ver": self.randrange(1, 9),
@@ -50,122 +63,149 @@
             ],
         }
 
-    def change(self) -> dict:
+    def change(self) -> JsonObject:
+        """Return a change of named items; it need not fit a configuration."""
         rules = [self.rule(f"r{self.randrange(6)}") for _ in range(self.randrange(3))]
         rules = list({each["Name"]: each for each in rules}.values())
         keys = [f"k{i}{j}" for i in (0,) for j in range(3) if self.random() < 0.6]
-        made: dict = {"Upsert": {"Ports": [{"Vhost": self.choice("hg"), "Policy": rules}]}, "Del": {}}
+        change: JsonObject = {"Upsert": {"Ports": [{"Vhost": self.choice("hg"), "Policy": rules}]}, "Del": {}}
         if self.random() < 0.4:
-            made["Upsert"]["Tenants"] = [{"Name": "t0", "Apikeys": keys, "RateS": self.randrange(3)}]
+            change["Upsert"]["Tenants"] = [{"Name": "t0", "Apikeys": keys, "RateS": self.randrange(3)}]
         if self.random() < 0.3:
-            made["Del"]["Routes"] = [f"r{self.randrange(6)}"]
+            change["Del"]["Routes"] = [f"r{self.randrange(6)}"]
         if self.random() < 0.2:
-            made["Del"]["Svcs"] = [self.choice("abc")]
-        return made
+            change["Del"]["Svcs"] = [self.choice("abc")]
+        return change
 
-    def drafts(self, conf: dict, count: int) -> list[Draft]:
-        made: list[Draft] = []
-        while len(made) < count:
+    def drafts(self, base: JsonObject, count: int) -> list[Draft]:
+        """Return so many drafts that fit a configuration."""
+        drafts: list[Draft] = []
+        while len(drafts) < count:
             try:
-                made.append(drafted(conf, self.change(), f"editor {len(made)}", "m"))
+                drafts.append(drafted(base, self.change(), f"editor {len(drafts)}", "m"))
             except InvalidInputError:
                 continue
-        return made
+        return drafts
+
 
+class DraftHolders:
+    """Which controllers keep a draft on disk.
 
-class Holders:
-    """Which controllers keep a draft on disk. A controller drops it once a leader says that the log has it,
-    not before."""
+    A controller drops it once a leader says that the log has it, not before.
+    """
 
-    EARLY = False  # a defect: it drops what it has handed in
+    DROPS_EARLY = False  # a defect: it drops what it has handed in
 
-    def __init__(self, drafts: list[Draft], chance: Chance) -> None:
-        # Each on two disks of its side; one may be emptied at any time.
-        self.of = {each.id: set(chance.sample(NAMES, 2)) for each in drafts}
+    def __init__(self, drafts: list[Draft], random: ConfigurationRandom) -> None:
+        """Keep each draft on two disks of its side; one may be emptied at any time."""
+        self.by_draft = {draft.id: set(random.sample(NAMES, 2)) for draft in drafts}
 
-    def emptied(self, name: str) -> None:
-        for holders in self.of.values():
+    def on_disk_emptied(self, name: str) -> None:
+        """Forget what was on that disk."""
+        for holders in self.by_draft.values():
             if len(holders) > 1:  # no more disks are lost at once than may be
                 holders.discard(name)
 
-    def hand(self, cluster: Cluster, draft: Draft, holder: str) -> None:
-        """One controller offers one draft to whoever leads, where it reaches it."""
-        data, leader = encoded(MergeDraft(draft)), cluster.leader()
-        if (
-            not leader
-            or cluster.controllers[holder] is None
-            or {(holder, leader), (leader, holder)} & cluster.cut
-        ):
+    def hand_in(self, cluster: Cluster, draft: Draft, holder: str) -> None:
+        """Have a controller offer a draft to whoever leads, where it reaches it."""
+        command, leader = encoded(MergeDraft(draft)), cluster.leader()
+        is_cut = {(holder, leader), (leader, holder)} & cluster.cut_links
+        if not leader or cluster.nodes[holder] is None or is_cut:
             return
-        if data in cluster.acked or self.EARLY:
-            self.of[draft.id].discard(holder)
-        cluster.propose(data)
-
-
-def play(seed: int) -> Cluster:
-    chance, cluster = Chance(seed), Cluster(seed)
-    cluster.run(2)
-    ground = chance.conf()
-    first = encoded(Change(True, msgspec.json.encode({**ground, "Base": 0})))
-    while first not in cluster.acked:
-        cluster.propose(first)
-        cluster.run(0.5)
-    drafts = chance.drafts(ground, 4)
-    holders = Holders(drafts, chance)
-    for turn in range(TURNS):
-        victim = chance.choice([*NAMES, cluster.leader() or "a", cluster.leader() or "a"])
-        fault = chance.choice(("kill", "wipe", "cut", "one way", "calm")) if turn < TURNS - CALM else "calm"
-        for each in drafts:
-            for holder in sorted(holders.of[each.id]):
-                if chance.random() < 0.6:
-                    holders.hand(cluster, each, holder)
-        cluster.run(chance.random() * 0.002)  # what was handed in is on its way as the fault comes
-        others = [each for each in NAMES if each != victim]
+        if command in cluster.acknowledged or self.DROPS_EARLY:
+            self.by_draft[draft.id].discard(holder)
+        cluster.propose(command)
+
+
+class Schedule:
+    """Drafts handed in round after round, a fault in each, and a calm end."""
+
+    def __init__(self, seed: int) -> None:
+        """Put a first configuration into the log, and make drafts on it."""
+        self.random = ConfigurationRandom(seed)
+        self.cluster = Cluster(seed)
+        self.cluster.run(2)
+        self.base = self.random.configuration()
+        self._commit_base()
+        self.drafts = self.random.drafts(self.base, DRAFT_COUNT)
+        self.holders = DraftHolders(self.drafts, self.random)
+
+    def play(self) -> Cluster:
+        """Play all rounds, check the outcome, and return the cluster."""
+        for number in range(ROUNDS):
+            self._play_round(is_calm=number >= ROUNDS - CALM_ROUNDS)
+        self.cluster.run(2)
+        check(self.cluster, self.base, self.drafts)
+        return self.cluster
+
+    def _commit_base(self) -> None:
+        command = encoded(Change(True, msgspec.json.encode({**self.base, "Base": 0})))
+        while command not in self.cluster.acknowledged:
+            self.cluster.propose(command)
+            self.cluster.run(0.5)
+
+    def _play_round(self, is_calm: bool) -> None:
+        cluster, random = self.cluster, self.random
+        victim = random.choice([*NAMES, cluster.leader() or "a", cluster.leader() or "a"])
+        fault = "calm" if is_calm else random.choice(FAULTS)
+        self._hand_in_some()
+        cluster.run(random.random() * 0.002)  # what was handed in is on its way as the fault comes
         match fault:
             case "kill" | "wipe":
                 cluster.kill(victim, fault == "wipe")
                 if fault == "wipe":
-                    holders.emptied(victim)
+                    self.holders.on_disk_emptied(victim)
             case "cut" | "one way":
-                cluster.say(f"{victim} is cut off" + ("" if fault == "cut" else ", one way"))
-                cluster.cut = {(victim, each) for each in others}
-                cluster.cut |= {(each, victim) for each in others} if fault == "cut" else set()
-        cluster.run(chance.random())
-        cluster.cut = set()
-        for each in NAMES:
-            if cluster.controllers[each] is None:
-                cluster.start(each, identity=f"{each}{cluster.lives[each]}")
-        cluster.run(1 + chance.random())
-    cluster.run(2)
-    check(cluster, ground, drafts)
-    return cluster
-
-
-def check(cluster: Cluster, ground: dict, drafts: list[Draft]) -> None:
-    wanted, outcomes = merge_drafts(ground, drafts)
-    for name, taken in cluster.taken.items():
+                cluster.cut_off(victim, NAMES, one_way=fault == "one way")
+        cluster.run(random.random())
+        cluster.cut_links = set()
+        cluster.restart_stopped(NAMES)
+        cluster.run(1 + random.random())
+
+    def _hand_in_some(self) -> None:
+        for draft in self.drafts:
+            for holder in sorted(self.holders.by_draft[draft.id]):
+                if self.random.random() < HAND_IN_CHANCE:
+                    self.holders.hand_in(self.cluster, draft, holder)
+
+
+def play(seed: int) -> Cluster:
+    """Play the schedule of a seed."""
+    return Schedule(seed).play()
+
+
+def check(cluster: Cluster, base: JsonObject, drafts: list[Draft]) -> None:
+    """Check that every node has come to the configuration that the rule makes of all drafts."""
+    expected, outcomes = merge_drafts(base, drafts)
+    for name, commands in cluster.applied.items():
         state_machine = StateMachine()
-        for index, data in enumerate(taken, 1):
+        for index, data in enumerate(commands, 1):
             state_machine.take(index, data)
         state = state_machine.state
-        if lost := {each.id for each in drafts} - set(state.seen):
-            cluster.break_(f"{name}: a draft that was kept is lost: {sorted(lost)}")
-        elif fields(msgspec.json.decode(state.conf)) != fields(wanted) or state.outcomes != outcomes:
-            cluster.break_(f"{name}: the drafts came to something else")
+        if lost := {draft.id for draft in drafts} - set(state.seen):
+            cluster.report_violation(f"{name}: a draft that was kept is lost: {sorted(lost)}")
+        elif fields(msgspec.json.decode(state.conf)) != fields(expected) or state.outcomes != outcomes:
+            cluster.report_violation(f"{name}: the drafts came to something else")
 
 
-def _as_they_came(self: Draft) -> tuple:
+def _no_rank(self: Draft) -> tuple[()]:
+    """Drafts have no order of their own: they count as they came."""
     return ()
 
 
 DEFECTS: Defects = {
-    "drops-early": (Holders, "EARLY", True),
-    "order-of-arrival": (Draft, "rank", property(_as_they_came)),
+    "drops-early": Defect(DraftHolders, "DROPS_EARLY", True),
+    "order-of-arrival": Defect(Draft, "rank", property(_no_rank)),
 }
 
 
-def explore(
-    seeds: range, name: str = "", say: Callable[[str], None] = lambda cluster: None
-) -> tuple[int, int]:
-    """Play each seed; the entries that were acknowledged, and the first seed that went wrong, -1 for none."""
-    return first_wrong(seeds, DEFECTS, name, say, play)
+def _plays(seed: int) -> Iterator[tuple[str, Cluster]]:
+    yield f"seed {seed}", play(seed)
+
+
+EXPLORATION = Exploration(DEFECTS, _plays, lambda cluster: len(cluster.acknowledged), CRASHES)
+
+
+def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
+    """Play each seed until one goes wrong; counts the entries that were acknowledged."""
+    return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -17,6 +17,7 @@
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.lab.explore import quota as explored
+from lapisgrade.lab.explore.activation import WatchCall
 from lapisgrade.lab.partitions.quota import allowed, most
 from lapisgrade.rate import TokenBucket
 
@@ -47,7 +48,7 @@
 
     def request(self) -> None:
         now, level = self.world.sim.now, self.bucket.read(self.world.sim.now)
-        self.world.met(level >= 1.0)
+        self.world.on_request_decided(level >= 1.0)
         if level >= 1.0:
             self.bucket.set_level(now, level - 1.0)
 
@@ -65,14 +66,14 @@
         self.add_to_counter(None, None)
         self.world.called(self.quota_client.quota_request(self.name, self.quota_owner.fencing_token))
 
-    def take(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
+    def add(self, ask: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
         now, level = self.world.sim.now, self.bucket.read(self.world.sim.now)
         if level >= 1.0:
             self.bucket.set_level(now, level - 1.0)
         return rpc_messages.QuotaReply(ask.fencing_token == self.quota_owner.fencing_token and level >= 1.0)
 
-    def settled(self, task, total) -> None:
-        self.world.met(total.outcome is CounterOutcome.ADDED)
+    def on_counter_reply(self, task, total) -> None:
+        self.world.on_request_decided(total.outcome is CounterOutcome.ADDED)
 
 
 POLICIES = {"own": Own, "local": Local, "central": Central}
@@ -92,30 +93,33 @@
 
     # ---- the same control, with work that grows with the limiters and not with their square
 
-    def order(self) -> None:
+    def propose_due_commands(self) -> None:
         if self.sim.now >= self.order_at:
             self.order_at = self.sim.now + ORDERS
-            super().order()
-
-    def asked(self, proxy, ask, life, asked, sent) -> None:
-        news = self.watch.reply_if_changed(self.sim.now, ask, self.state_machine.state, [])
-        if news is not None:
-            return self.carry(proxy, proxy.told, news, life, asked, sent)
-        self.waiting.append((proxy, ask, life, asked, sent, self.sim.now + LONG_POLL_US))
-        self.sim.after(LONG_POLL_US, self.quiet, *self.waiting[-1][:5])
-
-    def quiet(self, proxy, ask, life, asked, sent) -> None:
-        if (life, asked) == (proxy.life, proxy.asked):
-            news = self.watch.unchanged_reply(ask, self.state_machine.state, [])
-            self.carry(proxy, proxy.told, news, life, asked, sent)
-
-    def turn(self) -> None:
-        self.waiting = [each for each in self.waiting if each[0].asked == each[3]]  # the others were answered
-        super().turn()
-
-    def met(self, let_in: bool) -> None:
-        if let_in:
-            self.let.append(self.sim.now)
+            super().propose_due_commands()
+
+    def on_watch_request(self, call: WatchCall) -> None:
+        reply = self.watch.reply_if_changed(self.sim.now, call.request, self.state_machine.state, [])
+        if reply is not None:
+            self.deliver(call.proxy, call.proxy.on_watch_reply, reply, call)
+            return
+        call.reply_by_us = self.sim.now + LONG_POLL_US
+        self.pending.append(call)
+        self.sim.after(LONG_POLL_US, self.reply_unchanged, call)
+
+    def reply_unchanged(self, call: WatchCall) -> None:
+        if call.proxy.is_pending(call):
+            reply = self.watch.unchanged_reply(call.request, self.state_machine.state, [])
+            self.deliver(call.proxy, call.proxy.on_watch_reply, reply, call)
+
+    def reply_to_pending(self) -> None:
+        # The others were answered.
+        self.pending = [call for call in self.pending if call.proxy.request_number == call.number]
+        super().reply_to_pending()
+
+    def on_request_decided(self, is_admitted: bool) -> None:
+        if is_admitted:
+            self.admitted_us.append(self.sim.now)
         else:
             self.refusals += 1
 
@@ -124,20 +128,20 @@
         taken = rpc_messages.QuotaReply(True, 1.0, 1, ask.fencing_token)
         self.bytes_out += sum(LENGTH + len(msgspec.msgpack.encode((1, each))) for each in (ask, taken))
 
-    def carry(self, proxy, call, *args) -> None:
-        if proxy.name not in self.dark:
+    def deliver(self, proxy, call, *args) -> None:
+        if proxy.name not in self.cut_off:
             self.sim.after(WAY, call, *args)
 
-    def between(self, one, other, call, *args) -> None:
-        if (one.name in self.dark) == (other.name in self.dark):
+    def deliver_between(self, one, other, call, *args) -> None:
+        if (one.name in self.cut_off) == (other.name in self.cut_off):
             self.sim.after(WAY, call, *args)
 
-    def ask_on(self) -> None:
+    def send_requests(self) -> None:
         one = self.random.choices(self.proxies, self.shares)[0]
-        if one.name not in self.dark:  # its clients have gone elsewhere
+        if one.name not in self.cut_off:  # its clients have gone elsewhere
             self.requests += 1
-            one.when_awake(one.life, one.request)
-        self.sim.after(self.random.expovariate(self.press * self.tenant.rate_s) * SECOND, self.ask_on)
+            one.when_awake(one.incarnation, one.request)
+        self.sim.after(self.random.expovariate(self.press * self.tenant.rate_s) * SECOND, self.send_requests)
 
     def totals(self) -> tuple[int, int, int, int]:
         return self.requests, self.refusals, self.calls_out, self.bytes_out
@@ -149,7 +153,7 @@
         requests, refused, calls, size = (
             now - then for now, then in zip(self.totals(), before, strict=True)
         )  # fmt: skip
-        let = [at for at in self.let if at >= began]
+        let = [at for at in self.admitted_us if at >= began]
         worst = most(let, explored.SLO.quota_win) / allowed(explored.SLO, tenant.rate_s, tenant.burst)
         return Span(worst, len(let) / (tenant.rate_s * seconds), refused / max(1, requests),
                     calls / seconds, size / seconds)  # fmt: skip
@@ -168,12 +172,12 @@
     """A calm span, and one with the owner dark in its first half."""
     world = World(policy, limiters, press, seed, Tenant("t", ("k",), None, rate, burst))
     world.sim.run(world.sim.now + 3 * SECOND)
-    world.ask_on()
+    world.send_requests()
     world.span(WARM)
     calm = world.span(CALM)
     name = owner_of("t", world.proxies[0].quota_owner.eligible_owners)
-    world.dark.add(name)
-    world.sim.after(DARK * SECOND, world.dark.discard, name)
+    world.cut_off.add(name)
+    world.sim.after(DARK * SECOND, world.cut_off.discard, name)
     return calm, world.span(DARK + AFTER)
 
 
@@ -186,7 +190,7 @@
     say("| limiters | way | asks for, of its rate | calm: refused | of its rate | worst window | calls/s "
         "| bytes/s | owner dark: refused | of its rate | worst window |")  # fmt: skip
     say("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for limiters, press, policy in product(sizes, (1 / 1.6, explored.PRESS), policies):
+    for limiters, press, policy in product(sizes, (1 / 1.6, explored.PRESSURE), policies):
         calm, dark = play(policy, limiters, press, seed, rate, burst)
         figures = (calm.refused, calm.used, calm.worst, calm.calls, calm.bytes)
         figures += (dark.refused, dark.used, dark.worst)
--- a/lapisgrade/lab/simulation/data_plane_mutants.py
+++ b/lapisgrade/lab/simulation/data_plane_mutants.py
@@ -10,7 +10,7 @@
 from lapisgrade.gateway.registry import Server
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.lab.explore import quota_defects
-from lapisgrade.lab.explore.defects import Defects
+from lapisgrade.lab.explore.defects import Defect, Defects
 
 FOREVER = 1 << 60  # us
 
@@ -51,9 +51,9 @@
 OF_QUOTA = ("never-expires", "any-fence", "asks-nobody", "forgets-leases", "undivided")
 DEFECTS: Defects = {
     **{name: quota_defects.DEFECTS[name] for name in OF_QUOTA},
-    "old-fence": (StateMachine, "_take_live_proxies", _old_fence),
-    "counted-out-too-soon": (watch, "PROXY_TIMEOUT_US", 400_000),
-    "sends-to-draining": (Router, "update_servers", _listed_as_up),
-    "leaving-not-logged": (LeaderCalls, "commit", _unlogged),
-    "forgets-who-left": (watch.Watch, "update_departed_servers", _forgets_who_left),
+    "old-fence": Defect(StateMachine, "_take_live_proxies", _old_fence),
+    "counted-out-too-soon": Defect(watch, "PROXY_TIMEOUT_US", 400_000),
+    "sends-to-draining": Defect(Router, "update_servers", _listed_as_up),
+    "leaving-not-logged": Defect(LeaderCalls, "commit", _unlogged),
+    "forgets-who-left": Defect(watch.Watch, "update_departed_servers", _forgets_who_left),
 }
--- a/lapisgrade/lab/simulation/mutants.py
+++ b/lapisgrade/lab/simulation/mutants.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from lapisgrade.lab.explore.defects import Defects
+from lapisgrade.lab.explore.defects import Defect, Defects
 from lapisgrade.gateway import configuration_change
 from lapisgrade.gateway.consensus import membership, reconfiguration
 from lapisgrade.gateway.consensus.election import Election
@@ -269,52 +269,52 @@
 
 
 LEADER: Defects = {
-    "lease-never-ends": (Node, "has_lease", _always_leased),
-    "serves-without-lease": (ConsensusDriver, "is_leader", _serves_as_led),
-    "lease-from-receipt": (Replication, "on_append_reply", _lease_from_receipt),
-    "votes-against-a-lease": (Voter, "has_leader_contact", _hears_nobody),
-    "restart-forgets-lease": (Node, "recover", classmethod(_not_quiet)),
+    "lease-never-ends": Defect(Node, "has_lease", _always_leased),
+    "serves-without-lease": Defect(ConsensusDriver, "is_leader", _serves_as_led),
+    "lease-from-receipt": Defect(Replication, "on_append_reply", _lease_from_receipt),
+    "votes-against-a-lease": Defect(Voter, "has_leader_contact", _hears_nobody),
+    "restart-forgets-lease": Defect(Node, "recover", classmethod(_not_quiet)),
 }
 ORDERS: Defects = {
-    "digests-lost-in-snapshot": (StateMachine, "load", _not_remembered),
-    "taken-on-any-base": (StateMachine, "_accept", _any_base),
-    "digest-of-the-bytes": (configuration_change, "digest", _by_bytes),
-    "confirmed-at-once": (ConsensusDriver, "propose", _at_once),
-    "refused-while-unknown": (ConsensusDriver, "propose", _refuses_unknown),
-    "taken-judged-anew": (StateMachine, "judge", _without_digest),
+    "digests-lost-in-snapshot": Defect(StateMachine, "load", _not_remembered),
+    "taken-on-any-base": Defect(StateMachine, "_accept", _any_base),
+    "digest-of-the-bytes": Defect(configuration_change, "digest", _by_bytes),
+    "confirmed-at-once": Defect(ConsensusDriver, "propose", _at_once),
+    "refused-while-unknown": Defect(ConsensusDriver, "propose", _refuses_unknown),
+    "taken-judged-anew": Defect(StateMachine, "judge", _without_digest),
 }
 MEMBERS: Defects = {
-    "learner-counted": (Replication, "advance_commit", _counts_all),
-    "snapshot-without-voters": (ReplicatedLog, "compact", _forgets_voters),
+    "learner-counted": Defect(Replication, "advance_commit", _counts_all),
+    "snapshot-without-voters": Defect(ReplicatedLog, "compact", _forgets_voters),
 }
 EMPTIED: Defects = {
-    "emptied-disk-votes": (node_recovery, "restore_node", _votes_when_empty),
+    "emptied-disk-votes": Defect(node_recovery, "restore_node", _votes_when_empty),
 }
 CHANGES: Defects = {
-    "two-changes-at-once": (ReplicatedLog, "has_voter_change_after", _changes_never_open),
+    "two-changes-at-once": Defect(ReplicatedLog, "has_voter_change_after", _changes_never_open),
 }
 MAJORITY: Defects = {
-    "change-without-majority": (reconfiguration, "next_voters", _any_change),
+    "change-without-majority": Defect(reconfiguration, "next_voters", _any_change),
 }
 LOG: Defects = {
-    "durable-as-read": (Node, "recover", classmethod(_durable_as_read)),
-    "acknowledged-before-sync": (Follower, "acknowledge", _acknowledges_unsynced),
-    "any-log-may-lead": (Voter, "log_is_current", _any_log),
-    "conflict-kept": (ReplicatedLog, "truncate", _never_truncates),
-    "vote-before-sync": (LogWriter, "put", _sends_before_sync),
+    "durable-as-read": Defect(Node, "recover", classmethod(_durable_as_read)),
+    "acknowledged-before-sync": Defect(Follower, "acknowledge", _acknowledges_unsynced),
+    "any-log-may-lead": Defect(Voter, "log_is_current", _any_log),
+    "conflict-kept": Defect(ReplicatedLog, "truncate", _never_truncates),
+    "vote-before-sync": Defect(LogWriter, "put", _sends_before_sync),
 }
 TERMS: Defects = {
-    "old-term-committed": (Replication, "advance_commit", _commits_any_term),
+    "old-term-committed": Defect(Replication, "advance_commit", _commits_any_term),
 }
 SNAPSHOTS: Defects = {
-    "stale-snapshot": (StateMachine, "dump", _stale_dump),
-    "snapshot-not-loaded": (StateMachine, "load", _loads_nothing),
-    "piece-taken-for-all": (SnapshotAssembly, "add", _adopts),
+    "stale-snapshot": Defect(StateMachine, "dump", _stale_dump),
+    "snapshot-not-loaded": Defect(StateMachine, "load", _loads_nothing),
+    "piece-taken-for-all": Defect(SnapshotAssembly, "add", _adopts),
 }
 BY_RULE: Defects = {
-    "pre-vote-of-any-round": (Election, "on_vote_reply", _any_round),
-    "leader-grants-pre-votes": (Voter, "on_pre_vote", _grants_while_leading),
-    "change-before-own-entry": (Reconfiguration, "is_change_pending", _own_entry_at_once),
+    "pre-vote-of-any-round": Defect(Election, "on_vote_reply", _any_round),
+    "leader-grants-pre-votes": Defect(Voter, "on_pre_vote", _grants_while_leading),
+    "change-before-own-entry": Defect(Reconfiguration, "is_change_pending", _own_entry_at_once),
 }
 COURSES_OF: list[tuple[Defects, str]] = [
     (LEADER, "leader-cut"),
--- a/lapisgrade/lab/simulation/plays.py
+++ b/lapisgrade/lab/simulation/plays.py
@@ -278,6 +278,11 @@
     def wrong(self) -> list[str]:
         return self.cluster.invariants.wrong
 
+    @property
+    def is_wrong(self) -> bool:
+        """Whether an invariant was broken."""
+        return bool(self.wrong)
+
     def transcript(self, lines: int = 30) -> list[str]:
         """What led to the first thing that was wrong."""
         said = self.cluster.said
--- a/tests/gateway/consensus/test_cluster.py
+++ b/tests/gateway/consensus/test_cluster.py
@@ -14,13 +14,13 @@
         for seed in range(30):
             with self.subTest(seed=seed):
                 cluster = log.play(seed)
-                self.assertEqual(cluster.wrong, [])
-                self.assertEqual(len(cluster.controllers[cluster.leader()].voters), 3)
+                self.assertEqual(cluster.violations, [])
+                self.assertEqual(len(cluster.nodes[cluster.leader()].voters), 3)
 
     def test_five_voters(self):
         for seed in range(8):
             with self.subTest(seed=seed):
-                self.assertEqual(log.play(100 + seed, "abcde").wrong, [])
+                self.assertEqual(log.play(100 + seed, "abcde").violations, [])
 
     def test_known_defects_are_found(self):
         """Guards the exploration itself."""
@@ -43,7 +43,7 @@
         self.assertTrue(cluster.leader())
         old = cluster.leader()
         others = [each for each in "abc" if each != old]
-        cluster.cut = {(old, others[0]), (others[0], old)}
+        cluster.cut_links = {(old, others[0]), (others[0], old)}
         cluster.run(0.3)  # the leader's lease now rests on the other one alone
         cluster.kill(others[1])
         cluster.start(others[1])
@@ -51,7 +51,7 @@
             cluster.run(0.02)
             leased = [
                 each
-                for each, controller in cluster.controllers.items()
+                for each, controller in cluster.nodes.items()
                 if controller.is_leader and controller.has_lease()
             ]
             self.assertLessEqual(len(leased), 1)
@@ -78,12 +78,12 @@
         cluster.kill(gone)
         cluster.start("d", identity="new")
         cluster.run(4)
-        voters = cluster.controllers[cluster.leader()].voters
+        voters = cluster.nodes[cluster.leader()].voters
         self.assertEqual(sorted(voters), sorted({*"abc"} - {gone} | {"new"}))
         cluster.start(gone)
         cluster.run(3)
-        self.assertIn(cluster.controllers[cluster.leader()].term, cluster.leaders)
-        self.assertIn(gone, cluster.controllers[cluster.leader()].voters)
+        self.assertIn(cluster.nodes[cluster.leader()].term, cluster.leaders)
+        self.assertIn(gone, cluster.nodes[cluster.leader()].voters)
 
     def test_a_leader_that_ends_in_order_hands_over_at_once(self):
         cluster = Cluster(6)
@@ -91,24 +91,24 @@
         cluster.propose(b"x")
         cluster.run(0.2)
         old = cluster.leader()
-        cluster.controllers[old].step_down()
-        cluster.drain(old)
-        self.assertFalse(cluster.controllers[old].is_leader)
+        cluster.nodes[old].step_down()
+        cluster.carry_out_effects(old)
+        self.assertFalse(cluster.nodes[old].is_leader)
         cluster.run(0.06)
         self.assertNotIn(cluster.leader(), ("", old))
         cluster.propose(b"y")
         cluster.run(0.2)
-        self.assertIn(b"y", cluster.acked)
+        self.assertIn(b"y", cluster.acknowledged)
 
     def test_a_leader_that_nobody_hears_says_nothing_any_more(self):
         cluster = Cluster(3)
         cluster.run(2)
         old = cluster.leader()
-        cluster.cut = {(old, each) for each in "abc" if each != old}
+        cluster.cut_links = {(old, each) for each in "abc" if each != old}
         cluster.run(0.6)
-        self.assertFalse(cluster.controllers[old].has_lease())
+        self.assertFalse(cluster.nodes[old].has_lease())
         cluster.run(1.5)
-        self.assertFalse(cluster.controllers[old].is_leader)
+        self.assertFalse(cluster.nodes[old].is_leader)
         self.assertNotIn(cluster.leader(), ("", old))
 
     def test_a_snapshot_reaches_a_controller_that_lacks_the_entries(self):
@@ -120,12 +120,10 @@
             for number in range(30):
                 cluster.propose(b"%d" % number)
                 cluster.run(0.02)
-            self.assertGreater(cluster.controllers[cluster.leader()].log.snapshot_index, 8)
+            self.assertGreater(cluster.nodes[cluster.leader()].log.snapshot_index, 8)
             cluster.start(away)
             cluster.run(3)
-            self.assertEqual(
-                cluster.controllers[away].commit_index, cluster.controllers[cluster.leader()].commit_index
-            )
+            self.assertEqual(cluster.nodes[away].commit_index, cluster.nodes[cluster.leader()].commit_index)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/consensus/test_election.py
+++ b/tests/gateway/consensus/test_election.py
@@ -13,7 +13,7 @@
 from lapisgrade.gateway.consensus.records import HardState, SnapshotRecord
 from lapisgrade.gateway.consensus.state import Role
 from lapisgrade.gateway.consensus.timing import ELECTION_TIMEOUT_US, LEASE_US, RESTART_GUARD_US
-from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation.mutants import BY_RULE
 from support.consensus_nodes import NOW, VOTERS, append, leader, node, sync, taken
 
@@ -154,5 +154,5 @@
             ("pre-vote-of-any-round", self.late_pre_vote),
             ("leader-grants-pre-votes", self.pre_vote_of_leader),
         ):
-            with self.subTest(name=name), switched(BY_RULE, name), self.assertRaises(AssertionError):
+            with self.subTest(name=name), injected(BY_RULE, name), self.assertRaises(AssertionError):
                 rule()
--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -8,7 +8,7 @@
     RequestVoteReply,
 )
 from lapisgrade.gateway.consensus.timing import LEASE_US
-from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation.mutants import BY_RULE
 from support.consensus_nodes import VOTERS, leader, node, reply, sync, taken
 
@@ -79,5 +79,5 @@
         self.assertFalse(one.is_leader)
 
     def test_a_change_before_an_entry_of_its_own_is_found(self) -> None:
-        with switched(BY_RULE, "change-before-own-entry"), self.assertRaises(AssertionError):
+        with injected(BY_RULE, "change-before-own-entry"), self.assertRaises(AssertionError):
             self.change_before_own_entry()
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -28,11 +28,15 @@
         calls = 0
         for seed in range(24):
             world = World(seed).run()
-            self.assertEqual(world.refused_after, [], f"seed {seed}")
-            self.assertEqual(world.taken_after, [], f"seed {seed}: withdrawn, refused, and taken again")
-            self.assertIn(0, world.refused)
-            calls += world.calls
-            self.assertEqual(len(world.taken), world.tenants, f"seed {seed}: a tenant was never let in")
+            self.assertEqual(world.refused_after_acceptance, [], f"seed {seed}")
+            self.assertEqual(
+                world.accepted_after_refusal, [], f"seed {seed}: withdrawn, refused, and taken again"
+            )
+            self.assertIn(0, world.first_refused_us)
+            calls += world.call_count
+            self.assertEqual(
+                len(world.first_accepted_us), world.tenant_count, f"seed {seed}: a tenant was never let in"
+            )
         self.assertGreater(calls, 10_000)
 
     def test_each_part_of_the_rule_is_needed(self) -> None:
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -19,7 +19,7 @@
 from lapisgrade.gateway.merge.fields import built, fields, ops
 from lapisgrade.gateway.merge.three_way import Draft, drafted, forced, merge_drafts, told
 from lapisgrade.lab.explore import rejoin
-from lapisgrade.lab.explore.rejoin import Chance
+from lapisgrade.lab.explore.rejoin import ConfigurationRandom
 
 CLAIM, SCRIPT = "r-claim", "r-script"
 
@@ -75,13 +75,13 @@
     def test_there_and_back_nothing_is_lost(self) -> None:
         self.assertEqual(built(fields(GROUND), GROUND), GROUND)
         for seed in range(200):
-            conf = Chance(seed).conf()
+            conf = ConfigurationRandom(seed).configuration()
             self.assertEqual(built(fields(conf), conf), conf)
 
     def test_what_an_edit_changed_leads_from_the_one_to_the_other(self) -> None:
         for seed in range(200):
-            chance = Chance(seed)
-            conf = chance.conf()
+            chance = ConfigurationRandom(seed)
+            conf = chance.configuration()
             one = chance.drafts(conf, 1)[0]
             merged, outcomes = merge_drafts(conf, [one])
             self.assertFalse(outcomes[one.id].open)
@@ -164,8 +164,8 @@
     def test_the_order_of_arrival_and_copies_change_nothing(self) -> None:
         met = 0
         for seed in range(60):
-            chance = Chance(seed)
-            ground = chance.conf()
+            chance = ConfigurationRandom(seed)
+            ground = chance.configuration()
             drafts = chance.drafts(ground, 3)
             first = merge_drafts(ground, drafts)
             met += any(each.open for each in first[1].values())
@@ -176,8 +176,8 @@
 
     def test_every_field_of_every_draft_stands_or_is_told(self) -> None:
         for seed in range(200):
-            chance = Chance(seed)
-            base = chance.conf()
+            chance = ConfigurationRandom(seed)
+            base = chance.configuration()
             drafts = chance.drafts(base, 2)  # on the version before, as on a side that heard nothing since
             try:
                 ground = apply_change(base, {"Ver": 10, **chance.change()})
@@ -268,7 +268,7 @@
 
     def test_no_draft_is_lost_or_merged_twice_and_all_controllers_come_to_the_same(self) -> None:
         said: list[str] = []
-        count, seed = rejoin.explore(range(10), say=said.append)
+        count, seed = rejoin.explore(range(10), print_line=said.append)
         self.assertEqual((seed, said), (-1, []))
         self.assertGreater(count, 40)
 
--- a/tests/lab/explore/test_quota.py
+++ b/tests/lab/explore/test_quota.py
@@ -10,8 +10,8 @@
         """59 and 384 broke the rule before an owner knew of lists of live proxies that it had missed and of
         leases that were not its own."""
         worlds = [quota.World(seed).run() for seed in (59, 384, *range(12))]
-        self.assertEqual([world.transcript() for world in worlds if world.wrong], [])
-        self.assertGreater(max(world.worst / world.bound for world in worlds), 0.7)
+        self.assertEqual([world.transcript() for world in worlds if world.is_wrong], [])
+        self.assertGreater(max(world.max_admitted / world.max_allowed for world in worlds), 0.7)
 
     def test_each_known_defect_is_found(self):
         for name, seeds in quota_defects.FOUND_WITHIN.items():
--- a/tests/lab/simulation/test_data_plane.py
+++ b/tests/lab/simulation/test_data_plane.py
@@ -4,7 +4,7 @@
 import unittest
 
 from lapisgrade.lab.explore import data_plane as explored
-from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation import data_plane_mutants
 from lapisgrade.lab.simulation.data_plane import played
 
@@ -33,7 +33,7 @@
     def test_each_wrong_version_is_found(self) -> None:
         for name in explored.DEFECTS:
             begin, many = data_plane_mutants.FOUND_FROM.get(name, (0, 12))
-            with self.subTest(name=name), switched(explored.DEFECTS, name):
+            with self.subTest(name=name), injected(explored.DEFECTS, name):
                 found = next((seed for seed in range(begin, begin + many) if played(seed).wrong), None)
                 self.assertIsNotNone(found, f"{name} survived {many} seeds from {begin} on")
 
--- a/tests/lab/simulation/test_fault_schedules.py
+++ b/tests/lab/simulation/test_fault_schedules.py
@@ -6,7 +6,7 @@
 import logging
 import unittest
 
-from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation import mutants
 from lapisgrade.lab.simulation.courses import COURSES
 
@@ -72,6 +72,6 @@
     def test_each_wrong_version_is_found(self) -> None:
         for group, course in mutants.COURSES_OF:
             for name in group:
-                with self.subTest(name=name, course=course), switched(mutants.MUTANTS, name):
+                with self.subTest(name=name, course=course), injected(mutants.MUTANTS, name):
                     found = next((seed for seed in range(MUTANT_SEEDS) if COURSES[course](seed).wrong), None)
                     self.assertIsNotNone(found, f"{name} survived {MUTANT_SEEDS} seeds of {course}")
