--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -12,7 +12,8 @@
 from lapisgrade.gateway.quota.count import LEASE_US, capacity
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import AddToCounter, Clock, CounterOutcome, CounterReply, Plan
-from lapisgrade.policy.account import MAX_CONSECUTIVE_TIMEOUTS, Account, CounterBreaker
+from lapisgrade.policy.account import Account
+from lapisgrade.policy.counter_breaker import MAX_CONSECUTIVE_TIMEOUTS, CounterBreaker
 from lapisgrade.rate import TokenBucket
 
 LATE = 0.25  # s between a unit's grant and its arrival at a server, at most, beside the lease's life
@@ -102,7 +103,7 @@
             else self.counter_breaker.try_acquire_call(now)
         )
 
-    def consume(self, now: int, units: float, alone: bool = False) -> None:
+    def consume(self, now: int, units: float, is_local: bool = False) -> None:
         """What the owner granted takes nothing from what may be let in unseen: `unseen` is beside it."""
 
     def add_to_counter(self, units: float) -> Generator:
@@ -153,13 +154,13 @@
         self.turn_at = min(max(self.turn_at + step, now + wait), now + LONGEST)
         return self.turn_at - now
 
-    def admit_locally(self, now: int, units: float, counted: bool = False) -> int | None:
+    def admit_locally(self, now: int, units: float, is_counted: bool = False) -> int | None:
         """No word from the count: what `unseen` leaves, and nothing beyond it."""
         if self.last_read_us and now >= self.ripe and self.local_bucket.read(now) >= units:
             self.local_bucket.set_level(now, self.local_bucket.read(now) - units)
-            if not counted:
+            if not is_counted:
                 self.unreported.value += units
             return None
-        if counted:
+        if is_counted:
             self.unreported.value -= units
         return min(math.ceil(BACK * SECOND), self.local_bucket.wait_us(now, units))
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -15,7 +15,9 @@
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.interface import AttemptOutcome, AttemptResult
-from lapisgrade.policy.fleet import Attempt, LatencyEstimate, ObservedServer
+from lapisgrade.policy.attempt import Attempt
+from lapisgrade.policy.latency import LatencyEstimate
+from lapisgrade.policy.observed_server import ObservedServer
 
 OTHER_CANDIDATES = 2  # servers of the zone's other subsets, and of other zones, that each choice looks at
 MAX_SUBSET_CANDIDATES = 12  # servers of the own subset that each choice looks at
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -47,7 +47,7 @@
     Sleep,
     WakeReason,
 )
-from lapisgrade.policy.fleet import LatencyEstimate
+from lapisgrade.policy.latency import LatencyEstimate
 
 RESPONSE_MARGIN_US = 12_000  # before the client's deadline that we end a request; the way back to the client
 MAX_QUEUE_RATIO = 0.2  # of the target time that a request may be queued for a server; a quarter is priced
--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -13,7 +13,7 @@
 from lapisgrade.gateway.routing.balancer import UpstreamCluster
 from lapisgrade.interface import AttemptOutcome, AttemptResult
 from lapisgrade.lab.balancing.model import Server, Spec
-from lapisgrade.policy.fleet import Attempt
+from lapisgrade.policy.attempt import Attempt
 
 
 class Chooser(Protocol):
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -10,7 +10,7 @@
 from lapisgrade import policy
 from lapisgrade.interface import Operation, RepeatSafety, ServerState
 from lapisgrade.net import discovery, service
-from lapisgrade.policy import limiter
+from lapisgrade.policy import operation_attempts
 from lapisgrade.settings import Fields
 
 
@@ -34,7 +34,7 @@
         op.category = replace(op.category, repeat_safety=RepeatSafety.IDEMPOTENT)
         yield from honest(self, op)
 
-    policy.Limiter.handle, limiter.OVERDUE_DEVIATIONS = operation, -1000.0
+    policy.Limiter.handle, operation_attempts.OVERDUE_DEVIATIONS = operation, -1000.0
 
 
 def deaf() -> None:
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -21,7 +21,7 @@
 from lapisgrade.lab.simulation.plays import Play
 from lapisgrade.lab.simulation.proxies import ProxyMachine, SimulatedClock, SimulatedProxy
 from lapisgrade.lab.simulation.virtual_loop import SECOND
-from lapisgrade.policy.fleet import Attempt
+from lapisgrade.policy.attempt import Attempt
 
 PROXIES, SERVERS = 5, 4
 TENANT, KEY = "t", "key"
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -24,7 +24,7 @@
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import AttemptFinished, RequestReceived
 from lapisgrade.net.http import MessageParser
-from lapisgrade.policy.fleet import Attempt
+from lapisgrade.policy.attempt import Attempt
 
 if TYPE_CHECKING:
     from lapisgrade.lab.simulation.data_plane import DataPlane
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -1,4 +1,13 @@
-"""One customer's quota: its count on the counter, the lease, the local slice, and the counter's breaker."""
+"""One customer's quota at one limiter: the shared count, the lease, the local share, the rate limit.
+
+The customer's use is a decaying count on the counter service, which all limiters add to. A limiter leases
+some operations at a time from it, so that most are admitted without a call; it caches a refusal until the
+refill that it computed; and without an answer it admits by its local share of the quota.
+
+An operation's way through `Account.admit`:
+
+    rate limit -> lease -> cached refusal -> counter call (shared with all that wait) -> local share
+"""
 
 import math
 from collections.abc import Generator
@@ -16,302 +25,350 @@
     Spawn,
     WakeReason,
 )
+from lapisgrade.policy.counter_breaker import CounterBreaker
 from lapisgrade.rate import SECOND, DecayingSum, TokenBucket
 
-MAX_EPOCH_US = (
-    30 * SECOND
-)  # us a count's name lives for; short of the counter's longest life, and seldom renewed
-MAX_EPOCH_DECAYS = (
-    15  # lives that an epoch lasts at most; amounts grow e-fold in each, and the counter takes up to 1e9
-)
-COUNTER_TTL_US = 45 * SECOND  # us; outlives its epoch, so that a limiter that is late still finds the name
-RESPONSE_MARGIN_US = 6_000  # us before the hard stop; a few rounds of the host's clock
-MAX_LEASE_OPERATIONS = 50  # operations; the design's cap
-MAX_CONSECUTIVE_TIMEOUTS = 3  # unanswered calls in a row that open the breaker; the design's
-LEASE_DURATION_US = PROBE_INTERVAL_US = (
-    SECOND  # us; a lease's life, and between calls of an open breaker; the design's
+MAX_EPOCH_US = 30 * SECOND  # that one counter id is used; short of the counter's longest TTL, seldom renewed
+MAX_EPOCH_DECAYS = 15  # of `decay_us` in an epoch; amounts grow e-fold in each, and the counter takes 1e9
+COUNTER_TTL_US = 45 * SECOND  # outlives its epoch, so that a limiter that is late still finds the count
+RESPONSE_MARGIN_US = 6_000  # before an operation's deadline; a few rounds of the host's clock
+MAX_LEASE_OPERATIONS = 50  # the design's cap
+LEASE_DURATION_US = SECOND  # the design's
+LOCAL_SHARE_FACTOR = 1.5  # even shares of a quota admitted without the counter; the design's two overshoots
+IN_FLIGHT_MARGIN = (
+    0.8  # attempts under a cap; the others' are known in the mean only, and a wait costs little
 )
-MAX_CALL_RATE = 200.0  # calls a second that one limiter starts with, and never passes: one for each operation
-CALL_RATE_INCREASE = 0.03, 0.5  # of that pace, and calls a second, that an answered call adds to it
-CALL_RATE_DECREASE = (
-    0.7  # of the pace that unanswered ones leave: one in five or so is then unanswered in a crowd
-)
-CALL_BURST_S = 0.05  # s of the pace that may go out together; a counter's time-out or two
-LOCAL_SHARE_FACTOR = (
-    1.5  # even slices of a quota let in while the counter is silent; the design's two overshoots
-)
-IN_FLIGHT_MARGIN = 0.8  # hops under a cap; the others' are known in the mean only, and a wait costs little
-
-
-class CounterBreaker:
-    """The counter as this limiter sees it: a breaker for a silent one, a pace for a crowded one, as, asked
-    for more than it can count, it tells nobody anything (guards also against one that loses answers)."""
-
-    probe_interval_us = PROBE_INTERVAL_US
-
-    def __init__(self, there: bool) -> None:
-        self.is_available, self.consecutive_timeouts, self.next_probe_us, self.backed_off_us = there, 0, 0, 0
-        self.call_budget = TokenBucket(0, MAX_CALL_RATE, MAX_CALL_RATE * CALL_BURST_S, 1.0)
-
-    def try_acquire_call(self, now: int) -> bool:
-        """Whether a call may go out now; with the breaker open, one a while does."""
-        calls = self.call_budget.read(now)
-        if not self.is_available or (
-            calls < 1 if self.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS else now < self.next_probe_us
-        ):
-            return False
-        self.call_budget.set_level(now, calls - 1)
-        self.next_probe_us = now + self.probe_interval_us
-        return True
-
-    def record_reply(self, now: int, tally: CounterOutcome, sent: int) -> None:
-        calls, (share, more) = self.call_budget, CALL_RATE_INCREASE
-        calls.set_level(now, calls.read(now))
-        if tally is CounterOutcome.ADDED:
-            self.consecutive_timeouts, calls.rate_per_s = (
-                0,
-                min(MAX_CALL_RATE, calls.rate_per_s * (1 + share) + more),
-            )
-        elif sent > self.backed_off_us:  # those that were out together tell one thing
-            self.consecutive_timeouts, self.backed_off_us, calls.rate_per_s = (
-                self.consecutive_timeouts + 1,
-                now,
-                calls.rate_per_s * CALL_RATE_DECREASE,
-            )
-        calls.burst = max(1.0, calls.rate_per_s * CALL_BURST_S)
+EXPIRED_USE_RATIO = 0.01  # of the burst; a count below it is forgotten
+RESET_COUNT_RATIO = 0.99  # of our own use; a count below it, less the following, was reset
+RESET_COUNT_UNITS = 0.1
 
 
 class PendingOperation:
-    """An operation that waits for its account's call; `let_in` is the call's word, None for silence."""
+    """An operation that waits for its account's call of the counter."""
+
+    __slots__ = ("is_admitted", "is_counted", "is_resolved", "operation")
 
     def __init__(self, operation: Operation) -> None:
-        self.operation, self.is_resolved, self.is_admitted, self.is_counted = operation, False, None, False
+        """Create the record of an operation that begins to wait."""
+        self.operation = operation
+        self.is_resolved = False
+        self.is_admitted: bool | None = None  # None once resolved: the counter did not tell
+        self.is_counted = False  # it may have been counted by a call that was not answered
 
 
 class Account:
-    """One customer: what is known of its count, the lease, the local slice, ceiling share, open hops."""
+    """One customer at this limiter: its count, lease, local share, rate limit and attempts in flight."""
 
     lease_duration_us = LEASE_DURATION_US
 
-    def __init__(self, clock: Clock, counter: CounterBreaker, first: Operation, started: int) -> None:
-        now, plan, self.gateway_count = clock.now_us, first.plan, first.gateway_count
-        self.clock, self.counter_breaker, self.plan, self.customer = clock, counter, plan, first.customer
-        # What is taken counts 1/e after the time the store takes to fill, on the counter too.
+    def __init__(
+        self, clock: Clock, counter_breaker: CounterBreaker, first: Operation, started_us: int
+    ) -> None:
+        """Create the account of a customer's first operation here.
+
+        Args:
+            clock: The limiter's.
+            counter_breaker: The limiter's.
+            first: Says who the customer is, its plan, and over how many limiters it is spread.
+            started_us: When this limiter started.
+        """
+        plan = first.plan
+        self.gateway_count = first.gateway_count
+        self.clock = clock
+        self.counter_breaker = counter_breaker
+        self.plan = plan
+        self.customer = first.customer
+        # Use counts 1/e after the time that the bucket takes to fill, on the counter too.
         self.decay_us = max(SECOND, int(plan.burst / plan.rate * SECOND)) if plan.rate > 0 else SECOND
-        self._reset(now, plan)
+        self._reset(clock.now_us, plan)
         share = LOCAL_SHARE_FACTOR / self.gateway_count
-        self.local_bucket = TokenBucket(now, plan.rate * share, plan.burst * share, plan.burst * share)
-        # Split evenly, and empty when this limiter starts, whatever an earlier life spent (guards rule 5).
-        rate, burst = plan.rate_limit_per_s / self.gateway_count, plan.rate_limit_burst / self.gateway_count
+        local_burst = plan.burst * share
+        self.local_bucket = TokenBucket(clock.now_us, plan.rate * share, local_burst, local_burst)
+        # Split evenly, and empty at start, whatever the last incarnation spent (guards rule 5).
+        rate = plan.rate_limit_per_s / self.gateway_count
         if rate > 0:
-            self.rate_limit_bucket = TokenBucket(started, rate, burst, 0.0)
-
-    def _reset(self, now: int, plan: Plan) -> None:
-        self.bucket = TokenBucket(
-            now, plan.rate, plan.burst, plan.burst
-        )  # the quota's, as the totals tell it
-        self.epoch_us = min(MAX_EPOCH_US, MAX_EPOCH_DECAYS * self.decay_us)  # us that an epoch lasts
-        self.counter_id, self.epoch, self.last_read_us, self.leased_units, self.lease_expires_us = (
-            0,
-            -1,
-            0,
-            0.0,
-            0,
-        )
-        # The count as read; our part of it; what is to be added to it; what of our part is to be put back.
-        self.total_use, self.own_use, self.unreported, self.to_restore = (
-            DecayingSum(self.decay_us) for _ in range(4)
-        )
+            burst = plan.rate_limit_burst / self.gateway_count
+            self.rate_limit_bucket = TokenBucket(started_us, rate, burst, 0.0)
+
+    def _reset(self, now_us: int, plan: Plan) -> None:
+        """Begin with nothing known of the count."""
+        self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)  # the quota's, by the totals
+        self.epoch_us = min(MAX_EPOCH_US, MAX_EPOCH_DECAYS * self.decay_us)
+        self.counter_id = 0
+        self.epoch = -1  # -1: no call was made yet
+        self.last_read_us = 0  # when the count was last told; 0: never
+        self.leased_units = 0.0
+        self.lease_expires_us = 0
+        self.total_use = DecayingSum(self.decay_us)  # the count as last told, with what we added since
+        self.own_use = DecayingSum(self.decay_us)  # our part of it
+        self.unreported = DecayingSum(self.decay_us)  # what is to be added to it
+        self.to_restore = DecayingSum(self.decay_us)  # what of our part a new count has not got yet
         self.rate_limit_bucket = TokenBucket(0, 0.0, math.inf, math.inf)
-        self.in_flight, self.is_calling, self.last_used_us = 0, False, now
+        self.in_flight = 0
+        self.is_calling = False
+        self.last_used_us = now_us
         self.pending: list[PendingOperation] = []
 
-    def has_capacity(self, units: float, lasts: float) -> bool:
-        """Whether the cap on open hops leaves a slot, beside what the others likely have out by their use."""
-        now = self.clock.now_us
-        others = max(0.0, self.total_use.read(now) - self.own_use.read(now)) * lasts / self.decay_us / units
-        return (
-            not self.plan.max_in_flight
-            or self.in_flight + others < self.plan.max_in_flight - IN_FLIGHT_MARGIN
-        )
+    def has_capacity(self, units: float, latency_us: float) -> bool:
+        """Whether the plan's cap on attempts in flight leaves room for one of so many units.
+
+        What other limiters have in flight is estimated from their use.
+        """
+        now_us = self.clock.now_us
+        others_use = max(0.0, self.total_use.read(now_us) - self.own_use.read(now_us))
+        others = others_use * latency_us / self.decay_us / units
+        cap = self.plan.max_in_flight
+        return not cap or self.in_flight + others < cap - IN_FLIGHT_MARGIN
 
-    def is_expired(self, now: int) -> bool:
+    def is_expired(self, now_us: int) -> bool:
         """Whether nothing is lost with it, as the counter has forgotten it too (guards memory)."""
-        out = (
-            self.in_flight
-            or self.pending
-            or self.is_calling
-            or self.rate_limit_bucket.read(now) < self.rate_limit_bucket.burst
-        )
-        return (
-            not out
-            and now - self.last_used_us > COUNTER_TTL_US
-            and self.total_use.read(now) < 0.01 * self.plan.burst
-        )
-
-    def admit(self, op: Operation) -> Generator:
-        """Let the operation in (None), or tell how long until there may be room for it."""
-        now, units = self.clock.now_us, op.units
-        if self.rate_limit_bucket.read(now) < units:
-            return self.rate_limit_bucket.wait_us(now, units)
-        if self.plan.rate <= 0:
-            return self.consume(now, units)
-        if self.lease_expires_us <= now and self.leased_units:
-            self.unreported.add(now, -self.leased_units)  # the next call gives the leftover back
-            self.leased_units = 0.0
-        if self.leased_units >= units:
-            self.leased_units -= units
-            return self.consume(now, units)
-        if self.bucket.read(now) < units:
-            return self.bucket.wait_us(now, units)  # a cached refusal, until the refill that was computed
-        if not self.may_wait_for_counter(now):
-            return self.admit_locally(now, units)
-        waiting = PendingOperation(op)
-        self.pending.append(waiting)
+        if self.in_flight or self.pending or self.is_calling:
+            return False
+        if self.rate_limit_bucket.read(now_us) < self.rate_limit_bucket.burst:
+            return False
+        if now_us - self.last_used_us <= COUNTER_TTL_US:
+            return False
+        return self.total_use.read(now_us) < EXPIRED_USE_RATIO * self.plan.burst
+
+    # ---- admission
+
+    def admit(self, operation: Operation) -> Generator:
+        """Admit an operation, or say when it may be.
+
+        Returns:
+            None if it is admitted; else the us until there may be capacity for it.
+        """
+        now_us, units = self.clock.now_us, operation.units
+        if self.rate_limit_bucket.read(now_us) < units:
+            return self.rate_limit_bucket.wait_us(now_us, units)
+        if self.plan.rate <= 0 or self._take_from_lease(now_us, units):
+            return self.consume(now_us, units)
+        if self.bucket.read(now_us) < units:
+            return self.bucket.wait_us(now_us, units)  # a cached refusal
+        if not self.may_wait_for_counter(now_us):
+            return self.admit_locally(now_us, units)
+        pending = PendingOperation(operation)
+        self.pending.append(pending)
         if not self.is_calling:
             self.is_calling = True
             yield Spawn(self.run_counter_calls())
-        while not waiting.is_resolved:
-            word = yield Sleep(op.deadline_us - RESPONSE_MARGIN_US)
-            if word is not WakeReason.RESUMED and not waiting.is_resolved:
-                self.pending.remove(waiting)
-                return 0  # the client has left, or is about to
-        now = self.clock.now_us
-        if waiting.is_admitted is None:
-            # A silent call was mostly counted: it goes in, or is taken back (guards against counting twice).
-            return self.admit_locally(now, units, waiting.is_counted)
-        if not waiting.is_admitted:
-            return self.bucket.wait_us(now, units)
-        if self.rate_limit_bucket.read(now) < units:
-            self.unreported.add(now, -units)
-            return self.rate_limit_bucket.wait_us(now, units)
-        return self.consume(now, units)
-
-    def may_wait_for_counter(self, now: int) -> bool:
-        """Whether an operation waits for the counter's word: a call is out, or may go out now."""
-        return self.is_calling or self.counter_breaker.try_acquire_call(now)
-
-    def consume(self, now: int, units: float, alone: bool = False) -> None:
-        level = self.local_bucket.read(now) - units
-        self.local_bucket.set_level(now, level if alone else max(0.0, level))
-        self.rate_limit_bucket.set_level(now, self.rate_limit_bucket.read(now) - units)
-
-    def admit_locally(self, now: int, units: float, counted: bool = False) -> int | None:
-        """No word from the counter: the local slice decides, and the count is told later."""
-        # A full slice lets in any one, and owes the rest (guards calm customers of very many limiters).
-        needs, room, rate = (
-            min(units, self.local_bucket.burst),
-            self.local_bucket.read(now),
-            self.local_bucket.rate_per_s,
-        )
-        if self.last_read_us and self.counter_breaker.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS:
-            # It is crowded, not gone: what it told of late, with the others' use as it was, says more.
-            count, own = max(self.total_use.read(now), 1e-9), self.own_use.read(now)
-            share = min(1.0, LOCAL_SHARE_FACTOR * max(1 / self.gateway_count, own / count))
-            needs, rate = min(units, self.plan.burst * share), self.plan.rate * share
-            room = min(
-                self.plan.burst, self.unclamped_level(now) - self.estimated_use_of_others(now)
-            ) * share - self.unreported.read(now)
-        let_in = room >= needs
-        if let_in != counted and self.counter_breaker.is_available:
-            self.unreported.add(now, units if let_in else -units)
-        return self.consume(now, units, alone=True) if let_in else math.ceil((needs - room) / rate * SECOND)
-
-    def unclamped_level(self, now: int) -> float:
-        return self.bucket.level + self.plan.rate * (now - self.bucket.updated_us) / SECOND
-
-    def estimated_use_of_others(self, now: int) -> float:
-        """What the others take since the last look, at the pace that the count told of then."""
-        lives = (now - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
-        return (
-            max(0.0, self.total_use.read(now) - self.own_use.read(now))
-            * math.exp(min(MAX_EPOCH_DECAYS, lives))
-            * lives
-        )
+        while not pending.is_resolved:
+            reason = yield Sleep(operation.deadline_us - RESPONSE_MARGIN_US)
+            if reason is not WakeReason.RESUMED and not pending.is_resolved:
+                self.pending.remove(pending)
+                return 0  # the client has gone, or is about to
+        return self._admit_by_reply(pending)
+
+    def _take_from_lease(self, now_us: int, units: float) -> bool:
+        if self.lease_expires_us <= now_us and self.leased_units:
+            self.unreported.add(now_us, -self.leased_units)  # the next call gives the rest back
+            self.leased_units = 0.0
+        if self.leased_units < units:
+            return False
+        self.leased_units -= units
+        return True
+
+    def _admit_by_reply(self, pending: PendingOperation) -> int | None:
+        """Admit or refuse an operation that waited for the counter, by what the counter told."""
+        now_us, units = self.clock.now_us, pending.operation.units
+        if pending.is_admitted is None:
+            # A call that timed out was mostly counted: the operation is admitted, or its units are given
+            # back (guards against counting twice).
+            return self.admit_locally(now_us, units, pending.is_counted)
+        if not pending.is_admitted:
+            return self.bucket.wait_us(now_us, units)
+        if self.rate_limit_bucket.read(now_us) < units:
+            self.unreported.add(now_us, -units)
+            return self.rate_limit_bucket.wait_us(now_us, units)
+        return self.consume(now_us, units)
+
+    def may_wait_for_counter(self, now_us: int) -> bool:
+        """Whether an operation waits for the counter: a call is in flight, or may be made now."""
+        return self.is_calling or self.counter_breaker.try_acquire_call(now_us)
+
+    def consume(self, now_us: int, units: float, is_local: bool = False) -> None:
+        """Take an admitted operation's units; `is_local`: admitted without the counter."""
+        level = self.local_bucket.read(now_us) - units
+        self.local_bucket.set_level(now_us, level if is_local else max(0.0, level))
+        self.rate_limit_bucket.set_level(now_us, self.rate_limit_bucket.read(now_us) - units)
+
+    def admit_locally(self, now_us: int, units: float, is_counted: bool = False) -> int | None:
+        """Admit or refuse by the local share, as the counter does not tell; it is told later.
+
+        Args:
+            now_us: The present time.
+            units: What the operation takes.
+            is_counted: Whether the counter has likely counted it already.
+
+        Returns:
+            None if it is admitted; else the us until there may be capacity for it.
+        """
+        if self.last_read_us and not self.counter_breaker.is_open:
+            required, available, rate = self._share_of_last_total(now_us, units)
+        else:
+            # A full share admits any one, and owes the rest (guards calm customers of very many limiters).
+            required = min(units, self.local_bucket.burst)
+            available = self.local_bucket.read(now_us)
+            rate = self.local_bucket.rate_per_s
+        is_admitted = available >= required
+        if is_admitted != is_counted and self.counter_breaker.is_available:
+            self.unreported.add(now_us, units if is_admitted else -units)
+        if is_admitted:
+            return self.consume(now_us, units, is_local=True)
+        return math.ceil((required - available) / rate * SECOND)
+
+    def _share_of_last_total(self, now_us: int, units: float) -> tuple[float, float, float]:
+        """What is required, what is available and its rate, by the total that was last told.
+
+        The counter is overloaded, not gone: its last total, with the others' use as it was, says more than
+        an even share.
+        """
+        total, own = max(self.total_use.read(now_us), 1e-9), self.own_use.read(now_us)
+        share = min(1.0, LOCAL_SHARE_FACTOR * max(1 / self.gateway_count, own / total))
+        required = min(units, self.plan.burst * share)
+        left = self.unclamped_level(now_us) - self.estimated_use_of_others(now_us)
+        available = min(self.plan.burst, left) * share - self.unreported.read(now_us)
+        return required, available, self.plan.rate * share
+
+    def unclamped_level(self, now_us: int) -> float:
+        """The bucket's level, as if it had no burst."""
+        return self.bucket.level + self.plan.rate * (now_us - self.bucket.updated_us) / SECOND
+
+    def estimated_use_of_others(self, now_us: int) -> float:
+        """What other limiters used since the count was last told, at the rate that it told of."""
+        decays = (now_us - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
+        others = max(0.0, self.total_use.read(now_us) - self.own_use.read(now_us))
+        return others * math.exp(min(MAX_EPOCH_DECAYS, decays)) * decays
+
+    # ---- calls of the counter
 
     def run_counter_calls(self) -> Generator:
-        """One call at a time; all that arrive meanwhile share it."""
+        """Call the counter, one call at a time, until no operation waits; all that wait share a call."""
         while self.pending:
-            units = self.pending[0].operation.units
-            room = self.bucket.read(self.clock.now_us) if self.epoch >= 0 else 0.0
-            want = min(MAX_LEASE_OPERATIONS, max(1, int(room / (2 * self.gateway_count * units)))) * units
-            answer = yield from self.add_to_counter(want)
-            now = self.clock.now_us
-            if answer is not CounterOutcome.ADDED:
-                if answer is CounterOutcome.TIMED_OUT:
-                    self.unreported.add(now, units - want)
-                for waiting in self.pending:
-                    waiting.is_resolved, waiting.is_counted = (
-                        True,
-                        answer is CounterOutcome.TIMED_OUT and waiting is self.pending[0],
-                    )
-                    yield Resume(waiting.operation)
-                self.pending.clear()
+            first_units = self.pending[0].operation.units
+            requested = self._units_to_request(first_units)
+            outcome = yield from self.add_to_counter(requested)
+            if outcome is not CounterOutcome.ADDED:
+                yield from self._resolve_without_counter(first_units - requested, outcome)
                 break
-            short = min(want, max(0.0, -self.bucket.level))
-            granted = want - short
-            while self.pending and self.pending[0].operation.units <= granted:
-                waiting = self.pending.pop(0)
-                granted -= waiting.operation.units
-                waiting.is_resolved = waiting.is_admitted = True
-                yield Resume(waiting.operation)
-            if short:
-                self.bucket.level += short
-                while self.pending and self.pending[0].operation.units > self.bucket.read(now):
-                    waiting = self.pending.pop(0)
-                    waiting.is_resolved, waiting.is_admitted = True, False
-                    yield Resume(waiting.operation)
-                self.bucket.level -= short
-                yield from self.add_to_counter(-short - granted)
-            elif granted:
-                self.leased_units, self.lease_expires_us = (
-                    self.leased_units + granted,
-                    now + self.lease_duration_us,
-                )
+            yield from self._resolve_by_total(requested)
         self.is_calling = False
 
+    def _units_to_request(self, units: float) -> float:
+        """A lease on a part of what is left, in operations of so many units; at least one."""
+        level = self.bucket.read(self.clock.now_us) if self.epoch >= 0 else 0.0
+        operations = max(1, int(level / (2 * self.gateway_count * units)))
+        return min(MAX_LEASE_OPERATIONS, operations) * units
+
+    def _resolve_without_counter(self, correction: float, outcome: CounterOutcome) -> Generator:
+        """Let all that wait be admitted locally; `correction`: of what a call that timed out likely added."""
+        is_timeout = outcome is CounterOutcome.TIMED_OUT
+        if is_timeout:
+            self.unreported.add(self.clock.now_us, correction)
+        for pending in self.pending:
+            pending.is_resolved = True
+            pending.is_counted = is_timeout and pending is self.pending[0]
+            yield Resume(pending.operation)
+        self.pending.clear()
+
+    def _resolve_by_total(self, requested: float) -> Generator:
+        """Grant what the total leaves of the request; lease the rest, or give it back."""
+        now_us = self.clock.now_us
+        missing = min(requested, max(0.0, -self.bucket.level))
+        granted = requested - missing
+        while self.pending and self.pending[0].operation.units <= granted:
+            pending = self.pending.pop(0)
+            granted -= pending.operation.units
+            yield self._resolve(pending, is_admitted=True)
+        if missing:
+            self.bucket.level += missing
+            while self.pending and self.pending[0].operation.units > self.bucket.read(now_us):
+                yield self._resolve(self.pending.pop(0), is_admitted=False)
+            self.bucket.level -= missing
+            yield from self.add_to_counter(-missing - granted)
+        elif granted:
+            self.leased_units += granted
+            self.lease_expires_us = now_us + self.lease_duration_us
+
+    @staticmethod
+    def _resolve(pending: PendingOperation, is_admitted: bool) -> Resume:
+        pending.is_resolved = True
+        pending.is_admitted = is_admitted
+        return Resume(pending.operation)
+
     def add_to_counter(self, units: float) -> Generator:
-        """Add to the count, with what is owed, and bring the store up to date from the total."""
-        now = self.clock.now_us
-        if now // self.epoch_us != self.epoch:
-            self.epoch = now // self.epoch_us
-            digest = blake2b(f"{self.customer} {self.epoch}".encode(), digest_size=8).digest()
-            self.counter_id = int.from_bytes(digest, "big") >> 1
-            self.to_restore.add(
-                now, self.own_use.read(now) - self.to_restore.read(now)
-            )  # each puts its own part back
-        # What is put back was taken before, and is no new use; what is owed is new to all.
-        new, back = units + self.unreported.read(now), self.to_restore.read(now)
-        self.unreported.value = self.to_restore.value = 0.0
-        started, sent = self.epoch * self.epoch_us, now
-        got: CounterReply = yield AddToCounter(
-            self.counter_id, (new + back) * math.exp((sent - started) / self.decay_us), COUNTER_TTL_US
-        )
-        now = self.clock.now_us
-        self.counter_breaker.record_reply(now, got.outcome, sent)
-        if got.outcome is CounterOutcome.REJECTED:
-            self.unreported.add(now, new - units)
-            self.to_restore.add(now, back)
-            return got.outcome
-        new, back = (each * math.exp((sent - now) / self.decay_us) for each in (new, back))
-        # A silent call was mostly counted: what it carried is taken, and what we know holds.
-        before, level = self.total_use.read(now), self.unclamped_level(now)
-        if got.outcome is CounterOutcome.ADDED:
-            known, before = before, got.total * math.exp((started - now) / self.decay_us) - new
-            if before < 0.99 * self.own_use.read(now) - 0.1:
-                started = now  # the count was emptied, but for this
-                self.to_restore.add(now, self.own_use.read(now) - back)
-            # Of the others' use since our last look a part is forgotten: taken as even it was so much more
-            # (guards against a leak that grows with the limiters). A count emptied, or not yet put back, says
-            # less than we know: then they went on as before. A store surely holds what the count leaves.
-            lives = (now - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
-            forgot = lives / -math.expm1(-lives) if lives > 0 else 1.0
-            others = (before - known) * forgot
-            if before < known:
-                others = self.estimated_use_of_others(now) if self.last_read_us < started else 0.0
-                before = known + others / forgot
-            level, self.last_read_us = max(level - others, self.plan.burst - before), now
-        self.bucket.set_level(now, min(self.plan.burst, level) - new)
-        self.total_use.value = before + new
-        self.own_use.add(now, new)
-        return got.outcome
+        """Add to the count, with what is unreported, and bring the bucket up to date from the total.
+
+        Returns:
+            The `CounterOutcome`.
+        """
+        sent_us = self.clock.now_us
+        self._enter_epoch(sent_us)
+        # What is restored was used before, and is no new use; what is unreported is new to all.
+        added = units + self.unreported.read(sent_us)
+        restored = self.to_restore.read(sent_us)
+        self.unreported.value = 0.0
+        self.to_restore.value = 0.0
+        epoch_start_us = self.epoch * self.epoch_us
+        growth = math.exp((sent_us - epoch_start_us) / self.decay_us)
+        reply: CounterReply = yield AddToCounter(self.counter_id, (added + restored) * growth, COUNTER_TTL_US)
+        now_us = self.clock.now_us
+        self.counter_breaker.record_reply(now_us, reply.outcome, sent_us)
+        if reply.outcome is CounterOutcome.REJECTED:
+            self.unreported.add(now_us, added - units)
+            self.to_restore.add(now_us, restored)
+            return reply.outcome
+        decay = math.exp((sent_us - now_us) / self.decay_us)
+        added *= decay
+        restored *= decay
+        # A call that timed out was mostly counted: what it carried is taken, and what was known holds.
+        use, level = self.total_use.read(now_us), self.unclamped_level(now_us)
+        if reply.outcome is CounterOutcome.ADDED:
+            use = reply.total * math.exp((epoch_start_us - now_us) / self.decay_us) - added
+            use, level = self._apply_total(now_us, use, level, restored, epoch_start_us)
+        self.bucket.set_level(now_us, min(self.plan.burst, level) - added)
+        self.total_use.value = use + added
+        self.own_use.add(now_us, added)
+        return reply.outcome
+
+    def _enter_epoch(self, now_us: int) -> None:
+        """Use another counter id in each epoch; every limiter restores its own part of the count there."""
+        if now_us // self.epoch_us == self.epoch:
+            return
+        self.epoch = now_us // self.epoch_us
+        digest = blake2b(f"{self.customer} {self.epoch}".encode(), digest_size=8).digest()
+        self.counter_id = int.from_bytes(digest, "big") >> 1
+        self.to_restore.add(now_us, self.own_use.read(now_us) - self.to_restore.read(now_us))
+
+    def _apply_total(
+        self, now_us: int, use: float, level: float, restored: float, counting_since_us: int
+    ) -> tuple[float, float]:
+        """Compute use and bucket level from a total.
+
+        Args:
+            now_us: The present time.
+            use: The use that the total tells, without what the call added.
+            level: The bucket's level by what was known before.
+            restored: What the call restored of our part.
+            counting_since_us: The start of the count's epoch.
+
+        Returns:
+            The use of all limiters and the bucket's level, both without what the call added.
+        """
+        known = self.total_use.read(now_us)
+        if use < RESET_COUNT_RATIO * self.own_use.read(now_us) - RESET_COUNT_UNITS:
+            counting_since_us = now_us  # the count was reset, but for this call
+            self.to_restore.add(now_us, self.own_use.read(now_us) - restored)
+        # Of the others' use since the last total a part has decayed: as if it was even, it was so much more
+        # (guards against a leak that grows with the limiters). A count that was reset, or is not restored
+        # yet, says less than is known: then the others went on as before. The bucket surely holds what the
+        # count leaves.
+        decays = (now_us - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
+        decayed = decays / -math.expm1(-decays) if decays > 0 else 1.0
+        others = (use - known) * decayed
+        if use < known:
+            has_lost_use = self.last_read_us < counting_since_us
+            others = self.estimated_use_of_others(now_us) if has_lost_use else 0.0
+            use = known + others / decayed
+        self.last_read_us = now_us
+        return use, max(level - others, self.plan.burst - use)
--- /dev/null
+++ b/lapisgrade/policy/latency.py
@@ -0,0 +1,52 @@
+"""How long attempts of one kind take, by those of late."""
+
+import math
+
+from lapisgrade.rate import SECOND, DecayingSum
+
+LATENCY_DECAY_US = 12 * SECOND  # how long a latency is remembered, some dozens of attempts a server
+LATENCY_PRIOR_WEIGHT = 4  # attempts; weight of what is assumed before any was seen
+PRIOR_DEVIATION_SQUARED = 2  # the assumed mean square of latencies, in squares of their mean
+MIN_DEVIATION_SQUARED = 4  # the variance is at least the square of the mean by this
+UNITS_LATENCY_SHARE = 0.5  # the part of an attempt's latency that is taken to grow with its units
+
+
+class LatencyEstimate:
+    """Mean and deviation of the latencies of one category or route, in us."""
+
+    __slots__ = ("_attempts", "_initial_us", "_latencies", "_squares", "_units")
+
+    def __init__(self, initial_us: float) -> None:
+        """Create an estimate that is taken to be `initial_us` until attempts tell more."""
+        self._initial_us = initial_us
+        self._latencies = DecayingSum(LATENCY_DECAY_US)
+        self._squares = DecayingSum(LATENCY_DECAY_US)
+        self._attempts = DecayingSum(LATENCY_DECAY_US)
+        self._units = DecayingSum(LATENCY_DECAY_US)
+
+    def add(self, now_us: int, latency_us: int, units: float) -> None:
+        """Record an attempt that succeeded."""
+        self._latencies.add(now_us, latency_us)
+        self._squares.add(now_us, latency_us * latency_us)
+        self._attempts.add(now_us, 1)
+        self._units.add(now_us, units)
+
+    def mean(self, now_us: int) -> float:
+        """The mean latency in us."""
+        total = self._latencies.read(now_us) + LATENCY_PRIOR_WEIGHT * self._initial_us
+        return total / (self._attempts.read(now_us) + LATENCY_PRIOR_WEIGHT)
+
+    def deviation(self, now_us: int) -> float:
+        """The standard deviation in us, at least half of the mean."""
+        mean = self.mean(now_us)
+        prior = LATENCY_PRIOR_WEIGHT * PRIOR_DEVIATION_SQUARED * mean * mean
+        square = (self._squares.read(now_us) + prior) / (self._attempts.read(now_us) + LATENCY_PRIOR_WEIGHT)
+        return math.sqrt(max(square - mean * mean, mean * mean / MIN_DEVIATION_SQUARED))
+
+    def expected(self, now_us: int, units: float) -> float:
+        """The expected latency in us of an attempt that takes so many units."""
+        typical_units = (self._units.read(now_us) + units) / (self._attempts.read(now_us) + 1)
+        if typical_units <= 0:
+            return self.mean(now_us)
+        fixed_share = 1 - UNITS_LATENCY_SHARE
+        return self.mean(now_us) * (fixed_share + UNITS_LATENCY_SHARE * units / typical_units)
--- a/tests/gateway/routing/test_balancer.py
+++ b/tests/gateway/routing/test_balancer.py
@@ -3,11 +3,11 @@
 import unittest
 from random import Random
 
-from lapisgrade.policy.fleet import Attempt
 from lapisgrade.gateway import SECOND, registry
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.routing.balancer import UpstreamCluster
 from lapisgrade.interface import AttemptOutcome, AttemptResult
+from lapisgrade.policy.attempt import Attempt
 
 MS = 1_000
 
--- a/tests/lab/fleet/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -12,7 +12,8 @@
 from lapisgrade.lab.emulator.world import World
 from lapisgrade.lab.fleet import checker, ground, history
 from lapisgrade.lab.quota import Bound
-from lapisgrade.policy.account import LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US
+from lapisgrade.policy.account import LOCAL_SHARE_FACTOR
+from lapisgrade.policy.counter_breaker import PROBE_INTERVAL_US
 
 BASE = """
 [run]
--- a/tests/net/test_front.py
+++ b/tests/net/test_front.py
@@ -136,7 +136,7 @@
         left = [kept[0], *kept[5:], *more]
         for each in site.backends:
             each.manner = 0.3
-        site.service.host.module.server_pool.limit = 99.0
+        site.service.host.module.server_pool.concurrency.value = 99.0
         site.service.host.pool.most = 8
         for i, (_, writer) in enumerate(left):
             writer.write(site.request("burn", f"{i}"))
@@ -198,7 +198,9 @@
         assert [(await site.ask(kind, kind))[0] for kind in ("look", "file", "burn")] == [400] * 3
         assert [len(site.sent(kind)) for kind in ("look", "file", "burn")] == [1] * 3
         fleet = site.service.host.module.server_pool
-        assert not fleet.in_flight and all(each.health(0, 1.0) == 1.0 for each in fleet.servers.values())
+        assert not fleet.concurrency.in_flight and all(
+            each.health(0, 1.0) == 1.0 for each in fleet.servers.values()
+        )
 
 
 @on_loopback
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -4,7 +4,7 @@
 from support.limiter_simulation import PLANS, SECOND, World
 
 from lapisgrade.interface import AttemptOutcome, AttemptResult, CounterOutcome
-from lapisgrade.policy.account import CounterBreaker
+from lapisgrade.policy.counter_breaker import CounterBreaker
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -167,7 +167,10 @@
     world.arrive(0, plan=3)
     world.run(world.now + SECOND)
     gate = world.gates[0]
-    gate.module.counter_breaker.try_acquire_call, gate.module.server_pool.limit = lambda now: False, 99.0
+    gate.module.counter_breaker.try_acquire_call, gate.module.server_pool.concurrency.value = (
+        lambda now: False,
+        99.0,
+    )
     for _ in range(12):
         world.arrive(0, plan=3)
     world.run(world.now + 2 * SECOND)
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -4,7 +4,8 @@
 from support.limiter_simulation import DUTIES, SECOND, World
 
 from lapisgrade.interface import AttemptOutcome, ServerEndpoint, ServerState
-from lapisgrade.policy.fleet import LATENCY_DECAY_US, SLOW_START_SHARE
+from lapisgrade.policy.latency import LATENCY_DECAY_US
+from lapisgrade.policy.slow_start import SLOW_START_SHARE
 
 READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
@@ -50,11 +51,11 @@
     """Found in two incidents: half the fleet went, and what had been out on it jammed the other half."""
     world = World(13, limiters=1, servers=6)
     fleet = world.gates[0].module.server_pool
-    before = fleet.limit
+    before = fleet.concurrency.value
     world.list(s0=GONE, s1=DRAINING, s2=GONE)
-    assert fleet.limit == pytest.approx(before / 2)
+    assert fleet.concurrency.value == pytest.approx(before / 2)
     world.list(s0=READY, s1=READY, s2=READY)
-    assert fleet.limit == pytest.approx(before / 2)
+    assert fleet.concurrency.value == pytest.approx(before / 2)
 
 
 def test_many_limiters_share_a_fleet_out_evenly():
@@ -125,7 +126,7 @@
         world.run(world.now + 20_000)
     at_once = sum(when < op.arrived_us + 20_000 for op, _, when in world.answers)
     world.run(world.now + 2 * SECOND)
-    assert world.gates[0].module.server_pool.limit < 2.5
+    assert world.gates[0].module.server_pool.concurrency.value < 2.5
     assert finished(world) >= 15
     assert at_once > 4  # the others would wait in vain, and are told so
 
@@ -137,12 +138,12 @@
     cold = ["s0", "s1", "s2"]
     world.list(**dict.fromkeys(cold, GONE))
     world.list(**dict.fromkeys(cold, READY))
-    fleet._completed_work.add(
+    fleet.slow_start.completed_work.add(
         world.now, 3 * LATENCY_DECAY_US
     )  # three servers' full work, as three warm ones carry
     server = fleet.servers["s0"]
     server.last_sent_us = world.now
-    fleet.has_slow_start_budget(server, world.now)
+    fleet.slow_start.has_budget(server, world.now, fleet.subset)
     even = (
         SLOW_START_SHARE * DUTIES.max_overload_factor * DUTIES.slow_start_initial_weight
     )  # of a warm one's work
