--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import api
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
 from lapisgrade.gateway.controller.replies import decode_draft_id, encode_error, encode_result
@@ -21,11 +22,13 @@
     StateMachine,
     encoded,
 )
+from lapisgrade.gateway.controller.status_report import status_report
 from lapisgrade.gateway.controller.watch_service import WatchService
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.three_way import Draft
+from lapisgrade.gateway.registry import ServerState
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
-from lapisgrade.gateway.settings import Address, Bad
+from lapisgrade.gateway.settings import Address
 
 DELIVER_DRAFT = "drafts.hand"  # a controller's own call: one of its stored drafts, to be merged
 
@@ -75,7 +78,7 @@
         handler = self._handlers.get(call, self._update_configuration)
         try:
             return await handler(of, body)
-        except Bad as error:
+        except InvalidInputError as error:
             return encode_error(HTTPStatus.BAD_REQUEST, str(error))
         except msgspec.MsgspecError:
             return encode_error(HTTPStatus.BAD_REQUEST, "not a draft")
@@ -91,7 +94,7 @@
 
     async def _heartbeat(self, of: str, body: bytes) -> ForwardCallReply:
         server, state = api.beat(of, body)
-        if state == "drain" and of not in self._state_machine.state.left:
+        if state == ServerState.DRAIN and of not in self._state_machine.state.left:
             # Must outlive this leader: the server ends some time after the reply.
             reply = await self.commit(ServerLeaving(of, False))
             if reply.status != HTTPStatus.OK:
@@ -123,7 +126,9 @@
         return ForwardCallReply(HTTPStatus.OK, state.conf)
 
     async def _show_status(self, of: str, body: bytes) -> ForwardCallReply:
-        status = self.watch_service.watch.status(self.clock(), self._state_machine.state)
+        watch = self.watch_service.watch
+        servers = list(watch.registry.servers.values())
+        status = status_report(self.clock(), self._state_machine.state, watch.proxies, servers)
         return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode({**status, **self._voter_status()}))
 
     def _voter_status(self) -> dict[str, object]:
