--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -5,7 +5,7 @@
 from lapisgrade.gateway.registry import ServerState
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.routing.upstream_server import REMOVED_STATES
-from lapisgrade.gateway.settings import address
+from lapisgrade.gateway.settings import parse_address
 
 SERVING_STATES = (ServerState.UP, ServerState.DRAIN)  # a draining server finishes what it has begun
 MAX_SERVERS = 4096  # servers beyond which those that are gone are forgotten
@@ -32,7 +32,7 @@
         self._router.update_servers(reply.servers, is_complete)
         self._pool.known(
             {
-                server.id: tuple(address(server.address)) if server.state in SERVING_STATES else None
+                server.id: tuple(parse_address(server.address)) if server.state in SERVING_STATES else None
                 for server in reply.servers
                 if server.address
             }
--- a/lapisgrade/lab/simulation/mutants.py
+++ b/lapisgrade/lab/simulation/mutants.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lapisgrade.lab.explore.defects import Defects
-from lapisgrade.gateway import configuration
+from lapisgrade.gateway import configuration_change
 from lapisgrade.gateway.consensus import membership, reconfiguration
 from lapisgrade.gateway.consensus.election import Election
 from lapisgrade.gateway.consensus.follower import Follower
@@ -119,7 +119,7 @@
 
 def _by_bytes(body: bytes) -> bytes:
     """The same change laid out in another way is another change."""
-    return configuration.blake2b(body, digest_size=16).digest()
+    return configuration_change.blake2b(body, digest_size=16).digest()
 
 
 async def _at_once(self: ConsensusDriver, data: bytes) -> Answer | None:
@@ -278,7 +278,7 @@
 ORDERS: Defects = {
     "digests-lost-in-snapshot": (StateMachine, "load", _not_remembered),
     "taken-on-any-base": (StateMachine, "_accept", _any_base),
-    "digest-of-the-bytes": (configuration, "digest", _by_bytes),
+    "digest-of-the-bytes": (configuration_change, "digest", _by_bytes),
     "confirmed-at-once": (ConsensusDriver, "propose", _at_once),
     "refused-while-unknown": (ConsensusDriver, "propose", _refuses_unknown),
     "taken-judged-anew": (StateMachine, "judge", _without_digest),
