--- a/tests/compatibility/test_recovery.py
+++ b/tests/compatibility/test_recovery.py
@@ -10,10 +10,12 @@
 import shutil
 import sys
 import time
-import unittest
+from collections.abc import AsyncIterator
 from pathlib import Path
 from typing import Any
 
+import pytest
+
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.local_cluster import LocalCluster
 from support.loopback_network import wait_for_loopback_network
@@ -56,29 +58,35 @@
     return program.returncode, printed.decode()
 
 
-class RecoveredCluster(unittest.IsolatedAsyncioTestCase):
-    async def asyncSetUp(self) -> None:
-        network = self.enterContext(wait_for_loopback_network(NET))
-        self.cluster = LocalCluster(net=network.number)
-        shutil.copytree(DATA / "stored" / "cluster", self.cluster.folder, dirs_exist_ok=True)
-        await self.enterAsyncContext(self.cluster)
-        self.ctl = "--ctl=" + ",".join(f"{host}:{port}" for host, port in self.cluster.ctl)
+@contextlib.asynccontextmanager
+async def recovered_cluster() -> AsyncIterator[LocalCluster]:
+    with wait_for_loopback_network(NET) as network:
+        cluster = LocalCluster(net=network.number)
+        shutil.copytree(DATA / "stored" / "cluster", cluster.folder, dirs_exist_ok=True)
+        async with cluster:
+            yield cluster
+
+
+def control_option(cluster: LocalCluster) -> str:
+    """The operators' option that names every controller."""
+    return "--ctl=" + ",".join(f"{host}:{port}" for host, port in cluster.ctl)
 
-    async def test_stored_configuration_and_drafts_come_into_force_and_are_shown_as_before(self):
-        cluster = self.cluster
+
+async def test_stored_configuration_and_drafts_come_into_force_and_are_shown_as_before():
+    async with recovered_cluster() as cluster:
         drafts = await call_until(
             cluster, "conf.drafts", lambda said: len(said["Drafts"]) == 2 and said["Leader"]
         )
-        self.assertEqual(list(drafts), ["Leader", "Newest", "Drafts"])
+        assert list(drafts) == ["Leader", "Newest", "Drafts"]
         merged = await call_until(
             cluster, "conf.drafts", lambda said: [each["State"] for each in said["Drafts"]] == ["stands"] * 2
         )
-        self.assertEqual([list(each) for each in merged["Drafts"]], [MERGED_DRAFT_KEYS] * 2)
-        self.assertEqual(sorted(each["By"] for each in merged["Drafts"]), ["amel", "badr"])
+        assert [list(each) for each in merged["Drafts"]] == [MERGED_DRAFT_KEYS] * 2
+        assert sorted(each["By"] for each in merged["Drafts"]) == ["amel", "badr"]
         _, shown = await call(cluster, "conf.show")
         claim = STORED["Ports"][0]["Policy"][1]
         claim["Action"]["Svc"], claim["Prio"] = "reparation", 4
-        self.assertEqual(shown, {**STORED, "Ver": 17})
+        assert shown == {**STORED, "Ver": 17}
 
         await cluster.start_server("garantie")  # i-1, of which the stored log says that it is gone
         await cluster.start_server("garantie")
@@ -91,33 +99,31 @@
                 and said["InForce"] == 17
             ),
         )
-        self.assertEqual(list(status), STATUS_KEYS)
-        self.assertEqual((status["Newest"], status["InForce"]), (17, 17))
-        self.assertEqual([list(each) for each in status["Proxies"]], [PROXY_KEYS] * 3)
-        self.assertEqual([each["Name"] for each in status["Proxies"]], ["m1", "m2", "m3"])
-        self.assertEqual(
-            [[type(value) for value in each.values()] for each in status["Proxies"]],
-            [[str, str, str, str, bool, bool, int, int, int]] * 3,
-        )
-        self.assertEqual(status["Servers"], {"garantie": {"Up": 1, "Slots": 4}})
-        self.assertEqual([list(each) for each in status["Voters"]], [["Id", "At", "HeardMs"]] * 3)
-        self.assertEqual(
-            [each["Id"] for each in status["Voters"]], [f"first-127.{NET}.0.{i}" for i in (1, 2, 3)]
-        )
-        self.assertEqual([type(status["Leader"]), type(status["Term"])], [str, int])
-
-        code, printed = await run_command("status", self.ctl, "--json")
-        self.assertEqual(code, 0)
-        self.assertEqual(list(json.loads(printed)), STATUS_KEYS)
-        self.assertEqual([list(each) for each in json.loads(printed)["Proxies"]], [PROXY_KEYS] * 3)
-        code, printed = await run_command("drafts", self.ctl, "--json")
-        self.assertEqual(code, 0)
-        self.assertEqual(json.loads(printed), merged)
-        code, printed = await run_command("show", self.ctl)
-        self.assertEqual((code, json.loads(printed)), (0, shown))
-
-    async def test_draft_kept_without_a_leader_is_told_by_these_keys(self):
-        cluster = self.cluster
+        assert list(status) == STATUS_KEYS
+        assert (status["Newest"], status["InForce"]) == (17, 17)
+        assert [list(each) for each in status["Proxies"]] == [PROXY_KEYS] * 3
+        assert [each["Name"] for each in status["Proxies"]] == ["m1", "m2", "m3"]
+        assert [[type(value) for value in each.values()] for each in status["Proxies"]] == [
+            [str, str, str, str, bool, bool, int, int, int]
+        ] * 3
+        assert status["Servers"] == {"garantie": {"Up": 1, "Slots": 4}}
+        assert [list(each) for each in status["Voters"]] == [["Id", "At", "HeardMs"]] * 3
+        assert [each["Id"] for each in status["Voters"]] == [f"first-127.{NET}.0.{i}" for i in (1, 2, 3)]
+        assert [type(status["Leader"]), type(status["Term"])] == [str, int]
+
+        code, printed = await run_command("status", control_option(cluster), "--json")
+        assert code == 0
+        assert list(json.loads(printed)) == STATUS_KEYS
+        assert [list(each) for each in json.loads(printed)["Proxies"]] == [PROXY_KEYS] * 3
+        code, printed = await run_command("drafts", control_option(cluster), "--json")
+        assert code == 0
+        assert json.loads(printed) == merged
+        code, printed = await run_command("show", control_option(cluster))
+        assert (code, json.loads(printed)) == (0, shown)
+
+
+async def test_draft_kept_without_a_leader_is_told_by_these_keys():
+    async with recovered_cluster() as cluster:
         await call_until(
             cluster, "conf.drafts", lambda said: [each["State"] for each in said["Drafts"]] == ["stands"] * 2
         )
@@ -130,18 +136,19 @@
             while (await call(cluster, "conf.drafts"))[1]["Leader"]:
                 await asyncio.sleep(0.05)
         status, kept = await call(cluster, "conf.draft", body)
-        self.assertEqual((status, list(kept)), (202, ["Id", "Base", "Disks", "InForce"]))
-        self.assertEqual((kept["Base"], kept["Disks"], kept["InForce"]), (17, 1, False))
+        assert (status, list(kept)) == (202, ["Id", "Base", "Disks", "InForce"])
+        assert (kept["Base"], kept["Disks"], kept["InForce"]) == (17, 1, False)
         code, printed = await run_command(
-            "drafts", self.ctl.partition(",")[0].replace("0.1:", "0.3:"), "--json"
+            "drafts", control_option(cluster).partition(",")[0].replace("0.1:", "0.3:"), "--json"
         )
         drafts = json.loads(printed)
-        self.assertEqual((code, drafts["Leader"], drafts["Newest"]), (0, False, 17))
-        self.assertEqual([list(each) for each in drafts["Drafts"]], [KEPT_DRAFT_KEYS])
-        self.assertEqual(drafts["Drafts"][0]["Fields"], ["Pools/bilan"])
+        assert (code, drafts["Leader"], drafts["Newest"]) == (0, False, 17)
+        assert [list(each) for each in drafts["Drafts"]] == [KEPT_DRAFT_KEYS]
+        assert drafts["Drafts"][0]["Fields"] == ["Pools/bilan"]
+
 
-    async def test_refusals_are_told_by_these_keys(self):
-        cluster = self.cluster
+async def test_refusals_are_told_by_these_keys(subtests: pytest.Subtests):
+    async with recovered_cluster() as cluster:
         await call_until(cluster, "conf.show", lambda said: True)
         for name, body, status in (
             ("conf.nothing", None, 404),
@@ -149,11 +156,7 @@
             ("conf.settle", {"Id": "0123456789ab"}, 404),
             ("conf.update", {"Ver": 99, "Base": 1}, 412),
         ):
-            with self.subTest(call=name):
+            with subtests.test(call=name):
                 answer = await call(cluster, name, body)
-                self.assertEqual((answer[0], list(answer[1])), (status, ["Err"]))
-        self.assertEqual(await call(cluster, "servers.deregister&of=i-9"), (200, {}))
-
-
-if __name__ == "__main__":
-    unittest.main()
+                assert (answer[0], list(answer[1])) == (status, ["Err"])
+        assert await call(cluster, "servers.deregister&of=i-9") == (200, {})
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -1,15 +1,15 @@
 """`check conf`, `plan` and `loss`: each mistake has its message, its place and its remedy."""
 
 import asyncio
-import unittest
 
 import msgspec
+import pytest
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.cli import configuration_check
 from lapisgrade.gateway.cli.machine_loss import describe_loss
 from lapisgrade.gateway.cli.operator_client import OperatorClient
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.settings import Address
@@ -64,80 +64,89 @@
 ]
 
 
-class Checked(unittest.TestCase):
-    def test_every_kind_of_mistake_is_told_with_its_place_and_sent_nowhere(self) -> None:
-        for edit, words in WRONG:
-            wrong, minded = configuration_check.check_text(conf(edit))
-            self.assertTrue(wrong and words in " ".join(wrong), (words, wrong))
-            self.assertEqual(minded, [])
-            self.assertNotIn("key-of-sfax", " ".join(wrong))
-
-    def test_what_can_be_taken_but_may_be_meant_otherwise_is_minded(self) -> None:
-        self.assertEqual(configuration_check.check_text(msgspec.json.encode(CONF)), ([], []))
-        for edit, words in MINDED:
-            wrong, minded = configuration_check.check_text(conf(edit))
-            self.assertEqual(wrong, [], words)
-            self.assertIn(words, "\n".join(minded))
-
-    def test_mistakes_say_how_they_are_mended(self) -> None:
-        wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).update(Svc="nowhere")))
-        hint = "(name the service under Pools, or send the route to one that is there)"
-        self.assertEqual(wrong, [f"route r-claim: service 'nowhere' is not in Pools {hint}"])
-        wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).pop("Timeout")))
-        place = "$.Ports[0].Policy[1].Action.Timeout"
-        self.assertEqual(wrong, [f"required field missing @ {place} (it can't be left out)"])
-        for edit, words in WRONG[1:8]:
-            self.assertTrue(configuration_check.check_text(conf(edit))[0][0].endswith(")"), words)
-
-    def test_a_host_that_stands_twice_has_the_routes_of_both(self) -> None:
-        def twice(c: dict, rules: list) -> None:
-            c["Ports"] = [{"Vhost": "a.example", "Policy": [each]} for each in rules]
-
-        made = msgspec.json.decode(conf(twice))
-        table = configuration.Table(configuration.read(made))
-        self.assertEqual([table.route("a.example", f"/{each}/1").name for each in ("stock", "claim")],
-                         ["r-stock", "r-claim"])  # fmt: skip
-        later = configuration.updated(made, {"Ver": 2, "Del": {"Routes": ["r-none"]}})
-        self.assertEqual(len(later["Ports"][0]["Policy"]), 2)
-
-
-class OnASite(unittest.IsolatedAsyncioTestCase):
-    async def test_a_plan_says_what_then_happens(self) -> None:
-        async with serving_cluster() as site:
-            current, where = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
-            rule = {**SAMPLE["Ports"][0]["Policy"][1]}
-            rule["Action"] = {**rule["Action"], "Svc": "reparation"}
-            ports = [{"Vhost": "a.example", "Policy": [rule]}]
-            change = {"Upsert": {"Ports": ports, "Pools": [{"Name": "reparation"}]}}
-            lines = ["+ Pools/reparation", '  Routes/r-claim/Action/Svc: "garantie" -> "reparation"']
-            self.assertEqual(configuration_check.check_change(current, change, where["Servers"]),
-                             (lines, [], ["service reparation: no server is up"]))  # fmt: skip
-            self.assertEqual(await site.put({"Ver": 2, "Base": 1, **change}, "conf.update"), 200)
-            later, _ = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
-            self.assertEqual(configuration_check.describe_changes(current, later), lines)
-            rule["Action"] = {"Svc": "nowhere", "Timeout": "1s"}
-            self.assertEqual(len(configuration_check.check_change(current, change, where["Servers"])[1]), 1)
-
-
-class Lost(unittest.IsolatedAsyncioTestCase):
-    def client(self, site: LocalCluster) -> OperatorClient:
-        return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
-
-    async def test_what_is_told_of_a_loss_is_what_then_happens(self) -> None:
-        site = await self.enterAsyncContext(serving_cluster())
-        current, where = await self.client(site).fetch_newest()
+def test_every_kind_of_mistake_is_told_with_its_place_and_sent_nowhere() -> None:
+    for edit, words in WRONG:
+        wrong, minded = configuration_check.check_text(conf(edit))
+        assert wrong and words in " ".join(wrong), (words, wrong)
+        assert minded == []
+        assert "key-of-sfax" not in " ".join(wrong)
+
+
+def test_what_can_be_taken_but_may_be_meant_otherwise_is_minded() -> None:
+    assert configuration_check.check_text(msgspec.json.encode(CONF)) == ([], [])
+    for edit, words in MINDED:
+        wrong, minded = configuration_check.check_text(conf(edit))
+        assert wrong == [], words
+        assert words in "\n".join(minded)
+
+
+def test_mistakes_say_how_they_are_mended() -> None:
+    wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).update(Svc="nowhere")))
+    hint = "(name the service under Pools, or send the route to one that is there)"
+    assert wrong == [f"route r-claim: service 'nowhere' is not in Pools {hint}"]
+    wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).pop("Timeout")))
+    place = "$.Ports[0].Policy[1].Action.Timeout"
+    assert wrong == [f"required field missing @ {place} (it can't be left out)"]
+    for edit, words in WRONG[1:8]:
+        assert configuration_check.check_text(conf(edit))[0][0].endswith(")"), words
+
+
+def test_a_host_that_stands_twice_has_the_routes_of_both() -> None:
+    def twice(c: dict, rules: list) -> None:
+        c["Ports"] = [{"Vhost": "a.example", "Policy": [each]} for each in rules]
+
+    made = msgspec.json.decode(conf(twice))
+    table = configuration.Table(configuration.read(made))
+    assert [table.route("a.example", f"/{each}/1").name for each in ("stock", "claim")] == [
+        "r-stock",
+        "r-claim",
+    ]
+    later = configuration.updated(made, {"Ver": 2, "Del": {"Routes": ["r-none"]}})
+    assert len(later["Ports"][0]["Policy"]) == 2
+
+
+async def test_a_plan_says_what_then_happens() -> None:
+    async with serving_cluster() as site:
+        current, where = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
+        rule = {**SAMPLE["Ports"][0]["Policy"][1]}
+        rule["Action"] = {**rule["Action"], "Svc": "reparation"}
+        ports = [{"Vhost": "a.example", "Policy": [rule]}]
+        change = {"Upsert": {"Ports": ports, "Pools": [{"Name": "reparation"}]}}
+        lines = ["+ Pools/reparation", '  Routes/r-claim/Action/Svc: "garantie" -> "reparation"']
+        assert configuration_check.check_change(current, change, where["Servers"]) == (
+            lines,
+            [],
+            ["service reparation: no server is up"],
+        )
+        assert await site.put({"Ver": 2, "Base": 1, **change}, "conf.update") == 200
+        later, _ = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
+        assert configuration_check.describe_changes(current, later) == lines
+        rule["Action"] = {"Svc": "nowhere", "Timeout": "1s"}
+        assert len(configuration_check.check_change(current, change, where["Servers"])[1]) == 1
+
+
+def client(site: LocalCluster) -> OperatorClient:
+    return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
+
+
+async def test_what_is_told_of_a_loss_is_what_then_happens() -> None:
+    async with serving_cluster() as site:
+        current, where = await client(site).fetch_newest()
         conf = configuration.read(current)
         keeper = owner_of("sfax", site.names)
         other = next(each for each in site.names if each != keeper)
         lines, goes_on = describe_loss(conf, where, [keeper])
-        self.assertEqual([goes_on, lines[0], lines[-1], "zone local: 2 of 3 proxies left" in lines],
-                         [True, "disks: 2 of 3 left: a majority, changes go on",
-                          "counts that others take over, dark for some 2 s: sfax", True])  # fmt: skip
-        self.assertFalse([line for line in describe_loss(conf, where, [other])[0] if "counts" in line])
+        assert [goes_on, lines[0], lines[-1], "zone local: 2 of 3 proxies left" in lines] == [
+            True,
+            "disks: 2 of 3 left: a majority, changes go on",
+            "counts that others take over, dark for some 2 s: sfax",
+            True,
+        ]
+        assert not [line for line in describe_loss(conf, where, [other])[0] if "counts" in line]
         lines, goes_on = describe_loss(conf, where, [keeper, other])
-        self.assertFalse(goes_on)
-        self.assertIn("no majority, nothing is acknowledged until one is back", lines[0])
-        with self.assertRaisesRegex(InvalidInputError, "no proxy of that name: m9"):
+        assert not goes_on
+        assert "no majority, nothing is acknowledged until one is back" in lines[0]
+        with pytest.raises(InvalidInputError, match="no proxy of that name: m9"):
             describe_loss(conf, where, ["m9"])
         for part in (site.controllers[keeper], site.proxies[keeper]):
             await site.kill(part)
@@ -147,6 +156,6 @@
         await site.until(
             lambda: all(keeper not in each.quota_owner.proxies for each in site.proxies.values())
         )
-        self.assertEqual(owner_of("sfax", site.proxies[other].quota_owner.eligible_owners) == keeper, False)
+        assert owner_of("sfax", site.proxies[other].quota_owner.eligible_owners) != keeper
         await site.kill(site.controllers[other])
-        self.assertEqual(await site.put({**change, "Ver": 3, "Base": 2}, "conf.update"), 0)
+        assert await site.put({**change, "Ver": 3, "Base": 2}, "conf.update") == 0
--- a/tests/gateway/cli/test_commands.py
+++ b/tests/gateway/cli/test_commands.py
@@ -6,23 +6,23 @@
 import json
 import os
 import sys
-import tempfile
-import unittest
+from pathlib import Path
 from unittest import mock
 
 import msgspec
+import pytest
 
-from lapisgrade.gateway import __main__ as program
+from lapisgrade.gateway import __main__ as main_module
 from lapisgrade.gateway.local_cluster import CTL
 from support.local_clusters import serving_cluster
 from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
 
 
-class Ran(unittest.TestCase):
+class Program:
     """The program as an operator runs it: words out, exit code."""
 
-    def setUp(self) -> None:
-        self.folder = self.enterContext(tempfile.TemporaryDirectory())
+    def __init__(self, tmp_path: Path) -> None:
+        self.folder = str(tmp_path)
 
     def write(self, name: str, data: bytes) -> str:
         path = os.path.join(self.folder, name)
@@ -34,30 +34,39 @@
         out, err = io.StringIO(), io.StringIO()
         argv = mock.patch("sys.argv", ["lapisgrade-gateway", *words])
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err), argv:
-            code = program.main()
+            code = main_module.main()
         return code, out.getvalue(), err.getvalue()
 
-    def test_check_conf(self) -> None:
-        good = self.write("good", msgspec.json.encode(CONF))
-        self.assertEqual(self.run_it("check", "conf", good), (0, "it can be taken\n", ""))
-        bad = self.write("bad", conf(lambda c, r: (action(r).update(Timeout="0s"), r[0].update(Mode="x"))))
-        code, out, _ = self.run_it("check", "conf", bad)
-        self.assertEqual((code, out.count("\n")), (1, 3), out)
-        short = self.write("short", msgspec.json.encode(CONF)[:-9])
-        self.assertEqual(self.run_it("check", "conf", short)[0], 1)
-        code, out, err = self.run_it("check", "conf", "/nowhere")
-        self.assertEqual((code, out, err.count("\n")), (2, "", 1))
-
-    def test_diff_of_two_files(self) -> None:
-        def edit(c: dict, rules: list) -> None:
-            rules[CLAIM]["Prio"] = 4
-            split(rules, garantie=9, b=1)
-            rules[STOCK]["Name"] = "r-new"
-            c["Pools"].append({"Name": "b"})
-            c["Tenants"][0]["Apikeys"] = ["another"]
-
-        one, two = self.write("one", msgspec.json.encode(CONF)), self.write("two", conf(edit))
-        self.assertEqual(self.run_it("diff", two, one), (1, """changes:
+
+@pytest.fixture
+def program(tmp_path: Path) -> Program:
+    return Program(tmp_path)
+
+
+def test_check_conf(program: Program) -> None:
+    good = program.write("good", msgspec.json.encode(CONF))
+    assert program.run_it("check", "conf", good) == (0, "it can be taken\n", "")
+    bad = program.write("bad", conf(lambda c, r: (action(r).update(Timeout="0s"), r[0].update(Mode="x"))))
+    code, out, _ = program.run_it("check", "conf", bad)
+    assert (code, out.count("\n")) == (1, 3), out
+    short = program.write("short", msgspec.json.encode(CONF)[:-9])
+    assert program.run_it("check", "conf", short)[0] == 1
+    code, out, err = program.run_it("check", "conf", "/nowhere")
+    assert (code, out, err.count("\n")) == (2, "", 1)
+
+
+def test_diff_of_two_files(program: Program) -> None:
+    def edit(c: dict, rules: list) -> None:
+        rules[CLAIM]["Prio"] = 4
+        split(rules, garantie=9, b=1)
+        rules[STOCK]["Name"] = "r-new"
+        c["Pools"].append({"Name": "b"})
+        c["Tenants"][0]["Apikeys"] = ["another"]
+
+    one, two = program.write("one", msgspec.json.encode(CONF)), program.write("two", conf(edit))
+    assert program.run_it("diff", two, one) == (
+        1,
+        """changes:
   + Pools/b
     Routes/r-claim/Action/Split: none -> []
     Routes/r-claim/Action/Split/b: none -> {"Wt":1}
@@ -68,25 +77,27 @@
   - Routes/r-stock
     Tenants/sfax/Apikeys/(a key): none -> true
     Tenants/sfax/Apikeys/(a key): true -> none
-""", ""))  # fmt: skip
-        self.assertEqual(self.run_it("diff", one, one), (0, "", ""))
+""",
+        "",
+    )
+    assert program.run_it("diff", one, one) == (0, "", "")
+
 
-    def test_what_can_t_be_reached_is_one_line_and_code_2(self) -> None:
-        one = self.write("one", msgspec.json.encode(CONF))
-        nobody = "--ctl=127.0.0.1:1"
-        calls = [("show",), ("status", "--json"), ("plan", one), ("diff", one), ("loss", "m1")]
-        for words in (*((*each, nobody) for each in calls), ("dump", "/nowhere"), ("dump", self.folder)):
-            code, out, err = self.run_it(*words)
-            self.assertEqual((code, out, err.count("\n")), (2, "", 1), err)
+def test_what_can_t_be_reached_is_one_line_and_code_2(program: Program) -> None:
+    one = program.write("one", msgspec.json.encode(CONF))
+    nobody = "--ctl=127.0.0.1:1"
+    calls = [("show",), ("status", "--json"), ("plan", one), ("diff", one), ("loss", "m1")]
+    for words in (*((*each, nobody) for each in calls), ("dump", "/nowhere"), ("dump", program.folder)):
+        code, out, err = program.run_it(*words)
+        assert (code, out, err.count("\n")) == (2, "", 1), err
 
 
-class Json(unittest.IsolatedAsyncioTestCase):
-    async def test_what_programs_read_is_json(self) -> None:
-        site = await self.enterAsyncContext(serving_cluster())
+async def test_what_programs_read_is_json() -> None:
+    async with serving_cluster() as site:
         where = f"--ctl={site.ip['m1']}:{CTL}"
         status = {"Newest", "InForce", "Proxies", "Servers", "Leader", "Term", "Voters"}
         for word, names in (("status", status), ("drafts", {"Leader", "Newest", "Drafts"})):
             words = (sys.executable, "-m", "lapisgrade.gateway", word, where, "--json")
             child = await asyncio.create_subprocess_exec(*words, stdout=asyncio.subprocess.PIPE)
             out, _ = await child.communicate()
-            self.assertEqual((child.returncode, set(json.loads(out))), (0, names))
+            assert (child.returncode, set(json.loads(out))) == (0, names)
--- a/tests/gateway/cli/test_demo.py
+++ b/tests/gateway/cli/test_demo.py
@@ -3,33 +3,30 @@
 import contextlib
 import functools
 import io
-import logging
-import unittest
-from unittest import mock
+
+import pytest
 
 from lapisgrade.gateway.cli import demo
 from lapisgrade.gateway.local_cluster import LocalCluster
-from support.loopback_network import reserve_loopback_network
+from support.loopback_network import LoopbackNetwork
 
 
-class Demonstration(unittest.IsolatedAsyncioTestCase):
-    def test_what_was_not_served_is_told_with_why_and_where(self) -> None:
-        load = demo.LoadResult()
-        load.add(0.25, "m2", TimeoutError())
-        load.add(0.5, "m1", TimeoutError())
-        self.assertEqual(load.failure_lines(), ["  not served: 2 with TimeoutError (no whole answer), "
-                                        "the first after 0.25 s at proxy m2"])  # fmt: skip
+def test_what_was_not_served_is_told_with_why_and_where() -> None:
+    load = demo.LoadResult()
+    load.add(0.25, "m2", TimeoutError())
+    load.add(0.5, "m1", TimeoutError())
+    assert load.failure_lines() == [
+        "  not served: 2 with TimeoutError (no whole answer), the first after 0.25 s at proxy m2"
+    ]
 
-    def setUp(self) -> None:
-        logging.disable(logging.WARNING)
-        self.addCleanup(logging.disable, logging.NOTSET)
 
-    async def test_the_demo_serves_all_five_times_over(self) -> None:
-        network = self.enterContext(reserve_loopback_network())
-        cluster = functools.partial(LocalCluster, net=network.number)
-        self.enterContext(mock.patch.object(demo, "LocalCluster", cluster))
-        for _ in range(5):
-            said: list[str] = []
-            with contextlib.redirect_stderr(io.StringIO()):
-                status = await demo.run_demo(1.0, said.append)
-            self.assertEqual(status, 0, "\n".join(said))
+async def test_the_demo_serves_all_five_times_over(
+    loopback_network: LoopbackNetwork, monkeypatch: pytest.MonkeyPatch, silent_logging: None
+) -> None:
+    cluster = functools.partial(LocalCluster, net=loopback_network.number)
+    monkeypatch.setattr(demo, "LocalCluster", cluster)
+    for _ in range(5):
+        said: list[str] = []
+        with contextlib.redirect_stderr(io.StringIO()):
+            status = await demo.run_demo(1.0, said.append)
+        assert status == 0, "\n".join(said)
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -2,12 +2,11 @@
 
 import json
 import os
-import tempfile
-import unittest
+from pathlib import Path
 
 import msgspec
+import pytest
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.disk_report import DiskReport
 from lapisgrade.gateway.consensus.messages import Entry
 from lapisgrade.gateway.consensus.records import EntriesRecord, HardState, Record, SnapshotRecord
@@ -20,17 +19,16 @@
     ServerLeaving,
     encoded,
 )
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.local_cluster import SAMPLE
 from lapisgrade.gateway.merge.three_way import drafted
 from lapisgrade.gateway.storage.log_store import LogStore
 from support.sample_configuration import CONF
 
 
-class Disk(unittest.TestCase):
-    maxDiff = None
-
-    def setUp(self) -> None:
-        self.folder = self.enterContext(tempfile.TemporaryDirectory())
+class StoredLog:
+    def __init__(self, tmp_path: Path) -> None:
+        self.folder = str(tmp_path)
         log_store = LogStore(self.folder)
         log_store.recover()
         change = encoded(Change(True, msgspec.json.encode(SAMPLE)))
@@ -50,35 +48,42 @@
         paths = [os.path.join(self.folder, each) for each in os.listdir(self.folder)]
         return {path: os.stat(path).st_mtime_ns for path in paths}
 
-    def test_what_is_on_it_is_told_and_nothing_is_written(self) -> None:
-        before = self.times()
-        found = DiskReport(self.folder)
-        self.assertEqual(found.summary(), [
-            "disk first, generation 1, 3 sound records",
-            "term 2; a snapshot up to entry 0 (version 0), 3 entries after it",
-            "voters: first at 10.0.0.1:7660",
-            "newest version 2, in force 0; servers that left 0, proxies in the list of live proxies 0",
-            f"draft {self.name} by amel: stands"])  # fmt: skip
-        self.assertEqual(json.loads(found.state_machine.state.conf)["Ports"][0]["Policy"][1]["Prio"], 9)
-        self.assertEqual(self.times(), before)
 
-    def test_the_history_says_what_each_entry_did_and_each_version_changed(self) -> None:
-        log_store = LogStore(self.folder)
-        old = [msgspec.msgpack.decode(each, type=Record) for each in log_store.recover()]
-        gone = {"Del": {"Routes": ["r-stock"]}}
-        late, again = ({"Ver": 4, "Base": 1, **gone}, {"Ver": 5, "Base": 2, **gone})
-        items = [*(Change(False, msgspec.json.encode(each)) for each in (late, again)), Activate(5)]
-        items += [ServerLeaving("i-1", False), ServerLeaving("i-1", True)]
-        items += [LiveProxies({name: ("p", "1", "z") for name in ("m1", "m2")}), CloseDraft("nobody")]
-        entries = [*old[0].entries, *old[2].entries]
-        entries += [Entry(4 + number, 2, encoded(each)) for number, each in enumerate(items)]
-        log_store.renew(msgspec.msgpack.encode(msgspec.structs.replace(old[0], entries=entries)))
-        log_store.close()
-        told = "\n".join(DiskReport(self.folder).history)
-        self.assertEqual(
-            told[told.index("entry 3") :],
-            f"""\
-entry 3, term 2: draft {self.name} by amel: merged as version 2
+@pytest.fixture
+def stored_log(tmp_path: Path) -> StoredLog:
+    return StoredLog(tmp_path)
+
+
+def test_what_is_on_it_is_told_and_nothing_is_written(stored_log: StoredLog) -> None:
+    before = stored_log.times()
+    found = DiskReport(stored_log.folder)
+    assert found.summary() == [
+        "disk first, generation 1, 3 sound records",
+        "term 2; a snapshot up to entry 0 (version 0), 3 entries after it",
+        "voters: first at 10.0.0.1:7660",
+        "newest version 2, in force 0; servers that left 0, proxies in the list of live proxies 0",
+        f"draft {stored_log.name} by amel: stands",
+    ]
+    assert json.loads(found.state_machine.state.conf)["Ports"][0]["Policy"][1]["Prio"] == 9
+    assert stored_log.times() == before
+
+
+def test_the_history_says_what_each_entry_did_and_each_version_changed(stored_log: StoredLog) -> None:
+    log_store = LogStore(stored_log.folder)
+    old = [msgspec.msgpack.decode(each, type=Record) for each in log_store.recover()]
+    gone = {"Del": {"Routes": ["r-stock"]}}
+    late, again = ({"Ver": 4, "Base": 1, **gone}, {"Ver": 5, "Base": 2, **gone})
+    items = [*(Change(False, msgspec.json.encode(each)) for each in (late, again)), Activate(5)]
+    items += [ServerLeaving("i-1", False), ServerLeaving("i-1", True)]
+    items += [LiveProxies({name: ("p", "1", "z") for name in ("m1", "m2")}), CloseDraft("nobody")]
+    entries = [*old[0].entries, *old[2].entries]
+    entries += [Entry(4 + number, 2, encoded(each)) for number, each in enumerate(items)]
+    log_store.renew(msgspec.msgpack.encode(msgspec.structs.replace(old[0], entries=entries)))
+    log_store.close()
+    told = "\n".join(DiskReport(stored_log.folder).history)
+    assert told[told.index("entry 3") :] == (
+        f"""\
+entry 3, term 2: draft {stored_log.name} by amel: merged as version 2
     Routes/r-claim/Prio: 1 -> 9
 entry 4, term 2: a change was refused: 412 version 2 is in force, not 1
 entry 5, term 2: version 5 on 2 was updated
@@ -87,21 +92,22 @@
 entry 7, term 2: server i-1 drains
 entry 8, term 2: server i-1 is gone
 entry 9, term 2: 2 proxies live: m1, m2
-entry 10, term 2: draft nobody: closed""",
-        )
-        put = "entry 1, term 1: voters: first\nentry 2, term 1: version 1 on 0 was put\n    Caps/BodyBytes: "
-        self.assertIn(put, told)
-        self.assertNotIn("key-of-sfax", told)
+entry 10, term 2: draft nobody: closed"""
+    )
+    put = "entry 1, term 1: voters: first\nentry 2, term 1: version 1 on 0 was put\n    Caps/BodyBytes: "
+    assert put in told
+    assert "key-of-sfax" not in told
+
 
-    def test_damage_is_told_and_a_torn_end_is_not_damage(self) -> None:
-        path = os.path.join(self.folder, "log-1.dat")
-        with open(path, "ab") as file:
-            file.write(b"LGD1 torn")
-        self.assertEqual(DiskReport(self.folder).record_count, 3)
-        with open(path, "r+b") as file:  # one bit of what was surely there
-            file.seek(40)
-            byte = file.read(1)
-            file.seek(40)
-            file.write(bytes([byte[0] ^ 1]))
-        with self.assertRaises(InvalidInputError):
-            DiskReport(self.folder)
+def test_damage_is_told_and_a_torn_end_is_not_damage(stored_log: StoredLog) -> None:
+    path = os.path.join(stored_log.folder, "log-1.dat")
+    with open(path, "ab") as file:
+        file.write(b"LGD1 torn")
+    assert DiskReport(stored_log.folder).record_count == 3
+    with open(path, "r+b") as file:  # one bit of what was surely there
+        file.seek(40)
+        byte = file.read(1)
+        file.seek(40)
+        file.write(bytes([byte[0] ^ 1]))
+    with pytest.raises(InvalidInputError):
+        DiskReport(stored_log.folder)
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -4,15 +4,15 @@
 import subprocess
 import sys
 import tempfile
-import unittest
 
 import msgspec
+import pytest
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.cli import tenants
 from lapisgrade.gateway.cli.operator_client import lagging_proxies
 from lapisgrade.gateway.cli.tenants import TenantClient, plan_onboarding
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.local_cluster import SAMPLE
 from support.local_clusters import serving_cluster
 
@@ -35,109 +35,107 @@
     return [{"Vhost": host, "Policy": [rule]}]
 
 
-class Planned(unittest.TestCase):
-    def test_what_will_change_is_told(self) -> None:
-        made = plan_onboarding(CURRENT, SERVERS, text())
-        self.assertEqual(
-            made.lines,
-            [
-                "tenant gabes: new, 1 keys, 40 a second and 20 on top",
-                "route r-gabes: gabes.example/ to garantie",
-            ],
-        )
-        self.assertEqual((made.objections, made.warnings), ([], ["service garantie: 40 a second within 0.4 s "
-                         "may take 16 slots at once, and it has 8"]))  # fmt: skip
-
-    def test_what_speaks_against_it(self) -> None:
-        for ticket, against in (
-            (text(Apikeys=["key-of-sfax"]), ["a key of the ticket is held by tenant sfax"]),
-            (text(Ports=routed("/stock/")), ["route r-new: r-stock has that prefix"]),
-            (
-                text(Ports=routed("/x/", name="r-claim")),
-                ["route r-claim is there already, at a.example"],
-            ),
-            (
-                text(Ports=routed("/x/", svc="nowhere")),
-                ["route r-new: service 'nowhere' is not in Pools"],
-            ),
-        ):
-            self.assertEqual(plan_onboarding(CURRENT, SERVERS, ticket).objections, against)
-
-    def test_what_is_to_be_minded(self) -> None:
-        quiet = {**TICKET, "RateS": 0}
-        for pfx, doubt in (
-            ("/stock/eu/", "route r-new takes from r-stock, whose prefix is shorter"),
-            ("/", "route r-new is hidden in part by r-stock"),
-        ):
-            made = plan_onboarding(CURRENT, SERVERS, msgspec.json.encode({**quiet, "Ports": routed(pfx)}))
-            self.assertIn(doubt, made.warnings)
-            self.assertEqual(made.objections, [])
-
-    def test_a_ticket_that_can_t_be_taken_says_where(self) -> None:
-        for ticket, word in (
-            (b"{", "not JSON"),
-            (b"[]", "a ticket is an object"),
-            (text(Apikeys=[]), "Apikeys: a tenant needs a key"),
-            (text(Quota=3), "unknown: Quota"),
-            (text(RateS=-1), "RateS"),
-            (text(Ports=routed("stock")), "does not begin with a slash"),
-        ):
-            with self.assertRaises(InvalidInputError) as got:
-                tenants.read_ticket(ticket)
-            self.assertIn(word, str(got.exception))
-
-    def test_who_holds_back_is_told_with_what_it_lacks(self) -> None:
-        one = {"Name": "c1", "Az": "z", "Held": 4, "InForce": 3, "HeardMs": 20}
-        told = {"Proxies": [one, {**one, "Name": "c2", "Held": 3, "HeardMs": 1900}, {**one, "InForce": 4}]}
-        self.assertEqual(
-            lagging_proxies(told, 4),
-            [
-                "c1: holds 4 ready, acts by 3, heard 20 ms ago",
-                "c2: last told of 3, acts by 3, heard 1900 ms ago",
-            ],
-        )
-
-
-class Applied(unittest.IsolatedAsyncioTestCase):
-    async def test_from_a_ticket_to_the_first_calls_and_back(self) -> None:
-        site, said = await self.enterAsyncContext(serving_cluster()), []
+def test_what_will_change_is_told() -> None:
+    made = plan_onboarding(CURRENT, SERVERS, text())
+    assert made.lines == [
+        "tenant gabes: new, 1 keys, 40 a second and 20 on top",
+        "route r-gabes: gabes.example/ to garantie",
+    ]
+    assert (made.objections, made.warnings) == (
+        [],
+        ["service garantie: 40 a second within 0.4 s may take 16 slots at once, and it has 8"],
+    )
+
+
+def test_what_speaks_against_it() -> None:
+    for ticket, against in (
+        (text(Apikeys=["key-of-sfax"]), ["a key of the ticket is held by tenant sfax"]),
+        (text(Ports=routed("/stock/")), ["route r-new: r-stock has that prefix"]),
+        (
+            text(Ports=routed("/x/", name="r-claim")),
+            ["route r-claim is there already, at a.example"],
+        ),
+        (
+            text(Ports=routed("/x/", svc="nowhere")),
+            ["route r-new: service 'nowhere' is not in Pools"],
+        ),
+    ):
+        assert plan_onboarding(CURRENT, SERVERS, ticket).objections == against
+
+
+def test_what_is_to_be_minded() -> None:
+    quiet = {**TICKET, "RateS": 0}
+    for pfx, doubt in (
+        ("/stock/eu/", "route r-new takes from r-stock, whose prefix is shorter"),
+        ("/", "route r-new is hidden in part by r-stock"),
+    ):
+        made = plan_onboarding(CURRENT, SERVERS, msgspec.json.encode({**quiet, "Ports": routed(pfx)}))
+        assert doubt in made.warnings
+        assert made.objections == []
+
+
+def test_a_ticket_that_can_t_be_taken_says_where() -> None:
+    for ticket, word in (
+        (b"{", "not JSON"),
+        (b"[]", "a ticket is an object"),
+        (text(Apikeys=[]), "Apikeys: a tenant needs a key"),
+        (text(Quota=3), "unknown: Quota"),
+        (text(RateS=-1), "RateS"),
+        (text(Ports=routed("stock")), "does not begin with a slash"),
+    ):
+        with pytest.raises(InvalidInputError) as got:
+            tenants.read_ticket(ticket)
+        assert word in str(got.value)
+
+
+def test_who_holds_back_is_told_with_what_it_lacks() -> None:
+    one = {"Name": "c1", "Az": "z", "Held": 4, "InForce": 3, "HeardMs": 20}
+    told = {"Proxies": [one, {**one, "Name": "c2", "Held": 3, "HeardMs": 1900}, {**one, "InForce": 4}]}
+    assert lagging_proxies(told, 4) == [
+        "c1: holds 4 ready, acts by 3, heard 20 ms ago",
+        "c2: last told of 3, acts by 3, heard 1900 ms ago",
+    ]
+
+
+async def test_from_a_ticket_to_the_first_calls_and_back() -> None:
+    async with serving_cluster() as site:
+        said = []
         client = TenantClient(site.ctl, said.append)
-        self.assertEqual(await client.apply(text(), 5.0), 0)
-        self.assertEqual(
-            said,
-            [
-                "  tenant gabes: new, 1 keys, 40 a second and 20 on top",
-                "  route r-gabes: gabes.example/ to garantie",
-                "  mind: service garantie: 40 a second within 0.4 s may take 16 slots at once, and it has 4",
-                *said[3:-1],
-                "version 2: in force at 3 of 3",
-            ],
-        )
+        assert await client.apply(text(), 5.0) == 0
+        assert said == [
+            "  tenant gabes: new, 1 keys, 40 a second and 20 on top",
+            "  route r-gabes: gabes.example/ to garantie",
+            "  mind: service garantie: 40 a second within 0.4 s may take 16 slots at once, and it has 4",
+            *said[3:-1],
+            "version 2: in force at 3 of 3",
+        ]
         for name in site.names:
             got = await site.get(name, "/1", "key-of-gabes", host="gabes.example")
-            self.assertEqual(got.head.status_code, 200)
-        self.assertEqual(await client.apply(text(), 5.0, withdraw=True), 0)
+            assert got.head.status_code == 200
+        assert await client.apply(text(), 5.0, withdraw=True) == 0
         for name in site.names:
             got = await site.get(name, "/1", "key-of-gabes", host="gabes.example")
-            self.assertEqual(got.head.status_code, 404)
-        self.assertEqual((await site.get("m1", "/stock/1", "key-of-sfax")).head.status_code, 200)
+            assert got.head.status_code == 404
+        assert (await site.get("m1", "/stock/1", "key-of-sfax")).head.status_code == 200
         said.clear()
-        self.assertEqual(await client.apply(text(), 5.0, withdraw=True), 1)
-        self.assertEqual(said[-1], "  against it: tenant gabes is not there")
+        assert await client.apply(text(), 5.0, withdraw=True) == 1
+        assert said[-1] == "  against it: tenant gabes is not there"
+
 
-    async def test_two_operators_at_once_both_come_through(self) -> None:
-        site = await self.enterAsyncContext(serving_cluster())
+async def test_two_operators_at_once_both_come_through() -> None:
+    async with serving_cluster() as site:
         other = {**TICKET, "Name": "lagos", "Apikeys": ["key-of-lagos"], "Ports": []}
         offices = [TenantClient(site.ctl, lambda line: None) for _ in range(2)]
         got = await asyncio.gather(
             offices[0].apply(text(), 5.0), offices[1].apply(msgspec.json.encode(other), 5.0)
         )
-        self.assertEqual(got, [0, 0])
+        assert got == [0, 0]
         _, shown = await offices[0].call("conf.show")
-        self.assertEqual([each["Name"] for each in shown["Tenants"][1:]].sort(), ["gabes", "lagos"].sort())
+        assert [each["Name"] for each in shown["Tenants"][1:]].sort() == ["gabes", "lagos"].sort()
 
-    async def test_a_tenant_comes_in_among_350_routes_more(self) -> None:
-        site = await self.enterAsyncContext(serving_cluster())
+
+async def test_a_tenant_comes_in_among_350_routes_more() -> None:
+    async with serving_cluster() as site:
         rules = [
             {
                 "Name": f"r-{each}",
@@ -151,17 +149,18 @@
         put, applied = await asyncio.gather(site.put(more, "conf.update"), client.apply(text(), 8.0))
         if put == 412:  # the tenant came first
             put = await site.put({**more, "Ver": 3, "Base": 2}, "conf.update")
-        self.assertEqual((put, applied), (200, 0))
+        assert (put, applied) == (200, 0)
         await site.until(lambda: all(each.active_version == 3 for each in site.proxies.values()))
         for name in site.names:
             got = [
                 await site.get(name, "/1", "key-of-gabes", host="gabes.example"),
                 await site.get(name, "/x349/", "key-of-sfax"),
             ]
-            self.assertEqual([each.head.status_code for each in got], [200, 200])
+            assert [each.head.status_code for each in got] == [200, 200]
+
 
-    async def test_a_proxy_out_of_touch_promises_what_the_others_serve_and_refuses_nobody(self) -> None:
-        site = await self.enterAsyncContext(serving_cluster())
+async def test_a_proxy_out_of_touch_promises_what_the_others_serve_and_refuses_nobody() -> None:
+    async with serving_cluster() as site:
         silent = site.proxies["m3"]
 
         call = silent.rpc.call
@@ -173,36 +172,30 @@
 
         silent.rpc.call = unheard  # no news comes any more, and it does not know that yet
         said: list[str] = []
-        self.assertIn(await TenantClient(site.ctl, said.append).apply(text(), 4.0), (0, 3))
+        assert await TenantClient(site.ctl, said.append).apply(text(), 4.0) in (0, 3)
         served = await site.get("m1", "/1", "key-of-gabes", host="gabes.example")
         met = await site.get("m3", "/1", "key-of-gabes", host="gabes.example", tries=1)
         old = await site.get("m3", "/stock/1", "key-of-sfax", tries=1)
-        self.assertEqual([each.head.status_code for each in (served, met)], [200, 503])
-        self.assertIn(old.head.status_code, (200, 429))  # as the count allows one that is out of touch
-        self.assertIn(b"retry-after", met.headers())
+        assert [each.head.status_code for each in (served, met)] == [200, 503]
+        assert old.head.status_code in (200, 429)  # as the count allows one that is out of touch
+        assert b"retry-after" in met.headers()
 
 
-class Command(unittest.TestCase):
-    def run_it(self, *words: str) -> tuple[int, str, int]:
-        got = subprocess.run(
-            [sys.executable, "-m", "lapisgrade.gateway", *words], capture_output=True, text=True
-        )
-        return got.returncode, got.stderr, got.stdout.count("\n")
-
-    def test_mistakes_are_one_line_and_code_2(self) -> None:
-        with tempfile.NamedTemporaryFile("wb", suffix=".json") as file:
-            file.write(text())
-            file.flush()
-            for words, said in (
-                (("tenant", "plan", "/nowhere.json", "--ctl=127.0.0.1:1"), "/nowhere.json"),
-                (("tenant", "plan", file.name, "--ctl=here"), "not an address"),
-                (("tenant", "plan", file.name, "--ctl=127.0.0.1:1"), "no controller answers"),
-                (("status", "--ctl=127.0.0.1:1"), "no controller answers"),
-            ):
-                code, err, out = self.run_it(*words)
-                self.assertEqual((code, err.count("\n"), out), (2, 1, 0), err)
-                self.assertIn(said, err)
-
-
-if __name__ == "__main__":
-    unittest.main()
+def run_it(*words: str) -> tuple[int, str, int]:
+    got = subprocess.run([sys.executable, "-m", "lapisgrade.gateway", *words], capture_output=True, text=True)
+    return got.returncode, got.stderr, got.stdout.count("\n")
+
+
+def test_mistakes_are_one_line_and_code_2() -> None:
+    with tempfile.NamedTemporaryFile("wb", suffix=".json") as file:
+        file.write(text())
+        file.flush()
+        for words, said in (
+            (("tenant", "plan", "/nowhere.json", "--ctl=127.0.0.1:1"), "/nowhere.json"),
+            (("tenant", "plan", file.name, "--ctl=here"), "not an address"),
+            (("tenant", "plan", file.name, "--ctl=127.0.0.1:1"), "no controller answers"),
+            (("status", "--ctl=127.0.0.1:1"), "no controller answers"),
+        ):
+            code, err, out = run_it(*words)
+            assert (code, err.count("\n"), out) == (2, 1, 0), err
+            assert said in err
--- a/tests/gateway/cli/test_rollout.py
+++ b/tests/gateway/cli/test_rollout.py
@@ -1,7 +1,7 @@
 """A rolling restart: machine by machine, and where it stops."""
 
 import asyncio
-import unittest
+import re
 
 from lapisgrade.gateway.cli import rollout
 from lapisgrade.gateway.cli.operator_client import OperatorClient
@@ -10,12 +10,14 @@
 from support.local_clusters import serving_cluster
 
 
-class Rollout(unittest.IsolatedAsyncioTestCase):
-    def client(self, site: LocalCluster) -> OperatorClient:
-        return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
+def client(site: LocalCluster) -> OperatorClient:
+    return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
 
-    async def test_a_rolling_restart_goes_machine_by_machine_and_nothing_is_refused(self) -> None:
-        site, said, answers = await self.enterAsyncContext(serving_cluster()), [], []
+
+async def test_a_rolling_restart_goes_machine_by_machine_and_nothing_is_refused() -> None:
+    async with serving_cluster() as site:
+        said = []
+        answers = []
 
         async def restart(name: str) -> int:
             for part in (site.controllers[name], site.proxies[name]):
@@ -32,31 +34,27 @@
 
         task = asyncio.create_task(pulls())
         lives = {name: each.context.incarnation for name, each in site.proxies.items()}
-        self.assertEqual(
-            await rollout.RollingRestart(self.client(site), restart, said.append, 20.0).run(site.names), 0
-        )
+        assert await rollout.RollingRestart(client(site), restart, said.append, 20.0).run(site.names) == 0
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        self.assertEqual(said, ["1 of 3: m1", "2 of 3: m2", "3 of 3: m3", "all are back and well"])
-        self.assertFalse(
-            {name for name, each in site.proxies.items() if each.context.incarnation == lives[name]}
-        )
-        self.assertEqual(set(answers), {200})
+        assert said == ["1 of 3: m1", "2 of 3: m2", "3 of 3: m3", "all are back and well"]
+        assert not {name for name, each in site.proxies.items() if each.context.incarnation == lives[name]}
+        assert set(answers) == {200}
+
 
-    async def test_a_rolling_restart_stops_at_the_machine_that_is_not_back(self) -> None:
-        site, said = await self.enterAsyncContext(serving_cluster()), []
+async def test_a_rolling_restart_stops_at_the_machine_that_is_not_back() -> None:
+    async with serving_cluster() as site:
+        said = []
 
         async def restart(name: str) -> int:
             await site.kill(site.proxies[name])
             return 0
 
-        self.assertEqual(
-            await rollout.RollingRestart(self.client(site), restart, said.append, 3.0).run(site.names), 3
-        )
-        self.assertEqual(said[:2], ["1 of 3: m1", "stopped at m1:"])
+        assert await rollout.RollingRestart(client(site), restart, said.append, 3.0).run(site.names) == 3
+        assert said[:2] == ["1 of 3: m1", "stopped at m1:"]
         # A leader that is new has not heard it, one that is not has counted it out.
-        self.assertRegex(said[2], "^  proxy m1 (is not there|acts by version 0, not 1|was heard .* ago)$")
-        self.assertEqual(len(site.proxies), 2)
+        assert re.search("^  proxy m1 (is not there|acts by version 0, not 1|was heard .* ago)$", said[2])
+        assert len(site.proxies) == 2
 
         async def failing(name: str) -> int:
             return 7
@@ -64,24 +62,23 @@
         said.clear()
         await site.start_proxy("m1")
         await site.until(lambda: site.proxies["m1"].ready)
-        self.assertEqual(
-            await rollout.RollingRestart(self.client(site), failing, said.append, 10.0).run(["m2"]), 3
-        )
-        self.assertEqual(said, ["1 of 1: m2", "stopped at m2:", "  the command ended with 7"])
-
-    def test_what_is_not_as_well_as_it_was_is_told(self) -> None:
-        one = {"Name": "c1", "Life": "a", "HeardMs": 10, "InForce": 4}
-        disk = {"Id": "d1", "HeardMs": 10}
-        well = {"Proxies": [one], "Voters": [disk], "Servers": {"s": {"Up": 10}}, "Newest": 4}
-        monitor = rollout.RolloutMonitor()
-        monitor.record_baseline(well)
-        self.assertEqual(monitor.problems(well), [])
-        for now, words in (
-            ({**well, "Proxies": []}, "proxy c1 is not there"),
-            ({**well, "Proxies": [{**one, "HeardMs": 2500}]}, "proxy c1 was heard 2500 ms ago"),
-            ({**well, "Newest": 5}, "proxy c1 acts by version 4, not 5"),
-            ({**well, "Voters": []}, "0 disks vote, not 1"),
-            ({**well, "Voters": [{**disk, "HeardMs": 9000}]}, "disk d1 was heard 9000 ms ago"),
-            ({**well, "Servers": {"s": {"Up": 7}}}, "service s: 7 servers are up, 10 were"),
-        ):
-            self.assertEqual(monitor.problems(now), [words])
+        assert await rollout.RollingRestart(client(site), failing, said.append, 10.0).run(["m2"]) == 3
+        assert said == ["1 of 1: m2", "stopped at m2:", "  the command ended with 7"]
+
+
+def test_what_is_not_as_well_as_it_was_is_told() -> None:
+    one = {"Name": "c1", "Life": "a", "HeardMs": 10, "InForce": 4}
+    disk = {"Id": "d1", "HeardMs": 10}
+    well = {"Proxies": [one], "Voters": [disk], "Servers": {"s": {"Up": 10}}, "Newest": 4}
+    monitor = rollout.RolloutMonitor()
+    monitor.record_baseline(well)
+    assert monitor.problems(well) == []
+    for now, words in (
+        ({**well, "Proxies": []}, "proxy c1 is not there"),
+        ({**well, "Proxies": [{**one, "HeardMs": 2500}]}, "proxy c1 was heard 2500 ms ago"),
+        ({**well, "Newest": 5}, "proxy c1 acts by version 4, not 5"),
+        ({**well, "Voters": []}, "0 disks vote, not 1"),
+        ({**well, "Voters": [{**disk, "HeardMs": 9000}]}, "disk d1 was heard 9000 ms ago"),
+        ({**well, "Servers": {"s": {"Up": 7}}}, "service s: 7 servers are up, 10 were"),
+    ):
+        assert monitor.problems(now) == [words]
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -1,24 +1,23 @@
 """Edits on both sides of a break: what drafts come to beside each other and beside what was acknowledged."""
 
-import unittest
 from itertools import permutations
 
 import msgspec
+import pytest
 
-from lapisgrade.lab.explore import rejoin
-from lapisgrade.lab.explore.rejoin import Chance
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
-from lapisgrade.gateway.merge.fields import built, fields, ops
-from lapisgrade.gateway.merge.three_way import Draft, drafted, forced, merge_drafts, told
 from lapisgrade.gateway.controller.state_machine import (
     MOST_DRAFTS,
-    MergeDraft,
     Change,
     CloseDraft,
+    MergeDraft,
     StateMachine,
     encoded,
 )
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway.merge.fields import built, fields, ops
+from lapisgrade.gateway.merge.three_way import Draft, drafted, forced, merge_drafts, told
+from lapisgrade.lab.explore.rejoin import Chance
 
 CLAIM, SCRIPT = "r-claim", "r-script"
 
@@ -70,213 +69,199 @@
     return conf, [outcomes[each.id] for each in drafts]
 
 
-class Fields(unittest.TestCase):
-    def test_there_and_back_nothing_is_lost(self) -> None:
-        self.assertEqual(built(fields(GROUND), GROUND), GROUND)
-        for seed in range(200):
-            conf = Chance(seed).conf()
-            self.assertEqual(built(fields(conf), conf), conf)
-
-    def test_what_an_edit_changed_leads_from_the_one_to_the_other(self) -> None:
-        for seed in range(200):
-            chance = Chance(seed)
-            conf = chance.conf()
-            one = chance.drafts(conf, 1)[0]
-            merged, outcomes = merge_drafts(conf, [one])
-            self.assertFalse(outcomes[one.id].open)
-            self.assertEqual(ops(fields(conf), fields(merged)), one.ops)
-
-
-class Merged(unittest.TestCase):
-    def test_an_edit_on_each_side_of_one_route_both_stay(self) -> None:
-        ours = acknowledged(put(route(CLAIM, "/claim/", Action={"Timeout": "3s"})))
-        edge = draft(put(route(CLAIM, "/claim/", svc="b")))
-        conf, (one,) = outcome(ours, edge)
-        self.assertEqual(found(conf, CLAIM)["Action"], {"Svc": "b", "Timeout": "3s"})
-        self.assertFalse(one.open)
-
-    def test_a_split_is_merged_by_service(self) -> None:
-        def split(**wt) -> dict:
-            shares = [{"Svc": name, "Wt": each} for name, each in wt.items()]
-            return put(route(SCRIPT, "/", Action={"Split": shares}), "b.example")
-
-        conf, (one,) = outcome(acknowledged(split(a=90, b=10, c=5)), draft(split(a=70, b=10)))
-        self.assertEqual({each["Svc"]: each["Wt"] for each in found(conf, SCRIPT)["Action"]["Split"]},
-                         {"a": 70, "b": 10, "c": 5})  # fmt: skip
-        self.assertFalse(one.open)
-        # A split that became one service is one choice: nothing of the draft's is mixed into it.
-        alone = acknowledged(put(route(SCRIPT, "/", svc="c"), "b.example"))
-        for edit in (split(a=70, b=10), split(a=90, b=10, c=3)):
-            conf, (one,) = outcome(alone, draft(edit))
-            self.assertEqual(found(conf, SCRIPT)["Action"]["Svc"], "c")
-            self.assertEqual((one.stand, bool(one.aside)), ([], True))
-
-    def test_the_same_field_both_ways_stays_as_acknowledged_and_is_told(self) -> None:
-        edge = draft(put(route(CLAIM, "/claim/", svc="b", Prio=0)))
-        conf, (one,) = outcome(acknowledged(put(route(CLAIM, "/claim/", svc="c"))), edge)
-        self.assertEqual((found(conf, CLAIM)["Action"]["Svc"], found(conf, CLAIM)["Prio"]), ("c", 0))
-        self.assertEqual(
-            told(edge, one)["Aside"],
-            [{"Field": "Routes/r-claim/Action/Svc", "Has": "c", "Wants": "b", "Why": "acknowledged since"}],
-        )
-        self.assertEqual(found(forced(conf, [op for op in edge.ops if op.path == one.aside[0].path]), CLAIM)
-                         ["Action"]["Svc"], "b")  # fmt: skip
-
-    def test_the_same_change_on_both_sides_is_one(self) -> None:
-        change = put(route(CLAIM, "/claim/", svc="b"))
-        conf, (one, two) = outcome(acknowledged(change), draft(change), draft(change, "another"))
-        self.assertEqual(found(conf, CLAIM)["Action"]["Svc"], "b")
-        self.assertFalse(one.open or two.open)
-
-    def test_a_route_or_service_that_is_gone_is_not_brought_back_by_an_edit(self) -> None:
-        edge = draft(put(route(CLAIM, "/claim/", svc="b")))
-        conf, (one,) = outcome(acknowledged({"Del": {"Routes": [CLAIM]}}), edge)
-        self.assertNotIn((("Routes", CLAIM)), fields(conf))
-        self.assertIn("is gone: acknowledged since", one.aside[0].why)
-        # A service that was taken away meanwhile: the draft stays a draft, with what is wrong.
-        ours = acknowledged({"Del": {"Svcs": ["b"]}, **put(route(SCRIPT, "/"), "b.example")})
-        conf, (one,) = outcome(ours, edge)
-        self.assertEqual((found(conf, CLAIM)["Action"]["Svc"], one.stand), ("a", []))
-        self.assertIn("'b' is not in Pools", one.wrong)
-        with self.assertRaisesRegex(InvalidInputError, "put it whole"):
-            forced(acknowledged({"Del": {"Routes": [CLAIM]}}), edge.ops)
-
-    def test_an_end_stands_only_where_nobody_changed_what_ends(self) -> None:
-        ends = draft({"Del": {"Routes": [CLAIM]}})
-        conf, (one,) = outcome(GROUND, ends)
-        self.assertNotIn(("Routes", CLAIM), fields(conf))
-        conf, (one,) = outcome(acknowledged(put(route(CLAIM, "/claim/", Prio=0))), ends)
-        self.assertEqual(found(conf, CLAIM)["Prio"], 0)
-        self.assertEqual(one.aside[0].why, "Routes/r-claim/Prio: acknowledged since")
-
-    def test_keys_are_merged_one_by_one_and_never_told(self) -> None:
-        def keys(*names: str) -> dict:
-            return {"Upsert": {"Tenants": [{**GROUND["Tenants"][0], "Apikeys": list(names)}]}}
-
-        one, two = draft(keys("key-1", "key-2")), draft(keys("key-3"))
-        conf, (first, second) = outcome(GROUND, one, two)
-        self.assertEqual(set(conf["Tenants"][0]["Apikeys"]), {"key-2", "key-3"})
-        for said in (told(one, first), told(two, second), told(two, None)):
-            self.assertNotIn(b"key-", msgspec.json.encode(said))
-            self.assertIn(b"Apikeys/(a key)", msgspec.json.encode(said))
-
-    def test_the_order_of_arrival_and_copies_change_nothing(self) -> None:
-        met = 0
-        for seed in range(60):
-            chance = Chance(seed)
-            ground = chance.conf()
-            drafts = chance.drafts(ground, 3)
-            first = merge_drafts(ground, drafts)
-            met += any(each.open for each in first[1].values())
-            for order in permutations(drafts):
-                self.assertEqual(merge_drafts(ground, list(order)), first, f"seed {seed}")
-            self.assertEqual(merge_drafts(ground, drafts + drafts[:1]), first)
-        self.assertGreater(met, 20)  # drafts that contradict each other are among them
-
-    def test_every_field_of_every_draft_stands_or_is_told(self) -> None:
-        for seed in range(200):
-            chance = Chance(seed)
-            base = chance.conf()
-            drafts = chance.drafts(base, 2)  # on the version before, as on a side that heard nothing since
-            try:
-                ground = configuration.updated(base, {"Ver": 10, **chance.change()})
-                configuration.read(ground)
-            except InvalidInputError:
-                ground = base
-            drafts += chance.drafts(ground, 1)  # and on the newest one
-            conf, outcomes = merge_drafts(ground, drafts)
-            configuration.read(conf)
-            now = fields(conf)
-            for one in drafts:
-                got = outcomes[one.id]
-                if got.wrong:
-                    continue
-                told_of = {*got.stand, *(each.path for each in got.aside)}
-                self.assertEqual(told_of, {op.path for op in one.ops})
-                for op in one.ops:
-                    if op.path in got.stand:
-                        self.assertEqual((op.path in now, now.get(op.path)), (op.has, op.new), f"seed {seed}")
-
-
-class Logged(unittest.TestCase):
-    """Drafts in the log: every controller comes to the same, whoever leads."""
-
-    def state_machine(self) -> StateMachine:
-        state_machine = StateMachine()
-        change = Change(True, msgspec.json.encode({**GROUND, "Base": 0}))
-        self.assertEqual(state_machine.take(1, encoded(change)).status, 200)
-        return state_machine
-
-    def test_a_merged_version_is_held_ready_and_forced_like_any_other_under_a_fence(self) -> None:
-        state_machine = self.state_machine()
-        one = draft(put(route(CLAIM, "/claim/", svc="b")))
-        self.assertEqual(state_machine.take(2, encoded(MergeDraft(one))).status, 200)
-        self.assertEqual((state_machine.state.ver, state_machine.state.merged), (5, [5]))
-        self.assertEqual(state_machine.take(3, encoded(MergeDraft(one))).status, 200)  # a neighbour's copy
-        self.assertEqual(state_machine.state.ver, 5)
-        self.assertEqual([each.id for each, _ in state_machine.open_drafts().values()], [one.id])
-
-    def test_what_is_open_outlives_later_changes_until_it_is_closed(self) -> None:
-        state_machine = self.state_machine()
-        one = draft(put(route(CLAIM, "/claim/", svc="b")))
-        change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
-        self.assertEqual(
-            state_machine.take(2, encoded(Change(False, msgspec.json.encode(change)))).status, 200
-        )
-        state_machine.take(3, encoded(MergeDraft(one)))
-        # nothing of it stands
-        self.assertEqual((state_machine.state.ver, state_machine.state.merged), (6, []))
-        change = {"Ver": 9, "Base": 6, "Upsert": {"Pools": [{"Name": "d"}]}}
-        self.assertEqual(
-            state_machine.take(4, encoded(Change(False, msgspec.json.encode(change)))).status, 200
-        )
-        again = StateMachine()
-        again.load(state_machine.dump())
-        for each in (state_machine, again):
-            self.assertTrue(each.open_drafts()[one.id][1].open)
-            self.assertEqual(each.take(5, encoded(CloseDraft(one.id))).status, 200)
-            self.assertEqual(each.open_drafts(), {})
-            self.assertEqual(each.take(6, encoded(CloseDraft(one.id))).status, 404)
-            # a late copy opens nothing again
-            self.assertEqual(each.take(7, encoded(MergeDraft(one))).status, 200)
-            self.assertEqual(each.open_drafts(), {})
-
-    def test_a_change_on_an_older_version_than_the_merged_one_loses_its_race(self) -> None:
-        state_machine = self.state_machine()
-        state_machine.take(2, encoded(MergeDraft(draft(put(route(CLAIM, "/claim/", svc="b"))))))
-        change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
-        self.assertEqual(
-            state_machine.take(3, encoded(Change(False, msgspec.json.encode(change)))).status, 412
-        )
-
-    def test_a_flood_of_drafts_and_one_that_is_none_are_refused_plainly(self) -> None:
-        state_machine = self.state_machine()
-        drafts = [draft(put(route(CLAIM, "/claim/", Prio=i)), f"e{i}") for i in range(MOST_DRAFTS + 1)]
-        answers = [state_machine.take(2 + i, encoded(MergeDraft(each))) for i, each in enumerate(drafts)]
-        self.assertEqual([each.status for each in answers], [200] * MOST_DRAFTS + [409])
-        before = state_machine.dump()
-        for bad in ([["Routes"], True, None, False, None], [["Ports", "x"], False, None, True, 7],
-                    [["Routes", "x", "Action"], False, None, True, 7]):  # fmt: skip
-            data = msgspec.msgpack.encode(["b", ["id", "by", "at", 4, [bad]]])
-            self.state_machine().take(2, data)  # no traceback, on any controller
-        self.assertEqual(state_machine.dump(), before)
-
-
-class Explored(unittest.TestCase):
-    """Drafts handed in under kills, cuts and one emptied disk at a time, in simulated time."""
-
-    def test_no_draft_is_lost_or_merged_twice_and_all_controllers_come_to_the_same(self) -> None:
-        said: list[str] = []
-        count, seed = rejoin.explore(range(10), say=said.append)
-        self.assertEqual((seed, said), (-1, []))
-        self.assertGreater(count, 40)
-
-    def test_known_defects_are_found(self) -> None:
-        for name in rejoin.DEFECTS:
-            said: list[str] = []
-            self.assertGreaterEqual(rejoin.explore(range(16), name, said.append)[1], 0, name)
-            self.assertIn("WRONG", said[-1])
-
-
-if __name__ == "__main__":
-    unittest.main()
+def test_there_and_back_nothing_is_lost() -> None:
+    assert built(fields(GROUND), GROUND) == GROUND
+    for seed in range(200):
+        conf = Chance(seed).conf()
+        assert built(fields(conf), conf) == conf
+
+
+def test_what_an_edit_changed_leads_from_the_one_to_the_other() -> None:
+    for seed in range(200):
+        chance = Chance(seed)
+        conf = chance.conf()
+        one = chance.drafts(conf, 1)[0]
+        merged, outcomes = merge_drafts(conf, [one])
+        assert not outcomes[one.id].open
+        assert ops(fields(conf), fields(merged)) == one.ops
+
+
+def test_an_edit_on_each_side_of_one_route_both_stay() -> None:
+    ours = acknowledged(put(route(CLAIM, "/claim/", Action={"Timeout": "3s"})))
+    edge = draft(put(route(CLAIM, "/claim/", svc="b")))
+    conf, (one,) = outcome(ours, edge)
+    assert found(conf, CLAIM)["Action"] == {"Svc": "b", "Timeout": "3s"}
+    assert not one.open
+
+
+def test_a_split_is_merged_by_service() -> None:
+    def split(**wt) -> dict:
+        shares = [{"Svc": name, "Wt": each} for name, each in wt.items()]
+        return put(route(SCRIPT, "/", Action={"Split": shares}), "b.example")
+
+    conf, (one,) = outcome(acknowledged(split(a=90, b=10, c=5)), draft(split(a=70, b=10)))
+    assert {each["Svc"]: each["Wt"] for each in found(conf, SCRIPT)["Action"]["Split"]} == {
+        "a": 70,
+        "b": 10,
+        "c": 5,
+    }
+    assert not one.open
+    # A split that became one service is one choice: nothing of the draft's is mixed into it.
+    alone = acknowledged(put(route(SCRIPT, "/", svc="c"), "b.example"))
+    for edit in (split(a=70, b=10), split(a=90, b=10, c=3)):
+        conf, (one,) = outcome(alone, draft(edit))
+        assert found(conf, SCRIPT)["Action"]["Svc"] == "c"
+        assert (one.stand, bool(one.aside)) == ([], True)
+
+
+def test_the_same_field_both_ways_stays_as_acknowledged_and_is_told() -> None:
+    edge = draft(put(route(CLAIM, "/claim/", svc="b", Prio=0)))
+    conf, (one,) = outcome(acknowledged(put(route(CLAIM, "/claim/", svc="c"))), edge)
+    assert (found(conf, CLAIM)["Action"]["Svc"], found(conf, CLAIM)["Prio"]) == ("c", 0)
+    assert told(edge, one)["Aside"] == [
+        {"Field": "Routes/r-claim/Action/Svc", "Has": "c", "Wants": "b", "Why": "acknowledged since"}
+    ]
+    assert (
+        (found(forced(conf, [op for op in edge.ops if op.path == one.aside[0].path]), CLAIM)["Action"]["Svc"])
+        == "b"
+    )
+
+
+def test_the_same_change_on_both_sides_is_one() -> None:
+    change = put(route(CLAIM, "/claim/", svc="b"))
+    conf, (one, two) = outcome(acknowledged(change), draft(change), draft(change, "another"))
+    assert found(conf, CLAIM)["Action"]["Svc"] == "b"
+    assert not (one.open or two.open)
+
+
+def test_a_route_or_service_that_is_gone_is_not_brought_back_by_an_edit() -> None:
+    edge = draft(put(route(CLAIM, "/claim/", svc="b")))
+    conf, (one,) = outcome(acknowledged({"Del": {"Routes": [CLAIM]}}), edge)
+    assert ("Routes", CLAIM) not in fields(conf)
+    assert "is gone: acknowledged since" in one.aside[0].why
+    # A service that was taken away meanwhile: the draft stays a draft, with what is wrong.
+    ours = acknowledged({"Del": {"Svcs": ["b"]}, **put(route(SCRIPT, "/"), "b.example")})
+    conf, (one,) = outcome(ours, edge)
+    assert (found(conf, CLAIM)["Action"]["Svc"], one.stand) == ("a", [])
+    assert "'b' is not in Pools" in one.wrong
+    with pytest.raises(InvalidInputError, match="put it whole"):
+        forced(acknowledged({"Del": {"Routes": [CLAIM]}}), edge.ops)
+
+
+def test_an_end_stands_only_where_nobody_changed_what_ends() -> None:
+    ends = draft({"Del": {"Routes": [CLAIM]}})
+    conf, (one,) = outcome(GROUND, ends)
+    assert ("Routes", CLAIM) not in fields(conf)
+    conf, (one,) = outcome(acknowledged(put(route(CLAIM, "/claim/", Prio=0))), ends)
+    assert found(conf, CLAIM)["Prio"] == 0
+    assert one.aside[0].why == "Routes/r-claim/Prio: acknowledged since"
+
+
+def test_keys_are_merged_one_by_one_and_never_told() -> None:
+    def keys(*names: str) -> dict:
+        return {"Upsert": {"Tenants": [{**GROUND["Tenants"][0], "Apikeys": list(names)}]}}
+
+    one, two = draft(keys("key-1", "key-2")), draft(keys("key-3"))
+    conf, (first, second) = outcome(GROUND, one, two)
+    assert set(conf["Tenants"][0]["Apikeys"]) == {"key-2", "key-3"}
+    for said in (told(one, first), told(two, second), told(two, None)):
+        assert b"key-" not in msgspec.json.encode(said)
+        assert b"Apikeys/(a key)" in msgspec.json.encode(said)
+
+
+def test_the_order_of_arrival_and_copies_change_nothing() -> None:
+    met = 0
+    for seed in range(60):
+        chance = Chance(seed)
+        ground = chance.conf()
+        drafts = chance.drafts(ground, 3)
+        first = merge_drafts(ground, drafts)
+        met += any(each.open for each in first[1].values())
+        for order in permutations(drafts):
+            assert merge_drafts(ground, list(order)) == first, f"seed {seed}"
+        assert merge_drafts(ground, drafts + drafts[:1]) == first
+    assert met > 20  # drafts that contradict each other are among them
+
+
+def test_every_field_of_every_draft_stands_or_is_told() -> None:
+    for seed in range(200):
+        chance = Chance(seed)
+        base = chance.conf()
+        drafts = chance.drafts(base, 2)  # on the version before, as on a side that heard nothing since
+        try:
+            ground = configuration.updated(base, {"Ver": 10, **chance.change()})
+            configuration.read(ground)
+        except InvalidInputError:
+            ground = base
+        drafts += chance.drafts(ground, 1)  # and on the newest one
+        conf, outcomes = merge_drafts(ground, drafts)
+        configuration.read(conf)
+        now = fields(conf)
+        for one in drafts:
+            got = outcomes[one.id]
+            if got.wrong:
+                continue
+            told_of = {*got.stand, *(each.path for each in got.aside)}
+            assert told_of == {op.path for op in one.ops}
+            for op in one.ops:
+                if op.path in got.stand:
+                    assert (op.path in now, now.get(op.path)) == (op.has, op.new), f"seed {seed}"
+
+
+def make_state_machine() -> StateMachine:
+    state_machine = StateMachine()
+    change = Change(True, msgspec.json.encode({**GROUND, "Base": 0}))
+    assert state_machine.take(1, encoded(change)).status == 200
+    return state_machine
+
+
+def test_a_merged_version_is_held_ready_and_forced_like_any_other_under_a_fence() -> None:
+    state_machine = make_state_machine()
+    one = draft(put(route(CLAIM, "/claim/", svc="b")))
+    assert state_machine.take(2, encoded(MergeDraft(one))).status == 200
+    assert (state_machine.state.ver, state_machine.state.merged) == (5, [5])
+    assert state_machine.take(3, encoded(MergeDraft(one))).status == 200  # a neighbour's copy
+    assert state_machine.state.ver == 5
+    assert [each.id for each, _ in state_machine.open_drafts().values()] == [one.id]
+
+
+def test_what_is_open_outlives_later_changes_until_it_is_closed() -> None:
+    state_machine = make_state_machine()
+    one = draft(put(route(CLAIM, "/claim/", svc="b")))
+    change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
+    assert state_machine.take(2, encoded(Change(False, msgspec.json.encode(change)))).status == 200
+    state_machine.take(3, encoded(MergeDraft(one)))
+    # nothing of it stands
+    assert (state_machine.state.ver, state_machine.state.merged) == (6, [])
+    change = {"Ver": 9, "Base": 6, "Upsert": {"Pools": [{"Name": "d"}]}}
+    assert state_machine.take(4, encoded(Change(False, msgspec.json.encode(change)))).status == 200
+    again = StateMachine()
+    again.load(state_machine.dump())
+    for each in (state_machine, again):
+        assert each.open_drafts()[one.id][1].open
+        assert each.take(5, encoded(CloseDraft(one.id))).status == 200
+        assert each.open_drafts() == {}
+        assert each.take(6, encoded(CloseDraft(one.id))).status == 404
+        # a late copy opens nothing again
+        assert each.take(7, encoded(MergeDraft(one))).status == 200
+        assert each.open_drafts() == {}
+
+
+def test_a_change_on_an_older_version_than_the_merged_one_loses_its_race() -> None:
+    state_machine = make_state_machine()
+    state_machine.take(2, encoded(MergeDraft(draft(put(route(CLAIM, "/claim/", svc="b"))))))
+    change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
+    assert state_machine.take(3, encoded(Change(False, msgspec.json.encode(change)))).status == 412
+
+
+def test_a_flood_of_drafts_and_one_that_is_none_are_refused_plainly() -> None:
+    state_machine = make_state_machine()
+    drafts = [draft(put(route(CLAIM, "/claim/", Prio=i)), f"e{i}") for i in range(MOST_DRAFTS + 1)]
+    answers = [state_machine.take(2 + i, encoded(MergeDraft(each))) for i, each in enumerate(drafts)]
+    assert [each.status for each in answers] == [200] * MOST_DRAFTS + [409]
+    before = state_machine.dump()
+    for bad in ([["Routes"], True, None, False, None], [["Ports", "x"], False, None, True, 7],
+                [["Routes", "x", "Action"], False, None, True, 7]):  # fmt: skip
+        data = msgspec.msgpack.encode(["b", ["id", "by", "at", 4, [bad]]])
+        make_state_machine().take(2, data)  # no traceback, on any controller
+    assert state_machine.dump() == before
--- a/tests/lab/balancing/test_choosers.py
+++ b/tests/lab/balancing/test_choosers.py
@@ -1,34 +1,29 @@
 """The choice of a server where few requests pass each limiter, against textbook ways on the same arrivals."""
 
-import unittest
-
 from lapisgrade.lab.balancing.model import Spec
 from lapisgrade.lab.balancing.play import Play, table
 
 
-class Chosen(unittest.TestCase):
-    def test_the_system_s_chooser_is_nearer_to_full_sight_than_any_textbook_way(self) -> None:
-        spec = Spec(limiters=24, servers=32, load=0.7, seconds=8)
-        rows = {name: Play(spec, name).run() for name in ("two-choices", "join-idle", "own", "full-sight")}
-        best = rows["full-sight"].in_aim
-        gap = {name: best - each.in_aim for name, each in rows.items()}
-        self.assertLess(gap["own"], gap["join-idle"])
-        self.assertLess(gap["own"], 0.3 * gap["two-choices"])
-        self.assertLess(rows["own"].far, 0.25)  # bytes between zones are priced
+def test_the_system_s_chooser_is_nearer_to_full_sight_than_any_textbook_way() -> None:
+    spec = Spec(limiters=24, servers=32, load=0.7, seconds=8)
+    rows = {name: Play(spec, name).run() for name in ("two-choices", "join-idle", "own", "full-sight")}
+    best = rows["full-sight"].in_aim
+    gap = {name: best - each.in_aim for name, each in rows.items()}
+    assert gap["own"] < gap["join-idle"]
+    assert gap["own"] < 0.3 * gap["two-choices"]
+    assert rows["own"].far < 0.25  # bytes between zones are priced
 
-    def test_servers_that_fail_are_left_alone_without_a_probe_and_used_again(self) -> None:
-        spec = Spec(limiters=24, servers=32, load=0.5, ill=0.15, fails=0.9, seconds=8)
-        own, chance = (Play(spec, name).run() for name in ("own", "random"))
-        self.assertLess(own.again, 0.6 * chance.again)
-        self.assertGreater(own.served, 0.995)
 
-    def test_the_same_seed_gives_the_same_run(self) -> None:
-        spec = Spec(limiters=6, servers=9, seconds=2)
-        one, two = (Play(spec, "own").run() for _ in range(2))
-        one.us = two.us = 0.0
-        self.assertEqual(one, two)
-        self.assertEqual(len(table(spec, ["random", "full-sight"])), 4)
+def test_servers_that_fail_are_left_alone_without_a_probe_and_used_again() -> None:
+    spec = Spec(limiters=24, servers=32, load=0.5, ill=0.15, fails=0.9, seconds=8)
+    own, chance = (Play(spec, name).run() for name in ("own", "random"))
+    assert own.again < 0.6 * chance.again
+    assert own.served > 0.995
 
 
-if __name__ == "__main__":
-    unittest.main()
+def test_the_same_seed_gives_the_same_run() -> None:
+    spec = Spec(limiters=6, servers=9, seconds=2)
+    one, two = (Play(spec, "own").run() for _ in range(2))
+    one.us = two.us = 0.0
+    assert one == two
+    assert len(table(spec, ["random", "full-sight"])) == 4
--- a/tests/lab/fleet/test_checker.py
+++ b/tests/lab/fleet/test_checker.py
@@ -4,8 +4,8 @@
 
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.fleet import checker, report
-from lapisgrade.lab.fleet.limiter_settings import settings
 from lapisgrade.lab.fleet import history as h
+from lapisgrade.lab.fleet.limiter_settings import settings
 
 S = 1_000_000
 SETTINGS = settings(
--- a/tests/lab/partitions/test_cuts.py
+++ b/tests/lab/partitions/test_cuts.py
@@ -2,15 +2,14 @@
 
 import asyncio
 import os
-import tempfile
-import unittest
 from pathlib import Path
 from unittest import mock
 
 import msgspec
+import pytest
 
 from lapisgrade.lab.partitions import cuts
-from support.loopback_network import reserve_loopback_network
+from support.loopback_network import LoopbackNetwork
 
 
 class Heard(asyncio.Protocol):
@@ -29,31 +28,29 @@
         self.lost = True
 
 
-class Severed(unittest.TestCase):
+class CutLinks:
     """What the plays rest on: cuts that hold words up, and let them through late and in order."""
 
-    def setUp(self) -> None:
-        network = self.enterContext(reserve_loopback_network())
-        self.here, self.there = network.host(1), network.host(2)
+    def __init__(self, loopback_network: LoopbackNetwork, tmp_path: Path) -> None:
+        self.here, self.there = loopback_network.host(1), loopback_network.host(2)
+        self.file = tmp_path / "cuts.json"
 
     def played(self, steps) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            self.file = Path(folder) / "cuts.json"
-            self.file.write_text("[]")
-            loop = cuts.Loop()
-            loop.cuts = self.cuts = cuts.Cuts(self.file, self.here)
-
-            async def run() -> None:
-                ends: list[Heard] = []
-                server = await loop.create_server(lambda: ends.append(Heard()) or ends[-1], self.there, 0)
-                async with asyncio.timeout(10.0):
-                    await steps(loop, self.there, server.sockets[0].getsockname()[1], ends)
-                server.close()
-
-            try:
-                loop.run_until_complete(run())
-            finally:
-                loop.close()
+        self.file.write_text("[]")
+        loop = cuts.Loop()
+        loop.cuts = self.cuts = cuts.Cuts(self.file, self.here)
+
+        async def run() -> None:
+            ends: list[Heard] = []
+            server = await loop.create_server(lambda: ends.append(Heard()) or ends[-1], self.there, 0)
+            async with asyncio.timeout(10.0):
+                await steps(loop, self.there, server.sockets[0].getsockname()[1], ends)
+            server.close()
+
+        try:
+            loop.run_until_complete(run())
+        finally:
+            loop.close()
 
     def cut(self, *pairs: tuple[str, str]) -> None:
         self.file.write_text(msgspec.json.encode(pairs).decode())
@@ -64,36 +61,43 @@
         while not holds():
             await asyncio.sleep(0)
 
-    def test_both_ways_are_held_up_and_go_on_in_order(self) -> None:
-        async def steps(loop, host, port, ends) -> None:
-            here, own = await loop.create_connection(Heard, host, port)
-            here.write(b"1")
-            await self.until(lambda: ends and ends[0].got == b"1")
-            self.cut((self.here, self.there), (self.there, self.here))
-            here.write(b"2"), here.write(b"3"), ends[0].transport.write(b"a")
-            dialling = loop.create_task(loop.create_connection(Heard, host, port))
-            await self.until(lambda: self.cuts.ends and next(iter(self.cuts.ends))._come)
-            self.assertEqual((own.got, ends[0].got, dialling.done()), (b"", b"1", False))
-            self.cut()
-            await self.until(lambda: own.got == b"a" and ends[0].got == b"123" and dialling.done())
-            self.cut((self.there, self.here))  # one way: what we say gets there, what comes back doesn't
-            here.write(b"4"), ends[0].transport.write(b"b")
-            await self.until(lambda: ends[0].got == b"1234" and any(each._come for each in self.cuts.ends))
-            self.assertEqual(own.got, b"a")
-
-        self.played(steps)
-
-    def test_one_that_waits_too_long_is_lost_here_at_once_and_there_at_the_heal(self) -> None:
-        async def steps(loop, host, port, ends) -> None:
-            here, own = await loop.create_connection(Heard, host, port)
-            await self.until(lambda: ends)
-            self.cut((self.here, self.there), (self.there, self.here))
-            here.write(b"late")
-            await self.until(lambda: own.lost)
-            self.assertFalse(ends[0].lost)
-            self.cut()
-            await self.until(lambda: ends[0].lost)
-            self.assertEqual((ends[0].got, own.got), (b"", b""))
-
-        with mock.patch.object(cuts, "SILENT", 0.02):
-            self.played(steps)
+
+@pytest.fixture
+def links(loopback_network: LoopbackNetwork, tmp_path: Path) -> CutLinks:
+    return CutLinks(loopback_network, tmp_path)
+
+
+def test_both_ways_are_held_up_and_go_on_in_order(links: CutLinks) -> None:
+    async def steps(loop, host, port, ends) -> None:
+        here, own = await loop.create_connection(Heard, host, port)
+        here.write(b"1")
+        await links.until(lambda: ends and ends[0].got == b"1")
+        links.cut((links.here, links.there), (links.there, links.here))
+        here.write(b"2"), here.write(b"3"), ends[0].transport.write(b"a")
+        dialling = loop.create_task(loop.create_connection(Heard, host, port))
+        await links.until(lambda: links.cuts.ends and next(iter(links.cuts.ends))._come)
+        assert (own.got, ends[0].got, dialling.done()) == (b"", b"1", False)
+        links.cut()
+        await links.until(lambda: own.got == b"a" and ends[0].got == b"123" and dialling.done())
+        links.cut((links.there, links.here))  # one way: what we say gets there, what comes back doesn't
+        here.write(b"4"), ends[0].transport.write(b"b")
+        await links.until(lambda: ends[0].got == b"1234" and any(each._come for each in links.cuts.ends))
+        assert own.got == b"a"
+
+    links.played(steps)
+
+
+def test_one_that_waits_too_long_is_lost_here_at_once_and_there_at_the_heal(links: CutLinks) -> None:
+    async def steps(loop, host, port, ends) -> None:
+        here, own = await loop.create_connection(Heard, host, port)
+        await links.until(lambda: ends)
+        links.cut((links.here, links.there), (links.there, links.here))
+        here.write(b"late")
+        await links.until(lambda: own.lost)
+        assert not ends[0].lost
+        links.cut()
+        await links.until(lambda: ends[0].lost)
+        assert (ends[0].got, own.got) == (b"", b"")
+
+    with mock.patch.object(cuts, "SILENT", 0.02):
+        links.played(steps)
--- a/tests/lab/partitions/test_quota.py
+++ b/tests/lab/partitions/test_quota.py
@@ -1,15 +1,15 @@
 """The bound on a quota with real processes that are cut off, frozen and killed."""
 
-import asyncio
+import subprocess
 import sys
-import unittest
 
+import pytest
 from click.testing import CliRunner
 
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.lab.partitions import quota as partitioned
-from support.loopback_network import reserve_loopback_network
+from support.loopback_network import LoopbackNetwork
 from support.quota_simulation import SLO
 
 # The command line, with the plays' machines on the network that its first argument names.
@@ -23,33 +23,34 @@
 """
 
 
-class Plays(unittest.IsolatedAsyncioTestCase):
-    """With processes: an owner behind a cut grants on until its time is over, while all others start anew."""
-
-    async def test_the_bound_holds_over_cuts_and_kills_of_processes(self):
-        async def one(seed: int, case: str) -> list[str]:
-            told = ("lab", "partitions", "quota", "--plays", "1", "--first", str(seed), "--cases", case)
-            with reserve_loopback_network() as network:
-                running = await asyncio.create_subprocess_exec(
-                    *(sys.executable, "-c", CLI_ON_NETWORK, str(network.number), *told),
-                    cwd=ROOT,
-                    stdout=asyncio.subprocess.PIPE,
-                )
-                said = (await running.communicate())[0].decode()
-            self.assertEqual(running.returncode, 0, said)
-            return [each.strip() for each in said.splitlines()[-1].split("|")]
-
-        cases = ("owner-cut", "cut-and-killed", "owner-frozen")
-        for row in await asyncio.gather(*(one(seed, case) for seed, case in enumerate(cases))):
-            with self.subTest(row[1]):
-                self.assertLessEqual(float(row[4]), 1.0)
-                self.assertGreater(float(row[5]), 0.5, "the load was not carried")
-
-    def test_the_worst_window_is_found(self):
-        self.assertEqual(partitioned.most([0.0, 1.0, 5.0, 5.1, 9.0], 5.0), 3)
-        self.assertEqual((partitioned.most([], 5.0), round(partitioned.allowed(SLO, 60, 60))), (0, 416))
-
-    def test_the_command_names_its_cases(self):
-        done = CliRunner().invoke(cli, ["lab", "partitions", "quota", "--cases", "nobody"])
-        self.assertEqual(done.exit_code, 2)
-        self.assertIn("no such case: nobody; known: none, owner-cut", done.output)
+@pytest.mark.parametrize(("seed", "case"), [(0, "owner-cut"), (1, "cut-and-killed"), (2, "owner-frozen")])
+def test_the_bound_holds_over_cuts_and_kills_of_processes(
+    seed: int, case: str, loopback_network: LoopbackNetwork
+) -> None:
+    """An owner behind a cut grants until its lease has run out, while all others start anew."""
+    command = [
+        sys.executable,
+        "-c",
+        CLI_ON_NETWORK,
+        str(loopback_network.number),
+        "lab",
+        "partitions",
+        "quota",
+    ]
+    options = ["--plays", "1", "--first", str(seed), "--cases", case]
+    done = subprocess.run([*command, *options], cwd=ROOT, stdout=subprocess.PIPE, text=True)
+    assert done.returncode == 0, done.stdout
+    row = [each.strip() for each in done.stdout.splitlines()[-1].split("|")]
+    assert float(row[4]) <= 1.0
+    assert float(row[5]) > 0.5, "the load was not carried"
+
+
+def test_the_worst_window_is_found():
+    assert partitioned.most([0.0, 1.0, 5.0, 5.1, 9.0], 5.0) == 3
+    assert (partitioned.most([], 5.0), round(partitioned.allowed(SLO, 60, 60))) == (0, 416)
+
+
+def test_the_command_names_its_cases():
+    done = CliRunner().invoke(cli, ["lab", "partitions", "quota", "--cases", "nobody"])
+    assert done.exit_code == 2
+    assert "no such case: nobody; known: none, owner-cut" in done.output
--- a/tests/lab/simulation/test_linearizability.py
+++ b/tests/lab/simulation/test_linearizability.py
@@ -1,6 +1,6 @@
 """The judge of histories: which of them one register explains."""
 
-import unittest
+import pytest
 
 from lapisgrade.lab.simulation.linearizability import UNANSWERED, Event, first_wrong, linearizable
 
@@ -13,29 +13,27 @@
     return Event("read", called, returned, ver)
 
 
-class Linearizability(unittest.TestCase):
-    """The checker itself: it must find what it is for."""
-
-    def test_histories_that_one_register_explains(self) -> None:
-        for events in (
-            [change(0, 5, 1, 0), read(6, 7, 1)],
-            [change(0, 9, 1, 0), read(1, 2, 0), read(3, 4, 1)],  # it took effect between the reads
-            [change(0, 9, 1, 0), change(0, 9, 2, 0, False), read(10, 11, 1)],
-            [change(0, UNANSWERED, 1, 0, None), read(5, 6, 0), read(7, 8, 1)],
-            [change(0, UNANSWERED, 1, 0, None), change(1, 2, 3, 0), read(5, 6, 3)],  # never taken
-        ):
-            with self.subTest(events=events):
-                self.assertTrue(linearizable(events))
-                self.assertIsNone(first_wrong(events))
-
-    def test_histories_that_none_explains(self) -> None:
-        for events, at in (
-            ([change(0, 5, 1, 0), read(6, 7, 0)], 7),  # a stale read
-            ([change(0, 9, 1, 0), read(1, 2, 1), read(3, 4, 0)], 4),  # reads that go back
-            ([change(0, 5, 1, 0), change(0, 5, 2, 0)], 5),  # two on one base
-            ([change(0, 5, 1, 0, False), read(6, 7, 0)], 5),  # refused though it was on the newest
-            ([change(0, 5, 1, 0), change(6, 7, 2, 1), change(8, 9, 3, 1), read(20, 21, 3)], 9),
-        ):
-            with self.subTest(events=events):
-                self.assertFalse(linearizable(events))
-                self.assertEqual(first_wrong(events), at)
+def test_histories_that_one_register_explains(subtests: pytest.Subtests) -> None:
+    for events in (
+        [change(0, 5, 1, 0), read(6, 7, 1)],
+        [change(0, 9, 1, 0), read(1, 2, 0), read(3, 4, 1)],  # it took effect between the reads
+        [change(0, 9, 1, 0), change(0, 9, 2, 0, False), read(10, 11, 1)],
+        [change(0, UNANSWERED, 1, 0, None), read(5, 6, 0), read(7, 8, 1)],
+        [change(0, UNANSWERED, 1, 0, None), change(1, 2, 3, 0), read(5, 6, 3)],  # never taken
+    ):
+        with subtests.test(events=events):
+            assert linearizable(events)
+            assert first_wrong(events) is None
+
+
+def test_histories_that_none_explains(subtests: pytest.Subtests) -> None:
+    for events, at in (
+        ([change(0, 5, 1, 0), read(6, 7, 0)], 7),  # a stale read
+        ([change(0, 9, 1, 0), read(1, 2, 1), read(3, 4, 0)], 4),  # reads that go back
+        ([change(0, 5, 1, 0), change(0, 5, 2, 0)], 5),  # two on one base
+        ([change(0, 5, 1, 0, False), read(6, 7, 0)], 5),  # refused though it was on the newest
+        ([change(0, 5, 1, 0), change(6, 7, 2, 1), change(8, 9, 3, 1), read(20, 21, 3)], 9),
+    ):
+        with subtests.test(events=events):
+            assert not linearizable(events)
+            assert first_wrong(events) == at
