--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -31,7 +31,7 @@
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import Settings
 from lapisgrade.net.http import Message as HttpMessage
-from lapisgrade.peers.frame import MOST_NAME
+from lapisgrade.peers.frame import MAX_NAME_LENGTH
 
 log = logging.getLogger("proxy")
 
@@ -52,7 +52,7 @@
     def __init__(self, settings: Settings, now_us: Callable[[], int] = clock.now_us) -> None:
         random = Random(int.from_bytes(os.urandom(8), "big"))
         self.context = ProxyContext(settings, random, now_us)
-        self.inner = settings.inner(1)  # where other proxies and the controllers reach this one
+        self.inner = settings.internal_address(1)  # where other proxies and the controllers reach this one
         self._shutdown = asyncio.Event()
         self._build_routing(settings)
         self._build_control(settings)
@@ -82,7 +82,7 @@
         self.quota_owner = QuotaOwner(settings.hostname, context.incarnation, context.now_us())
         self.partial_view = PartialView(str(self.inner), settings.az, context.random, context.now_us())
         self.gossip = Gossip(
-            settings.hostname[:MOST_NAME], self.partial_view, context.now_us, context.log_diagnostic
+            settings.hostname[:MAX_NAME_LENGTH], self.partial_view, context.now_us, context.log_diagnostic
         )
         self.watch_target = WatchTarget(context.random, self.partial_view, [])
         self._apply_seeds()
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -6,6 +6,7 @@
 import pytest
 
 from lapisgrade.gateway import configuration
+from lapisgrade.gateway.configuration_change import apply_change
 from lapisgrade.gateway.controller.state_machine import (
     MOST_DRAFTS,
     Change,
@@ -56,7 +57,7 @@
 
 def acknowledged(change: dict) -> dict:
     """What the majority's side has, once it took that."""
-    return configuration.updated(GROUND, {"Ver": 5, **change})
+    return apply_change(GROUND, {"Ver": 5, **change})
 
 
 def found(conf: dict, name: str) -> dict:
@@ -189,7 +190,7 @@
         base = chance.conf()
         drafts = chance.drafts(base, 2)  # on the version before, as on a side that heard nothing since
         try:
-            ground = configuration.updated(base, {"Ver": 10, **chance.change()})
+            ground = apply_change(base, {"Ver": 10, **chance.change()})
             configuration.read(ground)
         except InvalidInputError:
             ground = base
--- a/tests/gateway/test_api.py
+++ b/tests/gateway/test_api.py
@@ -14,7 +14,7 @@
         ("POST", "/other"),
         ("POST", "/-/rpc?call=servers.deregister"),
     ]
-    found = [each if isinstance(each := api.called(*one), int) else each[0].name for one in asked]
+    found = [each if isinstance(each := api.parse_call(*one), int) else each[0].name for one in asked]
     assert found == ["servers.heartbeat", 405, 404, 404, 400]
     with pytest.raises(InvalidInputError):
-        api.beat("i-1", b'{"Svc":"garantie","Addr":"10.0.0.1:80","Seq":"4"}')
+        api.parse_heartbeat("i-1", b'{"Svc":"garantie","Addr":"10.0.0.1:80","Seq":"4"}')
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -3,6 +3,7 @@
 import msgspec
 
 from lapisgrade.gateway import api, configuration
+from lapisgrade.gateway.routing.route_table import RouteTable
 from support.configurations import WHOLE, changed, with_rule
 
 
@@ -29,7 +30,7 @@
         "Svc": "a", "Addr": "10.0.0.1:80", "Az": "z", "Ver": "v1", "Slots": 4, "State": "up",
         "Warmup_time": "900ms", "Seq": 4,
     }  # fmt: skip
-    server, _ = api.beat("i-1", msgspec.json.encode(beat))
+    server = api.parse_heartbeat("i-1", msgspec.json.encode(beat))
     assert (
         server.service,
         server.address,
@@ -41,11 +42,9 @@
 
 
 def test_the_longest_prefix_of_the_host_that_begins_the_path():
-    table = configuration.Table(
-        configuration.read({name: each for name, each in WHOLE.items() if name != "Base"})
-    )
+    table = RouteTable(configuration.read({name: each for name, each in WHOLE.items() if name != "Base"}))
     asked = ["/stock/2f", "/stock/claim/1?x=/stock/", "/stockroom", "/", "/stock/claim"]
-    found = [rule.name if (rule := table.route("A.example", path)) else None for path in asked]
+    found = [rule.name if (rule := table.find_rule("A.example", path)) else None for path in asked]
     assert found == ["r-stock", "r-claim", None, None, "r-stock"]
-    assert table.route("b.example", "/stock/") is None
-    assert table.keys["k2"].name == "sfax"
+    assert table.find_rule("b.example", "/stock/") is None
+    assert table.tenants_by_key["k2"].name == "sfax"
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -35,7 +35,7 @@
 def test_unknown_fields_and_null_are_passed_over():
     told = read()
     assert (told.datadir, told.slo.retry_window, told.peers[0]) == ("", 10 * SECOND, ("10.1.0.5", 8407))
-    assert str(told.inner(1)) == "10.1.0.5:7661"
+    assert str(told.internal_address(1)) == "10.1.0.5:7661"
 
 
 def test_each_mistake_is_told_with_its_place(subtests: pytest.Subtests):
