--- a/lapisgrade/__main__.py
+++ b/lapisgrade/__main__.py
@@ -5,7 +5,7 @@
 import os
 import sys
 
-from lapisgrade.net import loop
+from lapisgrade.net import event_loop
 from lapisgrade.net.service import serve
 from lapisgrade.start import Malformed
 
@@ -14,7 +14,7 @@
     """The limiter until it has ended; `beside` it runs what the command line was told of."""
     try:
         gc.freeze()
-        with asyncio.Runner(loop_factory=loop.new) as runner:
+        with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
             runner.run(serve(os.environ.get("ROUTER_CONFIG", ""), beside))
     except Malformed as wrong:
         print(f"the configuration: {wrong}", file=sys.stderr)
--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -121,10 +121,10 @@
 
 def main(ask: Ask) -> int:
     """Run the demo on the limiter's own event loop."""
-    from lapisgrade.net import loop
+    from lapisgrade.net import event_loop
 
     try:
-        with asyncio.Runner(loop_factory=loop.new) as runner:
+        with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
             return runner.run(run(ask))
     except OSError as wrong:
         click.echo(f"the demo could not start: {wrong.strerror or wrong}", err=True)
--- a/lapisgrade/cli/main.py
+++ b/lapisgrade/cli/main.py
@@ -76,7 +76,7 @@
     import os
 
     from lapisgrade.__main__ import main as limiter
-    from lapisgrade.net.service import read
+    from lapisgrade.net.service_configuration import read_configuration
 
     os.environ["ROUTER_CONFIG"] = config
     beside = None
@@ -84,7 +84,7 @@
         from lapisgrade.members import site as members
 
         try:
-            beside = members.beside(members.read(site), str(read(config).get("name", "")))
+            beside = members.beside(members.read(site), str(read_configuration(config).get("name", "")))
         except start.Malformed as wrong:
             click.echo(f"the configuration: {wrong}", err=True)
             sys.exit(2)
--- a/lapisgrade/fakes/site.py
+++ b/lapisgrade/fakes/site.py
@@ -112,7 +112,7 @@
     async def end_limiters(self) -> None:
         """Tell each limiter to end, and wait until each has answered all that it owes."""
         for service in self.services:
-            service.end()
+            service.shut_down()
         if self._runs:
             await asyncio.wait(self._runs)
         self._runs = []
--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -67,7 +67,7 @@
 
 from docopt import docopt
 
-from lapisgrade.net import loop
+from lapisgrade.net import event_loop
 from lapisgrade.gateway import settings
 
 log = logging.getLogger("gateway")
@@ -130,7 +130,7 @@
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
     made = program(role)
     startup.finished()
-    with asyncio.Runner(loop_factory=loop.new) as runner:
+    with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
         runner.run(serve(role, made, path, early))
 
 
--- a/lapisgrade/gateway/http_server.py
+++ b/lapisgrade/gateway/http_server.py
@@ -8,7 +8,8 @@
 
 import h11
 
-from lapisgrade.net.http import READ_BYTES, MalformedMessageError, Message, MessageParser, limit_read_size
+from lapisgrade.net.connection import READ_BYTES, limit_read_size
+from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 from lapisgrade.gateway.rpc import sturdy
 
 IDLE = 30.0  # s that a caller's connection may stand without a request
@@ -60,7 +61,7 @@
                         if not chunk:
                             return
                         message = parser.feed(chunk)
-                        if message is None and parser.expects():
+                        if message is None and parser.expects_continue():
                             writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             except MalformedMessageError as wrong:
                 writer.write(framed(wrong.status, b'{"Err":"not a request"}', b"Connection: close\r\n"))
--- a/lapisgrade/gateway/proxy/client_front.py
+++ b/lapisgrade/gateway/proxy/client_front.py
@@ -7,7 +7,8 @@
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.routing import upstream_protocol
 from lapisgrade.gateway.routing.router import RoutedRequest, Router
-from lapisgrade.net import front
+from lapisgrade.net.client_connection import ClientConnection
+from lapisgrade.net.client_listener import ClientListener
 from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.net.http import Message as Http
 
@@ -23,21 +24,21 @@
     said: Callable[[str], None]
 
 
-class ClientFront(front.Front):
+class ClientFront(ClientListener):
     """Clients' connections, in the system's own wording."""
 
-    UP = b"\0"  # readiness has an address of its own
+    READINESS_TARGET = b"\0"  # readiness has an address of its own
 
     def __init__(self, proxy: Process, most: int) -> None:
         host = proxy.host
-        super().__init__(host.put, host.now, proxy.said, proxy.counts, [], [], most, 1, 1.0)
+        super().__init__(host.enqueue, host.now, proxy.said, proxy.counts, None, most)
         self._proxy = proxy
 
-    def operation(self, client: front.Client, message: Http) -> RoutedRequest | None:
+    def parse_request(self, client: ClientConnection, message: Http) -> RoutedRequest | None:
         now, fields = self._now(), message.headers()
 
         def refuse(status: int, more: bytes = b"") -> None:
-            client.reply(status, [], 0, more, last=message.last)
+            client.respond_at_once(status, more, close=message.last)
 
         target, host = message.head.target, fields.get(b"host", b"")
         scheme, _, key = fields.get(upstream_protocol.KEY, b"").partition(b" ")
@@ -57,7 +58,7 @@
         )
         if not 0 < len(request_id) <= 256:
             raise MalformedMessageError("a request without an id")
-        if request_id in self.open:  # its answer might go to the wrong one
+        if request_id in self.open_request_ids:  # its answer might go to the wrong one
             return refuse(409)
         left = (
             min(int(told) * 1000, rule.action.timeout)
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -8,11 +8,12 @@
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
 from lapisgrade.gateway.routing.router import RoutedRequest
 from lapisgrade.interface import Answer
-from lapisgrade.net import front, hops
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import AttemptFinished, ClientDisconnected
-from lapisgrade.net.host import Host
+from lapisgrade.net.connection_pool import ConnectionPool
+from lapisgrade.net.host import Host, LocalResponse
 from lapisgrade.net.http import Message as Http
+from lapisgrade.net.response_writer import ResponseWriter
 
 BAD_GATEWAY = 502  # what a server may have run, and has no good answer
 
@@ -20,68 +21,64 @@
 class ProxyHost(Host):
     """The limiter's host, with the system's answers."""
 
-    load = staticmethod(upstream_protocol.load)
+    parse_load_report = staticmethod(upstream_protocol.load)
     changed: Callable[[], None]  # what is out has changed
 
-    def deliver(self, client: front.Client, message: Http) -> None:
-        client.answer(
+    def forward_response(self, client: ResponseWriter, message: Http) -> None:
+        client.respond(
             message.head.status_code,
             message.body,
             message.size,
             upstream_protocol.passed(message, upstream_protocol.HOP),
         )
 
-    def worded(self, answer: Answer) -> tuple[int, bytes]:
+    def local_response(self, answer: Answer) -> LocalResponse:
         # One whose generator broke off has no status of its own, and may have run.
         status = getattr(answer, "status", BAD_GATEWAY)
         if answer.come_back_us <= 0:
-            return status, b""
-        return status, b"Retry-After: %.3f\r\n" % (answer.come_back_us / SECOND)
+            return LocalResponse(status, b"")
+        return LocalResponse(status, b"Retry-After: %.3f\r\n" % (answer.come_back_us / SECOND))
 
     def send(self, hop) -> None:
         super().send(hop)
         self.changed()
 
-    def _landed(self, event: AttemptFinished) -> None:
+    def _on_attempt_finished(self, event: AttemptFinished) -> None:
         if event.reason is CloseReason.ERROR_RESPONSE:
             event.attempt.operation.handle.failure = event.message
-        super()._landed(event)
+        super()._on_attempt_finished(event)
         self.changed()
 
     def answer(self, operation: RoutedRequest, answer: Answer) -> None:
         """A final answer of our own; where a server's own failure is all there is, that one, as it came."""
         handle = operation.handle
-        if handle.failure is None or handle.client is None or self.worded(answer)[0] != BAD_GATEWAY:
+        if (
+            handle.failure is None
+            or handle.client is None
+            or self.local_response(answer).status != BAD_GATEWAY
+        ):
             return super().answer(operation, answer)
-        del self.owed[handle]
-        self.deliver(handle.client, handle.failure)
+        del self.unanswered[handle]
+        self.forward_response(handle.client, handle.failure)
 
-    def _left(self, event: ClientDisconnected) -> None:
-        super()._left(event)
-        self.pool.left(event.operation)
+    def _on_client_disconnected(self, event: ClientDisconnected) -> None:
+        super()._on_client_disconnected(event)
+        self.pool.cancel_operation(event.operation)
 
 
-class Pool(hops.Pool):
+class Pool(ConnectionPool):
     """The limiter's connections to servers; what a client no longer waits for is called off."""
 
     idle_connections: IdleConnections
 
     def send(self, hop: Attempt) -> None:
         """As the limiter's, but on no connection that has rested for longer than is trusted."""
-        now, operation = self.now(), hop.operation
-        idle = self._idle.get(hop.server.address, [])
-        while idle and not idle[-1].usable():
-            idle[-1].end(CloseReason.IDLE)
-        if idle:
-            rested = now - idle[-1].idle_from
+        now, operation, server = self.now(), hop.operation, hop.server.address
+        connection = self.newest_idle(server)
+        if connection is not None:
+            rested = now - connection.idle_since_us
             if self.idle_connections.trusts(now, operation.svc, rested, operation.rule.mode == "idem"):
                 self.idle_connections.reused(hop, rested)
-            else:
-                self.counts["connections not trusted"] += len(idle)
-                for link in list(idle):  # the others have rested for longer
-                    link.end(CloseReason.IDLE)
+            else:  # the others have rested for longer
+                self.counts["connections not trusted"] += self.close_idle(server)
         super().send(hop)
-
-    def left(self, operation: RoutedRequest) -> None:
-        for hop in [each for each in self._links if each.operation is operation]:
-            self.cancel(hop)
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -67,7 +67,7 @@
         sockets = max(64, settings.caps.nofile - OWN_FILES)
         self.client_front = ClientFront(self, sockets // 2)
         self.host.pool = Pool(
-            self.host.put,
+            self.host.enqueue,
             now_us,
             self.said,
             self.counts,
@@ -127,15 +127,16 @@
         try:
             await self._end.wait()
             ends = loop.time() + self.settings.slo.grace / SECOND - 0.4
-            self.client_front.ending = self.client_front.closing = True
+            self.client_front.is_draining = True
+            self.client_front.closes_after_response = True
             log.info(
                 "told to end: %d connections, %d requests",
                 len(self.client_front.clients),
-                len(self.host.owed),
+                len(self.host.unanswered),
             )
             await asyncio.sleep(COMING)
             self.client_front.close_idle()
-            while (self.client_front.clients or self.host.owed) and loop.time() < ends:
+            while (self.client_front.clients or self.host.unanswered) and loop.time() < ends:
                 await asyncio.sleep(LOOK)
                 self.client_front.close_idle()
         finally:
@@ -163,7 +164,7 @@
     def ready(self) -> bool:
         """Whether it knows a configuration, the servers and who holds the counts, and is not told to end."""
         known = self.router.table is not None and self.life and self.quota_owner.fence
-        return bool(known) and not self.client_front.ending and not self.isolated
+        return bool(known) and not self.client_front.is_draining and not self.isolated
 
     @property
     def isolated(self) -> bool:
@@ -257,9 +258,9 @@
     def _act(self, table: Table) -> None:
         """That version is in force."""
         self.ver, caps = table.ver, table.made.caps
-        self.client_front.rest = caps.idle / SECOND + 1.0
-        self.client_front.ask = max(caps.hdr / SECOND, 1.0) + 7.0
-        self.client_front.most_body = caps.body_bytes
+        self.client_front.idle_timeout_s = caps.idle / SECOND + 1.0
+        self.client_front.request_timeout_s = max(caps.hdr / SECOND, 1.0) + 7.0
+        self.client_front.max_body_bytes = caps.body_bytes
         self.router.configured(table)
         log.info("version %d", self.ver)
 
@@ -320,7 +321,7 @@
                 each.address, each.svc = old.address, old.svc
             self.register[each.id] = each
         self.router.listed(news.servers, whole)
-        self.host.pool.known(
+        self.host.pool.update_addresses(
             {
                 each.id: tuple(address(each.address)) if each.state in ("up", "drain") else None
                 for each in news.servers
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -53,7 +53,7 @@
         quota_client = process.router.quota_clients.get(add.name)
         name = process.quota_owner.owners.owner(add.name)
         if quota_client is None or not name:
-            return process.host.put(CounterCallFinished(task, CloseReason.REJECTED))
+            return process.host.enqueue(CounterCallFinished(task, CloseReason.REJECTED))
         ask = quota_client.ask(process.settings.hostname, process.quota_owner.fence)
         owned = name == process.settings.hostname
         if owned and not process.quota_owner.predecessor(now_us(), ask.tenant):
@@ -77,7 +77,7 @@
             else:
                 reply = await self._call(ask, name, (ends_us - now_us()) / SECOND)
             if isinstance(reply, CloseReason):
-                return process.host.put(CounterCallFinished(task, reply))
+                return process.host.enqueue(CounterCallFinished(task, reply))
             elsewhere = process.quota_owner.owners.owner(ask.tenant) != name
             same = reply.fence == process.quota_owner.fence and not elsewhere
             if reply.held or same or now_us() + 2 * int(LISTED * SECOND) > ends_us:
@@ -114,11 +114,11 @@
         quota_client = process.router.quota_clients.get(ask.tenant)
         if not reply.held:
             process.counts["counts not held"] += 1
-            return process.host.put(CounterCallFinished(task, CloseReason.REJECTED))
+            return process.host.enqueue(CounterCallFinished(task, CloseReason.REJECTED))
         if quota_client is not None:
             quota_client.gateways = max(1, reply.limiters)
         process.counts["counts added"] += 1
-        process.host.put(CounterCallFinished(task, CloseReason.ANSWERED, reply.total))
+        process.host.enqueue(CounterCallFinished(task, CloseReason.ANSWERED, reply.total))
 
     # ---- what other proxies ask
 
--- a/lapisgrade/gateway/routing/upstream_protocol.py
+++ b/lapisgrade/gateway/routing/upstream_protocol.py
@@ -5,8 +5,8 @@
 
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import ClientRequest
-from lapisgrade.net.hops import Dialect
 from lapisgrade.net.http import Message
+from lapisgrade.net.server_protocol import ServerProtocol
 
 TRY_ID, SEAL, NOT_RUN, LOAD = b"try-id", b"server-seal", b"not-run", b"server-load"
 DEADLINE, TENANT, WANT = b"deadline-ms", b"tenant", b"want-instance"
@@ -55,13 +55,13 @@
     )
 
 
-class UpstreamProtocol(Dialect):
+class UpstreamProtocol(ServerProtocol):
     """To servers, and from them."""
 
-    most_body = 64 * 1024 * 1024
+    max_body_bytes = 64 * 1024 * 1024
 
-    def head(self, hop, left: float) -> bytes:
-        asked: Passing = hop.operation.handle
+    def encode_head(self, attempt, seconds_left: float) -> bytes:
+        asked: Passing = attempt.operation.handle
         size = sum(len(each) for each in asked.body)
         return (
             b"%b %b HTTP/1.1\r\nHost: %b\r\nTry-Id: %b\r\nDeadline-Ms: %d\r\nWant-Instance: %b\r\n%b%b%b\r\n"
@@ -70,21 +70,21 @@
                 asked.target,
                 asked.host,
                 asked.request_id,
-                max(1, int(left * 1000)),
-                hop.server.address.encode(),
+                max(1, int(seconds_left * 1000)),
+                attempt.server.address.encode(),
                 b"Tenant: %b\r\n" % asked.tenant if asked.tenant else b"",
                 asked.lines,
                 b"Content-Length: %d\r\n" % size if size or asked.method not in (b"GET", b"HEAD") else b"",
             )
         )
 
-    def stray(self, hop, message: Message) -> bool:
+    def is_stray(self, attempt, message: Message) -> bool:
         name = message.headers().get(TRY_ID)
-        return name is not None and name != hop.operation.handle.request_id
+        return name is not None and name != attempt.operation.handle.request_id
 
-    def told(self, hop, message: Message) -> CloseReason:
+    def classify(self, attempt, message: Message) -> CloseReason:
         status, fields = message.head.status_code, message.headers()
-        if fields.get(TRY_ID) != hop.operation.handle.request_id or b"content-encoding" in fields:
+        if fields.get(TRY_ID) != attempt.operation.handle.request_id or b"content-encoding" in fields:
             return CloseReason.MALFORMED
         if status == 421 or (NOT_RUN in fields and status >= 400):
             return CloseReason.REJECTED
@@ -97,11 +97,11 @@
         # A server's failure is final where the request may run once; else another may do better.
         return (
             CloseReason.ERROR_RESPONSE
-            if status >= 500 and hop.operation.rule.mode == "idem"
+            if status >= 500 and attempt.operation.rule.mode == "idem"
             else CloseReason.CLIENT_ERROR
         )
 
-    def idle_us(self, message: Message) -> int:
+    def keep_alive_us(self, message: Message) -> int:
         found = _IDLE.search(message.headers().get(b"keep-alive", b""))
         return 1_000_000 * min(int(found[1]), IDLE_MOST) if found else 0
 
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -15,8 +15,9 @@
 
 from lapisgrade.interface import Outcome
 from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.hops import Link
+from lapisgrade.net.host import LocalResponse
 from lapisgrade.net.http import MalformedMessageError, Message
+from lapisgrade.net.upstream_connection import UpstreamConnection
 from lapisgrade.gateway.http_client import ask
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.http_server import framed
@@ -189,7 +190,9 @@
 
 # ---- wrong versions
 
-_told, _end, _worded = UpstreamProtocol.told, Link.end, ProxyHost.worded
+_classify = UpstreamProtocol.classify
+_close = UpstreamConnection.close
+_local_response = ProxyHost.local_response
 
 
 def _by_order(self: UpstreamProtocol, hop: Any, message: Message) -> bool:
@@ -202,31 +205,31 @@
     asked = hop.operation.handle
     before, asked.request_id = asked.request_id, message.headers().get(b"try-id", asked.request_id)
     try:
-        return _told(self, hop, message)
+        return _classify(self, hop, message)
     finally:
         asked.request_id = before
 
 
 def _unsealed(self: UpstreamProtocol, hop: Any, message: Message) -> CloseReason:
     """A success counts without the server's seal."""
-    return CloseReason.ANSWERED if 200 <= message.head.status_code < 300 else _told(self, hop, message)
+    return CloseReason.ANSWERED if 200 <= message.head.status_code < 300 else _classify(self, hop, message)
 
 
-def _broken_is_unsent(self: Link, ending: CloseReason) -> None:
+def _broken_is_unsent(self: UpstreamConnection, reason: CloseReason) -> None:
     """A connection that breaks off is taken for one on which nothing was sent."""
-    _end(self, CloseReason.INCOMPLETE_WRITE if ending is CloseReason.CONNECTION_LOST else ending)
+    _close(self, CloseReason.INCOMPLETE_WRITE if reason is CloseReason.CONNECTION_LOST else reason)
 
 
-def _always_promises(self: ProxyHost, answer: Any) -> tuple[int, bytes]:
+def _always_promises(self: ProxyHost, answer: Any) -> LocalResponse:
     """What may have run is told to come back."""
-    status, more = _worded(self, answer)
-    return (503, b"Retry-After: 0.1\r\n") if status in (502, 504) else (status, more)
+    response = _local_response(self, answer)
+    return LocalResponse(503, b"Retry-After: 0.1\r\n") if response.status in (502, 504) else response
 
 
 MUTANTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "answer-by-order": [(UpstreamProtocol, "stray", _by_order), (UpstreamProtocol, "told", _any_id)],
-    "unsealed-success": [(UpstreamProtocol, "told", _unsealed)],
-    "broken-is-unsent": [(Link, "end", _broken_is_unsent)],
-    "always-promises": [(ProxyHost, "worded", _always_promises)],
+    "answer-by-order": [(UpstreamProtocol, "is_stray", _by_order), (UpstreamProtocol, "classify", _any_id)],
+    "unsealed-success": [(UpstreamProtocol, "classify", _unsealed)],
+    "broken-is-unsent": [(UpstreamConnection, "close", _broken_is_unsent)],
+    "always-promises": [(ProxyHost, "local_response", _always_promises)],
     "all-never-ran": [(Outcome, "never_ran", property(lambda self: True))],
 }
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -10,7 +10,7 @@
 from lapisgrade import decide, start
 from lapisgrade.decide import limiter
 from lapisgrade.interface import Listed, Operation, Repeat
-from lapisgrade.net import discovery
+from lapisgrade.net import discovery_client
 
 
 def swallow() -> None:
@@ -38,7 +38,7 @@
 
 def deaf() -> None:
     """News of servers that drain is not heard (rule 3)."""
-    discovery.STATES["terminating"] = Listed.READY
+    discovery_client.STATES["terminating"] = Listed.READY
 
 
 def unmetered() -> None:
--- a/lapisgrade/lab/partitions/cuts.py
+++ b/lapisgrade/lab/partitions/cuts.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from lapisgrade.net import loop as loops
+from lapisgrade.net import event_loop
 from lapisgrade.gateway.rpc import SILENT_MS
 
 SILENT = SILENT_MS / 1000  # s; as the program's own sockets
@@ -215,12 +215,12 @@
     own = settings.read(path).ip
 
     def new() -> Loop:
-        made = Loop(loops.Selector())
+        made = Loop(event_loop.BatchingSelector())
         made.cuts = Cuts(cuts, own)
         made.cuts.watch(made)
         return made
 
-    loops.new = new
+    event_loop.new_event_loop = new
     return gateway_main.main()
 
 
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -62,7 +62,7 @@
 class Caller:
     """A client's connection: what it is answered is not read."""
 
-    def answer(self, status: int, body: list, size: int, more: bytes = b"") -> None:
+    def respond(self, status: int, body: list, size: int, header_lines: bytes = b"") -> None:
         """Take an answer."""
 
 
@@ -72,7 +72,7 @@
     def __init__(self, proxy: "SimulatedProxy") -> None:
         self._proxy = proxy
 
-    def known(self, addresses: dict) -> None:
+    def update_addresses(self, addresses: dict) -> None:
         """The register's word; nothing is kept of it."""
 
     def send(self, hop: Attempt) -> None:
@@ -84,12 +84,12 @@
             if there
             else AttemptFinished(hop, CloseReason.CONNECTION_REFUSED)
         )
-        asyncio.get_running_loop().call_later(WORK / SECOND, proxy.host.put, landed)
+        asyncio.get_running_loop().call_later(WORK / SECOND, proxy.host.enqueue, landed)
 
     def cancel(self, hop: Attempt) -> None:
         """A hop that nobody waits for."""
 
-    def left(self, operation: RoutedRequest) -> None:
+    def cancel_operation(self, operation: RoutedRequest) -> None:
         """A client that has left."""
 
 
@@ -152,7 +152,7 @@
             svc=self.router.split.choose(rule),
             handle=handle,
         )
-        self.host.put(RequestReceived(operation))
+        self.host.enqueue(RequestReceived(operation))
 
 
 class ProxyMachine:
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -62,11 +62,11 @@
     @contextlib.asynccontextmanager
     async def member(service: Service) -> AsyncIterator[None]:
         def changed(news: News) -> None:
-            service.say(f"limiter {news.name} {STATES[State(news.state)]}")
+            service.log(f"limiter {news.name} {STATES[State(news.state)]}")
             service.counts["members alive"] = len(host.core.alive()) if host.core is not None else 1
 
         # Chance of its own, the same for the same name: what the decisions draw is not touched.
-        host = Host(name[:MOST_NAME], service.say, changed, zlib.crc32(name.encode()))
+        host = Host(name[:MOST_NAME], service.log, changed, zlib.crc32(name.encode()))
         host.udp.counts = service.counts
         try:
             await host.open(*site.listen, list(site.seeds), site.reached_at)
--- /dev/null
+++ b/lapisgrade/net/client_connection.py
@@ -0,0 +1,217 @@
+"""One client's connection: requests in, responses out, one request at a time.
+
+              part of a request                the request is complete
+    NO_REQUEST ────────────> RECEIVING ──────────────────────────────> AWAITING_RESPONSE
+        ^  └──────────────────────────────────────────────────────────────────^  │
+        ├───────────────────────────┘ answered at once: 4xx, 503, readiness      │
+        └────────────────────────────────────────────────────────────────────────┘ responded, or disconnected
+
+Pipelined requests (RFC 9112, section 9.3.2) are kept unread while one awaits its response.
+"""
+
+import asyncio
+from enum import Enum, auto
+from http import HTTPStatus
+from typing import TYPE_CHECKING
+
+import h11
+
+from lapisgrade.interface import Operation
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.connection import READ_BYTES
+from lapisgrade.net.events import ClientDisconnected, RequestReceived
+from lapisgrade.net.http import MAX_BODY_BYTES, MalformedMessageError, Message, MessageParser
+
+if TYPE_CHECKING:
+    from lapisgrade.net.client_listener import ClientListener
+
+MAX_UNREAD_BYTES = 4 * MAX_BODY_BYTES  # of responses that a client may leave unread
+_OK = 200
+_REQUEST_TIMEOUT = 408
+_SERVICE_UNAVAILABLE = 503
+_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+_REASON_PHRASES = {each.value: each.phrase.encode() for each in HTTPStatus}
+
+
+class ClientState(Enum):
+    """What has come of the current request; see the diagram above."""
+
+    NO_REQUEST = auto()
+    RECEIVING = auto()
+    AWAITING_RESPONSE = auto()
+
+
+class ClientConnection:
+    """A connection that the listener has accepted. `run` reads it until it ends."""
+
+    __slots__ = (
+        "_close_reason",
+        "_closes_after_response",
+        "_listener",
+        "_operation",
+        "_parser",
+        "_pipelined",
+        "_request_timer",
+        "_writer",
+        "is_over_limit",
+        "state",
+    )
+
+    def __init__(self, listener: "ClientListener", writer: asyncio.StreamWriter) -> None:
+        self._listener = listener
+        self._writer = writer
+        self._parser = MessageParser(h11.SERVER, listener.max_body_bytes)
+        self._pipelined = b""  # received while a request awaits its response
+        self._closes_after_response = False
+        self._request_timer: asyncio.TimerHandle | None = None  # runs while RECEIVING
+        self._operation: Operation | None = None  # set while AWAITING_RESPONSE
+        self._close_reason = CloseReason.CLIENT_DISCONNECTED  # unless we close it
+        self.state = ClientState.NO_REQUEST
+        self.is_over_limit = False  # its requests are rejected: there are too many connections
+
+    async def run(self, reader: asyncio.StreamReader) -> None:
+        """Take in all that comes, until the client disconnects or we close."""
+        try:
+            while chunk := await reader.read(READ_BYTES):
+                self._receive(chunk)
+        except OSError:
+            pass  # reset by the client
+        finally:
+            if self.state is ClientState.AWAITING_RESPONSE:
+                self._listener.enqueue(ClientDisconnected(self._take_operation()))
+            self._end_receiving()
+            self._writer.close()
+            self._listener.on_closed(self, self._close_reason)
+
+    def close(self, reason: CloseReason) -> None:
+        """Close once all that was written is out; `run` ends then."""
+        self._close_reason = reason
+        self._listener.mark_busy(self)
+        self._writer.close()
+
+    def abort(self, reason: CloseReason) -> None:
+        """Close at once, also where what was written can't go out (guards descriptors against lost peers)."""
+        self._close_reason = reason
+        self._listener.mark_busy(self)
+        self._writer.transport.abort()
+
+    def on_request_timeout(self) -> None:
+        """No complete request came in time (guards descriptors against peers that are silent or slow)."""
+        if self.state is ClientState.RECEIVING:
+            self._end_receiving()
+            self.respond_at_once(_REQUEST_TIMEOUT, close=True, reason=CloseReason.TIMED_OUT)
+        else:
+            self.close(CloseReason.TIMED_OUT)
+
+    def respond(
+        self, status: int, body: list[memoryview | bytes], size: int, header_lines: bytes = b""
+    ) -> None:
+        """Write the final response to the request that awaits one, and go on with the next."""
+        self._take_operation()
+        pipelined, self._pipelined = self._pipelined, b""
+        self._write_response(status, body, size, header_lines, close=self._closes_after_response)
+        self._expect_next()
+        self._receive(pipelined)
+
+    def respond_at_once(
+        self,
+        status: int,
+        header_lines: bytes = b"",
+        *,
+        close: bool,
+        reason: CloseReason = CloseReason.ANSWERED,
+    ) -> None:
+        """Write an empty response to a request that goes no further; `close` makes it the last one."""
+        self._write_response(status, [], 0, header_lines, close=close, reason=reason)
+
+    def _write_response(
+        self,
+        status: int,
+        body: list[memoryview | bytes],
+        size: int,
+        header_lines: bytes,
+        *,
+        close: bool,
+        reason: CloseReason = CloseReason.ANSWERED,
+    ) -> None:
+        close = close or self._listener.closes_after_response
+        connection_line = b"Connection: close\r\n" if close else b""  # RFC 9112, section 9.6
+        head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n" % (
+            status,
+            _REASON_PHRASES.get(status, b""),
+            size,
+            header_lines,
+            connection_line,
+        )
+        self._writer.writelines([head, *body])
+        self._listener.counts[f"answered {status}"] += 1
+        if self._writer.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
+            self.abort(CloseReason.TIMED_OUT)  # guards memory against a peer that asks and does not read
+        elif close:
+            self.close(reason)
+
+    def _receive(self, chunk: bytes) -> None:
+        """Take in what came, one request after another until one must wait for its response."""
+        while chunk and self.state is not ClientState.AWAITING_RESPONSE and not self._writer.is_closing():
+            try:
+                message = self._parser.feed(chunk)
+                if message is None:
+                    return self._on_partial_request()
+                self._end_receiving()
+                self._on_request(message)
+                chunk = message.rest
+            except MalformedMessageError as error:
+                self._listener.log(f"a request was answered {error.status}: {error}")
+                return self.respond_at_once(error.status, close=True, reason=CloseReason.MALFORMED)
+        if chunk and self.state is ClientState.AWAITING_RESPONSE:
+            self._pipelined += chunk
+            if len(self._pipelined) > 2 * self._listener.max_body_bytes:
+                self.abort(CloseReason.MALFORMED)  # `run` sees the end, and reports the disconnect
+
+    def _on_partial_request(self) -> None:
+        self._listener.mark_receiving(self)
+        if self.state is ClientState.NO_REQUEST:
+            self.state = ClientState.RECEIVING
+            self._request_timer = asyncio.get_running_loop().call_later(
+                self._listener.request_timeout_s, self.on_request_timeout
+            )
+        if self._parser.expects_continue():
+            self._writer.write(_CONTINUE)
+
+    def _end_receiving(self) -> None:
+        """The request is complete, or won't be."""
+        if self.state is ClientState.RECEIVING:
+            self.state = ClientState.NO_REQUEST
+            self._request_timer.cancel()
+
+    def _on_request(self, message: Message) -> None:
+        listener = self._listener
+        if message.head.target == listener.READINESS_TARGET:
+            status = _SERVICE_UNAVAILABLE if listener.is_draining else _OK
+            self.respond_at_once(status, close=message.last)
+            return self._expect_next()
+        if self.is_over_limit:
+            return self.respond_at_once(_SERVICE_UNAVAILABLE, close=True, reason=CloseReason.REJECTED)
+        operation = listener.parse_request(self, message)
+        if operation is None:
+            return self._expect_next()  # answered already
+        listener.open_request_ids.add(operation.handle.request_id)
+        self._operation = operation
+        self._closes_after_response = message.last
+        self.state = ClientState.AWAITING_RESPONSE
+        listener.mark_busy(self)
+        listener.enqueue(RequestReceived(operation))
+
+    def _take_operation(self) -> Operation:
+        """The request no longer awaits a response."""
+        operation, self._operation = self._operation, None
+        self.state = ClientState.NO_REQUEST
+        operation.handle.client = None
+        self._listener.open_request_ids.discard(operation.handle.request_id)
+        return operation
+
+    def _expect_next(self) -> None:
+        """The last request has its response; the connection is idle until the next one comes."""
+        self._parser = MessageParser(h11.SERVER, self._listener.max_body_bytes)
+        if not self._writer.is_closing():
+            self._listener.mark_idle(self)
--- /dev/null
+++ b/lapisgrade/net/counter_client.py
@@ -0,0 +1,261 @@
+"""Calls to the counter service, in RESP2, pipelined on one connection.
+
+A call adds to a named count and is answered with its total. Replies come in the order of the calls, late ones
+too: a call that timed out stays in the connection's queue until its reply has come, so that no later call is
+given it.
+"""
+
+import asyncio
+import re
+from collections import Counter, deque
+from collections.abc import Callable
+
+from lapisgrade.engine import Task
+from lapisgrade.interface import Add
+from lapisgrade.net import SECOND
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.connection import (
+    READ_BYTES,
+    CountingStreamReader,
+    call_after_pending_io,
+    connect,
+    is_stale,
+    limit_read_size,
+)
+from lapisgrade.net.events import CounterCallFinished, Event
+from lapisgrade.net.http import MalformedMessageError
+
+# A complete reply: a bulk string with a total, or an error. A total that can be read is true; anything else
+# tells nothing.
+_REPLY = re.compile(
+    rb"\$(?P<size>\d{1,2})\r\n(?P<total>[-+]?(?:\d+\.?\d*|\.\d+)(?:[eE][-+]?\d{1,3})?)\r\n"
+    rb"|-(?P<error>[^\r\n]{1,256})\r\n"
+)
+# What may yet become a reply.
+_PARTIAL_REPLY = re.compile(rb"(?:\$(?:\d{1,2}(?:\r(?:\n(?:[-+.\deE]{1,64}\r?)?)?)?)?|-[^\r\n]{0,256}\r?)?")
+MAX_TOTAL = 1e15  # far past what all limiters could add; more would not be a number to reckon with
+_MAX_SHOWN_BYTES = 80  # of a reply, in the log
+_US_PER_MS = 1000
+
+
+class CounterCall:
+    """One call; `task` is None once its end has been reported, as when its reply comes too late."""
+
+    __slots__ = ("frame", "is_written", "task", "timer")
+
+    def __init__(self, task: Task, frame: bytes) -> None:
+        self.task: Task | None = task
+        self.frame = frame
+        self.timer: asyncio.TimerHandle | None = None
+        self.is_written = False
+
+
+class CounterConnection:
+    """One connection: the calls that wait for it to come up, and those in flight on it."""
+
+    __slots__ = (
+        "_address",
+        "_buffer",
+        "_client",
+        "_last_received_s",
+        "_reader",
+        "_task",
+        "_writer",
+        "in_flight",
+        "pending",
+    )
+
+    def __init__(self, client: "CounterClient", address: tuple[str, int]) -> None:
+        self._client = client
+        self._address = address
+        self.pending: deque[CounterCall] = deque()  # until the connection is up
+        self.in_flight: deque[CounterCall] = deque()  # written, not answered
+        self._reader: CountingStreamReader | None = None
+        self._writer: asyncio.StreamWriter | None = None
+        self._last_received_s = 0.0  # or when nothing was in flight
+        self._buffer = b""
+        self._task = asyncio.get_running_loop().create_task(self._run())
+
+    def ensure_usable(self) -> bool:
+        """Whether a further call may be written; a connection that can't be used is closed."""
+        if self._writer is None:
+            return True
+        silent_s = asyncio.get_running_loop().time() - self._last_received_s
+        if self.in_flight and silent_s > self._client.connect_timeout_s:
+            self.close(CloseReason.CONNECTION_LOST)  # guards against a peer that has vanished
+        elif not self.in_flight and is_stale(self._reader, self._writer):
+            self.close(CloseReason.IDLE)
+        else:
+            return True
+        return False
+
+    def send(self, call: CounterCall) -> None:
+        """Write a call, or keep it until the connection is up."""
+        if self._writer is None:
+            self.pending.append(call)
+            return
+        if not self.in_flight:
+            self._last_received_s = asyncio.get_running_loop().time()
+        self.in_flight.append(call)
+        call.is_written = True
+        self._writer.write(call.frame)
+
+    def close(self, reason: CloseReason) -> None:
+        """Close at once; what was written may have been added."""
+        self._client.on_connection_closed(self)
+        for call in (*self.in_flight, *self.pending):
+            self._client.on_call_finished(call, reason)
+        self.in_flight.clear()
+        self.pending.clear()
+        if self._writer is not None:
+            self._writer.transport.abort()
+        if self._task is not asyncio.current_task():
+            self._task.cancel()
+
+    async def _run(self) -> None:
+        """Connect, write what is pending, and read until the connection ends."""
+        try:
+            async with asyncio.timeout(self._client.connect_timeout_s):
+                reader, writer = await connect(*self._address)
+        except TimeoutError:
+            return self.close(CloseReason.CONNECT_TIMEOUT)
+        except OSError:
+            return self.close(CloseReason.CONNECTION_REFUSED)
+        limit_read_size(writer)
+        self._reader = reader
+        self._writer = writer
+        while self.pending:
+            call = self.pending.popleft()
+            if call.task is not None:  # one that timed out must not be written any more
+                self.send(call)
+        try:
+            while chunk := await reader.read(READ_BYTES):
+                self._last_received_s = asyncio.get_running_loop().time()
+                self._receive(chunk)
+        except OSError:
+            pass  # reset by the counter service
+        except MalformedMessageError as error:
+            self._client.log(f"the counter: {error}")
+            self.close(CloseReason.MALFORMED)
+        finally:
+            self.close(CloseReason.CONNECTION_LOST)
+
+    def _receive(self, chunk: bytes) -> None:
+        data = self._buffer + chunk if self._buffer else chunk
+        offset = 0
+        while (reply := _REPLY.match(data, offset)) is not None:
+            offset = reply.end()
+            self._on_reply(reply)
+        self._buffer = data[offset:]
+        if _PARTIAL_REPLY.fullmatch(self._buffer) is None:  # guards against noise, and endless replies
+            raise MalformedMessageError(f"an answer to no call of ours: {self._buffer[:_MAX_SHOWN_BYTES]!r}")
+
+    def _on_reply(self, reply: re.Match[bytes]) -> None:
+        """Finish the call in flight for longest."""
+        total = 0.0
+        if reply["total"] is not None:
+            total = float(reply["total"])
+            if len(reply["total"]) != int(reply["size"]) or not abs(total) < MAX_TOTAL:
+                raise MalformedMessageError(f"no total: {reply[0][:_MAX_SHOWN_BYTES]!r}")
+            reason = CloseReason.ANSWERED
+        else:
+            reason = CloseReason.REJECTED
+            if not reply["error"].startswith(b"BUSY"):
+                self._client.log(f"the counter says {reply['error'][:_MAX_SHOWN_BYTES]!r}")
+        if not self.in_flight:
+            raise MalformedMessageError("an answer without a call")
+        call = self.in_flight.popleft()
+        if call.task is None:
+            self._client.counts["counter answers too late"] += 1
+        self._client.on_call_finished(call, reason, total)
+
+
+class CounterClient:
+    """The counter service at one address, which may change.
+
+    `add` is called by the host; each call's end goes out as one `CounterCallFinished` through `enqueue`.
+    """
+
+    def __init__(
+        self,
+        enqueue: Callable[[Event], None],
+        log: Callable[[str], None],
+        counts: Counter[str],
+        address: tuple[str, int],
+        timeout_us: int,
+        connect_timeout_us: int,
+    ) -> None:
+        """`log` takes one line for the people on call."""
+        self._enqueue = enqueue
+        self.log = log
+        self.counts = counts
+        self._address = address
+        self._timeout_s = timeout_us / SECOND
+        self.connect_timeout_s = connect_timeout_us / SECOND
+        self._current: CounterConnection | None = None  # that new calls are written to
+        self._retiring: list[CounterConnection] = []  # at a former address, until their calls have ended
+
+    def add(self, task: Task, add: Add) -> None:
+        """Call the counter service for a task that waits for the total."""
+        lifetime_ms = max(1, add.life_us // _US_PER_MS)
+        call = CounterCall(
+            task, _encode(b"INCRTTL", b"%d" % add.name, b"%.6f" % add.amount, b"%d" % lifetime_ms)
+        )
+        call.timer = asyncio.get_running_loop().call_later(self._timeout_s, self._on_timeout, call)
+        self.counts["counter calls"] += 1
+        self._usable_connection().send(call)
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        """From now on calls go to another address; those written are answered where they went."""
+        if address == self._address:
+            return
+        self._address = address
+        retiring, self._current = self._current, None
+        if retiring is None:
+            return
+        for call in retiring.pending:
+            if call.task is not None:
+                self._usable_connection().send(call)
+        retiring.pending.clear()
+        self._retiring.append(retiring)
+        asyncio.get_running_loop().call_later(
+            self._timeout_s, call_after_pending_io, lambda: retiring.close(CloseReason.TIMED_OUT)
+        )
+
+    def close(self) -> None:
+        """End all calls; none is written any more."""
+        for connection in [*self._retiring, *([self._current] if self._current is not None else [])]:
+            connection.close(CloseReason.CANCELLED)
+
+    def on_connection_closed(self, connection: CounterConnection) -> None:
+        """A connection takes no further calls."""
+        if self._current is connection:
+            self._current = None
+        elif connection in self._retiring:
+            self._retiring.remove(connection)
+
+    def on_call_finished(self, call: CounterCall, reason: CloseReason, total: float = 0.0) -> None:
+        """Report the end of a call, unless that was done."""
+        if call.task is not None:
+            call.timer.cancel()
+            self.counts[f"counter calls {reason.value}"] += 1
+            self._enqueue(CounterCallFinished(call.task, reason, total))
+            call.task = None
+
+    def _usable_connection(self) -> CounterConnection:
+        if self._current is None or not self._current.ensure_usable():
+            self._current = CounterConnection(self, self._address)
+        return self._current
+
+    def _on_timeout(self, call: CounterCall) -> None:
+        call_after_pending_io(
+            lambda: self.on_call_finished(
+                call, CloseReason.TIMED_OUT if call.is_written else CloseReason.NOT_SENT
+            )
+        )
+
+
+def _encode(*arguments: bytes) -> bytes:
+    """A RESP2 array of bulk strings."""
+    bulk_strings = b"".join(b"$%d\r\n%b\r\n" % (len(each), each) for each in arguments)
+    return b"*%d\r\n%b" % (len(arguments), bulk_strings)
--- a/lapisgrade/net/events.py
+++ b/lapisgrade/net/events.py
@@ -1,11 +1,11 @@
-"""What socket code tells the host's task; its queue carries nothing else."""
+"""Events from sockets and timers to the host; its queue carries nothing else."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 from lapisgrade.interface import Entry, Operation
 from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.handle import Client
+from lapisgrade.net.response_writer import ResponseWriter
 
 if TYPE_CHECKING:
     from lapisgrade.engine import Task
@@ -14,9 +14,9 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """What a client sent, as far as it passes on to a server; an operation's `handle`."""
+    """What a client sent, as far as it is forwarded to a server; an operation's `handle`."""
 
-    client: Client | None  # None once it has its answer or has left: nothing is owed any more
+    client: ResponseWriter | None  # None once it is answered or has disconnected: nothing is owed any more
     method: bytes
     target: bytes
     host: bytes
@@ -27,19 +27,21 @@
 
 @dataclass(slots=True)
 class RequestReceived:
+    """A client has sent a complete request that asks for an operation."""
+
     operation: Operation
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has gone before its answer."""
+    """The client has gone before its response."""
 
     operation: Operation
 
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """A hop has ended, with a whole answer or without one."""
+    """An attempt has ended, with a complete response or without one."""
 
     attempt: Any
     reason: CloseReason
@@ -48,6 +50,8 @@
 
 @dataclass(slots=True)
 class CounterCallFinished:
+    """A call to the counter service has ended; `total` is the count where it was answered."""
+
     task: "Task"
     reason: CloseReason
     total: float = 0.0
@@ -55,15 +59,15 @@
 
 @dataclass(slots=True)
 class ServersUpdated:
-    """Discovery's word on the servers."""
+    """The endpoint list has changed; a complete list names all servers there are."""
 
     entries: list[Entry]
-    whole: bool
+    is_complete: bool
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """The wake-up asked for last has come."""
+    """The wake-up requested for `due_us` has come."""
 
     due_us: int
 
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -1,161 +1,191 @@
-"""The one task that owns the module and its engine; all else reaches them through its queue."""
+"""The one task that owns the policy and its engine; all else reaches them through its queue.
+
+Sockets and timers `enqueue` events. The host takes one event after another, moves the clock, and lets the
+engine run the policy's generators; what these ask for, the engine has the host carry out.
+"""
 
 import asyncio
-import time
 import traceback
 from collections import Counter
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple, Protocol
 
 from lapisgrade.engine import Engine, Task
 from lapisgrade.interface import Add, Answer, Clock, Operation, Report, Total, Verdict, Word
-from lapisgrade.net import SECOND, counter, front, hops
+from lapisgrade.net import SECOND
 from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.connection import call_after_pending_io
+from lapisgrade.net.connection_pool import ConnectionPool
 from lapisgrade.net.events import (
+    AttemptFinished,
+    ClientDisconnected,
     ClientRequest,
     CounterCallFinished,
     Event,
-    AttemptFinished,
-    ClientDisconnected,
-    ServersUpdated,
     RequestReceived,
+    ServersUpdated,
     TimerFired,
 )
-from lapisgrade.net.http import call_after_pending_io
+from lapisgrade.net.http import Message
+from lapisgrade.net.response_writer import ResponseWriter
+from lapisgrade.net.server_protocol import parse_load_report
 
+_TOO_MANY_REQUESTS = 429
+_BAD_GATEWAY = 502
 
-def wall(offset_us: int = 0, drift_ppm: float = 0.0) -> Callable[[], int]:
-    """Unix time in us, read once and then carried on by a clock that never steps; for tests of clocks that
-    disagree, so much ahead at the start and gaining so many us in each second."""
-    began = time.monotonic_ns()
-    since = time.time_ns() - began
-    if not drift_ppm:
-        return lambda: (time.monotonic_ns() + since) // 1000 + offset_us
 
-    def drifting() -> int:
-        now = time.monotonic_ns()
-        return (now + since) // 1000 + offset_us + int((now - began) * drift_ppm / 1e9)
+class CounterService(Protocol):
+    """What adds to counts on behalf of the policy."""
 
-    return drifting
+    def add(self, task: Task, add: Add) -> None:
+        """Add to a count; its end comes back as a `CounterCallFinished`."""
+
+
+class LocalResponse(NamedTuple):
+    """Status and header fields of a response that no server gave."""
+
+    status: int
+    header_lines: bytes
 
 
 class Host:
-    """Brings events to the module in the order of the queue, and carries out what it asks for."""
+    """Brings events to the policy in the order of the queue, and carries out what it asks for."""
+
+    parse_load_report = staticmethod(parse_load_report)
 
     def __init__(
         self,
-        build: Callable[[Clock], Any],
+        build_policy: Callable[[Clock], Any],
         now: Callable[[], int],
-        say: Callable[[str], None],
+        log: Callable[[str], None],
         counts: Counter[str],
     ) -> None:
-        self.now, self._say, self._counts = now, say, counts
+        """`now` is in us; `log` takes one line for the people on call. `pool` must be set before `run`."""
+        self.now = now
+        self._log = log
+        self._counts = counts
         self._queue: asyncio.Queue[Event] = asyncio.Queue()
-        self.put = self._queue.put_nowait
+        self.enqueue = self._queue.put_nowait
         self.clock = Clock(now())
         self.engine = Engine(self, self.clock)
-        self.module = build(self.clock)
-        self.owed: dict[ClientRequest, Operation] = {}  # without their final answer
-        self._due = 0  # the wake-up asked for last
-        self.pool: hops.Pool | None = None
-        self.counter: counter.Counter | None = None
+        self.module = build_policy(self.clock)
+        self.unanswered: dict[ClientRequest, Operation] = {}  # operations without their final response
+        self.pool: ConnectionPool | None = None
+        self.counter: CounterService | None = None
+        self._wake_at_us = 0  # the wake-up requested last
 
     async def run(self) -> None:
-        bring: dict[type, Callable[[Any], None]] = {
-            RequestReceived: self._taken,
-            ClientDisconnected: self._left,
-            AttemptFinished: self._landed,
-            CounterCallFinished: self._counted,
-            ServersUpdated: self._news,
-            TimerFired: self._tick,
+        """Handle events until cancelled."""
+        handlers: dict[type, Callable[[Any], None]] = {
+            RequestReceived: self._on_request_received,
+            ClientDisconnected: self._on_client_disconnected,
+            AttemptFinished: self._on_attempt_finished,
+            CounterCallFinished: self._on_counter_call_finished,
+            ServersUpdated: self._on_servers_updated,
+            TimerFired: self._on_timer_fired,
         }
         while True:
             event = await self._queue.get()
             self.clock.now_us = max(self.clock.now_us, self.now())
             try:
-                bring[type(event)](event)
+                handlers[type(event)](event)
             except Exception:
-                self._say(f"on {type(event).__name__}: {traceback.format_exc()}")
+                self._log(f"on {type(event).__name__}: {traceback.format_exc()}")
                 self._counts["faults"] += 1
                 self._give_up_broken()
 
     def _give_up_broken(self) -> None:
-        """An operation whose generator broke off is given up alone, and at once (guards the others)."""
-        for operation in [each for each in self.owed.values() if each.task is None or each.task.ended]:
+        """An operation whose generator raised is given up alone, and at once (guards the others)."""
+        broken = [each for each in self.unanswered.values() if each.task is None or each.task.ended]
+        for operation in broken:
             self.answer(operation, Answer(Verdict.GIVE_UP))
 
-    # ---- what the sockets bring
+    # ---- events
 
-    def _taken(self, event: RequestReceived) -> None:
+    def _on_request_received(self, event: RequestReceived) -> None:
         operation = event.operation
         if operation.handle.client is None:
-            return  # gone already
-        self.owed[operation.handle] = operation
+            return  # disconnected already
+        self.unanswered[operation.handle] = operation
         self._counts["operations"] += 1
         self.engine.run(self.module.operation(operation), operation)
 
-    def _left(self, event: ClientDisconnected) -> None:
+    def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         operation = event.operation
         operation.over = True
-        if self.owed.pop(operation.handle, None) is not None:
+        if self.unanswered.pop(operation.handle, None) is not None:
             self._counts["operations whose client left"] += 1
             self.engine.told(operation, Word.GONE)
 
-    def _landed(self, event: AttemptFinished) -> None:
-        hop, ending = event.attempt, event.reason
-        operation = hop.operation
+    def _on_attempt_finished(self, event: AttemptFinished) -> None:
+        attempt, reason, message = event.attempt, event.reason, event.message
+        operation = attempt.operation
         client = operation.handle.client
-        message = event.message
-        # A request that a server can't use is told so: no other could (guards servers against its repeats).
-        if client is not None and ending in (CloseReason.ANSWERED, CloseReason.CLIENT_ERROR):
-            del self.owed[operation.handle]
-            self.deliver(client, message)
+        # A client error is forwarded: no other server could use the request (guards servers against it).
+        if client is not None and reason in (CloseReason.ANSWERED, CloseReason.CLIENT_ERROR):
+            del self.unanswered[operation.handle]
+            self.forward_response(client, message)
             client = None
-        load = self.load(message) if message is not None else None
-        report = Report(ending.outcome, self.clock.now_us - hop.sent, client is None, load)
-        self.module.landed(hop, report)
-        self.engine.landed(hop, report)
+        load = self.parse_load_report(message) if message is not None else None
+        report = Report(reason.outcome, self.clock.now_us - attempt.sent, client is None, load)
+        self.module.landed(attempt, report)
+        self.engine.landed(attempt, report)
 
-    def deliver(self, client: Any, message: Any) -> None:
-        client.answer(message.head.status_code, message.body, message.size)
+    def _on_counter_call_finished(self, event: CounterCallFinished) -> None:
+        self.engine.added(event.task, Total(event.reason.counter_outcome, event.total))
 
-    load = staticmethod(hops.load_report)
-    worded = staticmethod(front.worded)
+    def _on_servers_updated(self, event: ServersUpdated) -> None:
+        self.module.listed(event.entries, event.is_complete)
 
-    def _counted(self, event: CounterCallFinished) -> None:
-        self.engine.added(event.task, Total(event.reason.counter_outcome, event.total))
+    def _on_timer_fired(self, event: TimerFired) -> None:
+        self.engine.time(ticked=event.due_us == self._wake_at_us)
+
+    # ---- responses
 
-    def _news(self, event: ServersUpdated) -> None:
-        self.module.listed(event.entries, event.whole)
+    def forward_response(self, client: ResponseWriter, message: Message) -> None:
+        """Write a server's response to the client."""
+        client.respond(message.head.status_code, message.body, message.size)
 
-    def _tick(self, event: TimerFired) -> None:
-        self.engine.time(ticked=event.due_us == self._due)
+    def local_response(self, answer: Answer) -> LocalResponse:
+        """Status and header fields of a final answer that no server gave."""
+        if answer.verdict is Verdict.GIVE_UP:
+            return LocalResponse(_BAD_GATEWAY, b"")
+        if answer.come_back_us <= 0:
+            return LocalResponse(_TOO_MANY_REQUESTS, b"")
+        retry_after = b"Retry-After: %.3f\r\n" % (answer.come_back_us / SECOND)  # RFC 9110, section 10.2.3
+        return LocalResponse(_TOO_MANY_REQUESTS, retry_after)
 
-    # ---- what the engine wants carried out
+    # ---- called by the engine
 
-    def send(self, hop: Any) -> None:
-        self.pool.send(hop)
+    def send(self, attempt: Any) -> None:
+        """Start an attempt."""
+        self.pool.send(attempt)
 
-    def cancel(self, hop: Any) -> None:
-        self.pool.cancel(hop)
+    def cancel(self, attempt: Any) -> None:
+        """End an attempt that is no longer wanted."""
+        self.pool.cancel(attempt)
 
     def answer(self, operation: Operation, answer: Answer) -> None:
+        """Write a final answer that no server gave."""
         client = operation.handle.client
         if client is None:
-            return  # it left while this was on its way
-        del self.owed[operation.handle]
-        status, more = self.worded(answer)
-        client.answer(status, [], 0, more)
+            return  # it disconnected while this was on its way
+        del self.unanswered[operation.handle]
+        response = self.local_response(answer)
+        client.respond(response.status, [], 0, response.header_lines)
 
     def add(self, task: Task, add: Add) -> None:
+        """Add to a count for a task that waits for the total."""
         self.counter.add(task, add)
 
     def say(self, text: str) -> None:
-        self._say(text)
+        """Write a line for the people on call."""
+        self._log(text)
 
     def wake_at(self, when_us: int) -> None:
-        self._due = when_us
-        delay = max(0, when_us - self.now()) / SECOND
+        """Enqueue a `TimerFired` at a time of `now`; only the one requested last counts."""
+        self._wake_at_us = when_us
+        delay_s = max(0, when_us - self.now()) / SECOND
         asyncio.get_running_loop().call_later(
-            delay, call_after_pending_io, lambda: self.put(TimerFired(when_us))
+            delay_s, call_after_pending_io, lambda: self.enqueue(TimerFired(when_us))
         )
--- /dev/null
+++ b/lapisgrade/net/request_parser.py
@@ -0,0 +1,130 @@
+"""Reads the limiter's request header fields: which operation does a client's request ask for?
+
+    X-Priority-Class: NAME                      the category
+    X-Plan: NAME                                the customer's plan
+    X-Customer: 16 hex digits
+    X-Quota: units=U, spread=N, first=K         what it costs, and the limiters that share the customer
+    X-Timeout: SECONDS                          how long the client waits
+    X-Request-ID: 1 to 128 visible characters
+    Idempotency-Key: KEY                        where servers drop repeats by it
+    X-Retried: 1                                where the client has sent it before
+
+A request whose fields can't be read is answered 400 and asks for nothing.
+"""
+
+import re
+from collections.abc import Container
+from dataclasses import dataclass
+from typing import Any
+
+from lapisgrade.interface import Category, Operation, Plan, Repeat
+from lapisgrade.net import SECOND
+from lapisgrade.net.events import ClientRequest
+from lapisgrade.net.http import MalformedMessageError, Message
+from lapisgrade.net.response_writer import ResponseWriter
+
+_CUSTOMER = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")  # 16 hex digits of a number below 2 ** 33
+_REQUEST_ID = re.compile(rb"[!-~]{1,128}")
+_QUOTA = re.compile(rb" *units=(\d{1,9}(?:\.\d{1,6})?) *, *spread=(\d{1,9}) *, *first=(\d{1,9}) *")
+_TIMEOUT = re.compile(rb"\d{1,6}(?:\.\d{1,9})?")
+_METHODS = {Repeat.IDEMPOTENT: b"GET", Repeat.DEDUPLICATED: b"POST", Repeat.UNREPEATABLE: b"POST"}
+_CONFLICT = 409
+_MAX_SHOWN_BYTES = 80  # of a value that can't be read, in the message
+
+
+@dataclass(slots=True)
+class _Quota:
+    """The X-Quota field."""
+
+    units: float
+    spread: int
+    first: int
+
+
+class RequestParser:
+    """Turns requests into operations, by the categories and plans that are configured."""
+
+    def __init__(
+        self, categories: list[Category], plans: list[Plan], limiters: int, max_units: float
+    ) -> None:
+        self._categories = {each.name.encode(): each for each in categories}
+        self._plans = {each.name.encode(): each for each in plans}
+        self._limiters = limiters
+        self._max_units = max_units
+
+    def parse(
+        self, client: ResponseWriter, message: Message, now_us: int, open_request_ids: Container[bytes]
+    ) -> Operation:
+        """The operation that a request asks for.
+
+        Raises:
+            MalformedMessageError: A field is missing or out of range, or a request with this id is open.
+        """
+        headers = message.headers()
+        category: Category = _configured(self._categories, headers, b"x-priority-class")
+        plan: Plan = _configured(self._plans, headers, b"x-plan")
+        customer = _matched(headers, b"x-customer", _CUSTOMER)[0].decode().lower()
+        quota = self._quota(headers)
+        timeout_s = float(_matched(headers, b"x-timeout", _TIMEOUT)[0])
+        request_id = _matched(headers, b"x-request-id", _REQUEST_ID)[0]
+        key = headers.get(b"idempotency-key")
+        self._check_quota(quota)
+        if timeout_s <= 0:
+            raise MalformedMessageError("no time is left")
+        _check_repeatability(category, message, key)
+        if request_id in open_request_ids:  # its response might go to the wrong one, and servers see a copy
+            raise MalformedMessageError("a request with this id is open", _CONFLICT)
+        return Operation(
+            customer=customer,
+            plan=plan,
+            category=category,
+            units=quota.units,
+            arrived_us=now_us,
+            ends_us=now_us + min(round(timeout_s * SECOND), category.hard_stop_us),
+            gateways=quota.spread,
+            first_gateway=quota.first,
+            retried=headers.get(b"x-retried") == b"1",
+            handle=ClientRequest(
+                client,
+                message.head.method,
+                message.head.target,
+                headers.get(b"host", b""),
+                request_id,
+                key,
+                message.body,
+            ),
+        )
+
+    def _quota(self, headers: dict[bytes, bytes]) -> _Quota:
+        units, spread, first = _matched(headers, b"x-quota", _QUOTA).groups()
+        return _Quota(float(units), int(spread), int(first))
+
+    def _check_quota(self, quota: _Quota) -> None:
+        if not 0 < quota.units <= self._max_units:
+            raise MalformedMessageError("the units are out of range")
+        if not (1 <= quota.spread <= self._limiters and quota.first < self._limiters):
+            raise MalformedMessageError("the customer's set is out of range")
+
+
+def _check_repeatability(category: Category, message: Message, key: bytes | None) -> None:
+    """Whether method and key are those of the category."""
+    method = message.head.method
+    if method != _METHODS[category.repeat] or (message.size and method == b"GET"):
+        raise MalformedMessageError("not the method of its class")
+    if not key and category.repeat is Repeat.DEDUPLICATED:
+        raise MalformedMessageError("a key is missing, by which servers would know a repeat")
+
+
+def _matched(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> re.Match[bytes]:
+    value = headers.get(name, b"")
+    match = form.fullmatch(value)
+    if match is None:
+        raise MalformedMessageError(f"{name.decode()} can't be read: {value[:_MAX_SHOWN_BYTES]!r}")
+    return match
+
+
+def _configured(table: dict[bytes, Any], headers: dict[bytes, bytes], name: bytes) -> Any:
+    value = headers.get(name, b"")
+    if value not in table:
+        raise MalformedMessageError(f"{name.decode()} is unknown: {value[:_MAX_SHOWN_BYTES]!r}")
+    return table[value]
--- /dev/null
+++ b/lapisgrade/net/server_protocol.py
@@ -0,0 +1,69 @@
+"""What is said to upstream servers over HTTP/1.1, and what their responses mean. No I/O."""
+
+from typing import Any
+
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import ClientRequest
+from lapisgrade.net.http import MAX_BODY_BYTES, Message
+
+# 4xx that are about the moment, not about the request (RFC 9110, section 15.5.9; RFC 8470; RFC 6585).
+_TRANSIENT_CLIENT_ERRORS = (408, 425, 429)
+
+
+class ServerProtocol:
+    """The protocol of the limiter's servers; another protocol overrides what differs."""
+
+    max_body_bytes = MAX_BODY_BYTES
+
+    def encode_head(self, attempt: Any, seconds_left: float) -> bytes:
+        """Request line and header fields of an attempt, `seconds_left` before its deadline."""
+        request: ClientRequest = attempt.operation.handle
+        size = sum(len(each) for each in request.body)
+        return b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Request-ID: %b\r\nX-Timeout: %.6f\r\n%b%b\r\n" % (
+            request.method,
+            request.target,
+            request.host,
+            request.request_id,
+            seconds_left,
+            b"Idempotency-Key: %b\r\n" % request.key if request.key is not None else b"",
+            b"Content-Length: %d\r\n" % size if size or request.method != b"GET" else b"",
+        )
+
+    def classify(self, attempt: Any, message: Message) -> CloseReason:
+        """What a server's complete response says of the attempt."""
+        return classify_response(message)
+
+    def is_stray(self, attempt: Any, message: Message) -> bool:
+        """Whether the response belongs to another request than the one in flight."""
+        return False
+
+    def keep_alive_us(self, message: Message) -> int:
+        """How long the server says that it keeps the connection idle; 0 where it says nothing."""
+        return 0
+
+
+def classify_response(message: Message) -> CloseReason:
+    """What a complete response of one of the limiter's servers says."""
+    status = message.head.status_code
+    if status == 200:
+        return CloseReason.ANSWERED
+    if status in (503, 504) and message.headers().get(b"x-not-processed") == b"1":
+        return CloseReason.REJECTED
+    if 400 <= status < 500 and status not in _TRANSIENT_CLIENT_ERRORS:
+        return CloseReason.CLIENT_ERROR
+    return CloseReason.ERROR_RESPONSE
+
+
+def parse_load_report(message: Message) -> dict[str, float] | None:
+    """The load report in a response (`X-Server-Load: TEXT name=value,...`), None without a readable one."""
+    text = message.headers().get(b"x-server-load")
+    if text is None:
+        return None
+    report = {}
+    for pair in text.removeprefix(b"TEXT ").split(b","):
+        name, _, value = pair.partition(b"=")
+        try:
+            report[name.strip().decode()] = float(value)
+        except ValueError:
+            return None
+    return report
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -1,8 +1,7 @@
-"""Puts one limiter together from what it is told at its start, and runs it until it is told to end."""
+"""Assembles one limiter from its configuration, and runs it until it is told to shut down."""
 
 import asyncio
 import contextlib
-import json
 import signal
 from collections import Counter
 from collections.abc import Callable
@@ -10,169 +9,184 @@
 
 from lapisgrade import start
 from lapisgrade.decide import Limiter
-from lapisgrade.net import counter, discovery, front, hops, log
-from lapisgrade.net.host import Host, wall
+from lapisgrade.interface import Clock
+from lapisgrade.net.client_listener import ClientListener
+from lapisgrade.net.clock import wall_clock
+from lapisgrade.net.connection_pool import ConnectionPool
+from lapisgrade.net.counter_client import CounterClient
+from lapisgrade.net.discovery_client import DiscoveryClient
+from lapisgrade.net.host import Host
+from lapisgrade.net.rate_limited_log import RateLimitedLog
+from lapisgrade.net.request_parser import RequestParser
+from lapisgrade.net.service_configuration import check_kinds, read_configuration, service_addresses
 from lapisgrade.start import Fields, Malformed
 
-FORM = {
-    "name": str,
-    "listen": str,
-    "discovery": str,
-    "seed": str,
-    "limits": dict,
-    "known": dict,
-    "settings": dict,
-}
 # The protocol's figure: so long after its word to end, new connections keep coming to a limiter.
-COMING = 0.4  # s
-LOOK = 0.02  # s between looks whether all is answered
+LATE_CONNECTIONS_S = 0.4
+DRAIN_CHECK_INTERVAL_S = 0.02  # between checks whether all is answered
+DEFAULT_SOCKETS = 1024
+# Of the descriptors, half are for clients and a quarter for servers; the rest is for all else.
+CLIENTS_DIVISOR = 2
+SERVERS_DIVISOR = 4
 
 
 class Service:
-    """One limiter. `run` ends once it has been told to end and nothing is owed any more."""
-
-    def __init__(self, told: dict[str, Any]) -> None:
-        """Takes what the configuration holds; Malformed, where that can't be read."""
-        for name, kind in FORM.items():
-            if not isinstance(told.get(name), kind):
-                raise Malformed(f"{name} is missing or not of the kind {kind.__name__}")
-        info = start.flat(told["settings"])
-        try:
-            seed = int(told["seed"], 16)
-            sockets = Fields(told["limits"]).whole("sockets", 1024)
-        except ValueError as wrong:
-            raise Malformed(f"seed: {wrong}") from None
+    """One limiter. `run` returns once it was told to shut down and nothing is owed any more."""
+
+    def __init__(self, configuration: dict[str, Any]) -> None:
+        """Takes the parsed configuration file; Malformed where that can't be read."""
+        check_kinds(configuration)
+        settings = start.flat(configuration["settings"])
+        seed, sockets = _read_seed_and_sockets(configuration)
         self.counts: Counter[str] = Counter()
-        self._log = log.Log(told["name"])
-        if not isinstance(clock := told.get("clock", {}), dict):
-            raise Malformed("clock is not of the kind dict")
-        clock = Fields(clock)
-        self.say, now = self._log.say, wall(clock.micros("offset_ms"), clock.number("drift_ppm"))
-        say = self.say
-        self._listen, self._known = start.address(told["listen"], "listen"), told["known"]
-        self.host = Host(
-            lambda clock: Limiter(
-                clock,
-                seed,
-                start.post(info),
-                start.desk(info),
-                start.categories(info),
-                start.duties(info),
-                start.leave(info),
-            ),
+        self._log = RateLimitedLog(configuration["name"])
+        self.log = self._log.write
+        now = _read_clock(configuration)
+        self._listen_address = start.address(configuration["listen"], "listen")
+        self._known_servers = configuration["known"]
+        self.host = Host(lambda clock: _build_policy(clock, seed, settings), now, self.log, self.counts)
+        connections = start.lines(settings)
+        self.listener = ClientListener(
+            self.host.enqueue,
             now,
-            say,
+            self.log,
             self.counts,
+            RequestParser(
+                start.categories(settings),
+                start.plans(settings),
+                start.post(settings).limiters,
+                start.most_units(settings),
+            ),
+            sockets // CLIENTS_DIVISOR,
         )
-        put, lines = self.host.put, start.lines(info)
-        # Half of the descriptors for clients, a quarter for servers; the rest is for all else.
-        self._front = front.Front(
-            put,
-            now,
-            say,
-            self.counts,
-            start.categories(info),
-            start.plans(info),
-            sockets // 2,
-            start.post(info).limiters,
-            start.most_units(info),
+        self.host.pool = ConnectionPool(
+            self.host.enqueue, now, self.log, self.counts, connections, sockets // SERVERS_DIVISOR
         )
-        self.host.pool = hops.Pool(put, now, say, self.counts, lines, sockets // 4)
-        desk = start.desk(info)
-        watched, counted = addresses(told, desk.calls)
-        if counted is not None:
-            self.host.counter = counter.Counter(
-                put, say, self.counts, counted, desk.time_out_us, lines.dial_us
+        counter = start.desk(settings)
+        discovery_address, counter_address = service_addresses(configuration, uses_counter=counter.calls)
+        self._counter: CounterClient | None = None
+        if counter_address is not None:
+            self.host.counter = self._counter = CounterClient(
+                self.host.enqueue,
+                self.log,
+                self.counts,
+                counter_address,
+                counter.time_out_us,
+                connections.dial_us,
             )
-        self._discovery = discovery.Discovery(
-            put, say, self.counts, watched, self.host.pool, self.host.module.random, start.post(info).limiters
+        self._discovery = DiscoveryClient(
+            self.host.enqueue,
+            self.log,
+            self.counts,
+            discovery_address,
+            self.host.pool,
+            self.host.module.random,
+            start.post(settings).limiters,
         )
-        self._end = asyncio.Event()
+        self._shutdown_requested = asyncio.Event()
 
-    def end(self) -> None:
-        self._end.set()
+    def shut_down(self) -> None:
+        """Have `run` answer what is owed, and return."""
+        self._shutdown_requested.set()
 
-    def reload(self, told: dict[str, Any]) -> None:
-        """Go on with what a new configuration says; what can't be read in it leaves all as it was.
+    def reload(self, configuration: dict[str, Any]) -> None:
+        """Go on with what a new configuration says; Malformed leaves all as it was.
 
-        Discovery and the counter move, under what is open; all else holds until the next start.
+        Discovery and the counter service move while work is open; all else holds until the next start.
         """
-        watched, counted = addresses(told, self.host.counter is not None)
+        discovery_address, counter_address = service_addresses(
+            configuration, uses_counter=self._counter is not None
+        )
         self.counts["reloads"] += 1
-        self._discovery.move(watched)
-        if counted is not None:
-            self.host.counter.move(counted)
+        self._discovery.change_address(discovery_address)
+        if counter_address is not None:
+            self._counter.change_address(counter_address)
 
     async def run(self) -> None:
-        self._discovery.take(self._known)
-        deciding = asyncio.create_task(self.host.run())
+        """Serve clients until `shut_down`, and then until all that is owed is answered."""
+        self._discovery.apply(self._known_servers)
+        host_task = asyncio.create_task(self.host.run())
         self._discovery.start()
-        await self._front.listen(self._listen)
+        await self.listener.listen(self._listen_address)
         try:
-            await self._end.wait()
-            self._front.ending = True
-            await asyncio.sleep(COMING)
-            self._front.shut()
-            self._front.close_idle()
-            while self._front.clients or self.host.owed:
-                await asyncio.sleep(LOOK)
-                self._front.close_idle()
+            await self._shutdown_requested.wait()
+            await self._drain()
         finally:
-            deciding.cancel()
+            host_task.cancel()
             self._discovery.close()
-            self._front.close()
+            self.listener.close()
             self.host.pool.close()
-            if self.host.counter is not None:
-                self.host.counter.close()
-            self.report()
-
-    def report(self) -> None:
-        self._log.counts(self.counts)
+            if self._counter is not None:
+                self._counter.close()
+            self.log_counts()
+
+    async def _drain(self) -> None:
+        """Deny readiness, serve those who still come, and then answer what is owed."""
+        self.listener.is_draining = True
+        await asyncio.sleep(LATE_CONNECTIONS_S)
+        self.listener.stop_accepting()
+        self.listener.close_idle()
+        while self.listener.clients or self.host.unanswered:
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
+            self.listener.close_idle()
+
+    def log_counts(self) -> None:
+        """Print all counters."""
+        self._log.write_counts(self.counts)
+
+
+def _read_seed_and_sockets(configuration: dict[str, Any]) -> tuple[int, int]:
+    try:
+        seed = int(configuration["seed"], 16)
+        return seed, Fields(configuration["limits"]).whole("sockets", DEFAULT_SOCKETS)
+    except ValueError as error:
+        raise Malformed(f"seed: {error}") from None
 
 
-def addresses(told: dict[str, Any], counts: bool) -> tuple[tuple[str, int], tuple[str, int] | None]:
-    """Where discovery and, for a limiter that counts, the counter are."""
-    watched = start.address(told.get("discovery"), "discovery")
-    return watched, start.address(told.get("counter"), "counter") if counts else None
+def _read_clock(configuration: dict[str, Any]) -> Callable[[], int]:
+    clock = configuration.get("clock", {})
+    if not isinstance(clock, dict):
+        raise Malformed("clock is not of the kind dict")
+    fields = Fields(clock)
+    return wall_clock(fields.micros("offset_ms"), fields.number("drift_ppm"))
 
 
-def read(path: str) -> dict[str, Any]:
-    """The configuration in a file."""
-    try:
-        with open(path, encoding="utf-8") as file:
-            told = json.load(file)
-    except (OSError, ValueError) as wrong:
-        raise Malformed(f"{path}: {wrong}") from None
-    if not isinstance(told, dict):
-        raise Malformed(f"{path}: not an object")
-    return told
+def _build_policy(clock: Clock, seed: int, settings: Fields) -> Limiter:
+    return Limiter(
+        clock,
+        seed,
+        start.post(settings),
+        start.desk(settings),
+        start.categories(settings),
+        start.duties(settings),
+        start.leave(settings),
+    )
 
 
 async def serve(
     path: str, beside: Callable[["Service"], contextlib.AbstractAsyncContextManager] | None = None
 ) -> None:
-    """Run one limiter as this process, as the file there tells it, with what runs `beside` it where that
-    is given.
+    """Run one limiter as this process, by the configuration file at `path`.
 
-    SIGTERM ends it, SIGHUP has it read the file again, SIGUSR1 prints its counters.
+    SIGTERM and SIGINT shut it down, SIGHUP has it read the file again, SIGUSR1 prints its counters. `beside`
+    runs around it where that is given.
     """
-    service = Service(read(path))
+    service = Service(read_configuration(path))
 
     def reload() -> None:
         try:
-            service.reload(read(path))
-        except Malformed as wrong:
-            service.say(f"goes on as before: {wrong}")
+            service.reload(read_configuration(path))
+        except Malformed as error:
+            service.log(f"goes on as before: {error}")
 
-    loop = asyncio.get_running_loop()
-
-    def end(by: signal.Signals) -> None:
-        service.say(f"told to end by {by.name}")
-        service.end()
+    def shut_down(by: signal.Signals) -> None:
+        service.log(f"told to end by {by.name}")
+        service.shut_down()
 
+    loop = asyncio.get_running_loop()
     for each in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(each, end, each)
+        loop.add_signal_handler(each, shut_down, each)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    loop.add_signal_handler(signal.SIGUSR1, service.report)
+    loop.add_signal_handler(signal.SIGUSR1, service.log_counts)
     async with beside(service) if beside is not None else contextlib.nullcontext():
         await service.run()
--- /dev/null
+++ b/lapisgrade/net/service_configuration.py
@@ -0,0 +1,45 @@
+"""Reads the limiter's configuration file: which kinds of value it holds, and where the services are."""
+
+import json
+from typing import Any
+
+from lapisgrade import start
+from lapisgrade.start import Malformed
+
+Address = tuple[str, int]
+
+_KINDS = {
+    "name": str,
+    "listen": str,
+    "discovery": str,
+    "seed": str,
+    "limits": dict,
+    "known": dict,
+    "settings": dict,
+}
+
+
+def read_configuration(path: str) -> dict[str, Any]:
+    """The configuration in a file. Malformed if it is not a JSON object, or can't be read."""
+    try:
+        with open(path, encoding="utf-8") as file:
+            configuration = json.load(file)
+    except (OSError, ValueError) as error:
+        raise Malformed(f"{path}: {error}") from None
+    if not isinstance(configuration, dict):
+        raise Malformed(f"{path}: not an object")
+    return configuration
+
+
+def check_kinds(configuration: dict[str, Any]) -> None:
+    """Raise Malformed where a value is missing or of another kind than it must be."""
+    for name, kind in _KINDS.items():
+        if not isinstance(configuration.get(name), kind):
+            raise Malformed(f"{name} is missing or not of the kind {kind.__name__}")
+
+
+def service_addresses(configuration: dict[str, Any], *, uses_counter: bool) -> tuple[Address, Address | None]:
+    """Where discovery and, for a limiter that uses it, the counter service are."""
+    discovery = start.address(configuration.get("discovery"), "discovery")
+    counter = start.address(configuration.get("counter"), "counter") if uses_counter else None
+    return discovery, counter
--- /dev/null
+++ b/lapisgrade/net/upstream_connection.py
@@ -0,0 +1,218 @@
+"""One connection to an upstream server, with one attempt on it at most.
+
+    CONNECTING ──> AWAITING_RESPONSE <── IDLE      an attempt is written: at once, when the connection is up,
+        │            ^           │         ^       or when the pool assigns it an idle connection
+        │            │ drained   │ a complete response
+        └──────> WRITING         └─────────┘
+                     │                             WRITING: part of the request is still in our buffer
+    any state ──> CLOSED                           `close` tells the pool why the attempt ended
+
+The states matter because they decide whether an attempt that ended may have been executed: not while
+CONNECTING or WRITING, as no server acts on half a request; for all that we know from AWAITING_RESPONSE on.
+"""
+
+import asyncio
+from enum import Enum, auto
+from typing import TYPE_CHECKING, Any
+
+import h11
+
+from lapisgrade.net import SECOND
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.connection import (
+    READ_BYTES,
+    CountingStreamReader,
+    call_after_pending_io,
+    connect,
+    is_stale,
+    limit_read_size,
+)
+from lapisgrade.net.events import ClientRequest
+from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
+
+if TYPE_CHECKING:
+    from lapisgrade.net.connection_pool import ConnectionPool
+
+
+class UpstreamState(Enum):
+    """Where a connection to a server stands; see the diagram above."""
+
+    CONNECTING = auto()
+    WRITING = auto()
+    AWAITING_RESPONSE = auto()
+    IDLE = auto()
+    CLOSED = auto()
+
+
+class UpstreamConnection:
+    """A connection to one server. The pool opens it with an attempt and may assign it further ones."""
+
+    __slots__ = (
+        "_address",
+        "_parser",
+        "_pool",
+        "_reader",
+        "_received_stray",
+        "_task",
+        "_timer",
+        "_writer",
+        "attempt",
+        "idle_since_us",
+        "max_idle_us",
+        "server",
+        "state",
+    )
+
+    def __init__(self, pool: "ConnectionPool", server: str, attempt: Any) -> None:
+        self._pool = pool
+        self.server = server
+        self.attempt = attempt  # in flight; None while idle or closed
+        self.state = UpstreamState.CONNECTING
+        self.idle_since_us = 0
+        self.max_idle_us = pool.settings.idle_us
+        self._address = pool.addresses[server]
+        self._parser: MessageParser | None = None
+        self._reader: CountingStreamReader | None = None
+        self._writer: asyncio.StreamWriter | None = None
+        self._received_stray = False
+        self._timer = pool.call_at(attempt.operation.ends_us, self._on_deadline)
+        self._task = asyncio.get_running_loop().create_task(self._run())
+
+    def is_usable(self) -> bool:
+        """Whether a further attempt may be written to this idle connection."""
+        return self._is_at_current_address() and not is_stale(self._reader, self._writer)
+
+    def has_unread_data(self) -> bool:
+        """Whether asyncio has received something that was not read from it yet."""
+        return bool(self._reader.unread_bytes)
+
+    def assign(self, attempt: Any) -> None:
+        """Write an attempt to this connection, which is idle."""
+        self.attempt = attempt
+        self._timer = self._pool.call_at(attempt.operation.ends_us, self._on_deadline)
+        self._write()
+
+    def close(self, reason: CloseReason) -> None:
+        """Close at once, and tell the pool why the attempt ended if one is in flight."""
+        attempt, self.attempt = self.attempt, None
+        was_connecting = self.state is UpstreamState.CONNECTING
+        if self.state is not UpstreamState.CLOSED:
+            self.state = UpstreamState.CLOSED
+            self._pool.on_connection_closed(self)
+        if attempt is not None:
+            self._timer.cancel()
+            if reason is CloseReason.CANCELLED and was_connecting:
+                reason = CloseReason.NOT_SENT
+            self._pool.on_attempt_finished(attempt, reason, None)
+            if reason in (CloseReason.TIMED_OUT, CloseReason.CANCELLED):
+                self._pool.on_server_silent(attempt)
+        if self._writer is not None:
+            self._writer.transport.abort()
+        elif self._task is not asyncio.current_task():
+            self._task.cancel()
+
+    async def _run(self) -> None:
+        """Connect, write the first attempt, and read until the connection ends."""
+        pool = self._pool
+        try:
+            async with asyncio.timeout(pool.settings.dial_us / SECOND):
+                self._reader, self._writer = await connect(*self._address)
+        except TimeoutError:
+            return self.close(CloseReason.CONNECT_TIMEOUT)
+        except OSError:
+            return self.close(CloseReason.CONNECTION_REFUSED)
+        pool.counts["server connections"] += 1
+        limit_read_size(self._writer)
+        self._writer.transport.set_write_buffer_limits(0)
+        try:
+            self._write()
+            while chunk := await self._reader.read(READ_BYTES):
+                self._receive(chunk)
+            if self.state is UpstreamState.AWAITING_RESPONSE:
+                self._receive(b"")  # a response may end with its connection (RFC 9112, section 6.3)
+        except OSError:
+            pass  # reset by the server
+        finally:
+            is_writing = self.state is UpstreamState.WRITING
+            self.close(CloseReason.INCOMPLETE_WRITE if is_writing else CloseReason.CONNECTION_LOST)
+
+    def _is_at_current_address(self) -> bool:
+        """Whether the endpoint list still names this server at the address we are connected to."""
+        return self._pool.addresses.get(self.server) == self._address
+
+    def _write(self) -> None:
+        attempt, pool = self.attempt, self._pool
+        request: ClientRequest = attempt.operation.handle
+        # Guards rules 1 and 3: the connection came up after the operation's end, or as the server drains.
+        if request.client is None or not self._is_at_current_address():
+            return self.close(CloseReason.NOT_SENT)
+        self._parser = MessageParser(h11.CLIENT, pool.protocol.max_body_bytes)
+        seconds_left = max(1, attempt.operation.ends_us - pool.now()) / SECOND
+        self._writer.writelines([pool.protocol.encode_head(attempt, seconds_left), *request.body])
+        self.state = UpstreamState.AWAITING_RESPONSE
+        if self._writer.transport.get_write_buffer_size():
+            self.state = UpstreamState.WRITING
+            self._task.get_loop().create_task(self._wait_until_drained(attempt))
+
+    async def _wait_until_drained(self, attempt: Any) -> None:
+        try:
+            await self._writer.drain()
+        except OSError:
+            return
+        if self.attempt is attempt:
+            self.state = UpstreamState.AWAITING_RESPONSE
+
+    def _receive(self, chunk: bytes) -> None:
+        """Take in one read, empty at the end of the stream."""
+        if self.attempt is None:
+            return self.close(CloseReason.IDLE)  # nothing was asked
+        pool = self._pool
+        if self._is_at_current_address():
+            pool.last_received_us[self.server] = pool.now()
+        try:
+            message = self._parser.feed(chunk)
+        except MalformedMessageError as error:
+            if chunk:
+                pool.log(f"server {self.server}: {error}")
+            return self.close(CloseReason.MALFORMED if chunk else CloseReason.CONNECTION_LOST)
+        if message is None:
+            return None
+        if pool.protocol.is_stray(self.attempt, message):
+            return self._skip_stray(message)
+        return self._finish_attempt(message)
+
+    def _skip_stray(self, message: Message) -> None:
+        """Pass over a late response to another request; ours may follow it, and nothing follows ours here."""
+        self._pool.counts["stray answers"] += 1
+        self._received_stray = True
+        self._parser = MessageParser(h11.CLIENT, self._pool.protocol.max_body_bytes)
+        if message.last:
+            self.close(CloseReason.CONNECTION_LOST)
+        elif message.rest:
+            self._receive(message.rest)
+
+    def _finish_attempt(self, message: Message) -> None:
+        """The response is complete: report it, and keep the connection where it can be reused."""
+        pool = self._pool
+        attempt, self.attempt = self.attempt, None
+        self._timer.cancel()
+        reason = pool.protocol.classify(attempt, message)
+        self.max_idle_us = pool.protocol.keep_alive_us(message) or pool.settings.idle_us
+        pool.on_attempt_finished(attempt, reason, message)
+        must_close = (
+            message.last
+            or message.rest
+            or self.state is UpstreamState.WRITING
+            or not self._is_at_current_address()
+            or self._received_stray
+            or reason is CloseReason.MALFORMED
+        )
+        if must_close:
+            self.close(CloseReason.IDLE)
+        else:
+            self.state = UpstreamState.IDLE
+            pool.on_connection_idle(self)
+
+    def _on_deadline(self) -> None:
+        attempt = self.attempt
+        call_after_pending_io(lambda: self.close(CloseReason.TIMED_OUT) if self.attempt is attempt else None)
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -198,7 +198,7 @@
         under_way = asyncio.create_task(site.get("m1", "/claim/1", KEY, method="POST"))
         await site.until(lambda: site.servers["i-1"].running)
         site.proxies["m1"].end()
-        await site.until(lambda: site.proxies["m1"].client_front.ending)
+        await site.until(lambda: site.proxies["m1"].client_front.is_draining)
         self.assertEqual(status(await ask((site.ip["m1"], READY), "GET", "/-/readyz")), 503)
         got = await under_way
         self.assertEqual((status(got), got.headers()[b"connection"]), (200, b"close"))
--- a/tests/gateway/test_request_rules.py
+++ b/tests/gateway/test_request_rules.py
@@ -89,7 +89,7 @@
 class Unconfigured(unittest.IsolatedAsyncioTestCase):
     async def test_denied_a_proxy_that_knows_no_configuration_promises_and_refuses_nobody(self) -> None:
         async with LocalCluster(net=178) as site:
-            await site.until(lambda: site.proxies["m1"].client_front._server)
+            await site.until(lambda: site.proxies["m1"].client_front.is_listening())
             got = await site.get("m1", "/stock/1", KEY, tries=1)
             self.assertEqual(status(got), 503)
             self.assertIn(b"retry-after", got.headers())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -3,7 +3,7 @@
 import asyncio
 import functools
 
-from lapisgrade.net import loop
+from lapisgrade.net import event_loop
 
 
 def on_loopback(test):
@@ -17,7 +17,7 @@
 
 
 def run_on_loop(work):
-    with asyncio.Runner(loop_factory=loop.new) as runner:
+    with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(work, 30))
 
 
--- a/tests/net/test_net_callers.py
+++ b/tests/net/test_net_callers.py
@@ -9,8 +9,8 @@
 from helpers import Site
 
 from lapisgrade.interface import Add, Tally
-from lapisgrade.net.counter import Counter as Calls
-from lapisgrade.net.discovery import Turns
+from lapisgrade.net.counter_client import CounterClient
+from lapisgrade.net.poll_backoff import PollBackoff
 from loopback import on_loopback, until
 
 
@@ -20,7 +20,7 @@
     async with Site() as site:
         got = asyncio.Queue()
         address = ("127.0.0.1", site.till.port)
-        calls = Calls(got.put_nowait, lambda text: None, Counter(), address, 250_000, 100_000)
+        calls = CounterClient(got.put_nowait, lambda text: None, Counter(), address, 250_000, 100_000)
 
         async def tell(amount, manner):
             site.till.manner = manner
@@ -81,7 +81,7 @@
 def test_callers_of_a_crowded_discovery_all_get_through():
     """Found on sockets at size: of 40 limiters that came back at once, most never heard of a server again."""
     now, free, due, told = 0.0, 0.0, [], {}
-    turns = {i: Turns(Random(i), 40) for i in range(40)}
+    turns = {i: PollBackoff(Random(i), 40) for i in range(40)}
     for i in turns:
         heapq.heappush(due, (0.0, i))  # all are started at once, and ask at once
     calls = 0
@@ -94,7 +94,7 @@
         if waits < 2:
             told[i] = now + waits
         else:
-            heapq.heappush(due, (now + min(waits, 2.0) + turns[i].turned_away(), i))
+            heapq.heappush(due, (now + min(waits, 2.0) + turns[i].on_rejected(), i))
     assert len(told) == 40 and max(told.values()) < 20 and calls < 100
 
 
--- a/tests/net/test_net_end.py
+++ b/tests/net/test_net_end.py
@@ -25,7 +25,7 @@
         idle, busy = await site.connect(), await site.connect()
         asked = asyncio.create_task(site.ask("burn", "1", on=busy))
         await asyncio.sleep(0.05)
-        site.service.end()
+        site.service.shut_down()
         await asyncio.sleep(0.1)
         late = asyncio.create_task(site.ask("burn", "2"))  # still comes, on a new connection
         silent = await site.connect()  # and asks nothing: it is not waited for
--- a/tests/net/test_net_front.py
+++ b/tests/net/test_net_front.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import Site, heard
 
-from lapisgrade.net import front
+from lapisgrade.net import client_listener
 from loopback import on_loopback, until
 
 
@@ -121,7 +121,7 @@
         writer.close()
         await until(lambda: site.service.counts["operations whose client left"] == 1)
         await until(lambda: site.service.counts["hops cancelled"] == 1)
-        assert not site.service.host.owed
+        assert not site.service.host.unanswered
 
 
 @on_loopback
@@ -129,17 +129,17 @@
     async with Site(sockets=16) as site:
         kept = [await site.connect() for _ in range(8)]
         await site.ask(path="/up", on=kept[0])  # the one used last is the last to go
-        await asyncio.sleep(front.SURELY)
+        await asyncio.sleep(client_listener.GRACE_S)
         more = [await site.connect() for _ in range(4)]
         assert [await reader.read(1) for reader, _ in kept[1:5]] == [b""] * 4
         left = [kept[0], *kept[5:], *more]
         for each in site.backends:
             each.manner = 0.3
         site.service.host.module.fleet.bound = 99.0
-        site.service.host.pool.most = 8
+        site.service.host.pool.max_connections = 8
         for i, (_, writer) in enumerate(left):
             writer.write(site.request("burn", f"{i}"))
-        await until(lambda: len(site.service.host.owed) == 8)
+        await until(lambda: len(site.service.host.unanswered) == 8)
         assert (await site.ask("burn", "over"))[0] == 503 and not site.sent("over")
         for reader, _ in left:
             assert (await heard(reader))[0].startswith("HTTP/1.1 200")
@@ -149,8 +149,8 @@
 async def test_connections_that_ask_nothing_end_and_others_stay():
     async with Site() as site:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(front.Front, "ask", 0.4)
-            patch.setattr(front.Front, "rest", 1.0)
+            patch.setattr(client_listener.ClientListener, "request_timeout_s", 0.4)
+            patch.setattr(client_listener.ClientListener, "idle_timeout_s", 1.0)
             silent, half, slow, asked = [await site.connect() for _ in range(4)]
             half[1].write(site.request()[:40])
             for each in site.backends:
@@ -161,7 +161,7 @@
             assert (await heard(half[0]))[0].startswith("HTTP/1.1 408")
             assert (await busy)[0] == 200  # longer than either, but something is owed
             assert (await site.ask(path="/up", on=asked))[0] == 200
-            assert await asked[0].read() == b"" and not site.service._front.clients
+            assert await asked[0].read() == b"" and not site.service.listener.clients
 
 
 @on_loopback
@@ -171,8 +171,8 @@
         kept = [await site.connect() for _ in range(24)]
         for on in kept:
             assert (await site.ask(path="/up", on=on))[0] == 200
-        await asyncio.sleep(front.SURELY + 2 * front.LOOK + 0.1)
-        assert len(site.service._front.idle) == 8
+        await asyncio.sleep(client_listener.GRACE_S + 2 * client_listener.CHECK_INTERVAL_S + 0.1)
+        assert len(site.service.listener.idle) == 8
         assert [await reader.read(1) for reader, _ in kept[:16]] == [b""] * 16
         assert [(await site.ask(path="/up", on=on))[0] for on in kept[16:]] == [200] * 8
 
@@ -216,5 +216,5 @@
                     asked = site.request("burn", f"{i}", bytes(60_000))
                     await asyncio.get_running_loop().sock_sendall(deaf, asked)
                     await until(lambda i=i: site.sent(f"{i}") or site.service.counts["clients timed out"])
-                    await until(lambda: not site.service.host.owed)
+                    await until(lambda: not site.service.host.unanswered)
         assert site.service.counts["clients timed out"] == 1 and not site.sent("199")
--- a/tests/net/test_net_hops.py
+++ b/tests/net/test_net_hops.py
@@ -8,11 +8,12 @@
 from helpers import Backend, Site
 
 from lapisgrade.interface import Add, Lines, Outcome
-from lapisgrade.net.counter import Counter as Calls
+from lapisgrade.net.clock import wall_clock
 from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.connection_pool import ConnectionPool
+from lapisgrade.net.counter_client import CounterClient
 from lapisgrade.net.events import ClientRequest, AttemptFinished
-from lapisgrade.net.hops import Pool, load_report
-from lapisgrade.net.host import wall
+from lapisgrade.net.server_protocol import parse_load_report
 from loopback import on_loopback, until
 
 SECOND = 1_000_000
@@ -28,10 +29,10 @@
 
 
 def pool(port, dial=1.0, idle=30.0):
-    landed, now = asyncio.Queue(), wall()
+    landed, now = asyncio.Queue(), wall_clock()
     lines = Lines(int(dial * SECOND), int(idle * SECOND))
-    made = Pool(landed.put_nowait, now, lambda text: None, Counter(), lines, 4)
-    made.known({"s": ("127.0.0.1", port)})
+    made = ConnectionPool(landed.put_nowait, now, lambda text: None, Counter(), lines, 4)
+    made.update_addresses({"s": ("127.0.0.1", port)})
     return made, landed, now
 
 
@@ -57,7 +58,7 @@
         assert not outcome.never_ran or manner == "full"
     backend.manner = "load"
     made.send(Hop(now))
-    assert load_report((await landed.get()).message) == {"inflight": 7.0, "util": 0.5}
+    assert parse_load_report((await landed.get()).message) == {"inflight": 7.0, "util": 0.5}
     backend.manner = "silent"
     hop = Hop(now)
     made.send(hop)
@@ -78,7 +79,7 @@
 
     made, landed, now = pool(1, dial=0.1)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("lapisgrade.net.hops.connect", lambda *_: nobody())
+        patch.setattr("lapisgrade.net.upstream_connection.connect", lambda *_: nobody())
         made.send(Hop(now))
         assert (await landed.get()).reason is CloseReason.CONNECT_TIMEOUT
         hop = Hop(now)
@@ -96,7 +97,7 @@
     over.operation.handle.client = None
     assert (await landed.get()).reason is CloseReason.NOT_SENT
     made.send(leaving)
-    made.known({"s": None})
+    made.update_addresses({"s": None})
     assert (await landed.get()).reason is CloseReason.NOT_SENT and not backend.seen
     backend.close()
 
@@ -129,7 +130,7 @@
     backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfor ")
     link = made._idle["s"][0]
     for _ in range(1000):
-        if link._reader.unread or not made._idle["s"]:
+        if link.has_unread_data() or not made._idle["s"]:
             break
         await asyncio.sleep(0)
     made.send(Hop(now, body=b"two"))
@@ -145,12 +146,12 @@
     made, landed, now = pool(backend.port)
     made.send(Hop(now))
     assert (await landed.get()).reason is CloseReason.ANSWERED
-    made.known({"new": ("127.0.0.1", backend.port)})  # before the old one is told to be gone
+    made.update_addresses({"new": ("127.0.0.1", backend.port)})  # before the old one is told to be gone
     made.send(Hop(now))
     assert (await landed.get()).reason is CloseReason.NOT_SENT
     made.send(Hop(now, server="new"))
     assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 2
-    assert list(made.addresses) == list(made.heard) == list(made._idle) == ["new"]
+    assert list(made.addresses) == list(made.last_received_us) == list(made._idle) == ["new"]
     backend.close()
 
 
@@ -175,7 +176,7 @@
     async with Site() as site:
         got, landed = asyncio.Queue(), asyncio.Queue()
         address = ("127.0.0.1", site.till.port)
-        calls = Calls(got.put_nowait, lambda text: None, Counter(), address, 100_000, 100_000)
+        calls = CounterClient(got.put_nowait, lambda text: None, Counter(), address, 100_000, 100_000)
         made, landed, now = pool(site.backends[0].port)
         for _ in range(2):  # the first ones open the connections
             calls.add(SimpleNamespace(), Add(7, 1.0, 45_000_000))
@@ -210,7 +211,7 @@
 async def test_the_pool_keeps_within_its_connections():
     parties = [await Backend(0.1).open() for _ in range(5)]
     made, landed, now = pool(1)
-    made.known({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(parties)})
+    made.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(parties)})
     for i in range(5):
         made.send(Hop(now, server=f"s{i}"))
     endings = [(await landed.get()).reason for _ in range(5)]
--- a/tests/net/test_net_start.py
+++ b/tests/net/test_net_start.py
@@ -6,7 +6,7 @@
 from helpers import Site
 
 from lapisgrade import start
-from lapisgrade.net.log import LINES_A_SECOND, Log
+from lapisgrade.net.rate_limited_log import MAX_LINES_PER_SECOND, RateLimitedLog
 
 SECOND = 1_000_000
 
@@ -27,11 +27,11 @@
 
 def test_lines_are_so_many_a_second(capfd, monkeypatch):
     now = [5.0]
-    monkeypatch.setattr("lapisgrade.net.log.time.monotonic", lambda: now[0])
-    log = Log("n0")
-    for i in range(LINES_A_SECOND + 7):
-        log.say(f"line {i}")
+    monkeypatch.setattr("lapisgrade.net.rate_limited_log.time.monotonic", lambda: now[0])
+    log = RateLimitedLog("n0")
+    for i in range(MAX_LINES_PER_SECOND + 7):
+        log.write(f"line {i}")
     now[0] = 6.0
-    log.say("after")
+    log.write("after")
     said = capfd.readouterr().err.splitlines()
-    assert len(said) == LINES_A_SECOND + 2 and "7 lines left out" in said[-2]
+    assert len(said) == MAX_LINES_PER_SECOND + 2 and "7 lines left out" in said[-2]
