--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -6,23 +6,22 @@
 """
 
 import asyncio
-from collections.abc import Callable
 from collections import Counter, deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
 from typing import Any
 
-
-from lapisgrade.interface import Outcome
+from lapisgrade.gateway.http_client import ask
+from lapisgrade.gateway.http_server import framed
+from lapisgrade.gateway.local_cluster import SAMPLE, LocalCluster, Server
+from lapisgrade.gateway.proxy.host import ProxyHost
+from lapisgrade.gateway.routing.upstream_protocol import UpstreamProtocol
+from lapisgrade.interface import AttemptOutcome
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.host import LocalResponse
 from lapisgrade.net.http import MalformedMessageError, Message
 from lapisgrade.net.upstream_connection import UpstreamConnection
-from lapisgrade.gateway.http_client import ask
-from lapisgrade.gateway.proxy.host import ProxyHost
-from lapisgrade.gateway.http_server import framed
-from lapisgrade.gateway.routing.upstream_protocol import UpstreamProtocol
-from lapisgrade.gateway.local_cluster import SAMPLE, Server, LocalCluster
 
 KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
 PROMISES = (408, 421, 429, 503)
@@ -171,7 +170,7 @@
         while await site.put({**SAMPLE, "Tenants": [unmetered]}) != 200:
             await asyncio.sleep(0.01)
         proxy = site.proxies["m1"]
-        await site.until(lambda: proxy.ready and len(proxy.register) == servers)
+        await site.until(lambda: proxy.ready and len(proxy.servers) == servers)
         loop = asyncio.get_running_loop()
         began = loop.time()
 
@@ -231,5 +230,5 @@
     "unsealed-success": [(UpstreamProtocol, "classify", _unsealed)],
     "broken-is-unsent": [(UpstreamConnection, "close", _broken_is_unsent)],
     "always-promises": [(ProxyHost, "local_response", _always_promises)],
-    "all-never-ran": [(Outcome, "never_ran", property(lambda self: True))],
+    "all-never-ran": [(AttemptOutcome, "never_ran", property(lambda self: True))],
 }
--- a/lapisgrade/net/connection_pool.py
+++ b/lapisgrade/net/connection_pool.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from lapisgrade.interface import Lines
+from lapisgrade.interface import ConnectionSettings
 from lapisgrade.net import SECOND
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import AttemptFinished, Event
@@ -27,7 +27,7 @@
         now: Callable[[], int],
         log: Callable[[str], None],
         counts: Counter[str],
-        settings: Lines,
+        settings: ConnectionSettings,
         max_connections: int,
         protocol: ServerProtocol | None = None,
     ) -> None:
@@ -140,7 +140,7 @@
 
     def _expires_us(self, connection: UpstreamConnection) -> int:
         """When to close an idle connection: before the server does, by the time that connecting may take."""
-        return connection.idle_since_us + connection.max_idle_us - self.settings.dial_us
+        return connection.idle_since_us + connection.max_idle_us - self.settings.connect_timeout_us
 
     def _close_expired(self) -> None:
         """Close what has been idle for too long, and schedule this again for the next one."""
@@ -188,5 +188,5 @@
         """
         server = attempt.server.address
         last_received_us = self.last_received_us.get(server, 0)
-        if last_received_us < attempt.sent < self.now() - self.settings.dial_us:
+        if last_received_us < attempt.sent < self.now() - self.settings.connect_timeout_us:
             self.close_idle(server)
--- a/lapisgrade/net/counter_client.py
+++ b/lapisgrade/net/counter_client.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from lapisgrade.engine import Task
-from lapisgrade.interface import Add
+from lapisgrade.interface import AddToCounter
 from lapisgrade.net import SECOND
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.connection import (
@@ -195,11 +195,11 @@
         self._current: CounterConnection | None = None  # that new calls are written to
         self._retiring: list[CounterConnection] = []  # at a former address, until their calls have ended
 
-    def add(self, task: Task, add: Add) -> None:
+    def add(self, task: Task, add: AddToCounter) -> None:
         """Call the counter service for a task that waits for the total."""
-        lifetime_ms = max(1, add.life_us // _US_PER_MS)
+        ttl_ms = max(1, add.ttl_us // _US_PER_MS)
         call = CounterCall(
-            task, _encode(b"INCRTTL", b"%d" % add.name, b"%.6f" % add.amount, b"%d" % lifetime_ms)
+            task, _encode(b"INCRTTL", b"%d" % add.counter_id, b"%.6f" % add.amount, b"%d" % ttl_ms)
         )
         call.timer = asyncio.get_running_loop().call_later(self._timeout_s, self._on_timeout, call)
         self.counts["counter calls"] += 1
--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -15,7 +15,7 @@
 
 from lapisgrade import start
 from lapisgrade.errors import LapisgradeError
-from lapisgrade.interface import Entry, Listed
+from lapisgrade.interface import ServerEndpoint, ServerState
 from lapisgrade.net.connection import READ_BYTES
 from lapisgrade.net.connection_pool import ConnectionPool
 from lapisgrade.net.events import Event, ServersUpdated
@@ -23,7 +23,11 @@
 from lapisgrade.net.poll_backoff import MAX_STALENESS_S, RENEW_S, PollBackoff
 from lapisgrade.start import Fields, Malformed
 
-STATES = {"in_service": Listed.READY, "terminating": Listed.DRAINING, "terminated": Listed.GONE}
+STATES = {
+    "in_service": ServerState.READY,
+    "terminating": ServerState.DRAINING,
+    "terminated": ServerState.REMOVED,
+}
 TIMEOUT_S = 2.0  # the protocol's figure: how long past its wait a watch is answered
 _TARGET = "/discovery/hosts"
 _OK = 200
@@ -91,22 +95,22 @@
             raise Malformed("not a list of servers")
         version = Fields(update).whole("generation")
         is_complete = update.get("reset") is True
-        entries: list[Entry] = []
+        endpoints: list[ServerEndpoint] = []
         addresses: dict[str, tuple[str, int] | None] = {}
         for row in update["instances"]:
             if not isinstance(row, dict):
                 raise Malformed("a server is not an object")
-            entry = _parse_entry(Fields(row))
-            entries.append(entry)
-            is_ready = entry.state is Listed.READY
-            addresses[entry.server] = start.address(row.get("hostPort"), "hostPort") if is_ready else None
+            endpoint = _parse_endpoint(Fields(row))
+            endpoints.append(endpoint)
+            is_ready = endpoint.state is ServerState.READY
+            addresses[endpoint.address] = start.address(row.get("hostPort"), "hostPort") if is_ready else None
         if is_complete:
             addresses.update({each: None for each in self._pool.addresses if each not in addresses})
         self._pool.update_addresses(addresses)
         self._version = version
-        if entries or is_complete:
+        if endpoints or is_complete:
             self._counts["lists"] += 1
-            self._enqueue(ServersUpdated(entries, is_complete))
+            self._enqueue(ServersUpdated(endpoints, is_complete))
         return version
 
     def _start_watch(self) -> None:
@@ -177,15 +181,15 @@
                     raise MalformedMessageError("the connection ended")
 
 
-def _parse_entry(row: Fields) -> Entry:
+def _parse_endpoint(row: Fields) -> ServerEndpoint:
     """One server of the list."""
     started_ms = row.number("startedAtMs")
-    return Entry(
-        server=row.text("instanceId"),
+    return ServerEndpoint(
+        address=row.text("instanceId"),
         state=row.among("lifecycle", STATES, "in_service"),
         zone=row.get("zone") or "",
         cell=row.whole("cell", 0),
-        size=row.number("weight", 1.0),
+        weight=row.number("weight", 1.0),
         shape=row.get("machineType") or "",
         started_us=round(started_ms * _US_PER_MS) if started_ms > 0 else 0,
     )
--- a/lapisgrade/net/events.py
+++ b/lapisgrade/net/events.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from lapisgrade.interface import Entry, Operation
+from lapisgrade.interface import Operation, ServerEndpoint
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.response_writer import ResponseWriter
 
@@ -61,7 +61,7 @@
 class ServersUpdated:
     """The endpoint list has changed; a complete list names all servers there are."""
 
-    entries: list[Entry]
+    endpoints: list[ServerEndpoint]
     is_complete: bool
 
 
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -11,7 +11,16 @@
 from typing import Any, NamedTuple, Protocol
 
 from lapisgrade.engine import Engine, Task
-from lapisgrade.interface import Add, Answer, Clock, Operation, Report, Total, Verdict, Word
+from lapisgrade.interface import (
+    AddToCounter,
+    AttemptResult,
+    Clock,
+    CounterReply,
+    Operation,
+    Reject,
+    RejectReason,
+    WakeReason,
+)
 from lapisgrade.net import SECOND
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.connection import call_after_pending_io
@@ -37,7 +46,7 @@
 class CounterService(Protocol):
     """What adds to counts on behalf of the policy."""
 
-    def add(self, task: Task, add: Add) -> None:
+    def add(self, task: Task, add: AddToCounter) -> None:
         """Add to a count; its end comes back as a `CounterCallFinished`."""
 
 
@@ -98,7 +107,7 @@
         """An operation whose generator raised is given up alone, and at once (guards the others)."""
         broken = [each for each in self.unanswered.values() if each.task is None or each.task.ended]
         for operation in broken:
-            self.answer(operation, Answer(Verdict.GIVE_UP))
+            self.answer(operation, Reject(RejectReason.FAILED))
 
     # ---- events
 
@@ -112,10 +121,10 @@
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         operation = event.operation
-        operation.over = True
+        operation.is_abandoned = True
         if self.unanswered.pop(operation.handle, None) is not None:
             self._counts["operations whose client left"] += 1
-            self.engine.told(operation, Word.GONE)
+            self.engine.told(operation, WakeReason.CLIENT_GONE)
 
     def _on_attempt_finished(self, event: AttemptFinished) -> None:
         attempt, reason, message = event.attempt, event.reason, event.message
@@ -127,15 +136,15 @@
             self.forward_response(client, message)
             client = None
         load = self.parse_load_report(message) if message is not None else None
-        report = Report(reason.outcome, self.clock.now_us - attempt.sent, client is None, load)
-        self.module.landed(attempt, report)
-        self.engine.landed(attempt, report)
+        result = AttemptResult(reason.outcome, self.clock.now_us - attempt.sent, client is None, load)
+        self.module.landed(attempt, result)
+        self.engine.landed(attempt, result)
 
     def _on_counter_call_finished(self, event: CounterCallFinished) -> None:
-        self.engine.added(event.task, Total(event.reason.counter_outcome, event.total))
+        self.engine.added(event.task, CounterReply(event.reason.counter_outcome, event.total))
 
     def _on_servers_updated(self, event: ServersUpdated) -> None:
-        self.module.listed(event.entries, event.is_complete)
+        self.module.listed(event.endpoints, event.is_complete)
 
     def _on_timer_fired(self, event: TimerFired) -> None:
         self.engine.time(ticked=event.due_us == self._wake_at_us)
@@ -146,13 +155,13 @@
         """Write a server's response to the client."""
         client.respond(message.head.status_code, message.body, message.size)
 
-    def local_response(self, answer: Answer) -> LocalResponse:
+    def local_response(self, answer: Reject) -> LocalResponse:
         """Status and header fields of a final answer that no server gave."""
-        if answer.verdict is Verdict.GIVE_UP:
+        if answer.reason is RejectReason.FAILED:
             return LocalResponse(_BAD_GATEWAY, b"")
-        if answer.come_back_us <= 0:
+        if answer.retry_after_us <= 0:
             return LocalResponse(_TOO_MANY_REQUESTS, b"")
-        retry_after = b"Retry-After: %.3f\r\n" % (answer.come_back_us / SECOND)  # RFC 9110, section 10.2.3
+        retry_after = b"Retry-After: %.3f\r\n" % (answer.retry_after_us / SECOND)  # RFC 9110, section 10.2.3
         return LocalResponse(_TOO_MANY_REQUESTS, retry_after)
 
     # ---- called by the engine
@@ -165,7 +174,7 @@
         """End an attempt that is no longer wanted."""
         self.pool.cancel(attempt)
 
-    def answer(self, operation: Operation, answer: Answer) -> None:
+    def answer(self, operation: Operation, answer: Reject) -> None:
         """Write a final answer that no server gave."""
         client = operation.handle.client
         if client is None:
@@ -174,7 +183,7 @@
         response = self.local_response(answer)
         client.respond(response.status, [], 0, response.header_lines)
 
-    def add(self, task: Task, add: Add) -> None:
+    def add(self, task: Task, add: AddToCounter) -> None:
         """Add to a count for a task that waits for the total."""
         self.counter.add(task, add)
 
--- a/lapisgrade/net/request_parser.py
+++ b/lapisgrade/net/request_parser.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lapisgrade.interface import Category, Operation, Plan, Repeat
+from lapisgrade.interface import Category, Operation, Plan, RepeatSafety
 from lapisgrade.net import SECOND
 from lapisgrade.net.events import ClientRequest
 from lapisgrade.net.http import MalformedMessageError, Message
@@ -27,7 +27,11 @@
 _REQUEST_ID = re.compile(rb"[!-~]{1,128}")
 _QUOTA = re.compile(rb" *units=(\d{1,9}(?:\.\d{1,6})?) *, *spread=(\d{1,9}) *, *first=(\d{1,9}) *")
 _TIMEOUT = re.compile(rb"\d{1,6}(?:\.\d{1,9})?")
-_METHODS = {Repeat.IDEMPOTENT: b"GET", Repeat.DEDUPLICATED: b"POST", Repeat.UNREPEATABLE: b"POST"}
+_METHODS = {
+    RepeatSafety.IDEMPOTENT: b"GET",
+    RepeatSafety.DEDUPLICATED: b"POST",
+    RepeatSafety.NON_IDEMPOTENT: b"POST",
+}
 _CONFLICT = 409
 _MAX_SHOWN_BYTES = 80  # of a value that can't be read, in the message
 
@@ -80,10 +84,10 @@
             category=category,
             units=quota.units,
             arrived_us=now_us,
-            ends_us=now_us + min(round(timeout_s * SECOND), category.hard_stop_us),
-            gateways=quota.spread,
-            first_gateway=quota.first,
-            retried=headers.get(b"x-retried") == b"1",
+            deadline_us=now_us + min(round(timeout_s * SECOND), category.timeout_us),
+            gateway_count=quota.spread,
+            first_gateway_index=quota.first,
+            is_client_retry=headers.get(b"x-retried") == b"1",
             handle=ClientRequest(
                 client,
                 message.head.method,
@@ -109,9 +113,9 @@
 def _check_repeatability(category: Category, message: Message, key: bytes | None) -> None:
     """Whether method and key are those of the category."""
     method = message.head.method
-    if method != _METHODS[category.repeat] or (message.size and method == b"GET"):
+    if method != _METHODS[category.repeat_safety] or (message.size and method == b"GET"):
         raise MalformedMessageError("not the method of its class")
-    if not key and category.repeat is Repeat.DEDUPLICATED:
+    if not key and category.repeat_safety is RepeatSafety.DEDUPLICATED:
         raise MalformedMessageError("a key is missing, by which servers would know a repeat")
 
 
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -54,7 +54,7 @@
             RequestParser(
                 start.categories(settings),
                 start.plans(settings),
-                start.post(settings).limiters,
+                start.post(settings).limiter_count,
                 start.most_units(settings),
             ),
             sockets // CLIENTS_DIVISOR,
@@ -63,7 +63,9 @@
             self.host.enqueue, now, self.log, self.counts, connections, sockets // SERVERS_DIVISOR
         )
         counter = start.desk(settings)
-        discovery_address, counter_address = service_addresses(configuration, uses_counter=counter.calls)
+        discovery_address, counter_address = service_addresses(
+            configuration, uses_counter=counter.is_available
+        )
         self._counter: CounterClient | None = None
         if counter_address is not None:
             self.host.counter = self._counter = CounterClient(
@@ -71,8 +73,8 @@
                 self.log,
                 self.counts,
                 counter_address,
-                counter.time_out_us,
-                connections.dial_us,
+                counter.timeout_us,
+                connections.connect_timeout_us,
             )
         self._discovery = DiscoveryClient(
             self.host.enqueue,
@@ -81,7 +83,7 @@
             discovery_address,
             self.host.pool,
             self.host.module.random,
-            start.post(settings).limiters,
+            start.post(settings).limiter_count,
         )
         self._shutdown_requested = asyncio.Event()
 
--- a/lapisgrade/net/upstream_connection.py
+++ b/lapisgrade/net/upstream_connection.py
@@ -69,13 +69,13 @@
         self.attempt = attempt  # in flight; None while idle or closed
         self.state = UpstreamState.CONNECTING
         self.idle_since_us = 0
-        self.max_idle_us = pool.settings.idle_us
+        self.max_idle_us = pool.settings.idle_timeout_us
         self._address = pool.addresses[server]
         self._parser: MessageParser | None = None
         self._reader: CountingStreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
         self._received_stray = False
-        self._timer = pool.call_at(attempt.operation.ends_us, self._on_deadline)
+        self._timer = pool.call_at(attempt.operation.deadline_us, self._on_deadline)
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def is_usable(self) -> bool:
@@ -89,7 +89,7 @@
     def assign(self, attempt: Any) -> None:
         """Write an attempt to this connection, which is idle."""
         self.attempt = attempt
-        self._timer = self._pool.call_at(attempt.operation.ends_us, self._on_deadline)
+        self._timer = self._pool.call_at(attempt.operation.deadline_us, self._on_deadline)
         self._write()
 
     def close(self, reason: CloseReason) -> None:
@@ -115,7 +115,7 @@
         """Connect, write the first attempt, and read until the connection ends."""
         pool = self._pool
         try:
-            async with asyncio.timeout(pool.settings.dial_us / SECOND):
+            async with asyncio.timeout(pool.settings.connect_timeout_us / SECOND):
                 self._reader, self._writer = await connect(*self._address)
         except TimeoutError:
             return self.close(CloseReason.CONNECT_TIMEOUT)
@@ -147,7 +147,7 @@
         if request.client is None or not self._is_at_current_address():
             return self.close(CloseReason.NOT_SENT)
         self._parser = MessageParser(h11.CLIENT, pool.protocol.max_body_bytes)
-        seconds_left = max(1, attempt.operation.ends_us - pool.now()) / SECOND
+        seconds_left = max(1, attempt.operation.deadline_us - pool.now()) / SECOND
         self._writer.writelines([pool.protocol.encode_head(attempt, seconds_left), *request.body])
         self.state = UpstreamState.AWAITING_RESPONSE
         if self._writer.transport.get_write_buffer_size():
@@ -197,7 +197,7 @@
         attempt, self.attempt = self.attempt, None
         self._timer.cancel()
         reason = pool.protocol.classify(attempt, message)
-        self.max_idle_us = pool.protocol.keep_alive_us(message) or pool.settings.idle_us
+        self.max_idle_us = pool.protocol.keep_alive_us(message) or pool.settings.idle_timeout_us
         pool.on_attempt_finished(attempt, reason, message)
         must_close = (
             message.last
--- /dev/null
+++ b/tests/gateway/cli/test_check.py
@@ -0,0 +1,150 @@
+"""`check conf`, `plan` and `loss`: each mistake has its message, its place and its remedy."""
+
+import asyncio
+import unittest
+
+import msgspec
+
+from lapisgrade.gateway import configuration
+from lapisgrade.gateway.cli import check
+from lapisgrade.gateway.cli.onboarding import OperatorClient
+from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster
+from lapisgrade.gateway.quota.ownership import owner_of
+from lapisgrade.gateway.settings import Address, Bad
+from support.local_clusters import serving_cluster
+from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
+
+WRONG = [
+    (lambda c, r: action(r).update(Svc="nowhere"), "route r-claim: service 'nowhere' is not in Pools"),
+    (lambda c, r: action(r).pop("Timeout"), "required field missing"),
+    (lambda c, r: action(r).update(Timeout="0s"), "Timeout is 0, not above 0"),
+    (lambda c, r: action(r).update(Timeout="soon"), "'soon' is not a time"),
+    (lambda c, r: action(r).update(Timeout=2000), "2000 is not a time"),
+    (lambda c, r: split(r, garantie=-1), "Wt is -1, below 0"),
+    (lambda c, r: split(r, garantie=0), "add up to 0"),
+    (lambda c, r: action(r).update(Split=[{"Svc": "garantie", "Wt": 1}]), "not both and not none"),
+    (lambda c, r: action(r).pop("Svc"), "not both and not none"),
+    (lambda c, r: action(r).update(Tries=0), "Tries is 0, not above 0"),
+    (lambda c, r: r[CLAIM]["Match"].update(Pfx="claim/"), "'claim/' does not begin with a slash"),
+    (lambda c, r: r[CLAIM].pop("Match"), "required field missing"),
+    (lambda c, r: r[CLAIM].update(Mode="twice"), "'twice' is no mode"),
+    (lambda c, r: r[CLAIM].update(Name=""), "Name must have 1 to 256 characters"),
+    (lambda c, r: r[CLAIM].update(Name="r-stock"), "a route stands twice: 'r-stock'"),
+    (lambda c, r: r[CLAIM]["Match"].update(Pfx="/stock/"), "a prefix stands twice"),
+    (lambda c, r: r[CLAIM].update(Prio="high"), "'high' is not of the kind int"),
+    (lambda c, r: r[CLAIM].update(Public=1), "'1' is not of the kind bool"),
+    (lambda c, r: c["Pools"].append({"Name": "garantie"}), "a service stands twice"),
+    (lambda c, r: c["Pools"].append({"Name": "x", "Maxconn": 0}), "Maxconn is 0, not above 0"),
+    (lambda c, r: c["Tenants"].append({"Name": "sfax"}), "a tenant stands twice"),
+    (lambda c, r: c["Tenants"].append({"Name": "b", "Apikeys": ["key-of-sfax"]}), "a key stands twice"),
+    (lambda c, r: c["Tenants"][0].update(RateS=-2), "RateS is -2, below 0"),
+    (lambda c, r: c["Tenants"][0].update(Burst="many"), "'many' is not of the kind float"),
+    (lambda c, r: c.pop("Ver"), "$.Ver"),
+    (lambda c, r: c.update(Ver=0), "Ver is 0, not above 0"),
+    (lambda c, r: c["Caps"].update(Idle="0ms"), "Idle is 0, not above 0"),
+    (lambda c, r: c["Ports"][0].pop("Vhost"), "Ports[0].Vhost"),
+]
+
+
+MINDED = [
+    (lambda c, r: r[CLAIM]["Match"].update(Pfx="/claim"), "the prefix /claim has no slash at its end"),
+    (lambda c, r: action(r).update(Timeout="100ms"), "r-claim: is held 0.1 s at most, and aims at 0.5 s"),
+    (lambda c, r: split(r, garantie=1), "r-claim: a split of one service"),
+    (lambda c, r: (c["Pools"].append({"Name": "b"}), split(r, garantie=1, b=0)), "b has weight 0"),
+    (lambda c, r: action(r, STOCK).update(Tries=1), "r-stock: may be repeated, but is tried once"),
+    (lambda c, r: c["Pools"].append({"Name": "b"}), "service b: no route goes there"),
+    (lambda c, r: c["Tenants"].append({"Name": "b"}), "tenant b: has no key"),
+    (lambda c, r: c["Tenants"][0].update(RateS=0), "a Burst without RateS is no limit"),
+    (lambda c, r: c["Tenants"][0].update(Burst=0), "no Burst: a second's rate is taken for it"),
+    (lambda c, r: c.update(Tenants=[]), "every request but on public routes gets 401"),
+    (lambda c, r: (c.pop("Tenants"), r[CLAIM].update(Public=True)), "is public where no key is wanted"),
+    (lambda c, r: c["Ports"].append({"Vhost": "A.example", "Policy": []}), "host a.example stands 2 times"),
+]
+
+
+class Checked(unittest.TestCase):
+    def test_every_kind_of_mistake_is_told_with_its_place_and_sent_nowhere(self) -> None:
+        for edit, words in WRONG:
+            wrong, minded = check.checked(conf(edit))
+            self.assertTrue(wrong and words in " ".join(wrong), (words, wrong))
+            self.assertEqual(minded, [])
+            self.assertNotIn("key-of-sfax", " ".join(wrong))
+
+    def test_what_can_be_taken_but_may_be_meant_otherwise_is_minded(self) -> None:
+        self.assertEqual(check.checked(msgspec.json.encode(CONF)), ([], []))
+        for edit, words in MINDED:
+            wrong, minded = check.checked(conf(edit))
+            self.assertEqual(wrong, [], words)
+            self.assertIn(words, "\n".join(minded))
+
+    def test_mistakes_say_how_they_are_mended(self) -> None:
+        wrong, _ = check.checked(conf(lambda c, r: action(r).update(Svc="nowhere")))
+        hint = "(name the service under Pools, or send the route to one that is there)"
+        self.assertEqual(wrong, [f"route r-claim: service 'nowhere' is not in Pools {hint}"])
+        wrong, _ = check.checked(conf(lambda c, r: action(r).pop("Timeout")))
+        place = "$.Ports[0].Policy[1].Action.Timeout"
+        self.assertEqual(wrong, [f"required field missing @ {place} (it can't be left out)"])
+        for edit, words in WRONG[1:8]:
+            self.assertTrue(check.checked(conf(edit))[0][0].endswith(")"), words)
+
+    def test_a_host_that_stands_twice_has_the_routes_of_both(self) -> None:
+        def twice(c: dict, rules: list) -> None:
+            c["Ports"] = [{"Vhost": "a.example", "Policy": [each]} for each in rules]
+
+        made = msgspec.json.decode(conf(twice))
+        table = configuration.Table(configuration.read(made))
+        self.assertEqual([table.route("a.example", f"/{each}/1").name for each in ("stock", "claim")],
+                         ["r-stock", "r-claim"])  # fmt: skip
+        later = configuration.updated(made, {"Ver": 2, "Del": {"Routes": ["r-none"]}})
+        self.assertEqual(len(later["Ports"][0]["Policy"]), 2)
+
+
+class OnASite(unittest.IsolatedAsyncioTestCase):
+    async def test_a_plan_says_what_then_happens(self) -> None:
+        async with serving_cluster() as site:
+            current, where = await OperatorClient(site.ctl, lambda line: None).show()
+            rule = {**SAMPLE["Ports"][0]["Policy"][1]}
+            rule["Action"] = {**rule["Action"], "Svc": "reparation"}
+            ports = [{"Vhost": "a.example", "Policy": [rule]}]
+            change = {"Upsert": {"Ports": ports, "Pools": [{"Name": "reparation"}]}}
+            lines = ["+ Pools/reparation", '  Routes/r-claim/Action/Svc: "garantie" -> "reparation"']
+            self.assertEqual(check.planned(current, change, where["Servers"]),
+                             (lines, [], ["service reparation: no server is up"]))  # fmt: skip
+            self.assertEqual(await site.put({"Ver": 2, "Base": 1, **change}, "conf.update"), 200)
+            later, _ = await OperatorClient(site.ctl, lambda line: None).show()
+            self.assertEqual(check.changed(current, later), lines)
+            rule["Action"] = {"Svc": "nowhere", "Timeout": "1s"}
+            self.assertEqual(len(check.planned(current, change, where["Servers"])[1]), 1)
+
+
+class Lost(unittest.IsolatedAsyncioTestCase):
+    def client(self, site: LocalCluster) -> OperatorClient:
+        return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
+
+    async def test_what_is_told_of_a_loss_is_what_then_happens(self) -> None:
+        site = await self.enterAsyncContext(serving_cluster())
+        current, where = await self.client(site).show()
+        conf = configuration.read(current)
+        keeper = owner_of("sfax", site.names)
+        other = next(each for each in site.names if each != keeper)
+        lines, goes_on = check.loss(conf, where, [keeper])
+        self.assertEqual([goes_on, lines[0], lines[-1], "zone local: 2 of 3 proxies left" in lines],
+                         [True, "disks: 2 of 3 left: a majority, changes go on",
+                          "counts that others take over, dark for some 2 s: sfax", True])  # fmt: skip
+        self.assertFalse([line for line in check.loss(conf, where, [other])[0] if "counts" in line])
+        lines, goes_on = check.loss(conf, where, [keeper, other])
+        self.assertFalse(goes_on)
+        self.assertIn("no majority, nothing is acknowledged until one is back", lines[0])
+        with self.assertRaisesRegex(Bad, "no proxy of that name: m9"):
+            check.loss(conf, where, ["m9"])
+        for part in (site.controllers[keeper], site.proxies[keeper]):
+            await site.kill(part)
+        change = {"Ver": 2, "Base": 1, "Upsert": {"Pools": [{"Name": "b"}]}}
+        while await site.put(change, "conf.update") != 200:
+            await asyncio.sleep(0.02)
+        await site.until(
+            lambda: all(keeper not in each.quota_owner.proxies for each in site.proxies.values())
+        )
+        self.assertEqual(owner_of("sfax", site.proxies[other].quota_owner.eligible_owners) == keeper, False)
+        await site.kill(site.controllers[other])
+        self.assertEqual(await site.put({**change, "Ver": 3, "Base": 2}, "conf.update"), 0)
--- a/tests/gateway/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -5,8 +5,9 @@
 
 import msgspec
 
-from lapisgrade.gateway.local_cluster import SAMPLE, Links, LocalCluster, ask
+from lapisgrade.gateway.local_cluster import SAMPLE, Links, ask
 from lapisgrade.net.http import Message
+from support.local_clusters import local_cluster, serving_cluster
 
 KEY = "key-of-sfax"
 
@@ -24,13 +25,8 @@
 
 
 class Requests(unittest.IsolatedAsyncioTestCase):
-    net = 180
-
     async def asyncSetUp(self) -> None:
-        Requests.net += 1
-        self.site = LocalCluster(net=Requests.net)
-        await self.site.__aenter__()
-        self.addAsyncCleanup(self.site.__aexit__)
+        self.site = await self.enterAsyncContext(local_cluster())
 
     async def test_gone_a_server_is_not_left_at_work_once_its_client_has_left(self) -> None:
         site = await self.site.served(work=2.0)
@@ -63,7 +59,7 @@
         site = await self.site.served()
         for _ in range(4):
             await site.start_server("garantie")
-        await site.until(lambda: all(len(each.register) == 5 for each in site.proxies.values()))
+        await site.until(lambda: all(len(each.servers) == 5 for each in site.proxies.values()))
         for each in site.servers.values():
             each.manner = "failing"
         for number in range(20):
@@ -74,13 +70,13 @@
     async def test_drain_a_server_that_only_says_that_it_goes_gets_nothing_more(self) -> None:
         site = await self.site.served()
         await site.start_server("garantie")
-        await site.until(lambda: all(len(each.register) == 2 for each in site.proxies.values()))
+        await site.until(lambda: all(len(each.servers) == 2 for each in site.proxies.values()))
         leaving = site.servers["i-1"]
         site.silence(leaving)  # it never says drain, and its last beat is late
         got = await ask(site.ctl[0], "POST", "/-/rpc?call=servers.deregister&of=i-1")
         self.assertEqual(status(got), 200)
         await leaving.beat(site.ctl)
-        await site.until(lambda: all(each.register["i-1"].state == "gone" for each in site.proxies.values()))
+        await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
         before = leaving.ran.total()
         answers = [status(await site.get(name, "/stock/1", KEY)) for name in site.names for _ in range(4)]
         self.assertEqual((answers, leaving.ran.total() - before), ([200] * 12, 0))
@@ -88,7 +84,7 @@
 
 class Unconfigured(unittest.IsolatedAsyncioTestCase):
     async def test_denied_a_proxy_that_knows_no_configuration_promises_and_refuses_nobody(self) -> None:
-        async with LocalCluster(net=178) as site:
+        async with local_cluster() as site:
             await site.until(lambda: site.proxies["m1"].client_front.is_listening())
             got = await site.get("m1", "/stock/1", KEY, tries=1)
             self.assertEqual(status(got), 503)
@@ -96,8 +92,7 @@
 
     async def test_config_a_read_is_no_older_than_the_last_acknowledgement_or_gets_503(self) -> None:
         """Also at a machine that is cut off: it knows of no majority, and answers no older version."""
-        async with LocalCluster(net=179) as site:
-            await site.served()
+        async with serving_cluster() as site:
             links = Links(site)
             links.part("m3")
             change = {"Ver": 5, "Base": 1, "Upsert": {"Tenants": []}, "Del": {}}
--- a/tests/net/test_net_front.py
+++ b/tests/net/test_front.py
@@ -5,10 +5,11 @@
 import socket
 
 import pytest
-from helpers import Site, heard
 
 from lapisgrade.net import client_listener
-from loopback import on_loopback, until
+from support.event_loop import on_loopback, until
+from support.fake_peers import heard
+from support.limiter_site import Site
 
 
 @on_loopback
--- a/tests/net/test_net_start.py
+++ b/tests/net/test_start.py
@@ -3,10 +3,10 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import Site
 
 from lapisgrade import start
 from lapisgrade.net.rate_limited_log import MAX_LINES_PER_SECOND, RateLimitedLog
+from support.limiter_site import Site
 
 SECOND = 1_000_000
 
