--- a/lapisgrade/gateway/controller/call_forwarding.py
+++ b/lapisgrade/gateway/controller/call_forwarding.py
@@ -64,4 +64,4 @@
         """Execute a call that another controller forwarded; 503 where this one doesn't lead."""
         if not self._consensus.is_leader():
             return ForwardCallReply(HTTPStatus.SERVICE_UNAVAILABLE)
-        return await self._leader_calls.execute(call.call, call.of, call.body)
+        return await self._leader_calls.execute(call.call, call.subject, call.body)
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -5,9 +5,9 @@
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.routing import upstream_protocol
-from lapisgrade.gateway.routing.balancer import UpstreamAttempt
 from lapisgrade.gateway.routing.idle_connections import IdleConnections
 from lapisgrade.gateway.routing.request import RoutedRequest
+from lapisgrade.gateway.routing.upstream_server import UpstreamAttempt
 from lapisgrade.interface import ConnectionSettings, Reject
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.connection_pool import ConnectionPool
@@ -55,12 +55,12 @@
         super()._on_attempt_finished(event)
         self.on_load_change()
 
-    def answer(self, operation: RoutedRequest, answer: Reject) -> None:
+    def reject(self, operation: RoutedRequest, answer: Reject) -> None:
         """Answer a client ourselves; with a server's error response as it came, where there is only that."""
         handle = operation.handle
         has_failure = handle.failure is not None and handle.client is not None
         if not has_failure or self.local_response(answer).status != BAD_GATEWAY:
-            return super().answer(operation, answer)
+            return super().reject(operation, answer)
         del self.unanswered[handle]
         self.forward_response(handle.client, handle.failure)
 
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -31,7 +31,7 @@
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import Settings
 from lapisgrade.net.http import Message as HttpMessage
-from lapisgrade.peers.frame import MOST_NAME
+from lapisgrade.peers.frame import MAX_NAME_LENGTH
 
 log = logging.getLogger("proxy")
 
@@ -68,7 +68,7 @@
             context.log_diagnostic,
             context.metrics.transport,
         )
-        self.router: Router = self.host.module
+        self.router: Router = self.host.policy
         sockets = max(MIN_SOCKETS, settings.caps.nofile - RESERVED_FILES)
         self.client_front = ClientFront(context, self.host, self.router, sockets // 2)
         self.host.pool = self.pool = self.make_pool(sockets // 4)
@@ -82,7 +82,7 @@
         self.quota_owner = QuotaOwner(settings.hostname, context.incarnation, context.now_us())
         self.partial_view = PartialView(str(self.inner), settings.az, context.random, context.now_us())
         self.gossip = Gossip(
-            settings.hostname[:MOST_NAME], self.partial_view, context.now_us, context.log_diagnostic
+            settings.hostname[:MAX_NAME_LENGTH], self.partial_view, context.now_us, context.log_diagnostic
         )
         self.watch_target = WatchTarget(context.random, self.partial_view, [])
         self._apply_seeds()
@@ -140,7 +140,7 @@
         settings = self.settings
         controller_port, hosts = settings.portrange[0], [each[0] for each in settings.peers]
         self.watch_target.seeds = [f"{host}:{controller_port}" for host in hosts]
-        self.partial_view.introduced([f"{host}:{self.inner[1]}" for host in hosts])
+        self.partial_view.introduce([f"{host}:{self.inner[1]}" for host in hosts])
 
     # ---- start and shutdown
 
@@ -244,7 +244,9 @@
     def on_message(self, message: rpc_messages.Message) -> None:
         """Take in a message that wants no answer."""
         if isinstance(message, rpc_messages.ProxyLoads):
-            self.router.subsets.heard(self.context.now_us(), message.by, message.out, message.ill)
+            self.router.subsets.on_load_report(
+                self.context.now_us(), message.proxy, message.in_flight, message.unhealthy_servers
+            )
 
     async def answer(self, message: rpc_messages.Message) -> rpc_messages.Message | None:
         """Answer another process's call; None where it is none that a proxy answers."""
--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
+from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway import configuration, rpc_messages
 from lapisgrade.gateway.configuration import Table
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
 from lapisgrade.gateway.proxy.client_front import ClientFront
 from lapisgrade.gateway.routing.router import Router
-from lapisgrade.gateway.settings import Bad
 
 log = logging.getLogger("proxy")
 
@@ -38,19 +38,19 @@
         """Activate the version that the leader orders, and stage newer ones.
 
         Raises:
-            Bad: A version can't be read.
+            InvalidInputError: A version can't be read.
             msgspec.MsgspecError: A version is no JSON of that form.
         """
         staged = self._router.tables.staged
-        if reply.conf is not None and reply.ver > self.active_version:
-            self._activate(self._read(reply.conf))
-        elif reply.ver in staged:
-            self._activate(staged[reply.ver])
-        elif reply.ver > self.active_version:
+        if reply.active_configuration is not None and reply.active_version > self.active_version:
+            self._activate(self._read(reply.active_configuration))
+        elif reply.active_version in staged:
+            self._activate(staged[reply.active_version])
+        elif reply.active_version > self.active_version:
             staged.clear()  # the active version was never staged here: ask for it
-        for version, encoded in reply.staged.items():
+        for version, encoded in reply.staged_versions.items():
             if version > self.active_version and version not in self._router.tables.staged:
-                self._router.tables.stage(self._read(encoded), version in reply.merged)
+                self._router.tables.stage(self._read(encoded), version in reply.merged_versions)
         self.has_lost_base = False
 
     def _activate(self, table: Table) -> None:
@@ -64,7 +64,7 @@
         text = decode(encoded, self._texts.get(encoded.base, b""))
         table = Table(configuration.read(msgspec.json.decode(text)))
         if table.ver != encoded.ver:
-            raise Bad(f"version {encoded.ver} calls itself {table.ver}")
+            raise ConfigurationError(f"version {encoded.ver} calls itself {table.ver}")
         kept = {self.active_version, table.ver, *self._router.tables.staged}
         self._texts = {version: each for version, each in self._texts.items() if version in kept}
         self._texts[table.ver] = text
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -13,7 +13,6 @@
 
 import msgspec
 
-from lapisgrade.decide.fleet import Attempt
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.lab.partitions.quota import allowed, most
@@ -22,6 +21,7 @@
 from lapisgrade.lab.simulation.plays import Play
 from lapisgrade.lab.simulation.proxies import ProxyMachine, SimulatedClock, SimulatedProxy
 from lapisgrade.lab.simulation.virtual_loop import SECOND
+from lapisgrade.policy.fleet import Attempt
 
 PROXIES, SERVERS = 5, 4
 TENANT, KEY = "t", "key"
@@ -203,7 +203,7 @@
             now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
         ) -> rpc_messages.QuotaReply:
             reply = add(now_us, ask, acts_until_us)
-            if reply.held:
+            if reply.is_accepted:
                 self._grants(owner)
             return reply
 
--- a/lapisgrade/net/connection_pool.py
+++ b/lapisgrade/net/connection_pool.py
@@ -188,5 +188,5 @@
         """
         server = attempt.server.address
         last_received_us = self.last_received_us.get(server, 0)
-        if last_received_us < attempt.sent < self.now() - self.settings.connect_timeout_us:
+        if last_received_us < attempt.sent_us < self.now() - self.settings.connect_timeout_us:
             self.close_idle(server)
--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -13,7 +13,6 @@
 
 import h11
 
-from lapisgrade import start
 from lapisgrade.errors import LapisgradeError
 from lapisgrade.interface import ServerEndpoint, ServerState
 from lapisgrade.net.connection import READ_BYTES
@@ -21,7 +20,7 @@
 from lapisgrade.net.events import Event, ServersUpdated
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 from lapisgrade.net.poll_backoff import MAX_STALENESS_S, RENEW_S, PollBackoff
-from lapisgrade.start import Fields, Malformed
+from lapisgrade.settings import Fields, MalformedInputError, parse_address
 
 STATES = {
     "in_service": ServerState.READY,
@@ -89,21 +88,21 @@
         """Take in a list, or changes of it, as parsed from JSON; returns its version.
 
         Raises:
-            Malformed: It makes no sense.
+            MalformedInputError: It makes no sense.
         """
         if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
-            raise Malformed("not a list of servers")
-        version = Fields(update).whole("generation")
+            raise MalformedInputError("not a list of servers")
+        version = Fields(update).integer("generation")
         is_complete = update.get("reset") is True
         endpoints: list[ServerEndpoint] = []
         addresses: dict[str, tuple[str, int] | None] = {}
         for row in update["instances"]:
             if not isinstance(row, dict):
-                raise Malformed("a server is not an object")
+                raise MalformedInputError("a server is not an object")
             endpoint = _parse_endpoint(Fields(row))
             endpoints.append(endpoint)
             is_ready = endpoint.state is ServerState.READY
-            addresses[endpoint.address] = start.address(row.get("hostPort"), "hostPort") if is_ready else None
+            addresses[endpoint.address] = parse_address(row.get("hostPort"), "hostPort") if is_ready else None
         if is_complete:
             addresses.update({each: None for each in self._pool.addresses if each not in addresses})
         self._pool.update_addresses(addresses)
@@ -140,7 +139,7 @@
             except DiscoveryRejectedError as error:
                 self._on_failed(error)
                 delay_s = self._backoff.on_rejected()
-            except (OSError, TimeoutError, MalformedMessageError, Malformed, ValueError) as error:
+            except (OSError, TimeoutError, MalformedMessageError, MalformedInputError, ValueError) as error:
                 self._on_failed(error)
 
     def _on_failed(self, error: Exception) -> None:
@@ -186,9 +185,9 @@
     started_ms = row.number("startedAtMs")
     return ServerEndpoint(
         address=row.text("instanceId"),
-        state=row.among("lifecycle", STATES, "in_service"),
+        state=row.choice("lifecycle", STATES, "in_service"),
         zone=row.get("zone") or "",
-        cell=row.whole("cell", 0),
+        cell=row.integer("cell", 0),
         weight=row.number("weight", 1.0),
         shape=row.get("machineType") or "",
         started_us=round(started_ms * _US_PER_MS) if started_ms > 0 else 0,
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -77,7 +77,7 @@
         self.enqueue = self._queue.put_nowait
         self.clock = Clock(now())
         self.engine = Engine(self, self.clock)
-        self.module = build_policy(self.clock)
+        self.policy = build_policy(self.clock)
         self.unanswered: dict[ClientRequest, Operation] = {}  # operations without their final response
         self.pool: ConnectionPool | None = None
         self.counter: CounterService | None = None
@@ -105,9 +105,9 @@
 
     def _give_up_broken(self) -> None:
         """An operation whose generator raised is given up alone, and at once (guards the others)."""
-        broken = [each for each in self.unanswered.values() if each.task is None or each.task.ended]
+        broken = [each for each in self.unanswered.values() if each.task is None or each.task.is_finished]
         for operation in broken:
-            self.answer(operation, Reject(RejectReason.FAILED))
+            self.reject(operation, Reject(RejectReason.FAILED))
 
     # ---- events
 
@@ -117,14 +117,14 @@
             return  # disconnected already
         self.unanswered[operation.handle] = operation
         self._counts["operations"] += 1
-        self.engine.run(self.module.operation(operation), operation)
+        self.engine.run(self.policy.handle(operation), operation)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         operation = event.operation
         operation.is_abandoned = True
         if self.unanswered.pop(operation.handle, None) is not None:
             self._counts["operations whose client left"] += 1
-            self.engine.told(operation, WakeReason.CLIENT_GONE)
+            self.engine.wake(operation, WakeReason.CLIENT_GONE)
 
     def _on_attempt_finished(self, event: AttemptFinished) -> None:
         attempt, reason, message = event.attempt, event.reason, event.message
@@ -136,18 +136,18 @@
             self.forward_response(client, message)
             client = None
         load = self.parse_load_report(message) if message is not None else None
-        result = AttemptResult(reason.outcome, self.clock.now_us - attempt.sent, client is None, load)
-        self.module.landed(attempt, result)
-        self.engine.landed(attempt, result)
+        result = AttemptResult(reason.outcome, self.clock.now_us - attempt.sent_us, client is None, load)
+        self.policy.on_attempt_finished(attempt, result)
+        self.engine.attempt_finished(attempt, result)
 
     def _on_counter_call_finished(self, event: CounterCallFinished) -> None:
-        self.engine.added(event.task, CounterReply(event.reason.counter_outcome, event.total))
+        self.engine.counter_replied(event.task, CounterReply(event.reason.counter_outcome, event.total))
 
     def _on_servers_updated(self, event: ServersUpdated) -> None:
-        self.module.listed(event.endpoints, event.is_complete)
+        self.policy.update_servers(event.endpoints, event.is_complete)
 
     def _on_timer_fired(self, event: TimerFired) -> None:
-        self.engine.time(ticked=event.due_us == self._wake_at_us)
+        self.engine.run_due_timers(ticked=event.due_us == self._wake_at_us)
 
     # ---- responses
 
@@ -174,7 +174,7 @@
         """End an attempt that is no longer wanted."""
         self.pool.cancel(attempt)
 
-    def answer(self, operation: Operation, answer: Reject) -> None:
+    def reject(self, operation: Operation, answer: Reject) -> None:
         """Write a final answer that no server gave."""
         client = operation.handle.client
         if client is None:
@@ -183,15 +183,15 @@
         response = self.local_response(answer)
         client.respond(response.status, [], 0, response.header_lines)
 
-    def add(self, task: Task, add: AddToCounter) -> None:
+    def add_to_counter(self, task: Task, add: AddToCounter) -> None:
         """Add to a count for a task that waits for the total."""
         self.counter.add(task, add)
 
-    def say(self, text: str) -> None:
+    def log(self, text: str) -> None:
         """Write a line for the people on call."""
         self._log(text)
 
-    def wake_at(self, when_us: int) -> None:
+    def schedule_wakeup(self, when_us: int) -> None:
         """Enqueue a `TimerFired` at a time of `now`; only the one requested last counts."""
         self._wake_at_us = when_us
         delay_s = max(0, when_us - self.now()) / SECOND
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -7,8 +7,6 @@
 from collections.abc import Callable
 from typing import Any
 
-from lapisgrade import start
-from lapisgrade.decide import Limiter
 from lapisgrade.interface import Clock
 from lapisgrade.net.client_listener import ClientListener
 from lapisgrade.net.clock import wall_clock
@@ -19,7 +17,21 @@
 from lapisgrade.net.rate_limited_log import RateLimitedLog
 from lapisgrade.net.request_parser import RequestParser
 from lapisgrade.net.service_configuration import check_kinds, read_configuration, service_addresses
-from lapisgrade.start import Fields, Malformed
+from lapisgrade.policy import Limiter
+from lapisgrade.settings import (
+    Fields,
+    MalformedInputError,
+    flatten,
+    parse_address,
+    read_categories,
+    read_connection_settings,
+    read_counter_settings,
+    read_max_units,
+    read_permissions,
+    read_placement,
+    read_plans,
+    read_server_rules,
+)
 
 # The protocol's figure: so long after its word to end, new connections keep coming to a limiter.
 LATE_CONNECTIONS_S = 0.4
@@ -34,35 +46,35 @@
     """One limiter. `run` returns once it was told to shut down and nothing is owed any more."""
 
     def __init__(self, configuration: dict[str, Any]) -> None:
-        """Takes the parsed configuration file; Malformed where that can't be read."""
+        """Takes the parsed configuration file; MalformedInputError where that can't be read."""
         check_kinds(configuration)
-        settings = start.flat(configuration["settings"])
+        settings = flatten(configuration["settings"])
         seed, sockets = _read_seed_and_sockets(configuration)
         self.counts: Counter[str] = Counter()
         self._log = RateLimitedLog(configuration["name"])
         self.log = self._log.write
         now = _read_clock(configuration)
-        self._listen_address = start.address(configuration["listen"], "listen")
+        self._listen_address = parse_address(configuration["listen"], "listen")
         self._known_servers = configuration["known"]
         self.host = Host(lambda clock: _build_policy(clock, seed, settings), now, self.log, self.counts)
-        connections = start.lines(settings)
+        connections = read_connection_settings(settings)
         self.listener = ClientListener(
             self.host.enqueue,
             now,
             self.log,
             self.counts,
             RequestParser(
-                start.categories(settings),
-                start.plans(settings),
-                start.post(settings).limiter_count,
-                start.most_units(settings),
+                read_categories(settings),
+                read_plans(settings),
+                read_placement(settings).limiter_count,
+                read_max_units(settings),
             ),
             sockets // CLIENTS_DIVISOR,
         )
         self.host.pool = ConnectionPool(
             self.host.enqueue, now, self.log, self.counts, connections, sockets // SERVERS_DIVISOR
         )
-        counter = start.desk(settings)
+        counter = read_counter_settings(settings)
         discovery_address, counter_address = service_addresses(
             configuration, uses_counter=counter.is_available
         )
@@ -82,8 +94,8 @@
             self.counts,
             discovery_address,
             self.host.pool,
-            self.host.module.random,
-            start.post(settings).limiter_count,
+            self.host.policy.random,
+            read_placement(settings).limiter_count,
         )
         self._shutdown_requested = asyncio.Event()
 
@@ -92,7 +104,7 @@
         self._shutdown_requested.set()
 
     def reload(self, configuration: dict[str, Any]) -> None:
-        """Go on with what a new configuration says; Malformed leaves all as it was.
+        """Go on with what a new configuration says; MalformedInputError leaves all as it was.
 
         Discovery and the counter service move while work is open; all else holds until the next start.
         """
@@ -140,28 +152,28 @@
 def _read_seed_and_sockets(configuration: dict[str, Any]) -> tuple[int, int]:
     try:
         seed = int(configuration["seed"], 16)
-        return seed, Fields(configuration["limits"]).whole("sockets", DEFAULT_SOCKETS)
+        return seed, Fields(configuration["limits"]).integer("sockets", DEFAULT_SOCKETS)
     except ValueError as error:
-        raise Malformed(f"seed: {error}") from None
+        raise MalformedInputError(f"seed: {error}") from None
 
 
 def _read_clock(configuration: dict[str, Any]) -> Callable[[], int]:
     clock = configuration.get("clock", {})
     if not isinstance(clock, dict):
-        raise Malformed("clock is not of the kind dict")
+        raise MalformedInputError("clock is not of the kind dict")
     fields = Fields(clock)
-    return wall_clock(fields.micros("offset_ms"), fields.number("drift_ppm"))
+    return wall_clock(fields.duration_us("offset_ms"), fields.number("drift_ppm"))
 
 
 def _build_policy(clock: Clock, seed: int, settings: Fields) -> Limiter:
     return Limiter(
         clock,
         seed,
-        start.post(settings),
-        start.desk(settings),
-        start.categories(settings),
-        start.duties(settings),
-        start.leave(settings),
+        read_placement(settings),
+        read_counter_settings(settings),
+        read_categories(settings),
+        read_server_rules(settings),
+        read_permissions(settings),
     )
 
 
@@ -178,7 +190,7 @@
     def reload() -> None:
         try:
             service.reload(read_configuration(path))
-        except Malformed as error:
+        except MalformedInputError as error:
             service.log(f"goes on as before: {error}")
 
     def shut_down(by: signal.Signals) -> None:
--- a/lapisgrade/net/service_configuration.py
+++ b/lapisgrade/net/service_configuration.py
@@ -3,8 +3,7 @@
 import json
 from typing import Any
 
-from lapisgrade import start
-from lapisgrade.start import Malformed
+from lapisgrade.settings import MalformedInputError, parse_address
 
 Address = tuple[str, int]
 
@@ -20,26 +19,26 @@
 
 
 def read_configuration(path: str) -> dict[str, Any]:
-    """The configuration in a file. Malformed if it is not a JSON object, or can't be read."""
+    """The configuration in a file. MalformedInputError if it is not a JSON object, or can't be read."""
     try:
         with open(path, encoding="utf-8") as file:
             configuration = json.load(file)
     except (OSError, ValueError) as error:
-        raise Malformed(f"{path}: {error}") from None
+        raise MalformedInputError(f"{path}: {error}") from None
     if not isinstance(configuration, dict):
-        raise Malformed(f"{path}: not an object")
+        raise MalformedInputError(f"{path}: not an object")
     return configuration
 
 
 def check_kinds(configuration: dict[str, Any]) -> None:
-    """Raise Malformed where a value is missing or of another kind than it must be."""
+    """Raise MalformedInputError where a value is missing or of another kind than it must be."""
     for name, kind in _KINDS.items():
         if not isinstance(configuration.get(name), kind):
-            raise Malformed(f"{name} is missing or not of the kind {kind.__name__}")
+            raise MalformedInputError(f"{name} is missing or not of the kind {kind.__name__}")
 
 
 def service_addresses(configuration: dict[str, Any], *, uses_counter: bool) -> tuple[Address, Address | None]:
     """Where discovery and, for a limiter that uses it, the counter service are."""
-    discovery = start.address(configuration.get("discovery"), "discovery")
-    counter = start.address(configuration.get("counter"), "counter") if uses_counter else None
+    discovery = parse_address(configuration.get("discovery"), "discovery")
+    counter = parse_address(configuration.get("counter"), "counter") if uses_counter else None
     return discovery, counter
