--- a/lapisgrade/cli/limiter.py
+++ b/lapisgrade/cli/limiter.py
@@ -19,7 +19,7 @@
 def serve(config: str, site: str | None) -> None:
     """Run one limiter as the file CONFIG tells it (SIGTERM ends, SIGHUP reloads, SIGUSR1 counts)."""
     from lapisgrade.__main__ import main as run_limiter
-    from lapisgrade.net.service import read
+    from lapisgrade.net.service_configuration import read_configuration
 
     os.environ["ROUTER_CONFIG"] = config
     peers = None
@@ -27,7 +27,7 @@
         from lapisgrade.members import site as members
 
         try:
-            peers = members.beside(members.read(site), str(read(config).get("name", "")))
+            peers = members.beside(members.read(site), str(read_configuration(config).get("name", "")))
         except MalformedInputError as error:
             click.echo(f"the configuration: {error}", err=True)
             sys.exit(2)
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -68,7 +68,7 @@
             context.log_diagnostic,
             context.metrics.transport,
         )
-        self.router: Router = self.host.module
+        self.router: Router = self.host.policy
         sockets = max(MIN_SOCKETS, settings.caps.nofile - RESERVED_FILES)
         self.client_front = ClientFront(context, self.host, self.router, sockets // 2)
         self.host.pool = self.pool = self.make_pool(sockets // 4)
@@ -121,7 +121,7 @@
 
     def make_pool(self, max_connections: int) -> ServerPool:
         """The connections to servers."""
-        return ServerPool(self.context, self.host.put, self.router.idle_connections, max_connections)
+        return ServerPool(self.context, self.host.enqueue, self.router.idle_connections, max_connections)
 
     # ---- settings
 
@@ -175,11 +175,12 @@
         """Answer the requests in progress; new connections are accepted while the platform sends some."""
         loop, front = asyncio.get_running_loop(), self.client_front
         ends = loop.time() + self.settings.slo.grace / SECOND - EXIT_RESERVE_S
-        front.ending = front.closing = True
-        log.info("shutting down: %d connections, %d requests", len(front.clients), len(self.host.owed))
+        front.is_draining = True
+        front.closes_after_response = True
+        log.info("shutting down: %d connections, %d requests", len(front.clients), len(self.host.unanswered))
         await asyncio.sleep(LAST_CONNECTIONS_S)
         front.close_idle()
-        while (front.clients or self.host.owed) and loop.time() < ends:
+        while (front.clients or self.host.unanswered) and loop.time() < ends:
             await asyncio.sleep(SHUTDOWN_POLL_S)
             front.close_idle()
 
@@ -212,7 +213,7 @@
             and self.updates.registry_incarnation
             and self.quota_owner.fencing_token
         )
-        return bool(is_informed) and not self.client_front.ending and not self.is_isolated
+        return bool(is_informed) and not self.client_front.is_draining and not self.is_isolated
 
     @property
     def is_isolated(self) -> bool:
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -44,7 +44,7 @@
         self.asked, self.ended = [], []
         client = SimpleNamespace(quota_request=self._ask, gateways=1)
         self.router = SimpleNamespace(quota_clients={self.tenant: client})
-        self.host = SimpleNamespace(put=self.ended.append)
+        self.host = SimpleNamespace(enqueue=self.ended.append)
         self.answers = {}
 
     def transport(self) -> QuotaTransport:
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -210,7 +210,7 @@
         under_way = asyncio.create_task(site.get("m1", "/claim/1", KEY, method="POST"))
         await site.until(lambda: site.servers["i-1"].running)
         site.proxies["m1"].end()
-        await site.until(lambda: site.proxies["m1"].client_front.ending)
+        await site.until(lambda: site.proxies["m1"].client_front.is_draining)
         assert status(await ask((site.ip["m1"], READY), "GET", "/-/readyz")) == 503
         got = await under_way
         assert (status(got), got.headers()[b"connection"]) == (200, b"close")
