--- a/tests/gateway/proxy/test_version_rollout.py
+++ b/tests/gateway/proxy/test_version_rollout.py
@@ -44,7 +44,7 @@
         )
         self.assertEqual((self.state(), self.rollout.staged_version), ((1, [2, 3]), 3))
         self.rollout.apply(WatchReply(True, active_version=2))
-        self.assertEqual((self.state(), self.router.tables.active.ver), ((2, [3]), 2))
+        self.assertEqual((self.state(), self.router.tables.active.version), ((2, [3]), 2))
         self.assertEqual(len(self.limits), 2)
 
     def test_an_earlier_or_known_version_changes_nothing(self) -> None:
