--- a/lapisgrade/gateway/proxy/client_front.py
+++ b/lapisgrade/gateway/proxy/client_front.py
@@ -9,7 +9,8 @@
 from lapisgrade.gateway.routing.request_attempts import RESPONSE_MARGIN_US
 from lapisgrade.gateway.routing.route_tables import SERVICE_UNAVAILABLE, RouteMatch
 from lapisgrade.gateway.routing.router import Router
-from lapisgrade.net import front
+from lapisgrade.net.client_connection import ClientConnection
+from lapisgrade.net.client_listener import ClientListener
 from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.net.http import Message as HttpMessage
 
@@ -23,33 +24,30 @@
 MIN_HEADER_TIMEOUT_S = 1.0
 
 
-class ClientFront(front.Front):
+class ClientFront(ClientListener):
     """Clients' connections, in the system's own protocol."""
 
-    UP = b"\0"  # no target: readiness has an address of its own
+    READINESS_TARGET = b"\0"  # no target: readiness has an address of its own
 
     def __init__(self, context: ProxyContext, host: ProxyHost, router: Router, max_connections: int) -> None:
         super().__init__(
-            host.put,
+            host.enqueue,
             host.now,
             context.log_diagnostic,
             context.metrics.transport,
-            [],
-            [],
+            None,
             max_connections,
-            1,
-            1.0,
         )
         self._metrics = context.metrics
         self._router = router
 
     def apply_limits(self, caps: Caps) -> None:
         """Bound connections and requests by the active version's figures."""
-        self.rest = caps.idle / SECOND + IDLE_GRACE_S
-        self.ask = max(caps.hdr / SECOND, MIN_HEADER_TIMEOUT_S) + REQUEST_GRACE_S
-        self.most_body = caps.body_bytes
+        self.idle_timeout_s = caps.idle / SECOND + IDLE_GRACE_S
+        self.request_timeout_s = max(caps.hdr / SECOND, MIN_HEADER_TIMEOUT_S) + REQUEST_GRACE_S
+        self.max_body_bytes = caps.body_bytes
 
-    def operation(self, client: front.Client, message: HttpMessage) -> RoutedRequest | None:
+    def parse_request(self, client: ClientConnection, message: HttpMessage) -> RoutedRequest | None:
         """The request to route; None where it has been refused.
 
         Raises:
@@ -60,16 +58,16 @@
         if found == SERVICE_UNAVAILABLE:
             self._metrics.requests_not_yet_active += 1
             retry_after = b"Retry-After: %.1f\r\n" % NOT_YET_ACTIVE_RETRY_S
-            client.reply(SERVICE_UNAVAILABLE, [], 0, retry_after, last=message.last)
+            client.respond_at_once(SERVICE_UNAVAILABLE, retry_after, close=message.last)
             return None
         if isinstance(found, int):
-            client.reply(found, [], 0, last=message.last)
+            client.respond_at_once(found, close=message.last)
             return None
         request_id = headers.get(upstream_protocol.REQUEST_ID, b"")
         if not 0 < len(request_id) <= MAX_REQUEST_ID_BYTES:
             raise MalformedMessageError("a request without an id")
-        if request_id in self.open:  # its response might go to the wrong one
-            client.reply(REQUEST_ID_REUSED, [], 0, last=message.last)
+        if request_id in self.open_request_ids:  # its response might go to the wrong one
+            client.respond_at_once(REQUEST_ID_REUSED, close=message.last)
             return None
         rule, tenant = found
         return RoutedRequest(
@@ -101,7 +99,7 @@
 
 
 def forwarded_request(
-    client: front.Client, message: HttpMessage, host: bytes, request_id: bytes, tenant: Tenant | None
+    client: ClientConnection, message: HttpMessage, host: bytes, request_id: bytes, tenant: Tenant | None
 ) -> upstream_protocol.ForwardedRequest:
     """What a server is sent of a client's request."""
     return upstream_protocol.ForwardedRequest(
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -58,7 +58,7 @@
         if quota_client is None or not owner_name:
             return self._finish(task, CloseReason.REJECTED)
         hostname = self._context.settings.hostname
-        request = quota_client.ask(hostname, self._quota_owner.fencing_token)
+        request = quota_client.quota_request(hostname, self._quota_owner.fencing_token)
         if owner_name == hostname and not self._quota_owner.predecessor(self._now_us(), request.tenant):
             return self._finish_with_reply(task, request, self._add_here(request))
         self._start(self._add_at_owner(task, request))
@@ -130,7 +130,7 @@
         return CloseReason.CONNECTION_REFUSED
 
     def _finish(self, task: Task, reason: CloseReason, total: float = 0.0) -> None:
-        self._host.put(CounterCallFinished(task, reason, total))
+        self._host.enqueue(CounterCallFinished(task, reason, total))
 
     def _finish_with_reply(
         self, task: Task, request: rpc_messages.QuotaRequest, reply: rpc_messages.QuotaReply
--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -30,7 +30,7 @@
                 server.address, server.service = known.address, known.service
             self.by_id[server.id] = server
         self._router.update_servers(reply.servers, is_complete)
-        self._pool.known(
+        self._pool.update_addresses(
             {
                 server.id: tuple(parse_address(server.address)) if server.state in SERVING_STATES else None
                 for server in reply.servers
