--- a/lapisgrade/engine.py
+++ b/lapisgrade/engine.py
@@ -1,12 +1,19 @@
-"""Runs the generators of one limiter: resumes them with results and keeps their timers.
+"""Drives the generators of one host: carries out their commands and resumes them with events.
 
-Mechanism only. It knows no protocol: a desk carries out what the generators ask for.
+Mechanism only, without any I/O of its own: what a generator asks of the outside goes to a `Host`. The
+protocol is in `lapisgrade.interface`. A task is in one of three states:
+
+    ready --resumed--> (runs until it waits or ends)
+    sleeping --timer, event, or Resume--> ready
+    waiting for the counter --counter_replied--> ready
+
+Whatever becomes ready is resumed in the order in which it did so, before the call that made it ready returns.
 """
 
 import heapq
 from collections import deque
 from collections.abc import Generator
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from lapisgrade.interface import (
     AddToCounter,
@@ -27,91 +34,122 @@
 
 
 class Host(Protocol):
-    """Carries out what is asked for, on whatever wire there is."""
+    """Carries out commands, on whatever wire there is; calls the engine back when something happens."""
+
+    def send(self, attempt: Any) -> None:
+        """Start an attempt; its end comes back by `Engine.attempt_finished`."""
+
+    def cancel(self, attempt: Any) -> None:
+        """Cancel an attempt in flight."""
+
+    def reject(self, operation: Operation, answer: Reject) -> None:
+        """Give an operation its final answer."""
+
+    def add_to_counter(self, task: "Task", add: AddToCounter) -> None:
+        """Call the counter; the reply comes back by `Engine.counter_replied`."""
+
+    def log(self, text: str) -> None:
+        """Write a line to the log."""
 
-    def send(self, hop: Any) -> None: ...
-    def cancel(self, hop: Any) -> None: ...
-    def reject(self, operation: Operation, answer: Reject) -> None: ...
-    def add_to_counter(self, task: "Task", add: AddToCounter) -> None: ...
-    def log(self, text: str) -> None: ...
-    def schedule_wakeup(self, when_us: int) -> None: ...
+    def schedule_wakeup(self, when_us: int) -> None:
+        """Call `Engine.run_due_timers(ticked=True)` then; replaces what was asked for before."""
 
 
 class Task:
-    """A generator under way; `turn` tells a stale timer from a live one."""
+    """A generator under way."""
 
     __slots__ = ("generator", "is_finished", "is_sleeping", "operation", "resumptions")
 
     def __init__(self, generator: Generator, operation: Operation | None) -> None:
+        """Create the record of a generator; `operation` is None for one that was spawned."""
         self.generator = generator
         self.operation = operation
-        self.resumptions = 0
+        self.resumptions = 0  # tells a stale timer from a live one
         self.is_sleeping = False
         self.is_finished = False
 
 
+class Timer(NamedTuple):
+    """When a task is to be resumed, if it still sleeps by then; in order of time, then of start."""
+
+    due_us: int
+    number: int
+    task: Task
+    resumptions: int  # the task's when it began to sleep
+
+    def is_live(self) -> bool:
+        """Whether the task has not been resumed since."""
+        return self.task.is_sleeping and self.task.resumptions == self.resumptions
+
+
 class Engine:
-    """One limiter's generators and timers."""
+    """One host's tasks and timers."""
 
     __slots__ = ("_clock", "_host", "_ready", "_timer_count", "_timers", "_wakeup_us")
 
     def __init__(self, host: Host, clock: Clock) -> None:
+        """Create an engine without tasks; `host` advances `clock`."""
         self._clock = clock
         self._host = host
-        self._ready: deque[tuple[Task, Any]] = deque()
-        self._timers: list[tuple[int, int, Task, int]] = []
+        self._ready: deque[tuple[Task, Any]] = deque()  # with what each is resumed with
+        self._timers: list[Timer] = []  # a heap
         self._timer_count = 0
-        self._wakeup_us: int | None = None
+        self._wakeup_us: int | None = None  # the one asked for last and still to come
+
+    # ---- what the host calls
 
     def run(self, generator: Generator, operation: Operation | None = None) -> None:
-        """Start a generator and let it, and whatever it sets off, go as far as it can."""
+        """Start a generator and let it, and whatever it makes ready, go as far as it can."""
         task = Task(generator, operation)
         if operation is not None:
             operation.task = task
         self._ready.append((task, None))
         self._drain()
 
-    def attempt_finished(self, hop: Any, report: AttemptResult) -> None:
-        """A hop has ended; the bookkeeping of the module comes first, by the caller."""
-        self._deliver(hop.operation.task, AttemptFinished(hop, report))
+    def attempt_finished(self, attempt: Any, result: AttemptResult) -> None:
+        """Tell the attempt's operation of its end; the caller has told the policy before."""
+        self._deliver(attempt.operation.task, AttemptFinished(attempt, result))
 
-    def wake(self, operation: Operation, word: WakeReason) -> None:
-        self._deliver(operation.task, word)
+    def wake(self, operation: Operation, reason: WakeReason) -> None:
+        """Resume an operation's generator, if it sleeps."""
+        self._deliver(operation.task, reason)
 
-    def counter_replied(self, task: Task, total: CounterReply) -> None:
-        self._ready.append((task, total))
+    def counter_replied(self, task: Task, reply: CounterReply) -> None:
+        """Resume a task with the counter's reply."""
+        self._ready.append((task, reply))
         self._drain()
 
     def run_due_timers(self, ticked: bool = False) -> None:
-        """The clock has moved; run what fell due. `ticked`: the wake-up last asked for has come."""
+        """Resume what is due, as the clock has advanced; `ticked`: the wake-up last asked for has come."""
         now_us = self._clock.now_us
         if ticked:
             self._wakeup_us = None
-        while self._timers and self._timers[0][0] <= now_us:
-            _, _, task, turn = heapq.heappop(self._timers)
-            if task.is_sleeping and task.resumptions == turn:
-                self._deliver(task, WakeReason.TIMER)
+        while self._timers and self._timers[0].due_us <= now_us:
+            timer = heapq.heappop(self._timers)
+            if timer.is_live():
+                self._deliver(timer.task, WakeReason.TIMER)
         if ticked:
             self._schedule_wakeup()
 
-    def _deliver(self, task: Task, value: Any) -> None:
+    # ---- resuming tasks
+
+    def _deliver(self, task: Task, event: Any) -> None:
         if task.is_sleeping and not task.is_finished:
             task.is_sleeping = False
-            self._ready.append((task, value))
+            self._ready.append((task, event))
             self._drain()
 
     def _drain(self) -> None:
         while self._ready:
             task, value = self._ready.popleft()
-            self._step(task, value)
+            self._resume(task, value)
 
-    def _step(self, task: Task, value: Any) -> None:
-        """Resume a generator until it waits, ends or answers."""
+    def _resume(self, task: Task, value: Any) -> None:
+        """Resume a task until it waits or ends."""
         task.resumptions += 1
-        host = self._host
         while True:
             try:
-                asked = task.generator.send(value)
+                command = task.generator.send(value)
             except StopIteration:
                 task.is_finished = True
                 return
@@ -119,39 +157,48 @@
                 task.is_finished = True
                 raise
             value = None
-            if isinstance(asked, Sleep):
-                task.is_sleeping = True
-                self._timer_count += 1
-                due = max(asked.until_us, self._clock.now_us + 1)
-                heapq.heappush(self._timers, (due, self._timer_count, task, task.resumptions))
-                self._schedule_wakeup()
+            if isinstance(command, Sleep):
+                self._start_timer(task, command.until_us)
                 return
-            if isinstance(asked, AddToCounter):
-                host.add_to_counter(task, asked)
+            if isinstance(command, AddToCounter):
+                self._host.add_to_counter(task, command)
                 return
-            if isinstance(asked, Send):
-                host.send(asked.attempt)
-            elif isinstance(asked, Reject):
-                host.reject(task.operation, asked)
-            elif isinstance(asked, Cancel):
-                host.cancel(asked.attempt)
-            elif isinstance(asked, Spawn):
-                self._ready.append((Task(asked.generator, None), None))
-            elif isinstance(asked, Resume):
-                other = asked.operation.task
-                if other.is_sleeping:
-                    other.is_sleeping = False
-                    self._ready.append((other, WakeReason.RESUMED))
-            elif isinstance(asked, LogMessage):
-                host.log(asked.text)
-            else:
-                raise TypeError(f"a generator asked for {asked!r}")
+            self._carry_out(task, command)
+
+    def _carry_out(self, task: Task, command: Any) -> None:
+        """Carry out a command that does not make its task wait."""
+        if isinstance(command, Send):
+            self._host.send(command.attempt)
+        elif isinstance(command, Reject):
+            self._host.reject(task.operation, command)
+        elif isinstance(command, Cancel):
+            self._host.cancel(command.attempt)
+        elif isinstance(command, Spawn):
+            self._ready.append((Task(command.generator, None), None))
+        elif isinstance(command, Resume):
+            other = command.operation.task
+            if other.is_sleeping:
+                other.is_sleeping = False
+                self._ready.append((other, WakeReason.RESUMED))
+        elif isinstance(command, LogMessage):
+            self._host.log(command.text)
+        else:
+            raise TypeError(f"a generator yielded {command!r}, which is no command")
+
+    # ---- timers
+
+    def _start_timer(self, task: Task, until_us: int) -> None:
+        task.is_sleeping = True
+        self._timer_count += 1
+        due_us = max(until_us, self._clock.now_us + 1)
+        heapq.heappush(self._timers, Timer(due_us, self._timer_count, task, task.resumptions))
+        self._schedule_wakeup()
 
     def _schedule_wakeup(self) -> None:
-        """Have the host wake us for the earliest timer, once."""
+        """Ask the host for a wake-up at the earliest live timer, unless one as early is to come."""
         timers = self._timers
-        while timers and not (timers[0][2].is_sleeping and timers[0][2].resumptions == timers[0][3]):
+        while timers and not timers[0].is_live():
             heapq.heappop(timers)
-        if timers and (self._wakeup_us is None or timers[0][0] < self._wakeup_us):
-            self._wakeup_us = timers[0][0]
+        if timers and (self._wakeup_us is None or timers[0].due_us < self._wakeup_us):
+            self._wakeup_us = timers[0].due_us
             self._host.schedule_wakeup(self._wakeup_us)
--- a/lapisgrade/settings.py
+++ b/lapisgrade/settings.py
@@ -1,11 +1,17 @@
-"""The one reader of what a limiter is told at its start, on the bench and in service.
+"""Reads a limiter's settings, on the bench and in service, into the types of `lapisgrade.interface`.
 
-Names are the operators'; values come as the text of a line or as a parsed JSON tree.
+The names in settings are the operators'; here alone they are mapped to those of the code. Values come as the
+text of a line (the bench) or from a parsed JSON tree that `flatten` has brought into the same form: one path
+for each value, such as `RequestClasses.0.Deadline`. Times in settings are in ms, here in us.
+
+Every reader raises `MalformedInputError` for a value that it can't read.
 """
 
 import math
-from typing import Any
+from collections.abc import Mapping
+from typing import Any, TypeVar
 
+from lapisgrade.errors import LapisgradeError
 from lapisgrade.interface import (
     Category,
     ConnectionSettings,
@@ -18,6 +24,8 @@
     ServerRules,
 )
 
+Value = TypeVar("Value")
+
 REPEAT_SAFETY = {
     "repeatable": RepeatSafety.IDEMPOTENT,
     "by_key": RepeatSafety.DEDUPLICATED,
@@ -30,16 +38,17 @@
 }
 
 
-class MalformedInputError(Exception):
-    """What was handed in can't be read; says what is wrong with it."""
+class MalformedInputError(LapisgradeError):
+    """What was handed in can't be read; the message names the value and what is wrong with it."""
 
 
-class Fields(dict):
-    """Named values, read with the defaults that the wire states."""
+class Fields(dict[str, Any]):
+    """Named values, read with the defaults that the operators state."""
 
     __slots__ = ()
 
     def text(self, name: str) -> str:
+        """Read a text that must be there and not be empty."""
         value = self.get(name)
         if value is None or value == "":
             raise MalformedInputError(f"{name} is missing")
@@ -48,6 +57,7 @@
         return value
 
     def integer(self, name: str, default: int | None = None) -> int:
+        """Read a whole number; without a default it must be there."""
         value = self.get(name)
         if value is None:
             if default is not None:
@@ -59,6 +69,7 @@
             raise MalformedInputError(f"{name} is not a whole number: {value!r}") from None
 
     def number(self, name: str, default: float = 0.0) -> float:
+        """Read a finite number."""
         value = self.get(name)
         if value is None:
             return default
@@ -66,14 +77,16 @@
             number = float(value)
         except (ValueError, TypeError, OverflowError):
             raise MalformedInputError(f"{name} is not a number: {value!r}") from None
-        if number - number != 0.0:
+        if not math.isfinite(number):
             raise MalformedInputError(f"{name} is not a finite number: {value!r}")
         return number
 
     def duration_us(self, name: str, default_ms: float = 0.0) -> int:
+        """Read a time that is stated in ms, in whole us."""
         return round(self.number(name, default_ms) * 1000)
 
     def boolean(self, name: str, default: bool = False) -> bool:
+        """Read a truth value, stated as `1`, `0`, `true` or `false`."""
         value = self.get(name)
         if value is None:
             return default
@@ -83,7 +96,8 @@
             return False
         raise MalformedInputError(f"{name} is neither true nor false: {value!r}")
 
-    def choice(self, name: str, table: dict, default: str | None = None):
+    def choice(self, name: str, table: Mapping[str, Value], default: str | None = None) -> Value:
+        """Read a word as what it stands for in a table."""
         value = self.get(name, default)
         if value is None:
             raise MalformedInputError(f"{name} is missing")
@@ -93,18 +107,18 @@
 
 
 def parse_address(text: Any, name: str) -> tuple[str, int]:
-    """Host and port."""
+    """Read `host:port`; `name` says in an error whose it is."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
         raise MalformedInputError(f"{name} is not a host and a port: {str(text)[:80]!r}")
     return host, int(port)
 
 
-def flatten(tree: dict[str, Any], at: str = "") -> Fields:
-    """A JSON tree in the form of one line: a path for each value, `.count` for a list of objects."""
+def flatten(tree: dict[str, Any], prefix: str = "") -> Fields:
+    """Bring a JSON tree into the form of one line: a path for each value, `.count` for a list of objects."""
     fields = Fields()
     for name, value in tree.items():
-        path = at + name
+        path = prefix + name
         if isinstance(value, list) and all(isinstance(each, dict) for each in value):
             fields[path + ".count"] = len(value)
             value = {str(i): each for i, each in enumerate(value)}
@@ -115,85 +129,98 @@
     return fields
 
 
-def read_categories(info: Fields) -> list[Category]:
-    made = []
-    for i in range(info.integer("RequestClasses.count", 0)):
-        at = f"RequestClasses.{i}."
-        hard_stop = info.duration_us(at + "Deadline", 1000.0)
-        made.append(
-            Category(
-                name=info.text(at + "Name"),
-                repeat_safety=info.choice(at + "Idempotency", REPEAT_SAFETY, "once"),
-                latency_target_us=info.duration_us(at + "Aim", hard_stop / 1000),
-                timeout_us=hard_stop,
-                value=info.number(at + "Worth", 1.0),
-                late_value=info.number(at + "LateWorth"),
-                deduplication_scope=info.choice(at + "Group", DEDUPLICATION_SCOPES, "cell"),
-                deduplication_window_us=info.duration_us(at + "KeyTtl"),
-                is_streaming=info.boolean(at + "Streaming"),
-            )
-        )
-    return made
-
-
-def read_plans(info: Fields) -> list[Plan]:
-    made = []
-    for i in range(info.integer("TiersOfService.count", 0)):
-        at = f"TiersOfService.{i}."
-        made.append(
-            Plan(
-                name=info.text(at + "Name"),
-                rate=info.number(at + "UnitsPerS"),
-                burst=info.number(at + "Burst"),
-                value_factor=info.number(at + "WorthFactor", 1.0),
-                overage_value=info.number(at + "BeyondEarns"),
-                overage_cost=info.number(at + "ExcessCost"),
-                max_in_flight=info.integer(at + "MaxOut", 0),
-                rate_limit_per_s=info.number(at + "NeverOverRate"),
-                rate_limit_burst=info.number(at + "CeilingBurst"),
-                rate_limit_slack=info.number(at + "CapSlack"),
-            )
-        )
-    return made
-
-
-def read_server_rules(info: Fields) -> ServerRules:
+def read_categories(fields: Fields) -> list[Category]:
+    """Read all categories of operations."""
+    count = fields.integer("RequestClasses.count", 0)
+    return [_read_category(fields, f"RequestClasses.{i}.") for i in range(count)]
+
+
+def _read_category(fields: Fields, path: str) -> Category:
+    timeout_us = fields.duration_us(path + "Deadline", 1000.0)
+    return Category(
+        name=fields.text(path + "Name"),
+        repeat_safety=fields.choice(path + "Idempotency", REPEAT_SAFETY, "once"),
+        latency_target_us=fields.duration_us(path + "Aim", timeout_us / 1000),
+        timeout_us=timeout_us,
+        value=fields.number(path + "Worth", 1.0),
+        late_value=fields.number(path + "LateWorth"),
+        deduplication_scope=fields.choice(path + "Group", DEDUPLICATION_SCOPES, "cell"),
+        deduplication_window_us=fields.duration_us(path + "KeyTtl"),
+        is_streaming=fields.boolean(path + "Streaming"),
+    )
+
+
+def read_plans(fields: Fields) -> list[Plan]:
+    """Read all plans that customers may have."""
+    count = fields.integer("TiersOfService.count", 0)
+    return [_read_plan(fields, f"TiersOfService.{i}.") for i in range(count)]
+
+
+def _read_plan(fields: Fields, path: str) -> Plan:
+    return Plan(
+        name=fields.text(path + "Name"),
+        rate=fields.number(path + "UnitsPerS"),
+        burst=fields.number(path + "Burst"),
+        value_factor=fields.number(path + "WorthFactor", 1.0),
+        overage_value=fields.number(path + "BeyondEarns"),
+        overage_cost=fields.number(path + "ExcessCost"),
+        max_in_flight=fields.integer(path + "MaxOut", 0),
+        rate_limit_per_s=fields.number(path + "NeverOverRate"),
+        rate_limit_burst=fields.number(path + "CeilingBurst"),
+        rate_limit_slack=fields.number(path + "CapSlack"),
+    )
+
+
+def read_server_rules(fields: Fields) -> ServerRules:
+    """Read the rules about draining and newly started servers."""
     return ServerRules(
-        drain_grace_us=info.duration_us("Rules.DrainGrace"),
-        slow_start_us=info.duration_us("Rules.Cold"),
-        slow_start_initial_weight=info.number("Rules.ColdFrom", 1.0),
-        overload_window_us=info.duration_us("Rules.Fall"),
-        max_overload_factor=info.number("Rules.FallMultiple", 1.0),
+        drain_grace_us=fields.duration_us("Rules.DrainGrace"),
+        slow_start_us=fields.duration_us("Rules.Cold"),
+        slow_start_initial_weight=fields.number("Rules.ColdFrom", 1.0),
+        overload_window_us=fields.duration_us("Rules.Fall"),
+        max_overload_factor=fields.number("Rules.FallMultiple", 1.0),
     )
 
 
-def read_permissions(info: Fields) -> Permissions:
-    advice = info.duration_us("Ceilings.MaxRetryAfter") if info.boolean("Ceilings.RetryAfter") else 0
+def read_permissions(fields: Fields) -> Permissions:
+    """Read what a limiter may do with operations."""
+    max_retry_after_us = 0
+    if fields.boolean("Ceilings.RetryAfter"):
+        max_retry_after_us = fields.duration_us("Ceilings.MaxRetryAfter")
     return Permissions(
-        max_attempts=info.integer("Ceilings.AttemptsCap", 1),
-        may_cancel=info.boolean("Ceilings.Cancel"),
-        may_hedge=info.boolean("Ceilings.ParallelTries"),
-        may_probe=info.boolean("Ceilings.Probes"),
-        max_retry_after_us=advice,
+        max_attempts=fields.integer("Ceilings.AttemptsCap", 1),
+        may_cancel=fields.boolean("Ceilings.Cancel"),
+        may_hedge=fields.boolean("Ceilings.ParallelTries"),
+        may_probe=fields.boolean("Ceilings.Probes"),
+        max_retry_after_us=max_retry_after_us,
     )
 
 
-def read_placement(info: Fields) -> Placement:
+def read_placement(fields: Fields) -> Placement:
+    """Read where the limiter stands among its peers."""
     return Placement(
-        info.integer("SelfIndex", 0), max(1, info.integer("NInstances", 1)), info.get("Zone", "")
+        limiter_index=fields.integer("SelfIndex", 0),
+        limiter_count=max(1, fields.integer("NInstances", 1)),
+        zone=fields.get("Zone", ""),
     )
 
 
-def read_max_units(info: Fields) -> float:
-    """The most that one operation may take from a quota."""
-    return info.number("Specifics.UnitsTop") or math.inf
+def read_max_units(fields: Fields) -> float:
+    """Read the most units that one operation may take from a quota."""
+    return fields.number("Specifics.UnitsTop") or math.inf
 
 
-def read_counter_settings(info: Fields) -> CounterSettings:
-    return CounterSettings(info.boolean("Specifics.SharedCounter"), info.duration_us("Specifics.CountLimit"))
+def read_counter_settings(fields: Fields) -> CounterSettings:
+    """Read whether there is a counter service, and how long it may take."""
+    return CounterSettings(
+        is_available=fields.boolean("Specifics.SharedCounter"),
+        timeout_us=fields.duration_us("Specifics.CountLimit"),
+    )
 
 
-def read_connection_settings(info: Fields) -> ConnectionSettings:
+def read_connection_settings(fields: Fields) -> ConnectionSettings:
+    """Read how connections to servers behave."""
     return ConnectionSettings(
-        info.duration_us("Ceilings.DialTimeout", 1000.0), info.duration_us("Ceilings.Keepalive", 10_000.0)
+        connect_timeout_us=fields.duration_us("Ceilings.DialTimeout", 1000.0),
+        idle_timeout_us=fields.duration_us("Ceilings.Keepalive", 10_000.0),
     )
