--- a/lapisgrade/gateway/cli/operator_client.py
+++ b/lapisgrade/gateway/cli/operator_client.py
@@ -12,9 +12,9 @@
 import h11
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.exit_codes import ExitCode
-from lapisgrade.gateway.http_client import ask
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway.http_client import send_request
 from lapisgrade.gateway.settings import Address
 from lapisgrade.net.http import MalformedMessageError
 
@@ -46,7 +46,7 @@
         status = 0
         for controller in self._controllers:
             try:
-                message = await ask(controller, "POST", f"/-/rpc?call={name}", body)
+                message = await send_request(controller, "POST", f"/-/rpc?call={name}", body)
                 assert isinstance(message.head, h11.Response)
                 status = message.head.status_code
                 if status < HTTPStatus.INTERNAL_SERVER_ERROR:
--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -14,7 +14,7 @@
 from lapisgrade.gateway.controller.state_machine import Item, StateMachine
 from lapisgrade.gateway.controller.watch import Watch, without_known_servers
 from lapisgrade.gateway.registry import Server
-from lapisgrade.gateway.rpc import DIAL
+from lapisgrade.gateway.rpc_peer import CONNECT_TIMEOUT_S
 from lapisgrade.gateway.settings import parse_address
 from lapisgrade.gateway.watch_timing import LONG_POLL_US
 
@@ -115,7 +115,7 @@
     async def _probe_proxy(self, name: str, proxy_address: str) -> None:
         """Connect to a proxy that refused another one: its process is gone if it refuses here too."""
         try:
-            async with asyncio.timeout(DIAL):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(*parse_address(proxy_address))
             writer.close()
         except ConnectionRefusedError:
--- a/lapisgrade/gateway/http_client.py
+++ b/lapisgrade/gateway/http_client.py
@@ -1,40 +1,56 @@
-"""One call over HTTP, for operators' tools and stand-ins: a connection each, and the whole answer."""
+"""One request over HTTP on a connection of its own, for operators' tools and stand-ins."""
 
 import asyncio
+from collections.abc import Iterable
+from http import HTTPStatus
 
 import h11
 
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 
-ALIVE = 5.0  # s that a caller here waits for any answer
+REPLY_TIMEOUT_S = 5.0
+MAX_REPLY_BYTES = 1 << 24
+READ_BYTES = 65_536
 
 
-async def ask(
-    address: tuple[str, int], method: str, target: str, body: bytes = b"", fields: dict | None = None
+async def send_request(
+    address: tuple[str, int],
+    method: str,
+    target: str,
+    body: bytes = b"",
+    fields: dict[str, str] | None = None,
 ) -> Message:
-    """Send one request on a connection of its own. Raises OSError, TimeoutError or MalformedMessageError."""
-    lines = "".join(f"{name}: {value}\r\n" for name, value in (fields or {}).items())
-    host = "" if "Host" in (fields or {}) else "Host: control\r\n"
-    async with asyncio.timeout(ALIVE):
+    """Send one request and return the reply.
+
+    Raises:
+        OSError: There is no connection, or it broke.
+        TimeoutError: The reply is not complete in time.
+        MalformedMessageError: The reply is not HTTP, or ends early.
+    """
+    fields = fields or {}
+    lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
+    host = "" if "Host" in fields else "Host: control\r\n"
+    async with asyncio.timeout(REPLY_TIMEOUT_S):
         reader, writer = await asyncio.open_connection(*address)
         try:
             head = f"{method} {target} HTTP/1.1\r\n{host}{lines}Content-Length: {len(body)}\r\n\r\n"
             writer.write(head.encode() + body)
-            parser, message = MessageParser(h11.CLIENT, 1 << 24), None
+            parser = MessageParser(h11.CLIENT, MAX_REPLY_BYTES)
+            message = None
             while message is None:
-                message = parser.feed(await reader.read(65_536))
+                message = parser.feed(await reader.read(READ_BYTES))
             return message
         finally:
             writer.close()
 
 
-async def told(controllers: list[tuple[str, int]], target: str, body: bytes = b"") -> int:
-    """The status of the first controller that answers, 5xx apart; 0 where none does."""
-    for place in controllers:
+async def post_to_any(controllers: Iterable[tuple[str, int]], target: str, body: bytes = b"") -> int:
+    """Return the status of the first controller that replies with one below 500; 0 where none does."""
+    for address in controllers:
         try:
-            message = await ask(place, "POST", target, body, {"Content-Type": "application/json"})
-        except (OSError, TimeoutError, MalformedMessageError):  # it may end in the midst of an answer
+            message = await send_request(address, "POST", target, body, {"Content-Type": "application/json"})
+        except (OSError, TimeoutError, MalformedMessageError):  # it may end in the midst of a reply
             continue
-        if message.head.status_code < 500:
+        if message.head.status_code < HTTPStatus.INTERNAL_SERVER_ERROR:
             return message.head.status_code
     return 0
--- a/lapisgrade/gateway/http_server.py
+++ b/lapisgrade/gateway/http_server.py
@@ -1,5 +1,7 @@
-"""A small HTTP server for what servers, operators and the platform ask: reads one request after another from
-a connection and answers each with a short JSON body."""
+"""A small HTTP server for servers, operators and the platform.
+
+It reads one request after another from a connection, and answers each with a short JSON body.
+"""
 
 import asyncio
 import socket
@@ -8,81 +10,115 @@
 
 import h11
 
+from lapisgrade.gateway.rpc_connection import detect_dead_peer
 from lapisgrade.net.connection import READ_BYTES, limit_read_size
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
-from lapisgrade.gateway.rpc import sturdy
 
-IDLE = 30.0  # s that a caller's connection may stand without a request
-MOST_CALLERS = 512  # connections; more are closed as they come (guards descriptors)
+IDLE_TIMEOUT_S = 30.0  # that a connection may stay without a request
+MAX_CONNECTIONS = 512  # more are closed as they come (guards descriptors)
+LISTEN_BACKLOG = 64
+CLOSE_FIELD = b"Connection: close\r\n"
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 Handler = Callable[[Message], Awaitable[tuple[int, bytes, bytes]]]  # status, body, further header lines
 
 
 class HttpServer:
-    def __init__(self, handler: Handler, most_body: int) -> None:
-        self._handler, self._most, self._server = handler, most_body, None
-        self._open: set[asyncio.StreamWriter] = set()
+    """Hands each request to a handler.
+
+    Attributes:
+        closing: Set where connections are to be closed after the request that is being answered.
+    """
+
+    def __init__(self, handler: Handler, max_body_bytes: int) -> None:
+        """Refuse requests whose body is longer than that."""
+        self._handler = handler
+        self._max_body_bytes = max_body_bytes
+        self._server: asyncio.Server | None = None
+        self._connections: set[asyncio.StreamWriter] = set()
         self.closing = False
 
     async def listen(self, address: tuple[str, int]) -> None:
+        """Accept connections at that address.
+
+        Raises:
+            OSError: The address can't be listened at.
+        """
         sock = socket.create_server(tuple(address))
-        self._server = await asyncio.start_server(self._serve, sock=sock, backlog=64)
+        self._server = await asyncio.start_server(self._on_connection, sock=sock, backlog=LISTEN_BACKLOG)
 
     def close(self) -> None:
+        """Stop listening, and close all connections."""
         if self._server is not None:
             self._server.close()
-        for writer in self._open:
+        for writer in self._connections:
             writer.transport.abort()
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._open) >= MOST_CALLERS:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self._connections) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
-        self._open.add(writer)
+        self._connections.add(writer)
         limit_read_size(writer)
-        sturdy(writer.transport)
+        detect_dead_peer(writer.transport)
         try:
-            await self._answer(reader, writer)
+            await self._answer_requests(reader, writer)
         except (OSError, TimeoutError):
             pass
         finally:
-            self._open.discard(writer)
+            self._connections.discard(writer)
             writer.close()
 
-    async def _answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        rest = b""
+    async def _answer_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        rest = b""  # what came after the request before
         while True:
-            parser, message = MessageParser(h11.SERVER, self._most), None
             try:
-                async with asyncio.timeout(IDLE):
-                    while message is None:
-                        chunk = rest or await reader.read(READ_BYTES)
-                        rest = b""
-                        if not chunk:
-                            return
-                        message = parser.feed(chunk)
-                        if message is None and parser.expects_continue():
-                            writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            except MalformedMessageError as wrong:
-                writer.write(framed(wrong.status, b'{"Err":"not a request"}', b"Connection: close\r\n"))
+                message = await self._read_request(reader, writer, rest)
+            except MalformedMessageError as error:
+                writer.write(encode_response(error.status, b'{"Err":"not a request"}', CLOSE_FIELD))
+                return
+            if message is None:
                 return
             rest = message.rest
-            status, body, more = await self._handler(message)
-            last = message.last or self.closing
-            writer.write(framed(status, body, more + (b"Connection: close\r\n" if last else b"")))
+            status, body, fields = await self._handler(message)
+            is_last = message.last or self.closing
+            writer.write(encode_response(status, body, fields + (CLOSE_FIELD if is_last else b"")))
             await writer.drain()
-            if last:
+            if is_last:
                 return
 
+    async def _read_request(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, rest: bytes
+    ) -> Message | None:
+        """Return the next request; None where the connection ends.
+
+        Raises:
+            TimeoutError: It is not complete in time.
+            MalformedMessageError: It is no request.
+        """
+        parser = MessageParser(h11.SERVER, self._max_body_bytes)
+        async with asyncio.timeout(IDLE_TIMEOUT_S):
+            while True:
+                chunk = rest or await reader.read(READ_BYTES)
+                rest = b""
+                if not chunk:
+                    return None
+                message = parser.feed(chunk)
+                if message is not None:
+                    return message
+                if parser.expects_continue():
+                    writer.write(CONTINUE)
+
 
-def framed(status: int, body: bytes, more: bytes) -> bytes:
+def encode_response(status: int, body: bytes, fields: bytes) -> bytes:
+    """Return an HTTP response with a JSON body; `fields` are further header lines, each with its end."""
     reason = HTTPStatus(status).phrase.encode() if status in HTTPStatus._value2member_map_ else b""
-    kind = b"Content-Type: application/json\r\n" if body else b""
+    content_type = b"Content-Type: application/json\r\n" if body else b""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
         reason,
-        kind,
+        content_type,
         len(body),
-        more,
+        fields,
         body,
     )
--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -12,15 +12,15 @@
 import msgspec
 from returns.result import Failure
 
-from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 from lapisgrade.gateway import SECOND
-from lapisgrade.gateway.http_client import ask, told
-from lapisgrade.gateway.proxy.process import Proxy
-from lapisgrade.gateway.http_server import framed
-from lapisgrade.gateway.settings import Address, Bind, Settings
+from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.controller.server import Controller
-from lapisgrade.gateway.verdict import Verdict
+from lapisgrade.gateway.http_client import post_to_any, send_request
+from lapisgrade.gateway.http_server import encode_response
+from lapisgrade.gateway.proxy.process import Proxy
 from lapisgrade.gateway.rpc import RpcEndpoint
+from lapisgrade.gateway.settings import Address, Bind, Settings
+from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 
 CTL, HTTP, READY, INNER = 8407, 8405, 8406, 7660  # ports, as of one deployment
 BEAT = 0.3  # s between a stand-in's beats
@@ -61,7 +61,7 @@
             "Svc": self.svc, "Addr": f"{self.address[0]}:{self.address[1]}", "Az": "local", "Ver": "v1",
             "Slots": self.slots, "State": self.state, "Warmup_time": "0ms", "Seq": self.seq,
         }  # fmt: skip
-        return await told(
+        return await post_to_any(
             controllers, f"/-/rpc?call=servers.heartbeat&of={self.name}", msgspec.json.encode(body)
         )
 
@@ -109,9 +109,9 @@
         name = fields.get(b"try-id", "")
         own = f"Try-Id: {name}\r\nInstance: {self.name}\r\nServer-Load: {self.running},0,{self.slots}\r\n"
         if fields.get(b"want-instance", self.name) != self.name:
-            return framed(421, b"", own.encode())
+            return encode_response(421, b"", own.encode())
         if self.running >= self.slots or self.state != "up":
-            return framed(503, b"", (own + "Not-Run: 1\r\n").encode())
+            return encode_response(503, b"", (own + "Not-Run: 1\r\n").encode())
         self.running += 1
         self.ran[name] += 1
         self.tenants[fields.get(b"tenant", "")] += 1
@@ -121,16 +121,16 @@
         finally:
             self.running -= 1
         body = f"{self.svc} {message.head.target.decode()}".encode()
-        whole = framed(200, body, (own + "Server-Seal: seal\r\n").encode())
+        whole = encode_response(200, body, (own + "Server-Seal: seal\r\n").encode())
         match self.manner:
             case "cut":
                 return whole[:-3]
             case "mixed":
-                return framed(200, b"another's", b"Try-Id: another\r\nServer-Seal: seal\r\n") + whole
+                return encode_response(200, b"another's", b"Try-Id: another\r\nServer-Seal: seal\r\n") + whole
             case "failing":
-                return framed(500, body, (own + "Server-Seal: seal\r\n").encode())
+                return encode_response(500, body, (own + "Server-Seal: seal\r\n").encode())
             case "unsealed":
-                return framed(200, body, own.encode())
+                return encode_response(200, body, own.encode())
             case "extra":
                 return whole + whole
         return whole
@@ -241,7 +241,7 @@
 
     async def put(self, conf: dict, call: str = "conf.replace") -> int:
         """The operator's call, at any controller until one answers."""
-        return await told(self.ctl, f"/-/rpc?call={call}", msgspec.json.encode(conf))
+        return await post_to_any(self.ctl, f"/-/rpc?call={call}", msgspec.json.encode(conf))
 
     async def get(
         self,
@@ -260,7 +260,7 @@
             fields["Authorization"] = f"Bearer {key}"
         while True:
             fields["Try-Id"] = id or f"{self.random.getrandbits(64):016x}"
-            got = await ask(self.http(name), method, path, fields=fields)
+            got = await send_request(self.http(name), method, path, fields=fields)
             back = got.headers().get(b"retry-after")
             tries -= 1
             if got.head.status_code not in (429, 503) or not back or not tries:
@@ -295,7 +295,7 @@
         async def called(address, message, within):
             if cut(address[0]):
                 await asyncio.sleep(within)  # the caller's own time-out
-                return Failure(Verdict.MAY_HAVE_RUN)
+                return Failure(CallFailure.MAY_HAVE_RUN)
             return await call(address, message, within)
 
         def posted(address, message) -> None:
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -8,6 +8,7 @@
 
 from lapisgrade.engine import Task
 from lapisgrade.gateway import SECOND, rpc_messages
+from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
 from lapisgrade.gateway.proxy.host import ProxyHost
@@ -16,7 +17,6 @@
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import parse_address
-from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.interface import AddToCounter
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import CounterCallFinished
@@ -120,12 +120,12 @@
         to = parse_address(member[0])
         result = await self._rpc.call(to, request, timeout_s)
         reply = result.value_or(None)
-        self._reachability.on_call_finished(owner_name, self._rpc.peer(to).refused)
+        self._reachability.on_call_finished(owner_name, self._rpc.peer(to).is_refusing)
         if isinstance(reply, rpc_messages.QuotaReply):
             self._reachability.on_reply(to)
             return reply
         self._context.metrics.quota_calls_unanswered += 1
-        if result.failure() is Verdict.MAY_HAVE_RUN:
+        if result.failure() is CallFailure.MAY_HAVE_RUN:
             return CloseReason.TIMED_OUT
         return CloseReason.CONNECTION_REFUSED
 
@@ -198,7 +198,7 @@
         if isinstance(reply, rpc_messages.HandOverReply):
             self._context.metrics.hand_overs_received += not reply.must_wait
             owner.on_hand_over(self._now_us(), hand_over, reply, predecessor)
-        elif self._rpc.peer(to).refused:
+        elif self._rpc.peer(to).is_refusing:
             owner.on_owner_terminated(self._now_us(), hand_over, predecessor)
 
     def close(self) -> None:
--- a/lapisgrade/gateway/rpc_messages.py
+++ b/lapisgrade/gateway/rpc_messages.py
@@ -290,4 +290,4 @@
     | CopyDraft
     | CopyDraftReply
 )
-"""Every message that `rpc.Codec` carries between the gateway's processes."""
+"""Every message that `rpc_connection.Codec` carries between the gateway's processes."""
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -12,8 +12,8 @@
 from random import Random
 from typing import Any
 
-from lapisgrade.gateway.http_client import ask
-from lapisgrade.gateway.http_server import framed
+from lapisgrade.gateway.http_client import send_request
+from lapisgrade.gateway.http_server import encode_response
 from lapisgrade.gateway.local_cluster import SAMPLE, LocalCluster, Server
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.routing.upstream_protocol import UpstreamProtocol
@@ -56,12 +56,12 @@
             return False
         own = f"Try-Id: {name}\r\nServer-Load: 0,0,{self.slots}\r\n"
         if manner == "not run":
-            writer.write(framed(503, b"", (own + "Not-Run: 1\r\n").encode()))
+            writer.write(encode_response(503, b"", (own + "Not-Run: 1\r\n").encode()))
             return True
         self.ran[name] += 1
         await asyncio.sleep(WORK)
         body = f"{message.head.target.decode()} {name}".encode()
-        whole = framed(200, body, (own + "Server-Seal: seal\r\n").encode())
+        whole = encode_response(200, body, (own + "Server-Seal: seal\r\n").encode())
         return self._say(manner, whole, body, own, writer, name)
 
     def _say(
@@ -77,7 +77,7 @@
             case "another's first":
                 astray = f"/astray {other}".encode()
                 writer.write(
-                    framed(200, astray, f"Try-Id: {other}\r\nServer-Seal: seal\r\n".encode()) + whole
+                    encode_response(200, astray, f"Try-Id: {other}\r\nServer-Seal: seal\r\n".encode()) + whole
                 )
             case "twice":
                 writer.write(whole + whole)
@@ -88,7 +88,7 @@
                 writer.write(whole[:-3])
                 writer.close()
             case "without its seal":
-                writer.write(framed(200, body, own.encode()))
+                writer.write(encode_response(200, body, own.encode()))
             case "without a length":
                 writer.write(f"HTTP/1.1 200 OK\r\n{own}\r\n".encode() + body)
                 writer.transport.abort()
@@ -140,7 +140,7 @@
         once, id = chance.random() < 0.5, f"{chance.getrandbits(64):016x}"
         one = found.tries[id] = Try(once)
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
-        sent = ask(
+        sent = send_request(
             site.http(name), "POST" if once else "GET", "/claim/1" if once else "/stock/1", fields=fields
         )
         try:
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -18,7 +18,7 @@
 from lapisgrade.gateway.controller.state_machine import Change, ServerLeaving, StateMachine, encoded
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.routing.route_table import RouteTable
-from lapisgrade.gateway.rpc import Codec
+from lapisgrade.gateway.rpc_connection import Codec
 
 REPEATS = 5
 SIZES = (500, 2_000, 8_000)  # routes; a tenant for each, and four and a half for each at the target
@@ -194,12 +194,12 @@
             watch.reply_if_changed(1_000_000, ask(f"edge-{i}"), state_machine.state, [])
         live_proxies = watch.live_proxies(2_000_000, state_machine.state)
         lists.append(len(encoded(live_proxies)))
-        frame = codec.frame(1, ask("edge-1"))
+        frame = codec.encode(1, ask("edge-1"))
 
         def answered(watch: Watch = watch, frame: bytes = frame) -> None:
-            ((number, asked),) = codec.read(bytearray(frame))
+            ((number, asked),) = codec.decode(bytearray(frame))
             news = watch.reply_if_changed(1_100_000, asked, state_machine.state, [])
-            codec.frame(number, news or watch.unchanged_reply(asked, state_machine.state, []))
+            codec.encode(number, news or watch.unchanged_reply(asked, state_machine.state, []))
 
         asks.append(best_us(answered, 50))
     return [
--- a/lapisgrade/lab/partitions/control.py
+++ b/lapisgrade/lab/partitions/control.py
@@ -16,11 +16,11 @@
 
 import msgspec
 
+from lapisgrade.gateway.http_client import send_request
+from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.partitions.fleet import Fleet
 from lapisgrade.lab.simulation.linearizability import UNANSWERED, Event, first_wrong
 from lapisgrade.net.http import MalformedMessageError
-from lapisgrade.gateway.http_client import ask
-from lapisgrade.gateway.settings import Address
 
 LONG = 20.0  # s that a leader is cut off
 CHANGES = 500  # while a member is away
@@ -69,7 +69,7 @@
         """Status and body; 0 for no answer."""
         try:
             async with asyncio.timeout(PATIENCE):
-                got = await ask(self.place(turn), "POST", f"/-/rpc?call={call}", body)
+                got = await send_request(self.place(turn), "POST", f"/-/rpc?call={call}", body)
         except (OSError, TimeoutError, MalformedMessageError):
             return 0, b""
         return got.head.status_code, b"".join(got.body)
--- a/lapisgrade/lab/partitions/cuts.py
+++ b/lapisgrade/lab/partitions/cuts.py
@@ -21,10 +21,10 @@
 from pathlib import Path
 from typing import Any
 
+from lapisgrade.gateway.rpc_connection import ACKNOWLEDGEMENT_TIMEOUT_MS
 from lapisgrade.net import event_loop
-from lapisgrade.gateway.rpc import SILENT_MS
 
-SILENT = SILENT_MS / 1000  # s; as the program's own sockets
+SILENT = ACKNOWLEDGEMENT_TIMEOUT_MS / 1000  # s; as the program's own sockets
 LOOK = 0.01  # s between looks at the file; a play's figures are good to that
 
 
--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
+from lapisgrade.gateway.http_client import post_to_any, send_request
+from lapisgrade.gateway.local_cluster import CTL, HTTP, INNER, READY, SAMPLE, Server
+from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.fleet.process import ROOT, before_exec
 from lapisgrade.net.http import MalformedMessageError
-from lapisgrade.gateway.http_client import ask, told
-from lapisgrade.gateway.settings import Address
-from lapisgrade.gateway.local_cluster import CTL, HTTP, INNER, READY, SAMPLE, Server
 
 BEAT = 0.25  # s between a stand-in's beats
 PAUSE = 0.01  # s between a client's calls, and between looks at what is waited for
@@ -112,12 +112,14 @@
         self.server.close()
 
     async def put(self) -> bool:
-        return await told(self.ctl, "/-/rpc?call=conf.replace", msgspec.json.encode(self.sample)) == 200
+        return (
+            await post_to_any(self.ctl, "/-/rpc?call=conf.replace", msgspec.json.encode(self.sample)) == 200
+        )
 
     async def ready(self) -> bool:
         for ip in self.ip.values():
             try:
-                if (await ask((ip, READY), "GET", "/-/readyz")).head.status_code != 200:
+                if (await send_request((ip, READY), "GET", "/-/readyz")).head.status_code != 200:
                     return False
             except OSError:
                 return False
@@ -143,7 +145,7 @@
             "Authorization": f"Bearer {key}",
         }  # fmt: skip
         try:
-            return (await ask((self.ip[name], HTTP), "GET", path, fields=fields)).head.status_code
+            return (await send_request((self.ip[name], HTTP), "GET", path, fields=fields)).head.status_code
         except (OSError, TimeoutError, MalformedMessageError):
             return 0
 
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -17,14 +17,14 @@
 from random import Random
 from statistics import median
 
-from lapisgrade.lab.partitions.fleet import Fleet, Stamped
-from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.gateway import SECOND
-from lapisgrade.gateway.http_client import ask
-from lapisgrade.gateway.settings import Slo
+from lapisgrade.gateway.http_client import send_request
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
 from lapisgrade.gateway.quota.count import LEASE_US
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
+from lapisgrade.gateway.settings import Slo
+from lapisgrade.lab.partitions.fleet import Fleet, Stamped
+from lapisgrade.net.http import MalformedMessageError
 
 MACHINES, CONTROLLERS = 6, 3  # counts are held away from controllers
 RATE = BURST = 60  # of both tenants
@@ -87,7 +87,7 @@
         fields["Authorization"] = f"Bearer {tenant}"
         status, place = 0, (self.fleet.ip[name], HTTP)
         with contextlib.suppress(OSError, TimeoutError, MalformedMessageError):
-            status = (await ask(place, "GET", "/stock/1", fields=fields)).head.status_code
+            status = (await send_request(place, "GET", "/stock/1", fields=fields)).head.status_code
         if tenant == self.calm:
             self.calls[status] += 1
 
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -19,13 +19,13 @@
 
 import msgspec
 
-from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
-from lapisgrade.net.http import MalformedMessageError
-from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.cli.operator_client import OperatorClient, lagging_proxies
-from lapisgrade.gateway.http_client import ask, told
 from lapisgrade.gateway.cli.drafts import DraftClient
+from lapisgrade.gateway.cli.operator_client import OperatorClient, lagging_proxies
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway.http_client import post_to_any, send_request
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE, Server
+from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
+from lapisgrade.net.http import MalformedMessageError
 
 CALM = 1.5  # s of calls before the break, to compare with
 BROKEN = (0.5, 3.0)  # s that the break lasts once both sides are edited
@@ -111,7 +111,7 @@
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
         back = 0.0
         try:
-            got = await ask((self.fleet.ip[each.proxy], HTTP), "GET", path, fields=fields)
+            got = await send_request((self.fleet.ip[each.proxy], HTTP), "GET", path, fields=fields)
             each.status, back = got.head.status_code, float(got.headers().get(b"retry-after", b"0"))
         except (OSError, TimeoutError, MalformedMessageError):
             pass
@@ -173,7 +173,7 @@
         body = msgspec.json.encode({"Ver": ver, "Base": base, **change})
 
         async def taken() -> bool:
-            return await told(self.controllers(*names), "/-/rpc?call=conf.update", body) == 200
+            return await post_to_any(self.controllers(*names), "/-/rpc?call=conf.update", body) == 200
 
         await self.until(taken)
 
--- a/lapisgrade/lab/simulation/network.py
+++ b/lapisgrade/lab/simulation/network.py
@@ -12,8 +12,8 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
+from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.lab.simulation.virtual_loop import SECOND, Process, VirtualLoop
-from lapisgrade.gateway.verdict import Verdict
 
 FASTEST, SLOWEST = 300, 5_000  # us one way
 LOST, TWICE = 0.01, 0.01  # parts of messages
@@ -103,7 +103,7 @@
         if other is not None and other._process.alive:
             self._network.loop.after(0, other._process, other._hear, message)
 
-    async def call(self, address: Address, message: Any, within: float) -> Result[Any, Verdict]:
+    async def call(self, address: Address, message: Any, within: float) -> Result[Any, CallFailure]:
         """As `gateway.rpc.RpcEndpoint.call`."""
         self._numbers += 1
         number, future = self._numbers, asyncio.get_running_loop().create_future()
@@ -113,14 +113,14 @@
             async with asyncio.timeout(within):
                 return await future
         except TimeoutError:
-            return Failure(Verdict.MAY_HAVE_RUN)
+            return Failure(CallFailure.MAY_HAVE_RUN)
         finally:
             self._waiting.pop(number, None)
 
     def _ask(self, address: Address, number: int, message: Any) -> None:
         other = self._network.listening.get((address[0], address[1]))
         if other is None or not other._process.alive:
-            return self._back(address[0], number, Failure(Verdict.NOT_RUN))
+            return self._back(address[0], number, Failure(CallFailure.NOT_RUN))
         loop = self._network.loop
         loop.after(0, other._process, lambda: loop.create_task(other._reply(self, number, message)))
 
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -12,12 +12,12 @@
 from returns.result import Result
 
 from lapisgrade.gateway import rpc_messages
-from lapisgrade.gateway.http_server import framed
+from lapisgrade.gateway.call_failure import CallFailure
+from lapisgrade.gateway.http_server import encode_response
 from lapisgrade.gateway.proxy.process import Proxy
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.gateway.routing.upstream_protocol import ForwardedRequest
 from lapisgrade.gateway.settings import Address, Bind, Settings, Span
-from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.lab.simulation.cluster import BEAT, CALLS_PORT, PORT
 from lapisgrade.lab.simulation.network import Endpoint
 from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process, VirtualLoop
@@ -33,7 +33,7 @@
 PATIENCE = 2 * SECOND  # us that a client waits
 GRACE = 2.6  # s that a proxy goes on once it was told to end
 HOST = "a.example"
-ANSWERED = MessageParser(h11.CLIENT).feed(framed(200, b"done", b"Server-Seal: seal\r\n"))
+ANSWERED = MessageParser(h11.CLIENT).feed(encode_response(200, b"done", b"Server-Seal: seal\r\n"))
 
 
 class ProxyEndpoint(Endpoint):
@@ -43,16 +43,16 @@
         super().__init__(*told)
         self._refused: set[tuple[str, int]] = set()
 
-    async def call(self, address: tuple[str, int], message: Any, within: float) -> Result[Any, Verdict]:
+    async def call(self, address: tuple[str, int], message: Any, within: float) -> Result[Any, CallFailure]:
         """As `gateway.rpc.RpcEndpoint.call`."""
         got = await super().call(address, message, within)
-        refused = got.value_or(None) is None and got.failure() is Verdict.NOT_RUN
+        refused = got.value_or(None) is None and got.failure() is CallFailure.NOT_RUN
         (self._refused.add if refused else self._refused.discard)(tuple(address))
         return got
 
     def peer(self, address: tuple[str, int]) -> SimpleNamespace:
         """Whether nobody listened there."""
-        return SimpleNamespace(refused=tuple(address) in self._refused)
+        return SimpleNamespace(is_refusing=tuple(address) in self._refused)
 
 
 class Caller:
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -10,7 +10,14 @@
 
 import msgspec
 
-from lapisgrade.gateway import configuration, configuration_delta, registry, rpc, rpc_messages, settings
+from lapisgrade.gateway import (
+    configuration,
+    configuration_delta,
+    registry,
+    rpc_connection,
+    rpc_messages,
+    settings,
+)
 from lapisgrade.gateway.consensus import messages, records
 from lapisgrade.gateway.controller import state_machine
 from lapisgrade.gateway.membership import gossip, partial_view
@@ -953,12 +960,12 @@
 
 def rpc_frame(number: int, message: Any) -> bytes:
     """A frame as the system's processes send it on a connection."""
-    return rpc.Codec(rpc_messages.Message).frame(number, message)
+    return rpc_connection.Codec(rpc_messages.Message).encode(number, message)
 
 
 def read_rpc_frames(data: bytes) -> list[tuple[int, Any]]:
     """The numbers and messages of the frames in these bytes."""
-    return rpc.Codec(rpc_messages.Message).read(bytearray(data))
+    return rpc_connection.Codec(rpc_messages.Message).decode(bytearray(data))
 
 
 def gossip_frame(name: str, incarnation: int, message: Any) -> bytes:
--- a/tests/compatibility/test_recovery.py
+++ b/tests/compatibility/test_recovery.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 import pytest
+from support.loopback_network import wait_for_loopback_network
 
-from lapisgrade.gateway.http_client import ask
+from lapisgrade.gateway.http_client import send_request
 from lapisgrade.gateway.local_cluster import LocalCluster
-from support.loopback_network import wait_for_loopback_network
 
 DATA = Path(__file__).parent / "data"
 WITHIN_S = 20.0
@@ -33,7 +33,7 @@
 async def call(cluster: LocalCluster, name: str, body: Any = None, controller: int = 0) -> tuple[int, Any]:
     """One of the operators' calls: the HTTP status, and what the body says."""
     sent = b"" if body is None else json.dumps(body).encode()
-    reply = await ask(cluster.ctl[controller], "POST", f"/-/rpc?call={name}", sent)
+    reply = await send_request(cluster.ctl[controller], "POST", f"/-/rpc?call={name}", sent)
     return reply.head.status_code, json.loads(b"".join(reply.body))
 
 
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -15,7 +15,7 @@
 from lapisgrade.gateway.cli.drafts import DraftClient
 from lapisgrade.gateway.controller import drafts
 from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.http_client import told
+from lapisgrade.gateway.http_client import post_to_any
 from lapisgrade.gateway.local_cluster import CTL, SAMPLE, Links, LocalCluster
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.partitions import rejoin
@@ -179,7 +179,7 @@
         await self.drafted(site, "m3", edit(Action={"Svc": "reparation"}))
         change = {"Ver": 4, "Base": 1, **claim(Prio=0)}
         controllers = [(site.ip[each], CTL) for each in ("m1", "m2")]
-        while await told(controllers, "/-/rpc?call=conf.update", msgspec.json.encode(change)) != 200:
+        while await post_to_any(controllers, "/-/rpc?call=conf.update", msgspec.json.encode(change)) != 200:
             await asyncio.sleep(0.02)
         links.apart.clear()
         await site.until(
@@ -210,7 +210,7 @@
             with self.assertRaises(InvalidInputError):
                 await self.drafted(site, "m2", text)
         body = msgspec.json.encode({"Base": 7, "By": "x", **claim(Prio=0)})
-        self.assertEqual(await told(site.ctl[:1], "/-/rpc?call=conf.draft", body), 412)
+        self.assertEqual(await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body), 412)
         for body, status in ((b"{", 400), (b"[]", 400), (b'{"Base":1}', 400)):
-            self.assertEqual(await told(site.ctl[:1], "/-/rpc?call=conf.draft", body), status)
+            self.assertEqual(await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body), status)
         self.assertFalse(any(controller.draft_delivery.stored() for controller in site.controllers.values()))
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -9,6 +9,7 @@
 from returns.result import Failure, Success
 
 from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.clock import now_us
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
@@ -16,7 +17,6 @@
 from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import owner_of
-from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.net.close_reason import CloseReason
 
 ME, OLD, NEW = "me", "old", "new"
@@ -62,14 +62,14 @@
         return rpc_messages.QuotaRequest(self.tenant, 1.0, by, fence, 10.0, 10.0)
 
     def peer(self, place) -> SimpleNamespace:
-        return SimpleNamespace(refused=False)
+        return SimpleNamespace(is_refusing=False)
 
     async def call(self, place, ask: rpc_messages.QuotaRequest, within: float):
         name = (ME, OLD, NEW)[int(place[0].rpartition(".")[2]) - 1]
         self.asked.append((name, ask.fencing_token))
         await asyncio.sleep(0)
         reply = self.answers.get(name)
-        return Success(reply) if reply is not None else Failure(Verdict.MAY_HAVE_RUN)
+        return Success(reply) if reply is not None else Failure(CallFailure.MAY_HAVE_RUN)
 
 
 class Asked(unittest.IsolatedAsyncioTestCase):
--- a/tests/gateway/proxy/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -4,10 +4,10 @@
 import unittest
 
 import msgspec
+from support.local_clusters import local_cluster, serving_cluster
 
-from lapisgrade.gateway.local_cluster import SAMPLE, Links, ask
+from lapisgrade.gateway.local_cluster import SAMPLE, Links, send_request
 from lapisgrade.net.http import Message
-from support.local_clusters import local_cluster, serving_cluster
 
 KEY = "key-of-sfax"
 
@@ -73,7 +73,7 @@
         await site.until(lambda: all(len(each.servers) == 2 for each in site.proxies.values()))
         leaving = site.servers["i-1"]
         site.silence(leaving)  # it never says drain, and its last beat is late
-        got = await ask(site.ctl[0], "POST", "/-/rpc?call=servers.deregister&of=i-1")
+        got = await send_request(site.ctl[0], "POST", "/-/rpc?call=servers.deregister&of=i-1")
         self.assertEqual(status(got), 200)
         await leaving.beat(site.ctl)
         await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
@@ -99,12 +99,14 @@
             places = [(site.ip[name], 8407) for name in ("m1", "m2")]
             taken = 0
             while taken != 200:
-                got = await ask(places[0], "POST", "/-/rpc?call=conf.update", msgspec.json.encode(change))
+                got = await send_request(
+                    places[0], "POST", "/-/rpc?call=conf.update", msgspec.json.encode(change)
+                )
                 taken = status(got)
                 places.reverse()
             reads = []
             for name in site.names:
-                got = await ask((site.ip[name], 8407), "POST", "/-/rpc?call=conf.show")
+                got = await send_request((site.ip[name], 8407), "POST", "/-/rpc?call=conf.show")
                 whole = msgspec.json.decode(b"".join(got.body)) if status(got) == 200 else {}
                 reads.append((status(got), whole.get("Ver")))
             self.assertEqual(reads, [(200, 5), (200, 5), (503, None)])
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -10,11 +10,11 @@
 from unittest import mock
 
 import msgspec
+from support.local_clusters import local_cluster, serving_cluster
 
 from lapisgrade.gateway.controller.watch import Watch
-from lapisgrade.gateway.local_cluster import SAMPLE, Links, LocalCluster, ask, told
+from lapisgrade.gateway.local_cluster import SAMPLE, Links, LocalCluster, post_to_any, send_request
 from lapisgrade.net.http import Message
-from support.local_clusters import local_cluster, serving_cluster
 
 KEY = "key-of-sfax"
 READY = 8406
@@ -59,7 +59,7 @@
             status(await site.get("m2", "/stock/1")),
             status(await site.get("m3", "/nowhere/", KEY)),
             status(await site.get("m1", "/stock/1", KEY, host="b.example")),
-            status(await ask((site.ip["m1"], READY), "GET", "/-/readyz")),
+            status(await send_request((site.ip["m1"], READY), "GET", "/-/readyz")),
         ]
         assert transcript == [401, 401, 404, 404, 200]
         assert sum(each.ran.total() for each in site.servers.values()) == 0
@@ -169,7 +169,7 @@
         await site.until(
             lambda: all(each.ready and each.active_version == 1 for each in site.proxies.values())
         )
-        shown = await ask(site.ctl[0], "POST", "/-/rpc?call=conf.show")
+        shown = await send_request(site.ctl[0], "POST", "/-/rpc?call=conf.show")
         want = {name: each for name, each in SAMPLE.items() if name != "Base"}
         assert msgspec.json.decode(b"".join(shown.body)) == want
         await site.until(lambda: all(each.servers for each in site.proxies.values()))
@@ -200,7 +200,7 @@
         found = []
         for place in site.ctl:
             body = msgspec.json.encode({**SAMPLE, "Ver": 9, "Base": 1, "Pools": []})
-            got = await ask(place, "POST", "/-/rpc?call=conf.replace", body)
+            got = await send_request(place, "POST", "/-/rpc?call=conf.replace", body)
             found.append((status(got), msgspec.json.decode(b"".join(got.body))["Err"]))
         assert found == [(400, "route r-stock: service 'garantie' is not in Pools")] * 3
 
@@ -211,7 +211,7 @@
         await site.until(lambda: site.servers["i-1"].running)
         site.proxies["m1"].end()
         await site.until(lambda: site.proxies["m1"].client_front.is_draining)
-        assert status(await ask((site.ip["m1"], READY), "GET", "/-/readyz")) == 503
+        assert status(await send_request((site.ip["m1"], READY), "GET", "/-/readyz")) == 503
         got = await under_way
         assert (status(got), got.headers()[b"connection"]) == (200, b"close")
 
@@ -221,7 +221,7 @@
         links = Links(site)
         links.part("m3")
         await site.until(lambda: not site.proxies["m3"].ready)
-        assert status(await ask((site.ip["m3"], READY), "GET", "/-/readyz")) == 503
+        assert status(await send_request((site.ip["m3"], READY), "GET", "/-/readyz")) == 503
         # The others may have waited for it for as long, where its controller led and they asked it first.
         await site.until(lambda: site.proxies["m1"].ready and site.proxies["m2"].ready)
         assert not site.proxies["m3"].ready
@@ -237,7 +237,7 @@
 
 async def test_an_ended_server_is_not_asked_again_and_its_address_may_be_anothers():
     async with served_cluster(2) as site:
-        assert await told(site.ctl, "/-/rpc?call=servers.deregister&of=i-1") == 200
+        assert await post_to_any(site.ctl, "/-/rpc?call=servers.deregister&of=i-1") == 200
         await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
         # Whoever listens there now is another server, not known yet: it says so, and has not run it.
         site.silence(site.servers["i-2"])
