--- a/lapisgrade/gateway/api.py
+++ b/lapisgrade/gateway/api.py
@@ -8,7 +8,7 @@
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.settings import Span, checker, take
-from lapisgrade.gateway.controller.state_machine import MOST_DRAFT
+from lapisgrade.gateway.controller.draft_merging import MAX_DRAFT_BYTES
 from lapisgrade.gateway.registry import Server
 
 PATH = "/-/rpc"
@@ -45,7 +45,9 @@
         Call("conf.replace", False, configuration.MOST_BYTES, "a whole configuration"),
         Call("conf.update", False, configuration.MOST_BYTES, "a change of named items"),
         Call("conf.show", False, MOST_BEAT, "the newest configuration"),
-        Call("conf.draft", False, MOST_DRAFT, "a change of named items, kept here until it can be merged"),
+        Call(
+            "conf.draft", False, MAX_DRAFT_BYTES, "a change of named items, kept here until it can be merged"
+        ),
         Call("conf.drafts", False, MOST_BEAT, "drafts, what came of each, and what is open"),
         Call("conf.settle", False, MOST_BEAT, "a draft's fields that were set aside come into force"),
         Call("conf.close", False, MOST_BEAT, "what is open of a draft is not wanted any more"),
--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -13,25 +13,25 @@
 from lapisgrade.gateway.consensus.log import ReplicatedLog
 from lapisgrade.gateway.consensus.messages import Entry
 from lapisgrade.gateway.consensus.records import EntriesRecord, HardState, Record, SnapshotRecord
-from lapisgrade.gateway.controller.state_machine import (
+from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.controller.commands import (
     Activate,
-    Answer,
-    Change,
     CloseDraft,
-    Item,
+    ConfigurationChange,
     LiveProxies,
+    LogCommand,
     MergeDraft,
     NewVersion,
     ServerLeaving,
     ServerSnapshot,
-    StateMachine,
 )
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.merge.three_way import told
 from lapisgrade.gateway.storage.draft_store import read_drafts
 from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
 _RECORD_DECODER = msgspec.msgpack.Decoder(Record)
-_ITEM_DECODER = msgspec.msgpack.Decoder(Item)
+_ITEM_DECODER = msgspec.msgpack.Decoder(LogCommand)
 
 
 class DiskReport:
@@ -95,7 +95,7 @@
         """Apply an entry, and describe what it did; keys and addresses are not shown."""
         item, state = _ITEM_DECODER.decode(entry.data), self.state_machine.state
         version, conf = state.ver, state.conf
-        answer = self.state_machine.take(entry.index, entry.data)
+        answer = self.state_machine.apply(entry.index, entry.data)
         self._add_history(entry, _describe_item(item, answer, version, state.ver))
         if state.ver != version:
             before = msgspec.json.decode(conf) if conf else {}
@@ -127,22 +127,22 @@
     return replicated
 
 
-def _describe_item(item: Item, answer: Answer, version_before: int, version: int) -> str:
+def _describe_item(item: LogCommand, answer: ApplyResult, version_before: int, version: int) -> str:
     """Describe what an item of the log did; the versions are the newest ones before and after it."""
     match item:
-        case Change() | NewVersion() if answer.status != 200:
+        case ConfigurationChange() | NewVersion() if answer.status != 200:
             return f"a change was refused: {answer.status} {answer.wrong}".rstrip()
-        case Change():
-            return f"version {version} on {version_before} was {'put' if item.whole else 'updated'}"
+        case ConfigurationChange():
+            return f"version {version} on {version_before} was {'put' if item.replaces_all else 'updated'}"
         case NewVersion():
             return f"version {version} on {version_before} was accepted"
         case MergeDraft(draft=draft):
             outcome = f"merged as version {version}" if version != version_before else "nothing of it stands"
             return f"draft {draft.id} by {draft.by}: {outcome}"
         case CloseDraft():
-            return f"draft {item.id}: closed"
+            return f"draft {item.draft_id}: closed"
         case Activate():
-            return f"version {item.ver} comes into force"
+            return f"version {item.version} comes into force"
         case ServerLeaving() | LiveProxies() | ServerSnapshot():
             return _describe_membership(item)
 
@@ -150,7 +150,7 @@
 def _describe_membership(item: ServerLeaving | LiveProxies | ServerSnapshot) -> str:
     match item:
         case ServerLeaving():
-            return f"server {item.server} {'is gone' if item.gone else 'drains'}"
+            return f"server {item.server} {'is gone' if item.is_gone else 'drains'}"
         case LiveProxies():
             names = ", ".join(sorted(item.members)) or "none"
             return f"{len(item.members)} proxies live: {names}"
--- /dev/null
+++ b/lapisgrade/gateway/controller/change_validation.py
@@ -0,0 +1,114 @@
+"""Validates a change of the configuration against the newest version. Pure.
+
+A change names the version that it makes, above the newest, and as `Base` the version that it was made on,
+which must be the newest (optimistic concurrency control). A change that is sent again is answered as the
+first time, as long as its digest is remembered.
+"""
+
+from dataclasses import dataclass
+from http import HTTPStatus
+from typing import Any
+
+import msgspec
+
+from lapisgrade.errors import LapisgradeError
+from lapisgrade.gateway import configuration
+from lapisgrade.gateway.controller.commands import ConfigurationChange
+from lapisgrade.gateway.controller.state import State
+from lapisgrade.gateway.errors import InvalidInputError
+
+
+class ApplyResult(msgspec.Struct, array_like=True, frozen=True):
+    """What came of a command: an HTTP status, and what is wrong where that is no success."""
+
+    status: int
+    wrong: str = ""
+
+
+@dataclass(frozen=True, slots=True)
+class ValidatedChange:
+    """The result of a validation.
+
+    Attributes:
+        result: The status for the caller.
+        configuration: What the change makes of the newest version; None where nothing is to be applied, as
+            the change is invalid or was applied before.
+        version: The version that it makes.
+    """
+
+    result: ApplyResult
+    configuration: bytes | None = None
+    version: int = 0
+
+
+class _RejectedChangeError(LapisgradeError):
+    def __init__(self, status: HTTPStatus, message: str) -> None:
+        super().__init__(message)
+        self.status = status
+
+
+def validate_change(state: State, change: ConfigurationChange) -> ValidatedChange:
+    """Return what a change would be answered now, and what it would make."""
+    try:
+        fields = _decode(change)
+        version, base = _version_numbers(fields)
+        if version in state.taken and state.taken[version] == change.digest:
+            return ValidatedChange(ApplyResult(HTTPStatus.OK))
+        _check_version(state, version, base)
+        made = _make_configuration(state, change, fields)
+        if base != state.ver:
+            raise stale_base(state, base)
+    except _RejectedChangeError as error:
+        return ValidatedChange(ApplyResult(error.status, str(error)))
+    return ValidatedChange(ApplyResult(HTTPStatus.OK), msgspec.json.encode(made), version)
+
+
+def stale_base(state: State, base: int) -> LapisgradeError:
+    """Return the refusal of a change that was made on another version than the newest."""
+    return _RejectedChangeError(
+        HTTPStatus.PRECONDITION_FAILED, f"version {state.ver} is in force, not {base}"
+    )
+
+
+def _decode(change: ConfigurationChange) -> dict[str, Any]:
+    if len(change.body) > configuration.MOST_BYTES:
+        raise _RejectedChangeError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the configuration is too long")
+    try:
+        fields = msgspec.json.decode(change.body)
+    except (msgspec.MsgspecError, RecursionError):
+        raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, "the body is not whole JSON") from None
+    if not isinstance(fields, dict):
+        raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, "a configuration is an object")
+    return fields
+
+
+def _version_numbers(fields: dict[str, Any]) -> tuple[int, int]:
+    """Return the change's version and base."""
+    version, base = fields.get("Ver"), fields.get("Base", 0)
+    if type(version) is not int or type(base) is not int:  # a bool is no number
+        raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, "Ver and Base are whole numbers")
+    return version, base
+
+
+def _check_version(state: State, version: int, base: int) -> None:
+    if 0 < version <= state.forgotten:
+        raise _RejectedChangeError(
+            HTTPStatus.GATEWAY_TIMEOUT, f"whether version {version} was this change is not known any more"
+        )
+    if version <= state.ver:
+        status = HTTPStatus.PRECONDITION_FAILED if base != state.ver else HTTPStatus.BAD_REQUEST
+        raise _RejectedChangeError(status, f"version {version} is not above {state.ver}, which is in force")
+
+
+def _make_configuration(state: State, change: ConfigurationChange, fields: dict[str, Any]) -> dict[str, Any]:
+    """Return the configuration that the change makes of the newest one."""
+    try:
+        if change.replaces_all:
+            made = {name: value for name, value in fields.items() if name != "Base"}
+        else:
+            current = msgspec.json.decode(state.conf) if state.conf else {}
+            made = configuration.updated(current, fields)
+        configuration.read(made)
+    except (InvalidInputError, KeyError, TypeError, AttributeError) as error:
+        raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, str(error)) from None
+    return made
--- a/lapisgrade/gateway/controller/consensus_driver.py
+++ b/lapisgrade/gateway/controller/consensus_driver.py
@@ -24,7 +24,9 @@
 from lapisgrade.gateway.consensus.records import DurableWrite
 from lapisgrade.gateway.controller.log_writer import LogWriter
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
-from lapisgrade.gateway.controller.state_machine import Answer, Item, StateMachine, encoded
+from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.controller.commands import LogCommand, encode_command
+from lapisgrade.gateway.controller.state_machine import StateMachine
 
 log = logging.getLogger("controller")
 
@@ -44,7 +46,7 @@
     def on_timer(self) -> None:
         """Notice what time alone has changed; called on the established leader at each timer of the node."""
 
-    def due_commands(self) -> list[Item | None]:
+    def due_commands(self) -> list[LogCommand | None]:
         """Return commands to propose now; called on a leader with a lease at each timer of the node."""
 
     def notify_watchers(self) -> None:
@@ -143,7 +145,7 @@
         self.node.step_down()
         self.step()
 
-    async def propose(self, data: bytes) -> Answer | None:
+    async def propose(self, data: bytes) -> ApplyResult | None:
         """Put an encoded command into the log and wait until it is applied.
 
         Returns:
@@ -164,12 +166,12 @@
         finally:
             self._pending_proposals.pop(position, None)
 
-    def propose_all(self, commands: Iterable[Item | None]) -> None:
+    def propose_all(self, commands: Iterable[LogCommand | None]) -> None:
         """Propose the leader's own commands, waiting for none; the next `step` sends them."""
         for command in commands:
             if command is not None:
                 self._metrics.commands_proposed[type(command).__name__] += 1
-                self.node.propose(encoded(command))
+                self.node.propose(encode_command(command))
 
     # ---- effects of the node
 
@@ -214,9 +216,9 @@
         if entry.voters is not None:
             self._metrics.membership_changes += 1
             log.info("voters: %s", sorted(entry.voters.values()))
-        result = Answer(HTTPStatus.OK)
+        result = ApplyResult(HTTPStatus.OK)
         if entry.data:
-            result = self._state_machine.take(entry.index, entry.data)
+            result = self._state_machine.apply(entry.index, entry.data)
             self._metrics.entries_applied += 1
             self._on_applied()
         future = self._pending_proposals.pop((entry.index, entry.term), None)
--- /dev/null
+++ b/lapisgrade/gateway/controller/draft_merging.py
@@ -0,0 +1,82 @@
+"""Merges drafts into the configuration, as a part of the state machine. Pure.
+
+    MergeDraft -> merged (`State.drafts`) -- next acknowledged change, with conflicts --> unresolved (`past`)
+                    |     |                                                                   |
+                    |     +-- next acknowledged change, without conflicts --> done        CloseDraft
+                    |                                                           ^             |
+                    +-- CloseDraft --> closed (`shut`) -- next change ----------+-------------+
+
+While drafts are merged on top of an acknowledged configuration (`State.ground`), each new draft has all of
+them merged anew from there, so the order in which they come does not matter.
+"""
+
+from http import HTTPStatus
+
+import msgspec
+
+from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.controller.state import State
+from lapisgrade.gateway.merge import three_way
+from lapisgrade.gateway.merge.fields import fields
+from lapisgrade.gateway.merge.three_way import Draft, Outcome
+
+MAX_DRAFTS = 16  # merged since the last acknowledged change, or with conflicts; bounds the state
+MAX_DRAFT_BYTES = 128 * 1024  # of one draft, as it stands in the log
+MAX_KNOWN_IDS = 512  # drafts that are recognized when a copy of one comes late
+
+
+def merge_draft(state: State, draft: Draft) -> ApplyResult:
+    """Merge a draft with those that are there; the result is staged like any other version."""
+    if draft.id in state.seen:
+        return ApplyResult(HTTPStatus.OK)  # a copy
+    if len(state.drafts) + len(state.past) >= MAX_DRAFTS:
+        return ApplyResult(HTTPStatus.CONFLICT, f"{MAX_DRAFTS} drafts are there already: settle or drop one")
+    if not state.conf:
+        return ApplyResult(HTTPStatus.CONFLICT, "there is no configuration yet")
+    ground = state.ground or state.conf
+    drafts = [*state.drafts, draft]
+    try:
+        merged, outcomes = three_way.merge_drafts(msgspec.json.decode(ground), drafts)
+    except (KeyError, TypeError, ValueError, IndexError, AttributeError):  # it came from a peer
+        return ApplyResult(HTTPStatus.BAD_REQUEST, "not a draft")
+    state.ground = ground
+    state.outcomes = outcomes
+    state.drafts = drafts
+    state.seen = [*state.seen, draft.id][-MAX_KNOWN_IDS:]
+    if fields(merged) != fields(msgspec.json.decode(state.conf)):
+        version = state.ver + 1
+        state.stage(msgspec.json.encode({**merged, "Ver": version}), version)
+        state.merged = [*state.merged, version]
+    return ApplyResult(HTTPStatus.OK)
+
+
+def close_draft(state: State, draft_id: str) -> ApplyResult:
+    """Mark a draft's conflicts as settled, or given up."""
+    if draft_id in state.past:
+        del state.past[draft_id]
+    elif draft_id in state.outcomes:
+        state.shut = [*state.shut, draft_id]
+    else:
+        return ApplyResult(HTTPStatus.NOT_FOUND, "no such draft is open")
+    return ApplyResult(HTTPStatus.OK)
+
+
+def retire_drafts(state: State) -> None:
+    """Keep only the drafts with conflicts: the others are part of what was acknowledged by now."""
+    for draft in state.drafts:
+        outcome = state.outcomes[draft.id]
+        if outcome.open and draft.id not in state.shut:
+            state.past[draft.id] = (draft, outcome)
+    state.ground = b""
+    state.drafts = []
+    state.outcomes = {}
+    state.shut = []
+
+
+def open_drafts(state: State) -> dict[str, tuple[Draft, Outcome]]:
+    """Return the drafts merged since the last acknowledged change, and earlier ones with conflicts."""
+    current = {draft.id: (draft, state.outcomes[draft.id]) for draft in state.drafts}
+    for draft_id in state.shut:
+        draft, outcome = current[draft_id]
+        current[draft_id] = (draft, Outcome(outcome.stand))
+    return {**state.past, **current}
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -18,7 +18,9 @@
 from lapisgrade.gateway.controller.leader_calls import DELIVER_DRAFT
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
 from lapisgrade.gateway.controller.replies import encode_error, encode_result
-from lapisgrade.gateway.controller.state_machine import MOST_DRAFT, Answer, StateMachine
+from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.controller.draft_merging import MAX_DRAFT_BYTES
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.three_way import Draft
 from lapisgrade.gateway.rpc import RpcEndpoint
@@ -65,7 +67,7 @@
         """Write a draft to this disk; OK once it is there, else why it is not."""
         if self._store is None:
             return HTTPStatus.CONFLICT
-        if len(msgspec.msgpack.encode(draft)) > MOST_DRAFT:
+        if len(msgspec.msgpack.encode(draft)) > MAX_DRAFT_BYTES:
             return HTTPStatus.REQUEST_ENTITY_TOO_LARGE
         try:
             await self._store.add(draft)
@@ -134,7 +136,7 @@
             return encode_error(HTTPStatus.BAD_REQUEST, "the body is not whole JSON")
         except (InvalidInputError, KeyError, TypeError, AttributeError) as error:
             return encode_error(HTTPStatus.BAD_REQUEST, str(error))
-        if isinstance(draft, Answer):
+        if isinstance(draft, ApplyResult):
             return encode_result(draft)
         status = await self._delivery.store(draft)
         if status != HTTPStatus.OK:
@@ -143,7 +145,7 @@
         reply = {"Id": draft.id, "Base": draft.base, "Disks": disks, "InForce": False}
         return ForwardCallReply(HTTPStatus.ACCEPTED, msgspec.json.encode(reply))
 
-    def _decode(self, body: bytes) -> Draft | Answer:
+    def _decode(self, body: bytes) -> Draft | ApplyResult:
         """Return the draft that a call brings, or why it is refused.
 
         Raises:
@@ -154,9 +156,9 @@
         if not isinstance(edit, dict) or not isinstance(edit.get("By"), str):
             raise InvalidInputError("a draft is an object, and says By whom it is")
         if not state.conf or not self._delivery.has_disk:
-            return Answer(HTTPStatus.CONFLICT, "no configuration is known here, or no disk is here")
+            return ApplyResult(HTTPStatus.CONFLICT, "no configuration is known here, or no disk is here")
         if edit.get("Base") != state.ver:
-            return Answer(
+            return ApplyResult(
                 HTTPStatus.PRECONDITION_FAILED, f"version {state.ver} is the newest that is known here"
             )
         return three_way.drafted(msgspec.json.decode(state.conf), edit, edit["By"], self._hostname())
--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -13,15 +13,15 @@
 from lapisgrade.gateway import api
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
 from lapisgrade.gateway.controller.replies import decode_draft_id, encode_error, encode_result
-from lapisgrade.gateway.controller.state_machine import (
-    Change,
+from lapisgrade.gateway.controller.commands import (
     CloseDraft,
-    Item,
+    ConfigurationChange,
+    LogCommand,
     MergeDraft,
     ServerLeaving,
-    StateMachine,
-    encoded,
+    encode_command,
 )
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.status_report import status_report
 from lapisgrade.gateway.controller.watch_service import WatchService
 from lapisgrade.gateway.merge import three_way
@@ -83,9 +83,9 @@
         except msgspec.MsgspecError:
             return encode_error(HTTPStatus.BAD_REQUEST, "not a draft")
 
-    async def commit(self, command: Item) -> ForwardCallReply:
+    async def commit(self, command: LogCommand) -> ForwardCallReply:
         """Put a command into the log, and return what the state machine said of it."""
-        result = await self._consensus.propose(encoded(command))
+        result = await self._consensus.propose(encode_command(command))
         if result is None:
             return encode_error(HTTPStatus.GATEWAY_TIMEOUT, "no majority has it yet; it may come into force")
         return encode_result(result)
@@ -108,16 +108,16 @@
     # ---- the configuration
 
     async def _replace_configuration(self, of: str, body: bytes) -> ForwardCallReply:
-        return await self._change(Change(True, body))
+        return await self._change(ConfigurationChange(True, body))
 
     async def _update_configuration(self, of: str, body: bytes) -> ForwardCallReply:
-        return await self._change(Change(False, body))
+        return await self._change(ConfigurationChange(False, body))
 
-    async def _change(self, change: Change) -> ForwardCallReply:
-        result, version = self._state_machine.accepted(change)
-        if version is None:  # refused, or taken before: it needs no entry in the log
-            return encode_result(result)
-        return await self.commit(version)
+    async def _change(self, change: ConfigurationChange) -> ForwardCallReply:
+        prepared = self._state_machine.prepare(change)
+        if prepared.command is None:  # refused, or applied before: it needs no entry in the log
+            return encode_result(prepared.result)
+        return await self.commit(prepared.command)
 
     async def _show_configuration(self, of: str, body: bytes) -> ForwardCallReply:
         state = self._state_machine.state
@@ -166,7 +166,7 @@
         operations = [each for each in draft.ops if outcome.wrong or each.path in paths]
         configuration = three_way.forced(msgspec.json.decode(state.conf), operations)
         change = {**configuration, "Ver": state.ver + 1, "Base": state.ver}
-        reply = await self._change(Change(True, msgspec.json.encode(change)))
+        reply = await self._change(ConfigurationChange(True, msgspec.json.encode(change)))
         if reply.status != HTTPStatus.OK:
             return reply
         return await self.commit(CloseDraft(draft_id))
--- a/lapisgrade/gateway/controller/replies.py
+++ b/lapisgrade/gateway/controller/replies.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.controller.state_machine import Answer
+from lapisgrade.gateway.controller.change_validation import ApplyResult
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
 
 
@@ -20,7 +20,7 @@
     return draft_id
 
 
-def encode_result(result: Answer) -> ForwardCallReply:
+def encode_result(result: ApplyResult) -> ForwardCallReply:
     """Return the state machine's result as the caller gets it."""
     body = msgspec.json.encode({"Err": result.wrong}) if result.wrong else b"{}"
     return ForwardCallReply(result.status, body)
@@ -28,4 +28,4 @@
 
 def encode_error(status: HTTPStatus, message: str) -> ForwardCallReply:
     """Return a refusal with that HTTP status and message."""
-    return encode_result(Answer(status, message))
+    return encode_result(ApplyResult(status, message))
--- a/lapisgrade/gateway/controller/status_report.py
+++ b/lapisgrade/gateway/controller/status_report.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from lapisgrade.gateway.controller.state_machine import State
+from lapisgrade.gateway.controller.state import State
 from lapisgrade.gateway.controller.version_activation import ProxyStatus
 from lapisgrade.gateway.registry import Server, ServerState
 
--- a/lapisgrade/gateway/controller/version_activation.py
+++ b/lapisgrade/gateway/controller/version_activation.py
@@ -28,7 +28,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lapisgrade.gateway.controller.state_machine import Activate, State
+from lapisgrade.gateway.controller.commands import Activate
+from lapisgrade.gateway.controller.state import State
 
 ACTIVATION_TIMEOUT_US = 1_400_000  # after staging; above watch_timing.MISSED_VERSION_AFTER_US
 MERGED_VERSION_DELAY_US = 800_000  # after staging; above the time to a proxy's next watch request
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -20,7 +20,8 @@
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.controller.configuration_feed import ConfigurationFeed
 from lapisgrade.gateway.controller.proxy_list_feed import ProxyListFeed
-from lapisgrade.gateway.controller.state_machine import Activate, LiveProxies, ServerSnapshot, State
+from lapisgrade.gateway.controller.commands import Activate, LiveProxies, ServerSnapshot
+from lapisgrade.gateway.controller.state import State
 from lapisgrade.gateway.controller.version_activation import ProxyStatus, VersionActivation
 from lapisgrade.gateway.quota.ownership import eligible_owners
 from lapisgrade.gateway.registry import Registry, Server, ServerState
--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -11,7 +11,8 @@
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
 from lapisgrade.gateway.controller.leader_discovery import LeaderDiscovery
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
-from lapisgrade.gateway.controller.state_machine import Item, StateMachine
+from lapisgrade.gateway.controller.commands import LogCommand
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch, without_known_servers
 from lapisgrade.gateway.registry import Server
 from lapisgrade.gateway.rpc import DIAL
@@ -139,7 +140,7 @@
         if self.watch.advance(self._clock()):
             self.notify_watchers()
 
-    def due_commands(self) -> list[Item | None]:
+    def due_commands(self) -> list[LogCommand | None]:
         """Return an activation, a list of live proxies and a server snapshot, each where it is due."""
         now_us, state = self._clock(), self._state_machine.state
         return [
--- a/lapisgrade/gateway/storage/draft_store.py
+++ b/lapisgrade/gateway/storage/draft_store.py
@@ -90,7 +90,7 @@
 
 
 def read_drafts(data_folder: str) -> dict[str, Draft]:
-    """Return the drafts on a controller's disk by id, while it is down; raises InvalidInputError for unreadable ones."""
+    """Return the drafts on a controller's disk by id, while it is down; InvalidInputError if unreadable."""
     folder = os.path.join(data_folder, FOLDER)
     try:
         return _read_drafts(folder, LogStore(folder))
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -15,7 +15,8 @@
 from lapisgrade.gateway import api, rpc_messages, configuration
 from lapisgrade.gateway.configuration_delta import decode
 from lapisgrade.gateway.controller.configuration_feed import ConfigurationFeed
-from lapisgrade.gateway.controller.state_machine import Change, StateMachine, ServerLeaving, encoded
+from lapisgrade.gateway.controller.commands import ConfigurationChange, ServerLeaving, encode_command
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.rpc import Codec
 
@@ -72,13 +73,13 @@
     return {"Ver": ver, "Tenants": people, "Ports": ports, "Pools": pools}
 
 
-def changed(base: int) -> Change:
+def changed(base: int) -> ConfigurationChange:
     rule = {
         "Name": "r-00001", "Match": {"Pfx": "/p00001/"},
         "Action": {"Svc": "svc1", "Timeout": f"{base}ms"},
     }  # fmt: skip
     body = {"Ver": base + 1, "Base": base, "Upsert": {"Ports": [{"Vhost": "v1.example", "Policy": [rule]}]}}
-    return Change(False, msgspec.json.encode(body))
+    return ConfigurationChange(False, msgspec.json.encode(body))
 
 
 def held_bytes(make: Callable[[], object]) -> int:
@@ -103,17 +104,20 @@
 
 def with_routes(size: int) -> Figures:
     state_machine, feed = StateMachine(), ConfigurationFeed()
-    state_machine.take(
-        1, encoded(Change(True, msgspec.json.encode({**sample_configuration(size, size), "Base": 0})))
+    state_machine.apply(
+        1,
+        encode_command(
+            ConfigurationChange(True, msgspec.json.encode({**sample_configuration(size, size), "Base": 0}))
+        ),
     )
     text, change = state_machine.state.conf, changed(7)
-    _, version = state_machine.accepted(change)
-    entry = encoded(version)
+    version = state_machine.prepare(change).command
+    entry = encode_command(version)
     whole, delta = feed.version(7, text, 0), feed.version(8, decode(version.encoded, text), 7)
     return {
         ("a version whole, as JSON", "bytes"): len(text),
         ("a version whole, on the wire", "bytes"): len(whole.data),
-        ("judging a change at the leader", "us"): best_us(lambda: state_machine.accepted(change)),
+        ("judging a change at the leader", "us"): best_us(lambda: state_machine.prepare(change)),
         ("a change in the log", "bytes"): len(entry),
         ("applying it at a member", "us"): best_us(lambda: applied(state_machine, entry)),
         ("a change to a proxy", "bytes"): len(delta.data),
@@ -138,7 +142,7 @@
     """Take a version over, and forget it again."""
     state = state_machine.state
     before = (state.conf, state.ver, dict(state.staged), dict(state.taken))
-    state_machine.take(2, entry)
+    state_machine.apply(2, entry)
     state.conf, state.ver, state.staged, state.taken = before
 
 
@@ -182,8 +186,11 @@
 def of_limiters(sizes: tuple[int, ...]) -> list[Row]:
     """By limiters: one ask without news at the leader, with its frames, and the list of who lives."""
     state_machine = StateMachine()
-    state_machine.take(
-        1, encoded(Change(True, msgspec.json.encode({**sample_configuration(50, 50), "Base": 0})))
+    state_machine.apply(
+        1,
+        encode_command(
+            ConfigurationChange(True, msgspec.json.encode({**sample_configuration(50, 50), "Base": 0}))
+        ),
     )
     codec = Codec(rpc_messages.Message)
     asks, lists = [], []
@@ -192,7 +199,7 @@
         for i in range(size):
             watch.reply_if_changed(1_000_000, ask(f"edge-{i}"), state_machine.state, [])
         live_proxies = watch.live_proxies(2_000_000, state_machine.state)
-        lists.append(len(encoded(live_proxies)))
+        lists.append(len(encode_command(live_proxies)))
         frame = codec.frame(1, ask("edge-1"))
 
         def answered(watch: Watch = watch, frame: bytes = frame) -> None:
@@ -215,10 +222,10 @@
 
 def of_words() -> list[Row]:
     """A server's word that it leaves, in the log."""
-    state_machine, entry = StateMachine(), encoded(ServerLeaving("i-00000001", True))
+    state_machine, entry = StateMachine(), encode_command(ServerLeaving("i-00000001", True))
     return [
         Row("a leaving server in the log", "bytes", (1, 2), (len(entry), 2 * len(entry))),
-        Row("applying it", "us", (1, 2), (best_us(lambda: state_machine.take(1, entry), 50),) * 2),
+        Row("applying it", "us", (1, 2), (best_us(lambda: state_machine.apply(1, entry), 50),) * 2),
     ]
 
 
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -21,7 +21,9 @@
 from lapisgrade.gateway.watch_timing import LONG_POLL_US, MISSED_VERSION_AFTER_US
 from lapisgrade.gateway.routing import route_tables, router
 from lapisgrade.gateway.settings import Slo
-from lapisgrade.gateway.controller.state_machine import Activate, Change, StateMachine, State, encoded
+from lapisgrade.gateway.controller.commands import Activate, ConfigurationChange, encode_command
+from lapisgrade.gateway.controller.state import State
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
 
 MS = 1_000
@@ -165,12 +167,14 @@
         now, state = self.sim.now, self.state_machine.state
         for item in (self.watch.activation(now, state), self.watch.live_proxies(now, state)):
             if item is not None:
-                self.sim.after(self.random.randrange(2 * MS, 20 * MS), self.commit, encoded(item), self.term)
+                self.sim.after(
+                    self.random.randrange(2 * MS, 20 * MS), self.commit, encode_command(item), self.term
+                )
 
     def commit(self, data: bytes, term: int) -> None:
         if term == self.term:  # what an earlier leader had not committed is lost
             self.index += 1
-            self.state_machine.take(self.index, data)
+            self.state_machine.apply(self.index, data)
             state = self.state_machine.state
             live = sorted(state.live_proxies)
             self.say(f"log: newest {state.ver}, in force {state.acting_ver}, live proxies {live}")
@@ -182,7 +186,9 @@
             self.withdrawn.add(less)
         state = self.state_machine.state
         names = [number for number in range(self.tenants) if number not in self.withdrawn]
-        self.commit(encoded(Change(True, conf(state.ver + 1, state.ver, names))), self.term)
+        self.commit(
+            encode_command(ConfigurationChange(True, conf(state.ver + 1, state.ver, names))), self.term
+        )
 
     def asked(self, proxy: Proxy, ask: rpc_messages.WatchRequest, life: int, asked: int, sent: int) -> None:
         self.waiting.append((proxy, ask, life, asked, sent, self.sim.now + LONG_POLL_US))
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -13,7 +13,8 @@
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge.fields import fields
 from lapisgrade.gateway.merge.three_way import Draft, drafted, merge_drafts
-from lapisgrade.gateway.controller.state_machine import MergeDraft, Change, StateMachine, encoded
+from lapisgrade.gateway.controller.commands import ConfigurationChange, MergeDraft, encode_command
+from lapisgrade.gateway.controller.state_machine import StateMachine
 
 UNIT = "entries"
 NAMES = "abc"
@@ -90,7 +91,7 @@
 
     def hand(self, cluster: Cluster, draft: Draft, holder: str) -> None:
         """One controller offers one draft to whoever leads, where it reaches it."""
-        data, leader = encoded(MergeDraft(draft)), cluster.leader()
+        data, leader = encode_command(MergeDraft(draft)), cluster.leader()
         if (
             not leader
             or cluster.controllers[holder] is None
@@ -106,7 +107,7 @@
     chance, cluster = Chance(seed), Cluster(seed)
     cluster.run(2)
     ground = chance.conf()
-    first = encoded(Change(True, msgspec.json.encode({**ground, "Base": 0})))
+    first = encode_command(ConfigurationChange(True, msgspec.json.encode({**ground, "Base": 0})))
     while first not in cluster.acked:
         cluster.propose(first)
         cluster.run(0.5)
@@ -146,7 +147,7 @@
     for name, taken in cluster.taken.items():
         state_machine = StateMachine()
         for index, data in enumerate(taken, 1):
-            state_machine.take(index, data)
+            state_machine.apply(index, data)
         state = state_machine.state
         if lost := {each.id for each in drafts} - set(state.seen):
             cluster.break_(f"{name}: a draft that was kept is lost: {sorted(lost)}")
--- a/lapisgrade/lab/simulation/data_plane_mutants.py
+++ b/lapisgrade/lab/simulation/data_plane_mutants.py
@@ -6,7 +6,9 @@
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.controller import watch
 from lapisgrade.gateway.controller.leader_calls import LeaderCalls
-from lapisgrade.gateway.controller.state_machine import Answer, LiveProxies, ServerLeaving, StateMachine
+from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.controller.commands import LiveProxies, ServerLeaving
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.registry import Server
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.lab.explore import quota_defects
@@ -21,7 +23,8 @@
     """A new list of live proxies bears the fence of the one before."""
     state = self.state
     state.fence = state.fence or index
-    state.live_proxies, state.core, state.leaving = item.members, item.core, item.leaving
+    state.live_proxies = item.members
+    state.core, state.leaving = item.proxies_with_controller, item.terminating_proxies
 
 
 def _listed_as_up(self: Router, servers: list[Server], is_complete: bool) -> None:
@@ -36,9 +39,9 @@
     """A server's leaving is acknowledged by the leader's memory alone."""
     if not isinstance(item, ServerLeaving):
         return await _commit(self, item)
-    self.watch_service.watch.registry.mark_left(self.clock(), item.server, item.gone)
+    self.watch_service.watch.registry.mark_left(self.clock(), item.server, item.is_gone)
     self.watch_service.notify_watchers()
-    return rpc_messages.ForwardCallReply(Answer(200).status)
+    return rpc_messages.ForwardCallReply(ApplyResult(200).status)
 
 
 def _forgets_who_left(self: watch.Watch, now_us: int, departed: dict[str, bool]) -> None:
@@ -51,7 +54,7 @@
 OF_QUOTA = ("never-expires", "any-fence", "asks-nobody", "forgets-leases", "undivided")
 DEFECTS: Defects = {
     **{name: quota_defects.DEFECTS[name] for name in OF_QUOTA},
-    "old-fence": (StateMachine, "_take_live_proxies", _old_fence),
+    "old-fence": (StateMachine, "apply_live_proxies", _old_fence),
     "counted-out-too-soon": (watch, "PROXY_TIMEOUT_US", 400_000),
     "sends-to-draining": (Router, "update_servers", _listed_as_up),
     "leaving-not-logged": (LeaderCalls, "commit", _unlogged),
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -12,12 +12,12 @@
 from lapisgrade.lab.simulation.disk import Disk
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 from lapisgrade.gateway.consensus.messages import Entry
-from lapisgrade.gateway.controller.state_machine import Item, NewVersion
+from lapisgrade.gateway.controller.commands import LogCommand, NewVersion
 
 if TYPE_CHECKING:
     from lapisgrade.lab.simulation.cluster import Cluster, Machine, SimulatedController
 
-_ITEM = msgspec.msgpack.Decoder(Item)
+_ITEM = msgspec.msgpack.Decoder(LogCommand)
 
 
 class Invariants:
--- a/lapisgrade/lab/simulation/mutants.py
+++ b/lapisgrade/lab/simulation/mutants.py
@@ -29,9 +29,12 @@
 from lapisgrade.gateway.consensus.replication import Replication
 from lapisgrade.gateway.consensus.snapshots import SnapshotAssembly
 from lapisgrade.gateway.consensus.voter import Voter
-from lapisgrade.gateway.controller import node_recovery, state_machine
+from lapisgrade.gateway.configuration_delta import decode
+from lapisgrade.gateway.controller import node_recovery
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
-from lapisgrade.gateway.controller.state_machine import Answer, Change, StateMachine, NewVersion
+from lapisgrade.gateway.controller.change_validation import ApplyResult, ValidatedChange
+from lapisgrade.gateway.controller.commands import ConfigurationChange, NewVersion
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.log_writer import LogWriter
 from lapisgrade.gateway.settings import Settings
 
@@ -105,16 +108,16 @@
 
 
 _load = StateMachine.load
-_accept = StateMachine._accept
+_apply_new_version = StateMachine.apply_new_version
 
 
-def _any_base(self: StateMachine, item: NewVersion) -> Answer:
+def _any_base(self: StateMachine, item: NewVersion) -> ApplyResult:
     """A version is taken on top of any other."""
-    if item.encoded.ver <= self.state.ver or self.state.taken.get(item.encoded.ver) == item.change:
-        return _accept(self, item)
-    text = state_machine.decode(item.encoded, self.state.conf) if not item.encoded.base else self.state.conf
-    self._take_over(text, item.encoded.ver, item.change)
-    return Answer(200)
+    if item.encoded.ver <= self.state.ver or self.state.taken.get(item.encoded.ver) == item.change_digest:
+        return _apply_new_version(self, item)
+    text = decode(item.encoded, self.state.conf) if not item.encoded.base else self.state.conf
+    self.accept(text, item.encoded.ver, item.change_digest)
+    return ApplyResult(200)
 
 
 def _by_bytes(body: bytes) -> bytes:
@@ -122,30 +125,30 @@
     return configuration.blake2b(body, digest_size=16).digest()
 
 
-async def _at_once(self: ConsensusDriver, data: bytes) -> Answer | None:
+async def _at_once(self: ConsensusDriver, data: bytes) -> ApplyResult | None:
     """A change is confirmed as it is put into the log."""
-    return None if self.node.propose(data) is None else Answer(200)
+    return None if self.node.propose(data) is None else ApplyResult(200)
 
 
-async def _refuses_unknown(self: ConsensusDriver, data: bytes) -> Answer | None:
+async def _refuses_unknown(self: ConsensusDriver, data: bytes) -> ApplyResult | None:
     """A change without a majority yet is refused."""
     answer = await _propose(self, data)
-    return Answer(412, "no majority") if answer is None else answer
+    return ApplyResult(412, "no majority") if answer is None else answer
 
 
 _propose = ConsensusDriver.propose
 
 
-def _without_digest(self: StateMachine, change: Change) -> tuple[Answer, tuple[bytes, int] | None]:
+def _without_digest(self: StateMachine, change: ConfigurationChange) -> ValidatedChange:
     """One that was taken is judged as if it were new."""
     taken, self.state.taken = self.state.taken, {}
     try:
-        return _judge(self, change)
+        return _validate(self, change)
     finally:
         self.state.taken = taken
 
 
-_judge = StateMachine.judge
+_validate = StateMachine.validate
 
 # ---- members
 
@@ -277,11 +280,11 @@
 }
 ORDERS: Defects = {
     "digests-lost-in-snapshot": (StateMachine, "load", _not_remembered),
-    "taken-on-any-base": (StateMachine, "_accept", _any_base),
+    "taken-on-any-base": (StateMachine, "apply_new_version", _any_base),
     "digest-of-the-bytes": (configuration, "digest", _by_bytes),
     "confirmed-at-once": (ConsensusDriver, "propose", _at_once),
     "refused-while-unknown": (ConsensusDriver, "propose", _refuses_unknown),
-    "taken-judged-anew": (StateMachine, "judge", _without_digest),
+    "taken-judged-anew": (StateMachine, "validate", _without_digest),
 }
 MEMBERS: Defects = {
     "learner-counted": (Replication, "advance_commit", _counts_all),
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -12,7 +12,7 @@
 
 from lapisgrade.gateway import configuration, configuration_delta, registry, rpc, rpc_messages, settings
 from lapisgrade.gateway.consensus import messages, records
-from lapisgrade.gateway.controller import state_machine
+from lapisgrade.gateway.controller import commands, state
 from lapisgrade.gateway.membership import gossip, partial_view
 from lapisgrade.gateway.merge import fields as merge_fields
 from lapisgrade.gateway.merge import three_way
@@ -327,29 +327,31 @@
 }
 
 LOG_ENTRIES = {
-    "entry/change": Sample(state_machine.Change(whole=True, body=b"bytes-244"), state_machine.Item),
+    "entry/change": Sample(
+        commands.ConfigurationChange(replaces_all=True, body=b"bytes-244"), commands.LogCommand
+    ),
     "entry/new-version": Sample(
-        state_machine.NewVersion(
-            change=b"bytes-245",
+        commands.NewVersion(
+            change_digest=b"bytes-245",
             encoded=configuration_delta.EncodedVersion(
                 ver=1246, base=1247, digest=b"bytes-248", data=b"bytes-249"
             ),
         ),
-        state_machine.Item,
+        commands.LogCommand,
     ),
     "entry/server-leaving": Sample(
-        state_machine.ServerLeaving(server="text-250", gone=True), state_machine.Item
+        commands.ServerLeaving(server="text-250", is_gone=True), commands.LogCommand
     ),
     "entry/live-proxies": Sample(
-        state_machine.LiveProxies(
+        commands.LiveProxies(
             members={"text-252": ("text-253", "text-254", "text-255")},
-            core=["text-256", "text-257"],
-            leaving=["text-258", "text-259"],
+            proxies_with_controller=["text-256", "text-257"],
+            terminating_proxies=["text-258", "text-259"],
         ),
-        state_machine.Item,
+        commands.LogCommand,
     ),
     "entry/server-snapshot": Sample(
-        state_machine.ServerSnapshot(
+        commands.ServerSnapshot(
             servers=[
                 registry.Server(
                     id="text-260",
@@ -375,11 +377,11 @@
                 ),
             ]
         ),
-        state_machine.Item,
+        commands.LogCommand,
     ),
-    "entry/activate": Sample(state_machine.Activate(ver=1278), state_machine.Item),
+    "entry/activate": Sample(commands.Activate(version=1278), commands.LogCommand),
     "entry/merge-draft": Sample(
-        state_machine.MergeDraft(
+        commands.MergeDraft(
             draft=three_way.Draft(
                 id="text-279",
                 by="text-280",
@@ -403,9 +405,9 @@
                 ],
             )
         ),
-        state_machine.Item,
+        commands.LogCommand,
     ),
-    "entry/close-draft": Sample(state_machine.CloseDraft(id="text-295"), state_machine.Item),
+    "entry/close-draft": Sample(commands.CloseDraft(draft_id="text-295"), commands.LogCommand),
 }
 
 GOSSIP_MESSAGES = {
@@ -471,7 +473,7 @@
 
 SAVED_STATES = {
     "state/state": Sample(
-        state_machine.State(
+        state.State(
             conf=b"bytes-355",
             ver=1356,
             taken={1357: b"bytes-358"},
@@ -625,11 +627,11 @@
             prior_owners=["text-480", "text-481"],
             forgotten=1482,
         ),
-        state_machine.State,
+        state.State,
     ),
     "state/saved-state": Sample(
-        state_machine.SavedState(
-            state=state_machine.State(
+        state.SavedState(
+            state=state.State(
                 conf=b"bytes-483",
                 ver=1484,
                 taken={1485: b"bytes-486"},
@@ -796,7 +798,7 @@
                 )
             },
         ),
-        state_machine.SavedState,
+        state.SavedState,
     ),
 }
 
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -11,14 +11,14 @@
 from lapisgrade.gateway.cli.disk_report import DiskReport
 from lapisgrade.gateway.consensus.messages import Entry
 from lapisgrade.gateway.consensus.records import EntriesRecord, HardState, Record, SnapshotRecord
-from lapisgrade.gateway.controller.state_machine import (
+from lapisgrade.gateway.controller.commands import (
     Activate,
-    Change,
     CloseDraft,
+    ConfigurationChange,
     LiveProxies,
     MergeDraft,
     ServerLeaving,
-    encoded,
+    encode_command,
 )
 from lapisgrade.gateway.local_cluster import SAMPLE
 from lapisgrade.gateway.merge.three_way import drafted
@@ -33,12 +33,12 @@
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         log_store = LogStore(self.folder)
         log_store.recover()
-        change = encoded(Change(True, msgspec.json.encode(SAMPLE)))
+        change = encode_command(ConfigurationChange(True, msgspec.json.encode(SAMPLE)))
         rule = {**SAMPLE["Ports"][0]["Policy"][1], "Prio": 9}
         prio = {"Upsert": {"Ports": [{"Vhost": "a.example", "Policy": [rule]}]}}
         draft = drafted(CONF, prio, "amel", "m1")
         entries = [Entry(1, 1, b"", {"first": "10.0.0.1:7660"}), Entry(2, 1, change),
-                   Entry(3, 2, encoded(MergeDraft(draft)))]  # fmt: skip
+                   Entry(3, 2, encode_command(MergeDraft(draft)))]  # fmt: skip
         whole = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
         log_store.renew(msgspec.msgpack.encode(whole))
         records = (HardState(2, "first"), EntriesRecord(entries[1:]))
@@ -67,11 +67,14 @@
         old = [msgspec.msgpack.decode(each, type=Record) for each in log_store.recover()]
         gone = {"Del": {"Routes": ["r-stock"]}}
         late, again = ({"Ver": 4, "Base": 1, **gone}, {"Ver": 5, "Base": 2, **gone})
-        items = [*(Change(False, msgspec.json.encode(each)) for each in (late, again)), Activate(5)]
+        items = [
+            *(ConfigurationChange(False, msgspec.json.encode(each)) for each in (late, again)),
+            Activate(5),
+        ]
         items += [ServerLeaving("i-1", False), ServerLeaving("i-1", True)]
         items += [LiveProxies({name: ("p", "1", "z") for name in ("m1", "m2")}), CloseDraft("nobody")]
         entries = [*old[0].entries, *old[2].entries]
-        entries += [Entry(4 + number, 2, encoded(each)) for number, each in enumerate(items)]
+        entries += [Entry(4 + number, 2, encode_command(each)) for number, each in enumerate(items)]
         log_store.renew(msgspec.msgpack.encode(msgspec.structs.replace(old[0], entries=entries)))
         log_store.close()
         told = "\n".join(DiskReport(self.folder).history)
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -11,7 +11,8 @@
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.explore.activation import DEFECTS, MS, World, conf, explore
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.controller.state_machine import Activate, Change, LiveProxies, StateMachine, encoded
+from lapisgrade.gateway.controller.commands import Activate, ConfigurationChange, LiveProxies, encode_command
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.version_activation import (
     ACTIVATION_TIMEOUT_US,
     MERGED_VERSION_DELAY_US,
@@ -60,8 +61,8 @@
 
     def test_the_moment_waits_for_all_who_live_and_for_none_of_them_for_ever(self) -> None:
         state_machine = StateMachine()
-        state_machine.take(1, encoded(Change(True, conf(1, 0, 1))))
-        state_machine.take(2, encoded(LiveProxies({"a": ("p", "1", "z"), "b": ("p", "1", "z")})))
+        state_machine.apply(1, encode_command(ConfigurationChange(True, conf(1, 0, 1))))
+        state_machine.apply(2, encode_command(LiveProxies({"a": ("p", "1", "z"), "b": ("p", "1", "z")})))
         one = Watch(SECOND, 0)
         one.become_leader(0, 1, state_machine.state)
 
@@ -78,10 +79,10 @@
         asks(2 * MS, "b", 1)
         self.assertEqual(one.activation(3 * MS, state_machine.state), Activate(1))
         self.assertIsNone(one.activation(4 * MS, state_machine.state))  # it is under way
-        state_machine.take(3, encoded(Activate(1)))
+        state_machine.apply(3, encode_command(Activate(1)))
         self.assertEqual(state_machine.state.acting_ver, 1)
         # The next one meets a proxy that is silent: it comes into force when that one must doubt.
-        state_machine.take(4, encoded(Change(True, conf(2, 1, 2))))
+        state_machine.apply(4, encode_command(ConfigurationChange(True, conf(2, 1, 2))))
         self.assertIsNone(one.activation(SECOND, state_machine.state))
         asks(SECOND, "a", 2)
         self.assertIsNone(one.activation(SECOND + MISSED_VERSION_AFTER_US, state_machine.state))
@@ -89,12 +90,18 @@
 
     def test_what_was_refused_or_lost_its_race_is_never_held_nor_ordered(self) -> None:
         state_machine = StateMachine()
-        state_machine.take(1, encoded(Change(True, conf(1, 0, 1))))
+        state_machine.apply(1, encode_command(ConfigurationChange(True, conf(1, 0, 1))))
         answers = [
-            state_machine.take(2, encoded(Change(True, conf(2, 1, 2)))).status,
-            state_machine.take(3, encoded(Change(True, conf(3, 1, 3)))).status,  # on the same base
-            state_machine.take(4, encoded(Change(True, b'{"Ver":9,"Base":2,"Ports":7}'))).status,
-            state_machine.take(5, encoded(Change(True, conf(2, 1, 2)))).status,  # the same again
+            state_machine.apply(2, encode_command(ConfigurationChange(True, conf(2, 1, 2)))).status,
+            state_machine.apply(
+                3, encode_command(ConfigurationChange(True, conf(3, 1, 3)))
+            ).status,  # on the same base
+            state_machine.apply(
+                4, encode_command(ConfigurationChange(True, b'{"Ver":9,"Base":2,"Ports":7}'))
+            ).status,
+            state_machine.apply(
+                5, encode_command(ConfigurationChange(True, conf(2, 1, 2)))
+            ).status,  # the same again
         ]
         self.assertEqual(answers, [200, 412, 400, 200])
         self.assertEqual(list(state_machine.state.staged), [1, 2])
@@ -117,11 +124,11 @@
         for now in range(0, 4 * SECOND, 100 * MS):
             if now % (500 * MS) == 0:
                 ver = state_machine.state.ver + 1
-                state_machine.take(ver, encoded(Change(True, conf(ver, ver - 1, 1))))
+                state_machine.apply(ver, encode_command(ConfigurationChange(True, conf(ver, ver - 1, 1))))
             order = one.activation(now, state_machine.state)
             if order is not None:
-                moments[order.ver] = now
-                state_machine.take(100 + order.ver, encoded(order))
+                moments[order.version] = now
+                state_machine.apply(100 + order.version, encode_command(order))
         self.assertEqual(
             {ver: at - (ver - 1) * 500 * MS for ver, at in moments.items()},
             dict.fromkeys(range(1, 7), ACTIVATION_TIMEOUT_US),
--- a/tests/gateway/controller/test_proxy_list_feed.py
+++ b/tests/gateway/controller/test_proxy_list_feed.py
@@ -8,7 +8,8 @@
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.controller.watch_service import MAX_FAN_OUT_INTERVAL_US, fan_out_interval_us
 from lapisgrade.gateway.controller.proxy_list_feed import MAX_LISTS, ProxyListFeed
-from lapisgrade.gateway.controller.state_machine import LiveProxies, StateMachine, encoded
+from lapisgrade.gateway.controller.commands import LiveProxies, encode_command
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
 
 
@@ -27,7 +28,7 @@
         return msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=type(news)) if news else None
 
     def listed(self, fence: int, made: rpc_messages.ProxiesByName) -> None:
-        self.state_machine.take(fence, encoded(LiveProxies(made, [], [])))
+        self.state_machine.apply(fence, encode_command(LiveProxies(made, [], [])))
         self.told(fence)  # the leader looks at each list as it comes
 
     def test_whoever_has_any_earlier_list_ends_with_the_newest(self) -> None:
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from lapisgrade.gateway.controller.state_machine import (
-    Change,
+from lapisgrade.gateway.controller.commands import (
+    ConfigurationChange,
     ServerLeaving,
     ServerSnapshot,
-    StateMachine,
-    encoded,
+    encode_command,
 )
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.registry import Server
 from support.configurations import RULE, WHOLE, changed, with_action, with_rule
 
@@ -24,7 +24,7 @@
     def send(self, body: dict | bytes, whole: bool = True) -> tuple[int, str]:
         self.index += 1
         data = body if isinstance(body, bytes) else msgspec.json.encode(body)
-        answer = self.state_machine.take(self.index, encoded(Change(whole, data)))
+        answer = self.state_machine.apply(self.index, encode_command(ConfigurationChange(whole, data)))
         return answer.status, answer.wrong
 
     def shown(self) -> dict:
@@ -112,9 +112,9 @@
     def test_a_state_goes_through_a_snapshot(self):
         operator, other = Operator(), StateMachine()
         operator.send(WHOLE)
-        operator.state_machine.take(2, encoded(ServerLeaving("i-1", False)))
-        operator.state_machine.take(
-            3, encoded(ServerSnapshot([Server("i-2", "garantie", "10.0.0.1:80", "z", 2, "up", 4)]))
+        operator.state_machine.apply(2, encode_command(ServerLeaving("i-1", False)))
+        operator.state_machine.apply(
+            3, encode_command(ServerSnapshot([Server("i-2", "garantie", "10.0.0.1:80", "z", 2, "up", 4)]))
         )
         other.load(operator.state_machine.dump())
         self.assertEqual(other.state, operator.state_machine.state)
@@ -124,7 +124,7 @@
     def test_all_servers_of_a_large_deployment_may_leave_at_once(self):
         state_machine = StateMachine()
         for number in range(13_000):
-            state_machine.take(number, encoded(ServerLeaving(f"i-{number}", number % 2 == 0)))
+            state_machine.apply(number, encode_command(ServerLeaving(f"i-{number}", number % 2 == 0)))
         self.assertEqual(len(state_machine.state.left), 13_000)
         again = StateMachine()
         again.load(state_machine.dump())
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -11,14 +11,9 @@
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.merge.fields import built, fields, ops
 from lapisgrade.gateway.merge.three_way import Draft, drafted, forced, merge_drafts, told
-from lapisgrade.gateway.controller.state_machine import (
-    MOST_DRAFTS,
-    MergeDraft,
-    Change,
-    CloseDraft,
-    StateMachine,
-    encoded,
-)
+from lapisgrade.gateway.controller.commands import CloseDraft, ConfigurationChange, MergeDraft, encode_command
+from lapisgrade.gateway.controller.draft_merging import MAX_DRAFTS
+from lapisgrade.gateway.controller.state_machine import StateMachine
 
 CLAIM, SCRIPT = "r-claim", "r-script"
 
@@ -203,16 +198,18 @@
 
     def state_machine(self) -> StateMachine:
         state_machine = StateMachine()
-        change = Change(True, msgspec.json.encode({**GROUND, "Base": 0}))
-        self.assertEqual(state_machine.take(1, encoded(change)).status, 200)
+        change = ConfigurationChange(True, msgspec.json.encode({**GROUND, "Base": 0}))
+        self.assertEqual(state_machine.apply(1, encode_command(change)).status, 200)
         return state_machine
 
     def test_a_merged_version_is_held_ready_and_forced_like_any_other_under_a_fence(self) -> None:
         state_machine = self.state_machine()
         one = draft(put(route(CLAIM, "/claim/", svc="b")))
-        self.assertEqual(state_machine.take(2, encoded(MergeDraft(one))).status, 200)
+        self.assertEqual(state_machine.apply(2, encode_command(MergeDraft(one))).status, 200)
         self.assertEqual((state_machine.state.ver, state_machine.state.merged), (5, [5]))
-        self.assertEqual(state_machine.take(3, encoded(MergeDraft(one))).status, 200)  # a neighbour's copy
+        self.assertEqual(
+            state_machine.apply(3, encode_command(MergeDraft(one))).status, 200
+        )  # a neighbour's copy
         self.assertEqual(state_machine.state.ver, 5)
         self.assertEqual([each.id for each, _ in state_machine.open_drafts().values()], [one.id])
 
@@ -221,44 +218,55 @@
         one = draft(put(route(CLAIM, "/claim/", svc="b")))
         change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
         self.assertEqual(
-            state_machine.take(2, encoded(Change(False, msgspec.json.encode(change)))).status, 200
+            state_machine.apply(
+                2, encode_command(ConfigurationChange(False, msgspec.json.encode(change)))
+            ).status,
+            200,
         )
-        state_machine.take(3, encoded(MergeDraft(one)))
+        state_machine.apply(3, encode_command(MergeDraft(one)))
         # nothing of it stands
         self.assertEqual((state_machine.state.ver, state_machine.state.merged), (6, []))
         change = {"Ver": 9, "Base": 6, "Upsert": {"Pools": [{"Name": "d"}]}}
         self.assertEqual(
-            state_machine.take(4, encoded(Change(False, msgspec.json.encode(change)))).status, 200
+            state_machine.apply(
+                4, encode_command(ConfigurationChange(False, msgspec.json.encode(change)))
+            ).status,
+            200,
         )
         again = StateMachine()
         again.load(state_machine.dump())
         for each in (state_machine, again):
             self.assertTrue(each.open_drafts()[one.id][1].open)
-            self.assertEqual(each.take(5, encoded(CloseDraft(one.id))).status, 200)
+            self.assertEqual(each.apply(5, encode_command(CloseDraft(one.id))).status, 200)
             self.assertEqual(each.open_drafts(), {})
-            self.assertEqual(each.take(6, encoded(CloseDraft(one.id))).status, 404)
+            self.assertEqual(each.apply(6, encode_command(CloseDraft(one.id))).status, 404)
             # a late copy opens nothing again
-            self.assertEqual(each.take(7, encoded(MergeDraft(one))).status, 200)
+            self.assertEqual(each.apply(7, encode_command(MergeDraft(one))).status, 200)
             self.assertEqual(each.open_drafts(), {})
 
     def test_a_change_on_an_older_version_than_the_merged_one_loses_its_race(self) -> None:
         state_machine = self.state_machine()
-        state_machine.take(2, encoded(MergeDraft(draft(put(route(CLAIM, "/claim/", svc="b"))))))
+        state_machine.apply(2, encode_command(MergeDraft(draft(put(route(CLAIM, "/claim/", svc="b"))))))
         change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
         self.assertEqual(
-            state_machine.take(3, encoded(Change(False, msgspec.json.encode(change)))).status, 412
+            state_machine.apply(
+                3, encode_command(ConfigurationChange(False, msgspec.json.encode(change)))
+            ).status,
+            412,
         )
 
     def test_a_flood_of_drafts_and_one_that_is_none_are_refused_plainly(self) -> None:
         state_machine = self.state_machine()
-        drafts = [draft(put(route(CLAIM, "/claim/", Prio=i)), f"e{i}") for i in range(MOST_DRAFTS + 1)]
-        answers = [state_machine.take(2 + i, encoded(MergeDraft(each))) for i, each in enumerate(drafts)]
-        self.assertEqual([each.status for each in answers], [200] * MOST_DRAFTS + [409])
+        drafts = [draft(put(route(CLAIM, "/claim/", Prio=i)), f"e{i}") for i in range(MAX_DRAFTS + 1)]
+        answers = [
+            state_machine.apply(2 + i, encode_command(MergeDraft(each))) for i, each in enumerate(drafts)
+        ]
+        self.assertEqual([each.status for each in answers], [200] * MAX_DRAFTS + [409])
         before = state_machine.dump()
         for bad in ([["Routes"], True, None, False, None], [["Ports", "x"], False, None, True, 7],
                     [["Routes", "x", "Action"], False, None, True, 7]):  # fmt: skip
             data = msgspec.msgpack.encode(["b", ["id", "by", "at", 4, [bad]]])
-            self.state_machine().take(2, data)  # no traceback, on any controller
+            self.state_machine().apply(2, data)  # no traceback, on any controller
         self.assertEqual(state_machine.dump(), before)
 
 
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -5,7 +5,8 @@
 import msgspec
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.controller.state_machine import LiveProxies, StateMachine, encoded
+from lapisgrade.gateway.controller.commands import LiveProxies, encode_command
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import PROXY_LIST_INTERVAL_US, Watch
 from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.owner import QuotaOwner
@@ -244,11 +245,13 @@
 
         for name in self.names:
             ask(name, PROXY_LIST_INTERVAL_US)
-        state_machine.take(5, encoded(watch.live_proxies(PROXY_LIST_INTERVAL_US, state_machine.state)))
+        state_machine.apply(
+            5, encode_command(watch.live_proxies(PROXY_LIST_INTERVAL_US, state_machine.state))
+        )
         ask(self.last, 2 * PROXY_LIST_INTERVAL_US, leaving=True)
         order = watch.live_proxies(2 * PROXY_LIST_INTERVAL_US, state_machine.state)
         self.assertEqual(order, LiveProxies(members(self.names), [], [self.last]))
-        state_machine.take(6, encoded(order))
+        state_machine.apply(6, encode_command(order))
         state = state_machine.state
         self.assertEqual((state.prior, state.prior_owners), (5, self.names))
         owners = eligible_owners(state.live_proxies, state.core, state.leaving)
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -11,14 +11,10 @@
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
 from lapisgrade.gateway.controller.configuration_feed import MAX_TEXTS, ConfigurationFeed
 from lapisgrade.gateway.proxy.watch_target import WatchTarget
-from lapisgrade.gateway.controller.state_machine import (
-    Answer,
-    Change,
-    StateMachine,
-    NewVersion,
-    SavedState,
-    encoded,
-)
+from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.controller.commands import ConfigurationChange, NewVersion, encode_command
+from lapisgrade.gateway.controller.state import SavedState
+from lapisgrade.gateway.controller.state_machine import PreparedChange, StateMachine
 from lapisgrade.gateway.membership.partial_view import PartialView
 
 
@@ -39,10 +35,15 @@
         sizes = []
         for routes in (100, 2000):
             state_machine = StateMachine()
-            state_machine.take(
-                1, encoded(Change(True, msgspec.json.encode({**sample_configuration(routes, 5), "Base": 0})))
+            state_machine.apply(
+                1,
+                encode_command(
+                    ConfigurationChange(
+                        True, msgspec.json.encode({**sample_configuration(routes, 5), "Base": 0})
+                    )
+                ),
             )
-            sizes.append(len(encoded(state_machine.accepted(changed(7))[1])))
+            sizes.append(len(encode_command(state_machine.prepare(changed(7)).command)))
         self.assertLess(max(sizes), 400)
         self.assertLess(abs(sizes[0] - sizes[1]), 40)
 
@@ -89,51 +90,55 @@
 
     def setUp(self) -> None:
         self.state_machine = StateMachine()
-        self.first = Change(True, msgspec.json.encode({**sample_configuration(5, 2), "Base": 0}))
-        self.state_machine.take(1, encoded(self.state_machine.accepted(self.first)[1]))
+        self.first = ConfigurationChange(True, msgspec.json.encode({**sample_configuration(5, 2), "Base": 0}))
+        self.state_machine.apply(1, encode_command(self.state_machine.prepare(self.first).command))
 
     def test_two_that_were_judged_on_one_base_are_not_both_taken(self) -> None:
         one, other = (
-            self.state_machine.accepted(Change(False, msgspec.json.encode({"Ver": ver, "Base": 7})))[1]
+            self.state_machine.prepare(
+                ConfigurationChange(False, msgspec.json.encode({"Ver": ver, "Base": 7}))
+            ).command
             for ver in (8, 9)
         )
-        self.assertEqual(self.state_machine.take(2, encoded(one)), Answer(200))
-        self.assertEqual(self.state_machine.take(3, encoded(other)).status, 412)
-        self.assertEqual(self.state_machine.take(4, encoded(one)), Answer(200))  # the same again
+        self.assertEqual(self.state_machine.apply(2, encode_command(one)), ApplyResult(200))
+        self.assertEqual(self.state_machine.apply(3, encode_command(other)).status, 412)
+        self.assertEqual(self.state_machine.apply(4, encode_command(one)), ApplyResult(200))  # the same again
         self.assertEqual(self.state_machine.state.ver, 8)
 
     def test_two_under_one_number_are_told_apart(self) -> None:
         bodies = [{"Ver": 8, "Base": 7, "Upsert": {"Pools": [{"Name": name}]}} for name in ("x", "y")]
-        changes = [Change(False, msgspec.json.encode(body)) for body in bodies]
-        one, other = (self.state_machine.accepted(change)[1] for change in changes)
-        self.assertEqual(self.state_machine.take(2, encoded(one)), Answer(200))
-        self.assertEqual(self.state_machine.take(3, encoded(other)).status, 412)
-        self.assertEqual(self.state_machine.accepted(changes[0])[0], Answer(200))
-        self.assertEqual(self.state_machine.accepted(changes[1])[0].status, 412)
+        changes = [ConfigurationChange(False, msgspec.json.encode(body)) for body in bodies]
+        one, other = (self.state_machine.prepare(change).command for change in changes)
+        self.assertEqual(self.state_machine.apply(2, encode_command(one)), ApplyResult(200))
+        self.assertEqual(self.state_machine.apply(3, encode_command(other)).status, 412)
+        self.assertEqual(self.state_machine.prepare(changes[0]).result, ApplyResult(200))
+        self.assertEqual(self.state_machine.prepare(changes[1]).result.status, 412)
 
     def test_one_that_was_taken_is_known_after_hundreds_of_others_a_snapshot_and_in_other_clothes(
         self,
     ) -> None:
         for ver in range(8, 900):
-            change = Change(False, msgspec.json.encode({"Ver": ver, "Base": ver - 1}))
-            self.state_machine.take(ver, encoded(self.state_machine.accepted(change)[1]))
+            change = ConfigurationChange(False, msgspec.json.encode({"Ver": ver, "Base": ver - 1}))
+            self.state_machine.apply(ver, encode_command(self.state_machine.prepare(change).command))
         again = StateMachine()
         again.load(self.state_machine.dump())
         respelt = msgspec.json.format(msgspec.json.encode({"Base": 8, "Ver": 9}), indent=2)
-        self.assertEqual(again.accepted(Change(False, respelt)), (Answer(200), None))
-        self.assertEqual(again.accepted(self.first), (Answer(200), None))
-        self.assertEqual(again.accepted(Change(True, respelt))[0].status, 412)  # that one is another kind
+        self.assertEqual(again.prepare(ConfigurationChange(False, respelt)), PreparedChange(ApplyResult(200)))
+        self.assertEqual(again.prepare(self.first), PreparedChange(ApplyResult(200)))
+        self.assertEqual(
+            again.prepare(ConfigurationChange(True, respelt)).result.status, 412
+        )  # that one is another kind
 
     def test_one_too_long_ago_gets_no_clear_answer(self) -> None:
         state = self.state_machine.state
         state.forgotten, state.ver = 700, 900
-        old = Change(False, msgspec.json.encode({"Ver": 650, "Base": 649}))
-        self.assertEqual(self.state_machine.accepted(old)[0].status, 504)
+        old = ConfigurationChange(False, msgspec.json.encode({"Ver": 650, "Base": 649}))
+        self.assertEqual(self.state_machine.prepare(old).result.status, 504)
 
     def test_a_snapshot_holds_one_text_and_the_others_as_deltas(self) -> None:
         for ver in range(8, 14):
-            change = Change(False, msgspec.json.encode({"Ver": ver, "Base": ver - 1}))
-            self.state_machine.take(ver, encoded(self.state_machine.accepted(change)[1]))
+            change = ConfigurationChange(False, msgspec.json.encode({"Ver": ver, "Base": ver - 1}))
+            self.state_machine.apply(ver, encode_command(self.state_machine.prepare(change).command))
         data, state = self.state_machine.dump(), self.state_machine.state
         self.assertLess(len(data), 2 * len(state.conf))
         again = StateMachine()
@@ -148,7 +153,7 @@
 
     def test_what_the_log_holds_is_what_the_operator_sent(self) -> None:
         self.assertEqual(msgspec.json.decode(self.state_machine.state.conf), sample_configuration(5, 2))
-        self.assertIsInstance(self.state_machine.accepted(changed(7))[1], NewVersion)
+        self.assertIsInstance(self.state_machine.prepare(changed(7)).command, NewVersion)
 
 
 class Reader(unittest.TestCase):
