--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -34,9 +34,10 @@
 from random import Random
 
 from lapisgrade.gateway.configuration import Rule
-from lapisgrade.gateway.routing.balancer import UpstreamAttempt, UpstreamCluster, UpstreamServer
+from lapisgrade.gateway.routing.balancer import UpstreamCluster
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
+from lapisgrade.gateway.routing.upstream_server import UpstreamAttempt, UpstreamServer
 from lapisgrade.interface import (
     AttemptFinished,
     AttemptOutcome,
@@ -117,21 +118,18 @@
         while True:
             now_us = self._clock.now_us
             usual_us = self._latency.mean(now_us)
-            server = None if self._state is State.WAITING else self._select_server(now_us, usual_us)
+            server = self._select_server(now_us, usual_us)
             if server is not None:
                 yield Send(self._start_attempt(server, now_us))
                 self._schedule_hedge(now_us, usual_us)
-            elif self._state is State.SELECTING:
-                if not self._may_queue(now_us):
-                    break
-                event = yield Sleep(min(now_us + QUEUE_POLL_US, self._queue_until_us))
-                if event is WakeReason.CLIENT_GONE:
-                    return
-                continue
+            elif self._state is State.SELECTING and not self._may_queue(now_us):
+                break
 
-            event = yield Sleep(self._next_timer_us())
+            event = yield Sleep(self._next_timer_us(now_us))
             if event is WakeReason.CLIENT_GONE:
                 return
+            if self._state is State.SELECTING:
+                continue  # still queued: look for a server again
             if isinstance(event, AttemptFinished):
                 if event.result.is_final:
                     return
@@ -155,8 +153,10 @@
         """When an attempt is too late, as its answer would no longer reach the client in time."""
         return self._request.deadline_us - RESPONSE_MARGIN_US
 
-    def _next_timer_us(self) -> int:
-        """Until when to sleep while attempts are in flight: the next hedge or the request's deadline."""
+    def _next_timer_us(self, now_us: int) -> int:
+        """Until when to sleep: the next search for a server, the next hedge or the request's deadline."""
+        if self._state is State.SELECTING:
+            return min(now_us + QUEUE_POLL_US, self._queue_until_us)
         if self._request.is_idempotent:
             return min(self._hedge_us, self._request.deadline_us)
         return self._request.deadline_us
@@ -179,7 +179,9 @@
         )
 
     def _select_server(self, now_us: int, usual_us: float) -> UpstreamServer | None:
-        """The server of the next attempt, paid for; None where none may take one now."""
+        """The server of the next attempt, paid for; None where none is wanted, or none may take one now."""
+        if self._state is State.WAITING:
+            return None
         in_flight = len(self._in_flight())
         if not self._has_attempts_left(in_flight):
             return None
