--- a/lapisgrade/gateway/controller/change_validation.py
+++ b/lapisgrade/gateway/controller/change_validation.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from lapisgrade.errors import LapisgradeError
-from lapisgrade.gateway import configuration
+from lapisgrade.gateway import configuration, configuration_change
 from lapisgrade.gateway.controller.commands import ConfigurationChange
 from lapisgrade.gateway.controller.state import State
 from lapisgrade.gateway.errors import InvalidInputError
@@ -71,7 +71,7 @@
 
 
 def _decode(change: ConfigurationChange) -> dict[str, Any]:
-    if len(change.body) > configuration.MOST_BYTES:
+    if len(change.body) > configuration.MAX_BYTES:
         raise _RejectedChangeError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the configuration is too long")
     try:
         fields = msgspec.json.decode(change.body)
@@ -107,7 +107,7 @@
             made = {name: value for name, value in fields.items() if name != "Base"}
         else:
             current = msgspec.json.decode(state.conf) if state.conf else {}
-            made = configuration.updated(current, fields)
+            made = configuration_change.apply_change(current, fields)
         configuration.read(made)
     except (InvalidInputError, KeyError, TypeError, AttributeError) as error:
         raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, str(error)) from None
--- a/lapisgrade/gateway/controller/commands.py
+++ b/lapisgrade/gateway/controller/commands.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lapisgrade.gateway import configuration
+from lapisgrade.gateway import configuration_change
 from lapisgrade.gateway.configuration_delta import EncodedVersion
 from lapisgrade.gateway.merge.three_way import Draft
 from lapisgrade.gateway.registry import Server
@@ -27,7 +27,7 @@
     @property
     def digest(self) -> bytes:
         """Identifies the change by its meaning; raises msgspec.DecodeError where it has none."""
-        return configuration.digest(self.body) + (b"w" if self.replaces_all else b"u")
+        return configuration_change.digest(self.body) + (b"w" if self.replaces_all else b"u")
 
 
 class NewVersion(msgspec.Struct, array_like=True, tag="v", frozen=True):
