--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -166,10 +166,10 @@
 
 def main(options: DemoOptions) -> int:
     """Run the demo on the limiter's own event loop; returns its exit code."""
-    from lapisgrade.net import loop
+    from lapisgrade.net import event_loop
 
     try:
-        with asyncio.Runner(loop_factory=loop.new) as runner:
+        with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
             return runner.run(run(options))
     except OSError as error:
         click.echo(f"the demo could not start: {error.strerror or error}", err=True)
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -130,7 +130,7 @@
         return CloseReason.CONNECTION_REFUSED
 
     def _finish(self, task: Task, reason: CloseReason, total: float = 0.0) -> None:
-        self._host.put(CounterCallFinished(task, reason, total))
+        self._host.enqueue(CounterCallFinished(task, reason, total))
 
     def _finish_with_reply(
         self, task: Task, request: rpc_messages.QuotaRequest, reply: rpc_messages.QuotaReply
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -9,7 +9,7 @@
 
 from lapisgrade import policy
 from lapisgrade.interface import Operation, RepeatSafety, ServerState
-from lapisgrade.net import discovery, service
+from lapisgrade.net import discovery_client, service
 from lapisgrade.policy import limiter
 from lapisgrade.settings import Fields
 
@@ -39,7 +39,7 @@
 
 def deaf() -> None:
     """News of servers that drain is not heard (rule 3)."""
-    discovery.STATES["terminating"] = ServerState.READY
+    discovery_client.STATES["terminating"] = ServerState.READY
 
 
 def unmetered() -> None:
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -68,11 +68,11 @@
     @contextlib.asynccontextmanager
     async def member(service: Service) -> AsyncIterator[None]:
         def on_change(update: Update) -> None:
-            service.say(f"limiter {update.name} {STATE_PHRASES[MemberState(update.state)]}")
+            service.log(f"limiter {update.name} {STATE_PHRASES[MemberState(update.state)]}")
             service.counts["members alive"] = len(host.core.alive()) if host.core is not None else 1
 
         # Chance of its own, the same for the same name: what the decisions draw is not touched.
-        host = Host(name[:MAX_NAME_LENGTH], service.say, on_change, zlib.crc32(name.encode()))
+        host = Host(name[:MAX_NAME_LENGTH], service.log, on_change, zlib.crc32(name.encode()))
         host.udp.counts = service.counts
         try:
             await host.open(*site.listen, list(site.seeds), site.reached_at)
