--- a/tests/gateway/consensus/test_cluster.py
+++ b/tests/gateway/consensus/test_cluster.py
@@ -6,7 +6,7 @@
 from lapisgrade.lab.explore.cluster import Cluster
 
 
-def test_all_that_were_killed_together_have_a_leader_again_at_once():
+def test_nodes_killed_together_elect_a_leader_at_once_after_their_restart():
     """And one whose earlier life may hold up a lease does not vote while a voter is not heard."""
     cluster = Cluster(5)
     cluster.run(2)
@@ -32,7 +32,7 @@
         assert len(leased) <= 1
 
 
-def test_an_empty_disk_does_not_vote_before_it_is_let_in():
+def test_an_empty_disk_does_not_vote_before_it_is_a_member():
     cluster = Cluster(1)
     cluster.run(2)
     cluster.propose(b"x")
@@ -46,7 +46,7 @@
     assert cluster.leader() == ""  # two of three disks are lost: nobody may pretend to know
 
 
-def test_a_lost_controller_is_replaced_by_an_empty_one_elsewhere_and_may_come_back():
+def test_a_lost_node_is_replaced_by_an_empty_one_and_may_come_back():
     cluster = Cluster(2)
     cluster.run(2)
     cluster.propose(b"x")
@@ -63,7 +63,7 @@
     assert gone in cluster.controllers[cluster.leader()].voters
 
 
-def test_a_leader_that_ends_in_order_hands_over_at_once():
+def test_a_leader_that_shuts_down_gracefully_transfers_leadership_at_once():
     cluster = Cluster(6)
     cluster.run(2)
     cluster.propose(b"x")
@@ -79,7 +79,7 @@
     assert b"y" in cluster.acked
 
 
-def test_a_leader_that_nobody_hears_says_nothing_any_more():
+def test_a_leader_that_reaches_nobody_steps_down():
     cluster = Cluster(3)
     cluster.run(2)
     old = cluster.leader()
@@ -91,7 +91,7 @@
     assert cluster.leader() not in ("", old)
 
 
-def test_a_snapshot_reaches_a_controller_that_lacks_the_entries():
+def test_a_snapshot_reaches_a_node_that_lacks_the_entries():
     with mock.patch.object(compaction, "MAX_LOG_ENTRIES", 8):
         cluster = Cluster(4)
         cluster.run(2)
--- a/tests/gateway/consensus/test_follower.py
+++ b/tests/gateway/consensus/test_follower.py
@@ -8,51 +8,51 @@
 )
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import EntriesRecord, SnapshotRecord
-from support.consensus_nodes import NOW, VOTERS, append, node, sync, taken
+from support.consensus_nodes import NOW, VOTERS, append_entries, new_node, sync_disk, take_effects
 
 
-def test_a_start_counts_nothing_as_on_disk_before_it_has_written_it_anew() -> None:
+def test_recovered_entries_are_durable_only_once_written_again() -> None:
     first = SnapshotRecord("a", 3, "b", 0, 0, VOTERS, b"", [Entry(1, 3)])
     records = [first, EntriesRecord([Entry(2, 3, b"x")], 1)]
-    one = Node.recover(records, VOTERS["a"], Random(1), NOW)
-    assert (one.log.last_index, one.state.durable_index, one.commit_index) == (2, 0, 1)
-    assert [each.index for each in taken(one).committed] == [1]
-    one.receive(NOW, append(3, (2, 3), []))
-    assert taken(one).sends[-1][1].match_index == 0
-    one.on_write_durable(NOW, 2, 3)
-    assert taken(one).sends[-1][1].match_index == 2
-
-
-def test_entries_of_another_leader_go_with_all_after_them() -> None:
-    one = node()
-    one.receive(NOW, append(3, (0, 0), [Entry(1, 3), Entry(2, 3, b"old"), Entry(3, 3)]))
-    sync(one)
-    assert one.state.durable_index == 3
-    one.receive(NOW, append(4, (1, 3), [Entry(2, 4, b"new")]))
-    assert [(each.index, each.term) for each in one.log.entries] == [(1, 3), (2, 4)]
-    assert one.state.durable_index == 1
-
-
-def test_an_earlier_message_that_comes_again_takes_nothing_away() -> None:
-    one = node()
-    first = append(3, (0, 0), [Entry(1, 3)])
-    one.receive(NOW, first)
-    one.receive(NOW, append(3, (1, 3), [Entry(2, 3)], 2))
-    one.receive(NOW, first)
-    assert (one.log.last_index, one.commit_index) == (2, 2)
-
-
-def test_it_refuses_what_does_not_join_its_log_and_what_is_no_leader_s_message() -> None:
-    one = node()
-    one.receive(NOW, append(3, (4, 3), [Entry(5, 3)]))
-    assert not taken(one).sends[-1][1].success
-    one.receive(NOW, append(3, (0, 0), [Entry(1, 3), Entry(7, 3)]))
-    assert one.log.last_index == 0
-
-
-def test_a_learner_that_hears_nobody_looks_for_the_leader_anew() -> None:
-    one = node("z", {})
-    one.receive(NOW, AppendEntries(3, "b", VOTERS["b"], "z", 0, 0, 0, 1))
-    assert one.leader == "b"
-    one.tick(one.next_tick_us)
-    assert (one.leader, one.leader_address) == ("", "")
+    node = Node.recover(records, VOTERS["a"], Random(1), NOW)
+    assert (node.log.last_index, node.state.durable_index, node.commit_index) == (2, 0, 1)
+    assert [each.index for each in take_effects(node).committed] == [1]
+    node.receive(NOW, append_entries(3, (2, 3), []))
+    assert take_effects(node).sends[-1][1].match_index == 0
+    node.on_write_durable(NOW, 2, 3)
+    assert take_effects(node).sends[-1][1].match_index == 2
+
+
+def test_conflicting_entries_are_removed_with_all_that_follow() -> None:
+    node = new_node()
+    node.receive(NOW, append_entries(3, (0, 0), [Entry(1, 3), Entry(2, 3, b"old"), Entry(3, 3)]))
+    sync_disk(node)
+    assert node.state.durable_index == 3
+    node.receive(NOW, append_entries(4, (1, 3), [Entry(2, 4, b"new")]))
+    assert [(each.index, each.term) for each in node.log.entries] == [(1, 3), (2, 4)]
+    assert node.state.durable_index == 1
+
+
+def test_a_repeated_earlier_message_removes_nothing() -> None:
+    node = new_node()
+    first = append_entries(3, (0, 0), [Entry(1, 3)])
+    node.receive(NOW, first)
+    node.receive(NOW, append_entries(3, (1, 3), [Entry(2, 3)], 2))
+    node.receive(NOW, first)
+    assert (node.log.last_index, node.commit_index) == (2, 2)
+
+
+def test_rejects_entries_after_a_gap_and_malformed_messages() -> None:
+    node = new_node()
+    node.receive(NOW, append_entries(3, (4, 3), [Entry(5, 3)]))
+    assert not take_effects(node).sends[-1][1].success
+    node.receive(NOW, append_entries(3, (0, 0), [Entry(1, 3), Entry(7, 3)]))
+    assert node.log.last_index == 0
+
+
+def test_a_learner_without_heartbeats_forgets_the_leader() -> None:
+    node = new_node("z", {})
+    node.receive(NOW, AppendEntries(3, "b", VOTERS["b"], "z", 0, 0, 0, 1))
+    assert node.leader == "b"
+    node.tick(node.next_tick_us)
+    assert (node.leader, node.leader_address) == ("", "")
--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -10,74 +10,74 @@
 from lapisgrade.gateway.consensus.timing import LEASE_US
 from lapisgrade.lab.explore.defects import switched
 from lapisgrade.lab.simulation.mutants import BY_RULE
-from support.consensus_nodes import VOTERS, leader, node, reply, sync, taken
-
-
-def test_it_commits_by_an_entry_of_its_own_term_alone() -> None:
-    one = node()
-    one.log.append([Entry(1, 1, b"x")])
-    one.state.term = 1
-    one.tick(one.next_tick_us)
-    asked = taken(one).sends[0][1]
-    one.receive(one.state.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.pre_vote_round))
-    sync(one)
-    one.receive(one.state.now_us, RequestVoteReply(2, "b", True, False))
-    sync(one)
-    reply(one, "b", 1)
-    assert (one.commit_index, one.has_committed_in_term) == (0, False)
-    reply(one, "b", 2)
-    assert (one.commit_index, one.has_committed_in_term) == (2, True)
-
-
-def test_its_own_disk_counts_once_it_has_the_entry() -> None:
-    one = leader()
-    reply(one, "b", one.log.last_index)
-    one.propose(b"x")
-    reply(one, "b", one.log.last_index)
-    assert one.commit_index < one.log.last_index
-    sync(one)
-    assert one.commit_index == one.log.last_index
-
-
-def test_its_lease_runs_from_when_it_asked() -> None:
-    one = leader()
-    sent = one.state.now_us
-    one.state.now_us += 200_000
-    reply(one, "b", one.log.last_index, sent_us=sent)
-    assert one.has_lease()
-    one.state.now_us = sent + LEASE_US + 1
-    assert not one.has_lease()
-
-
-def test_a_learner_holds_up_neither_lease_nor_commit() -> None:
-    one = leader()
-    one.receive(one.state.now_us, JoinRequest("z", "10.0.0.9:1"))
-    reply(one, "z", one.log.last_index)
-    assert one.commit_index == 0
-    one.state.now_us += LEASE_US + 1
-    reply(one, "z", one.log.last_index)
-    assert not one.has_lease()
-
-
-def test_no_change_of_voters_before_an_entry_of_its_own_is_committed() -> None:
-    one = leader()
-    one.receive(one.state.now_us, JoinRequest("z", "10.0.0.9:1"))
-    reply(one, "z", one.log.last_index)
-    one.tick(one.next_tick_us)
-    assert one.voters == VOTERS
-    reply(one, "b", one.log.last_index)
-    one.tick(one.next_tick_us)
-    assert "z" in one.voters
-
-
-def test_it_ends_when_a_majority_is_not_heard() -> None:
-    one = leader()
-    reply(one, "b", one.log.last_index)
+from support.consensus_nodes import VOTERS, elected_leader, new_node, append_reply, sync_disk, take_effects
+
+
+def test_commits_only_through_an_entry_of_its_own_term() -> None:
+    node = new_node()
+    node.log.append([Entry(1, 1, b"x")])
+    node.state.term = 1
+    node.tick(node.next_tick_us)
+    asked = take_effects(node).sends[0][1]
+    node.receive(node.state.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.pre_vote_round))
+    sync_disk(node)
+    node.receive(node.state.now_us, RequestVoteReply(2, "b", True, False))
+    sync_disk(node)
+    append_reply(node, "b", 1)
+    assert (node.commit_index, node.has_committed_in_term) == (0, False)
+    append_reply(node, "b", 2)
+    assert (node.commit_index, node.has_committed_in_term) == (2, True)
+
+
+def test_counts_its_own_disk_once_the_entry_is_durable() -> None:
+    node = elected_leader()
+    append_reply(node, "b", node.log.last_index)
+    node.propose(b"x")
+    append_reply(node, "b", node.log.last_index)
+    assert node.commit_index < node.log.last_index
+    sync_disk(node)
+    assert node.commit_index == node.log.last_index
+
+
+def test_its_lease_runs_from_when_the_request_was_sent() -> None:
+    node = elected_leader()
+    sent = node.state.now_us
+    node.state.now_us += 200_000
+    append_reply(node, "b", node.log.last_index, sent_us=sent)
+    assert node.has_lease()
+    node.state.now_us = sent + LEASE_US + 1
+    assert not node.has_lease()
+
+
+def test_a_learner_extends_neither_lease_nor_commit_index() -> None:
+    node = elected_leader()
+    node.receive(node.state.now_us, JoinRequest("z", "10.0.0.9:1"))
+    append_reply(node, "z", node.log.last_index)
+    assert node.commit_index == 0
+    node.state.now_us += LEASE_US + 1
+    append_reply(node, "z", node.log.last_index)
+    assert not node.has_lease()
+
+
+def test_no_membership_change_before_an_entry_of_its_own_term_is_committed() -> None:
+    node = elected_leader()
+    node.receive(node.state.now_us, JoinRequest("z", "10.0.0.9:1"))
+    append_reply(node, "z", node.log.last_index)
+    node.tick(node.next_tick_us)
+    assert node.voters == VOTERS
+    append_reply(node, "b", node.log.last_index)
+    node.tick(node.next_tick_us)
+    assert "z" in node.voters
+
+
+def test_steps_down_when_no_majority_replies() -> None:
+    node = elected_leader()
+    append_reply(node, "b", node.log.last_index)
     for _ in range(6):
-        one.tick(one.next_tick_us)
-    assert not one.is_leader
+        node.tick(node.next_tick_us)
+    assert not node.is_leader
 
 
-def test_a_change_before_an_entry_of_its_own_is_found() -> None:
+def test_a_membership_change_before_that_entry_is_detected() -> None:
     with switched(BY_RULE, "change-before-own-entry"), pytest.raises(AssertionError):
-        test_no_change_of_voters_before_an_entry_of_its_own_is_committed()
+        test_no_membership_change_before_an_entry_of_its_own_term_is_committed()
--- a/tests/gateway/consensus/test_membership.py
+++ b/tests/gateway/consensus/test_membership.py
@@ -58,7 +58,7 @@
             assert all(set(one) & set(other) for one in some for other in others)
 
 
-def test_an_emptied_disk_at_a_voter_s_address_takes_the_voter_s_place() -> None:
+def test_a_replaced_disk_at_a_voters_address_takes_the_voters_place() -> None:
     group = make_group(3, z=PeerStatus("10.0.0.2:1", 0, NOW))
     group.peers["b"].last_contact_us = NOW - DISPLACED_AFTER_US - 1
     assert set(next_voters(group)) == {"a", "c"}
@@ -70,7 +70,7 @@
     assert next_voters(group) is None
 
 
-def test_a_silent_voter_is_replaced_only_where_another_offers_itself() -> None:
+def test_an_unresponsive_voter_is_replaced_only_by_a_node_that_asks_to_join() -> None:
     group = make_group(3)
     group.peers["b"].last_contact_us = NOW - UNRESPONSIVE_AFTER_US - 1
     assert next_voters(group) is None
@@ -78,7 +78,7 @@
     assert set(next_voters(group)) == {"a", "c"}
 
 
-def test_one_that_leaves_is_let_go_where_three_stay() -> None:
+def test_a_leaving_voter_is_removed_where_three_remain() -> None:
     for size, goes in ((3, False), (4, True), (5, True)):
         group = make_group(size)
         group.leaving.add("b")
@@ -86,13 +86,13 @@
         assert (after is not None and "b" not in after) == goes
 
 
-def test_one_that_leaves_is_not_taken_in() -> None:
+def test_a_leaving_node_is_not_added() -> None:
     group = make_group(3, z=PeerStatus("10.0.0.9:1", 7, NOW))
     group.leaving.add("z")
     assert next_voters(group) is None
 
 
-def test_the_rule_is_what_refuses() -> None:
+def test_an_unsafe_change_is_refused_by_the_majority_rule() -> None:
     group = make_group(3, z=PeerStatus("10.0.0.9:1", 7, NOW))
     group.peers["b"].last_contact_us = NOW - UNRESPONSIVE_AFTER_US - 1
     group.peers["c"].match_index = 3
--- a/tests/gateway/consensus/test_snapshots.py
+++ b/tests/gateway/consensus/test_snapshots.py
@@ -6,7 +6,7 @@
     JoinRequest,
 )
 from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, Snapshot, SnapshotAssembly, SnapshotTransfer
-from support.consensus_nodes import VOTERS, leader, reply, sync, taken
+from support.consensus_nodes import VOTERS, elected_leader, append_reply, sync_disk, take_effects
 
 
 def transferred(lose=lambda turn: False, again=lambda turn: False) -> tuple[bytes, int]:
@@ -30,32 +30,34 @@
         transfer.on_reply(9, len(assembly.data))
 
 
-def test_it_comes_whole_in_pieces_whatever_is_lost_or_comes_twice() -> None:
+def test_lost_and_repeated_chunks_still_make_a_complete_snapshot() -> None:
     assert transferred()[1] == 4
     assert transferred(lose=lambda turn: turn in (2, 3))[1] == 6
     transferred(again=lambda turn: True)
 
 
-def test_one_piece_is_under_way_at_a_time_and_the_snapshot_stays_the_same() -> None:
-    one = leader()
-    reply(one, "b", one.log.last_index)
-    one.compact(b"s" * (2 * CHUNK_BYTES + 5))
-    sync(one)
-    reply(one, "c", 0, success=False)
-    chunks = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
-    one.tick(one.next_tick_us)
-    chunks += [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
+def test_one_chunk_is_in_flight_and_a_later_compaction_does_not_change_the_snapshot() -> None:
+    node = elected_leader()
+    append_reply(node, "b", node.log.last_index)
+    node.compact(b"s" * (2 * CHUNK_BYTES + 5))
+    sync_disk(node)
+    append_reply(node, "c", 0, success=False)
+    chunks = [each for _, each in take_effects(node).sends if isinstance(each, InstallSnapshot)]
+    node.tick(node.next_tick_us)
+    chunks += [each for _, each in take_effects(node).sends if isinstance(each, InstallSnapshot)]
     assert [each.offset for each in chunks] == [0]
-    one.propose(b"x")
-    sync(one)
-    reply(one, "b", one.log.last_index)
-    one.compact(b"t")  # the reader goes on with what it began
-    taken(one)
-    one.receive(
-        one.state.now_us,
-        InstallSnapshotReply(one.term, "c", VOTERS["c"], chunks[0].last_index, CHUNK_BYTES, one.state.now_us),
+    node.propose(b"x")
+    sync_disk(node)
+    append_reply(node, "b", node.log.last_index)
+    node.compact(b"t")  # the reader goes on with what it began
+    take_effects(node)
+    node.receive(
+        node.state.now_us,
+        InstallSnapshotReply(
+            node.term, "c", VOTERS["c"], chunks[0].last_index, CHUNK_BYTES, node.state.now_us
+        ),
     )
-    (chunk,) = [each for _, each in taken(one).sends if isinstance(each, InstallSnapshot)]
+    (chunk,) = [each for _, each in take_effects(node).sends if isinstance(each, InstallSnapshot)]
     assert (chunk.last_index, chunk.offset, chunk.data) == (
         chunks[0].last_index,
         CHUNK_BYTES,
@@ -63,24 +65,24 @@
     )
 
 
-def test_the_log_keeps_more_while_a_snapshot_is_under_way() -> None:
-    one = leader()
-    reply(one, "b", one.log.last_index)
-    one.compact(b"s")
-    reply(one, "c", 0, success=False)
-    assert one.replication.has_transfer()
+def test_a_snapshot_transfer_in_flight_is_reported() -> None:
+    node = elected_leader()
+    append_reply(node, "b", node.log.last_index)
+    node.compact(b"s")
+    append_reply(node, "c", 0, success=False)
+    assert node.replication.has_transfer()
 
 
 def test_a_snapshot_keeps_the_voters() -> None:
-    one = leader()
-    reply(one, "b", one.log.last_index)
-    one.receive(one.state.now_us, JoinRequest("z", "10.0.0.9:1"))
-    reply(one, "z", one.log.last_index)
-    one.tick(one.next_tick_us)
-    sync(one)
+    node = elected_leader()
+    append_reply(node, "b", node.log.last_index)
+    node.receive(node.state.now_us, JoinRequest("z", "10.0.0.9:1"))
+    append_reply(node, "z", node.log.last_index)
+    node.tick(node.next_tick_us)
+    sync_disk(node)
     for name in "bz":
-        reply(one, name, one.log.last_index)
-    assert "z" in one.voters
-    one.compact(b"s")
-    assert "z" in one.voters
-    assert "z" in one.snapshot_record().voters
+        append_reply(node, name, node.log.last_index)
+    assert "z" in node.voters
+    node.compact(b"s")
+    assert "z" in node.voters
+    assert "z" in node.snapshot_record().voters
--- a/tests/support/consensus_nodes.py
+++ b/tests/support/consensus_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of a consensus group that tests feed by hand."""
+"""Nodes of a consensus group that a test drives by hand: it delivers messages, syncs disks and moves time."""
 
 from random import Random
 
@@ -12,53 +12,59 @@
 from lapisgrade.gateway.consensus.records import Effects
 
 VOTERS = {name: f"10.0.0.{i}:1" for i, name in enumerate("abc", 1)}
-
-
 NOW = 10_000_000
 
 
-def node(identity: str = "a", voters: dict[str, str] = VOTERS) -> Node:
+def new_node(identity: str = "a", voters: dict[str, str] = VOTERS) -> Node:
+    """A follower that has just started with an empty log."""
     return Node(identity, VOTERS.get(identity, "10.0.0.9:1"), Random(1), NOW, dict(voters))
 
 
-def taken(one: Node) -> Effects:
-    return one.take_effects()
+def take_effects(node: Node) -> Effects:
+    """What the node wants done since the last call."""
+    return node.take_effects()
 
 
-def sync(one: Node) -> list:
-    """All that waits is on disk; what may be said then."""
-    said = []
-    while one.state.effects.writes:
-        effects = taken(one)
+def sync_disk(node: Node) -> list[tuple[str, object]]:
+    """Make all pending writes durable; the messages to others that may be sent then, with their addresses."""
+    sent = []
+    while node.state.effects.writes:
+        effects = take_effects(node)
         for write in effects.writes:
-            one.on_write_durable(one.state.now_us, write.last_index, write.last_term)
+            node.on_write_durable(node.state.now_us, write.last_index, write.last_term)
             for address, message in write.sends_when_durable:
-                one.receive(one.state.now_us, message) if address == one.address else said.append(
-                    (address, message)
-                )
-        said += effects.sends
-    return said + taken(one).sends
+                if address == node.address:
+                    node.receive(node.state.now_us, message)
+                else:
+                    sent.append((address, message))
+        sent += effects.sends
+    return sent + take_effects(node).sends
 
 
-def leader(term: int = 2) -> Node:
+def elected_leader(term: int = 2) -> Node:
     """`a`, elected by `b`, whose own first entry is not committed yet."""
-    one = node()
-    one.state.term = term - 1
-    one.tick(one.next_tick_us)
-    ask = taken(one).sends[0][1]
-    one.receive(one.state.now_us, RequestVoteReply(term, "b", True, True, False, False, ask.pre_vote_round))
-    sync(one)
-    one.receive(one.state.now_us, RequestVoteReply(term, "b", True, False))
-    sync(one)
-    assert one.is_leader and not one.has_committed_in_term
-    return one
-
-
-def reply(one: Node, name: str, match: int, success: bool = True, sent_us: int | None = None) -> None:
-    sent = one.state.now_us if sent_us is None else sent_us
+    node = new_node()
+    node.state.term = term - 1
+    node.tick(node.next_tick_us)
+    ask = take_effects(node).sends[0][1]
+    pre_vote = RequestVoteReply(term, "b", True, True, False, False, ask.pre_vote_round)
+    node.receive(node.state.now_us, pre_vote)
+    sync_disk(node)
+    node.receive(node.state.now_us, RequestVoteReply(term, "b", True, False))
+    sync_disk(node)
+    assert node.is_leader and not node.has_committed_in_term
+    return node
+
+
+def append_reply(node: Node, name: str, match: int, success: bool = True, sent_us: int | None = None) -> None:
+    """Deliver a follower's reply to what the leader sent at `sent_us` (now, if None)."""
+    sent = node.state.now_us if sent_us is None else sent_us
     address = VOTERS.get(name, f"10.0.1.{ord(name) % 250}:1")
-    one.receive(one.state.now_us, AppendEntriesReply(one.term, name, address, success, match, sent))
+    node.receive(node.state.now_us, AppendEntriesReply(node.term, name, address, success, match, sent))
 
 
-def append(term: int, previous: tuple[int, int], entries: list[Entry], commit: int = 0) -> AppendEntries:
+def append_entries(
+    term: int, previous: tuple[int, int], entries: list[Entry], commit: int = 0
+) -> AppendEntries:
+    """A request of `b` as leader to `a`; `previous` is the index and term before the entries."""
     return AppendEntries(term, "b", VOTERS["b"], "a", *previous, commit, 77, entries)
