--- a/lapisgrade/gateway/proxy/metrics.py
+++ b/lapisgrade/gateway/proxy/metrics.py
@@ -1,9 +1,10 @@
 """What a proxy counts, for its log line at the end of the process and for tests."""
 
-from collections import Counter
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
+from lapisgrade.net.metrics import NetMetrics
+
 
 @dataclass(slots=True)
 class ProxyMetrics:
@@ -24,7 +25,7 @@
         hand_overs_sent: Counts that were handed over to their next owner.
         hand_overs_deferred: Requests for a count that can't be handed over yet.
         hand_overs_received: Counts that were taken over from their last owner.
-        transport: What the HTTP transports count, by name.
+        transport: What the HTTP transports count.
     """
 
     diagnostics: int = 0
@@ -41,8 +42,9 @@
     hand_overs_sent: int = 0
     hand_overs_deferred: int = 0
     hand_overs_received: int = 0
-    transport: Counter[str] = field(default_factory=Counter)
+    transport: NetMetrics = field(default_factory=NetMetrics)
 
     def nonzero(self) -> dict[str, Any]:
         """Every metric that was counted at least once, by name."""
-        return {name: value for name, value in asdict(self).items() if value}
+        values = {**asdict(self), "transport": self.transport.nonzero()}
+        return {name: value for name, value in values.items() if value}
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -69,16 +69,16 @@
     async def member(service: Service) -> AsyncIterator[None]:
         def on_change(update: Update) -> None:
             service.log(f"limiter {update.name} {STATE_PHRASES[MemberState(update.state)]}")
-            service.counts["members alive"] = len(host.core.alive()) if host.core is not None else 1
+            service.peer_counts["members alive"] = len(host.core.alive()) if host.core is not None else 1
 
         # Chance of its own, the same for the same name: what the decisions draw is not touched.
         host = Host(name[:MAX_NAME_LENGTH], service.log, on_change, zlib.crc32(name.encode()))
-        host.udp.counts = service.counts
+        host.udp.counts = service.peer_counts
         try:
             await host.open(*site.listen, list(site.seeds), site.reached_at)
         except OSError as wrong:
             raise MalformedInputError(f"peers.listen: {wrong.strerror or wrong}") from None
-        service.counts["members alive"] = 1
+        service.peer_counts["members alive"] = 1
         try:
             yield
         finally:
--- a/lapisgrade/net/client_connection.py
+++ b/lapisgrade/net/client_connection.py
@@ -144,7 +144,7 @@
             connection_line,
         )
         self._writer.writelines([head, *body])
-        self._listener.counts[f"answered {status}"] += 1
+        self._listener.metrics.responses[status] += 1
         if self._writer.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
             self.abort(CloseReason.TIMED_OUT)  # guards memory against a peer that asks and does not read
         elif close:
--- a/lapisgrade/net/client_listener.py
+++ b/lapisgrade/net/client_listener.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import socket
-from collections import Counter
 from collections.abc import Callable
 
 from lapisgrade.interface import Operation
@@ -11,6 +10,7 @@
 from lapisgrade.net.connection import limit_read_size
 from lapisgrade.net.events import Event
 from lapisgrade.net.http import MAX_BODY_BYTES, Message
+from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.request_parser import RequestParser
 
 # The protocol's figures: a connection with no open request may be closed after 2 s, and one that brings no
@@ -42,14 +42,14 @@
         enqueue: Callable[[Event], None],
         now: Callable[[], int],
         log: Callable[[str], None],
-        counts: Counter[str],
+        metrics: NetMetrics,
         parser: RequestParser | None,
         max_connections: int,
     ) -> None:
         """`now` is in us; `log` takes one line for the people on call."""
         self.enqueue = enqueue
         self.log = log
-        self.counts = counts
+        self.metrics = metrics
         self.open_request_ids: set[bytes] = set()
         self.clients: dict[ClientConnection, None] = {}
         # Connections without an open request, and since when (s of the loop's clock); the longest first.
@@ -122,7 +122,7 @@
         """The connection has ended."""
         self.clients.pop(client, None)
         self.mark_busy(client)
-        self.counts[f"clients {reason.value}"] += 1
+        self.metrics.client_connections_closed[reason] += 1
 
     # ---- bounds
 
@@ -131,7 +131,7 @@
         client = ClientConnection(self, writer)
         self.clients[client] = None
         self.awaiting_first_request[client] = asyncio.get_running_loop().time()
-        self.counts["clients connected"] += 1
+        self.metrics.client_connections_accepted += 1
         if len(self.clients) > self._max_connections:
             self._make_room(client)
         await client.run(reader)
--- a/lapisgrade/net/close_reason.py
+++ b/lapisgrade/net/close_reason.py
@@ -20,20 +20,20 @@
 
 
 class CloseReason(Enum):
-    """Why an exchange ended. The value is the reason's name in counters."""
+    """Why an exchange ended. The value is its name in metrics."""
 
     ANSWERED = "answered"  # 200 from a server, a total from the counter service
-    ERROR_RESPONSE = "error response"  # a complete response that is neither a success nor a client error
-    CLIENT_ERROR = "client error"  # the server says that the request itself is at fault
+    ERROR_RESPONSE = "error_response"  # a complete response that is neither a success nor a client error
+    CLIENT_ERROR = "client_error"  # the server says that the request itself is at fault
     REJECTED = "rejected"  # the peer says that it has not begun on the request
-    CONNECTION_REFUSED = "connection refused"
-    CONNECT_TIMEOUT = "connect timeout"
-    INCOMPLETE_WRITE = "incomplete write"  # lost before the last byte of the request was written
-    CONNECTION_LOST = "connection lost"  # lost or closed after that
+    CONNECTION_REFUSED = "connection_refused"
+    CONNECT_TIMEOUT = "connect_timeout"
+    INCOMPLETE_WRITE = "incomplete_write"  # lost before the last byte of the request was written
+    CONNECTION_LOST = "connection_lost"  # lost or closed after that
     MALFORMED = "malformed"  # what came is not the protocol
-    TIMED_OUT = "timed out"  # nothing came in time
+    TIMED_OUT = "timed_out"  # nothing came in time
     CANCELLED = "cancelled"  # by us, after the whole request was written
-    NOT_SENT = "not sent"  # by us, before it was written
+    NOT_SENT = "not_sent"  # by us, before it was written
     CLIENT_DISCONNECTED = "disconnected"  # the client closed its connection
     IDLE = "idle"  # nothing was in flight
 
--- a/lapisgrade/net/connection_pool.py
+++ b/lapisgrade/net/connection_pool.py
@@ -1,7 +1,6 @@
 """The connections to upstream servers: which one an attempt uses, and how long idle ones are kept."""
 
 import asyncio
-from collections import Counter
 from collections.abc import Callable
 from typing import Any
 
@@ -10,6 +9,7 @@
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import AttemptFinished, Event
 from lapisgrade.net.http import Message
+from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.server_protocol import ServerProtocol
 from lapisgrade.net.upstream_connection import UpstreamConnection
 
@@ -26,7 +26,7 @@
         enqueue: Callable[[Event], None],
         now: Callable[[], int],
         log: Callable[[str], None],
-        counts: Counter[str],
+        metrics: NetMetrics,
         settings: ConnectionSettings,
         max_connections: int,
         protocol: ServerProtocol | None = None,
@@ -35,7 +35,7 @@
         self._enqueue = enqueue
         self.now = now
         self.log = log
-        self.counts = counts
+        self.metrics = metrics
         self.settings = settings
         self.max_connections = max_connections
         self.protocol = protocol or ServerProtocol()
@@ -51,7 +51,7 @@
     def send(self, attempt: Any) -> None:
         """Write an attempt to the connection used last, or to a new one."""
         server = attempt.server.address
-        self.counts["hops"] += 1
+        self.metrics.attempts += 1
         connection = self.newest_idle(server)
         if connection is not None:
             self._idle[server].pop()
@@ -162,7 +162,7 @@
     def on_attempt_finished(self, attempt: Any, reason: CloseReason, message: Message | None) -> None:
         """An attempt has ended, with a complete response or without one."""
         del self._in_flight[attempt]
-        self.counts[f"hops {reason.value}"] += 1
+        self.metrics.attempts_finished[reason] += 1
         self._enqueue(AttemptFinished(attempt, reason, message))
 
     def on_connection_idle(self, connection: UpstreamConnection) -> None:
--- a/lapisgrade/net/counter_client.py
+++ b/lapisgrade/net/counter_client.py
@@ -7,7 +7,7 @@
 
 import asyncio
 import re
-from collections import Counter, deque
+from collections import deque
 from collections.abc import Callable
 
 from lapisgrade.engine import Task
@@ -24,6 +24,7 @@
 )
 from lapisgrade.net.events import CounterCallFinished, Event
 from lapisgrade.net.http import MalformedMessageError
+from lapisgrade.net.metrics import NetMetrics
 
 # A complete reply: a bulk string with a total, or an error. A total that can be read is true; anything else
 # tells nothing.
@@ -166,7 +167,7 @@
             raise MalformedMessageError("an answer without a call")
         call = self.in_flight.popleft()
         if call.task is None:
-            self._client.counts["counter answers too late"] += 1
+            self._client.metrics.late_counter_replies += 1
         self._client.on_call_finished(call, reason, total)
 
 
@@ -180,7 +181,7 @@
         self,
         enqueue: Callable[[Event], None],
         log: Callable[[str], None],
-        counts: Counter[str],
+        metrics: NetMetrics,
         address: tuple[str, int],
         timeout_us: int,
         connect_timeout_us: int,
@@ -188,7 +189,7 @@
         """`log` takes one line for the people on call."""
         self._enqueue = enqueue
         self.log = log
-        self.counts = counts
+        self.metrics = metrics
         self._address = address
         self._timeout_s = timeout_us / SECOND
         self.connect_timeout_s = connect_timeout_us / SECOND
@@ -202,7 +203,7 @@
             task, _encode(b"INCRTTL", b"%d" % add.counter_id, b"%.6f" % add.amount, b"%d" % ttl_ms)
         )
         call.timer = asyncio.get_running_loop().call_later(self._timeout_s, self._on_timeout, call)
-        self.counts["counter calls"] += 1
+        self.metrics.counter_calls += 1
         self._usable_connection().send(call)
 
     def change_address(self, address: tuple[str, int]) -> None:
@@ -238,7 +239,7 @@
         """Report the end of a call, unless that was done."""
         if call.task is not None:
             call.timer.cancel()
-            self.counts[f"counter calls {reason.value}"] += 1
+            self.metrics.counter_calls_finished[reason] += 1
             self._enqueue(CounterCallFinished(call.task, reason, total))
             call.task = None
 
--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -6,7 +6,6 @@
 
 import asyncio
 import json
-from collections import Counter
 from collections.abc import Callable
 from random import Random
 from typing import Any
@@ -19,6 +18,7 @@
 from lapisgrade.net.connection_pool import ConnectionPool
 from lapisgrade.net.events import Event, ServersUpdated
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
+from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.poll_backoff import MAX_STALENESS_S, RENEW_S, PollBackoff
 from lapisgrade.settings import Fields, MalformedInputError, parse_address
 
@@ -47,7 +47,7 @@
         self,
         enqueue: Callable[[Event], None],
         log: Callable[[str], None],
-        counts: Counter[str],
+        metrics: NetMetrics,
         address: tuple[str, int],
         pool: ConnectionPool,
         random: Random,
@@ -56,7 +56,7 @@
         """`log` takes one line for the people on call; `limiters` is how many there are in all."""
         self._enqueue = enqueue
         self._log = log
-        self._counts = counts
+        self._metrics = metrics
         self._pool = pool
         self._address = address
         self._backoff = PollBackoff(random, limiters)
@@ -108,7 +108,7 @@
         self._pool.update_addresses(addresses)
         self._version = version
         if endpoints or is_complete:
-            self._counts["lists"] += 1
+            self._metrics.server_list_updates += 1
             self._enqueue(ServersUpdated(endpoints, is_complete))
         return version
 
@@ -143,7 +143,7 @@
                 self._on_failed(error)
 
     def _on_failed(self, error: Exception) -> None:
-        self._counts["discovery calls failed"] += 1
+        self._metrics.discovery_failures += 1
         self._log(f"discovery: {error!r}")
 
     async def _poll(
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -6,7 +6,6 @@
 
 import asyncio
 import traceback
-from collections import Counter
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
 
@@ -36,6 +35,7 @@
     TimerFired,
 )
 from lapisgrade.net.http import Message
+from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.response_writer import ResponseWriter
 from lapisgrade.net.server_protocol import parse_load_report
 
@@ -67,12 +67,12 @@
         build_policy: Callable[[Clock], Any],
         now: Callable[[], int],
         log: Callable[[str], None],
-        counts: Counter[str],
+        metrics: NetMetrics,
     ) -> None:
         """`now` is in us; `log` takes one line for the people on call. `pool` must be set before `run`."""
         self.now = now
         self._log = log
-        self._counts = counts
+        self._metrics = metrics
         self._queue: asyncio.Queue[Event] = asyncio.Queue()
         self.enqueue = self._queue.put_nowait
         self.clock = Clock(now())
@@ -100,7 +100,7 @@
                 handlers[type(event)](event)
             except Exception:
                 self._log(f"on {type(event).__name__}: {traceback.format_exc()}")
-                self._counts["faults"] += 1
+                self._metrics.handler_failures += 1
                 self._give_up_broken()
 
     def _give_up_broken(self) -> None:
@@ -116,14 +116,14 @@
         if operation.handle.client is None:
             return  # disconnected already
         self.unanswered[operation.handle] = operation
-        self._counts["operations"] += 1
+        self._metrics.requests += 1
         self.engine.run(self.policy.handle(operation), operation)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         operation = event.operation
         operation.is_abandoned = True
         if self.unanswered.pop(operation.handle, None) is not None:
-            self._counts["operations whose client left"] += 1
+            self._metrics.requests_abandoned += 1
             self.engine.wake(operation, WakeReason.CLIENT_GONE)
 
     def _on_attempt_finished(self, event: AttemptFinished) -> None:
--- a/lapisgrade/net/rate_limited_log.py
+++ b/lapisgrade/net/rate_limited_log.py
@@ -2,7 +2,7 @@
 
 import sys
 import time
-from collections import Counter
+from collections.abc import Mapping
 
 MAX_LINES_PER_SECOND = 20
 
@@ -33,7 +33,7 @@
         else:
             self._omitted += 1
 
-    def write_counts(self, counts: Counter[str]) -> None:
+    def write_counts(self, counts: Mapping[str, int]) -> None:
         """Print all counters on one line, whatever else was printed in this second."""
         self._print("counts: " + ", ".join(f"{name} {counts[name]}" for name in sorted(counts)))
 
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -14,6 +14,7 @@
 from lapisgrade.net.counter_client import CounterClient
 from lapisgrade.net.discovery_client import DiscoveryClient
 from lapisgrade.net.host import Host
+from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.rate_limited_log import RateLimitedLog
 from lapisgrade.net.request_parser import RequestParser
 from lapisgrade.net.service_configuration import check_kinds, read_configuration, service_addresses
@@ -50,19 +51,20 @@
         check_kinds(configuration)
         settings = flatten(configuration["settings"])
         seed, sockets = _read_seed_and_sockets(configuration)
-        self.counts: Counter[str] = Counter()
+        self.metrics = NetMetrics()
+        self.peer_counts: Counter[str] = Counter()  # of what runs beside the limiter, by name
         self._log = RateLimitedLog(configuration["name"])
         self.log = self._log.write
         now = _read_clock(configuration)
         self._listen_address = parse_address(configuration["listen"], "listen")
         self._known_servers = configuration["known"]
-        self.host = Host(lambda clock: _build_policy(clock, seed, settings), now, self.log, self.counts)
+        self.host = Host(lambda clock: _build_policy(clock, seed, settings), now, self.log, self.metrics)
         connections = read_connection_settings(settings)
         self.listener = ClientListener(
             self.host.enqueue,
             now,
             self.log,
-            self.counts,
+            self.metrics,
             RequestParser(
                 read_categories(settings),
                 read_plans(settings),
@@ -72,7 +74,7 @@
             sockets // CLIENTS_DIVISOR,
         )
         self.host.pool = ConnectionPool(
-            self.host.enqueue, now, self.log, self.counts, connections, sockets // SERVERS_DIVISOR
+            self.host.enqueue, now, self.log, self.metrics, connections, sockets // SERVERS_DIVISOR
         )
         counter = read_counter_settings(settings)
         discovery_address, counter_address = service_addresses(
@@ -83,7 +85,7 @@
             self.host.counter = self._counter = CounterClient(
                 self.host.enqueue,
                 self.log,
-                self.counts,
+                self.metrics,
                 counter_address,
                 counter.timeout_us,
                 connections.connect_timeout_us,
@@ -91,7 +93,7 @@
         self._discovery = DiscoveryClient(
             self.host.enqueue,
             self.log,
-            self.counts,
+            self.metrics,
             discovery_address,
             self.host.pool,
             self.host.policy.random,
@@ -111,7 +113,7 @@
         discovery_address, counter_address = service_addresses(
             configuration, uses_counter=self._counter is not None
         )
-        self.counts["reloads"] += 1
+        self.metrics.reloads += 1
         self._discovery.change_address(discovery_address)
         if counter_address is not None:
             self._counter.change_address(counter_address)
@@ -132,7 +134,7 @@
             self.host.pool.close()
             if self._counter is not None:
                 self._counter.close()
-            self.log_counts()
+            self.log_metrics()
 
     async def _drain(self) -> None:
         """Deny readiness, serve those who still come, and then answer what is owed."""
@@ -144,9 +146,9 @@
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
             self.listener.close_idle()
 
-    def log_counts(self) -> None:
+    def log_metrics(self) -> None:
         """Print all counters."""
-        self._log.write_counts(self.counts)
+        self._log.write_counts({**self.metrics.nonzero(), **self.peer_counts})
 
 
 def _read_seed_and_sockets(configuration: dict[str, Any]) -> tuple[int, int]:
@@ -201,6 +203,6 @@
     for each in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(each, shut_down, each)
     loop.add_signal_handler(signal.SIGHUP, reload)
-    loop.add_signal_handler(signal.SIGUSR1, service.log_counts)
+    loop.add_signal_handler(signal.SIGUSR1, service.log_metrics)
     async with beside(service) if beside is not None else contextlib.nullcontext():
         await service.run()
--- a/lapisgrade/net/upstream_connection.py
+++ b/lapisgrade/net/upstream_connection.py
@@ -121,7 +121,7 @@
             return self.close(CloseReason.CONNECT_TIMEOUT)
         except OSError:
             return self.close(CloseReason.CONNECTION_REFUSED)
-        pool.counts["server connections"] += 1
+        pool.metrics.upstream_connections_opened += 1
         limit_read_size(self._writer)
         self._writer.transport.set_write_buffer_limits(0)
         try:
@@ -183,7 +183,7 @@
 
     def _skip_stray(self, message: Message) -> None:
         """Pass over a late response to another request; ours may follow it, and nothing follows ours here."""
-        self._pool.counts["stray answers"] += 1
+        self._pool.metrics.stray_responses += 1
         self._received_stray = True
         self._parser = MessageParser(h11.CLIENT, self._pool.protocol.max_body_bytes)
         if message.last:
--- a/tests/net/test_callers.py
+++ b/tests/net/test_callers.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import heapq
-from collections import Counter
 from random import Random
 from types import SimpleNamespace
 
@@ -11,6 +10,7 @@
 
 from lapisgrade.interface import AddToCounter, CounterOutcome
 from lapisgrade.net.counter_client import CounterClient
+from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.poll_backoff import PollBackoff
 
 
@@ -20,7 +20,7 @@
     async with Site() as site:
         got = asyncio.Queue()
         address = ("127.0.0.1", site.till.port)
-        calls = CounterClient(got.put_nowait, lambda text: None, Counter(), address, 250_000, 100_000)
+        calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 250_000, 100_000)
 
         async def tell(amount, manner):
             site.till.manner = manner
--- a/tests/net/test_chance.py
+++ b/tests/net/test_chance.py
@@ -66,4 +66,4 @@
                 assert len(may_have_run) <= 1 and not (status == 429 and may_have_run), "rule 2"
         statuses = Counter(status for _, status, _ in done.values())
         assert statuses[200] > 60 and len(done) == 12 * 14
-        assert not site.service.host.unanswered and not site.service.counts["faults"]
+        assert not site.service.host.unanswered and not site.service.metrics.handler_failures
--- a/tests/net/test_end.py
+++ b/tests/net/test_end.py
@@ -15,6 +15,7 @@
 from support.fake_peers import Agent, Till, heard
 from support.limiter_site import Site
 
+from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.settings import MalformedInputError
 
 
@@ -48,9 +49,9 @@
         await asyncio.wait_for(site.run, 1)
         assert await insisting == {"503"}
         assert await silent[0].read() == b""
-        ends = {name: n for name, n in site.service.counts.items() if name.startswith("clients ")}
+        closed = site.service.metrics.client_connections_closed
         # The others by their answers, or as idle.
-        assert ends["clients answered"] >= 2 and ends["clients idle"] >= 2
+        assert closed[CloseReason.ANSWERED] >= 2 and closed[CloseReason.IDLE] >= 2
 
 
 def test_as_a_process_it_says_what_is_wrong_and_prints_its_counters(tmp_path):
@@ -86,7 +87,7 @@
         assert asyncio.run(asyncio.wait_for(ask(), 10)) == (200, 429)
     process.send_signal(signal.SIGTERM)
     _, said = process.communicate(timeout=5)
-    assert process.returncode == 0 and "operations 4" in said and "answered 429 4" in said
+    assert process.returncode == 0 and "requests 4" in said and "responses_429 4" in said
     assert said.count("goes on as before: ") == 2 and "reloads 1" in said
     assert "told to end by SIGTERM" in said
 
@@ -110,7 +111,7 @@
         for each in (site.agent, site.till):
             each.server.close()  # takes no new connections; open ones stay
         assert [(await each)[0] for each in early] == [200] * 4
-        assert site.service.counts["counter calls answered"] >= 1
+        assert site.service.metrics.counter_calls_finished[CloseReason.ANSWERED] >= 1
         await until(lambda: agent.calls)
         assert agent.calls[0][0] == "/discovery/hosts"
         agent.change(s0="in_service", s1="terminated")
--- a/tests/net/test_front.py
+++ b/tests/net/test_front.py
@@ -10,6 +10,7 @@
 from support.limiter_site import Site
 
 from lapisgrade.net import client_listener
+from lapisgrade.net.close_reason import CloseReason
 
 
 @on_loopback
@@ -100,7 +101,7 @@
         reader, writer = await site.connect()
         writer.write(b"\x16\x03\x01\x02\r\n\r\n")
         assert (await heard(reader))[0].startswith("HTTP/1.1 400")
-        assert len(site.sent("1")) == 1 and not site.service.counts["faults"]
+        assert len(site.sent("1")) == 1 and not site.service.metrics.handler_failures
     assert "Traceback" not in capfd.readouterr().err
 
 
@@ -120,8 +121,8 @@
         writer.write(site.request("burn", "5"))
         await until(lambda: site.sent("5"))
         writer.close()
-        await until(lambda: site.service.counts["operations whose client left"] == 1)
-        await until(lambda: site.service.counts["hops cancelled"] == 1)
+        await until(lambda: site.service.metrics.requests_abandoned == 1)
+        await until(lambda: site.service.metrics.attempts_finished[CloseReason.CANCELLED] == 1)
         assert not site.service.host.unanswered
 
 
@@ -208,6 +209,7 @@
         writer.write(site.request(path="/up") * 400)
         for _ in range(400):
             assert (await heard(reader))[0].startswith("HTTP/1.1 200")
+        closed = site.service.metrics.client_connections_closed
         with socket.socket() as deaf:
             deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             deaf.connect(("127.0.0.1", site.port))
@@ -216,6 +218,6 @@
                 for i in range(200):
                     asked = site.request("burn", f"{i}", bytes(60_000))
                     await asyncio.get_running_loop().sock_sendall(deaf, asked)
-                    await until(lambda i=i: site.sent(f"{i}") or site.service.counts["clients timed out"])
+                    await until(lambda i=i: site.sent(f"{i}") or closed[CloseReason.TIMED_OUT])
                     await until(lambda: not site.service.host.unanswered)
-        assert site.service.counts["clients timed out"] == 1 and not site.sent("199")
+        assert closed[CloseReason.TIMED_OUT] == 1 and not site.sent("199")
--- a/tests/net/test_hops.py
+++ b/tests/net/test_hops.py
@@ -1,7 +1,6 @@
 """Connections to servers: each way one can end, and what it is told for."""
 
 import asyncio
-from collections import Counter
 from types import SimpleNamespace
 
 import pytest
@@ -15,6 +14,7 @@
 from lapisgrade.net.connection_pool import ConnectionPool
 from lapisgrade.net.counter_client import CounterClient
 from lapisgrade.net.events import AttemptFinished, ClientRequest
+from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.server_protocol import parse_load_report
 
 SECOND = 1_000_000
@@ -32,7 +32,7 @@
 def pool(port, dial=1.0, idle=30.0):
     landed, now = asyncio.Queue(), wall_clock()
     lines = ConnectionSettings(int(dial * SECOND), int(idle * SECOND))
-    made = ConnectionPool(landed.put_nowait, now, lambda text: None, Counter(), lines, 4)
+    made = ConnectionPool(landed.put_nowait, now, lambda text: None, NetMetrics(), lines, 4)
     made.update_addresses({"s": ("127.0.0.1", port)})
     return made, landed, now
 
@@ -112,12 +112,13 @@
         await asyncio.sleep(wait)
         made.send(Hop(now))
         assert (await landed.get()).reason is CloseReason.ANSWERED
-        assert made.counts["server connections"] == connections
+        assert made.metrics.upstream_connections_opened == connections
     await until(backend.writers[0].is_closing)  # by us, with nothing more to send
     backend.shut()
     await asyncio.sleep(0)  # it is closed, and its end is not yet read
     made.send(Hop(now))
-    assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 3
+    assert (await landed.get()).reason is CloseReason.ANSWERED
+    assert made.metrics.upstream_connections_opened == 3
     backend.close()
 
 
@@ -137,7 +138,7 @@
     made.send(Hop(now, body=b"two"))
     event = await landed.get()
     assert event.reason is CloseReason.ANSWERED and b"".join(event.message.body) == b"for two"
-    assert made.counts["server connections"] == 2
+    assert made.metrics.upstream_connections_opened == 2
     backend.close()
 
 
@@ -151,7 +152,8 @@
     made.send(Hop(now))
     assert (await landed.get()).reason is CloseReason.NOT_SENT
     made.send(Hop(now, server="new"))
-    assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 2
+    assert (await landed.get()).reason is CloseReason.ANSWERED
+    assert made.metrics.upstream_connections_opened == 2
     assert list(made.addresses) == list(made.last_received_us) == list(made._idle) == ["new"]
     backend.close()
 
@@ -168,7 +170,8 @@
     assert (await landed.get()).reason is CloseReason.TIMED_OUT
     backend.manner = "well"
     made.send(Hop(now))
-    assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 3
+    assert (await landed.get()).reason is CloseReason.ANSWERED
+    assert made.metrics.upstream_connections_opened == 3
     backend.close()
 
 
@@ -177,7 +180,7 @@
     async with Site() as site:
         got, landed = asyncio.Queue(), asyncio.Queue()
         address = ("127.0.0.1", site.till.port)
-        calls = CounterClient(got.put_nowait, lambda text: None, Counter(), address, 100_000, 100_000)
+        calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 100_000, 100_000)
         made, landed, now = pool(site.backends[0].port)
         for _ in range(2):  # the first ones open the connections
             calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
