--- a/lapisgrade/gateway/routing/upstream_server.py
+++ b/lapisgrade/gateway/routing/upstream_server.py
@@ -1,6 +1,6 @@
 """One server as one proxy sees it: its load, its speed and its health, and what a request takes there. Pure.
 
-What attempts tell is learned by `policy.fleet.ObservedServer`; here, what servers and neighbours report.
+What attempts tell is learned by `policy.observed_server`; here, what servers and neighbours report.
 """
 
 import math
@@ -8,7 +8,8 @@
 from lapisgrade.gateway import SECOND, registry
 from lapisgrade.gateway.registry import ServerState
 from lapisgrade.gateway.routing.request import RoutedRequest
-from lapisgrade.policy.fleet import Attempt, ObservedServer
+from lapisgrade.policy.attempt import Attempt
+from lapisgrade.policy.observed_server import ObservedServer
 
 REMOVED_STATES = (ServerState.GONE, ServerState.LOST)
 UNREPORTED_LOAD_WEIGHT = 0.5  # of a reported load beyond the neighbours' that is likely still there
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -7,14 +7,9 @@
 
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.configuration_change import apply_change
-from lapisgrade.gateway.controller.state_machine import (
-    MOST_DRAFTS,
-    Change,
-    CloseDraft,
-    MergeDraft,
-    StateMachine,
-    encoded,
-)
+from lapisgrade.gateway.controller.commands import CloseDraft, ConfigurationChange, MergeDraft, encode_command
+from lapisgrade.gateway.controller.draft_merging import MAX_DRAFTS
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge.fields import built, fields, ops
 from lapisgrade.gateway.merge.three_way import Draft, drafted, forced, merge_drafts, told
@@ -211,17 +206,17 @@
 
 def make_state_machine() -> StateMachine:
     state_machine = StateMachine()
-    change = Change(True, msgspec.json.encode({**GROUND, "Base": 0}))
-    assert state_machine.take(1, encoded(change)).status == 200
+    change = ConfigurationChange(True, msgspec.json.encode({**GROUND, "Base": 0}))
+    assert state_machine.apply(1, encode_command(change)).status == 200
     return state_machine
 
 
 def test_a_merged_version_is_held_ready_and_forced_like_any_other_under_a_fence() -> None:
     state_machine = make_state_machine()
     one = draft(put(route(CLAIM, "/claim/", svc="b")))
-    assert state_machine.take(2, encoded(MergeDraft(one))).status == 200
+    assert state_machine.apply(2, encode_command(MergeDraft(one))).status == 200
     assert (state_machine.state.ver, state_machine.state.merged) == (5, [5])
-    assert state_machine.take(3, encoded(MergeDraft(one))).status == 200  # a neighbour's copy
+    assert state_machine.apply(3, encode_command(MergeDraft(one))).status == 200  # a neighbour's copy
     assert state_machine.state.ver == 5
     assert [each.id for each, _ in state_machine.open_drafts().values()] == [one.id]
 
@@ -230,39 +225,48 @@
     state_machine = make_state_machine()
     one = draft(put(route(CLAIM, "/claim/", svc="b")))
     change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
-    assert state_machine.take(2, encoded(Change(False, msgspec.json.encode(change)))).status == 200
-    state_machine.take(3, encoded(MergeDraft(one)))
+    assert (
+        state_machine.apply(2, encode_command(ConfigurationChange(False, msgspec.json.encode(change)))).status
+        == 200
+    )
+    state_machine.apply(3, encode_command(MergeDraft(one)))
     # nothing of it stands
     assert (state_machine.state.ver, state_machine.state.merged) == (6, [])
     change = {"Ver": 9, "Base": 6, "Upsert": {"Pools": [{"Name": "d"}]}}
-    assert state_machine.take(4, encoded(Change(False, msgspec.json.encode(change)))).status == 200
+    assert (
+        state_machine.apply(4, encode_command(ConfigurationChange(False, msgspec.json.encode(change)))).status
+        == 200
+    )
     again = StateMachine()
     again.load(state_machine.dump())
     for each in (state_machine, again):
         assert each.open_drafts()[one.id][1].open
-        assert each.take(5, encoded(CloseDraft(one.id))).status == 200
+        assert each.apply(5, encode_command(CloseDraft(one.id))).status == 200
         assert each.open_drafts() == {}
-        assert each.take(6, encoded(CloseDraft(one.id))).status == 404
+        assert each.apply(6, encode_command(CloseDraft(one.id))).status == 404
         # a late copy opens nothing again
-        assert each.take(7, encoded(MergeDraft(one))).status == 200
+        assert each.apply(7, encode_command(MergeDraft(one))).status == 200
         assert each.open_drafts() == {}
 
 
 def test_a_change_on_an_older_version_than_the_merged_one_loses_its_race() -> None:
     state_machine = make_state_machine()
-    state_machine.take(2, encoded(MergeDraft(draft(put(route(CLAIM, "/claim/", svc="b"))))))
+    state_machine.apply(2, encode_command(MergeDraft(draft(put(route(CLAIM, "/claim/", svc="b"))))))
     change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
-    assert state_machine.take(3, encoded(Change(False, msgspec.json.encode(change)))).status == 412
+    assert (
+        state_machine.apply(3, encode_command(ConfigurationChange(False, msgspec.json.encode(change)))).status
+        == 412
+    )
 
 
 def test_a_flood_of_drafts_and_one_that_is_none_are_refused_plainly() -> None:
     state_machine = make_state_machine()
-    drafts = [draft(put(route(CLAIM, "/claim/", Prio=i)), f"e{i}") for i in range(MOST_DRAFTS + 1)]
-    answers = [state_machine.take(2 + i, encoded(MergeDraft(each))) for i, each in enumerate(drafts)]
-    assert [each.status for each in answers] == [200] * MOST_DRAFTS + [409]
+    drafts = [draft(put(route(CLAIM, "/claim/", Prio=i)), f"e{i}") for i in range(MAX_DRAFTS + 1)]
+    answers = [state_machine.apply(2 + i, encode_command(MergeDraft(each))) for i, each in enumerate(drafts)]
+    assert [each.status for each in answers] == [200] * MAX_DRAFTS + [409]
     before = state_machine.dump()
     for bad in ([["Routes"], True, None, False, None], [["Ports", "x"], False, None, True, 7],
                 [["Routes", "x", "Action"], False, None, True, 7]):  # fmt: skip
         data = msgspec.msgpack.encode(["b", ["id", "by", "at", 4, [bad]]])
-        make_state_machine().take(2, data)  # no traceback, on any controller
+        make_state_machine().apply(2, data)  # no traceback, on any controller
     assert state_machine.dump() == before
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -8,14 +8,10 @@
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
 from lapisgrade.gateway.controller.configuration_feed import MAX_TEXTS, ConfigurationFeed
-from lapisgrade.gateway.controller.state_machine import (
-    Answer,
-    Change,
-    NewVersion,
-    SavedState,
-    StateMachine,
-    encoded,
-)
+from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.controller.commands import ConfigurationChange, NewVersion, encode_command
+from lapisgrade.gateway.controller.state import SavedState
+from lapisgrade.gateway.controller.state_machine import PreparedChange, StateMachine
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.membership.partial_view import PartialView
 from lapisgrade.gateway.proxy.watch_target import WatchTarget
@@ -39,10 +35,13 @@
     sizes = []
     for routes in (100, 2000):
         state_machine = StateMachine()
-        state_machine.take(
-            1, encoded(Change(True, msgspec.json.encode({**sample_configuration(routes, 5), "Base": 0})))
+        state_machine.apply(
+            1,
+            encode_command(
+                ConfigurationChange(True, msgspec.json.encode({**sample_configuration(routes, 5), "Base": 0}))
+            ),
         )
-        sizes.append(len(encoded(state_machine.accepted(changed(7))[1])))
+        sizes.append(len(encode_command(state_machine.prepare(changed(7)).command)))
     assert max(sizes) < 400
     assert abs(sizes[0] - sizes[1]) < 40
 
@@ -91,8 +90,8 @@
 
     def __init__(self) -> None:
         self.state_machine = StateMachine()
-        self.first = Change(True, msgspec.json.encode({**sample_configuration(5, 2), "Base": 0}))
-        self.state_machine.take(1, encoded(self.state_machine.accepted(self.first)[1]))
+        self.first = ConfigurationChange(True, msgspec.json.encode({**sample_configuration(5, 2), "Base": 0}))
+        self.state_machine.apply(1, encode_command(self.state_machine.prepare(self.first).command))
 
 
 @pytest.fixture
@@ -102,50 +101,56 @@
 
 def test_two_that_were_judged_on_one_base_are_not_both_taken(version_log: VersionLog) -> None:
     one, other = (
-        version_log.state_machine.accepted(Change(False, msgspec.json.encode({"Ver": ver, "Base": 7})))[1]
+        version_log.state_machine.prepare(
+            ConfigurationChange(False, msgspec.json.encode({"Ver": ver, "Base": 7}))
+        ).command
         for ver in (8, 9)
     )
-    assert version_log.state_machine.take(2, encoded(one)) == Answer(200)
-    assert version_log.state_machine.take(3, encoded(other)).status == 412
-    assert version_log.state_machine.take(4, encoded(one)) == Answer(200)  # the same again
+    assert version_log.state_machine.apply(2, encode_command(one)) == ApplyResult(200)
+    assert version_log.state_machine.apply(3, encode_command(other)).status == 412
+    assert version_log.state_machine.apply(4, encode_command(one)) == ApplyResult(200)  # the same again
     assert version_log.state_machine.state.ver == 8
 
 
 def test_two_under_one_number_are_told_apart(version_log: VersionLog) -> None:
     bodies = [{"Ver": 8, "Base": 7, "Upsert": {"Pools": [{"Name": name}]}} for name in ("x", "y")]
-    changes = [Change(False, msgspec.json.encode(body)) for body in bodies]
-    one, other = (version_log.state_machine.accepted(change)[1] for change in changes)
-    assert version_log.state_machine.take(2, encoded(one)) == Answer(200)
-    assert version_log.state_machine.take(3, encoded(other)).status == 412
-    assert version_log.state_machine.accepted(changes[0])[0] == Answer(200)
-    assert version_log.state_machine.accepted(changes[1])[0].status == 412
+    changes = [ConfigurationChange(False, msgspec.json.encode(body)) for body in bodies]
+    one, other = (version_log.state_machine.prepare(change).command for change in changes)
+    assert version_log.state_machine.apply(2, encode_command(one)) == ApplyResult(200)
+    assert version_log.state_machine.apply(3, encode_command(other)).status == 412
+    assert version_log.state_machine.prepare(changes[0]).result == ApplyResult(200)
+    assert version_log.state_machine.prepare(changes[1]).result.status == 412
 
 
 def test_one_that_was_taken_is_known_after_hundreds_of_others_a_snapshot_and_in_other_clothes(
     version_log: VersionLog,
 ) -> None:
     for ver in range(8, 900):
-        change = Change(False, msgspec.json.encode({"Ver": ver, "Base": ver - 1}))
-        version_log.state_machine.take(ver, encoded(version_log.state_machine.accepted(change)[1]))
+        change = ConfigurationChange(False, msgspec.json.encode({"Ver": ver, "Base": ver - 1}))
+        version_log.state_machine.apply(
+            ver, encode_command(version_log.state_machine.prepare(change).command)
+        )
     again = StateMachine()
     again.load(version_log.state_machine.dump())
     respelt = msgspec.json.format(msgspec.json.encode({"Base": 8, "Ver": 9}), indent=2)
-    assert again.accepted(Change(False, respelt)) == (Answer(200), None)
-    assert again.accepted(version_log.first) == (Answer(200), None)
-    assert again.accepted(Change(True, respelt))[0].status == 412  # that one is another kind
+    assert again.prepare(ConfigurationChange(False, respelt)) == PreparedChange(ApplyResult(200))
+    assert again.prepare(version_log.first) == PreparedChange(ApplyResult(200))
+    assert again.prepare(ConfigurationChange(True, respelt)).result.status == 412  # that one is another kind
 
 
 def test_one_too_long_ago_gets_no_clear_answer(version_log: VersionLog) -> None:
     state = version_log.state_machine.state
     state.forgotten, state.ver = 700, 900
-    old = Change(False, msgspec.json.encode({"Ver": 650, "Base": 649}))
-    assert version_log.state_machine.accepted(old)[0].status == 504
+    old = ConfigurationChange(False, msgspec.json.encode({"Ver": 650, "Base": 649}))
+    assert version_log.state_machine.prepare(old).result.status == 504
 
 
 def test_a_snapshot_holds_one_text_and_the_others_as_deltas(version_log: VersionLog) -> None:
     for ver in range(8, 14):
-        change = Change(False, msgspec.json.encode({"Ver": ver, "Base": ver - 1}))
-        version_log.state_machine.take(ver, encoded(version_log.state_machine.accepted(change)[1]))
+        change = ConfigurationChange(False, msgspec.json.encode({"Ver": ver, "Base": ver - 1}))
+        version_log.state_machine.apply(
+            ver, encode_command(version_log.state_machine.prepare(change).command)
+        )
     data, state = version_log.state_machine.dump(), version_log.state_machine.state
     assert len(data) < 2 * len(state.conf)
     again = StateMachine()
@@ -162,7 +167,7 @@
 
 def test_what_the_log_holds_is_what_the_operator_sent(version_log: VersionLog) -> None:
     assert msgspec.json.decode(version_log.state_machine.state.conf) == sample_configuration(5, 2)
-    assert isinstance(version_log.state_machine.accepted(changed(7))[1], NewVersion)
+    assert isinstance(version_log.state_machine.prepare(changed(7)).command, NewVersion)
 
 
 def news(term: int) -> rpc_messages.WatchReply:
