--- a/tests/bench_adapter/test_host.py
+++ b/tests/bench_adapter/test_host.py
@@ -26,7 +26,7 @@
     )
 
 
-def test_an_operation_goes_through():
+def test_an_operation_is_served():
     done = "COMPLETED LimiterId=0 Ticket=11 SendNo=0 StateCode=200 Duration=3 DoneFlag=1 Server=10.0.0.1:80\n"
     first = drill(START, ORDER)
     call = next(line for line in first.stdout.splitlines() if line.startswith("POST_AMOUNT"))
@@ -37,7 +37,7 @@
     assert "PLACE LimiterId=0 Ticket=11 Server=10.0.0.1:80" in run.stdout and "BUG" not in run.stdout
 
 
-def test_bad_lines_get_one_plain_message():
+def test_malformed_lines_get_one_message():
     for line, words in [
         ("NOVELTY LimiterId=0", "unknown message 'NOVELTY'"),
         ("ORDER LimiterId=0 Ticket=x Terms=small UserKey=ab Category=look", "Ticket is not a whole"),
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -19,7 +19,7 @@
     return demo.DemoOptions(Plan(limiters=2, servers=3, seed=4), shape, seconds, leave, 0.25)
 
 
-def test_the_demo_under_load_with_a_server_leaving_keeps_the_rules():
+def test_the_demo_keeps_the_rules_while_a_server_departs():
     said = []
     assert run(demo.run(ask_demo(), said.append)) == 0
     end = next(line for line in said if line.startswith("sent ") and "lost" in line)
@@ -29,7 +29,7 @@
     assert any("s0 is gone" in line for line in said) and "RULE BROKEN" not in " ".join(said)
 
 
-def test_ctrl_c_mid_load_sends_no_more_and_answers_what_is_out():
+def test_ctrl_c_sends_no_more_and_answers_what_is_in_flight():
     said = []
 
     async def go():
@@ -42,7 +42,7 @@
     assert any(line.startswith("stopping") for line in said)
 
 
-def test_limiters_keep_the_rules_while_the_counter_lies_and_is_swapped():
+def test_limiters_keep_the_rules_while_the_counter_is_wrong_and_replaced():
     said, seen = [], []
 
     async def faults(site):
--- a/tests/cli/test_load.py
+++ b/tests/cli/test_load.py
@@ -9,7 +9,7 @@
 MIX = schedule.mix_of(sample()["settings"])
 
 
-def test_bad_words_on_the_command_line_get_one_plain_line():
+def test_invalid_arguments_are_one_line():
     runner = CliRunner()
     wrong = (["load", "nowhere"], ["demo", "--load", "--shape", "wave"], ["demo", "--load", "--rate", "-3"])
     for words in wrong:
--- a/tests/fakes/test_counter.py
+++ b/tests/fakes/test_counter.py
@@ -26,7 +26,7 @@
     return heard
 
 
-def test_a_count_lives_from_its_first_addition_and_starts_again_after():
+def test_a_count_expires_from_its_first_addition_and_starts_again():
     store = counter.Store()
     assert store.add(b"c1", 2.5, 1000, 10.0) == 2.5
     assert store.add(b"c1", -1.0, 99_000, 10.9) == 1.5  # a later life does not lengthen the first
@@ -35,7 +35,7 @@
     assert store.forget(61.0) == 2 and not store.counts
 
 
-def test_the_counter_adds_turns_away_and_refuses_what_it_does_not_know():
+def test_the_counter_adds_rejects_and_refuses_unknown_commands():
     async def go():
         till = await counter.Counter().open()
         heard = await call(
@@ -62,7 +62,7 @@
     run(go())
 
 
-def test_a_silent_counter_answers_nothing_and_one_full_holds_no_more_connections():
+def test_a_silent_counter_replies_nothing_and_a_full_one_resets_connections():
     async def go():
         till = await counter.Counter(most_connections=1).open()
         till.manner = counter.Manner.SILENT
@@ -79,7 +79,7 @@
     run(go())
 
 
-def test_a_silent_counter_sees_its_callers_go_and_is_back_for_the_next():
+def test_a_silent_counter_notices_closed_connections_and_recovers():
     async def go():
         till = await counter.Counter(most_connections=4).open()
         till.manner = counter.Manner.SILENT
@@ -104,7 +104,7 @@
     run(go())
 
 
-def test_a_flood_of_half_calls_is_cut_off_at_a_bound():
+def test_an_endless_partial_command_is_cut_off_at_a_bound():
     async def go():
         till = await counter.Counter().open()
         reader, writer = await asyncio.open_connection("127.0.0.1", till.port)
@@ -119,7 +119,7 @@
     run(go())
 
 
-def test_a_split_counter_takes_writes_in_both_halves_and_a_heal_counts_each_once():
+def test_a_split_counter_accepts_writes_in_both_halves_and_a_heal_counts_each_once():
     store = counter.Store()
     store.add(b"a", 5.0, 60_000, 0.0)
     parted = counter.split(store)
@@ -134,7 +134,7 @@
     assert counter.heal(late).counts[b"a"].total == 9.0
 
 
-def test_on_loopback_the_halves_answer_apart_then_as_one_and_a_stale_or_spoilt_counter_lies():
+def test_split_halves_reply_apart_then_as_one_and_a_stale_or_corrupt_counter_is_wrong():
     async def go():
         till = await counter.Counter().open()
         assert await call(till.port, [b"INCRTTL", b"k", b"5", b"60000"]) == b"$3\r\n5.0\r\n"
--- a/tests/fakes/test_discovery.py
+++ b/tests/fakes/test_discovery.py
@@ -20,7 +20,7 @@
     return int(head.split(b" ")[1]), body
 
 
-def test_discovery_gives_the_list_then_watches_for_changes():
+def test_discovery_replies_the_full_list_and_then_changes():
     async def go():
         agent = await discovery.Discovery().open()
         agent.put(discovery.Row("s0", "127.0.0.1:1"))
--- a/tests/fakes/test_listener.py
+++ b/tests/fakes/test_listener.py
@@ -19,7 +19,7 @@
         writer.transport.abort()
 
 
-def test_a_connection_that_was_accepted_as_the_listener_closes_is_broken_off_unseen():
+def test_a_connection_accepted_while_the_listener_closes_is_aborted_unseen():
     async def met() -> tuple[int, bool]:
         one = await _Seen().open()
         await asyncio.open_connection(one.host, one.port)
--- a/tests/fakes/test_servers.py
+++ b/tests/fakes/test_servers.py
@@ -20,7 +20,7 @@
     return int(head.split(b" ")[1]), head
 
 
-def test_a_full_or_draining_server_turns_away_as_not_processed():
+def test_a_full_or_draining_server_rejects_as_not_processed():
     async def go():
         knobs = servers.Knobs(capacity=2, queue=1, median_s=0.3, sigma=0.0)
         server = await servers.Server("s0", knobs, 7).open()
@@ -39,6 +39,6 @@
     run(go())
 
 
-def test_a_cold_server_takes_a_share_of_its_capacity_and_warms():
+def test_a_server_in_slow_start_has_a_growing_share_of_its_capacity():
     server = servers.Server("s0", servers.Knobs(capacity=10, cold_from=0.3, warm_s=10.0), 1)
     assert [server.room(server.started_s + t) for t in (0, 5, 10, 60)] == [3, 6, 10, 10]
--- a/tests/fakes/test_site.py
+++ b/tests/fakes/test_site.py
@@ -3,7 +3,7 @@
 from lapisgrade.fakes import site
 
 
-def test_a_free_port_is_none_that_the_system_may_give_to_somebody_else_meanwhile():
+def test_a_free_port_lies_outside_the_ephemeral_range():
     ports = [site.free_port() for _ in range(50)]
     assert len(set(ports)) == 50
     assert all(1024 <= port < site._first_own_port() for port in ports)
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -66,7 +66,7 @@
 ]
 
 
-def test_every_kind_of_mistake_is_told_with_its_place_and_sent_nowhere() -> None:
+def test_every_kind_of_error_is_reported_with_its_place() -> None:
     for edit, words in WRONG:
         wrong, minded = configuration_check.check_text(conf(edit))
         assert wrong and words in " ".join(wrong), (words, wrong)
@@ -74,7 +74,7 @@
         assert "key-of-sfax" not in " ".join(wrong)
 
 
-def test_what_can_be_taken_but_may_be_meant_otherwise_is_minded() -> None:
+def test_valid_but_suspicious_configurations_get_warnings() -> None:
     assert configuration_check.check_text(msgspec.json.encode(CONF)) == ([], [])
     for edit, words in MINDED:
         wrong, minded = configuration_check.check_text(conf(edit))
@@ -82,7 +82,7 @@
         assert words in "\n".join(minded)
 
 
-def test_mistakes_say_how_they_are_mended() -> None:
+def test_errors_carry_a_hint_how_to_correct_them() -> None:
     wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).update(Svc="nowhere")))
     hint = "(name the service under Pools, or send the route to one that is there)"
     assert wrong == [f"route r-claim: service 'nowhere' is not in Pools {hint}"]
@@ -93,7 +93,7 @@
         assert configuration_check.check_text(conf(edit))[0][0].endswith(")"), words
 
 
-def test_a_host_that_stands_twice_has_the_routes_of_both() -> None:
+def test_a_host_listed_twice_has_the_routes_of_both() -> None:
     def twice(c: dict, rules: list) -> None:
         c["Ports"] = [{"Vhost": "a.example", "Policy": [each]} for each in rules]
 
@@ -107,7 +107,7 @@
     assert len(later["Ports"][0]["Policy"]) == 2
 
 
-async def test_a_plan_says_what_then_happens() -> None:
+async def test_a_plan_matches_the_change_that_follows() -> None:
     async with serving_cluster() as site:
         current, where = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
         rule = {**SAMPLE["Ports"][0]["Policy"][1]}
@@ -131,7 +131,7 @@
     return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
 
 
-async def test_what_is_told_of_a_loss_is_what_then_happens() -> None:
+async def test_a_predicted_loss_matches_the_loss_that_follows() -> None:
     async with serving_cluster() as site:
         current, where = await client(site).fetch_newest()
         conf = configuration.read(current)
--- a/tests/gateway/cli/test_commands.py
+++ b/tests/gateway/cli/test_commands.py
@@ -83,7 +83,7 @@
     assert program.run_it("diff", one, one) == (0, "", "")
 
 
-def test_what_can_t_be_reached_is_one_line_and_code_2(program: Program) -> None:
+def test_an_unreachable_target_is_one_line_and_exit_code_2(program: Program) -> None:
     one = program.write("one", msgspec.json.encode(CONF))
     nobody = "--ctl=127.0.0.1:1"
     calls = [("show",), ("status", "--json"), ("plan", one), ("diff", one), ("loss", "m1")]
@@ -92,7 +92,7 @@
         assert (code, out, err.count("\n")) == (2, "", 1), err
 
 
-async def test_what_programs_read_is_json() -> None:
+async def test_json_output_has_the_documented_keys() -> None:
     async with serving_cluster() as site:
         where = f"--ctl={site.ip['m1']}:{CTL}"
         status = {"Newest", "InForce", "Proxies", "Servers", "Leader", "Term", "Voters"}
--- a/tests/gateway/cli/test_demo.py
+++ b/tests/gateway/cli/test_demo.py
@@ -11,7 +11,7 @@
 from support.loopback_network import LoopbackNetwork
 
 
-def test_what_was_not_served_is_told_with_why_and_where() -> None:
+def test_unserved_requests_are_reported_with_reason_and_proxy() -> None:
     load = demo.LoadResult()
     load.add(0.25, "m2", TimeoutError())
     load.add(0.5, "m1", TimeoutError())
@@ -20,7 +20,7 @@
     ]
 
 
-async def test_the_demo_serves_all_five_times_over(
+async def test_the_demo_serves_every_request_in_five_runs(
     loopback_network: LoopbackNetwork, monkeypatch: pytest.MonkeyPatch, silent_logging: None
 ) -> None:
     cluster = functools.partial(LocalCluster, net=loopback_network.number)
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -54,7 +54,7 @@
     return StoredLog(tmp_path)
 
 
-def test_what_is_on_it_is_told_and_nothing_is_written(stored_log: StoredLog) -> None:
+def test_a_dump_reports_the_log_and_writes_nothing(stored_log: StoredLog) -> None:
     before = stored_log.times()
     found = DiskReport(stored_log.folder)
     assert found.summary() == [
@@ -99,7 +99,7 @@
     assert "key-of-sfax" not in told
 
 
-def test_damage_is_told_and_a_torn_end_is_not_damage(stored_log: StoredLog) -> None:
+def test_corruption_is_reported_and_a_torn_tail_is_none(stored_log: StoredLog) -> None:
     path = os.path.join(stored_log.folder, "log-1.dat")
     with open(path, "ab") as file:
         file.write(b"LGD1 torn")
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -35,7 +35,7 @@
     return [{"Vhost": host, "Policy": [rule]}]
 
 
-def test_what_will_change_is_told() -> None:
+def test_a_plan_lists_the_changes() -> None:
     made = plan_onboarding(CURRENT, SERVERS, text())
     assert made.lines == [
         "tenant gabes: new, 1 keys, 40 a second and 20 on top",
@@ -47,7 +47,7 @@
     )
 
 
-def test_what_speaks_against_it() -> None:
+def test_a_plan_lists_the_objections() -> None:
     for ticket, against in (
         (text(Apikeys=["key-of-sfax"]), ["a key of the ticket is held by tenant sfax"]),
         (text(Ports=routed("/stock/")), ["route r-new: r-stock has that prefix"]),
@@ -63,7 +63,7 @@
         assert plan_onboarding(CURRENT, SERVERS, ticket).objections == against
 
 
-def test_what_is_to_be_minded() -> None:
+def test_a_plan_lists_the_warnings() -> None:
     quiet = {**TICKET, "RateS": 0}
     for pfx, doubt in (
         ("/stock/eu/", "route r-new takes from r-stock, whose prefix is shorter"),
@@ -74,7 +74,7 @@
         assert made.objections == []
 
 
-def test_a_ticket_that_can_t_be_taken_says_where() -> None:
+def test_an_invalid_ticket_is_rejected_with_its_place() -> None:
     for ticket, word in (
         (b"{", "not JSON"),
         (b"[]", "a ticket is an object"),
@@ -88,7 +88,7 @@
         assert word in str(got.value)
 
 
-def test_who_holds_back_is_told_with_what_it_lacks() -> None:
+def test_proxies_that_lag_are_listed_with_their_versions() -> None:
     one = {"Name": "c1", "Az": "z", "Held": 4, "InForce": 3, "HeardMs": 20}
     told = {"Proxies": [one, {**one, "Name": "c2", "Held": 3, "HeardMs": 1900}, {**one, "InForce": 4}]}
     assert lagging_proxies(told, 4) == [
@@ -97,7 +97,7 @@
     ]
 
 
-async def test_from_a_ticket_to_the_first_calls_and_back() -> None:
+async def test_a_tenant_is_onboarded_served_and_withdrawn() -> None:
     async with serving_cluster() as site:
         said = []
         client = TenantClient(site.ctl, said.append)
@@ -122,7 +122,7 @@
         assert said[-1] == "  against it: tenant gabes is not there"
 
 
-async def test_two_operators_at_once_both_come_through() -> None:
+async def test_two_concurrent_operators_both_succeed() -> None:
     async with serving_cluster() as site:
         other = {**TICKET, "Name": "lagos", "Apikeys": ["key-of-lagos"], "Ports": []}
         offices = [TenantClient(site.ctl, lambda line: None) for _ in range(2)]
@@ -134,7 +134,7 @@
         assert [each["Name"] for each in shown["Tenants"][1:]].sort() == ["gabes", "lagos"].sort()
 
 
-async def test_a_tenant_comes_in_among_350_routes_more() -> None:
+async def test_a_tenant_is_onboarded_beside_a_change_of_350_routes() -> None:
     async with serving_cluster() as site:
         rules = [
             {
@@ -159,7 +159,7 @@
             assert [each.head.status_code for each in got] == [200, 200]
 
 
-async def test_a_proxy_out_of_touch_promises_what_the_others_serve_and_refuses_nobody() -> None:
+async def test_a_proxy_without_updates_answers_503_for_the_new_tenant_and_serves_the_others() -> None:
     async with serving_cluster() as site:
         silent = site.proxies["m3"]
 
@@ -186,7 +186,7 @@
     return got.returncode, got.stderr, got.stdout.count("\n")
 
 
-def test_mistakes_are_one_line_and_code_2() -> None:
+def test_errors_are_one_line_and_exit_code_2() -> None:
     with tempfile.NamedTemporaryFile("wb", suffix=".json") as file:
         file.write(text())
         file.flush()
--- a/tests/gateway/cli/test_rollout.py
+++ b/tests/gateway/cli/test_rollout.py
@@ -66,7 +66,7 @@
         assert said == ["1 of 1: m2", "stopped at m2:", "  the command ended with 7"]
 
 
-def test_what_is_not_as_well_as_it_was_is_told() -> None:
+def test_what_is_worse_than_before_the_rollout_is_reported() -> None:
     one = {"Name": "c1", "Life": "a", "HeardMs": 10, "InForce": 4}
     disk = {"Id": "d1", "HeardMs": 10}
     well = {"Proxies": [one], "Voters": [disk], "Servers": {"s": {"Up": 10}}, "Newest": 4}
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -23,7 +23,7 @@
 
 
 class Activation(unittest.TestCase):
-    def test_what_one_proxy_has_taken_none_refuses_through_cuts_freezes_starts_and_new_leaders(
+    def test_what_one_proxy_has_served_none_denies_through_partitions_pauses_restarts_and_new_leaders(
         self,
     ) -> None:
         calls = 0
@@ -36,7 +36,7 @@
             self.assertEqual(len(world.taken), world.tenants, f"seed {seed}: a tenant was never let in")
         self.assertGreater(calls, 10_000)
 
-    def test_each_part_of_the_rule_is_needed(self) -> None:
+    def test_known_defects_in_the_activation_rule_are_detected(self) -> None:
         """Known defects put in on purpose are found within the same seeds, and told with what led to them."""
         for name in DEFECTS:
             lines: list[str] = []
@@ -45,7 +45,7 @@
             self.assertIn("WRONG", lines[-1])
         self.assertEqual(explore(range(2))[1], -1)  # switched off again
 
-    def test_the_command_says_what_it_found(self) -> None:
+    def test_the_explore_command_reports_its_findings(self) -> None:
         for what, unit in (("log", "changes"), ("rejoin", "entries")):
             done = CliRunner().invoke(cli, ["lab", "explore", what, "--seeds", "1"])
             self.assertEqual((done.exit_code, done.output.count("\n")), (0, 1), done.output)
@@ -59,7 +59,7 @@
         self.assertEqual(done.exit_code, 1)
         self.assertIn("WRONG", done.output)
 
-    def test_the_moment_waits_for_all_who_live_and_for_none_of_them_for_ever(self) -> None:
+    def test_activation_waits_for_all_live_proxies_within_a_bound(self) -> None:
         state_machine = StateMachine()
         state_machine.apply(1, encode_command(ConfigurationChange(True, conf(1, 0, 1))))
         state_machine.apply(2, encode_command(LiveProxies({"a": ("p", "1", "z"), "b": ("p", "1", "z")})))
@@ -88,7 +88,7 @@
         self.assertIsNone(one.activation(SECOND + MISSED_VERSION_AFTER_US, state_machine.state))
         self.assertEqual(one.activation(SECOND + ACTIVATION_TIMEOUT_US, state_machine.state), Activate(2))
 
-    def test_what_was_refused_or_lost_its_race_is_never_held_nor_ordered(self) -> None:
+    def test_rejected_changes_are_never_staged_nor_activated(self) -> None:
         state_machine = StateMachine()
         state_machine.apply(1, encode_command(ConfigurationChange(True, conf(1, 0, 1))))
         answers = [
@@ -114,7 +114,7 @@
             (news.active_version, news.active_configuration, list(news.staged_versions)), (0, None, [1, 2])
         )
 
-    def test_changes_that_follow_each_other_come_into_force_one_by_one_where_one_proxy_is_dark(
+    def test_consecutive_changes_are_activated_one_by_one_with_one_proxy_unreachable(
         self,
     ) -> None:
         state_machine = StateMachine()
@@ -134,7 +134,7 @@
             dict.fromkeys(range(1, 7), ACTIVATION_TIMEOUT_US),
         )
 
-    def test_a_merged_version_waits_for_those_who_were_cut_off_with_a_draft(self) -> None:
+    def test_a_merged_version_waits_for_proxies_that_were_partitioned_with_a_draft(self) -> None:
         """Guards claims at a proxy that was counted out over the break and has not asked since the heal."""
         state = StateMachine().state
         state.staged, state.merged = {5: b"{}"}, [5]
--- a/tests/gateway/controller/test_activation_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -90,14 +90,14 @@
         await calls.end()
         self.assertEqual(calls.wrong, [], "a proxy refused what another had taken")
 
-    async def test_calm_all_proxies_take_it_within_a_moment_and_pulls_go_on(self) -> None:
+    async def test_all_proxies_activate_a_change_together_and_traffic_goes_on(self) -> None:
         async with Fleet(self.network.number, self.folder) as fleet:
             calls = Calls(fleet)
             await self.onboard(calls)
             self.assertLess(max(calls.first.values()) - min(calls.first.values()), 0.5)
             self.assertEqual(Counter(status for status, _ in calls.pulls), {200: len(calls.pulls)})
 
-    async def test_a_proxy_frozen_over_the_moment_promises_when_it_wakes(self) -> None:
+    async def test_a_proxy_paused_over_the_activation_answers_503_when_it_resumes(self) -> None:
         async with Fleet(self.network.number, self.folder) as fleet:
             calls = Calls(fleet)
 
@@ -114,7 +114,7 @@
             self.assertLess(max(calls.first["m1"], calls.first["m2"]) - calls.sent_at, WITHOUT_SILENT_S)
             self.assertGreater(calls.first["m3"] - min(calls.first.values()), 0.2)
 
-    async def test_the_leader_killed_as_the_change_is_sent(self) -> None:
+    async def test_the_leader_is_killed_while_the_change_is_sent(self) -> None:
         async with Fleet(self.network.number, self.folder) as fleet:
             leader = await fleet.leader()
 
@@ -138,7 +138,7 @@
             await calls.end()
             self.assertEqual(calls.wrong, [])
 
-    async def test_a_proxy_killed_and_started_anew_while_it_comes_into_force(self) -> None:
+    async def test_a_proxy_is_killed_and_restarted_during_the_activation(self) -> None:
         async with Fleet(self.network.number, self.folder) as fleet:
 
             async def again() -> None:
@@ -150,7 +150,7 @@
 
 
 class EarlyWord(unittest.IsolatedAsyncioTestCase):
-    async def test_a_sighup_while_it_starts_ends_nothing_and_the_settings_are_read_again(self) -> None:
+    async def test_a_sighup_during_startup_reloads_the_settings(self) -> None:
         with tempfile.TemporaryDirectory() as folder, reserve_loopback_network() as network:
             ip = network.host(9)
             path = os.path.join(folder, "settings.json")
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -56,7 +56,7 @@
         table = site.proxies[name].router.tables.active
         return next(rule for rule in table.configuration.ports[0].policy if rule.name == "r-claim")
 
-    async def test_one_route_that_keeps_both_and_the_tool_s_words(self) -> None:
+    async def test_edits_of_one_route_on_both_sides_are_both_kept_and_reported(self) -> None:
         site = await self.site()
         await self.alone(site, "m3")
         status, said = await self.drafted(site, "m3", edit(Action={"Svc": "reparation"}))
@@ -88,7 +88,7 @@
         self.assertEqual(said, [f"{name} by amel at m3 on version 1: merged, all of it stands"])
         await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
 
-    async def test_the_same_field_both_ways_is_told_and_settled_or_dropped(self) -> None:
+    async def test_a_conflicting_field_is_reported_and_accepted_or_dropped(self) -> None:
         site = await self.site()
         await self.alone(site, "m3")
         _, said = await self.drafted(site, "m3", edit(Prio=3, Action={"Svc": "reparation"}))
@@ -122,7 +122,7 @@
             "answered 404: no such draft is open"])  # fmt: skip
         self.assertEqual(await client.print_drafts(), 0)
 
-    async def test_a_copy_on_a_neighbour_s_disk_outlives_the_draft_s_own(self) -> None:
+    async def test_a_replica_on_another_disk_survives_the_drafts_own_disk(self) -> None:
         site = await self.site()
         while not site.controllers["m3"].node.leader:
             await asyncio.sleep(0.02)
@@ -140,7 +140,7 @@
         await self.rejoined(site, 2)
         self.assertEqual(self.rule(site, "m2").prio, 0)
 
-    async def test_three_sides_and_a_leader_lost_in_the_merge(self) -> None:
+    async def test_a_leader_lost_while_three_partitions_merge(self) -> None:
         site = await self.site()
         links = Links(site)
         links.part("m1"), links.part("m2"), links.part("m3")
@@ -171,7 +171,7 @@
         )
         self.assertEqual(len(site.controllers[leader].state_machine.state.seen), 3)
 
-    async def test_a_break_that_opens_again_during_the_merge_merges_once(self) -> None:
+    async def test_a_partition_that_recurs_during_the_merge_merges_once(self) -> None:
         site = await self.site()
         links = Links(site)
         links.part("m3")
@@ -195,7 +195,7 @@
             {controller.state_machine.state.ver for controller in site.controllers.values()}, {5}
         )
 
-    async def test_what_is_no_draft_is_refused_in_plain_words(self) -> None:
+    async def test_invalid_drafts_are_rejected_with_the_reason(self) -> None:
         site = await self.site()
         for text, wrong in (
             (edit(Action={"Svc": "nowhere"}), "service 'nowhere' is not in Pools"),
--- a/tests/gateway/controller/test_partitions.py
+++ b/tests/gateway/controller/test_partitions.py
@@ -23,23 +23,23 @@
         self.assertGreater(found.reads, 10)
         return found
 
-    async def test_a_leader_that_is_cut_off_confirms_nothing_and_the_others_go_on(self) -> None:
+    async def test_a_partitioned_leader_acknowledges_nothing_and_the_others_go_on(self) -> None:
         found = await self.played("cut")
         self.assertLess(found.longest_wait, control.WITHIN)
 
-    async def test_a_leader_that_is_not_heard(self) -> None:
+    async def test_a_leader_whose_messages_are_lost(self) -> None:
         await self.played("cut one way, not heard")
 
-    async def test_a_leader_that_hears_nobody(self) -> None:
+    async def test_a_leader_that_receives_no_messages(self) -> None:
         await self.played("cut one way, hears nobody")
 
-    async def test_killed_right_after_an_acknowledgement(self) -> None:
+    async def test_a_leader_killed_right_after_an_acknowledgement(self) -> None:
         await self.played("killed right after")
 
-    async def test_emptied_right_after_an_acknowledgement(self) -> None:
+    async def test_a_leader_that_loses_its_disk_right_after_an_acknowledgement(self) -> None:
         await self.played("emptied right after")
 
-    async def test_a_member_that_was_away_catches_up_leads_and_is_asked(self) -> None:
+    async def test_a_member_that_was_down_catches_up_and_leads(self) -> None:
         found = await self.played("away")
         self.assertLess(found.caught_up, control.WITHIN)
 
--- a/tests/gateway/controller/test_proxy_list_feed.py
+++ b/tests/gateway/controller/test_proxy_list_feed.py
@@ -31,7 +31,7 @@
         self.state_machine.apply(fence, encode_command(LiveProxies(made, [], [])))
         self.told(fence)  # the leader looks at each list as it comes
 
-    def test_whoever_has_any_earlier_list_ends_with_the_newest(self) -> None:
+    def test_a_reader_with_any_earlier_list_reaches_the_newest(self) -> None:
         for seed in range(20):
             self.setUp()
             random, made, held = Random(seed), members(range(40)), {0: {}}
@@ -54,13 +54,13 @@
         self.assertIsNone(delta.live_proxies)
         self.assertLess(len(msgspec.msgpack.encode(delta)), 0.1 * len(msgspec.msgpack.encode(whole)))
 
-    def test_a_delta_on_another_list_is_not_taken(self) -> None:
+    def test_a_delta_on_a_different_list_is_rejected(self) -> None:
         delta = rpc_messages.ProxyListDelta(4, members([1]), [])
         news = rpc_messages.WatchReply(True, fencing_token=5, live_proxies_delta=delta)
         self.assertIsNone(news.updated_proxies(3, members([2])))
         self.assertEqual(news.updated_proxies(4, members([2])), members([1, 2]))
 
-    def test_what_is_remembered_is_bounded(self) -> None:
+    def test_remembered_lists_are_bounded(self) -> None:
         feed = ProxyListFeed()
         for fence in range(1, 10 * MAX_LISTS):
             feed.remember(fence, fence, members(range(fence % 7)))
@@ -69,7 +69,7 @@
 
 
 class FanOut(unittest.TestCase):
-    def test_a_round_of_news_waits_longer_the_more_are_told_within_a_bound(self) -> None:
+    def test_the_fan_out_interval_grows_with_the_proxies_up_to_a_bound(self) -> None:
         self.assertLess(fan_out_interval_us(12), 5_000)
         self.assertLess(fan_out_interval_us(200), 100_000)
         self.assertEqual(fan_out_interval_us(13_000), MAX_FAN_OUT_INTERVAL_US)
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -32,12 +32,12 @@
 
 
 class Configurations(unittest.TestCase):
-    def test_it_is_read_back_as_it_was_put(self):
+    def test_a_configuration_is_read_back_as_it_was_stored(self):
         operator = Operator()
         self.assertEqual(operator.send(WHOLE), (200, ""))
         self.assertEqual(operator.shown(), {name: each for name, each in WHOLE.items() if name != "Base"})
 
-    def test_two_operators_on_one_base(self):
+    def test_of_two_operators_on_one_base_the_second_is_rejected(self):
         operator = Operator()
         operator.send(WHOLE)
         transcript = [
@@ -48,7 +48,7 @@
         ]
         self.assertEqual(transcript, [(200, ""), (412, "version 9 is in force, not 7"), (200, ""), (200, "")])
 
-    def test_the_same_change_laid_out_another_way_is_the_same(self):
+    def test_a_reformatted_change_is_the_same_change(self):
         operator = Operator()
         operator.send(WHOLE)
         again = dict(reversed(WHOLE.items()))
@@ -57,7 +57,7 @@
             operator.send(changed(Tenants=None)), (412, "version 7 is not above 7, which is in force")
         )
 
-    def test_each_kind_of_invalid_configuration_is_refused_with_what_is_wrong(self):
+    def test_each_kind_of_invalid_configuration_is_rejected_with_the_reason(self):
         operator = Operator()
         operator.send(changed(Ver=3))
         cut = msgspec.json.encode(WHOLE)[:-9]
@@ -85,7 +85,7 @@
                 self.assertIn(words, wrong)
         self.assertEqual(operator.state_machine.state.ver, 3)
 
-    def test_a_key_is_never_told(self):
+    def test_a_key_is_never_shown(self):
         twice = [{"Name": "a", "Apikeys": ["secret"]}, {"Name": "b", "Apikeys": ["secret"]}]
         self.assertEqual(Operator().send(changed(Tenants=twice)), (400, "a key stands twice"))
 
@@ -109,7 +109,7 @@
         self.assertEqual((shown["Ver"], shown["Pools"]), (9, WHOLE["Pools"]))
         self.assertEqual(operator.send(change, whole=False), (200, ""))
 
-    def test_a_state_goes_through_a_snapshot(self):
+    def test_a_state_survives_a_snapshot(self):
         operator, other = Operator(), StateMachine()
         operator.send(WHOLE)
         operator.state_machine.apply(2, encode_command(ServerLeaving("i-1", False)))
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -65,14 +65,14 @@
     return conf, [outcomes[each.id] for each in drafts]
 
 
-def test_there_and_back_nothing_is_lost() -> None:
+def test_fields_round_trip_without_loss() -> None:
     assert built(fields(GROUND), GROUND) == GROUND
     for seed in range(200):
         conf = Chance(seed).conf()
         assert built(fields(conf), conf) == conf
 
 
-def test_what_an_edit_changed_leads_from_the_one_to_the_other() -> None:
+def test_the_changes_of_an_edit_lead_from_one_configuration_to_the_other() -> None:
     for seed in range(200):
         chance = Chance(seed)
         conf = chance.conf()
@@ -82,7 +82,7 @@
         assert ops(fields(conf), fields(merged)) == one.ops
 
 
-def test_an_edit_on_each_side_of_one_route_both_stay() -> None:
+def test_edits_of_one_route_on_both_sides_are_both_kept() -> None:
     ours = acknowledged(put(route(CLAIM, "/claim/", Action={"Timeout": "3s"})))
     edge = draft(put(route(CLAIM, "/claim/", svc="b")))
     conf, (one,) = outcome(ours, edge)
@@ -110,7 +110,7 @@
         assert (one.stand, bool(one.aside)) == ([], True)
 
 
-def test_the_same_field_both_ways_stays_as_acknowledged_and_is_told() -> None:
+def test_a_conflicting_field_keeps_the_acknowledged_value_and_is_reported() -> None:
     edge = draft(put(route(CLAIM, "/claim/", svc="b", Prio=0)))
     conf, (one,) = outcome(acknowledged(put(route(CLAIM, "/claim/", svc="c"))), edge)
     assert (found(conf, CLAIM)["Action"]["Svc"], found(conf, CLAIM)["Prio"]) == ("c", 0)
@@ -123,14 +123,14 @@
     )
 
 
-def test_the_same_change_on_both_sides_is_one() -> None:
+def test_the_same_change_on_both_sides_is_applied_once() -> None:
     change = put(route(CLAIM, "/claim/", svc="b"))
     conf, (one, two) = outcome(acknowledged(change), draft(change), draft(change, "another"))
     assert found(conf, CLAIM)["Action"]["Svc"] == "b"
     assert not (one.open or two.open)
 
 
-def test_a_route_or_service_that_is_gone_is_not_brought_back_by_an_edit() -> None:
+def test_an_edit_does_not_restore_a_deleted_route_or_service() -> None:
     edge = draft(put(route(CLAIM, "/claim/", svc="b")))
     conf, (one,) = outcome(acknowledged({"Del": {"Routes": [CLAIM]}}), edge)
     assert ("Routes", CLAIM) not in fields(conf)
@@ -144,7 +144,7 @@
         forced(acknowledged({"Del": {"Routes": [CLAIM]}}), edge.ops)
 
 
-def test_an_end_stands_only_where_nobody_changed_what_ends() -> None:
+def test_a_deletion_is_kept_only_where_nobody_changed_the_item() -> None:
     ends = draft({"Del": {"Routes": [CLAIM]}})
     conf, (one,) = outcome(GROUND, ends)
     assert ("Routes", CLAIM) not in fields(conf)
@@ -153,7 +153,7 @@
     assert one.aside[0].why == "Routes/r-claim/Prio: acknowledged since"
 
 
-def test_keys_are_merged_one_by_one_and_never_told() -> None:
+def test_keys_are_merged_one_by_one_and_never_shown() -> None:
     def keys(*names: str) -> dict:
         return {"Upsert": {"Tenants": [{**GROUND["Tenants"][0], "Apikeys": list(names)}]}}
 
@@ -165,7 +165,7 @@
         assert b"Apikeys/(a key)" in msgspec.json.encode(said)
 
 
-def test_the_order_of_arrival_and_copies_change_nothing() -> None:
+def test_order_of_arrival_and_duplicates_do_not_matter() -> None:
     met = 0
     for seed in range(60):
         chance = Chance(seed)
@@ -179,7 +179,7 @@
     assert met > 20  # drafts that contradict each other are among them
 
 
-def test_every_field_of_every_draft_stands_or_is_told() -> None:
+def test_every_field_of_every_draft_is_merged_or_reported() -> None:
     for seed in range(200):
         chance = Chance(seed)
         base = chance.conf()
@@ -211,7 +211,7 @@
     return state_machine
 
 
-def test_a_merged_version_is_held_ready_and_forced_like_any_other_under_a_fence() -> None:
+def test_a_merged_version_is_staged_and_activated_under_a_fencing_token() -> None:
     state_machine = make_state_machine()
     one = draft(put(route(CLAIM, "/claim/", svc="b")))
     assert state_machine.apply(2, encode_command(MergeDraft(one))).status == 200
@@ -221,7 +221,7 @@
     assert [each.id for each, _ in state_machine.open_drafts().values()] == [one.id]
 
 
-def test_what_is_open_outlives_later_changes_until_it_is_closed() -> None:
+def test_an_open_conflict_survives_later_changes_until_it_is_closed() -> None:
     state_machine = make_state_machine()
     one = draft(put(route(CLAIM, "/claim/", svc="b")))
     change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
@@ -249,7 +249,7 @@
         assert each.open_drafts() == {}
 
 
-def test_a_change_on_an_older_version_than_the_merged_one_loses_its_race() -> None:
+def test_a_change_on_a_version_older_than_the_merged_one_is_rejected() -> None:
     state_machine = make_state_machine()
     state_machine.apply(2, encode_command(MergeDraft(draft(put(route(CLAIM, "/claim/", svc="b"))))))
     change = {"Ver": 6, "Base": 4, **put(route(CLAIM, "/claim/", svc="c"))}
@@ -259,7 +259,7 @@
     )
 
 
-def test_a_flood_of_drafts_and_one_that_is_none_are_refused_plainly() -> None:
+def test_too_many_drafts_and_malformed_ones_are_rejected() -> None:
     state_machine = make_state_machine()
     drafts = [draft(put(route(CLAIM, "/claim/", Prio=i)), f"e{i}") for i in range(MAX_DRAFTS + 1)]
     answers = [state_machine.apply(2 + i, encode_command(MergeDraft(each))) for i, each in enumerate(drafts)]
--- a/tests/gateway/proxy/test_answers.py
+++ b/tests/gateway/proxy/test_answers.py
@@ -14,7 +14,7 @@
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    async def test_an_answer_ends_its_own_request_or_none_and_what_may_run_once_runs_once(self) -> None:
+    async def test_a_response_ends_its_own_request_and_non_idempotent_requests_run_once(self) -> None:
         for seed in range(3):
             with self.subTest(seed=seed):
                 network = self.enterContext(reserve_loopback_network())
@@ -36,7 +36,7 @@
 class Judge(unittest.TestCase):
     """What the plays are judged by."""
 
-    def test_each_kind_of_wrong_is_told(self) -> None:
+    def test_each_kind_of_violation_is_reported(self) -> None:
         good = Try(True, 200, b"/claim/1 a", True)
         for one, ran, arrived in (
             (good, 2, 2),
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -86,7 +86,7 @@
         self.assertLess(time.monotonic() - began, 3 * ADD_TIMEOUT_S)
         return self.peers.ended[0].reason
 
-    async def test_an_owner_that_has_a_later_list_is_not_the_last_word(self) -> None:
+    async def test_a_rejection_by_an_owner_with_a_later_list_is_retried_after_the_update(self) -> None:
         peers = self.peers
         peers.answers = {
             OLD: rpc_messages.QuotaReply(False, fencing_token=9),
@@ -97,7 +97,7 @@
         self.assertIs(await self.add(), CloseReason.ANSWERED)
         self.assertEqual((peers.asked[0], peers.asked[-1]), ((OLD, 5), (NEW, 9)))
 
-    async def test_an_owner_without_this_list_yet_is_asked_until_it_has_it(self) -> None:
+    async def test_an_owner_with_an_earlier_list_is_asked_until_it_is_updated(self) -> None:
         peers = self.peers
         peers.quota_owner.update_members(1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_token=5))
         peers.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
@@ -106,12 +106,12 @@
         )
         self.assertIs(await self.add(), CloseReason.ANSWERED)
 
-    async def test_it_ends_in_time_where_the_lists_never_meet(self) -> None:
+    async def test_a_call_ends_in_time_where_the_lists_never_agree(self) -> None:
         self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=9)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertLess(len(self.peers.asked), 12)
 
-    async def test_a_word_under_the_same_list_is_the_last_and_silence_is_told(self) -> None:
+    async def test_a_rejection_under_the_same_list_is_final_and_silence_is_a_time_out(self) -> None:
         self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=5)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertEqual(len(self.peers.asked), 1)
--- a/tests/gateway/proxy/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -28,7 +28,7 @@
     async def asyncSetUp(self) -> None:
         self.site = await self.enterAsyncContext(local_cluster())
 
-    async def test_gone_a_server_is_not_left_at_work_once_its_client_has_left(self) -> None:
+    async def test_gone_a_server_stops_work_once_its_client_has_disconnected(self) -> None:
         site = await self.site.served(work=2.0)
         server = site.servers["i-1"]
         for path, method in (("/stock/1", "GET"), ("/claim/1", "POST")):
@@ -39,7 +39,7 @@
             await site.until(lambda path=path: path in server.dropped)
             self.assertLess(server.dropped[path], 0.5)
 
-    async def test_config_a_request_has_its_answer_at_its_routes_timeout(self) -> None:
+    async def test_config_a_request_is_answered_at_its_routes_timeout(self) -> None:
         site = await self.site.served(with_timeout("400ms"), work=3.0)
         for path, method in (("/stock/1", "GET"), ("/claim/1", "POST")):
             began = asyncio.get_running_loop().time()
@@ -47,7 +47,7 @@
             self.assertIn(status(got), (502, 504))
             self.assertLess(asyncio.get_running_loop().time() - began, 0.65)
 
-    async def test_budget_a_server_is_handed_no_more_time_than_is_left(self) -> None:
+    async def test_budget_a_server_is_given_no_more_than_the_remaining_time(self) -> None:
         site = await self.site.served()
         server = site.servers["i-1"]
         await site.get("m1", "/stock/1", KEY, id="short", **{"Deadline-Ms": "300"})
@@ -55,7 +55,7 @@
         self.assertTrue(0 < server.deadlines["short"] <= 300, server.deadlines)
         self.assertTrue(0 < server.deadlines["long"] <= 2000, server.deadlines)  # the route's own
 
-    async def test_budget_no_more_servers_run_a_try_than_its_routes_tries(self) -> None:
+    async def test_budget_no_more_servers_run_a_request_than_its_routes_tries(self) -> None:
         site = await self.site.served()
         for _ in range(4):
             await site.start_server("garantie")
@@ -67,7 +67,7 @@
         runs = [sum(each.ran[f"try-{number}"] for each in site.servers.values()) for number in range(20)]
         self.assertLessEqual(max(runs), SAMPLE["Ports"][0]["Policy"][0]["Action"]["Tries"])
 
-    async def test_drain_a_server_that_only_says_that_it_goes_gets_nothing_more(self) -> None:
+    async def test_drain_a_deregistered_server_gets_no_more_requests(self) -> None:
         site = await self.site.served()
         await site.start_server("garantie")
         await site.until(lambda: all(len(each.servers) == 2 for each in site.proxies.values()))
@@ -83,7 +83,7 @@
 
 
 class Unconfigured(unittest.IsolatedAsyncioTestCase):
-    async def test_denied_a_proxy_that_knows_no_configuration_promises_and_refuses_nobody(self) -> None:
+    async def test_denied_a_proxy_without_a_configuration_answers_503_and_denies_nobody(self) -> None:
         async with local_cluster() as site:
             await site.until(lambda: site.proxies["m1"].client_front.is_listening())
             got = await site.get("m1", "/stock/1", KEY, tries=1)
--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -28,7 +28,7 @@
         world.run(30, 5)
         self.assertLessEqual(world.refused, 3)
 
-    def test_none_but_the_one_that_knocks_waits_for_a_count_that_is_silent(self):
+    def test_only_the_probing_request_waits_for_an_unresponsive_count(self):
         world = World(3)
         world.run(8, 30)
         one = next(each for each in world.proxies.values() if not each.quota_owner.owns("t"))
@@ -45,7 +45,7 @@
                 self.assertLessEqual(world.worst(), world.bound)
                 self.assertGreater(len(world.let), 0.85 * 60 * 12)
 
-    def test_the_bound_holds_when_half_hear_no_holder_and_when_none_does(self):
+    def test_the_bound_holds_when_half_or_all_proxies_reach_no_owner(self):
         for dark in (7, 14):
             with self.subTest(dark=dark):
                 world = World(14)
@@ -58,7 +58,7 @@
                 world.run(6, 300)
                 self.assertLessEqual(world.worst(), world.bound)
 
-    def test_the_bound_holds_through_hand_overs_and_a_herd_that_comes_back(self):
+    def test_the_bound_holds_through_hand_overs_and_mass_restarts(self):
         world = World(14)
         for turn in range(6):
             world.run(1.5, 300)
@@ -90,7 +90,7 @@
         world.run(0.15, 300)
         world.tell(world.names)
 
-    def test_the_bound_holds_where_all_are_killed_again_and_again(self):
+    def test_the_bound_holds_when_all_are_killed_repeatedly(self):
         for seed in range(8):
             world = World(14, seed=seed)
             chance = Random(seed)
@@ -100,7 +100,7 @@
             world.run(6, 300)
             self.assertLessEqual(world.worst(), world.bound, f"seed {seed}")
 
-    def test_after_all_were_killed_the_refill_since_the_start_is_there_at_once(self):
+    def test_after_all_were_killed_the_refill_since_the_start_is_available_at_once(self):
         """Guards those who come back: their requests of a second meet a count that was nobody else's."""
         served = []
         for heirs in (True, False):
@@ -112,14 +112,14 @@
             served.append(len(world.let) - before)
         self.assertGreater(served[0], 1.5 * served[1])
 
-    def test_one_that_never_saw_the_count_has_nothing_of_its_own(self):
+    def test_a_proxy_that_never_reached_the_count_admits_nothing(self):
         world = World(2)
         for each in world.proxies.values():
             each.dark = True
         world.run(3, 20)
         self.assertEqual(world.let, [])
 
-    def test_a_lower_limit_takes_hold(self):
+    def test_a_lowered_limit_takes_effect(self):
         world = World(3)
         world.run(4, 300)
         world.tenant = Tenant("t", ("k",), None, 20.0, 20.0)
@@ -130,6 +130,6 @@
         world.run(8, 300)
         self.assertLessEqual(world.worst(), world.bound)
 
-    def test_the_bound_as_it_is_stated(self):
+    def test_the_unreported_allowance_is_as_documented(self):
         # (60 x 5 + 60) x 1.1 + 20 - 60 - 300 - 15, among 14
         self.assertAlmostEqual(unreported_allowance(SLO, 60.0, 60.0, 14), (396 + 20 - 375) / 14)
--- a/tests/gateway/quota/test_client.py
+++ b/tests/gateway/quota/test_client.py
@@ -10,7 +10,7 @@
 
 
 class Client(unittest.TestCase):
-    def test_a_quota_client_tells_apart_what_it_takes_and_what_it_gives_back(self):
+    def test_a_quota_client_reports_taken_and_returned_units_apart(self):
         clock = Clock(10 * SECOND)
         one = QuotaClient(clock, Tenant("t", rate_s=10, burst=5), SLO, 4, 0)
         calls = []
@@ -33,7 +33,7 @@
 
 
 class Turned(unittest.TestCase):
-    def test_those_refused_for_want_of_room_come_back_one_by_one_and_for_want_of_a_word_at_once(self):
+    def test_retry_after_grows_when_the_count_is_exhausted_and_not_when_it_is_unreachable(self):
         clock = Clock(10 * SECOND)
         one = QuotaClient(clock, Tenant("t", rate_s=10, burst=5), SLO, 4, 0)
         one.gateway_count = 4
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -48,17 +48,17 @@
             now_us, MembershipUpdate(9, members(self.names), previous_token=5, previous_owners=self.early)
         )
 
-    def test_the_first_list_of_all_begins_with_full_counts(self) -> None:
+    def test_the_first_member_list_starts_with_full_counts(self) -> None:
         reply = take(self.old, 10 * MS)
         self.assertEqual((reply.is_accepted, round(BURST - reply.total)), (True, 39))
 
-    def test_a_process_that_is_started_anew_under_the_first_list_does_not(self) -> None:
+    def test_a_process_restarted_under_the_first_list_starts_empty(self) -> None:
         """Guards against a burst for each life: the list names the life before, which may have granted."""
         again = QuotaOwner(self.first, "2", SECOND)
         again.update_members(SECOND, MembershipUpdate(5, members(self.early), previous_token=0))
         self.assertLess(BURST - take(again, SECOND + 10 * MS).total, 1.0)
 
-    def test_who_joins_adds_nothing_before_the_last_owner_has_said_its_word(self) -> None:
+    def test_a_joining_owner_grants_nothing_before_the_hand_over(self) -> None:
         """Guards against two owners at a time, where the last one is cut off as another joins (seed 865)."""
         take(self.old, SECOND)
         self.joined(2 * SECOND)
@@ -83,7 +83,7 @@
         later = take(self.new, SECOND + 102 * MS + 2 * SECOND, 0.0)
         self.assertLessEqual(BURST - later.total, BURST - 10.0)
 
-    def test_who_has_handed_over_adds_nothing_though_it_was_not_told_the_new_list_yet(self) -> None:
+    def test_an_owner_that_handed_over_grants_nothing_even_before_the_new_list_arrives(self) -> None:
         self.joined(SECOND)
         self.assertTrue(take(self.old, SECOND).is_accepted)
         self.assertFalse(self.old.hand_over(SECOND, wants(self.new)).must_wait)
@@ -91,7 +91,7 @@
         # The asker may have lied, and there is no such list: then it goes on when its word is out of date.
         self.assertTrue(take(self.old, SECOND + OWNERSHIP_LEASE_US).is_accepted)
 
-    def test_an_answer_that_was_lost_is_given_again_and_makes_no_units(self) -> None:
+    def test_a_lost_reply_is_repeated_and_creates_no_units(self) -> None:
         take(self.old, SECOND, 30.0)
         self.joined(SECOND + MS)
         for told in (False, True):
@@ -107,7 +107,7 @@
         self.new.on_hand_over(SECOND + 7 * MS, wants(self.new), reply, self.first)
         self.assertEqual(round(BURST - take(self.new, SECOND + 7 * MS, 0.0).total), 5)
 
-    def test_a_count_is_given_to_one_life_of_its_owner_alone(self) -> None:
+    def test_a_count_is_handed_to_one_incarnation_of_its_owner(self) -> None:
         """Guards against the level of before once more for each start of the new owner (seed 1212)."""
         self.joined(SECOND)
         self.new.on_hand_over(
@@ -124,11 +124,11 @@
         again.on_hand_over(2 * SECOND, wants(again), reply, self.first)
         self.assertLess(BURST - take(again, 2 * SECOND + 100 * MS, 0.0).total, 1.5)
 
-    def test_what_the_last_owner_may_have_granted_without_a_word_is_not_granted_again(self) -> None:
+    def test_what_the_previous_owner_may_have_granted_is_not_granted_again(self) -> None:
         self.joined(SECOND)
         self.assertEqual(round(BURST - take(self.new, SECOND + OWNERSHIP_LEASE_US, 0.0).total), 0)
 
-    def test_who_is_owner_no_less_or_knows_no_better_hands_nothing_over(self) -> None:
+    def test_a_current_owner_or_one_with_an_older_list_hands_nothing_over(self) -> None:
         other = next(name for name in self.early if name != self.first)
         outdated = rpc_messages.HandOverRequest("t", other, 4, RATE, BURST)
         self.assertTrue(self.old.hand_over(SECOND, outdated).must_wait)
@@ -141,7 +141,7 @@
         self.assertTrue(bystander.hand_over(SECOND, wants(self.new)).must_wait)
         self.assertTrue(take(self.old, SECOND).is_accepted)
 
-    def test_one_whose_own_predecessor_has_not_spoken_has_others_wait(self) -> None:
+    def test_an_owner_still_waiting_for_its_predecessor_has_others_wait(self) -> None:
         """Guards against two lists in quick succession while the first owner is cut off."""
         self.joined(SECOND)
         third = owner_of("t", [name for name in self.names if name != self.last])  # the first one again
@@ -156,7 +156,7 @@
         self.assertEqual(back.predecessor(SECOND + 60 * MS, "t"), self.last)
         self.assertTrue(self.new.hand_over(SECOND + 60 * MS, wants(back)).must_wait)
 
-    def test_who_owned_it_before_an_owner_that_is_gone_is_asked_too(self) -> None:
+    def test_the_owner_before_a_departed_owner_is_asked_too(self) -> None:
         """Guards against one that has not heard of the lists since, and adds on (seeds 20924 and 20976)."""
         take(self.old, SECOND - MS)
         self.joined(SECOND)  # the newcomer owns it, is never handed it, and is gone in the next list
@@ -187,7 +187,7 @@
         self.assertFalse(take(self.old, now).is_accepted)
         self.assertGreater(BURST - take(followed, now).total, 30)
 
-    def test_a_process_that_knows_nothing_speaks_for_itself_alone(self) -> None:
+    def test_a_restarted_process_hands_over_only_its_own_count(self) -> None:
         """Guards against the owner before it, which has not heard of the lists since (seed 30524)."""
         self.joined(SECOND)
         heir = owner_of("t", [name for name in self.early if name != self.first])
@@ -207,7 +207,7 @@
         self.assertTrue(take(one, now).is_accepted)
         self.assertFalse(take(self.old, now).is_accepted)
 
-    def test_what_was_handed_over_stays_so_under_a_list_that_is_older_than_the_new_owner_s(self) -> None:
+    def test_a_hand_over_stands_under_a_list_older_than_the_new_owners(self) -> None:
         """Guards against an owner that hears of lists late, one after the other (seed 30136)."""
         take(self.old, SECOND - MS)
         self.joined(SECOND)
@@ -221,7 +221,7 @@
         self.old.update_members(now, MembershipUpdate(9, members(self.names), previous_token=8))
         self.assertFalse(take(self.old, now).is_accepted)
 
-    def test_nobody_is_waited_for_whose_process_is_gone(self) -> None:
+    def test_no_hand_over_is_awaited_from_a_terminated_process(self) -> None:
         self.joined(SECOND)
         self.new.on_owner_terminated(SECOND, wants(self.new), self.first)
         self.assertTrue(take(self.new, SECOND + MS).is_accepted)
@@ -234,7 +234,7 @@
         )
         self.assertEqual(gone.predecessor(SECOND, "t"), "")
 
-    def test_one_that_is_told_to_end_owns_no_counts_where_others_stay(self) -> None:
+    def test_a_proxy_shutting_down_owns_no_counts_while_others_remain(self) -> None:
         state_machine, watch = StateMachine(), Watch(SECOND, 0)
         watch.become_leader(0, 1, state_machine.state)
 
--- a/tests/gateway/quota/test_owner.py
+++ b/tests/gateway/quota/test_owner.py
@@ -12,7 +12,7 @@
 
 
 class Owner(unittest.TestCase):
-    def test_a_machine_with_a_controller_holds_no_count_where_there_are_others(self):
+    def test_a_machine_with_a_controller_owns_no_count_while_others_can(self):
         names = [f"c{number}" for number in range(6)]
         for tenant in ("t", "u", "v", "w"):
             for core in (names[:3], names):
@@ -24,7 +24,7 @@
                 self.assertEqual(len(held), 1)
                 self.assertTrue(held[0] not in core or core == names)
 
-    def test_an_heir_is_one_whose_own_last_life_the_first_live_proxies_names(self):
+    def test_a_restarted_owner_inherits_its_count_from_the_first_member_list(self):
         mine, names = owner_of("t", live_proxies("abc")), "abc"
         for own, first, since in (("1", {mine: 0}, 3), ("1", {mine: 1}, 5), ("", {}, 5)):
             one = QuotaOwner(mine, own, 3)
@@ -38,7 +38,7 @@
             one.ownership.exclusive_since("t", one.ownership.epochs, None), 6 + OWNERSHIP_LEASE_US
         )  # and may have granted until its time was over
 
-    def test_one_that_missed_a_live_proxies_holds_nothing_of_before(self):
+    def test_an_owner_that_missed_a_member_list_starts_anew(self):
         """Guards against an owner that was cut off, and grants what its count has filled up with while
         another one granted."""
         names = ["a", "b", "c"]
@@ -53,7 +53,7 @@
             self.assertGreaterEqual(told, total, f"after {prior}")
             self.assertLess(told, total + 1.5)
 
-    def test_only_what_this_count_granted_with_the_call_before_comes_back(self):
+    def test_only_units_granted_by_the_previous_call_are_returned(self):
         names = ["a", "b", "c"]
         one = QuotaOwner(owner_of("t", live_proxies(names)))
         one.update_members(0, MembershipUpdate(5, live_proxies(names)))
@@ -70,7 +70,7 @@
         self.assertEqual(room(40, 0, 50, turn=6, of=9), 40.0)  # another owner's, or one that was lost
         self.assertEqual(room(40, -50, turn=7), 40.0)
 
-    def test_an_owner_adds_by_its_own_list_and_time_whatever_list_the_asker_has(self):
+    def test_an_owner_grants_by_its_own_member_list_and_lease_whatever_the_callers(self):
         names = ["a", "b", "c"]
         mine = owner_of("t", live_proxies(names))
         others = live_proxies([name for name in names if name != mine])
@@ -94,7 +94,7 @@
         self.assertEqual(held(4 * SECOND, 9 * SECOND), [False] * 3)  # that one may add still
         self.assertEqual(held(4 * SECOND + OWNERSHIP_LEASE_US, 9 * SECOND), [True] * 3)
 
-    def test_one_that_handed_its_count_over_adds_nothing_for_an_asker_that_has_its_own_list(self):
+    def test_an_owner_that_handed_over_grants_nothing_to_callers_on_its_list(self):
         names = ["a", "b", "c"]
         mine = owner_of("t", live_proxies(names))
         early = [name for name in names if name != mine]
--- a/tests/gateway/quota/test_ownership.py
+++ b/tests/gateway/quota/test_ownership.py
@@ -7,7 +7,7 @@
 
 
 class Owners(unittest.TestCase):
-    def test_the_table_finds_the_same_owners_over_lists_that_change(self) -> None:
+    def test_the_cached_table_finds_the_same_owners_over_changing_lists(self) -> None:
         tenants = [f"tenant-{i}" for i in range(60)]
         for seed in range(20):
             random, table = Random(seed), OwnerTable()
@@ -20,7 +20,7 @@
                 joining = random.sample(range(80), random.choice((0, 1, 10, 60)))
                 names = names.difference(leaving) | {f"edge-{i}" for i in joining}
 
-    def test_nobody_owns_where_nobody_lives(self) -> None:
+    def test_nobody_owns_a_count_without_live_proxies(self) -> None:
         self.assertEqual(OwnerTable().owner("t"), "")
 
 
--- a/tests/gateway/routing/test_retry_budget.py
+++ b/tests/gateway/routing/test_retry_budget.py
@@ -10,7 +10,7 @@
 
 
 class Further(unittest.TestCase):
-    def test_the_sum_over_proxies_keeps_to_the_rule_also_when_all_have_just_started(self):
+    def test_the_sum_over_proxies_keeps_to_the_rule_also_right_after_their_start(self):
         for began, extra in ((-60 * SECOND, SLO.retry_extra), (0, 0.0)):
             budgets = [RetryBudget(SLO, began) for _ in range(14)]
             spent = 0
--- a/tests/gateway/storage/test_log_store.py
+++ b/tests/gateway/storage/test_log_store.py
@@ -38,7 +38,7 @@
     assert LogStore(folder.name).recover() == [b"begin", b"a" * 700, b"b"]
 
 
-def test_every_torn_end_gives_a_beginning(folder: Folder):
+def test_every_torn_tail_is_cut_to_a_prefix(folder: Folder):
     folder.filled()
     with open(folder.path(1), "rb") as file:
         whole = file.read()
@@ -47,7 +47,7 @@
         assert records == [b"begin", b"a" * 700, b"b"][: len(records)]
 
 
-def test_a_gap_below_what_was_surely_there_is_damage_and_above_it_a_torn_end(folder: Folder):
+def test_a_gap_below_the_synced_length_is_corruption_and_above_it_a_torn_tail(folder: Folder):
     log_store = folder.filled()
     log_store.append([b"c"])
     with open(folder.path(1), "r+b") as file:
@@ -66,7 +66,7 @@
     assert decode_records(bytes(torn)) == LogFileContents([b"x"], 1)
 
 
-def test_a_new_generation_counts_only_once_it_is_whole(folder: Folder):
+def test_a_new_generation_counts_only_once_it_is_complete(folder: Folder):
     log_store = folder.filled()
     with mock.patch("os.fsync", side_effect=OSError("no space")), pytest.raises(OSError):
         log_store.renew(b"begin again")
--- a/tests/gateway/test_api.py
+++ b/tests/gateway/test_api.py
@@ -6,7 +6,7 @@
 from lapisgrade.gateway.errors import InvalidInputError
 
 
-def test_a_call_that_is_none_is_refused():
+def test_unknown_and_malformed_calls_are_rejected():
     asked = [
         ("POST", "/-/rpc?call=servers.heartbeat&of=i-1"),
         ("GET", "/-/rpc?call=conf.show"),
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -7,7 +7,7 @@
 from support.configurations import WHOLE, changed, with_rule
 
 
-def test_every_field_of_the_protocol_s_names_is_read_and_none_left_at_its_default():
+def test_every_field_of_the_protocol_is_read():
     made = configuration.read(with_rule(Prio=2, Public=True)).ports[0].policy[0]
     assert (made.name, made.mode, made.target_time, made.prio, made.public, made.match.pfx) == (
         "r-stock",
@@ -41,7 +41,7 @@
     ) == ("a", "10.0.0.1:80", "z", 4, 4, 900_000)
 
 
-def test_the_longest_prefix_of_the_host_that_begins_the_path():
+def test_a_route_is_the_longest_matching_prefix_of_the_host():
     table = RouteTable(configuration.read({name: each for name, each in WHOLE.items() if name != "Base"}))
     asked = ["/stock/2f", "/stock/claim/1?x=/stock/", "/stockroom", "/", "/stock/claim"]
     found = [rule.name if (rule := table.find_rule("A.example", path)) else None for path in asked]
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -46,13 +46,13 @@
     assert abs(sizes[0] - sizes[1]) < 40
 
 
-def test_another_base_under_the_same_number_is_told() -> None:
+def test_a_different_base_under_the_same_number_is_detected() -> None:
     old, new, other = text(20), text(21, 8), text(19)
     with pytest.raises(InvalidInputError):
         decode(encode(8, new, 7, old), other)
 
 
-def test_what_is_no_version_is_told(subtests: pytest.Subtests) -> None:
+def test_malformed_encoded_versions_are_rejected(subtests: pytest.Subtests) -> None:
     good = encode(8, text(3))
     bomb = encode(8, b"0" * (9 * 1024 * 1024))
     for bad in (
@@ -67,7 +67,7 @@
             decode(bad, b"")
 
 
-def test_each_version_goes_as_a_delta_on_what_the_reader_has() -> None:
+def test_each_version_is_sent_as_a_delta_on_the_readers_version() -> None:
     feed, texts = ConfigurationFeed(), {ver: text(30 + ver, ver) for ver in range(1, 5)}
     chain = feed.chain(texts, 0)
     assert [each.base for each in chain.values()] == [0, 1, 2, 3]
@@ -78,7 +78,7 @@
         assert held == texts[ver]
 
 
-def test_it_goes_whole_where_the_base_is_not_known_any_more() -> None:
+def test_a_version_is_sent_complete_once_its_base_is_forgotten() -> None:
     feed = ConfigurationFeed()
     for ver in range(1, MAX_TEXTS + 4):
         feed.version(ver, text(3, ver), 0)
@@ -99,7 +99,7 @@
     return VersionLog()
 
 
-def test_two_that_were_judged_on_one_base_are_not_both_taken(version_log: VersionLog) -> None:
+def test_of_two_changes_on_one_base_only_one_is_applied(version_log: VersionLog) -> None:
     one, other = (
         version_log.state_machine.prepare(
             ConfigurationChange(False, msgspec.json.encode({"Ver": ver, "Base": 7}))
@@ -112,7 +112,7 @@
     assert version_log.state_machine.state.ver == 8
 
 
-def test_two_under_one_number_are_told_apart(version_log: VersionLog) -> None:
+def test_two_changes_under_one_number_are_told_apart(version_log: VersionLog) -> None:
     bodies = [{"Ver": 8, "Base": 7, "Upsert": {"Pools": [{"Name": name}]}} for name in ("x", "y")]
     changes = [ConfigurationChange(False, msgspec.json.encode(body)) for body in bodies]
     one, other = (version_log.state_machine.prepare(change).command for change in changes)
@@ -122,7 +122,7 @@
     assert version_log.state_machine.prepare(changes[1]).result.status == 412
 
 
-def test_one_that_was_taken_is_known_after_hundreds_of_others_a_snapshot_and_in_other_clothes(
+def test_an_applied_change_is_recognized_after_hundreds_of_others_a_snapshot_and_reformatted(
     version_log: VersionLog,
 ) -> None:
     for ver in range(8, 900):
@@ -138,14 +138,14 @@
     assert again.prepare(ConfigurationChange(True, respelt)).result.status == 412  # that one is another kind
 
 
-def test_one_too_long_ago_gets_no_clear_answer(version_log: VersionLog) -> None:
+def test_a_change_too_long_ago_gets_no_definite_answer(version_log: VersionLog) -> None:
     state = version_log.state_machine.state
     state.forgotten, state.ver = 700, 900
     old = ConfigurationChange(False, msgspec.json.encode({"Ver": 650, "Base": 649}))
     assert version_log.state_machine.prepare(old).result.status == 504
 
 
-def test_a_snapshot_holds_one_text_and_the_others_as_deltas(version_log: VersionLog) -> None:
+def test_a_snapshot_stores_one_full_text_and_deltas(version_log: VersionLog) -> None:
     for ver in range(8, 14):
         change = ConfigurationChange(False, msgspec.json.encode({"Ver": ver, "Base": ver - 1}))
         version_log.state_machine.apply(
@@ -159,13 +159,13 @@
     assert isinstance(msgspec.msgpack.decode(data, type=SavedState), SavedState)
 
 
-def test_a_snapshot_of_the_program_before_is_read(version_log: VersionLog) -> None:
+def test_a_snapshot_of_an_earlier_release_is_loaded(version_log: VersionLog) -> None:
     again = StateMachine()
     again.load(msgspec.msgpack.encode(version_log.state_machine.state))
     assert again.state == version_log.state_machine.state
 
 
-def test_what_the_log_holds_is_what_the_operator_sent(version_log: VersionLog) -> None:
+def test_the_log_stores_what_the_operator_sent(version_log: VersionLog) -> None:
     assert msgspec.json.decode(version_log.state_machine.state.conf) == sample_configuration(5, 2)
     assert isinstance(version_log.state_machine.prepare(changed(7)).command, NewVersion)
 
@@ -174,7 +174,7 @@
     return rpc_messages.WatchReply(True, "", [], 3, None, f"{term}+")
 
 
-def test_nothing_of_an_earlier_term_is_taken() -> None:
+def test_updates_of_an_earlier_term_are_ignored() -> None:
     watch_target = WatchTarget(Random(1), PartialView("127.0.0.1:1", "z", Random(1), 0), ["127.0.0.2:1"])
     watch_target.next(0)
     assert watch_target.on_reply(1, news(5))
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -42,7 +42,7 @@
         yield site
 
 
-async def test_a_request_reaches_a_server_whole_under_its_tenant_and_without_its_key():
+async def test_a_request_reaches_a_server_unchanged_with_its_tenant_and_without_its_key():
     async with served_cluster() as site:
         got = await site.get("m1", "/stock/7?x=1", KEY, id="one", Tenant="forged")
         assert (status(got), b"".join(got.body)) == (200, b"garantie /stock/7?x=1")
@@ -52,7 +52,7 @@
         assert (ran[0].ran, ran[0].tenants) == ({"one": 1}, {"sfax": 1})
 
 
-async def test_what_is_not_allowed_is_said():
+async def test_unauthorized_and_unrouted_requests_are_rejected():
     async with served_cluster() as site:
         transcript = [
             status(await site.get("m1", "/stock/1", "no such key")),
@@ -65,7 +65,7 @@
         assert sum(each.ran.total() for each in site.servers.values()) == 0
 
 
-async def test_an_answer_of_another_request_is_passed_over():
+async def test_a_response_to_another_request_is_ignored():
     async with served_cluster(1) as site:
         site.servers["i-1"].manner = "mixed"
         got = await site.get("m1", "/claim/1", KEY, method="POST", id="mine")
@@ -73,7 +73,7 @@
         assert b"".join(got.body) == b"garantie /claim/1"
 
 
-async def test_a_cut_answer_of_what_may_run_once_is_neither_whole_nor_sent_again():
+async def test_a_truncated_response_to_a_non_idempotent_request_is_neither_forwarded_nor_retried():
     async with served_cluster(2) as site:
         for each in site.servers.values():
             each.manner = "cut"
@@ -81,7 +81,7 @@
         assert sum(each.ran["once"] for each in site.servers.values()) == 1
 
 
-async def test_a_reset_under_what_may_run_once_is_no_promise_and_is_not_sent_elsewhere():
+async def test_a_reset_of_a_non_idempotent_request_is_neither_retryable_nor_retried():
     async with served_cluster(2) as site:
         for each in site.servers.values():
             each.manner = "full"
@@ -93,13 +93,13 @@
         assert sum(each.seen["again"] for each in site.servers.values()) >= 1
 
 
-async def test_an_answer_without_the_seal_is_no_success():
+async def test_a_response_without_the_seal_is_no_success():
     async with served_cluster(1) as site:
         site.servers["i-1"].manner = "unsealed"
         assert status(await site.get("m1", "/stock/1", KEY)) == 502
 
 
-async def test_a_servers_own_failure_passes_on_with_its_status_and_seal():
+async def test_a_server_error_is_forwarded_with_its_status_and_seal():
     async with served_cluster(2) as site:
         for each in site.servers.values():
             each.manner = "failing"
@@ -110,7 +110,7 @@
             assert sum(each.ran[path] for each in site.servers.values()) in range(1, tries + 1)
 
 
-async def test_a_servers_failure_is_no_answer_where_the_budget_lets_the_other_do_better():
+async def test_a_server_error_is_retried_elsewhere_within_the_retry_budget():
     async with served_cluster(2) as site:
         for _ in range(20):  # requests earn the budget
             await site.get("m1", "/stock/1", KEY)
@@ -126,7 +126,7 @@
         assert {answers[name][0] for name in at_both} == {200}
 
 
-async def test_bytes_after_a_whole_answer_reach_nobody():
+async def test_bytes_after_a_complete_response_are_dropped():
     async with served_cluster(1) as site:
         site.servers["i-1"].manner = "extra"
         for number in range(4):
@@ -134,7 +134,7 @@
             assert b"".join(got.body) == f"garantie /stock/{number}".encode()
 
 
-async def test_a_key_taken_away_and_a_route_added_are_known_to_all():
+async def test_a_removed_key_and_an_added_route_reach_every_proxy():
     async with served_cluster() as site:
         change = {"Ver": 4, "Base": 1, "Upsert": {"Tenants": [{"Name": "sfax", "Apikeys": ["new"]}]}}
         assert await site.put(change, "conf.update") == 200
@@ -143,7 +143,7 @@
         assert found == [401, 200] * 3
 
 
-async def test_a_drain_acknowledged_outlives_the_controller_that_acknowledged_it():
+async def test_an_acknowledged_drain_survives_the_controller_that_acknowledged_it():
     async with served_cluster(2) as site:
         leader = next(each for each in site.controllers.values() if each.node.is_leader)
         server = site.servers["i-1"]
@@ -159,7 +159,7 @@
         assert server.ran.total() == 0
 
 
-async def test_a_configuration_outlives_every_process_killed_at_once():
+async def test_a_configuration_survives_the_kill_of_every_process():
     async with served_cluster() as site:
         for each in [*site.controllers.values(), *site.proxies.values()]:
             await site.kill(each)
@@ -176,7 +176,7 @@
         assert status(await site.get("m1", "/stock/1", KEY)) == 200
 
 
-async def test_a_leader_begins_with_the_live_proxies_of_the_log_where_every_controller_was_killed():
+async def test_a_leader_starts_from_the_logged_live_proxies_after_every_controller_was_killed():
     """Else it would give on duties that others hold, and order versions past those it has not heard."""
     async with served_cluster() as site:
         began = []
@@ -195,7 +195,7 @@
         assert began == [site.names]
 
 
-async def test_an_operators_call_is_answered_by_any_controller_and_told_what_is_wrong():
+async def test_any_controller_answers_an_operators_call_and_names_the_error():
     async with served_cluster() as site:
         found = []
         for place in site.ctl:
@@ -205,7 +205,7 @@
         assert found == [(400, "route r-stock: service 'garantie' is not in Pools")] * 3
 
 
-async def test_a_proxy_told_to_end_answers_what_it_has_and_says_that_it_leaves():
+async def test_a_proxy_that_shuts_down_answers_its_requests_and_announces_its_departure():
     async with served_cluster(1, work=0.3) as site:
         under_way = asyncio.create_task(site.get("m1", "/claim/1", KEY, method="POST"))
         await site.until(lambda: site.servers["i-1"].running)
@@ -216,7 +216,7 @@
         assert (status(got), got.headers()[b"connection"]) == (200, b"close")
 
 
-async def test_a_proxy_that_no_other_machine_answers_is_not_ready_and_one_without_a_leader_is():
+async def test_an_isolated_proxy_is_not_ready_and_one_without_a_leader_is():
     async with served_cluster(1) as site:
         links = Links(site)
         links.part("m3")
@@ -235,7 +235,7 @@
         assert not site.controllers["m3"].consensus.is_leader()
 
 
-async def test_an_ended_server_is_not_asked_again_and_its_address_may_be_anothers():
+async def test_a_departed_server_gets_no_requests_and_its_address_may_be_reused():
     async with served_cluster(2) as site:
         assert await told(site.ctl, "/-/rpc?call=servers.deregister&of=i-1") == 200
         await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
@@ -248,7 +248,7 @@
         assert sum(each.ran.total() for each in site.servers.values()) == 0
 
 
-async def test_the_time_of_day_may_step_by_hours_and_nothing_goes_by_it():
+async def test_wall_clock_steps_of_hours_have_no_effect():
     chance, real = Random(1), time.time
 
     def stepping() -> float:
@@ -267,7 +267,7 @@
     assert answers == [200] * 15
 
 
-def test_the_limiter_in_service_loads_nothing_of_the_system():
+def test_the_limiter_imports_nothing_of_the_gateway():
     code = (
         "import sys, lapisgrade.__main__, lapisgrade.bench_adapter.host;"
         "print([name for name in sys.modules if 'gateway' in name])"
@@ -276,7 +276,7 @@
     assert got.stdout.strip() == "[]"
 
 
-def test_a_settings_file_that_is_none_is_one_line_and_code_2():
+def test_a_missing_settings_file_is_one_line_and_exit_code_2():
     got = subprocess.run(
         [sys.executable, "-m", "lapisgrade.gateway", "check", "--settings=/nowhere.json"],
         capture_output=True,
--- a/tests/gateway/test_registry.py
+++ b/tests/gateway/test_registry.py
@@ -20,7 +20,7 @@
     return {each.id: each.state for each in registry.changes_since(0, turn)}
 
 
-def test_a_server_is_lost_after_some_beats_and_only_once_a_round_was_heard():
+def test_a_server_is_lost_after_missed_heartbeats_once_the_registry_is_complete():
     registry = Registry(SECOND, 0)
     registry.restore(0, [Server("i-9", "garantie", "10.0.0.9:80", "z", 2, "up", 7)])
     beat(registry, 0.1)
@@ -31,7 +31,7 @@
     assert told(registry) == {"i-9": "lost", "i-1": "up"}
 
 
-def test_a_late_beat_and_one_after_the_end_change_nothing():
+def test_a_late_heartbeat_and_one_after_departure_change_nothing():
     registry = Registry(SECOND, 0)
     beat(registry, 0.1, seq=5)
     registry.mark_left(SECOND, "i-1", False)
@@ -43,14 +43,14 @@
     assert told(registry) == {"i-1": "gone"}
 
 
-def test_an_address_passes_to_its_newest_life():
+def test_an_address_belongs_to_its_newest_incarnation():
     registry = Registry(SECOND, 0)
     beat(registry, 0.1)
     beat(registry, 1.0, name="i-2")
     assert told(registry) == {"i-1": "gone", "i-2": "up"}
 
 
-def test_a_late_beat_brings_no_lost_server_back():
+def test_a_late_heartbeat_does_not_revive_a_lost_server():
     registry = Registry(SECOND, 0)
     beat(registry, 0.1, seq=5)
     beat(registry, 3.0, name="i-2", at="10.0.0.2:80")
@@ -61,7 +61,7 @@
     assert told(registry)["i-1"] == "up"
 
 
-def test_a_late_beat_of_an_unknown_life_takes_no_address_from_another_service():
+def test_a_late_heartbeat_of_an_unknown_incarnation_takes_no_address_of_another_service():
     registry = Registry(SECOND, 0)
     registry.on_heartbeat(SECOND, Server("i-2", "reports", "10.0.0.1:80", "z", 2, "up", 1))
     beat(registry, 1.5, name="i-1", seq=90)  # of one that ended before a new leader came
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -32,13 +32,13 @@
         return settings.read(file.name)
 
 
-def test_unknown_fields_and_null_are_passed_over():
+def test_unknown_fields_and_null_are_ignored():
     told = read()
     assert (told.datadir, told.slo.retry_window, told.peers[0]) == ("", 10 * SECOND, ("10.1.0.5", 8407))
     assert str(told.internal_address(1)) == "10.1.0.5:7661"
 
 
-def test_each_mistake_is_told_with_its_place(subtests: pytest.Subtests):
+def test_each_error_is_reported_with_its_place(subtests: pytest.Subtests):
     for over, words in (
         ({"Heartbeat": "soon"}, "'soon' is not a time such as 1500ms or 2.5s"),
         ({"Peers": ["10.1.0.5"]}, "'10.1.0.5' is not an address such as 10.0.0.4:8407"),
--- a/tests/lab/balancing/test_choosers.py
+++ b/tests/lab/balancing/test_choosers.py
@@ -4,7 +4,7 @@
 from lapisgrade.lab.balancing.play import Play, table
 
 
-def test_the_system_s_chooser_is_nearer_to_full_sight_than_any_textbook_way() -> None:
+def test_the_gateways_balancer_beats_every_textbook_one() -> None:
     spec = Spec(limiters=24, servers=32, load=0.7, seconds=8)
     rows = {name: Play(spec, name).run() for name in ("two-choices", "join-idle", "own", "full-sight")}
     best = rows["full-sight"].in_aim
@@ -14,7 +14,7 @@
     assert rows["own"].far < 0.25  # bytes between zones are priced
 
 
-def test_servers_that_fail_are_left_alone_without_a_probe_and_used_again() -> None:
+def test_failing_servers_are_ejected_without_health_checks_and_used_again() -> None:
     spec = Spec(limiters=24, servers=32, load=0.5, ill=0.15, fails=0.9, seconds=8)
     own, chance = (Play(spec, name).run() for name in ("own", "random"))
     assert own.again < 0.6 * chance.again
--- a/tests/lab/emulator/test_emulator.py
+++ b/tests/lab/emulator/test_emulator.py
@@ -69,7 +69,7 @@
         ("discovery_stale", "all", 1.0, lambda r, w: not w.held_news),
     ],
 )
-def test_each_fault_is_felt_and_every_rule_holds(policy, kind, target, factor, seen):
+def test_each_fault_has_an_effect_and_every_rule_holds(policy, kind, target, factor, seen):
     world = World(scenario.parse(SMALL.format(policy=policy) + fault(kind, target, factor=factor), "t.toml"))
     result = world.run()
     # The module keeps every rule; a baseline knows no ceiling, and is held to the other four.
@@ -80,7 +80,7 @@
     assert sum(result.ends.values()) == result.operations
 
 
-def test_a_killed_server_drained_by_discovery_gets_nothing_past_the_grace_and_comes_back_cold():
+def test_a_killed_and_drained_server_gets_nothing_after_the_grace_and_returns_in_slow_start():
     text = SMALL.format(policy="module") + fault("server_kill", "0-2", for_s=1.0)
     text += fault("server_drain", "3", 2.5)
     world = World(scenario.parse(text, "t.toml"))
@@ -106,7 +106,7 @@
         yield Sleep(op.deadline_us + 1_000_000)
 
 
-def test_the_rules_catch_a_policy_that_breaks_them_and_name_the_operation_and_step():
+def test_the_checker_names_the_operation_and_step_of_a_violation():
     text = SMALL.format(policy="module")
     twice = play(text, lambda clock, index: Twice(clock, index))
     rules = {breach["rule"] for breach in twice.breaches}
@@ -125,7 +125,7 @@
         yield from self.send(op)
 
 
-def test_the_rules_catch_a_ceiling_passed_by_all_limiters_together():
+def test_the_checker_detects_a_rate_limit_exceeded_by_all_limiters_together():
     text = SMALL.format(policy="module").replace("rate = 150", "rate = 600")
     result = play(text, lambda clock, index: Open(clock, index))
     assert any(breach["rule"] == 5 for breach in result.breaches)
@@ -142,7 +142,7 @@
         ("[run]\nrate = -5\n", "test.toml:2: run.rate: -5 is outside"),
     ],
 )
-def test_a_bad_scenario_gets_one_plain_line_naming_where(text, said):
+def test_an_invalid_scenario_is_one_line_with_its_place(text, said):
     with pytest.raises(scenario.ScenarioError) as caught:
         scenario.parse(text, "test.toml")
     assert str(caught.value).startswith(said) and "\n" not in str(caught.value)
--- a/tests/lab/fleet/test_checker.py
+++ b/tests/lab/fleet/test_checker.py
@@ -62,7 +62,7 @@
     return [each.rule for each in found(*events, **more).breaches]
 
 
-def test_a_sound_history_breaks_nothing_and_counts_each_end_once():
+def test_a_correct_history_has_no_violation_and_counts_each_outcome_once():
     got = found(
         sent(),
         came(),
@@ -128,7 +128,7 @@
         ),
     ],
 )
-def test_each_rule_is_seen_to_be_broken(rule, events):
+def test_each_violation_is_detected(rule, events):
     broken = rules(*events)
     assert rule in broken and set(broken) <= {rule, 1, 2}
 
@@ -164,11 +164,11 @@
         ],
     ],
 )
-def test_what_only_looks_like_it_is_not_held_against_anyone(events):
+def test_what_only_resembles_a_violation_is_none(events):
     assert rules(*events) == []
 
 
-def test_the_worst_window_of_any_customer_is_held_to_the_stated_bound():
+def test_the_worst_window_of_any_customer_is_checked_against_the_bound():
     events = [
         event for i in range(30) for event in (sent(f"{i}", 2), came(f"{i}", 2.01), answered(f"{i}", 2.1))
     ]
@@ -193,7 +193,7 @@
     return events
 
 
-def test_time_to_full_service_is_counted_from_the_faults_end():
+def test_recovery_time_is_measured_from_the_end_of_the_fault():
     fault = [h.Fault(at=at * S, what="k", target="all", on=at == 4) for at in (4, 5)]
     got = found(*steady(but=lambda at: not 4 < at < 6.5), *fault)
     assert got.faults[0].began_s == 3 and got.faults[0].ended_s == 4
@@ -202,14 +202,14 @@
     assert found(*steady(), *fault).faults[0].full_service_s == 0
 
 
-def test_a_stampede_is_the_highest_bin_after_the_fault_over_the_mean_before():
+def test_a_stampede_is_the_peak_after_the_fault_over_the_mean_before():
     calls = [h.Counted(at=round((1 + i / 10) * S), name="n", amount=1, total=1) for i in range(100)]
     rush = [h.Counted(at=6 * S + 10 + i, name="n", amount=1, total=1) for i in range(19)]
     got = found(*calls, *rush, h.Fault(at=5 * S, what="k", target="all", on=True))
     assert got.stampede["counter"] == pytest.approx(20, rel=0.1)
 
 
-def test_staleness_is_how_long_after_a_server_left_a_hop_still_came():
+def test_staleness_is_how_long_a_departed_server_still_got_attempts():
     got = found(
         h.Fact(at=2 * S, server="s0", state="terminating"),
         sent(at=2.4),
@@ -223,7 +223,7 @@
     assert got.staleness_s == pytest.approx(0.5)
 
 
-def test_a_history_is_read_back_in_order_and_a_bad_line_is_named(tmp_path):
+def test_a_history_is_read_in_order_and_a_malformed_line_is_named(tmp_path):
     one, two = tmp_path / "one.jsonl", tmp_path / "two.jsonl"
     with h.Writer(one) as writer:
         for event in (begin(), answered(), sent()):  # written a little out of order
@@ -237,7 +237,7 @@
         list(h.read(one))
 
 
-def test_findings_are_kept_and_shown(tmp_path):
+def test_findings_are_stored_and_shown(tmp_path):
     got = found(*steady(), sent("late", 5), h.Fault(at=4 * S, what="link_cut", target="0", on=True))
     report.save(got, tmp_path / "findings.json")
     assert report.load(str(tmp_path / "findings.json")) == got
--- a/tests/lab/fleet/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("case", list(PLAYS))
-def test_processes_keep_the_stated_bound_and_every_ceiling(case, tmp_path):
+def test_processes_keep_the_bound_and_every_rate_limit(case, tmp_path):
     said = text(*PLAYS[case], seconds=5.5, limiters=4)
     sc = scenario.parse(said, "loss.toml")
     files = asyncio.run(ground.play(sc, said, "loss.toml", tmp_path))
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("case", ["lost", "half", "emptied", "split"])
 @pytest.mark.parametrize("limiters", [10, 100, 1000])
-def test_emulated_fleets_keep_it_at_size(case, limiters):
+def test_emulated_fleets_keep_the_bound_at_scale(case, limiters):
     faults = {
         "lost": fault(5, "counter_lost", 6),
         "half": fault(5, "counter_cut", 6, f"0-{limiters // 2 - 1}"),
--- a/tests/lab/fleet/test_counts.py
+++ b/tests/lab/fleet/test_counts.py
@@ -17,7 +17,7 @@
 """
 
 
-def test_each_life_of_each_limiter_counts_once(tmp_path):
+def test_each_incarnation_of_each_limiter_counts_once(tmp_path):
     (tmp_path / "a").mkdir()
     (tmp_path / "a" / "log").write_text(ONE)
     (tmp_path / "b.log").write_text(TWO)
@@ -30,7 +30,7 @@
     assert "2 limiters, 3 lives" in said and "2 x discovery: Busy('status #')" in said
 
 
-def test_logs_without_counters_and_logs_that_are_not_there_are_said_in_one_line(tmp_path):
+def test_missing_logs_and_logs_without_counters_are_one_line(tmp_path):
     (tmp_path / "log").write_bytes(b"\xff\x00 nothing\n" + b"x" * 200_000 + b"\n")
     done = CliRunner().invoke(cli, ["lab", "fleet", "counts", str(tmp_path)])
     assert done.exit_code == 1 and "no counters" in done.output
--- a/tests/lab/fleet/test_peers.py
+++ b/tests/lab/fleet/test_peers.py
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(
     ("faults", "dead", "by"), [(KILLED, 3, (0, 1, 2)), (APART, 0, (1, 2, 3))], ids=["killed", "cut off"]
 )
-def test_limiters_know_who_died_and_who_is_back_and_keep_every_rule(faults, dead, by, tmp_path):
+def test_limiters_detect_failed_and_recovered_peers_and_keep_every_rule(faults, dead, by, tmp_path):
     said = SCENE + faults
     files = asyncio.run(ground.play(scenario.parse(said, "peers.toml"), said, "peers.toml", tmp_path))
     got = checker.check(history.merged(files))
@@ -65,7 +65,7 @@
         assert "peer frames read" in log and "Traceback" not in log
 
 
-def test_the_program_without_an_operators_file_imports_none_of_it():
+def test_the_program_without_a_membership_file_imports_no_membership():
     code = (
         "import sys, lapisgrade.__main__, lapisgrade.bench_adapter.host\n"
         "print([m for m in sys.modules if m.startswith(('lapisgrade.members', 'lapisgrade.peers', "
@@ -88,7 +88,7 @@
         ('[peers]\nlisten = "127.0.0.1:1"\nseeds = 3\n', "not a list"),
     ],
 )
-def test_an_operators_file_that_makes_no_sense_is_refused_in_one_line(text, what, tmp_path):
+def test_an_invalid_membership_file_is_rejected_in_one_line(text, what, tmp_path):
     path = tmp_path / "peers.toml"
     path.write_text(text)
     with pytest.raises(MalformedInputError, match=what):
--- a/tests/lab/fleet/test_processes.py
+++ b/tests/lab/fleet/test_processes.py
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("name", list(defects.DEFECTS))
-def test_a_wilful_defect_in_a_process_is_caught(name, tmp_path):
+def test_a_deliberate_defect_in_a_process_is_detected(name, tmp_path):
     rule = defects.DEFECTS[name][1]
     command = (sys.executable, "-m", "lapisgrade.lab.fleet.defects", name)
     run = "over_bound = 30" if name == "unmetered" else ""
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("way", [signal.SIGINT, signal.SIGKILL])
-def test_no_process_is_left_however_the_ground_ends(way, tmp_path):
+def test_no_process_is_left_however_the_test_bed_ends(way, tmp_path):
     scene = tmp_path / "scene.toml"
     scene.write_text(text(fault(0.2, "limiter_pause", "0", 20), seconds=30))
     args = [
@@ -196,7 +196,7 @@
     assert gone(pids)
 
 
-def test_a_scenario_that_a_player_cannot_do_is_refused_in_one_line(tmp_path):
+def test_a_scenario_that_cannot_be_played_is_rejected_in_one_line(tmp_path):
     scene = tmp_path / "scene.toml"
     scene.write_text(text(fault(1, "limiter_pause", "0", 2)))
     args = [sys.executable, "-m", "lapisgrade.cli", "lab", "run", str(scene)]
@@ -211,13 +211,13 @@
     assert "Traceback" not in done.stderr
 
 
-def test_a_limiter_that_cannot_start_is_said_and_nothing_is_left(tmp_path):
+def test_a_limiter_that_cannot_start_is_reported_and_nothing_is_left(tmp_path):
     said = text(limiters=2)
     with pytest.raises(process.Failed, match="ended while starting"):
         play(said, tmp_path, (sys.executable, "-c", "raise SystemExit(3)"))
 
 
-def test_the_disk_is_lost_cut_short_flipped_and_full(tmp_path):
+def test_disk_faults_lose_truncate_flip_and_fill(tmp_path):
     state = tmp_path / "state"
     (state / "deep").mkdir(parents=True)
     (state / "old").write_bytes(b"old")
--- a/tests/lab/fleet/test_relay.py
+++ b/tests/lab/fleet/test_relay.py
@@ -17,7 +17,7 @@
     return server, server.sockets[0].getsockname()
 
 
-def test_a_tcp_link_is_cut_either_way_healed_slowed_and_reset():
+def test_a_tcp_link_is_cut_in_either_direction_healed_slowed_and_reset():
     async def go():
         server, where = await echo()
         relay = await TcpRelay(where, 1).open()
@@ -59,7 +59,7 @@
     asyncio.run(go())
 
 
-def test_a_datagram_link_loses_doubles_and_reorders_by_its_seed():
+def test_a_datagram_link_loses_duplicates_and_reorders_by_its_seed():
     class Far(asyncio.DatagramProtocol):
         def __init__(self):
             self.got = []
--- a/tests/lab/partitions/test_cuts.py
+++ b/tests/lab/partitions/test_cuts.py
@@ -67,7 +67,7 @@
     return CutLinks(loopback_network, tmp_path)
 
 
-def test_both_ways_are_held_up_and_go_on_in_order(links: CutLinks) -> None:
+def test_a_cut_delays_both_directions_and_keeps_the_order(links: CutLinks) -> None:
     async def steps(loop, host, port, ends) -> None:
         here, own = await loop.create_connection(Heard, host, port)
         here.write(b"1")
@@ -87,7 +87,7 @@
     links.played(steps)
 
 
-def test_one_that_waits_too_long_is_lost_here_at_once_and_there_at_the_heal(links: CutLinks) -> None:
+def test_a_connection_cut_too_long_is_lost_here_at_once_and_there_at_the_heal(links: CutLinks) -> None:
     async def steps(loop, host, port, ends) -> None:
         here, own = await loop.create_connection(Heard, host, port)
         await links.until(lambda: ends)
--- a/tests/lab/partitions/test_rejoin.py
+++ b/tests/lab/partitions/test_rejoin.py
@@ -21,7 +21,7 @@
     assert found.claims > 30
 
 
-def test_the_checker_of_claims_sees_what_must_not_be() -> None:
+def test_the_checker_of_claims_detects_each_violation() -> None:
     tries = {"a": rejoin.Try(1, "m1", 1.0, 200), "b": rejoin.Try(2, "m2", 1.1, 503),
              "c": rejoin.Try(2, "m2", 2.0, 200), "d": rejoin.Try(3, "m3", 3.0, 504)}  # fmt: skip
 
--- a/tests/lab/simulation/test_data_plane.py
+++ b/tests/lab/simulation/test_data_plane.py
@@ -12,7 +12,7 @@
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
 
-def test_versions_counts_quotas_and_leaving_servers_are_kept_through_troubles(
+def test_versions_counts_quotas_and_departures_survive_faults(
     subtests: pytest.Subtests,
 ) -> None:
     sent = grants = 0
@@ -38,7 +38,7 @@
         assert found is not None, f"{name} survived {many} seeds from {begin} on"
 
 
-def test_the_exploration_tells_what_led_to_it() -> None:
+def test_the_exploration_reports_what_led_to_a_violation() -> None:
     lines: list[str] = []
     _, seed = explored.explore(range(2), "old-fence", lines.append)
     assert seed >= 0
--- a/tests/lab/test_quota.py
+++ b/tests/lab/test_quota.py
@@ -51,13 +51,13 @@
     assert got.quotas["short_share"] <= 0.03, got.quotas
 
 
-def test_nothing_grows_with_time_over_many_names_of_the_count():
+def test_the_excess_does_not_grow_over_many_counter_keys():
     got = play(10, 1.5, seconds=200)
     assert got.quotas["over_worst"] <= 0.02 * 200 * 20, got.quotas
     assert got.quotas["short_share"] <= 0.02, got.quotas
 
 
-def test_a_customer_of_one_limiter_loses_nothing_when_its_count_gets_a_new_name():
+def test_a_customer_of_one_limiter_loses_nothing_when_its_counter_key_changes():
     got = play(1, 1.5, seconds=100)
     assert got.quotas["short_share"] <= 0.005, got.quotas
 
@@ -72,7 +72,7 @@
     assert each.admitted == 49 and each.inside == 1  # no 12 ever fits into a burst of 5
 
 
-def test_what_a_single_bucket_would_have_let_in_is_owed():
+def test_the_shortfall_is_what_a_single_bucket_would_have_admitted():
     each = quota.Quota(1.0, 4.0, 0)
     for _ in range(3):
         each.asked(2, 0)
--- a/tests/lab/test_quota_ways.py
+++ b/tests/lab/test_quota_ways.py
@@ -6,7 +6,7 @@
 from lapisgrade.lab import quota_ways
 
 
-def test_ways_to_hold_a_quota_are_told_apart():
+def test_ways_to_share_a_quota_differ_as_expected():
     """A tenant inside its quota, whose clients load limiters unevenly: one count refuses nobody, even
     shares do; a call per request costs more calls."""
     many, few = (12, 1 / 1.6, 1, 24.0, 24.0), (6, 1 / 1.6, 3, 40.0, 40.0)
--- a/tests/members/test_core.py
+++ b/tests/members/test_core.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_four_of_ten_killed_at_once_are_known_dead_within_the_bound(seed):
+def test_four_of_ten_killed_at_once_are_detected_within_the_bound(seed):
     net, names = fleet(10, seed)
     for name in names[:4]:
         net.kill(name)
@@ -32,7 +32,7 @@
     assert took is not None and took <= detection_bounds_us(net.timing, 10)["known"]
 
 
-def test_members_that_stop_for_three_seconds_come_back_without_being_joined_again():
+def test_members_paused_for_three_seconds_return_without_a_new_join():
     net, names = fleet(10, 4)
     for name in names[:3]:
         net.stop(name)
@@ -57,7 +57,7 @@
     assert net.run(30 * SECOND, lambda: net.agree(set(names))) is not None
 
 
-def test_two_halves_meet_again_after_they_held_each_other_dead():
+def test_two_partitions_merge_after_declaring_each_other_dead():
     net, names = fleet(10, 5)
     left, right = names[:5], names[5:]
     net.part(left, right)
@@ -67,7 +67,7 @@
     assert net.run(30 * SECOND, lambda: net.agree(set(names))) is not None
 
 
-def test_a_member_that_is_heard_but_cannot_hear_does_not_take_the_fleet_down():
+def test_a_member_that_receives_nothing_does_not_take_the_fleet_down():
     net, names = fleet(10, 6)
     net.cuts = lambda source, to: to == names[0] and source != names[0]
     net.run(15 * SECOND)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("seed", [7, 8])
-def test_a_fifth_of_datagrams_lost_doubled_and_late_kills_nobody_for_long(seed):
+def test_loss_duplication_and_delay_of_a_fifth_kill_nobody_for_long(seed):
     net, names = fleet(10, seed, Wire(lost=0.2, twice=0.1, jitter_us=30_000))
     wrong = 0
     for _ in range(60):
@@ -91,7 +91,7 @@
     assert took is not None and took <= detection_bounds_us(net.timing, 10, 0.2, slow=3)["known"]
 
 
-def test_a_member_that_comes_back_under_its_old_name_lives():
+def test_a_member_that_returns_under_its_old_name_is_alive():
     net, names = fleet(6, 9)
     net.kill(names[0])
     net.run(SECOND // 2)  # suspected at the most
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("count", [10, 40])
-def test_what_a_member_sends_does_not_grow_with_the_fleet(count):
+def test_a_members_traffic_does_not_grow_with_the_fleet(count):
     net, names = fleet(count, 11)
     before = dict(net.sent)
     net.run(20 * SECOND)
@@ -188,7 +188,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 400_000), MESSAGES), max_size=40), st.integers(0, 1000))
-def test_whatever_is_heard_a_member_lives_by_its_own_word_and_time_goes_on(events, seed):
+def test_a_member_stays_alive_to_itself_whatever_it_receives(events, seed):
     one, now = Members("a", "a", 2, SECOND, Random(seed)), SECOND
     highest = {}
     for wait, message in events:
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -111,7 +111,7 @@
     return BUSY * detection_bounds_us(Timing(), count, lost, 1)["known"] / 1e6
 
 
-def test_killed_stopped_and_restarted_members_are_known_everywhere(tmp_path):
+def test_killed_paused_and_restarted_members_are_detected_everywhere(tmp_path):
     async def go():
         async with Fleet(tmp_path, 5) as fleet:
             everybody = set(fleet.nodes)
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("link", [Link(), Link(loss=0.2, twice=0.1, swap=0.1)], ids=["sound", "lossy"])
-def test_one_that_is_cut_off_is_dead_to_the_rest_and_back_when_healed(link, tmp_path):
+def test_a_partitioned_member_is_dead_to_the_rest_and_returns_when_healed(link, tmp_path):
     async def go():
         async with Fleet(tmp_path, 5, link) as fleet:
             everybody, lone = set(fleet.nodes), fleet.nodes["m4"]
@@ -150,7 +150,7 @@
     asyncio.run(go())
 
 
-def test_a_flood_another_version_and_noise_cost_a_bound_and_one_line(tmp_path):
+def test_a_flood_a_foreign_version_and_noise_have_a_bounded_cost(tmp_path):
     async def go():
         async with Fleet(tmp_path, 3) as fleet:
             one = fleet.nodes["m0"]
@@ -175,7 +175,7 @@
     asyncio.run(go())
 
 
-def test_a_member_that_cannot_listen_says_so_in_one_line(tmp_path):
+def test_a_member_that_cannot_listen_reports_it_in_one_line(tmp_path):
     async def go():
         child = Process("m", [sys.executable, "-m", "lapisgrade.members", "m", "nowhere"], tmp_path / "log")
         async with Supervisor() as supervisor:
@@ -186,7 +186,7 @@
     asyncio.run(go())
 
 
-def test_frames_fit_a_datagram_and_strange_ones_are_refused_plainly():
+def test_frames_fit_a_datagram_and_malformed_ones_are_rejected():
     news = [
         messages.Update(f"limiter-with-a-long-name-{i:03}", f"127.0.0.1:{10_000 + i}", 1 << 40, 0)
         for i in range(40)
--- a/tests/net/test_callers.py
+++ b/tests/net/test_callers.py
@@ -15,7 +15,7 @@
 
 
 @on_loopback
-async def test_each_ending_of_a_call_and_no_answer_for_another():
+async def test_each_close_reason_of_a_counter_call_and_no_reply_for_another():
     """An answer that comes too late is not taken for the next call's."""
     async with Site() as site:
         got = asyncio.Queue()
@@ -55,7 +55,7 @@
 
 
 @on_loopback
-async def test_the_watch_goes_on_and_a_server_that_leaves_gets_nothing_new():
+async def test_the_watch_continues_and_a_departing_server_gets_no_new_requests():
     async with Site() as site:
         await asyncio.sleep(0.7)
         paths = [path for path, _ in site.agent.calls]
@@ -78,7 +78,7 @@
         assert 0.25 < times[-1] - times[0] < 0.6  # each within 200 ms, and no more often than it takes
 
 
-def test_callers_of_a_crowded_discovery_all_get_through():
+def test_all_callers_of_an_overloaded_discovery_get_through():
     """Found on sockets at size: of 40 limiters that came back at once, most never heard of a server again."""
     now, free, due, told = 0.0, 0.0, [], {}
     turns = {i: PollBackoff(Random(i), 40) for i in range(40)}
@@ -99,7 +99,7 @@
 
 
 @on_loopback
-async def test_an_agent_that_turns_away_is_asked_less_and_less():
+async def test_a_discovery_agent_that_rejects_calls_is_backed_off():
     async with Site() as site:
         site.agent.manner = "busy"
         await asyncio.sleep(1.0)
--- a/tests/net/test_end.py
+++ b/tests/net/test_end.py
@@ -20,7 +20,7 @@
 
 
 @on_loopback
-async def test_what_is_owed_at_the_end_is_answered():
+async def test_open_operations_are_answered_at_shutdown():
     async with Site() as site:
         for each in site.backends:
             each.manner = 0.6
@@ -54,7 +54,7 @@
         assert closed[CloseReason.ANSWERED] >= 2 and closed[CloseReason.IDLE] >= 2
 
 
-def test_as_a_process_it_says_what_is_wrong_and_prints_its_counters(tmp_path):
+def test_the_process_reports_errors_and_prints_its_counters(tmp_path):
     told = tmp_path / "config.json"
 
     def run():
@@ -93,7 +93,7 @@
 
 
 @on_loopback
-async def test_a_new_configuration_moves_discovery_and_counter_under_open_work():
+async def test_a_reload_moves_discovery_and_counter_under_open_operations():
     async with Site(counter_timeout_ms=5000.0) as site:  # also a busy machine answers the open call in time
         pool, rows = site.service.host.pool, site.agent.rows
         agent, till = await Agent(rows).open(), await Till().open()
--- a/tests/net/test_front.py
+++ b/tests/net/test_front.py
@@ -14,7 +14,7 @@
 
 
 @on_loopback
-async def test_requests_and_answers_pass_on_unchanged():
+async def test_requests_and_responses_are_forwarded_unchanged():
     async with Site(servers=1) as site:
         on = await site.connect()
         body = bytes(range(256)) * 200
@@ -30,7 +30,7 @@
 
 
 @on_loopback
-async def test_a_request_may_come_in_pieces_and_in_chunks():
+async def test_a_request_may_arrive_in_fragments_and_chunked():
     async with Site() as site:
         reader, writer = await site.connect()
         for byte in site.request("burn", "7", b"abc"):
@@ -45,7 +45,7 @@
 
 
 @on_loopback
-async def test_a_request_that_comes_before_its_turn_waits_for_it():
+async def test_a_pipelined_request_waits_for_the_one_before_it():
     async with Site() as site:
         reader, writer = await site.connect()
         writer.write(site.request("burn", "1", b"one") + site.request("burn", "2", b"two"))
@@ -106,7 +106,7 @@
 
 
 @on_loopback
-async def test_refusals_say_when_to_come_back():
+async def test_rejections_carry_retry_after():
     async with Site() as site:
         answers = [await site.ask(number=str(i), X_Plan="none") for i in range(3)]
         status, headers, _ = answers[-1]
@@ -114,7 +114,7 @@
 
 
 @on_loopback
-async def test_a_client_that_goes_takes_its_hops_along():
+async def test_a_disconnected_client_cancels_its_attempts():
     async with Site(servers=1) as site:
         site.backends[0].manner = "silent"
         _, writer = await site.connect()
@@ -127,7 +127,7 @@
 
 
 @on_loopback
-async def test_idle_clients_make_room_and_busy_ones_keep_theirs():
+async def test_idle_client_connections_are_evicted_and_busy_ones_kept():
     async with Site(sockets=16) as site:
         kept = [await site.connect() for _ in range(8)]
         await site.ask(path="/up", on=kept[0])  # the one used last is the last to go
@@ -148,7 +148,7 @@
 
 
 @on_loopback
-async def test_connections_that_ask_nothing_end_and_others_stay():
+async def test_connections_without_a_request_time_out_and_others_stay():
     async with Site() as site:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(client_listener.ClientListener, "request_timeout_s", 0.4)
@@ -167,7 +167,7 @@
 
 
 @on_loopback
-async def test_connections_at_rest_leave_room_for_those_that_ask():
+async def test_idle_connections_leave_capacity_for_active_ones():
     """Found in an incident: clients that asked once and stayed held all that clients may hold."""
     async with Site(sockets=64) as site:  # 32 for clients, a quarter of them at rest
         kept = [await site.connect() for _ in range(24)]
@@ -180,7 +180,7 @@
 
 
 @on_loopback
-async def test_an_id_that_is_open_is_not_sent_again():
+async def test_a_request_id_in_flight_is_not_sent_twice():
     async with Site() as site:
         for each in site.backends:
             each.manner = 0.2
@@ -192,7 +192,7 @@
 
 
 @on_loopback
-async def test_what_a_server_can_not_use_goes_to_no_other_and_is_not_held_against_it():
+async def test_a_bad_request_is_not_retried_and_does_not_count_against_the_server():
     async with Site() as site:
         for each in site.backends:
             each.manner = "rejected"
@@ -204,7 +204,7 @@
 
 
 @on_loopback
-async def test_requests_by_the_hundred_on_one_connection_and_a_client_that_does_not_read():
+async def test_hundreds_of_pipelined_requests_and_a_client_that_does_not_read():
     async with Site() as site:
         reader, writer = await site.connect()
         writer.write(site.request(path="/up") * 400)
--- a/tests/net/test_hops.py
+++ b/tests/net/test_hops.py
@@ -38,7 +38,7 @@
 
 
 @on_loopback
-async def test_each_ending_of_a_hop_is_told_for_what_it_is():
+async def test_each_close_reason_of_an_attempt_is_reported():
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     for manner, ending, outcome in [
@@ -74,7 +74,7 @@
 
 
 @on_loopback
-async def test_a_connection_that_never_comes_up_has_run_nothing():
+async def test_a_connection_that_is_never_established_has_run_nothing():
     async def nobody():
         await asyncio.sleep(30)
 
@@ -90,7 +90,7 @@
 
 
 @on_loopback
-async def test_nothing_is_written_for_what_has_its_answer_or_to_a_server_that_leaves():
+async def test_nothing_is_sent_for_answered_operations_or_to_departing_servers():
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     over, leaving = Hop(now), Hop(now)
@@ -104,7 +104,7 @@
 
 
 @on_loopback
-async def test_a_connection_is_closed_by_us_before_the_server_does():
+async def test_idle_connections_are_closed_before_the_server_closes_them():
     """What is written to a connection that the server has closed may have run, for all that we know."""
     backend = await Backend().open()
     made, landed, now = pool(backend.port, idle=1.6)
@@ -123,7 +123,7 @@
 
 
 @on_loopback
-async def test_a_second_answer_that_comes_later_is_nobodys():
+async def test_a_second_response_on_a_connection_belongs_to_no_request():
     """It lies read by asyncio, but not by us, when the connection is wanted for the next hop."""
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
@@ -143,7 +143,7 @@
 
 
 @on_loopback
-async def test_an_address_passed_on_is_the_new_servers_alone_and_the_old_one_is_forgotten():
+async def test_a_reassigned_address_belongs_to_the_new_server_alone():
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     made.send(Hop(now))
@@ -159,7 +159,7 @@
 
 
 @on_loopback
-async def test_a_silent_server_must_take_a_new_connection_first():
+async def test_an_unresponsive_server_must_accept_a_new_connection_first():
     backend = await Backend(0.1).open()
     made, landed, now = pool(backend.port, dial=0.15)
     for _ in range(2):
@@ -176,7 +176,7 @@
 
 
 @on_loopback
-async def test_what_came_while_we_slept_is_not_overdue():
+async def test_a_response_received_while_the_process_was_suspended_is_not_timed_out():
     async with Site() as site:
         got, landed = asyncio.Queue(), asyncio.Queue()
         address = ("127.0.0.1", site.till.port)
@@ -195,7 +195,7 @@
 
 
 @on_loopback
-async def test_a_request_half_written_has_not_run():
+async def test_a_partially_written_request_has_not_run():
     """A server that stops reading and dies: the last byte never left this machine."""
 
     async def deaf(reader, writer):
@@ -212,7 +212,7 @@
 
 
 @on_loopback
-async def test_the_pool_keeps_within_its_connections():
+async def test_the_pool_keeps_to_its_connection_limit():
     parties = [await Backend(0.1).open() for _ in range(5)]
     made, landed, now = pool(1)
     made.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(parties)})
@@ -227,7 +227,7 @@
 
 
 @on_loopback
-async def test_an_operation_that_may_have_run_is_not_sent_again_by_itself():
+async def test_an_operation_that_may_have_run_is_not_retried():
     async with Site() as site:
         for each in site.backends:
             each.manner = "close"
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -42,7 +42,7 @@
         read_connection_settings(flatten({"Ceilings": {"DialTimeout": "soon"}}))
 
 
-def test_lines_are_so_many_a_second(capfd, monkeypatch):
+def test_log_lines_are_rate_limited(capfd, monkeypatch):
     now = [5.0]
     monkeypatch.setattr("lapisgrade.net.rate_limited_log.time.monotonic", lambda: now[0])
     log = RateLimitedLog("n0")
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_ceiling_holds_whatever_the_counter_says(seed):
+def test_the_rate_limit_holds_whatever_the_counter_replies(seed):
     """Counter silent or emptied, limiters restarted, all traffic gathered on one: never past the ceiling."""
     world = World(seed, limiters=2 + seed % 2, chances=(1, 0, 0, 0, 0, 0))
     random = world.random
@@ -24,7 +24,7 @@
     assert len(world.ran) > 40
 
 
-def test_quota_is_one_store_over_all_limiters():
+def test_a_quota_is_one_bucket_over_all_limiters():
     world = World(1, chances=(1, 0, 0, 0, 0, 0))
     for step in range(300):
         world.arrive(step % 3)
@@ -33,7 +33,7 @@
     assert allowed * 0.8 <= len(world.ran) <= allowed + 3
 
 
-def test_emptied_counter_grants_no_second_burst():
+def test_a_counter_that_lost_its_data_grants_no_second_burst():
     world = World(2, limiters=2, chances=(1, 0, 0, 0, 0, 0))
     for step in range(60):
         world.arrive(step % 2)
@@ -46,7 +46,7 @@
     assert len(world.ran) - before <= PLANS[0].rate * 0.6 + 2
 
 
-def test_silent_counter_leaves_a_share():
+def test_an_unresponsive_counter_leaves_each_limiter_a_share():
     world = World(3, chances=(1, 0, 0, 0, 0, 0))
     world.silent = True
     for step in range(300):
@@ -56,7 +56,7 @@
     assert allowed * 0.5 < len(world.ran) < allowed * 2.2
 
 
-def test_refusal_tells_when_to_come_back():
+def test_a_rejection_carries_retry_after():
     world = World(4, limiters=1, chances=(1, 0, 0, 0, 0, 0))
     for _ in range(20):
         world.arrive(0)
@@ -65,7 +65,7 @@
     assert back and all(0 < how.retry_after_us <= 500_000 for how in back)
 
 
-def test_unanswered_calls_that_were_counted_are_taken_back():
+def test_timed_out_calls_that_were_counted_are_returned():
     """Found in an incident with a crowded counter: what was never sent was counted, and quotas shrank."""
     world = World(10, limiters=1, chances=(1, 0, 0, 0, 0, 0))
     world.lossy = 0.5
@@ -76,7 +76,7 @@
     assert units > 0.75 * (PLANS[2].burst + PLANS[2].rate * 20)
 
 
-def test_small_slice_still_lets_one_in():
+def test_a_small_share_still_admits_one_operation():
     """Found in an incident: with many gateways a slice of a small burst never held one operation."""
     world = World(11, limiters=12, chances=(1, 0, 0, 0, 0, 0))
     world.silent = True
@@ -85,7 +85,7 @@
     assert len(world.ran) == 1
 
 
-def test_units_settled_afterwards_are_put_right():
+def test_units_reported_afterwards_are_corrected():
     world = World(14, limiters=1)
     gate, store = world.gates[0], PLANS[0]
     world.chance = lambda: (AttemptOutcome.OK, 5_000)
@@ -104,7 +104,7 @@
     assert left == pytest.approx(store.burst - 4 - lease, abs=0.1)
 
 
-def test_any_one_look_tells_recent_use():
+def test_one_call_of_the_counter_shows_recent_use():
     """Found at size: a limiter that seldom looks could not tell from a total when it was used up."""
     world = World(15, limiters=12, chances=(1, 0, 0, 0, 0, 0))
     world.run(world.now + 20 * SECOND)
@@ -117,7 +117,7 @@
         world.run(world.now + 25 * SECOND)
 
 
-def test_ceiling_share_fills_from_the_start():
+def test_the_share_of_a_rate_limit_fills_from_the_start():
     """Found at size: each limiter turned back a customer's first operations under a ceiling."""
     world = World(17, limiters=1, chances=(1, 0, 0, 0, 0, 0))
     world.run(world.now + 2 * SECOND)
@@ -126,7 +126,7 @@
     assert len(world.ran) == 1
 
 
-def test_amounts_stay_what_the_counter_takes():
+def test_amounts_stay_within_what_the_counter_accepts():
     """A store that fills within two seconds makes what is added grow fast; it must not pass 1e9."""
     world = World(5, chances=(1, 0, 0, 0, 0, 0))
     for _ in range(400):
@@ -135,7 +135,7 @@
     assert len(world.ran) > 300 * PLANS[3].rate / 20
 
 
-def test_a_crowded_counter_is_asked_for_what_it_can_count():
+def test_an_overloaded_counter_is_called_at_the_rate_it_can_serve():
     """Four limiters want 400 calls a second of one that takes 150: no flood and then nothing."""
     now, free, answered, silent, due = SECOND, 0, 0, 0, []
     counters = [CounterBreaker(True) for _ in range(4)]
@@ -161,7 +161,7 @@
     assert answered > 55 * 20 and silent < 0.4 * answered
 
 
-def test_a_skipped_call_goes_by_the_room_last_told():
+def test_a_skipped_call_goes_by_the_last_known_capacity():
     """A customer gathered on one limiter, whose slice is half its quota, gets all of it in a crowd."""
     world = World(1, limiters=3, chances=(1, 0, 0, 0, 0, 0))
     world.arrive(0, plan=3)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_rules_hold_under_chance(seed):
+def test_the_rules_hold_under_random_faults(seed):
     world = World(seed, limiters=1 + seed % 4, second_copies=seed % 3 > 0)
     random, taken, restarted = world.random, 0, 0
     for _ in range(400):
@@ -51,21 +51,21 @@
     assert finished(world) > 20 and len(world.answers) <= taken
 
 
-def test_unrepeatable_that_may_have_run_is_given_up():
+def test_a_non_idempotent_operation_that_may_have_run_is_given_up():
     world = World(5, limiters=1, chances=(0, 1, 0, 0, 0, 0))
     world.arrive(0, category=2)
     world.run(world.now + SECOND)
     assert [how.reason for _, how, _ in world.answers] == [RejectReason.FAILED] and len(world.ran) == 1
 
 
-def test_refused_connection_is_tried_elsewhere():
+def test_a_refused_connection_is_retried_elsewhere():
     world = World(6, limiters=1, chances=(0, 0, 0, 1, 0, 0))
     world.arrive(0, category=2)
     world.run(world.now + SECOND)
     assert [how.reason for _, how, _ in world.answers] == [RejectReason.RETRY_LATER] and len(world.ran) > 1
 
 
-def test_empty_list_turns_back_at_once():
+def test_an_operation_without_servers_is_rejected_at_once():
     world = World(7, limiters=1, servers=1)
     world.list(s0=GONE)
     world.arrive(0)
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -14,7 +14,7 @@
     return sum(1 for _, how, _ in world.answers if how is AttemptOutcome.OK)
 
 
-def test_cold_server_gets_a_small_part():
+def test_a_server_in_slow_start_gets_a_small_share():
     world = World(8, limiters=1, servers=4, chances=(1, 0, 0, 0, 0, 0))
     for step in range(400):
         if step == 200:
@@ -26,7 +26,7 @@
     assert len(late) < 0.25 * len(world.ran[200:]) * 0.75
 
 
-def test_fleet_that_is_all_cold_gets_going():
+def test_a_cluster_that_is_all_in_slow_start_gets_going():
     """Found by reading: with nothing carried yet the cold budget was nil for good."""
     world = World(9, limiters=2, servers=2, chances=(1, 0, 0, 0, 0, 0))
     for state in (GONE, READY):
@@ -37,7 +37,7 @@
     assert finished(world) > 12
 
 
-def test_fleet_slow_together_is_not_starved():
+def test_servers_that_are_all_slow_are_not_starved():
     """Found in an incident: when every server was slow the bound fell to one hop, and servers idled."""
     world = World(12, limiters=2, servers=8, chances=(1, 0, 0, 0, 0, 0))
     world.chance = lambda: (AttemptOutcome.OK, 600_000)
@@ -47,7 +47,7 @@
     assert sum(1 for sent in world.ran if sent.ended is None) >= 8
 
 
-def test_bound_falls_with_the_servers_that_go():
+def test_the_concurrency_limit_falls_with_departing_servers():
     """Found in two incidents: half the fleet went, and what had been out on it jammed the other half."""
     world = World(13, limiters=1, servers=6)
     fleet = world.gates[0].module.server_pool
@@ -58,7 +58,7 @@
     assert fleet.concurrency.value == pytest.approx(before / 2)
 
 
-def test_many_limiters_share_a_fleet_out_evenly():
+def test_many_limiters_divide_the_servers_evenly():
     """Found in an incident: with all limiters at all servers, connections ran out and none was known."""
     world = World(16, limiters=60, servers=36)
     parts = [gate.module.server_pool.subset for gate in world.gates]
@@ -70,7 +70,7 @@
     assert not any(each.address == gone for g in world.gates for each in g.module.server_pool.subset)
 
 
-def test_what_turns_one_plan_away_still_serves_the_others():
+def test_a_server_that_rejects_one_plan_still_serves_the_others():
     """Found at size: servers that turned one plan away as full were held ill for all, and slow as well."""
     world = World(18, limiters=1, servers=2)
     world.list(s1=GONE)
@@ -86,7 +86,7 @@
     assert draws[0] < 0.5 * draws[1]
 
 
-def test_what_is_gone_is_forgotten():
+def test_departed_servers_and_idle_customers_are_forgotten():
     world = World(2, chances=(1, 0, 0, 0, 0, 0))
     for i in range(400):
         world.arrive(i % 3, plan=i % 4, customer=f"once {i}")
@@ -101,7 +101,7 @@
         assert len(gate.module.server_pool.servers) < 60
 
 
-def test_many_limiters_use_cold_servers_for_what_they_can_do():
+def test_many_limiters_use_servers_in_slow_start_to_their_capacity():
     """Found on sockets at size: what one of many might send a cold server is less than one operation, and
     so all sent it next to nothing while it warmed up; warm ones were full and clients turned back."""
     world = World(19, limiters=40, servers=24, chances=(1, 0, 0, 0, 0, 0))
@@ -117,7 +117,7 @@
     assert 0.15 < share < 0.45  # they hold from 0.35 to 0.83 of their capacity by then
 
 
-def test_a_small_bound_that_chance_fills_holds_what_will_leave_in_time():
+def test_a_small_concurrency_limit_queues_what_will_be_served_in_time():
     """Found on sockets at size: with a bound of three hops one was held at a time, the rest turned back."""
     world = World(20, limiters=12)
     world.chance = lambda: (AttemptOutcome.OK, 120_000)
@@ -131,7 +131,7 @@
     assert at_once > 4  # the others would wait in vain, and are told so
 
 
-def test_a_cold_servers_room_goes_by_what_a_warm_one_carries():
+def test_slow_start_capacity_follows_the_load_of_a_warm_server():
     """Found on sockets at size: with half of the part cold, a mean over all halved what the cold ones got."""
     world = World(21, limiters=1, servers=6)
     fleet = world.gates[0].module.server_pool
