--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -79,7 +79,7 @@
 
 from lapisgrade.gateway import settings
 from lapisgrade.gateway.cli.exit_codes import ExitCode
-from lapisgrade.net import loop
+from lapisgrade.net import event_loop
 
 log = logging.getLogger("gateway")
 
@@ -170,7 +170,7 @@
     signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
     role_class = load_role(name)
     startup.finished()
-    with asyncio.Runner(loop_factory=loop.new) as runner:
+    with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
         runner.run(serve(name, role_class, path, early_signals))
 
 
--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -17,7 +17,8 @@
 from lapisgrade.gateway.quota.count import LEASE_US, capacity
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import AddToCounter, Clock, CounterOutcome, CounterReply, Plan
-from lapisgrade.policy.account import MAX_CONSECUTIVE_TIMEOUTS, Account, CounterBreaker
+from lapisgrade.policy.account import Account
+from lapisgrade.policy.counter_breaker import MAX_CONSECUTIVE_TIMEOUTS, CounterBreaker
 from lapisgrade.rate import TokenBucket
 
 # s between a unit's grant and its arrival at a server, at most, beside the time that a lease lasts.
@@ -129,7 +130,7 @@
 
     # ---- admission
 
-    def may_wait_for_counter(self, now: int) -> bool:
+    def may_wait_for_counter(self, now_us: int) -> bool:
         """Return whether a request waits for the owner.
 
         While that does not answer, only the probing one does.
@@ -137,34 +138,34 @@
         breaker = self.counter_breaker
         if self.is_calling:
             return breaker.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS
-        return breaker.try_acquire_call(now)
+        return breaker.try_acquire_call(now_us)
 
-    def consume(self, now: int, units: float, alone: bool = False) -> None:
+    def consume(self, now_us: int, units: float, is_local: bool = False) -> None:
         """Do nothing: what the owner granted is no part of the unreported allowance, which is beside it."""
 
-    def admit_locally(self, now: int, units: float, counted: bool = False) -> int | None:
+    def admit_locally(self, now_us: int, units: float, is_counted: bool = False) -> int | None:
         """Admit by the unreported allowance, as the owner does not answer.
 
         Args:
-            now: the time.
+            now_us: the time.
             units: what the request takes.
-            counted: whether the call that timed out may have been counted with these units.
+            is_counted: whether the call that timed out may have been counted with these units.
 
         Returns:
             None where it is admitted, else the us until it may retry.
         """
-        is_allowed = self.last_read_us and now >= self._may_go_unreported_us
-        if is_allowed and self.local_bucket.read(now) >= units:
-            self.local_bucket.set_level(now, self.local_bucket.read(now) - units)
-            if not counted:
+        is_allowed = self.last_read_us and now_us >= self._may_go_unreported_us
+        if is_allowed and self.local_bucket.read(now_us) >= units:
+            self.local_bucket.set_level(now_us, self.local_bucket.read(now_us) - units)
+            if not is_counted:
                 self.unreported.value += units
             return None
-        if counted:
+        if is_counted:
             self.unreported.value -= units
-        return min(math.ceil(UNREPORTED_RETRY_S * SECOND), self.local_bucket.wait_us(now, units))
+        return min(math.ceil(UNREPORTED_RETRY_S * SECOND), self.local_bucket.wait_us(now_us, units))
 
     def retry_after_us(self, now_us: int, wait_us: int) -> int:
-        """Return when one that is rejected may retry, in us from now.
+        """Return when one that is rejected may retry, in us from now_us.
 
         Where the count has no units left, each retries after the other, at this limiter's part of the refill
         (guards against all of them coming back for the same unit, to be rejected once more). Where the owner
--- a/lapisgrade/gateway/routing/upstream_protocol.py
+++ b/lapisgrade/gateway/routing/upstream_protocol.py
@@ -9,8 +9,8 @@
 
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import ClientRequest
-from lapisgrade.net.hops import Dialect
 from lapisgrade.net.http import Message
+from lapisgrade.net.server_protocol import ServerProtocol
 
 # Requests.
 REQUEST_ID = b"try-id"  # one for each attempt of a client; a response repeats it
@@ -85,14 +85,14 @@
     return {"running": float(found[1]), "waiting": float(found[2]), "slots": float(found[3])}
 
 
-class UpstreamProtocol(Dialect):
+class UpstreamProtocol(ServerProtocol):
     """How requests are written to servers, and how their responses are understood."""
 
-    most_body = MAX_BODY_BYTES
+    max_body_bytes = MAX_BODY_BYTES
 
-    def head(self, hop: Any, left: float) -> bytes:
-        """Request line and headers of an attempt, `left` seconds before its end."""
-        request: ForwardedRequest = hop.operation.handle
+    def encode_head(self, attempt: Any, seconds_left: float) -> bytes:
+        """Request line and headers of an attempt, `seconds_left` before its end."""
+        request: ForwardedRequest = attempt.operation.handle
         size = sum(len(each) for each in request.body)
         has_length = size or request.method not in METHODS_WITHOUT_BODY
         return (
@@ -102,23 +102,23 @@
                 request.target,
                 request.host,
                 request.request_id,
-                max(1, int(left * 1000)),
-                hop.server.address.encode(),
+                max(1, int(seconds_left * 1000)),
+                attempt.server.address.encode(),
                 b"Tenant: %b\r\n" % request.tenant if request.tenant else b"",
                 request.lines,
                 b"Content-Length: %d\r\n" % size if has_length else b"",
             )
         )
 
-    def stray(self, hop: Any, message: Message) -> bool:
+    def is_stray(self, attempt: Any, message: Message) -> bool:
         """Whether a response is another request's than the one in flight."""
         request_id = message.headers().get(REQUEST_ID)
-        return request_id is not None and request_id != hop.operation.handle.request_id
+        return request_id is not None and request_id != attempt.operation.handle.request_id
 
-    def told(self, hop: Any, message: Message) -> CloseReason:
+    def classify(self, attempt: Any, message: Message) -> CloseReason:
         """What a complete response says of the attempt."""
         status, headers = message.head.status_code, message.headers()
-        if headers.get(REQUEST_ID) != hop.operation.handle.request_id or b"content-encoding" in headers:
+        if headers.get(REQUEST_ID) != attempt.operation.handle.request_id or b"content-encoding" in headers:
             return CloseReason.MALFORMED
         if status == MISDIRECTED_REQUEST or (NOT_RUN in headers and status >= 400):
             return CloseReason.REJECTED
@@ -129,10 +129,10 @@
         if status < 200 or not is_framed:
             return CloseReason.MALFORMED
         # A server's error is final where the request may run only once; else another may do better.
-        may_retry = status >= 500 and hop.operation.rule.mode == "idem"
+        may_retry = status >= 500 and attempt.operation.rule.mode == "idem"
         return CloseReason.ERROR_RESPONSE if may_retry else CloseReason.CLIENT_ERROR
 
-    def idle_us(self, message: Message) -> int:
+    def keep_alive_us(self, message: Message) -> int:
         """How long a server keeps the connection idle, by its own Keep-Alive header; 0: not announced."""
         found = _KEEP_ALIVE_PATTERN.search(message.headers().get(b"keep-alive", b""))
         return US_PER_S * min(int(found[1]), MAX_KEEP_ALIVE_S) if found else 0
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -17,7 +17,9 @@
 from lapisgrade.gateway import SECOND, configuration, rpc_messages
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
 from lapisgrade.gateway.controller import version_activation
-from lapisgrade.gateway.controller.state_machine import Activate, Change, State, StateMachine, encoded
+from lapisgrade.gateway.controller.commands import Activate, ConfigurationChange, encode_command
+from lapisgrade.gateway.controller.state import State
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.routing import route_tables, router
 from lapisgrade.gateway.routing.route_table import RouteTable
@@ -216,13 +218,13 @@
         for item in (self.watch.activation(now, state), self.watch.live_proxies(now, state)):
             if item is not None:
                 delay_us = self.random.randrange(2 * MS, 20 * MS)
-                self.sim.after(delay_us, self._commit, encoded(item), self.term)
+                self.sim.after(delay_us, self._commit, encode_command(item), self.term)
 
     def _commit(self, data: bytes, term: int) -> None:
         if term != self.term:
             return  # what an earlier leader had not committed is lost
         self.last_index += 1
-        self.state_machine.take(self.last_index, data)
+        self.state_machine.apply(self.last_index, data)
         state = self.state_machine.state
         live_proxies = sorted(state.live_proxies)
         self.note(f"log: newest {state.ver}, in force {state.acting_ver}, live proxies {live_proxies}")
@@ -235,7 +237,9 @@
             self.withdrawn.add(withdrawn)
         state = self.state_machine.state
         tenants = [number for number in range(self.tenant_count) if number not in self.withdrawn]
-        self._commit(encoded(Change(True, conf(state.ver + 1, state.ver, tenants))), self.term)
+        self._commit(
+            encode_command(ConfigurationChange(True, conf(state.ver + 1, state.ver, tenants))), self.term
+        )
 
     def on_watch_request(self, call: WatchCall) -> None:
         """Reply to a request as soon as there is an update, and after a while without."""
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -10,7 +10,8 @@
 
 import msgspec
 
-from lapisgrade.gateway.controller.state_machine import Change, MergeDraft, StateMachine, encoded
+from lapisgrade.gateway.controller.commands import ConfigurationChange, MergeDraft, encode_command
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge.fields import fields
 from lapisgrade.gateway.merge.three_way import Draft, drafted, merge_drafts
@@ -108,7 +109,7 @@
 
     def hand_in(self, cluster: Cluster, draft: Draft, holder: str) -> None:
         """Have a controller offer a draft to whoever leads, where it reaches it."""
-        command, leader = encoded(MergeDraft(draft)), cluster.leader()
+        command, leader = encode_command(MergeDraft(draft)), cluster.leader()
         is_cut = {(holder, leader), (leader, holder)} & cluster.cut_links
         if not leader or cluster.nodes[holder] is None or is_cut:
             return
@@ -139,7 +140,7 @@
         return self.cluster
 
     def _commit_base(self) -> None:
-        command = encoded(Change(True, msgspec.json.encode({**self.base, "Base": 0})))
+        command = encode_command(ConfigurationChange(True, msgspec.json.encode({**self.base, "Base": 0})))
         while command not in self.cluster.acknowledged:
             self.cluster.propose(command)
             self.cluster.run(0.5)
@@ -180,7 +181,7 @@
     for name, commands in cluster.applied.items():
         state_machine = StateMachine()
         for index, data in enumerate(commands, 1):
-            state_machine.take(index, data)
+            state_machine.apply(index, data)
         state = state_machine.state
         if lost := {draft.id for draft in drafts} - set(state.seen):
             cluster.report_violation(f"{name}: a draft that was kept is lost: {sorted(lost)}")
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -12,19 +12,19 @@
 from returns.result import Result
 
 from lapisgrade.gateway import rpc_messages
-from lapisgrade.gateway.http_server import framed
+from lapisgrade.gateway.call_failure import CallFailure
+from lapisgrade.gateway.http_server import encode_response
 from lapisgrade.gateway.proxy.process import Proxy
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.gateway.routing.upstream_protocol import ForwardedRequest
 from lapisgrade.gateway.settings import Address, Bind, Settings, Span
-from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.lab.simulation.cluster import BEAT, CALLS_PORT, PORT
 from lapisgrade.lab.simulation.network import Endpoint
 from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process, VirtualLoop
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import AttemptFinished, RequestReceived
 from lapisgrade.net.http import MessageParser
-from lapisgrade.policy.fleet import Attempt
+from lapisgrade.policy.attempt import Attempt
 
 if TYPE_CHECKING:
     from lapisgrade.lab.simulation.data_plane import DataPlane
@@ -33,7 +33,7 @@
 PATIENCE = 2 * SECOND  # us that a client waits
 GRACE = 2.6  # s that a proxy goes on once it was told to end
 HOST = "a.example"
-ANSWERED = MessageParser(h11.CLIENT).feed(framed(200, b"done", b"Server-Seal: seal\r\n"))
+ANSWERED = MessageParser(h11.CLIENT).feed(encode_response(200, b"done", b"Server-Seal: seal\r\n"))
 
 
 class ProxyEndpoint(Endpoint):
@@ -43,22 +43,22 @@
         super().__init__(*told)
         self._refused: set[tuple[str, int]] = set()
 
-    async def call(self, address: tuple[str, int], message: Any, within: float) -> Result[Any, Verdict]:
+    async def call(self, address: tuple[str, int], message: Any, within: float) -> Result[Any, CallFailure]:
         """As `gateway.rpc.RpcEndpoint.call`."""
         got = await super().call(address, message, within)
-        refused = got.value_or(None) is None and got.failure() is Verdict.NOT_RUN
+        refused = got.value_or(None) is None and got.failure() is CallFailure.NOT_RUN
         (self._refused.add if refused else self._refused.discard)(tuple(address))
         return got
 
     def peer(self, address: tuple[str, int]) -> SimpleNamespace:
         """Whether nobody listened there."""
-        return SimpleNamespace(refused=tuple(address) in self._refused)
+        return SimpleNamespace(is_refusing=tuple(address) in self._refused)
 
 
 class Caller:
     """A client's connection: what it is answered is not read."""
 
-    def answer(self, status: int, body: list, size: int, more: bytes = b"") -> None:
+    def respond(self, status: int, body: list, size: int, header_lines: bytes = b"") -> None:
         """Take an answer."""
 
 
@@ -68,7 +68,7 @@
     def __init__(self, proxy: "SimulatedProxy") -> None:
         self._proxy = proxy
 
-    def known(self, addresses: dict) -> None:
+    def update_addresses(self, addresses: dict) -> None:
         """The register's word; nothing is kept of it."""
 
     def send(self, hop: Attempt) -> None:
@@ -80,12 +80,12 @@
             if there
             else AttemptFinished(hop, CloseReason.CONNECTION_REFUSED)
         )
-        asyncio.get_running_loop().call_later(WORK / SECOND, proxy.host.put, landed)
+        asyncio.get_running_loop().call_later(WORK / SECOND, proxy.host.enqueue, landed)
 
     def cancel(self, hop: Attempt) -> None:
         """A hop that nobody waits for."""
 
-    def cancel_all(self, request: RoutedRequest) -> None:
+    def cancel_operation(self, request: RoutedRequest) -> None:
         """A client that has left."""
 
 
@@ -152,7 +152,7 @@
             service=self.router.split.choose(rule),
             handle=handle,
         )
-        self.host.put(RequestReceived(operation))
+        self.host.enqueue(RequestReceived(operation))
 
 
 class ProxyMachine:
--- a/tests/net/test_end.py
+++ b/tests/net/test_end.py
@@ -15,18 +15,19 @@
 from support.fake_peers import Agent, Till, heard
 from support.limiter_site import Site
 
+from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.settings import MalformedInputError
 
 
 @on_loopback
-async def test_what_is_owed_at_the_end_is_answered():
+async def test_open_operations_are_answered_at_shutdown():
     async with Site() as site:
         for each in site.backends:
             each.manner = 0.6
         idle, busy = await site.connect(), await site.connect()
         asked = asyncio.create_task(site.ask("burn", "1", on=busy))
         await asyncio.sleep(0.05)
-        site.service.end()
+        site.service.shut_down()
         await asyncio.sleep(0.1)
         late = asyncio.create_task(site.ask("burn", "2"))  # still comes, on a new connection
         silent = await site.connect()  # and asks nothing: it is not waited for
@@ -48,12 +49,12 @@
         await asyncio.wait_for(site.run, 1)
         assert await insisting == {"503"}
         assert await silent[0].read() == b""
-        ends = {name: n for name, n in site.service.counts.items() if name.startswith("clients ")}
+        closed = site.service.metrics.client_connections_closed
         # The others by their answers, or as idle.
-        assert ends["clients answered"] >= 2 and ends["clients idle"] >= 2
+        assert closed[CloseReason.ANSWERED] >= 2 and closed[CloseReason.IDLE] >= 2
 
 
-def test_as_a_process_it_says_what_is_wrong_and_prints_its_counters(tmp_path):
+def test_the_process_reports_errors_and_prints_its_counters(tmp_path):
     told = tmp_path / "config.json"
 
     def run():
@@ -86,13 +87,13 @@
         assert asyncio.run(asyncio.wait_for(ask(), 10)) == (200, 429)
     process.send_signal(signal.SIGTERM)
     _, said = process.communicate(timeout=5)
-    assert process.returncode == 0 and "operations 4" in said and "answered 429 4" in said
+    assert process.returncode == 0 and "requests 4" in said and "responses_429 4" in said
     assert said.count("goes on as before: ") == 2 and "reloads 1" in said
     assert "told to end by SIGTERM" in said
 
 
 @on_loopback
-async def test_a_new_configuration_moves_discovery_and_counter_under_open_work():
+async def test_a_reload_moves_discovery_and_counter_under_open_operations():
     async with Site(counter_timeout_ms=5000.0) as site:  # also a busy machine answers the open call in time
         pool, rows = site.service.host.pool, site.agent.rows
         agent, till = await Agent(rows).open(), await Till().open()
@@ -110,7 +111,7 @@
         for each in (site.agent, site.till):
             each.server.close()  # takes no new connections; open ones stay
         assert [(await each)[0] for each in early] == [200] * 4
-        assert site.service.counts["counter calls answered"] >= 1
+        assert site.service.metrics.counter_calls_finished[CloseReason.ANSWERED] >= 1
         await until(lambda: agent.calls)
         assert agent.calls[0][0] == "/discovery/hosts"
         agent.change(s0="in_service", s1="terminated")
--- a/tests/net/test_front.py
+++ b/tests/net/test_front.py
@@ -9,11 +9,12 @@
 from support.fake_peers import heard
 from support.limiter_site import Site
 
-from lapisgrade.net import front
+from lapisgrade.net import client_listener
+from lapisgrade.net.close_reason import CloseReason
 
 
 @on_loopback
-async def test_requests_and_answers_pass_on_unchanged():
+async def test_requests_and_responses_are_forwarded_unchanged():
     async with Site(servers=1) as site:
         on = await site.connect()
         body = bytes(range(256)) * 200
@@ -29,7 +30,7 @@
 
 
 @on_loopback
-async def test_a_request_may_come_in_pieces_and_in_chunks():
+async def test_a_request_may_arrive_in_fragments_and_chunked():
     async with Site() as site:
         reader, writer = await site.connect()
         for byte in site.request("burn", "7", b"abc"):
@@ -44,7 +45,7 @@
 
 
 @on_loopback
-async def test_a_request_that_comes_before_its_turn_waits_for_it():
+async def test_a_pipelined_request_waits_for_the_one_before_it():
     async with Site() as site:
         reader, writer = await site.connect()
         writer.write(site.request("burn", "1", b"one") + site.request("burn", "2", b"two"))
@@ -100,12 +101,12 @@
         reader, writer = await site.connect()
         writer.write(b"\x16\x03\x01\x02\r\n\r\n")
         assert (await heard(reader))[0].startswith("HTTP/1.1 400")
-        assert len(site.sent("1")) == 1 and not site.service.counts["faults"]
+        assert len(site.sent("1")) == 1 and not site.service.metrics.handler_failures
     assert "Traceback" not in capfd.readouterr().err
 
 
 @on_loopback
-async def test_refusals_say_when_to_come_back():
+async def test_rejections_carry_retry_after():
     async with Site() as site:
         answers = [await site.ask(number=str(i), X_Plan="none") for i in range(3)]
         status, headers, _ = answers[-1]
@@ -113,45 +114,45 @@
 
 
 @on_loopback
-async def test_a_client_that_goes_takes_its_hops_along():
+async def test_a_disconnected_client_cancels_its_attempts():
     async with Site(servers=1) as site:
         site.backends[0].manner = "silent"
         _, writer = await site.connect()
         writer.write(site.request("burn", "5"))
         await until(lambda: site.sent("5"))
         writer.close()
-        await until(lambda: site.service.counts["operations whose client left"] == 1)
-        await until(lambda: site.service.counts["hops cancelled"] == 1)
-        assert not site.service.host.owed
+        await until(lambda: site.service.metrics.requests_abandoned == 1)
+        await until(lambda: site.service.metrics.attempts_finished[CloseReason.CANCELLED] == 1)
+        assert not site.service.host.unanswered
 
 
 @on_loopback
-async def test_idle_clients_make_room_and_busy_ones_keep_theirs():
+async def test_idle_client_connections_are_evicted_and_busy_ones_kept():
     async with Site(sockets=16) as site:
         kept = [await site.connect() for _ in range(8)]
         await site.ask(path="/up", on=kept[0])  # the one used last is the last to go
-        await asyncio.sleep(front.SURELY)
+        await asyncio.sleep(client_listener.GRACE_S)
         more = [await site.connect() for _ in range(4)]
         assert [await reader.read(1) for reader, _ in kept[1:5]] == [b""] * 4
         left = [kept[0], *kept[5:], *more]
         for each in site.backends:
             each.manner = 0.3
-        site.service.host.module.server_pool.limit = 99.0
-        site.service.host.pool.most = 8
+        site.service.host.policy.server_pool.concurrency.value = 99.0
+        site.service.host.pool.max_connections = 8
         for i, (_, writer) in enumerate(left):
             writer.write(site.request("burn", f"{i}"))
-        await until(lambda: len(site.service.host.owed) == 8)
+        await until(lambda: len(site.service.host.unanswered) == 8)
         assert (await site.ask("burn", "over"))[0] == 503 and not site.sent("over")
         for reader, _ in left:
             assert (await heard(reader))[0].startswith("HTTP/1.1 200")
 
 
 @on_loopback
-async def test_connections_that_ask_nothing_end_and_others_stay():
+async def test_connections_without_a_request_time_out_and_others_stay():
     async with Site() as site:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(front.Front, "ask", 0.4)
-            patch.setattr(front.Front, "rest", 1.0)
+            patch.setattr(client_listener.ClientListener, "request_timeout_s", 0.4)
+            patch.setattr(client_listener.ClientListener, "idle_timeout_s", 1.0)
             silent, half, slow, asked = [await site.connect() for _ in range(4)]
             half[1].write(site.request()[:40])
             for each in site.backends:
@@ -162,24 +163,24 @@
             assert (await heard(half[0]))[0].startswith("HTTP/1.1 408")
             assert (await busy)[0] == 200  # longer than either, but something is owed
             assert (await site.ask(path="/up", on=asked))[0] == 200
-            assert await asked[0].read() == b"" and not site.service._front.clients
+            assert await asked[0].read() == b"" and not site.service.listener.clients
 
 
 @on_loopback
-async def test_connections_at_rest_leave_room_for_those_that_ask():
+async def test_idle_connections_leave_capacity_for_active_ones():
     """Found in an incident: clients that asked once and stayed held all that clients may hold."""
     async with Site(sockets=64) as site:  # 32 for clients, a quarter of them at rest
         kept = [await site.connect() for _ in range(24)]
         for on in kept:
             assert (await site.ask(path="/up", on=on))[0] == 200
-        await asyncio.sleep(front.SURELY + 2 * front.LOOK + 0.1)
-        assert len(site.service._front.idle) == 8
+        await asyncio.sleep(client_listener.GRACE_S + 2 * client_listener.CHECK_INTERVAL_S + 0.1)
+        assert len(site.service.listener.idle) == 8
         assert [await reader.read(1) for reader, _ in kept[:16]] == [b""] * 16
         assert [(await site.ask(path="/up", on=on))[0] for on in kept[16:]] == [200] * 8
 
 
 @on_loopback
-async def test_an_id_that_is_open_is_not_sent_again():
+async def test_a_request_id_in_flight_is_not_sent_twice():
     async with Site() as site:
         for each in site.backends:
             each.manner = 0.2
@@ -191,23 +192,25 @@
 
 
 @on_loopback
-async def test_what_a_server_can_not_use_goes_to_no_other_and_is_not_held_against_it():
+async def test_a_bad_request_is_not_retried_and_does_not_count_against_the_server():
     async with Site() as site:
         for each in site.backends:
             each.manner = "rejected"
         assert [(await site.ask(kind, kind))[0] for kind in ("look", "file", "burn")] == [400] * 3
         assert [len(site.sent(kind)) for kind in ("look", "file", "burn")] == [1] * 3
-        fleet = site.service.host.module.server_pool
-        assert not fleet.in_flight and all(each.health(0, 1.0) == 1.0 for each in fleet.servers.values())
+        fleet = site.service.host.policy.server_pool
+        assert not fleet.concurrency.in_flight
+        assert all(each.health(0, 1.0) == 1.0 for each in fleet.servers.values())
 
 
 @on_loopback
-async def test_requests_by_the_hundred_on_one_connection_and_a_client_that_does_not_read():
+async def test_hundreds_of_pipelined_requests_and_a_client_that_does_not_read():
     async with Site() as site:
         reader, writer = await site.connect()
         writer.write(site.request(path="/up") * 400)
         for _ in range(400):
             assert (await heard(reader))[0].startswith("HTTP/1.1 200")
+        closed = site.service.metrics.client_connections_closed
         with socket.socket() as deaf:
             deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             deaf.connect(("127.0.0.1", site.port))
@@ -216,6 +219,6 @@
                 for i in range(200):
                     asked = site.request("burn", f"{i}", bytes(60_000))
                     await asyncio.get_running_loop().sock_sendall(deaf, asked)
-                    await until(lambda i=i: site.sent(f"{i}") or site.service.counts["clients timed out"])
-                    await until(lambda: not site.service.host.owed)
-        assert site.service.counts["clients timed out"] == 1 and not site.sent("199")
+                    await until(lambda i=i: site.sent(f"{i}") or closed[CloseReason.TIMED_OUT])
+                    await until(lambda: not site.service.host.unanswered)
+        assert closed[CloseReason.TIMED_OUT] == 1 and not site.sent("199")
--- a/tests/net/test_hops.py
+++ b/tests/net/test_hops.py
@@ -1,7 +1,6 @@
 """Connections to servers: each way one can end, and what it is told for."""
 
 import asyncio
-from collections import Counter
 from types import SimpleNamespace
 
 import pytest
@@ -10,11 +9,13 @@
 from support.limiter_site import Site
 
 from lapisgrade.interface import AddToCounter, AttemptOutcome, ConnectionSettings
+from lapisgrade.net.clock import wall_clock
 from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.counter import Counter as Calls
+from lapisgrade.net.connection_pool import ConnectionPool
+from lapisgrade.net.counter_client import CounterClient
 from lapisgrade.net.events import AttemptFinished, ClientRequest
-from lapisgrade.net.hops import Pool, load_report
-from lapisgrade.net.host import wall
+from lapisgrade.net.metrics import NetMetrics
+from lapisgrade.net.server_protocol import parse_load_report
 
 SECOND = 1_000_000
 
@@ -29,15 +30,15 @@
 
 
 def pool(port, dial=1.0, idle=30.0):
-    landed, now = asyncio.Queue(), wall()
+    landed, now = asyncio.Queue(), wall_clock()
     lines = ConnectionSettings(int(dial * SECOND), int(idle * SECOND))
-    made = Pool(landed.put_nowait, now, lambda text: None, Counter(), lines, 4)
-    made.known({"s": ("127.0.0.1", port)})
+    made = ConnectionPool(landed.put_nowait, now, lambda text: None, NetMetrics(), lines, 4)
+    made.update_addresses({"s": ("127.0.0.1", port)})
     return made, landed, now
 
 
 @on_loopback
-async def test_each_ending_of_a_hop_is_told_for_what_it_is():
+async def test_each_close_reason_of_an_attempt_is_reported():
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     for manner, ending, outcome in [
@@ -58,7 +59,7 @@
         assert not outcome.never_ran or manner == "full"
     backend.manner = "load"
     made.send(Hop(now))
-    assert load_report((await landed.get()).message) == {"inflight": 7.0, "util": 0.5}
+    assert parse_load_report((await landed.get()).message) == {"inflight": 7.0, "util": 0.5}
     backend.manner = "silent"
     hop = Hop(now)
     made.send(hop)
@@ -73,13 +74,13 @@
 
 
 @on_loopback
-async def test_a_connection_that_never_comes_up_has_run_nothing():
+async def test_a_connection_that_is_never_established_has_run_nothing():
     async def nobody():
         await asyncio.sleep(30)
 
     made, landed, now = pool(1, dial=0.1)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("lapisgrade.net.hops.connect", lambda *_: nobody())
+        patch.setattr("lapisgrade.net.upstream_connection.connect", lambda *_: nobody())
         made.send(Hop(now))
         assert (await landed.get()).reason is CloseReason.CONNECT_TIMEOUT
         hop = Hop(now)
@@ -89,7 +90,7 @@
 
 
 @on_loopback
-async def test_nothing_is_written_for_what_has_its_answer_or_to_a_server_that_leaves():
+async def test_nothing_is_sent_for_answered_operations_or_to_departing_servers():
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     over, leaving = Hop(now), Hop(now)
@@ -97,13 +98,13 @@
     over.operation.handle.client = None
     assert (await landed.get()).reason is CloseReason.NOT_SENT
     made.send(leaving)
-    made.known({"s": None})
+    made.update_addresses({"s": None})
     assert (await landed.get()).reason is CloseReason.NOT_SENT and not backend.seen
     backend.close()
 
 
 @on_loopback
-async def test_a_connection_is_closed_by_us_before_the_server_does():
+async def test_idle_connections_are_closed_before_the_server_closes_them():
     """What is written to a connection that the server has closed may have run, for all that we know."""
     backend = await Backend().open()
     made, landed, now = pool(backend.port, idle=1.6)
@@ -111,17 +112,18 @@
         await asyncio.sleep(wait)
         made.send(Hop(now))
         assert (await landed.get()).reason is CloseReason.ANSWERED
-        assert made.counts["server connections"] == connections
+        assert made.metrics.upstream_connections_opened == connections
     await until(backend.writers[0].is_closing)  # by us, with nothing more to send
     backend.shut()
     await asyncio.sleep(0)  # it is closed, and its end is not yet read
     made.send(Hop(now))
-    assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 3
+    assert (await landed.get()).reason is CloseReason.ANSWERED
+    assert made.metrics.upstream_connections_opened == 3
     backend.close()
 
 
 @on_loopback
-async def test_a_second_answer_that_comes_later_is_nobodys():
+async def test_a_second_response_on_a_connection_belongs_to_no_request():
     """It lies read by asyncio, but not by us, when the connection is wanted for the next hop."""
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
@@ -130,33 +132,34 @@
     backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfor ")
     link = made._idle["s"][0]
     for _ in range(1000):
-        if link._reader.unread or not made._idle["s"]:
+        if link.has_unread_data() or not made._idle["s"]:
             break
         await asyncio.sleep(0)
     made.send(Hop(now, body=b"two"))
     event = await landed.get()
     assert event.reason is CloseReason.ANSWERED and b"".join(event.message.body) == b"for two"
-    assert made.counts["server connections"] == 2
+    assert made.metrics.upstream_connections_opened == 2
     backend.close()
 
 
 @on_loopback
-async def test_an_address_passed_on_is_the_new_servers_alone_and_the_old_one_is_forgotten():
+async def test_a_reassigned_address_belongs_to_the_new_server_alone():
     backend = await Backend().open()
     made, landed, now = pool(backend.port)
     made.send(Hop(now))
     assert (await landed.get()).reason is CloseReason.ANSWERED
-    made.known({"new": ("127.0.0.1", backend.port)})  # before the old one is told to be gone
+    made.update_addresses({"new": ("127.0.0.1", backend.port)})  # before the old one is told to be gone
     made.send(Hop(now))
     assert (await landed.get()).reason is CloseReason.NOT_SENT
     made.send(Hop(now, server="new"))
-    assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 2
-    assert list(made.addresses) == list(made.heard) == list(made._idle) == ["new"]
+    assert (await landed.get()).reason is CloseReason.ANSWERED
+    assert made.metrics.upstream_connections_opened == 2
+    assert list(made.addresses) == list(made.last_received_us) == list(made._idle) == ["new"]
     backend.close()
 
 
 @on_loopback
-async def test_a_silent_server_must_take_a_new_connection_first():
+async def test_an_unresponsive_server_must_accept_a_new_connection_first():
     backend = await Backend(0.1).open()
     made, landed, now = pool(backend.port, dial=0.15)
     for _ in range(2):
@@ -167,16 +170,17 @@
     assert (await landed.get()).reason is CloseReason.TIMED_OUT
     backend.manner = "well"
     made.send(Hop(now))
-    assert (await landed.get()).reason is CloseReason.ANSWERED and made.counts["server connections"] == 3
+    assert (await landed.get()).reason is CloseReason.ANSWERED
+    assert made.metrics.upstream_connections_opened == 3
     backend.close()
 
 
 @on_loopback
-async def test_what_came_while_we_slept_is_not_overdue():
+async def test_a_response_received_while_the_process_was_suspended_is_not_timed_out():
     async with Site() as site:
         got, landed = asyncio.Queue(), asyncio.Queue()
         address = ("127.0.0.1", site.till.port)
-        calls = Calls(got.put_nowait, lambda text: None, Counter(), address, 100_000, 100_000)
+        calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 100_000, 100_000)
         made, landed, now = pool(site.backends[0].port)
         for _ in range(2):  # the first ones open the connections
             calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
@@ -191,7 +195,7 @@
 
 
 @on_loopback
-async def test_a_request_half_written_has_not_run():
+async def test_a_partially_written_request_has_not_run():
     """A server that stops reading and dies: the last byte never left this machine."""
 
     async def deaf(reader, writer):
@@ -208,10 +212,10 @@
 
 
 @on_loopback
-async def test_the_pool_keeps_within_its_connections():
+async def test_the_pool_keeps_to_its_connection_limit():
     parties = [await Backend(0.1).open() for _ in range(5)]
     made, landed, now = pool(1)
-    made.known({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(parties)})
+    made.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(parties)})
     for i in range(5):
         made.send(Hop(now, server=f"s{i}"))
     endings = [(await landed.get()).reason for _ in range(5)]
@@ -223,7 +227,7 @@
 
 
 @on_loopback
-async def test_an_operation_that_may_have_run_is_not_sent_again_by_itself():
+async def test_an_operation_that_may_have_run_is_not_retried():
     async with Site() as site:
         for each in site.backends:
             each.manner = "close"
