--- a/lapisgrade/bench_adapter/__main__.py
+++ b/lapisgrade/bench_adapter/__main__.py
@@ -1,71 +1,109 @@
-"""python -m lapisgrade.bench_adapter: the wire on standard input and output."""
+"""`python -m lapisgrade.bench_adapter`: the bench's batches on standard input, replies on standard output.
+
+A batch is a MARK with the time, messages, and YOUR_TURN, which asks for the reply: the limiters' messages,
+then EOR. POOL announces an endpoint list, whose ROWs follow. Exit codes: 0 at the end of the input, 1 where
+the output was closed, 2 for malformed input, which is named in one line on standard error.
+"""
 
 import gc
 import sys
 from typing import TextIO
 
-from lapisgrade.bench_adapter.host import Host
-from lapisgrade.bench_adapter.wire import parse, read_endpoint
-from lapisgrade.settings import MalformedInputError
+from lapisgrade.bench_adapter.bench import Bench
+from lapisgrade.bench_adapter.wire import parse_message, read_endpoint
+from lapisgrade.interface import ServerEndpoint
+from lapisgrade.settings import Fields, MalformedInputError
+
+MAX_QUOTED = 200  # characters of a malformed line that an error shows
+
+
+class BatchReader:
+    """Reads batches line by line, and writes a reply to each."""
+
+    def __init__(self, sink: TextIO) -> None:
+        """Create a reader whose replies go to `sink`."""
+        self._bench = Bench()
+        self._sink = sink
+        self.is_in_batch = False
+        self._endpoints: list[ServerEndpoint] = []  # of the list that is being read
+        self._endpoints_number = 0
+        self._rows_left = 0
+
+    def read_line(self, line: str) -> None:
+        """Read one line, without its end."""
+        name, fields = parse_message(line)
+        if self._rows_left:
+            self._read_row(name, fields)
+        elif name == "MARK":
+            if self.is_in_batch:
+                raise MalformedInputError("MARK inside a batch")
+            self._bench.advance(fields)
+            self.is_in_batch = True
+        elif not self.is_in_batch:
+            raise MalformedInputError(f"{name} outside a batch")
+        elif name == "YOUR_TURN":
+            self.is_in_batch = False
+            self._reply()
+        elif name == "POOL":
+            self._start_endpoints(fields)
+        else:
+            self._bench.handle(name, fields)
+
+    def _start_endpoints(self, fields: Fields) -> None:
+        self._endpoints_number = fields.integer("Buffer")
+        self._rows_left = fields.integer("Entries")
+        self._endpoints = []
+        if not self._rows_left:
+            self._bench.set_endpoints(self._endpoints_number, self._endpoints)
+
+    def _read_row(self, name: str, fields: Fields) -> None:
+        if name != "ROW":
+            raise MalformedInputError(f"{self._rows_left} more ROW lines were due")
+        self._endpoints.append(read_endpoint(fields))
+        self._rows_left -= 1
+        if not self._rows_left:
+            self._bench.set_endpoints(self._endpoints_number, self._endpoints)
+
+    def _reply(self) -> None:
+        lines = self._bench.lines
+        lines.append("EOR\n")
+        self._sink.write("\n".join(lines))
+        self._sink.flush()
+        lines.clear()
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Read batches and write a reply to each, until the input ends."""
-    host = Host()
+    """Read batches and write a reply to each, until the input ends.
+
+    Raises:
+        MalformedInputError: Names the line and what is wrong with it.
+    """
+    reader = BatchReader(sink)
     number = 0
-    rows_left = 0
-    rows: list = []
-    pool = 0
-    inside = False
     for number, raw in enumerate(source, 1):
         line = raw.rstrip("\r\n")
+        if not line:
+            continue
         try:
-            if not line:
-                continue
-            name, fields = parse(line)
-            if rows_left:
-                if name != "ROW":
-                    raise MalformedInputError(f"{rows_left} more ROW lines were due")
-                rows.append(read_endpoint(fields))
-                rows_left -= 1
-                if not rows_left:
-                    host.pool(pool, rows)
-            elif name == "MARK":
-                if inside:
-                    raise MalformedInputError("MARK inside a batch")
-                host.clock(fields)
-                inside = True
-            elif not inside:
-                raise MalformedInputError(f"{name} outside a batch")
-            elif name == "YOUR_TURN":
-                inside = False
-                host.lines.append("EOR\n")
-                sink.write("\n".join(host.lines))
-                sink.flush()
-                host.lines.clear()
-            elif name == "POOL":
-                pool, rows_left, rows = fields.integer("Buffer"), fields.integer("Entries"), []
-                if not rows_left:
-                    host.pool(pool, rows)
-            else:
-                host.event(name, fields)
-        except MalformedInputError as wrong:
-            raise MalformedInputError(f"line {number}: {wrong}: {line[:200]!r}") from None
-    if inside:
+            reader.read_line(line)
+        except MalformedInputError as error:
+            raise MalformedInputError(f"line {number}: {error}: {line[:MAX_QUOTED]!r}") from None
+    if reader.is_in_batch:
         raise MalformedInputError(f"line {number}: the input ends inside a batch")
 
 
 def main() -> int:
+    """Serve on standard input and output; returns the exit code."""
     gc.freeze()
     try:
         sys.stdin.reconfigure(encoding="utf-8", newline="\n")
         sys.stdout.reconfigure(encoding="utf-8", newline="\n")
         serve(sys.stdin, sys.stdout)
-    except MalformedInputError as wrong:
-        print(wrong, file=sys.stderr)
+    except MalformedInputError as error:
+        print(error, file=sys.stderr)
         return 2
-    except UnicodeDecodeError as wrong:
-        print(f"the input is not UTF-8: {wrong}", file=sys.stderr)
+    except UnicodeDecodeError as error:
+        print(f"the input is not UTF-8: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- /dev/null
+++ b/lapisgrade/bench_adapter/instance.py
@@ -0,0 +1,230 @@
+"""One limiter on the bench: its policy, its engine, and what the bench's ids stand for."""
+
+from collections.abc import Callable
+from typing import Any
+
+from lapisgrade.bench_adapter import wire
+from lapisgrade.bench_adapter.wire import format_ms
+from lapisgrade.engine import Engine, Task
+from lapisgrade.interface import (
+    AddToCounter,
+    AttemptOutcome,
+    AttemptResult,
+    Clock,
+    CounterOutcome,
+    CounterReply,
+    Operation,
+    Reject,
+    RejectReason,
+    ServerEndpoint,
+    WakeReason,
+)
+from lapisgrade.policy import Limiter
+from lapisgrade.settings import (
+    Fields,
+    MalformedInputError,
+    read_categories,
+    read_counter_settings,
+    read_permissions,
+    read_placement,
+    read_plans,
+    read_server_rules,
+)
+
+
+class LimiterInstance:
+    """One limiter of the bench; a host for the engine (`lapisgrade.engine.Host`)."""
+
+    __slots__ = (
+        "_attempts",
+        "_categories",
+        "_must_subscribe",
+        "_pending_calls",
+        "_pending_operations",
+        "_plans",
+        "_prefix",
+        "_wakeup_tag",
+        "clock",
+        "engine",
+        "lines",
+        "policy",
+    )
+
+    def __init__(self, number: int, fields: Fields, clock: Clock, lines: list[str]) -> None:
+        """Create the limiter that a CONFIGURE message asks for.
+
+        Args:
+            number: Its id on the bench.
+            fields: The message's, its settings among them.
+            clock: Advanced by the caller.
+            lines: Where its messages to the bench are appended.
+        """
+        self._prefix = f" LimiterId={number}"
+        self._wakeup_tag = 0  # of the wake-up asked for last
+        self.lines = lines
+        self._pending_operations: dict[int, Operation] = {}  # without their final answer, by ticket
+        self._attempts: dict[tuple[int, int], Any] = {}  # in flight, by ticket and number
+        self._pending_calls: dict[int, list[Task]] = {}  # of the counter, by counter id, oldest first
+        categories = read_categories(fields)
+        self._categories = {category.name: category for category in categories}
+        self._plans = {plan.name: plan for plan in read_plans(fields)}
+        self._must_subscribe = fields.get("RegistryMode", "automatic") == "subscribe"
+        self.clock = clock
+        self.engine = Engine(self, clock)
+        self.policy = Limiter(
+            clock,
+            fields.integer("Entropy", 0),
+            read_placement(fields),
+            read_counter_settings(fields),
+            categories,
+            read_server_rules(fields),
+            read_permissions(fields),
+        )
+
+    # ---- commands, carried out for the engine
+
+    def send(self, attempt: Any) -> None:
+        """See `lapisgrade.engine.Host`."""
+        ticket = attempt.operation.handle
+        self._attempts[ticket, attempt.number] = attempt
+        self.lines.append(f"PLACE{self._prefix} Ticket={ticket} Server={attempt.server.address}")
+
+    def cancel(self, attempt: Any) -> None:
+        """See `lapisgrade.engine.Host`."""
+        ticket = attempt.operation.handle
+        if (ticket, attempt.number) in self._attempts:
+            self.lines.append(f"WITHDRAW{self._prefix} Ticket={ticket} SendNo={attempt.number}")
+
+    def reject(self, operation: Operation, answer: Reject) -> None:
+        """See `lapisgrade.engine.Host`."""
+        ticket = operation.handle
+        if self._pending_operations.pop(ticket, None) is None:
+            raise RuntimeError("a second final answer for one operation")
+        if answer.reason is RejectReason.FAILED:
+            self.lines.append(f"RESPOND_ERROR{self._prefix} Ticket={ticket}")
+        else:
+            advice = f" StayAway={format_ms(answer.retry_after_us)}" if answer.retry_after_us > 0 else ""
+            self.lines.append(f"OVERLOAD_REPLY{self._prefix} Ticket={ticket}{advice}")
+
+    def add_to_counter(self, task: Task, add: AddToCounter) -> None:
+        """See `lapisgrade.engine.Host`."""
+        self._pending_calls.setdefault(add.counter_id, []).append(task)
+        self.lines.append(
+            f"POST_AMOUNT{self._prefix} Lives={format_ms(add.ttl_us)} Counter={add.counter_id} "
+            f"Step={add.amount:.6g}"
+        )
+
+    def log(self, text: str) -> None:
+        """See `lapisgrade.engine.Host`."""
+        self.lines.append(f"RECORD{self._prefix} Words={text}")
+
+    def schedule_wakeup(self, when_us: int) -> None:
+        """See `lapisgrade.engine.Host`."""
+        self._wakeup_tag += 1
+        self.lines.append(f"DEFER{self._prefix} Time={format_ms(when_us)} Tag={self._wakeup_tag}")
+
+    def _subscribe_to_changes(self) -> None:
+        self.lines.append(f"STREAM_CHANGES{self._prefix} Want=1")
+
+    # ---- messages of the bench
+
+    def on_order(self, fields: Fields) -> None:
+        """A client's operation arrives."""
+        now_us = self.clock.now_us
+        ticket = fields.integer("Ticket")
+        plan = fields.choice("Terms", self._plans)
+        operation = Operation(
+            customer=fields.text("UserKey"),
+            plan=plan,
+            category=fields.choice("Category", self._categories),
+            units=fields.number("CostUnits", 1.0),
+            arrived_us=now_us,
+            deadline_us=now_us + fields.duration_us("TimeBudget"),
+            gateway_count=max(1, fields.integer("EntryPoints", 1)),
+            first_gateway_index=fields.integer("FirstDoor", 0),
+            is_client_retry=fields.boolean("AgainByClient"),
+            handle=ticket,
+        )
+        self._pending_operations[ticket] = operation
+        self.engine.run(self.policy.handle(operation), operation)
+
+    def on_completed(self, fields: Fields) -> None:
+        """An attempt has ended."""
+        ticket, number = fields.integer("Ticket"), fields.integer("SendNo", 0)
+        outcome = fields.choice("StateCode", wire.OUTCOMES)
+        attempt = self._attempts.pop((ticket, number), None)
+        if attempt is None:
+            return
+        is_final = fields.boolean("DoneFlag") or outcome is AttemptOutcome.OK
+        result = AttemptResult(
+            outcome,
+            fields.duration_us("Duration"),
+            is_final,
+            wire.parse_server_load(fields.get("Stats")),
+            fields.number("FinalUnits"),
+            fields.integer("Metered", 0),
+        )
+        self.policy.on_attempt_finished(attempt, result)
+        if ticket in self._pending_operations:
+            if is_final:
+                del self._pending_operations[ticket]
+            self.engine.attempt_finished(attempt, result)
+
+    def on_opened(self, fields: Fields) -> None:
+        """A streamed response has begun to reach its client."""
+        operation = self._pending_operations.get(fields.integer("Ticket"))
+        if operation is not None:
+            self.engine.wake(operation, WakeReason.RESPONSE_STARTED)
+
+    def on_expired(self, fields: Fields) -> None:
+        """A client has stopped waiting."""
+        operation = self._pending_operations.pop(fields.integer("Ticket"), None)
+        if operation is not None:
+            operation.is_abandoned = True
+            self.engine.wake(operation, WakeReason.CLIENT_GONE)
+
+    def on_counter_reply(self, fields: Fields) -> None:
+        """The oldest call of a counter has ended."""
+        waiting = self._pending_calls.get(fields.integer("Counter"))
+        if not waiting:
+            return
+        outcome = fields.choice("StateCode", wire.COUNTER_OUTCOMES)
+        if outcome is CounterOutcome.ADDED and "ResultValue" not in fields:
+            raise MalformedInputError("ResultValue is missing")
+        counter_id = fields.integer("Counter")
+        task = waiting.pop(0)
+        if not waiting:
+            del self._pending_calls[counter_id]
+        self.engine.counter_replied(task, CounterReply(outcome, fields.number("ResultValue")))
+
+    def on_topology(self, form: str, endpoints: list[ServerEndpoint]) -> None:
+        """The endpoint list, or changes of it, or that there is none for now."""
+        if form != "unavailable":
+            self.policy.update_servers(endpoints, form != "update")
+        if self._must_subscribe and form in ("restored", "unavailable"):
+            # The bench sends changes only to those that asked, and stops after a failure.
+            self._subscribe_to_changes()
+
+    def on_status(self, fields: Fields) -> None:
+        """The result of a health check; only its form is looked at."""
+        fields.text("Server")
+
+    def on_peer(self, fields: Fields) -> None:
+        """A message of a peer; only its form is looked at."""
+        fields.integer("Neighbour")
+
+    def on_wakeup(self, fields: Fields) -> None:
+        """A wake-up that was asked for has come."""
+        self.engine.run_due_timers(ticked=fields.integer("Tag") == self._wakeup_tag)
+
+
+HANDLERS: dict[str, Callable[[LimiterInstance, Fields], None]] = {
+    "ORDER": LimiterInstance.on_order,
+    "COMPLETED": LimiterInstance.on_completed,
+    "OPENED": LimiterInstance.on_opened,
+    "EXPIRED": LimiterInstance.on_expired,
+    "TALLY_BACK": LimiterInstance.on_counter_reply,
+    "STATUS_BACK": LimiterInstance.on_status,
+    "PEER": LimiterInstance.on_peer,
+    "TICK_DUE": LimiterInstance.on_wakeup,
+}
--- a/lapisgrade/bench_adapter/wire.py
+++ b/lapisgrade/bench_adapter/wire.py
@@ -1,6 +1,4 @@
-"""The text of the wire: lines to fields, fields to values, actions to lines."""
-
-from typing import NoReturn
+"""The bench's text: lines to fields, fields to values, values to lines."""
 
 from lapisgrade.interface import AttemptOutcome, CounterOutcome, ServerEndpoint, ServerState
 from lapisgrade.settings import Fields, MalformedInputError
@@ -25,32 +23,34 @@
 TOPOLOGY_FORMS = ("update", "replace", "restored", "unavailable")
 
 
-def parse(line: str) -> tuple[str, Fields]:
-    """The message name and its fields."""
+def parse_message(line: str) -> tuple[str, Fields]:
+    """Read a line as the message's name and its fields."""
     name, _, rest = line.partition(" ")
     fields = Fields()
     if rest:
         for part in rest.split(" "):
-            key, mark, value = part.partition("=")
-            if not mark or not key:
+            key, separator, value = part.partition("=")
+            if not separator or not key:
                 raise MalformedInputError(f"{part!r} is not name=value")
             fields[key] = value
     return name, fields
 
 
-def load_report(text: str | None) -> dict[str, float] | None:
+def parse_server_load(text: str | None) -> dict[str, float] | None:
+    """Read a server's load report, `name:value,name:value`; None if there is none."""
     if not text or text == "-":
         return None
     report = Fields()
     for pair in text.split(","):
-        name, mark, value = pair.partition(":")
-        if not mark:
+        name, separator, value = pair.partition(":")
+        if not separator:
             raise MalformedInputError(f"Stats holds {pair!r}, not name:value")
         report[name] = value
     return {name: report.number(name) for name in report}
 
 
 def read_endpoint(fields: Fields) -> ServerEndpoint:
+    """Read one row of an endpoint list."""
     return ServerEndpoint(
         address=fields.text("Server"),
         state=fields.choice("Availability", SERVER_STATES, "IN"),
@@ -62,9 +62,6 @@
     )
 
 
-def format_ms(us: int) -> str:
-    return f"{us / 1000:.3f}"
-
-
-def reject_unknown_message(name: str) -> NoReturn:
-    raise MalformedInputError(f"unknown message {name!r}")
+def format_ms(duration_us: int) -> str:
+    """Write a time as the bench's ms."""
+    return f"{duration_us / 1000:.3f}"
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -269,7 +269,7 @@
 
 def test_the_limiter_imports_nothing_of_the_gateway():
     code = (
-        "import sys, lapisgrade.__main__, lapisgrade.bench_adapter.host;"
+        "import sys, lapisgrade.__main__, lapisgrade.bench_adapter.bench;"
         "print([name for name in sys.modules if 'gateway' in name])"
     )
     got = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
--- a/tests/lab/fleet/test_peers.py
+++ b/tests/lab/fleet/test_peers.py
@@ -67,7 +67,7 @@
 
 def test_the_program_without_a_membership_file_imports_no_membership():
     code = (
-        "import sys, lapisgrade.__main__, lapisgrade.bench_adapter.host\n"
+        "import sys, lapisgrade.__main__, lapisgrade.bench_adapter.bench\n"
         "print([m for m in sys.modules if m.startswith(('lapisgrade.members', 'lapisgrade.peers', "
         "'lapisgrade.lab', 'lapisgrade.fakes', 'msgspec', 'click'))])"
     )
