--- a/lapisgrade/gateway/proxy/client_front.py
+++ b/lapisgrade/gateway/proxy/client_front.py
@@ -1,5 +1,7 @@
 """Clients' connections: each request becomes a `RoutedRequest`, or is refused at once."""
 
+from http import HTTPStatus
+
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.configuration import Caps, Rule, Tenant
 from lapisgrade.gateway.proxy.context import ProxyContext
@@ -7,7 +9,7 @@
 from lapisgrade.gateway.routing import upstream_protocol
 from lapisgrade.gateway.routing.request import RoutedRequest
 from lapisgrade.gateway.routing.request_attempts import RESPONSE_MARGIN_US
-from lapisgrade.gateway.routing.route_tables import SERVICE_UNAVAILABLE, RouteMatch
+from lapisgrade.gateway.routing.route_table import RouteMatch
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.net.client_connection import ClientConnection
 from lapisgrade.net.client_listener import ClientListener
@@ -15,7 +17,6 @@
 from lapisgrade.net.http import Message as HttpMessage
 
 NOT_YET_ACTIVE_RETRY_S = 0.2  # after which one comes back whose version is about to be active
-REQUEST_ID_REUSED = 409
 MAX_REQUEST_ID_BYTES = 256
 MAX_DEADLINE_DIGITS = 9
 MIN_TIME_LEFT_US = 1_000  # that any request is given
@@ -55,19 +56,19 @@
         """
         now_us, headers = self._now(), message.headers()
         found = self._match(now_us, message.head.target, headers)
-        if found == SERVICE_UNAVAILABLE:
+        if found == HTTPStatus.SERVICE_UNAVAILABLE:
             self._metrics.requests_not_yet_active += 1
             retry_after = b"Retry-After: %.1f\r\n" % NOT_YET_ACTIVE_RETRY_S
-            client.respond_at_once(SERVICE_UNAVAILABLE, retry_after, close=message.last)
+            client.respond_at_once(HTTPStatus.SERVICE_UNAVAILABLE, retry_after, close=message.last)
             return None
-        if isinstance(found, int):
+        if isinstance(found, HTTPStatus):
             client.respond_at_once(found, close=message.last)
             return None
         request_id = headers.get(upstream_protocol.REQUEST_ID, b"")
         if not 0 < len(request_id) <= MAX_REQUEST_ID_BYTES:
             raise MalformedMessageError("a request without an id")
         if request_id in self.open_request_ids:  # its response might go to the wrong one
-            client.respond_at_once(REQUEST_ID_REUSED, close=message.last)
+            client.respond_at_once(HTTPStatus.CONFLICT, close=message.last)
             return None
         rule, tenant = found
         return RoutedRequest(
@@ -80,7 +81,7 @@
             handle=forwarded_request(client, message, headers.get(b"host", b""), request_id, tenant),
         )
 
-    def _match(self, now_us: int, target: bytes, headers: dict[bytes, bytes]) -> RouteMatch | int:
+    def _match(self, now_us: int, target: bytes, headers: dict[bytes, bytes]) -> RouteMatch | HTTPStatus:
         """The route of a request and the tenant whose key it bears, or the status that refuses it."""
         host = headers.get(b"host", b"")
         scheme, _, key = headers.get(upstream_protocol.AUTHORIZATION, b"").partition(b" ")
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -9,6 +9,7 @@
 import logging
 import os
 from collections.abc import Callable
+from http import HTTPStatus
 from random import Random
 
 from lapisgrade.gateway import SECOND, clock, registry, rpc_messages
@@ -18,11 +19,12 @@
 from lapisgrade.gateway.proxy.client_front import ClientFront
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
-from lapisgrade.gateway.proxy.host import ProxyHost, ServerPool
+from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.proxy.load_reporter import LoadReporter
 from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
 from lapisgrade.gateway.proxy.quota_transport import QuotaTransport
 from lapisgrade.gateway.proxy.server_list import ServerList
+from lapisgrade.gateway.proxy.server_pool import ServerPool
 from lapisgrade.gateway.proxy.version_rollout import VersionRollout
 from lapisgrade.gateway.proxy.watch_client import WatchClient
 from lapisgrade.gateway.proxy.watch_target import WatchTarget
@@ -222,8 +224,8 @@
 
     async def _answer_readiness(self, message: HttpMessage) -> tuple[int, bytes, bytes]:
         if message.head.target != b"/-/readyz":
-            return 404, b"", b""
-        return 200 if self.ready else 503, b"", b""
+            return HTTPStatus.NOT_FOUND, b"", b""
+        return HTTPStatus.OK if self.ready else HTTPStatus.SERVICE_UNAVAILABLE, b"", b""
 
     @property
     def active_version(self) -> int:
--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -1,7 +1,7 @@
 """The servers that the controllers know, passed on to the router and the pool of connections."""
 
 from lapisgrade.gateway import registry, rpc_messages
-from lapisgrade.gateway.proxy.host import ServerPool
+from lapisgrade.gateway.proxy.server_pool import ServerPool
 from lapisgrade.gateway.registry import ServerState
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.gateway.routing.upstream_server import REMOVED_STATES
--- a/lapisgrade/gateway/routing/request.py
+++ b/lapisgrade/gateway/routing/request.py
@@ -1,6 +1,7 @@
 """The records of one request on its way through the router: what was asked, and our own final answer."""
 
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 from lapisgrade.gateway.configuration import Rule, Tenant
@@ -30,4 +31,4 @@
 class Respond(Reject):
     """Answer the client ourselves, with this HTTP status."""
 
-    status: int = 503
+    status: HTTPStatus = HTTPStatus.SERVICE_UNAVAILABLE
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -31,6 +31,7 @@
 import math
 from collections.abc import Generator
 from enum import Enum, auto
+from http import HTTPStatus
 from random import Random
 
 from lapisgrade.gateway.configuration import Rule
@@ -60,7 +61,6 @@
 CLIENT_ROUND_TRIP_US = 20_000  # of the target time that the ways to the client and back take
 MAX_UNREACHED_ATTEMPTS = 2  # that may fail before they reach a server, beyond the route's attempts
 TIMER_SLACK_US = 1  # that the deadline's timer may come early, by rounding
-BAD_GATEWAY, SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 
 
 class State(Enum):
@@ -136,7 +136,7 @@
                 if not self._on_attempt_failed(event.result):
                     break
             elif self._is_timed_out():
-                yield Respond(RejectReason.FAILED, 0, GATEWAY_TIMEOUT)
+                yield Respond(RejectReason.FAILED, 0, HTTPStatus.GATEWAY_TIMEOUT)
                 return
             else:
                 self._on_timer()
@@ -267,9 +267,9 @@
     def _failure_response(self) -> Respond:
         """The final answer without a server's: what surely has not run may come back (503)."""
         if self._may_have_run:
-            return Respond(RejectReason.FAILED, 0, BAD_GATEWAY)
+            return Respond(RejectReason.FAILED, 0, HTTPStatus.BAD_GATEWAY)
         return_after_us = retry_after_us(self._random, self._request.rule)
-        return Respond(RejectReason.RETRY_LATER, return_after_us, SERVICE_UNAVAILABLE)
+        return Respond(RejectReason.RETRY_LATER, return_after_us, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 def retry_after_us(random: Random, rule: Rule) -> int:
--- a/lapisgrade/gateway/routing/route_tables.py
+++ b/lapisgrade/gateway/routing/route_tables.py
@@ -10,11 +10,11 @@
 is told to come back (503).
 """
 
+from http import HTTPStatus
+
 from lapisgrade.gateway.routing.route_table import RouteMatch, RouteTable
 from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
 
-SERVICE_UNAVAILABLE = 503
-
 
 class RouteTables:
     """One proxy's active route table, and the staged ones."""
@@ -39,7 +39,7 @@
         self.staged = {version: each for version, each in self.staged.items() if version > table.version}
         self.merged_versions &= set(self.staged)
 
-    def match(self, now_us: int, host: str, target: str, key: str) -> RouteMatch | int:
+    def match(self, now_us: int, host: str, target: str, key: str) -> RouteMatch | HTTPStatus:
         """Match a request to its route.
 
         Returns:
@@ -48,15 +48,15 @@
             (guards a new tenant's first calls, and the last ones of one that is withdrawn).
         """
         if self.active is None:
-            return SERVICE_UNAVAILABLE
+            return HTTPStatus.SERVICE_UNAVAILABLE
         found = self.active.match(host, target, key)
         refused_by_staged = (isinstance(each.match(host, target, key), int) for each in self.staged.values())
         if any(is_refused is not isinstance(found, int) for is_refused in refused_by_staged):
-            return SERVICE_UNAVAILABLE
+            return HTTPStatus.SERVICE_UNAVAILABLE
         if isinstance(found, int):
-            return SERVICE_UNAVAILABLE if self._may_have_missed_version(now_us) else found
+            return HTTPStatus.SERVICE_UNAVAILABLE if self._may_have_missed_version(now_us) else found
         if self.merged_versions and self._waits_for_merge(found, host, target, key):
-            return SERVICE_UNAVAILABLE
+            return HTTPStatus.SERVICE_UNAVAILABLE
         return found
 
     def _may_have_missed_version(self, now_us: int) -> bool:
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -7,6 +7,7 @@
 """
 
 from collections.abc import Generator
+from http import HTTPStatus
 from random import Random
 from typing import Any
 
@@ -128,7 +129,7 @@
 
     # ---- a request
 
-    def match(self, now_us: int, host: str, target: str, key: str) -> RouteMatch | int:
+    def match(self, now_us: int, host: str, target: str, key: str) -> RouteMatch | HTTPStatus:
         """The rule and tenant of a request, or the HTTP status that refuses it."""
         return self.tables.match(now_us, host, target, key)
 
@@ -144,7 +145,7 @@
             if wait_us is not None:
                 minimum_us = max(MIN_RETRY_AFTER_US, int(wait_us))
                 retry_after_us = quota_client.retry_after_us(self.clock.now_us, minimum_us)
-                yield Respond(RejectReason.RETRY_LATER, retry_after_us, 429)
+                yield Respond(RejectReason.RETRY_LATER, retry_after_us, HTTPStatus.TOO_MANY_REQUESTS)
                 return
         yield from self.serve(request)
 
--- a/lapisgrade/gateway/routing/upstream_protocol.py
+++ b/lapisgrade/gateway/routing/upstream_protocol.py
@@ -60,7 +60,7 @@
 class ForwardedRequest(ClientRequest):
     """A client's request as it is forwarded."""
 
-    lines: bytes = b""  # the header lines that are forwarded unchanged
+    header_lines: bytes = b""  # those that are forwarded unchanged
     tenant: bytes = b""
     failure: Message | None = None  # a server's complete error response
 
@@ -105,7 +105,7 @@
                 max(1, int(seconds_left * 1000)),
                 attempt.server.address.encode(),
                 b"Tenant: %b\r\n" % request.tenant if request.tenant else b"",
-                request.lines,
+                request.header_lines,
                 b"Content-Length: %d\r\n" % size if has_length else b"",
             )
         )
