--- a/lapisgrade/gateway/api.py
+++ b/lapisgrade/gateway/api.py
@@ -12,7 +12,7 @@
 from attrs import define, field
 
 from lapisgrade.gateway import configuration
-from lapisgrade.gateway.controller.state_machine import MOST_DRAFT
+from lapisgrade.gateway.controller.draft_merging import MAX_DRAFT_BYTES
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.registry import Server, ServerState
 from lapisgrade.gateway.settings import Span, strict_converter, structure
@@ -76,7 +76,7 @@
     Call("conf.replace", False, configuration.MAX_BYTES, "a whole configuration"),
     Call("conf.update", False, configuration.MAX_BYTES, "a change of named items"),
     Call("conf.show", False, MAX_SMALL_BODY_BYTES, "the newest configuration"),
-    Call("conf.draft", False, MOST_DRAFT, "a change of named items, stored here until it can be merged"),
+    Call("conf.draft", False, MAX_DRAFT_BYTES, "a change of named items, stored here until it can be merged"),
     Call("conf.drafts", False, MAX_SMALL_BODY_BYTES, "drafts, what came of each, and what is open"),
     Call("conf.settle", False, MAX_SMALL_BODY_BYTES, "a draft's fields that were set aside come into force"),
     Call("conf.close", False, MAX_SMALL_BODY_BYTES, "what is open of a draft is not wanted any more"),
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -16,7 +16,7 @@
 from lapisgrade.gateway.registry import ServerState
 from lapisgrade.gateway.routing.upstream_server import REMOVED_STATES, UpstreamAttempt, UpstreamServer
 from lapisgrade.interface import AttemptOutcome, AttemptResult
-from lapisgrade.policy.fleet import LatencyEstimate
+from lapisgrade.policy.latency import LatencyEstimate
 
 OTHER_CANDIDATES = 2  # servers of the zone's other subsets, and of other zones, that each choice looks at
 MAX_SUBSET_CANDIDATES = 12  # servers of the own subset that each choice looks at
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -10,14 +10,14 @@
 from lapisgrade.gateway.cli.disk_report import DiskReport
 from lapisgrade.gateway.consensus.messages import Entry
 from lapisgrade.gateway.consensus.records import EntriesRecord, HardState, Record, SnapshotRecord
-from lapisgrade.gateway.controller.state_machine import (
+from lapisgrade.gateway.controller.commands import (
     Activate,
-    Change,
     CloseDraft,
+    ConfigurationChange,
     LiveProxies,
     MergeDraft,
     ServerLeaving,
-    encoded,
+    encode_command,
 )
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.local_cluster import SAMPLE
@@ -31,12 +31,12 @@
         self.folder = str(tmp_path)
         log_store = LogStore(self.folder)
         log_store.recover()
-        change = encoded(Change(True, msgspec.json.encode(SAMPLE)))
+        change = encode_command(ConfigurationChange(True, msgspec.json.encode(SAMPLE)))
         rule = {**SAMPLE["Ports"][0]["Policy"][1], "Prio": 9}
         prio = {"Upsert": {"Ports": [{"Vhost": "a.example", "Policy": [rule]}]}}
         draft = drafted(CONF, prio, "amel", "m1")
         entries = [Entry(1, 1, b"", {"first": "10.0.0.1:7660"}), Entry(2, 1, change),
-                   Entry(3, 2, encoded(MergeDraft(draft)))]  # fmt: skip
+                   Entry(3, 2, encode_command(MergeDraft(draft)))]  # fmt: skip
         whole = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
         log_store.renew(msgspec.msgpack.encode(whole))
         records = (HardState(2, "first"), EntriesRecord(entries[1:]))
@@ -73,11 +73,11 @@
     old = [msgspec.msgpack.decode(each, type=Record) for each in log_store.recover()]
     gone = {"Del": {"Routes": ["r-stock"]}}
     late, again = ({"Ver": 4, "Base": 1, **gone}, {"Ver": 5, "Base": 2, **gone})
-    items = [*(Change(False, msgspec.json.encode(each)) for each in (late, again)), Activate(5)]
+    items = [*(ConfigurationChange(False, msgspec.json.encode(each)) for each in (late, again)), Activate(5)]
     items += [ServerLeaving("i-1", False), ServerLeaving("i-1", True)]
     items += [LiveProxies({name: ("p", "1", "z") for name in ("m1", "m2")}), CloseDraft("nobody")]
     entries = [*old[0].entries, *old[2].entries]
-    entries += [Entry(4 + number, 2, encoded(each)) for number, each in enumerate(items)]
+    entries += [Entry(4 + number, 2, encode_command(each)) for number, each in enumerate(items)]
     log_store.renew(msgspec.msgpack.encode(msgspec.structs.replace(old[0], entries=entries)))
     log_store.close()
     told = "\n".join(DiskReport(stored_log.folder).history)
