--- a/tests/gateway/proxy/test_server_list.py
+++ b/tests/gateway/proxy/test_server_list.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.addresses: dict = {}
 
-    def known(self, addresses: dict) -> None:
+    def update_addresses(self, addresses: dict) -> None:
         self.addresses = addresses
 
 
