--- a/lapisgrade/gateway/quota/count.py
+++ b/lapisgrade/gateway/quota/count.py
@@ -84,34 +84,49 @@
 
     def add(self, now_us: int, request: rpc_messages.QuotaRequest) -> None:
         """Take units, and put back what was granted before and not spent."""
-        bucket = self.bucket
-        lease = self.leases.pop(request.requester, NO_LEASE)
+        previous = self.leases.pop(request.requester, NO_LEASE)
         units = max(0.0, request.units)
-        # Only what this very count granted with the call before, and no more of it, comes back (guards
-        # against a lease of the last owner's, or of a call that never got here, made units of this one).
-        is_returning = request.returned_from and request.returned_from == lease.request_number
-        returned = min(max(0.0, request.returned_units), lease.returnable) if is_returning else 0.0
-        # A client that takes again has spent what it took, or gives the rest back with this call. One of
-        # the units that it takes is for the request that made it call, and is spent at once (guards a tenant
-        # of many limiters, each of which calls seldom: units that are spent must not reserve capacity).
-        unspent, returnable = (
-            (units - 1.0, units)
-            if units
-            else (
-                lease.unspent - returned,
-                lease.returnable - returned,
-            )
-        )
-        unspent = max(0.0, unspent)
-        self.leases[request.requester] = Lease(now_us, unspent, returnable, request.sequence_number)
+        returned = self._returned(request, previous)
+        lease = self._next_lease(now_us, request.sequence_number, units, returned, previous)
+        self.leases[request.requester] = lease
+        self._drop_expired(now_us)
+        reserved = self._leased(now_us) - lease.unspent
+        if now_us - self.since_us < LEASE_US:
+            # Leases of the last owner's may still be spent.
+            reserved = max(reserved, MAX_LEASED_FRACTION * self.bucket.burst)
+        available = min(max(0.0, self.bucket.burst - reserved), self.bucket.read(now_us))
+        self.bucket.set_level(now_us, available - units + returned)
+
+    @staticmethod
+    def _returned(request: rpc_messages.QuotaRequest, previous: Lease) -> float:
+        """Return the units that are put back.
+
+        Only what this very count granted with the call before, and no more of it, comes back (guards against
+        a lease of the last owner's, or of a call that never got here, made units of this one).
+        """
+        if not request.returned_from or request.returned_from != previous.request_number:
+            return 0.0
+        return min(max(0.0, request.returned_units), previous.returnable)
+
+    @staticmethod
+    def _next_lease(
+        now_us: int, request_number: int, units: float, returned: float, previous: Lease
+    ) -> Lease:
+        """Return the client's lease after a call that takes `units` and puts `returned` back.
+
+        A client that takes again has spent what it took, or gives the rest back with this call. One of the
+        units that it takes is for the request that made it call, and is spent at once (guards a tenant of
+        many limiters, each of which calls seldom: units that are spent must not reserve capacity).
+        """
+        if units:
+            return Lease(now_us, max(0.0, units - 1.0), units, request_number)
+        unspent = max(0.0, previous.unspent - returned)
+        return Lease(now_us, unspent, previous.returnable - returned, request_number)
+
+    def _drop_expired(self, now_us: int) -> None:
         self.leases = {
-            name: each for name, each in self.leases.items() if now_us - each.granted_us < LESSEE_EXPIRY_US
+            name: lease for name, lease in self.leases.items() if now_us - lease.granted_us < LESSEE_EXPIRY_US
         }
-        leased = self._leased(now_us) - unspent
-        if now_us - self.since_us < LEASE_US:
-            leased = max(leased, MAX_LEASED_FRACTION * bucket.burst)  # leases of the last owner's may be out
-        available = min(max(0.0, bucket.burst - leased), bucket.read(now_us))
-        bucket.set_level(now_us, available - units + returned)
 
     def _leased(self, now_us: int) -> float:
         """Return the units of all leases that have not ended and may not be spent yet."""
--- a/lapisgrade/gateway/quota/hand_over.py
+++ b/lapisgrade/gateway/quota/hand_over.py
@@ -9,9 +9,10 @@
 from dataclasses import dataclass
 
 from lapisgrade.gateway.quota.count import Count
-from lapisgrade.gateway.quota.epochs import ClaimState, OwnershipEpoch, OwnershipHistory
+from lapisgrade.gateway.quota.epochs import ClaimState, OwnershipEpoch
 from lapisgrade.gateway.quota.owned_counts import MAX_COUNTS, OwnedCounts
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
+from lapisgrade.gateway.quota.ownership_history import OwnershipHistory
 from lapisgrade.gateway.rpc_messages import HandOverReply, HandOverRequest
 
 WAIT = HandOverReply(True)  # the count can't be given, and somebody may still act for it
--- a/lapisgrade/gateway/quota/owned_counts.py
+++ b/lapisgrade/gateway/quota/owned_counts.py
@@ -7,7 +7,8 @@
 
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.quota.count import Count
-from lapisgrade.gateway.quota.epochs import OwnershipEpoch, OwnershipHistory
+from lapisgrade.gateway.quota.epochs import OwnershipEpoch
+from lapisgrade.gateway.quota.ownership_history import OwnershipHistory
 
 MAX_COUNTS = 4096  # counts kept; those unused for longest are evicted, and begin empty if they come back
 
--- a/lapisgrade/gateway/quota/owner.py
+++ b/lapisgrade/gateway/quota/owner.py
@@ -6,9 +6,10 @@
 """
 
 from lapisgrade.gateway.quota.count import LESSEE_EXPIRY_US, Count
-from lapisgrade.gateway.quota.epochs import MembershipUpdate, OwnershipHistory
+from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.hand_over import HandOver
 from lapisgrade.gateway.quota.owned_counts import OwnedCounts
+from lapisgrade.gateway.quota.ownership_history import OwnershipHistory
 from lapisgrade.gateway.rpc_messages import (
     HandOverReply,
     HandOverRequest,
--- a/lapisgrade/gateway/quota/ownership.py
+++ b/lapisgrade/gateway/quota/ownership.py
@@ -70,7 +70,9 @@
 
 
 def eligible_owners(
-    proxies: dict[str, Member], core: Iterable[str], leaving: Iterable[str] = ()
+    proxies: dict[str, Member],
+    proxies_with_controller: Iterable[str],
+    terminating_proxies: Iterable[str] = (),
 ) -> dict[str, Member]:
     """Return those of the proxies that own counts.
 
@@ -80,8 +82,8 @@
 
     Args:
         proxies: the live proxies, by name.
-        core: names of the proxies beside which a controller runs.
-        leaving: names of the proxies that are shutting down.
+        proxies_with_controller: names of the proxies beside which a controller runs.
+        terminating_proxies: names of the proxies that are shutting down.
     """
-    staying = {name: each for name, each in proxies.items() if name not in leaving} or proxies
-    return {name: each for name, each in staying.items() if name not in core} or staying
+    staying = {name: each for name, each in proxies.items() if name not in terminating_proxies} or proxies
+    return {name: each for name, each in staying.items() if name not in proxies_with_controller} or staying
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -39,7 +39,7 @@
         settings = SimpleNamespace(hostname=ME, ip="10.0.0.1")
         self.context = ProxyContext(settings, Random(1), now_us)
         self.quota_owner = QuotaOwner(ME, "1", 0)
-        self.quota_owner.update_members(0, MembershipUpdate(5, listed(ME, OLD), previous_token=0))
+        self.quota_owner.update_members(0, MembershipUpdate(5, listed(ME, OLD), previous_fencing_token=0))
         self.updates = SimpleNamespace(ownership_ends_us=1 << 60)
         self.asked, self.ended = [], []
         client = SimpleNamespace(quota_request=self._ask, gateways=1)
@@ -99,7 +99,7 @@
 
     async def test_an_owner_without_this_list_yet_is_asked_until_it_has_it(self) -> None:
         peers = self.peers
-        peers.quota_owner.update_members(1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_token=5))
+        peers.quota_owner.update_members(1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_fencing_token=5))
         peers.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
         asyncio.get_running_loop().call_later(
             0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -40,12 +40,13 @@
         self.first = owner_of("t", self.early)
         self.names = names
         self.old = QuotaOwner(self.first, "1", 0)
-        self.old.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
+        self.old.update_members(0, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
         self.new = QuotaOwner(self.last, "1", 0)
 
     def joined(self, now_us: int) -> None:
         self.new.update_members(
-            now_us, MembershipUpdate(9, members(self.names), previous_token=5, previous_owners=self.early)
+            now_us,
+            MembershipUpdate(9, members(self.names), previous_fencing_token=5, previous_owners=self.early),
         )
 
     def test_the_first_list_of_all_begins_with_full_counts(self) -> None:
@@ -55,7 +56,7 @@
     def test_a_process_that_is_started_anew_under_the_first_list_does_not(self) -> None:
         """Guards against a burst for each life: the list names the life before, which may have granted."""
         again = QuotaOwner(self.first, "2", SECOND)
-        again.update_members(SECOND, MembershipUpdate(5, members(self.early), previous_token=0))
+        again.update_members(SECOND, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
         self.assertLess(BURST - take(again, SECOND + 10 * MS).total, 1.0)
 
     def test_who_joins_adds_nothing_before_the_last_owner_has_said_its_word(self) -> None:
@@ -97,7 +98,7 @@
         for told in (False, True):
             if told:
                 self.old.update_members(
-                    SECOND + 3 * MS, MembershipUpdate(9, members(self.names), previous_token=5)
+                    SECOND + 3 * MS, MembershipUpdate(9, members(self.names), previous_fencing_token=5)
                 )
             levels = [self.old.hand_over(SECOND + 5 * MS, wants(self.new)).count.level for _ in range(2)]
             self.assertEqual([round(each) for each in levels], [10, 10])
@@ -116,7 +117,8 @@
         take(self.new, SECOND, 35.0)
         again = QuotaOwner(self.last, "2", 2 * SECOND)
         again.update_members(
-            2 * SECOND, MembershipUpdate(9, members(self.names), previous_token=5, previous_owners=self.early)
+            2 * SECOND,
+            MembershipUpdate(9, members(self.names), previous_fencing_token=5, previous_owners=self.early),
         )
         self.assertEqual(again.predecessor(2 * SECOND, "t"), self.first)
         reply = self.old.hand_over(2 * SECOND, wants(again))
@@ -136,7 +138,7 @@
             self.old.hand_over(SECOND, msgspec.structs.replace(outdated, fencing_token=5)).must_wait
         )
         bystander = QuotaOwner(other, "1", 0)
-        bystander.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
+        bystander.update_members(0, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
         self.joined(SECOND)
         self.assertTrue(bystander.hand_over(SECOND, wants(self.new)).must_wait)
         self.assertTrue(take(self.old, SECOND).is_accepted)
@@ -147,11 +149,18 @@
         third = owner_of("t", [name for name in self.names if name != self.last])  # the first one again
         back = QuotaOwner(third, "2", 0)
         newest = MembershipUpdate(
-            12, members(self.names), previous_token=9, previous_owners=self.names, leaving=[self.last]
+            12,
+            members(self.names),
+            previous_fencing_token=9,
+            previous_owners=self.names,
+            terminating_proxies=[self.last],
         )
         back.update_members(SECOND + 50 * MS, newest)
         self.new.update_members(
-            SECOND + 60 * MS, MembershipUpdate(12, members(self.names), previous_token=9, leaving=[self.last])
+            SECOND + 60 * MS,
+            MembershipUpdate(
+                12, members(self.names), previous_fencing_token=9, terminating_proxies=[self.last]
+            ),
         )
         self.assertEqual(back.predecessor(SECOND + 60 * MS, "t"), self.last)
         self.assertTrue(self.new.hand_over(SECOND + 60 * MS, wants(back)).must_wait)
@@ -164,18 +173,19 @@
         followed, anew = QuotaOwner(heir, "1", 0), QuotaOwner(heir, "2", 0)
         left = [name for name in self.names if name not in (self.last, self.first)] + [self.first]
         leaving = [self.first]
-        followed.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
-        followed.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_token=5))
+        followed.update_members(0, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
+        followed.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_fencing_token=5))
         followed.update_members(
-            SECOND + 300 * MS, MembershipUpdate(12, members(left), previous_token=9, leaving=leaving)
+            SECOND + 300 * MS,
+            MembershipUpdate(12, members(left), previous_fencing_token=9, terminating_proxies=leaving),
         )
         newest = MembershipUpdate(
             12,
             members(left),
-            previous_token=9,
+            previous_fencing_token=9,
             previous_owners=self.names,
             earlier_owners=[self.early],
-            leaving=leaving,
+            terminating_proxies=leaving,
         )
         anew.update_members(SECOND + 300 * MS, newest)
         for one in (followed, anew):
@@ -192,11 +202,12 @@
         self.joined(SECOND)
         heir = owner_of("t", [name for name in self.early if name != self.first])
         one, unknowing = QuotaOwner(heir, "1", 0), QuotaOwner(self.last, "2", SECOND)
-        one.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
-        one.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_token=5))
+        one.update_members(0, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
+        one.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_fencing_token=5))
         leaving = [self.last, self.first]
         one.update_members(
-            SECOND + 300 * MS, MembershipUpdate(12, members(self.names), previous_token=9, leaving=leaving)
+            SECOND + 300 * MS,
+            MembershipUpdate(12, members(self.names), previous_fencing_token=9, terminating_proxies=leaving),
         )
         now = SECOND + 310 * MS
         self.assertEqual(one.predecessor(now, "t"), self.last)
@@ -215,10 +226,11 @@
         self.new.on_hand_over(now, wants(self.new), self.old.hand_over(now, wants(self.new)), self.first)
         self.assertTrue(take(self.new, now).is_accepted)
         self.old.update_members(
-            now, MembershipUpdate(8, members(self.early), previous_token=7, previous_owners=self.early)
+            now,
+            MembershipUpdate(8, members(self.early), previous_fencing_token=7, previous_owners=self.early),
         )
         self.assertFalse(take(self.old, now).is_accepted)
-        self.old.update_members(now, MembershipUpdate(9, members(self.names), previous_token=8))
+        self.old.update_members(now, MembershipUpdate(9, members(self.names), previous_fencing_token=8))
         self.assertFalse(take(self.old, now).is_accepted)
 
     def test_nobody_is_waited_for_whose_process_is_gone(self) -> None:
@@ -230,7 +242,7 @@
         gone = QuotaOwner(self.last, "1", 0)
         left = [name for name in self.names if name != self.first]
         gone.update_members(
-            SECOND, MembershipUpdate(9, members(left), previous_token=5, previous_owners=self.early)
+            SECOND, MembershipUpdate(9, members(left), previous_fencing_token=5, previous_owners=self.early)
         )
         self.assertEqual(gone.predecessor(SECOND, "t"), "")
 
--- a/tests/gateway/quota/test_owner.py
+++ b/tests/gateway/quota/test_owner.py
@@ -46,9 +46,11 @@
         ask = rpc_messages.QuotaRequest("t", 1.0, "x", 5, 60.0, 60.0)
         for prior, total in ((5, 1.0), (6, 60.0)):
             one = QuotaOwner(mine)
-            one.update_members(0, MembershipUpdate(5, live_proxies(names), previous_token=4))
+            one.update_members(0, MembershipUpdate(5, live_proxies(names), previous_fencing_token=4))
             one.add(SECOND, ask, 99 * SECOND)
-            one.update_members(9 * SECOND, MembershipUpdate(7, live_proxies(names), previous_token=prior))
+            one.update_members(
+                9 * SECOND, MembershipUpdate(7, live_proxies(names), previous_fencing_token=prior)
+            )
             told = one.add(9 * SECOND, msgspec.structs.replace(ask, fencing_token=7), 99 * SECOND).total
             self.assertGreaterEqual(told, total, f"after {prior}")
             self.assertLess(told, total + 1.5)
@@ -99,11 +101,11 @@
         mine = owner_of("t", live_proxies(names))
         early = [name for name in names if name != mine]
         old = QuotaOwner(owner_of("t", live_proxies(early)))
-        old.update_members(0, MembershipUpdate(5, live_proxies(early), previous_token=0))
+        old.update_members(0, MembershipUpdate(5, live_proxies(early), previous_fencing_token=0))
         ask = rpc_messages.QuotaRequest("t", 1.0, "x", 5, 60.0, 60.0)
         self.assertTrue(old.add(SECOND, ask, 9 * SECOND).is_accepted)
         wants = rpc_messages.HandOverRequest("t", mine, 9, 60.0, 60.0, "1")
         self.assertFalse(old.hand_over(SECOND, wants).must_wait)
         self.assertFalse(old.add(SECOND, ask, 9 * SECOND).is_accepted)
-        old.update_members(SECOND, MembershipUpdate(9, live_proxies(names), previous_token=5))
+        old.update_members(SECOND, MembershipUpdate(9, live_proxies(names), previous_fencing_token=5))
         self.assertFalse(old.add(SECOND, ask, 9 * SECOND).is_accepted)
