--- a/lapisgrade/gateway/cli/configuration_check.py
+++ b/lapisgrade/gateway/cli/configuration_check.py
@@ -54,15 +54,16 @@
 
 def describe_changes(before: JsonObject, after: JsonObject) -> list[str]:
     """Describe what differs, a line a field; items that come or go as one line."""
-    old, new = merge_fields.fields(before), merge_fields.fields(after)
+    old, new = merge_fields.to_fields(before), merge_fields.to_fields(after)
     added_items = {path for path in new if merge_fields.is_item(path) and path not in old}
     lines = []
-    for op in merge_fields.ops(old, new):
-        if op.path in added_items or op.ends_item:
-            lines.append(f"{'+' if op.has else '-'} {merge_fields.shown(op.path)}")
+    for op in merge_fields.diff(old, new):
+        if op.path in added_items or op.removes_item:
+            lines.append(f"{'+' if op.is_present else '-'} {merge_fields.format_path(op.path)}")
         elif op.path[:2] not in added_items:
-            old_value, new_value = _value_text(op.had, op.base), _value_text(op.has, op.new)
-            lines.append(f"  {merge_fields.shown(op.path)}: {old_value} -> {new_value}")
+            old_value = _value_text(op.was_present, op.base_value)
+            new_value = _value_text(op.is_present, op.new_value)
+            lines.append(f"  {merge_fields.format_path(op.path)}: {old_value} -> {new_value}")
     return lines
 
 
--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -26,7 +26,7 @@
     ServerSnapshot,
 )
 from lapisgrade.gateway.controller.state_machine import StateMachine
-from lapisgrade.gateway.merge.three_way import told
+from lapisgrade.gateway.merge.three_way import describe_draft
 from lapisgrade.gateway.storage.draft_store import read_drafts
 from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
@@ -80,8 +80,10 @@
             f"proxies in the list of live proxies {len(state.live_proxies)}",
         ]
         for draft, outcome in self.state_machine.open_drafts().values():
-            lines.append(f"draft {draft.id} by {draft.by}: {told(draft, outcome)['State']}")
-        lines += [f"draft {draft.id} by {draft.by}: kept, not handed in" for draft in self.drafts.values()]
+            lines.append(f"draft {draft.id} by {draft.author}: {describe_draft(draft, outcome)['State']}")
+        lines += [
+            f"draft {draft.id} by {draft.author}: kept, not handed in" for draft in self.drafts.values()
+        ]
         return lines
 
     def _apply(self, entry: Entry) -> None:
@@ -138,7 +140,7 @@
             return f"version {version} on {version_before} was accepted"
         case MergeDraft(draft=draft):
             outcome = f"merged as version {version}" if version != version_before else "nothing of it stands"
-            return f"draft {draft.id} by {draft.by}: {outcome}"
+            return f"draft {draft.id} by {draft.author}: {outcome}"
         case CloseDraft():
             return f"draft {item.draft_id}: closed"
         case Activate():
--- a/lapisgrade/gateway/controller/draft_merging.py
+++ b/lapisgrade/gateway/controller/draft_merging.py
@@ -17,8 +17,8 @@
 from lapisgrade.gateway.controller.change_validation import ApplyResult
 from lapisgrade.gateway.controller.state import State
 from lapisgrade.gateway.merge import three_way
-from lapisgrade.gateway.merge.fields import fields
-from lapisgrade.gateway.merge.three_way import Draft, Outcome
+from lapisgrade.gateway.merge.fields import to_fields
+from lapisgrade.gateway.merge.three_way import Draft, MergeOutcome
 
 MAX_DRAFTS = 16  # merged since the last acknowledged change, or with conflicts; bounds the state
 MAX_DRAFT_BYTES = 128 * 1024  # of one draft, as it stands in the log
@@ -43,7 +43,7 @@
     state.outcomes = outcomes
     state.drafts = drafts
     state.seen = [*state.seen, draft.id][-MAX_KNOWN_IDS:]
-    if fields(merged) != fields(msgspec.json.decode(state.conf)):
+    if to_fields(merged) != to_fields(msgspec.json.decode(state.conf)):
         version = state.ver + 1
         state.stage(msgspec.json.encode({**merged, "Ver": version}), version)
         state.merged = [*state.merged, version]
@@ -65,7 +65,7 @@
     """Keep only the drafts with conflicts: the others are part of what was acknowledged by now."""
     for draft in state.drafts:
         outcome = state.outcomes[draft.id]
-        if outcome.open and draft.id not in state.shut:
+        if outcome.is_open and draft.id not in state.shut:
             state.past[draft.id] = (draft, outcome)
     state.ground = b""
     state.drafts = []
@@ -73,10 +73,10 @@
     state.shut = []
 
 
-def open_drafts(state: State) -> dict[str, tuple[Draft, Outcome]]:
+def open_drafts(state: State) -> dict[str, tuple[Draft, MergeOutcome]]:
     """Return the drafts merged since the last acknowledged change, and earlier ones with conflicts."""
     current = {draft.id: (draft, state.outcomes[draft.id]) for draft in state.drafts}
     for draft_id in state.shut:
         draft, outcome = current[draft_id]
-        current[draft_id] = (draft, Outcome(outcome.stand))
+        current[draft_id] = (draft, MergeOutcome(outcome.applied))
     return {**state.past, **current}
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -142,7 +142,7 @@
         if status != HTTPStatus.OK:
             return encode_error(status, "the draft could not be kept on this disk")
         disks = 1 + await self._copy_to_peers(draft)
-        reply = {"Id": draft.id, "Base": draft.base, "Disks": disks, "InForce": False}
+        reply = {"Id": draft.id, "Base": draft.base_version, "Disks": disks, "InForce": False}
         return ForwardCallReply(HTTPStatus.ACCEPTED, msgspec.json.encode(reply))
 
     def _decode(self, body: bytes) -> Draft | ApplyResult:
@@ -161,7 +161,7 @@
             return ApplyResult(
                 HTTPStatus.PRECONDITION_FAILED, f"version {state.ver} is the newest that is known here"
             )
-        return three_way.drafted(msgspec.json.decode(state.conf), edit, edit["By"], self._hostname())
+        return three_way.make_draft(msgspec.json.decode(state.conf), edit, edit["By"], self._hostname())
 
     async def _copy_to_peers(self, draft: Draft) -> int:
         """Return how many other controllers have stored a copy."""
@@ -181,6 +181,7 @@
         has_leader = leader_reply.status == HTTPStatus.OK
         drafts = msgspec.json.decode(leader_reply.body) if has_leader else []
         known_ids = {each["Id"] for each in drafts}
-        drafts += [three_way.told(each, None) for each in self._delivery.stored() if each.id not in known_ids]
+        unknown = [draft for draft in self._delivery.stored() if draft.id not in known_ids]
+        drafts += [three_way.describe_draft(draft, None) for draft in unknown]
         reply = {"Leader": has_leader, "Newest": self._state_machine.state.ver, "Drafts": drafts}
         return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode(reply))
--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -145,7 +145,7 @@
     # ---- drafts
 
     async def _list_drafts(self, of: str, body: bytes) -> ForwardCallReply:
-        drafts = [three_way.told(*each) for each in self._state_machine.open_drafts().values()]
+        drafts = [three_way.describe_draft(*each) for each in self._state_machine.open_drafts().values()]
         return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode(drafts))
 
     async def _merge_draft(self, of: str, body: bytes) -> ForwardCallReply:
@@ -159,12 +159,12 @@
         draft_id = decode_draft_id(body)
         state = self._state_machine.state
         found = self._state_machine.open_drafts().get(draft_id)
-        if found is None or not found[1].open:
+        if found is None or not found[1].is_open:
             return encode_error(HTTPStatus.NOT_FOUND, "no such draft is open")
         draft, outcome = found
-        paths = {conflict.path for conflict in outcome.aside}
-        operations = [each for each in draft.ops if outcome.wrong or each.path in paths]
-        configuration = three_way.forced(msgspec.json.decode(state.conf), operations)
+        paths = {conflict.path for conflict in outcome.conflicts}
+        operations = [each for each in draft.changes if outcome.error or each.path in paths]
+        configuration = three_way.force_changes(msgspec.json.decode(state.conf), operations)
         change = {**configuration, "Ver": state.ver + 1, "Base": state.ver}
         reply = await self._change(ConfigurationChange(True, msgspec.json.encode(change)))
         if reply.status != HTTPStatus.OK:
--- a/lapisgrade/gateway/controller/state.py
+++ b/lapisgrade/gateway/controller/state.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
-from lapisgrade.gateway.merge.three_way import Draft, Outcome
+from lapisgrade.gateway.merge.three_way import Draft, MergeOutcome
 from lapisgrade.gateway.registry import Server
 
 MAX_STAGED_VERSIONS = 8  # each waits 1.4 s at most to come into force
@@ -58,8 +58,8 @@
     staged: dict[int, bytes] = {}
     ground: bytes = b""
     drafts: list[Draft] = []
-    outcomes: dict[str, Outcome] = {}
-    past: dict[str, tuple[Draft, Outcome]] = {}
+    outcomes: dict[str, MergeOutcome] = {}
+    past: dict[str, tuple[Draft, MergeOutcome]] = {}
     shut: list[str] = []
     seen: list[str] = []
     merged: list[int] = []
--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -30,7 +30,7 @@
     ServerSnapshot,
 )
 from lapisgrade.gateway.controller.state import State, decode_snapshot, encode_snapshot
-from lapisgrade.gateway.merge.three_way import Draft, Outcome
+from lapisgrade.gateway.merge.three_way import Draft, MergeOutcome
 from lapisgrade.gateway.quota.ownership import eligible_owners
 
 MAX_REMEMBERED_CHANGES = 4096  # versions whose change is recognized when it is sent again; days of changes
@@ -80,7 +80,7 @@
         encoded = encode(validated.version, validated.configuration, state.ver, state.conf)
         return PreparedChange(validated.result, NewVersion(change.digest, encoded))
 
-    def open_drafts(self) -> dict[str, tuple[Draft, Outcome]]:
+    def open_drafts(self) -> dict[str, tuple[Draft, MergeOutcome]]:
         """Return the drafts that operators may look at, and what came of each, by id."""
         return draft_merging.open_drafts(self.state)
 
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -1,4 +1,4 @@
-"""Drafts, and what they come to beside each other and beside what was acknowledged: pure.
+"""Drafts, and what they come to beside each other and beside what was acknowledged. Pure.
 
 A draft holds each field that it changes with the value that it was made on, so no history is needed to merge
 it (three-way merge; Khanna, Kunal, Pierce, "A Formal Investigation of Diff3", 2007). The rule:
@@ -6,9 +6,9 @@
 1. What was acknowledged since stands: a draft changes a field only where that still has the value it was
    made on.
 2. Of two drafts, the one made on the newer version comes first; of those on one, the one with the lower id.
-3. Fields that nobody else touched all come to stand; one that can't is set aside and told, never lost.
-4. A draft whose remaining fields would make an invalid configuration stays a draft as a whole, with what is
-   wrong.
+3. Fields that nobody else changed are all applied; one that can't be is reported as a conflict, never lost.
+4. A draft whose remaining fields would make an invalid configuration stays a draft as a whole, with the
+   error.
 
 `merge_drafts` works all drafts since the last acknowledged change out anew from that change, in the rule's
 order: so the order in which they came does not matter, nor whether one came twice.
@@ -23,206 +23,299 @@
 from lapisgrade.gateway.configuration_change import apply_change
 from lapisgrade.gateway.errors import ConfigurationError, InvalidInputError
 from lapisgrade.gateway.merge import fields as merge_fields
-from lapisgrade.gateway.merge.fields import Fields, Op, Path
+from lapisgrade.gateway.merge.fields import FieldChange, Fields, Json, Path, format_path, is_at_or_below
 
-MOST_OPS = 4096  # fields of one draft; a configuration of several hundred routes
-GONE, NONE = "(gone)", "(none)"  # how an absent value is told
-MOST_WORDS = 200  # characters of who made it, as is kept
+MAX_CHANGES = 4096  # fields of one draft; a configuration of several hundred routes
+MAX_AUTHOR_LENGTH = 200  # characters
+ID_BYTES = 6
+REMOVED, ABSENT = "(gone)", "(none)"  # how a value that is not there is shown
 
 
 class Draft(msgspec.Struct, array_like=True, frozen=True):
-    """An edit that was made where no majority could be asked. Never in force by itself."""
+    """An edit that was made where no majority could be asked. Never in force by itself.
+
+    Attributes:
+        id: A digest of the rest.
+        author: Who made it, as they say.
+        controller: The controller that took it.
+        base_version: The version that it was made on.
+        changes: What it changes, by path.
+    """
 
     id: str
-    by: str  # who made it, as they say
-    at: str  # at which controller
-    base: int  # the version that it was made on
-    ops: list[Op]
+    author: str
+    controller: str
+    base_version: int
+    changes: list[FieldChange]
 
     @property
     def rank(self) -> tuple[int, str]:
-        return (-self.base, self.id)
+        """Its place in the order in which drafts are merged."""
+        return (-self.base_version, self.id)
+
 
+class MergeConflict(msgspec.Struct, array_like=True, frozen=True):
+    """A field that a draft wants otherwise than it stands.
 
-class Aside(msgspec.Struct, array_like=True, frozen=True):
-    """A field that a draft wanted otherwise than it stands, and why it stands so."""
+    Attributes:
+        path: Where the field is.
+        current_value: What it is.
+        wanted_value: What the draft wants it to be.
+        reason: Why it stands, for people.
+    """
 
     path: Path
-    has: Any
-    wants: Any
-    why: str
+    current_value: Any
+    wanted_value: Any
+    reason: str
 
 
-class Outcome(msgspec.Struct, array_like=True, frozen=True):
-    """What came of one draft: the fields that stand as it wants, those set aside, or what is wrong."""
+class MergeOutcome(msgspec.Struct, array_like=True, frozen=True):
+    """What came of one draft.
 
-    stand: list[Path] = []
-    aside: list[Aside] = []
-    wrong: str = ""
+    Attributes:
+        applied: The fields that are as the draft wants them.
+        conflicts: The fields that are not.
+        error: Why nothing of the draft could be applied; empty where that is not so.
+    """
+
+    applied: list[Path] = []
+    conflicts: list[MergeConflict] = []
+    error: str = ""
 
     @property
-    def open(self) -> bool:
-        return bool(self.aside or self.wrong)
+    def is_open(self) -> bool:
+        """Whether an operator has to settle something."""
+        return bool(self.conflicts or self.error)
 
 
-def drafted(conf: dict, change: dict, by: str, at: str) -> Draft:
-    """Return a change of named items on top of `conf` as a draft.
+def make_draft(current: Json, change: Json, author: str, controller: str) -> Draft:
+    """Return a change of named items on top of `current` as a draft.
 
     Raises:
         ConfigurationError: The change can't be read, or changes nothing.
     """
-    base = conf.get("Ver", 0)
-    made = apply_change(conf, {**change, "Ver": base})
-    configuration.read(made)
-    ops = merge_fields.ops(merge_fields.fields(conf), merge_fields.fields(made))
-    if not ops:
+    base_version = current.get("Ver", 0)
+    changed = apply_change(current, {**change, "Ver": base_version})
+    configuration.read(changed)
+    changes = merge_fields.diff(merge_fields.to_fields(current), merge_fields.to_fields(changed))
+    if not changes:
         raise ConfigurationError("nothing would change")
-    if len(ops) > MOST_OPS:
-        raise ConfigurationError(f"{len(ops)} fields are too many for a draft")
-    by, words = by[:MOST_WORDS], msgspec.json.encode((by[:MOST_WORDS], at, base, ops), order="sorted")
-    return Draft(blake2b(words, digest_size=6).hexdigest(), by, at, base, ops)
-
-
-def merge_drafts(ground: dict, drafts: list[Draft]) -> tuple[dict, dict[str, Outcome]]:
-    """The configuration that the drafts make of the last acknowledged one, and what came of each."""
-    conf, found = ground, merge_fields.fields(ground)
-    holders: dict[Path, Draft] = {}  # who changed a field since that
-    outcomes: dict[str, Outcome] = {}
+    if len(changes) > MAX_CHANGES:
+        raise ConfigurationError(f"{len(changes)} fields are too many for a draft")
+    author = author[:MAX_AUTHOR_LENGTH]
+    content = msgspec.json.encode((author, controller, base_version, changes), order="sorted")
+    draft_id = blake2b(content, digest_size=ID_BYTES).hexdigest()
+    return Draft(draft_id, author, controller, base_version, changes)
+
+
+def merge_drafts(acknowledged: Json, drafts: list[Draft]) -> tuple[Json, dict[str, MergeOutcome]]:
+    """Return the configuration that the drafts make of the last acknowledged one, and each one's outcome."""
+    merged, fields = acknowledged, merge_fields.to_fields(acknowledged)
+    changed_by: dict[Path, Draft] = {}  # fields that were changed since that
+    outcomes: dict[str, MergeOutcome] = {}
     for draft in sorted(drafts, key=lambda each: each.rank):
-        merged, outcome = _beside(found, draft, holders)
-        if outcome.stand:
-            made = merge_fields.built(merged, conf)
+        new_fields, outcome = _merge_draft(fields, draft, changed_by)
+        if outcome.applied:
+            candidate = merge_fields.from_fields(new_fields, merged)
             try:
-                configuration.read(made)
-            except InvalidInputError as wrong:
-                outcomes[draft.id] = Outcome(wrong=str(wrong))
+                configuration.read(candidate)
+            except InvalidInputError as error:
+                outcomes[draft.id] = MergeOutcome(error=str(error))
                 continue
-            conf, found = made, merged
-            holders.update({path: draft for path in outcome.stand})
+            merged, fields = candidate, new_fields
+            changed_by.update({path: draft for path in outcome.applied})
         outcomes[draft.id] = outcome
-    return conf, outcomes
-
-
-def _beside(found: Fields, draft: Draft, holders: dict[Path, Draft]) -> tuple[Fields, Outcome]:
-    """The fields with that draft's beside them, as far as nothing speaks against it."""
-    lost = _against(found, draft.ops, holders)
-    lost.update(_places(found, draft.ops, lost))
-    merged, stand, aside = dict(found), [], []
-    for op in draft.ops:
-        if op.path in lost:
-            has = found.get(op.path, GONE if op.had else NONE)
-            aside.append(Aside(op.path, has, op.new if op.has else GONE, lost[op.path]))
+    return merged, outcomes
+
+
+def _merge_draft(fields: Fields, draft: Draft, changed_by: dict[Path, Draft]) -> tuple[Fields, MergeOutcome]:
+    """Return the fields with a draft's changes, as far as nothing conflicts with them."""
+    reasons = _find_conflicts(fields, draft.changes, changed_by)
+    reasons.update(_find_destination_conflicts(fields, draft.changes, reasons))
+    merged = dict(fields)
+    applied: list[Path] = []
+    conflicts: list[MergeConflict] = []
+    for change in draft.changes:
+        if change.path in reasons:
+            conflicts.append(_conflict(fields, change, reasons[change.path]))
             continue
-        stand.append(op.path)
-        if op.ends_item:
-            for path in [path for path in merged if path[: len(op.path)] == op.path]:
-                del merged[path]
-        elif op.has:
-            merged[op.path] = op.new
+        applied.append(change.path)
+        _apply(merged, change)
+    return merged, MergeOutcome(applied, conflicts)
+
+
+def _conflict(fields: Fields, change: FieldChange, reason: str) -> MergeConflict:
+    current = fields.get(change.path, REMOVED if change.was_present else ABSENT)
+    wanted = change.new_value if change.is_present else REMOVED
+    return MergeConflict(change.path, current, wanted, reason)
+
+
+def _apply(fields: Fields, change: FieldChange) -> None:
+    if change.removes_item:
+        for path in [path for path in fields if is_at_or_below(path, change.path)]:
+            del fields[path]
+    elif change.is_present:
+        fields[change.path] = change.new_value
+    else:
+        fields.pop(change.path, None)
+
+
+def _find_conflicts(
+    fields: Fields, changes: list[FieldChange], changed_by: dict[Path, Draft]
+) -> dict[Path, str]:
+    """Return the changes that can't be applied by path, with the reason of each."""
+    reasons: dict[Path, str] = {}
+    own_paths = {change.path for change in changes}
+    added_items: set[Path] = set()  # by this draft
+    for change in changes:  # an item's own path comes before those of its fields
+        if change.removes_item:
+            reason = _conflict_of_removal(fields, change, changed_by)
         else:
-            merged.pop(op.path, None)
-    return merged, Outcome(stand, aside)
-
-
-def _against(found: Fields, ops: list[Op], holders: dict[Path, Draft]) -> dict[Path, str]:
-    """Which of a draft's fields can't come to stand, with why."""
-    lost: dict[Path, str] = {}
-    touched = {op.path for op in ops}
-    added: set[Path] = set()  # items that this draft brings in
-
-    def held(path: Path) -> str:
-        other = holders.get(path)
-        return f"draft {other.id} of {other.by} on version {other.base}" if other else "acknowledged since"
-
-    for op in ops:  # an item's own path comes before those of its fields
-        item = op.path[:2]
-        if op.ends_item:
-            base = {tuple(path): value for path, value in op.base}
-            there = {path: value for path, value in found.items() if path[: len(op.path)] == op.path}
-            changed = [path for path in base.keys() | there.keys() if base.get(path) != there.get(path)]
-            # One that a draft before this one put back is as it was, and held all the same.
-            changed += [path for path in there if path in holders]
-            if there and changed:
-                lost[op.path] = f"{merge_fields.shown(min(changed))}: {held(min(changed))}"
-            continue
-        if merge_fields.in_item(op.path) and item not in found and item not in added:
-            lost[op.path] = f"{merge_fields.shown(item)} is gone: {held(item)}"
-            continue
-        if not op.has and merge_fields.is_list(op.path):
-            more = [path for path in found if path[: len(op.path)] == op.path and path not in touched]
-            if more:
-                lost[op.path] = f"{merge_fields.shown(min(more))}: {held(min(more))}"
-                continue
-        has = op.path in found
-        same = has == op.has and found.get(op.path) == op.new
-        if not same and (has != op.had or found.get(op.path) != op.base or op.path in holders):
-            lost[op.path] = held(op.path)
-        elif merge_fields.is_item(op.path):
-            added.add(op.path)
-    return lost
-
-
-def _places(found: Fields, ops: list[Op], lost: dict[Path, str]) -> dict[Path, str]:
-    """A split is merged service by service; where a route's place is no split before or after, it is one
-    choice, and all of it is lost where a part is (guards against a route with both, or with half of each)."""
-    more: dict[Path, str] = {}
-    places: dict[Path, list[Op]] = {}
-    for op in ops:
-        if merge_fields.is_place(op.path):
-            places.setdefault(op.path[:3], []).append(op)
-    for action, mine in places.items():
-        alone, own = (*action, "Svc"), {op.path for op in mine}
-        moved = alone in own
-        why = next((lost[op.path] for op in mine if op.path in lost), "")
-        if alone in found and not moved:
-            why = why or f"it goes to {found[alone]} alone"
-        if moved and any(
-            merge_fields.is_place(path) and path[:3] == action and path not in own for path in found
-        ):
-            why = why or "it is split another way"
-        if why and (moved or alone in found):
-            more.update(dict.fromkeys(own, why))
-    return more
-
-
-def forced(conf: dict, ops: list[Op]) -> dict:
-    """The configuration with those fields as they are wanted, whatever they are now: an operator's word that
-    settles a draft.
+            reason = _conflict_of_field(fields, change, changed_by, own_paths, added_items)
+            if not reason and merge_fields.is_item(change.path):
+                added_items.add(change.path)
+        if reason:
+            reasons[change.path] = reason
+    return reasons
+
+
+def _changer(path: Path, changed_by: dict[Path, Draft]) -> str:
+    """Return who changed a field since a draft's base, for people."""
+    draft = changed_by.get(path)
+    if draft is None:
+        return "acknowledged since"
+    return f"draft {draft.id} of {draft.author} on version {draft.base_version}"
+
+
+def _conflict_of_removal(fields: Fields, change: FieldChange, changed_by: dict[Path, Draft]) -> str:
+    """Return why an item can't be removed: something of it was changed; empty where it can be."""
+    base = {tuple(path): value for path, value in change.base_value}
+    current = {path: value for path, value in fields.items() if is_at_or_below(path, change.path)}
+    changed = [path for path in base.keys() | current.keys() if base.get(path) != current.get(path)]
+    # One that an earlier draft put back is as it was, and was changed all the same.
+    changed += [path for path in current if path in changed_by]
+    if not current or not changed:
+        return ""
+    return f"{format_path(min(changed))}: {_changer(min(changed), changed_by)}"
+
+
+def _conflict_of_field(
+    fields: Fields,
+    change: FieldChange,
+    changed_by: dict[Path, Draft],
+    own_paths: set[Path],
+    added_items: set[Path],
+) -> str:
+    """Return why a field can't be changed; empty where it can be."""
+    path, item = change.path, change.path[:2]
+    if merge_fields.is_in_item(path) and item not in fields and item not in added_items:
+        return f"{format_path(item)} is gone: {_changer(item, changed_by)}"
+    if not change.is_present and merge_fields.is_list(path):
+        others = [each for each in fields if is_at_or_below(each, path) and each not in own_paths]
+        if others:
+            return f"{format_path(min(others))}: {_changer(min(others), changed_by)}"
+    is_present = path in fields
+    is_as_wanted = is_present == change.is_present and fields.get(path) == change.new_value
+    is_as_it_was = is_present == change.was_present and fields.get(path) == change.base_value
+    if not is_as_wanted and (not is_as_it_was or path in changed_by):
+        return _changer(path, changed_by)
+    return ""
+
+
+def _find_destination_conflicts(
+    fields: Fields, changes: list[FieldChange], reasons: dict[Path, str]
+) -> dict[Path, str]:
+    """Return conflicts about where routes go.
+
+    A split is merged service by service. Where a route's destination is no split before or after, it is one
+    choice, and conflicts as a whole where a part does (guards against a route with both, or with half of
+    each).
+    """
+    found: dict[Path, str] = {}
+    changes_by_action: dict[Path, list[FieldChange]] = {}
+    for change in changes:
+        if merge_fields.is_destination(change.path):
+            changes_by_action.setdefault(change.path[:3], []).append(change)
+    for action, own_changes in changes_by_action.items():
+        own_paths = {change.path for change in own_changes}
+        service_path = (*action, "Svc")
+        is_choice = service_path in own_paths
+        reason = next((reasons[each.path] for each in own_changes if each.path in reasons), "")
+        if service_path in fields and not is_choice:
+            reason = reason or f"it goes to {fields[service_path]} alone"
+        if is_choice and _has_other_destination(fields, action, own_paths):
+            reason = reason or "it is split another way"
+        if reason and (is_choice or service_path in fields):
+            found.update(dict.fromkeys(own_paths, reason))
+    return found
+
+
+def _has_other_destination(fields: Fields, action: Path, own_paths: set[Path]) -> bool:
+    """Whether a route goes somewhere that a draft does not mention."""
+    return any(
+        merge_fields.is_destination(path) and path[:3] == action and path not in own_paths for path in fields
+    )
+
+
+def force_changes(current: Json, changes: list[FieldChange]) -> Json:
+    """Return the configuration with those fields as wanted, whatever they are now.
+
+    This is how an operator settles the conflicts of a draft.
 
     Raises:
         ConfigurationError: That makes no configuration.
     """
-    found = merge_fields.fields(conf)
-    for op in ops:
-        for path in [path for path in found if _gives_way(path, op)]:
-            del found[path]
-        if op.has:
-            found[op.path] = op.new
-    for path in found:
-        if merge_fields.in_item(path) and path[:2] not in found:
-            raise ConfigurationError(f"{merge_fields.shown(path[:2])} is gone: put it whole")
-    made = merge_fields.built(found, conf)
-    configuration.read(made)
-    return made
-
-
-def _gives_way(path: Path, op: Op) -> bool:
-    if path[: len(op.path)] == op.path:
-        return not op.has
+    fields = merge_fields.to_fields(current)
+    for change in changes:
+        for path in [path for path in fields if _gives_way(path, change)]:
+            del fields[path]
+        if change.is_present:
+            fields[change.path] = change.new_value
+    for path in fields:
+        if merge_fields.is_in_item(path) and path[:2] not in fields:
+            raise ConfigurationError(f"{format_path(path[:2])} is gone: put it whole")
+    forced = merge_fields.from_fields(fields, current)
+    configuration.read(forced)
+    return forced
+
+
+def _gives_way(path: Path, change: FieldChange) -> bool:
+    """Whether a field has to go for a change."""
+    if is_at_or_below(path, change.path):
+        return not change.is_present
     # A route goes to one service or to a split, not to both.
-    other = merge_fields.is_place(path) and merge_fields.is_place(op.path) and path[:3] == op.path[:3]
-    return op.has and other and (path[3] == "Svc") != (op.path[3] == "Svc")
-
-
-def told(draft: Draft, outcome: Outcome | None) -> dict[str, Any]:
-    """A draft for people: whose it is, what of it stands, what does not and why. Keys are not told."""
-    out: dict[str, Any] = {"Id": draft.id, "By": draft.by, "At": draft.at, "Base": draft.base}
+    is_of_same_route = (
+        merge_fields.is_destination(path)
+        and merge_fields.is_destination(change.path)
+        and path[:3] == change.path[:3]
+    )
+    return change.is_present and is_of_same_route and (path[3] == "Svc") != (change.path[3] == "Svc")
+
+
+def describe_draft(draft: Draft, outcome: MergeOutcome | None) -> Json:
+    """Return a draft for people, without an outcome one that was not merged yet; keys are not shown."""
+    described: Json = {
+        "Id": draft.id,
+        "By": draft.author,
+        "At": draft.controller,
+        "Base": draft.base_version,
+    }
     if outcome is None:
-        return {**out, "State": "kept", "Fields": [merge_fields.shown(op.path) for op in draft.ops]}
-    state = "invalid" if outcome.wrong else "aside" if outcome.aside else "stands"
-    aside = [
-        {"Field": merge_fields.shown(each.path), "Has": each.has, "Wants": each.wants, "Why": each.why}
-        for each in outcome.aside
+        return {**described, "State": "kept", "Fields": [format_path(each.path) for each in draft.changes]}
+    conflicts = [
+        {
+            "Field": format_path(conflict.path),
+            "Has": conflict.current_value,
+            "Wants": conflict.wanted_value,
+            "Why": conflict.reason,
+        }
+        for conflict in outcome.conflicts
     ]
-    stand = [merge_fields.shown(path) for path in outcome.stand]
-    return {**out, "State": state, "Stands": stand, "Aside": aside, "Wrong": outcome.wrong}
+    return {
+        **described,
+        "State": "invalid" if outcome.error else "aside" if outcome.conflicts else "stands",
+        "Stands": [format_path(path) for path in outcome.applied],
+        "Aside": conflicts,
+        "Wrong": outcome.error,
+    }
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -11,8 +11,8 @@
 from lapisgrade.lab.explore.cluster import Cluster
 from lapisgrade.lab.explore.log import first_wrong
 from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.merge.fields import fields
-from lapisgrade.gateway.merge.three_way import Draft, drafted, merge_drafts
+from lapisgrade.gateway.merge.fields import to_fields
+from lapisgrade.gateway.merge.three_way import Draft, make_draft, merge_drafts
 from lapisgrade.gateway.controller.commands import ConfigurationChange, MergeDraft, encode_command
 from lapisgrade.gateway.controller.state_machine import StateMachine
 
@@ -68,7 +68,7 @@
         made: list[Draft] = []
         while len(made) < count:
             try:
-                made.append(drafted(conf, self.change(), f"editor {len(made)}", "m"))
+                made.append(make_draft(conf, self.change(), f"editor {len(made)}", "m"))
             except InvalidInputError:
                 continue
         return made
@@ -151,7 +151,7 @@
         state = state_machine.state
         if lost := {each.id for each in drafts} - set(state.seen):
             cluster.break_(f"{name}: a draft that was kept is lost: {sorted(lost)}")
-        elif fields(msgspec.json.decode(state.conf)) != fields(wanted) or state.outcomes != outcomes:
+        elif to_fields(msgspec.json.decode(state.conf)) != to_fields(wanted) or state.outcomes != outcomes:
             cluster.break_(f"{name}: the drafts came to something else")
 
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -191,23 +191,23 @@
         rpc_messages.CopyDraft(
             draft=three_way.Draft(
                 id="text-129",
-                by="text-130",
-                at="text-131",
-                base=1132,
-                ops=[
-                    merge_fields.Op(
+                author="text-130",
+                controller="text-131",
+                base_version=1132,
+                changes=[
+                    merge_fields.FieldChange(
                         path=("text-133", "text-134"),
-                        had=True,
-                        base=["any-136", 136],
-                        has=True,
-                        new=["any-138", 138],
+                        was_present=True,
+                        base_value=["any-136", 136],
+                        is_present=True,
+                        new_value=["any-138", 138],
                     ),
-                    merge_fields.Op(
+                    merge_fields.FieldChange(
                         path=("text-139", "text-140"),
-                        had=True,
-                        base=["any-142", 142],
-                        has=True,
-                        new=["any-144", 144],
+                        was_present=True,
+                        base_value=["any-142", 142],
+                        is_present=True,
+                        new_value=["any-144", 144],
                     ),
                 ],
             )
@@ -392,23 +392,23 @@
         commands.MergeDraft(
             draft=three_way.Draft(
                 id="text-279",
-                by="text-280",
-                at="text-281",
-                base=1282,
-                ops=[
-                    merge_fields.Op(
+                author="text-280",
+                controller="text-281",
+                base_version=1282,
+                changes=[
+                    merge_fields.FieldChange(
                         path=("text-283", "text-284"),
-                        had=True,
-                        base=["any-286", 286],
-                        has=True,
-                        new=["any-288", 288],
+                        was_present=True,
+                        base_value=["any-286", 286],
+                        is_present=True,
+                        new_value=["any-288", 288],
                     ),
-                    merge_fields.Op(
+                    merge_fields.FieldChange(
                         path=("text-289", "text-290"),
-                        had=True,
-                        base=["any-292", 292],
-                        has=True,
-                        new=["any-294", 294],
+                        was_present=True,
+                        base_value=["any-292", 292],
+                        is_present=True,
+                        new_value=["any-294", 294],
                     ),
                 ],
             )
@@ -536,110 +536,110 @@
             drafts=[
                 three_way.Draft(
                     id="text-391",
-                    by="text-392",
-                    at="text-393",
-                    base=1394,
-                    ops=[
-                        merge_fields.Op(
+                    author="text-392",
+                    controller="text-393",
+                    base_version=1394,
+                    changes=[
+                        merge_fields.FieldChange(
                             path=("text-395", "text-396"),
-                            had=True,
-                            base=["any-398", 398],
-                            has=True,
-                            new=["any-400", 400],
+                            was_present=True,
+                            base_value=["any-398", 398],
+                            is_present=True,
+                            new_value=["any-400", 400],
                         ),
-                        merge_fields.Op(
+                        merge_fields.FieldChange(
                             path=("text-401", "text-402"),
-                            had=True,
-                            base=["any-404", 404],
-                            has=True,
-                            new=["any-406", 406],
+                            was_present=True,
+                            base_value=["any-404", 404],
+                            is_present=True,
+                            new_value=["any-406", 406],
                         ),
                     ],
                 ),
                 three_way.Draft(
                     id="text-407",
-                    by="text-408",
-                    at="text-409",
-                    base=1410,
-                    ops=[
-                        merge_fields.Op(
+                    author="text-408",
+                    controller="text-409",
+                    base_version=1410,
+                    changes=[
+                        merge_fields.FieldChange(
                             path=("text-411", "text-412"),
-                            had=True,
-                            base=["any-414", 414],
-                            has=True,
-                            new=["any-416", 416],
+                            was_present=True,
+                            base_value=["any-414", 414],
+                            is_present=True,
+                            new_value=["any-416", 416],
                         ),
-                        merge_fields.Op(
+                        merge_fields.FieldChange(
                             path=("text-417", "text-418"),
-                            had=True,
-                            base=["any-420", 420],
-                            has=True,
-                            new=["any-422", 422],
+                            was_present=True,
+                            base_value=["any-420", 420],
+                            is_present=True,
+                            new_value=["any-422", 422],
                         ),
                     ],
                 ),
             ],
             outcomes={
-                "text-423": three_way.Outcome(
-                    stand=[("text-424", "text-425"), ("text-426", "text-427")],
-                    aside=[
-                        three_way.Aside(
+                "text-423": three_way.MergeOutcome(
+                    applied=[("text-424", "text-425"), ("text-426", "text-427")],
+                    conflicts=[
+                        three_way.MergeConflict(
                             path=("text-428", "text-429"),
-                            has=["any-430", 430],
-                            wants=["any-431", 431],
-                            why="text-432",
+                            current_value=["any-430", 430],
+                            wanted_value=["any-431", 431],
+                            reason="text-432",
                         ),
-                        three_way.Aside(
+                        three_way.MergeConflict(
                             path=("text-433", "text-434"),
-                            has=["any-435", 435],
-                            wants=["any-436", 436],
-                            why="text-437",
+                            current_value=["any-435", 435],
+                            wanted_value=["any-436", 436],
+                            reason="text-437",
                         ),
                     ],
-                    wrong="text-438",
+                    error="text-438",
                 )
             },
             past={
                 "text-439": (
                     three_way.Draft(
                         id="text-440",
-                        by="text-441",
-                        at="text-442",
-                        base=1443,
-                        ops=[
-                            merge_fields.Op(
+                        author="text-441",
+                        controller="text-442",
+                        base_version=1443,
+                        changes=[
+                            merge_fields.FieldChange(
                                 path=("text-444", "text-445"),
-                                had=True,
-                                base=["any-447", 447],
-                                has=True,
-                                new=["any-449", 449],
+                                was_present=True,
+                                base_value=["any-447", 447],
+                                is_present=True,
+                                new_value=["any-449", 449],
                             ),
-                            merge_fields.Op(
+                            merge_fields.FieldChange(
                                 path=("text-450", "text-451"),
-                                had=True,
-                                base=["any-453", 453],
-                                has=True,
-                                new=["any-455", 455],
+                                was_present=True,
+                                base_value=["any-453", 453],
+                                is_present=True,
+                                new_value=["any-455", 455],
                             ),
                         ],
                     ),
-                    three_way.Outcome(
-                        stand=[("text-456", "text-457"), ("text-458", "text-459")],
-                        aside=[
-                            three_way.Aside(
+                    three_way.MergeOutcome(
+                        applied=[("text-456", "text-457"), ("text-458", "text-459")],
+                        conflicts=[
+                            three_way.MergeConflict(
                                 path=("text-460", "text-461"),
-                                has=["any-462", 462],
-                                wants=["any-463", 463],
-                                why="text-464",
+                                current_value=["any-462", 462],
+                                wanted_value=["any-463", 463],
+                                reason="text-464",
                             ),
-                            three_way.Aside(
+                            three_way.MergeConflict(
                                 path=("text-465", "text-466"),
-                                has=["any-467", 467],
-                                wants=["any-468", 468],
-                                why="text-469",
+                                current_value=["any-467", 467],
+                                wanted_value=["any-468", 468],
+                                reason="text-469",
                             ),
                         ],
-                        wrong="text-470",
+                        error="text-470",
                     ),
                 )
             },
@@ -694,110 +694,110 @@
                 drafts=[
                     three_way.Draft(
                         id="text-519",
-                        by="text-520",
-                        at="text-521",
-                        base=1522,
-                        ops=[
-                            merge_fields.Op(
+                        author="text-520",
+                        controller="text-521",
+                        base_version=1522,
+                        changes=[
+                            merge_fields.FieldChange(
                                 path=("text-523", "text-524"),
-                                had=True,
-                                base=["any-526", 526],
-                                has=True,
-                                new=["any-528", 528],
+                                was_present=True,
+                                base_value=["any-526", 526],
+                                is_present=True,
+                                new_value=["any-528", 528],
                             ),
-                            merge_fields.Op(
+                            merge_fields.FieldChange(
                                 path=("text-529", "text-530"),
-                                had=True,
-                                base=["any-532", 532],
-                                has=True,
-                                new=["any-534", 534],
+                                was_present=True,
+                                base_value=["any-532", 532],
+                                is_present=True,
+                                new_value=["any-534", 534],
                             ),
                         ],
                     ),
                     three_way.Draft(
                         id="text-535",
-                        by="text-536",
-                        at="text-537",
-                        base=1538,
-                        ops=[
-                            merge_fields.Op(
+                        author="text-536",
+                        controller="text-537",
+                        base_version=1538,
+                        changes=[
+                            merge_fields.FieldChange(
                                 path=("text-539", "text-540"),
-                                had=True,
-                                base=["any-542", 542],
-                                has=True,
-                                new=["any-544", 544],
+                                was_present=True,
+                                base_value=["any-542", 542],
+                                is_present=True,
+                                new_value=["any-544", 544],
                             ),
-                            merge_fields.Op(
+                            merge_fields.FieldChange(
                                 path=("text-545", "text-546"),
-                                had=True,
-                                base=["any-548", 548],
-                                has=True,
-                                new=["any-550", 550],
+                                was_present=True,
+                                base_value=["any-548", 548],
+                                is_present=True,
+                                new_value=["any-550", 550],
                             ),
                         ],
                     ),
                 ],
                 outcomes={
-                    "text-551": three_way.Outcome(
-                        stand=[("text-552", "text-553"), ("text-554", "text-555")],
-                        aside=[
-                            three_way.Aside(
+                    "text-551": three_way.MergeOutcome(
+                        applied=[("text-552", "text-553"), ("text-554", "text-555")],
+                        conflicts=[
+                            three_way.MergeConflict(
                                 path=("text-556", "text-557"),
-                                has=["any-558", 558],
-                                wants=["any-559", 559],
-                                why="text-560",
+                                current_value=["any-558", 558],
+                                wanted_value=["any-559", 559],
+                                reason="text-560",
                             ),
-                            three_way.Aside(
+                            three_way.MergeConflict(
                                 path=("text-561", "text-562"),
-                                has=["any-563", 563],
-                                wants=["any-564", 564],
-                                why="text-565",
+                                current_value=["any-563", 563],
+                                wanted_value=["any-564", 564],
+                                reason="text-565",
                             ),
                         ],
-                        wrong="text-566",
+                        error="text-566",
                     )
                 },
                 past={
                     "text-567": (
                         three_way.Draft(
                             id="text-568",
-                            by="text-569",
-                            at="text-570",
-                            base=1571,
-                            ops=[
-                                merge_fields.Op(
+                            author="text-569",
+                            controller="text-570",
+                            base_version=1571,
+                            changes=[
+                                merge_fields.FieldChange(
                                     path=("text-572", "text-573"),
-                                    had=True,
-                                    base=["any-575", 575],
-                                    has=True,
-                                    new=["any-577", 577],
+                                    was_present=True,
+                                    base_value=["any-575", 575],
+                                    is_present=True,
+                                    new_value=["any-577", 577],
                                 ),
-                                merge_fields.Op(
+                                merge_fields.FieldChange(
                                     path=("text-578", "text-579"),
-                                    had=True,
-                                    base=["any-581", 581],
-                                    has=True,
-                                    new=["any-583", 583],
+                                    was_present=True,
+                                    base_value=["any-581", 581],
+                                    is_present=True,
+                                    new_value=["any-583", 583],
                                 ),
                             ],
                         ),
-                        three_way.Outcome(
-                            stand=[("text-584", "text-585"), ("text-586", "text-587")],
-                            aside=[
-                                three_way.Aside(
+                        three_way.MergeOutcome(
+                            applied=[("text-584", "text-585"), ("text-586", "text-587")],
+                            conflicts=[
+                                three_way.MergeConflict(
                                     path=("text-588", "text-589"),
-                                    has=["any-590", 590],
-                                    wants=["any-591", 591],
-                                    why="text-592",
+                                    current_value=["any-590", 590],
+                                    wanted_value=["any-591", 591],
+                                    reason="text-592",
                                 ),
-                                three_way.Aside(
+                                three_way.MergeConflict(
                                     path=("text-593", "text-594"),
-                                    has=["any-595", 595],
-                                    wants=["any-596", 596],
-                                    why="text-597",
+                                    current_value=["any-595", 595],
+                                    wanted_value=["any-596", 596],
+                                    reason="text-597",
                                 ),
                             ],
-                            wrong="text-598",
+                            error="text-598",
                         ),
                     )
                 },
@@ -831,45 +831,45 @@
         [
             three_way.Draft(
                 id="text-625",
-                by="text-626",
-                at="text-627",
-                base=1628,
-                ops=[
-                    merge_fields.Op(
+                author="text-626",
+                controller="text-627",
+                base_version=1628,
+                changes=[
+                    merge_fields.FieldChange(
                         path=("text-629", "text-630"),
-                        had=True,
-                        base=["any-632", 632],
-                        has=True,
-                        new=["any-634", 634],
+                        was_present=True,
+                        base_value=["any-632", 632],
+                        is_present=True,
+                        new_value=["any-634", 634],
                     ),
-                    merge_fields.Op(
+                    merge_fields.FieldChange(
                         path=("text-635", "text-636"),
-                        had=True,
-                        base=["any-638", 638],
-                        has=True,
-                        new=["any-640", 640],
+                        was_present=True,
+                        base_value=["any-638", 638],
+                        is_present=True,
+                        new_value=["any-640", 640],
                     ),
                 ],
             ),
             three_way.Draft(
                 id="text-641",
-                by="text-642",
-                at="text-643",
-                base=1644,
-                ops=[
-                    merge_fields.Op(
+                author="text-642",
+                controller="text-643",
+                base_version=1644,
+                changes=[
+                    merge_fields.FieldChange(
                         path=("text-645", "text-646"),
-                        had=True,
-                        base=["any-648", 648],
-                        has=True,
-                        new=["any-650", 650],
+                        was_present=True,
+                        base_value=["any-648", 648],
+                        is_present=True,
+                        new_value=["any-650", 650],
                     ),
-                    merge_fields.Op(
+                    merge_fields.FieldChange(
                         path=("text-651", "text-652"),
-                        had=True,
-                        base=["any-654", 654],
-                        has=True,
-                        new=["any-656", 656],
+                        was_present=True,
+                        base_value=["any-654", 654],
+                        is_present=True,
+                        new_value=["any-656", 656],
                     ),
                 ],
             ),
@@ -922,23 +922,23 @@
         [
             three_way.Draft(
                 id="text-657",
-                by="text-658",
-                at="text-659",
-                base=1660,
-                ops=[
-                    merge_fields.Op(
+                author="text-658",
+                controller="text-659",
+                base_version=1660,
+                changes=[
+                    merge_fields.FieldChange(
                         path=("text-661", "text-662"),
-                        had=False,
-                        base=["any-664", 664],
-                        has=True,
-                        new=["any-666", 666],
+                        was_present=False,
+                        base_value=["any-664", 664],
+                        is_present=True,
+                        new_value=["any-666", 666],
                     ),
-                    merge_fields.Op(
+                    merge_fields.FieldChange(
                         path=("text-667", "text-668"),
-                        had=False,
-                        base=["any-670", 670],
-                        has=True,
-                        new=["any-672", 672],
+                        was_present=False,
+                        base_value=["any-670", 670],
+                        is_present=True,
+                        new_value=["any-672", 672],
                     ),
                 ],
             )
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -21,7 +21,7 @@
 )
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.local_cluster import SAMPLE
-from lapisgrade.gateway.merge.three_way import drafted
+from lapisgrade.gateway.merge.three_way import make_draft
 from lapisgrade.gateway.storage.log_store import LogStore
 from support.sample_configuration import CONF
 
@@ -34,7 +34,7 @@
         change = encode_command(ConfigurationChange(True, msgspec.json.encode(SAMPLE)))
         rule = {**SAMPLE["Ports"][0]["Policy"][1], "Prio": 9}
         prio = {"Upsert": {"Ports": [{"Vhost": "a.example", "Policy": [rule]}]}}
-        draft = drafted(CONF, prio, "amel", "m1")
+        draft = make_draft(CONF, prio, "amel", "m1")
         entries = [Entry(1, 1, b"", {"first": "10.0.0.1:7660"}), Entry(2, 1, change),
                    Entry(3, 2, encode_command(MergeDraft(draft)))]  # fmt: skip
         whole = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -11,8 +11,8 @@
 from lapisgrade.gateway.controller.draft_merging import MAX_DRAFTS
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.merge.fields import built, fields, ops
-from lapisgrade.gateway.merge.three_way import Draft, drafted, forced, merge_drafts, told
+from lapisgrade.gateway.merge.fields import from_fields, to_fields, diff
+from lapisgrade.gateway.merge.three_way import Draft, make_draft, force_changes, merge_drafts, describe_draft
 from lapisgrade.lab.explore.rejoin import Chance
 
 CLAIM, SCRIPT = "r-claim", "r-script"
@@ -47,7 +47,7 @@
 
 
 def draft(change: dict, by: str = "edge", conf: dict = GROUND) -> Draft:
-    return drafted(conf, change, by, "m3")
+    return make_draft(conf, change, by, "m3")
 
 
 def acknowledged(change: dict) -> dict:
@@ -66,10 +66,10 @@
 
 
 def test_fields_round_trip_without_loss() -> None:
-    assert built(fields(GROUND), GROUND) == GROUND
+    assert from_fields(to_fields(GROUND), GROUND) == GROUND
     for seed in range(200):
         conf = Chance(seed).conf()
-        assert built(fields(conf), conf) == conf
+        assert from_fields(to_fields(conf), conf) == conf
 
 
 def test_the_changes_of_an_edit_lead_from_one_configuration_to_the_other() -> None:
@@ -78,8 +78,8 @@
         conf = chance.conf()
         one = chance.drafts(conf, 1)[0]
         merged, outcomes = merge_drafts(conf, [one])
-        assert not outcomes[one.id].open
-        assert ops(fields(conf), fields(merged)) == one.ops
+        assert not outcomes[one.id].is_open
+        assert diff(to_fields(conf), to_fields(merged)) == one.changes
 
 
 def test_edits_of_one_route_on_both_sides_are_both_kept() -> None:
@@ -87,7 +87,7 @@
     edge = draft(put(route(CLAIM, "/claim/", svc="b")))
     conf, (one,) = outcome(ours, edge)
     assert found(conf, CLAIM)["Action"] == {"Svc": "b", "Timeout": "3s"}
-    assert not one.open
+    assert not one.is_open
 
 
 def test_a_split_is_merged_by_service() -> None:
@@ -101,24 +101,28 @@
         "b": 10,
         "c": 5,
     }
-    assert not one.open
+    assert not one.is_open
     # A split that became one service is one choice: nothing of the draft's is mixed into it.
     alone = acknowledged(put(route(SCRIPT, "/", svc="c"), "b.example"))
     for edit in (split(a=70, b=10), split(a=90, b=10, c=3)):
         conf, (one,) = outcome(alone, draft(edit))
         assert found(conf, SCRIPT)["Action"]["Svc"] == "c"
-        assert (one.stand, bool(one.aside)) == ([], True)
+        assert (one.applied, bool(one.conflicts)) == ([], True)
 
 
 def test_a_conflicting_field_keeps_the_acknowledged_value_and_is_reported() -> None:
     edge = draft(put(route(CLAIM, "/claim/", svc="b", Prio=0)))
     conf, (one,) = outcome(acknowledged(put(route(CLAIM, "/claim/", svc="c"))), edge)
     assert (found(conf, CLAIM)["Action"]["Svc"], found(conf, CLAIM)["Prio"]) == ("c", 0)
-    assert told(edge, one)["Aside"] == [
+    assert describe_draft(edge, one)["Aside"] == [
         {"Field": "Routes/r-claim/Action/Svc", "Has": "c", "Wants": "b", "Why": "acknowledged since"}
     ]
     assert (
-        (found(forced(conf, [op for op in edge.ops if op.path == one.aside[0].path]), CLAIM)["Action"]["Svc"])
+        (
+            found(
+                force_changes(conf, [op for op in edge.changes if op.path == one.conflicts[0].path]), CLAIM
+            )["Action"]["Svc"]
+        )
         == "b"
     )
 
@@ -127,30 +131,30 @@
     change = put(route(CLAIM, "/claim/", svc="b"))
     conf, (one, two) = outcome(acknowledged(change), draft(change), draft(change, "another"))
     assert found(conf, CLAIM)["Action"]["Svc"] == "b"
-    assert not (one.open or two.open)
+    assert not (one.is_open or two.is_open)
 
 
 def test_an_edit_does_not_restore_a_deleted_route_or_service() -> None:
     edge = draft(put(route(CLAIM, "/claim/", svc="b")))
     conf, (one,) = outcome(acknowledged({"Del": {"Routes": [CLAIM]}}), edge)
-    assert ("Routes", CLAIM) not in fields(conf)
-    assert "is gone: acknowledged since" in one.aside[0].why
+    assert ("Routes", CLAIM) not in to_fields(conf)
+    assert "is gone: acknowledged since" in one.conflicts[0].reason
     # A service that was taken away meanwhile: the draft stays a draft, with what is wrong.
     ours = acknowledged({"Del": {"Svcs": ["b"]}, **put(route(SCRIPT, "/"), "b.example")})
     conf, (one,) = outcome(ours, edge)
-    assert (found(conf, CLAIM)["Action"]["Svc"], one.stand) == ("a", [])
-    assert "'b' is not in Pools" in one.wrong
+    assert (found(conf, CLAIM)["Action"]["Svc"], one.applied) == ("a", [])
+    assert "'b' is not in Pools" in one.error
     with pytest.raises(InvalidInputError, match="put it whole"):
-        forced(acknowledged({"Del": {"Routes": [CLAIM]}}), edge.ops)
+        force_changes(acknowledged({"Del": {"Routes": [CLAIM]}}), edge.changes)
 
 
 def test_a_deletion_is_kept_only_where_nobody_changed_the_item() -> None:
     ends = draft({"Del": {"Routes": [CLAIM]}})
     conf, (one,) = outcome(GROUND, ends)
-    assert ("Routes", CLAIM) not in fields(conf)
+    assert ("Routes", CLAIM) not in to_fields(conf)
     conf, (one,) = outcome(acknowledged(put(route(CLAIM, "/claim/", Prio=0))), ends)
     assert found(conf, CLAIM)["Prio"] == 0
-    assert one.aside[0].why == "Routes/r-claim/Prio: acknowledged since"
+    assert one.conflicts[0].reason == "Routes/r-claim/Prio: acknowledged since"
 
 
 def test_keys_are_merged_one_by_one_and_never_shown() -> None:
@@ -160,7 +164,7 @@
     one, two = draft(keys("key-1", "key-2")), draft(keys("key-3"))
     conf, (first, second) = outcome(GROUND, one, two)
     assert set(conf["Tenants"][0]["Apikeys"]) == {"key-2", "key-3"}
-    for said in (told(one, first), told(two, second), told(two, None)):
+    for said in (describe_draft(one, first), describe_draft(two, second), describe_draft(two, None)):
         assert b"key-" not in msgspec.json.encode(said)
         assert b"Apikeys/(a key)" in msgspec.json.encode(said)
 
@@ -172,7 +176,7 @@
         ground = chance.conf()
         drafts = chance.drafts(ground, 3)
         first = merge_drafts(ground, drafts)
-        met += any(each.open for each in first[1].values())
+        met += any(each.is_open for each in first[1].values())
         for order in permutations(drafts):
             assert merge_drafts(ground, list(order)) == first, f"seed {seed}"
         assert merge_drafts(ground, drafts + drafts[:1]) == first
@@ -192,16 +196,16 @@
         drafts += chance.drafts(ground, 1)  # and on the newest one
         conf, outcomes = merge_drafts(ground, drafts)
         configuration.read(conf)
-        now = fields(conf)
+        now = to_fields(conf)
         for one in drafts:
             got = outcomes[one.id]
-            if got.wrong:
+            if got.error:
                 continue
-            told_of = {*got.stand, *(each.path for each in got.aside)}
-            assert told_of == {op.path for op in one.ops}
-            for op in one.ops:
-                if op.path in got.stand:
-                    assert (op.path in now, now.get(op.path)) == (op.has, op.new), f"seed {seed}"
+            told_of = {*got.applied, *(each.path for each in got.conflicts)}
+            assert told_of == {op.path for op in one.changes}
+            for op in one.changes:
+                if op.path in got.applied:
+                    assert (op.path in now, now.get(op.path)) == (op.is_present, op.new_value), f"seed {seed}"
 
 
 def make_state_machine() -> StateMachine:
@@ -240,7 +244,7 @@
     again = StateMachine()
     again.load(state_machine.dump())
     for each in (state_machine, again):
-        assert each.open_drafts()[one.id][1].open
+        assert each.open_drafts()[one.id][1].is_open
         assert each.apply(5, encode_command(CloseDraft(one.id))).status == 200
         assert each.open_drafts() == {}
         assert each.apply(6, encode_command(CloseDraft(one.id))).status == 404
