--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -99,7 +99,9 @@
 
     async def test_an_owner_with_an_earlier_list_is_asked_until_it_is_updated(self) -> None:
         peers = self.peers
-        peers.quota_owner.update_members(1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_fencing_token=5))
+        peers.quota_owner.update_members(
+            1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_fencing_token=5)
+        )
         peers.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
         asyncio.get_running_loop().call_later(
             0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
