--- a/lapisgrade/bench_adapter/__main__.py
+++ b/lapisgrade/bench_adapter/__main__.py
@@ -6,6 +6,7 @@
 """
 
 import gc
+import io
 import sys
 from typing import TextIO
 
@@ -96,8 +97,9 @@
     """Serve on standard input and output; returns the exit code."""
     gc.freeze()
     try:
-        sys.stdin.reconfigure(encoding="utf-8", newline="\n")
-        sys.stdout.reconfigure(encoding="utf-8", newline="\n")
+        for stream in (sys.stdin, sys.stdout):
+            if isinstance(stream, io.TextIOWrapper):
+                stream.reconfigure(encoding="utf-8", newline="\n")
         serve(sys.stdin, sys.stdout)
     except MalformedInputError as error:
         print(error, file=sys.stderr)
--- a/lapisgrade/engine.py
+++ b/lapisgrade/engine.py
@@ -12,7 +12,6 @@
 
 import heapq
 from collections import deque
-from collections.abc import Generator
 from typing import Any, NamedTuple, Protocol
 
 from lapisgrade.interface import (
@@ -21,6 +20,8 @@
     AttemptResult,
     Cancel,
     Clock,
+    Command,
+    CommandGenerator,
     CounterReply,
     LogMessage,
     Operation,
@@ -42,7 +43,7 @@
     def cancel(self, attempt: Any) -> None:
         """Cancel an attempt in flight."""
 
-    def reject(self, operation: Operation, answer: Reject) -> None:
+    def reject(self, operation: Any, answer: Reject) -> None:
         """Give an operation its final answer."""
 
     def add_to_counter(self, task: "Task", add: AddToCounter) -> None:
@@ -60,7 +61,7 @@
 
     __slots__ = ("generator", "is_finished", "is_sleeping", "operation", "resumptions")
 
-    def __init__(self, generator: Generator, operation: Operation | None) -> None:
+    def __init__(self, generator: CommandGenerator[None], operation: Operation | None) -> None:
         """Create the record of a generator; `operation` is None for one that was spawned."""
         self.generator = generator
         self.operation = operation
@@ -98,7 +99,7 @@
 
     # ---- what the host calls
 
-    def run(self, generator: Generator, operation: Operation | None = None) -> None:
+    def run(self, generator: CommandGenerator[None], operation: Operation | None = None) -> None:
         """Start a generator and let it, and whatever it makes ready, go as far as it can."""
         task = Task(generator, operation)
         if operation is not None:
@@ -165,7 +166,7 @@
                 return
             self._carry_out(task, command)
 
-    def _carry_out(self, task: Task, command: Any) -> None:
+    def _carry_out(self, task: Task, command: Command) -> None:
         """Carry out a command that does not make its task wait."""
         if isinstance(command, Send):
             self._host.send(command.attempt)
--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -22,7 +22,7 @@
 from collections.abc import Generator
 from dataclasses import dataclass
 from enum import Enum, auto
-from typing import Any
+from typing import Any, TypeVar
 
 # ---- settings, read once at start
 
@@ -286,7 +286,7 @@
 class Spawn:
     """Run another generator beside this one."""
 
-    generator: Generator
+    generator: Generator[Any, Any, None]
 
 
 @dataclass(slots=True)
@@ -301,3 +301,12 @@
     """Write a line to the log."""
 
     text: str
+
+
+# ---- what a generator is
+
+Result = TypeVar("Result")
+Command = Send | Cancel | Reject | LogMessage | Spawn | Resume | Sleep | AddToCounter
+Event = WakeReason | AttemptFinished
+# Yields commands; what each is resumed with is in the table above.
+CommandGenerator = Generator[Command, Any, Result]
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -10,12 +10,12 @@
 """
 
 import math
-from collections.abc import Generator
 from hashlib import blake2b
 
 from lapisgrade.interface import (
     AddToCounter,
     Clock,
+    CommandGenerator,
     CounterOutcome,
     CounterReply,
     Operation,
@@ -132,7 +132,7 @@
 
     # ---- admission
 
-    def admit(self, operation: Operation) -> Generator:
+    def admit(self, operation: Operation) -> CommandGenerator[int | None]:
         """Admit an operation, or say when it may be.
 
         Returns:
@@ -142,7 +142,8 @@
         if self.rate_limit_bucket.read(now_us) < units:
             return self.rate_limit_bucket.wait_us(now_us, units)
         if self.plan.rate <= 0 or self._take_from_lease(now_us, units):
-            return self.consume(now_us, units)
+            self.consume(now_us, units)
+            return None
         if self.bucket.read(now_us) < units:
             return self.bucket.wait_us(now_us, units)  # a cached refusal
         if not self.may_wait_for_counter(now_us):
@@ -180,7 +181,8 @@
         if self.rate_limit_bucket.read(now_us) < units:
             self.unreported.add(now_us, -units)
             return self.rate_limit_bucket.wait_us(now_us, units)
-        return self.consume(now_us, units)
+        self.consume(now_us, units)
+        return None
 
     def may_wait_for_counter(self, now_us: int) -> bool:
         """Whether an operation waits for the counter: a call is in flight, or may be made now."""
@@ -214,7 +216,8 @@
         if is_admitted != is_counted and self.counter_breaker.is_available:
             self.unreported.add(now_us, units if is_admitted else -units)
         if is_admitted:
-            return self.consume(now_us, units, is_local=True)
+            self.consume(now_us, units, is_local=True)
+            return None
         return math.ceil((required - available) / rate * SECOND)
 
     def _share_of_last_total(self, now_us: int, units: float) -> tuple[float, float, float]:
@@ -242,7 +245,7 @@
 
     # ---- calls of the counter
 
-    def run_counter_calls(self) -> Generator:
+    def run_counter_calls(self) -> CommandGenerator[None]:
         """Call the counter, one call at a time, until no operation waits; all that wait share a call."""
         while self.pending:
             first_units = self.pending[0].operation.units
@@ -260,7 +263,7 @@
         operations = max(1, int(level / (2 * self.gateway_count * units)))
         return min(MAX_LEASE_OPERATIONS, operations) * units
 
-    def _resolve_without_counter(self, correction: float, outcome: CounterOutcome) -> Generator:
+    def _resolve_without_counter(self, correction: float, outcome: CounterOutcome) -> CommandGenerator[None]:
         """Let all that wait be admitted locally; `correction`: of what a call that timed out likely added."""
         is_timeout = outcome is CounterOutcome.TIMED_OUT
         if is_timeout:
@@ -271,7 +274,7 @@
             yield Resume(pending.operation)
         self.pending.clear()
 
-    def _resolve_by_total(self, requested: float) -> Generator:
+    def _resolve_by_total(self, requested: float) -> CommandGenerator[None]:
         """Grant what the total leaves of the request; lease the rest, or give it back."""
         now_us = self.clock.now_us
         missing = min(requested, max(0.0, -self.bucket.level))
@@ -296,7 +299,7 @@
         pending.is_admitted = is_admitted
         return Resume(pending.operation)
 
-    def add_to_counter(self, units: float) -> Generator:
+    def add_to_counter(self, units: float) -> CommandGenerator[CounterOutcome]:
         """Add to the count, with what is unreported, and bring the bucket up to date from the total.
 
         Returns:
--- a/lapisgrade/policy/admission_queue.py
+++ b/lapisgrade/policy/admission_queue.py
@@ -5,9 +5,9 @@
 that time are rejected at once.
 """
 
-from collections.abc import Callable, Generator
+from collections.abc import Callable
 
-from lapisgrade.interface import Clock, Operation, Sleep
+from lapisgrade.interface import Clock, CommandGenerator, Operation, Sleep
 from lapisgrade.policy.account import RESPONSE_MARGIN_US, Account
 from lapisgrade.policy.concurrency_limit import LOAD_SHEDDING_THRESHOLD
 from lapisgrade.policy.latency import LATENCY_DECAY_US
@@ -29,7 +29,7 @@
         self._values = DecayingSum(LATENCY_DECAY_US)  # of operations, for each us of a server's work
         self._operations = DecayingSum(LATENCY_DECAY_US)
 
-    def wait_for_servers(self, operation: Operation, account: Account) -> Generator:
+    def wait_for_servers(self, operation: Operation, account: Account) -> CommandGenerator[bool]:
         """Wait until servers and the account's cap have capacity; returns whether they do."""
         threshold = self._shedding_threshold(operation)
 
@@ -39,7 +39,7 @@
 
         return (yield from self._wait_until(operation, has_capacity))
 
-    def wait_for_account(self, operation: Operation, account: Account) -> Generator:
+    def wait_for_account(self, operation: Operation, account: Account) -> CommandGenerator[bool]:
         """Wait until the account's cap on attempts in flight has capacity; returns whether it does."""
 
         def has_capacity() -> bool:
@@ -61,7 +61,7 @@
         relative_value = min(1.0, value * self._operations.read(now_us) / self._values.read(now_us))
         return LOAD_SHEDDING_THRESHOLD + (1 - LOAD_SHEDDING_THRESHOLD) * relative_value
 
-    def _wait_until(self, operation: Operation, has_capacity: Callable[[], bool]) -> Generator:
+    def _wait_until(self, operation: Operation, has_capacity: Callable[[], bool]) -> CommandGenerator[bool]:
         """Wait until there is capacity, or it is too late, or too many wait already."""
         longest_us = int(MAX_QUEUE_RATIO * operation.category.latency_target_us)
         latest_us = min(self._clock.now_us + longest_us, operation.deadline_us - RESPONSE_MARGIN_US)
--- a/lapisgrade/policy/limiter.py
+++ b/lapisgrade/policy/limiter.py
@@ -1,12 +1,12 @@
 """One limiter's decisions on an operation, from its arrival to its one final answer."""
 
-from collections.abc import Generator
 from random import Random
 
 from lapisgrade.interface import (
     AttemptResult,
     Category,
     Clock,
+    CommandGenerator,
     CounterSettings,
     Operation,
     Permissions,
@@ -84,7 +84,7 @@
             del self.accounts[oldest.customer]
         return account
 
-    def handle(self, operation: Operation) -> Generator:
+    def handle(self, operation: Operation) -> CommandGenerator[None]:
         """Decide on an operation: admit it, run its attempts, or reject it."""
         account = self.account(operation)
         if not (yield from self.queue.wait_for_servers(operation, account)):
@@ -116,6 +116,6 @@
         account.consume(now_us, operation.units)
         return True
 
-    def _reject_overloaded(self, operation: Operation) -> Generator:
+    def _reject_overloaded(self, operation: Operation) -> CommandGenerator[None]:
         wait_us = self.server_pool.usual_latency_us(operation.category)
         yield from reject_for_retry(operation, self.permissions, wait_us)
--- a/lapisgrade/policy/observed_server.py
+++ b/lapisgrade/policy/observed_server.py
@@ -32,6 +32,11 @@
         """Whether the endpoint list has it as one that takes requests."""
         return self.endpoint is not None and self.endpoint.state is ServerState.READY
 
+    def require_endpoint(self) -> ServerEndpoint:
+        """The endpoint of a server that is in the list, as every server of a subset is."""
+        assert self.endpoint is not None
+        return self.endpoint
+
     def health(self, now_us: int, usual_us: float) -> float:
         """Its health from 0 to 1: by successes and failures, less while it is unresponsive."""
         successes, failures = self.successes.read(now_us), self.failures.read(now_us)
--- a/lapisgrade/policy/operation_attempts.py
+++ b/lapisgrade/policy/operation_attempts.py
@@ -14,14 +14,15 @@
 | WAITING | the client is gone or has its answer | FINISHED: attempts in flight are cancelled |
 """
 
-from collections.abc import Generator
 from enum import Enum, auto
 
 from lapisgrade.interface import (
     AttemptFinished,
     Cancel,
     Clock,
+    CommandGenerator,
     DeduplicationScope,
+    Event,
     Operation,
     Permissions,
     Reject,
@@ -52,7 +53,9 @@
     FINISHED = auto()
 
 
-def reject_for_retry(operation: Operation, permissions: Permissions, wait_us: float) -> Generator:
+def reject_for_retry(
+    operation: Operation, permissions: Permissions, wait_us: float
+) -> CommandGenerator[None]:
     """Reject an operation that its client may send again, advising it to wait so long."""
     if not operation.is_abandoned:
         yield Reject(RejectReason.RETRY_LATER, min(permissions.max_retry_after_us, int(wait_us)))
@@ -96,7 +99,7 @@
         self._overdue_us = 0  # after its start, when the last attempt is overdue
         self._overdue_at_us = 0
 
-    def run(self) -> Generator:
+    def run(self) -> CommandGenerator[None]:
         """Yield commands until an attempt finishes the operation or no further one may follow."""
         while True:
             server = self._select_server()
@@ -117,7 +120,7 @@
                 if state in (State.TIMED_OUT, State.FINISHED):
                     return
 
-    def _on_event(self, event: WakeReason | AttemptFinished) -> State:
+    def _on_event(self, event: Event) -> State:
         if event is WakeReason.CLIENT_GONE:
             return State.FINISHED
         if event is WakeReason.RESPONSE_STARTED:
@@ -126,6 +129,7 @@
         if event is WakeReason.TIMER:
             is_timed_out = self._clock.now_us >= self._deadline_us
             return State.TIMED_OUT if is_timed_out else self._on_overdue()
+        assert isinstance(event, AttemptFinished)  # RESUMED is for operations that wait for the counter
         return self._on_attempt_finished(event)
 
     # ---- the next attempt
@@ -161,12 +165,12 @@
             return False
         if category.deduplication_scope is DeduplicationScope.ALL:
             return True
-        before = first.server.endpoint
-        if before is None:
-            return server is first.server
+        first_server: ObservedServer = first.server
+        if first_server.endpoint is None:
+            return server is first_server
         if category.deduplication_scope is DeduplicationScope.ZONE:
-            return before.zone == server.endpoint.zone
-        return before.cell == server.endpoint.cell
+            return first_server.endpoint.zone == server.require_endpoint().zone
+        return first_server.endpoint.cell == server.require_endpoint().cell
 
     def _start_attempt(self, server: ObservedServer) -> Attempt:
         attempt = Attempt(self._operation, server, len(self._attempts), self._clock.now_us)
@@ -213,7 +217,7 @@
             self._may_have_run.remove(event.attempt)
         return State.WAITING if self._in_flight() else State.SELECTING
 
-    def _cancel_in_flight(self) -> Generator:
+    def _cancel_in_flight(self) -> CommandGenerator[None]:
         for attempt in self._attempts:
             if attempt.is_in_flight and self._permissions.may_cancel:
                 yield Cancel(attempt)
@@ -226,7 +230,7 @@
         is_deduplicated = category.repeat_safety is RepeatSafety.DEDUPLICATED
         return is_deduplicated and category.deduplication_scope is DeduplicationScope.ALL
 
-    def _reject(self) -> Generator:
+    def _reject(self) -> CommandGenerator[None]:
         """Give the final answer, as no attempt gave it and none may follow."""
         if self._is_safe_to_repeat():
             wait_us = self._server_pool.usual_latency_us(self._operation.category)
--- a/lapisgrade/policy/server_pool.py
+++ b/lapisgrade/policy/server_pool.py
@@ -135,7 +135,7 @@
     def _free_capacity(
         self, server: ObservedServer, operation: Operation, now_us: int, usual_us: float
     ) -> float:
-        capacity = server.endpoint.weight * self.slow_start.weight(server, now_us)
+        capacity = server.require_endpoint().weight * self.slow_start.weight(server, now_us)
         capacity *= server.score(now_us, usual_us)
         # One that rejects a plan or category may have capacity for others (guards these).
         rejections = min(
--- a/lapisgrade/policy/slow_start.py
+++ b/lapisgrade/policy/slow_start.py
@@ -19,7 +19,7 @@
 
     def weight(self, server: ObservedServer, now_us: int) -> float:
         """The share of its capacity that a listed server surely has."""
-        started_us, rules = server.endpoint.started_us, self._rules
+        started_us, rules = server.require_endpoint().started_us, self._rules
         if not started_us or rules.slow_start_us <= 0 or now_us - started_us >= rules.slow_start_us:
             return 1.0
         initial = rules.slow_start_initial_weight
