--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -42,7 +42,7 @@
 MAX_READINESS_BODY_BYTES = 4096
 LAST_CONNECTIONS_S = 2.6  # after SIGTERM in which the platform may still send connections
 EXIT_RESERVE_S = 0.4  # of the grace time that is left for the process to exit
-SHUTDOWN_POLL_S = 0.05  # between looks whether all requests have been answered
+SHUTDOWN_POLL_S = 0.05  # between checks whether all requests have been answered
 
 
 class Proxy:
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -180,20 +180,20 @@
     async def _take_over(self, request: rpc_messages.QuotaRequest, predecessor: str) -> None:
         """Ask a count's last owner for it, and take in what it replies."""
         owner = self._quota_owner
-        fence, member = owner.fencing_token, owner.proxies.get(predecessor)
+        fencing_token, member = owner.fencing_token, owner.proxies.get(predecessor)
         if member is None:
             return
         to = parse_address(member[0])
         hand_over = rpc_messages.HandOverRequest(
-            request.tenant,
-            self._context.settings.hostname,
-            fence,
-            request.rate,
-            request.burst,
-            owner.incarnation,
+            tenant=request.tenant,
+            requester=self._context.settings.hostname,
+            fencing_token=fencing_token,
+            rate=request.rate,
+            burst=request.burst,
+            incarnation=owner.incarnation,
         )
         reply = (await self._rpc.call(to, hand_over, HAND_OVER_TIMEOUT_S)).value_or(None)
-        if owner.fencing_token != fence:
+        if owner.fencing_token != fencing_token:
             return  # the membership has changed meanwhile
         if isinstance(reply, rpc_messages.HandOverReply):
             self._context.metrics.hand_overs_received += not reply.must_wait
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -104,20 +104,20 @@
         """What this proxy knows, and what it wants to know beyond it."""
         settings, updates = self._context.settings, self._updates
         # The leader replies at once to one that names no membership: where a request was not answered.
-        fence = self._quota_owner.fencing_token if not self._target.failures else 0
+        fencing_token = self._quota_owner.fencing_token if not self._target.failures else 0
         return rpc_messages.WatchRequest(
-            settings.hostname,
-            self._own_address,
-            self._context.incarnation,
-            settings.az,
-            updates.versions.active_version,
-            updates.registry_incarnation,
-            updates.registry_revision,
-            fence,
-            list(updates.servers.by_id.values()) if updates.wants_known_servers else [],
-            sorted(self._reachability.terminated),
-            updates.versions.staged_version,
-            settings.quorum,
-            updates.versions.has_lost_base,
-            self._is_ending(),
+            proxy=settings.hostname,
+            address=self._own_address,
+            incarnation=self._context.incarnation,
+            zone=settings.az,
+            active_version=updates.versions.active_version,
+            registry_incarnation=updates.registry_incarnation,
+            registry_revision=updates.registry_revision,
+            fencing_token=fencing_token,
+            known_servers=list(updates.servers.by_id.values()) if updates.wants_known_servers else [],
+            unreachable_proxies=sorted(self._reachability.terminated),
+            staged_version=updates.versions.staged_version,
+            has_local_controller=settings.quorum,
+            needs_full_version=updates.versions.has_lost_base,
+            is_terminating=self._is_ending(),
         )
--- a/lapisgrade/gateway/proxy/watch_target.py
+++ b/lapisgrade/gateway/proxy/watch_target.py
@@ -34,7 +34,7 @@
         self.term = 0  # the newest that a leader replied in: nothing of an earlier one is taken
         self.failures = 0  # requests in a row that nobody replied to who leads or knows who does
         self._address = ""  # of the last request; "": another one is to be chosen
-        self._tried_hint = ""  # the leader by other proxies' word that was tried last
+        self._tried_hint = ""  # the hinted leader that was tried last
         self._relayed_since_us: int | None = None  # since when another proxy is asked
 
     def next(self, now_us: int) -> str:
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -18,8 +18,8 @@
 from lapisgrade.interface import AttemptOutcome, AttemptResult
 from lapisgrade.policy.latency import LatencyEstimate
 
-OTHER_CANDIDATES = 2  # servers of the zone's other subsets, and of other zones, that each choice looks at
-MAX_SUBSET_CANDIDATES = 12  # servers of the own subset that each choice looks at
+OTHER_CANDIDATES = 2  # servers of the zone's other subsets, and of other zones, that each choice considers
+MAX_SUBSET_CANDIDATES = 12  # servers of the own subset that each choice considers
 OTHER_SUBSET_PENALTY = 0.05  # of the usual latency, for a server of another subset, which does not see us
 OTHER_ZONE_PENALTY = 0.12  # of the usual latency, for a server of another zone: traffic there is priced
 JITTER = 0.02  # of the expected latency, by chance, so that equals are not all sent to one
@@ -185,7 +185,7 @@
         self.overall_latency.add(now_us, took_us, 1.0)
         server.on_good_answer(now_us, took_us / usual_us)
 
-    # ---- what neighbours are told
+    # ---- reports to neighbours
 
     def unhealthy_servers(self, now_us: int) -> list[str]:
         """Ids of the servers that answer this proxy badly."""
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -129,7 +129,7 @@
             if event is WakeReason.CLIENT_GONE:
                 return
             if self._state is State.SELECTING:
-                continue  # still queued: look for a server again
+                continue  # still queued: search for a server again
             if isinstance(event, AttemptFinished):
                 if event.result.is_final:
                     return
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -20,8 +20,8 @@
 from lapisgrade.gateway.routing.request import Respond, RoutedRequest
 from lapisgrade.gateway.routing.request_attempts import RequestAttempts
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
-from lapisgrade.gateway.routing.route_table import RouteTable
-from lapisgrade.gateway.routing.route_tables import RouteMatch, RouteTables
+from lapisgrade.gateway.routing.route_table import RouteMatch, RouteTable
+from lapisgrade.gateway.routing.route_tables import RouteTables
 from lapisgrade.gateway.routing.split import SplitChooser
 from lapisgrade.gateway.routing.upstream_server import UpstreamAttempt
 from lapisgrade.gateway.settings import Slo
@@ -30,7 +30,7 @@
 STALE_CONNECTION_BLAME = 0.3  # of a failure, for a server that likely closed an idle connection
 MAX_QUOTA_CLIENTS = 8192  # tenants whose quota client is kept; the one unused for longest is dropped
 MAX_SERVER_IDS = 4 * registry.MAX_SERVERS  # whose service is remembered; departed servers' among them
-MIN_RETRY_AFTER_US = 1_000  # a client over its quota is told to wait at least
+MIN_RETRY_AFTER_US = 1_000  # that a client over its quota is advised to wait, at least
 
 
 class Router:
@@ -166,7 +166,7 @@
         blame = STALE_CONNECTION_BLAME if was_stale else 1.0
         cluster.on_attempt_finished(now_us, attempt, result, latency, blame)
 
-    # ---- what this proxy tells its neighbours
+    # ---- reports to neighbours
 
     def in_flight(self) -> dict[str, int]:
         """How many requests this proxy has in flight at each server that has any."""
--- a/lapisgrade/gateway/routing/upstream_server.py
+++ b/lapisgrade/gateway/routing/upstream_server.py
@@ -107,7 +107,7 @@
             self.ejected_until_us = now_us + EJECTION_US
 
     def is_unhealthy(self, now_us: int) -> bool:
-        """Whether neighbours are told that it answers badly: not where that is long past."""
+        """Whether it is reported to neighbours as unhealthy: not where its failures are long past."""
         failures = self.failures.read(now_us)
         if failures <= UNHEALTHY_FAILURES:
             return False
