--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -117,11 +117,11 @@
     def apply_new_version(self, command: NewVersion) -> ApplyResult:
         """Accept a version that was validated on the newest one; 412 where another came before it."""
         state, encoded = self.state, command.encoded
-        if state.taken.get(encoded.ver) == command.change_digest:
+        if state.taken.get(encoded.version) == command.change_digest:
             return _OK  # the same change again
         if encoded.base != state.ver:
             return ApplyResult(HTTPStatus.PRECONDITION_FAILED, str(stale_base(state, encoded.base)))
-        self.accept(decode(encoded, state.conf), encoded.ver, command.change_digest)
+        self.accept(decode(encoded, state.conf), encoded.version, command.change_digest)
         return _OK
 
     def accept(self, configuration: bytes, version: int, change_digest: bytes) -> None:
--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -63,8 +63,8 @@
         """Decode a version, and remember its text as the base of the next one."""
         text = decode(encoded, self._texts.get(encoded.base, b""))
         table = RouteTable(configuration.read(msgspec.json.decode(text)))
-        if table.version != encoded.ver:
-            raise ConfigurationError(f"version {encoded.ver} calls itself {table.version}")
+        if table.version != encoded.version:
+            raise ConfigurationError(f"version {encoded.version} calls itself {table.version}")
         kept = {self.active_version, table.version, *self._router.tables.staged}
         self._texts = {version: each for version, each in self._texts.items() if version in kept}
         self._texts[table.version] = text
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -117,7 +117,7 @@
 
     def read(self, encoded: EncodedVersion) -> RouteTable:
         text = decode(encoded, self.texts.get(encoded.base, b""))
-        self.texts[encoded.ver] = text
+        self.texts[encoded.version] = text
         return RouteTable(configuration.read(msgspec.json.decode(text)))
 
     def act(self, table: RouteTable) -> None:
--- a/lapisgrade/lab/simulation/clients.py
+++ b/lapisgrade/lab/simulation/clients.py
@@ -232,7 +232,7 @@
         if news.active_configuration is not None:
             self.keep(news.active_configuration)
         for encoded in news.staged_versions.values():
-            if encoded.ver not in self.texts:
+            if encoded.version not in self.texts:
                 self.keep(encoded)
         if news.active_version < self.ver:
             invariants.break_(f"limiter {self.number} is told version {news.active_version} after {self.ver}")
@@ -245,7 +245,7 @@
 
     def keep(self, encoded) -> None:
         text = decode(encoded, self.texts.get(encoded.base, b""))
-        self.texts[encoded.ver] = text
-        known = self.cluster.invariants.versions.get(encoded.ver)
+        self.texts[encoded.version] = text
+        known = self.cluster.invariants.versions.get(encoded.version)
         if known is None or known[1] != text:
-            self.cluster.invariants.break_(f"limiter {self.number} has another version {encoded.ver}")
+            self.cluster.invariants.break_(f"limiter {self.number} has another version {encoded.version}")
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -153,7 +153,11 @@
     def _note(self, controller: "SimulatedController", entry: Entry) -> None:
         item = _ITEM.decode(entry.data)
         state = controller.state_machine.state
-        if isinstance(item, NewVersion) and state.ver == item.encoded.ver and state.ver not in self.versions:
+        if (
+            isinstance(item, NewVersion)
+            and state.ver == item.encoded.version
+            and state.ver not in self.versions
+        ):
             self.versions[state.ver] = (item.encoded.base, state.conf, self.cluster.loop.now_us)
             bases = [base for base, _, _ in self.versions.values()]
             if len(bases) != len(set(bases)):
--- a/lapisgrade/lab/simulation/mutants.py
+++ b/lapisgrade/lab/simulation/mutants.py
@@ -113,10 +113,13 @@
 
 def _any_base(self: StateMachine, item: NewVersion) -> ApplyResult:
     """A version is taken on top of any other."""
-    if item.encoded.ver <= self.state.ver or self.state.taken.get(item.encoded.ver) == item.change_digest:
+    if (
+        item.encoded.version <= self.state.ver
+        or self.state.taken.get(item.encoded.version) == item.change_digest
+    ):
         return _apply_new_version(self, item)
     text = decode(item.encoded, self.state.conf) if not item.encoded.base else self.state.conf
-    self.accept(text, item.encoded.ver, item.change_digest)
+    self.accept(text, item.encoded.version, item.change_digest)
     return ApplyResult(200)
 
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -93,7 +93,7 @@
             controllers=["text-41", "text-42"],
             active_version=1043,
             active_configuration=configuration_delta.EncodedVersion(
-                ver=1044, base=1045, digest=b"bytes-46", data=b"bytes-47"
+                version=1044, base=1045, digest=b"bytes-46", data=b"bytes-47"
             ),
             registry_incarnation="text-48",
             registry_revision=1049,
@@ -128,7 +128,7 @@
             wants_known_servers=True,
             staged_versions={
                 1076: configuration_delta.EncodedVersion(
-                    ver=1077, base=1078, digest=b"bytes-79", data=b"bytes-80"
+                    version=1077, base=1078, digest=b"bytes-79", data=b"bytes-80"
                 )
             },
             merged_versions=[1081, 1082],
@@ -342,7 +342,7 @@
         commands.NewVersion(
             change_digest=b"bytes-245",
             encoded=configuration_delta.EncodedVersion(
-                ver=1246, base=1247, digest=b"bytes-248", data=b"bytes-249"
+                version=1246, base=1247, digest=b"bytes-248", data=b"bytes-249"
             ),
         ),
         commands.LogCommand,
@@ -811,14 +811,14 @@
             ),
             conf=b"bytes-611",
             acting=configuration_delta.EncodedVersion(
-                ver=1612, base=1613, digest=b"bytes-614", data=b"bytes-615"
+                version=1612, base=1613, digest=b"bytes-614", data=b"bytes-615"
             ),
             ground=configuration_delta.EncodedVersion(
-                ver=1616, base=1617, digest=b"bytes-618", data=b"bytes-619"
+                version=1616, base=1617, digest=b"bytes-618", data=b"bytes-619"
             ),
             staged={
                 1620: configuration_delta.EncodedVersion(
-                    ver=1621, base=1622, digest=b"bytes-623", data=b"bytes-624"
+                    version=1621, base=1622, digest=b"bytes-623", data=b"bytes-624"
                 )
             },
         ),
