--- a/lapisgrade/__main__.py
+++ b/lapisgrade/__main__.py
@@ -1,25 +1,33 @@
-"""python -m lapisgrade: one limiter on sockets, told all it needs by the file that $ROUTER_CONFIG names."""
+"""python -m lapisgrade: one limiter on sockets, configured by the file that $ROUTER_CONFIG names."""
 
 import asyncio
+import contextlib
 import gc
 import os
 import sys
+from collections.abc import Callable
 
 from lapisgrade.net import event_loop
-from lapisgrade.net.service import serve
+from lapisgrade.net.service import Service, serve
 from lapisgrade.settings import MalformedInputError
 
+EXIT_OK = 0
+EXIT_BAD_CONFIGURATION = 2
 
-def main(beside=None) -> int:
-    """The limiter until it has ended; `beside` it runs what the command line was told of."""
+
+def main(beside: Callable[[Service], contextlib.AbstractAsyncContextManager[None]] | None = None) -> int:
+    """Run the limiter until it has shut down; returns the exit code.
+
+    `beside` is entered around the service, where the command line asked for something beside it.
+    """
     try:
         gc.freeze()
         with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
             runner.run(serve(os.environ.get("ROUTER_CONFIG", ""), beside))
-    except MalformedInputError as wrong:
-        print(f"the configuration: {wrong}", file=sys.stderr)
-        return 2
-    return 0
+    except MalformedInputError as error:
+        print(f"the configuration: {error}", file=sys.stderr)
+        return EXIT_BAD_CONFIGURATION
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -180,7 +180,7 @@
 
 
 async def serve(
-    path: str, beside: Callable[["Service"], contextlib.AbstractAsyncContextManager] | None = None
+    path: str, beside: Callable[["Service"], contextlib.AbstractAsyncContextManager[None]] | None = None
 ) -> None:
     """Run one limiter as this process, by the configuration file at `path`.
 
