--- a/lapisgrade/gateway/cli/commands.py
+++ b/lapisgrade/gateway/cli/commands.py
@@ -72,9 +72,9 @@
     """Print what is on the disk of a controller that is down."""
     report = DiskReport(folder)
     if show_configuration:
-        if not report.state_machine.state.conf:
+        if not report.state_machine.state.configuration:
             raise InvalidInputError(f"{folder}: no configuration is on it")
-        print(report.state_machine.state.conf.decode())
+        print(report.state_machine.state.configuration.decode())
         return ExitCode.DONE
     for line in report.history if show_history else report.summary():
         print(line)
--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -61,7 +61,7 @@
         self.state_machine = StateMachine()
         if first.state:
             self.state_machine.load(first.state)
-        self.snapshot_version = self.state_machine.state.ver
+        self.snapshot_version = self.state_machine.state.version
         self.history: list[str] = []  # what the log's entries did, in their order
         for entry in replicated.entries:
             self._apply(entry)
@@ -76,7 +76,8 @@
             f"term {self.term}; a snapshot up to entry {self.snapshot_index} "
             f"(version {self.snapshot_version}), {self.entry_count} entries after it",
             f"voters: {voters}",
-            f"newest version {state.ver}, in force {state.acting_ver}; servers that left {len(state.left)}, "
+            f"newest version {state.version}, in force {state.active_version}; "
+            f"servers that left {len(state.departed_servers)}, "
             f"proxies in the list of live proxies {len(state.live_proxies)}",
         ]
         for draft, outcome in self.state_machine.open_drafts().values():
@@ -94,12 +95,12 @@
     def _apply_item(self, entry: Entry) -> None:
         """Apply an entry, and describe what it did; keys and addresses are not shown."""
         item, state = _ITEM_DECODER.decode(entry.data), self.state_machine.state
-        version, conf = state.ver, state.conf
+        version, conf = state.version, state.configuration
         answer = self.state_machine.apply(entry.index, entry.data)
-        self._add_history(entry, _describe_item(item, answer, version, state.ver))
-        if state.ver != version:
+        self._add_history(entry, _describe_item(item, answer, version, state.version))
+        if state.version != version:
             before = msgspec.json.decode(conf) if conf else {}
-            changes = describe_changes(before, msgspec.json.decode(state.conf))
+            changes = describe_changes(before, msgspec.json.decode(state.configuration))
             self.history += [f"  {change}" for change in changes]
 
     def _add_history(self, entry: Entry, what: str) -> None:
--- a/lapisgrade/gateway/controller/change_validation.py
+++ b/lapisgrade/gateway/controller/change_validation.py
@@ -52,11 +52,11 @@
     try:
         fields = _decode(change)
         version, base = _version_numbers(fields)
-        if version in state.taken and state.taken[version] == change.digest:
+        if version in state.applied_changes and state.applied_changes[version] == change.digest:
             return ValidatedChange(ApplyResult(HTTPStatus.OK))
         _check_version(state, version, base)
         made = _make_configuration(state, change, fields)
-        if base != state.ver:
+        if base != state.version:
             raise stale_base(state, base)
     except _RejectedChangeError as error:
         return ValidatedChange(ApplyResult(error.status, str(error)))
@@ -66,7 +66,7 @@
 def stale_base(state: State, base: int) -> LapisgradeError:
     """Return the refusal of a change that was made on another version than the newest."""
     return _RejectedChangeError(
-        HTTPStatus.PRECONDITION_FAILED, f"version {state.ver} is in force, not {base}"
+        HTTPStatus.PRECONDITION_FAILED, f"version {state.version} is in force, not {base}"
     )
 
 
@@ -91,13 +91,15 @@
 
 
 def _check_version(state: State, version: int, base: int) -> None:
-    if 0 < version <= state.forgotten:
+    if 0 < version <= state.forgotten_version:
         raise _RejectedChangeError(
             HTTPStatus.GATEWAY_TIMEOUT, f"whether version {version} was this change is not known any more"
         )
-    if version <= state.ver:
-        status = HTTPStatus.PRECONDITION_FAILED if base != state.ver else HTTPStatus.BAD_REQUEST
-        raise _RejectedChangeError(status, f"version {version} is not above {state.ver}, which is in force")
+    if version <= state.version:
+        status = HTTPStatus.PRECONDITION_FAILED if base != state.version else HTTPStatus.BAD_REQUEST
+        raise _RejectedChangeError(
+            status, f"version {version} is not above {state.version}, which is in force"
+        )
 
 
 def _make_configuration(state: State, change: ConfigurationChange, fields: dict[str, Any]) -> dict[str, Any]:
@@ -106,7 +108,7 @@
         if change.replaces_all:
             made = {name: value for name, value in fields.items() if name != "Base"}
         else:
-            current = msgspec.json.decode(state.conf) if state.conf else {}
+            current = msgspec.json.decode(state.configuration) if state.configuration else {}
             made = configuration_change.apply_change(current, fields)
         configuration.read(made)
     except (InvalidInputError, KeyError, TypeError, AttributeError) as error:
--- a/lapisgrade/gateway/controller/consensus_driver.py
+++ b/lapisgrade/gateway/controller/consensus_driver.py
@@ -22,10 +22,10 @@
 from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import DurableWrite
-from lapisgrade.gateway.controller.log_writer import LogWriter
-from lapisgrade.gateway.controller.metrics import ControllerMetrics
 from lapisgrade.gateway.controller.change_validation import ApplyResult
 from lapisgrade.gateway.controller.commands import LogCommand, encode_command
+from lapisgrade.gateway.controller.log_writer import LogWriter
+from lapisgrade.gateway.controller.metrics import ControllerMetrics
 from lapisgrade.gateway.controller.state_machine import StateMachine
 
 log = logging.getLogger("controller")
--- a/lapisgrade/gateway/controller/draft_merging.py
+++ b/lapisgrade/gateway/controller/draft_merging.py
@@ -27,35 +27,35 @@
 
 def merge_draft(state: State, draft: Draft) -> ApplyResult:
     """Merge a draft with those that are there; the result is staged like any other version."""
-    if draft.id in state.seen:
+    if draft.id in state.merged_draft_ids:
         return ApplyResult(HTTPStatus.OK)  # a copy
-    if len(state.drafts) + len(state.past) >= MAX_DRAFTS:
+    if len(state.drafts) + len(state.unresolved_drafts) >= MAX_DRAFTS:
         return ApplyResult(HTTPStatus.CONFLICT, f"{MAX_DRAFTS} drafts are there already: settle or drop one")
-    if not state.conf:
+    if not state.configuration:
         return ApplyResult(HTTPStatus.CONFLICT, "there is no configuration yet")
-    ground = state.ground or state.conf
+    ground = state.merge_base or state.configuration
     drafts = [*state.drafts, draft]
     try:
         merged, outcomes = three_way.merge_drafts(msgspec.json.decode(ground), drafts)
     except (KeyError, TypeError, ValueError, IndexError, AttributeError):  # it came from a peer
         return ApplyResult(HTTPStatus.BAD_REQUEST, "not a draft")
-    state.ground = ground
+    state.merge_base = ground
     state.outcomes = outcomes
     state.drafts = drafts
-    state.seen = [*state.seen, draft.id][-MAX_KNOWN_IDS:]
-    if fields(merged) != fields(msgspec.json.decode(state.conf)):
-        version = state.ver + 1
+    state.merged_draft_ids = [*state.merged_draft_ids, draft.id][-MAX_KNOWN_IDS:]
+    if fields(merged) != fields(msgspec.json.decode(state.configuration)):
+        version = state.version + 1
         state.stage(msgspec.json.encode({**merged, "Ver": version}), version)
-        state.merged = [*state.merged, version]
+        state.merged_versions = [*state.merged_versions, version]
     return ApplyResult(HTTPStatus.OK)
 
 
 def close_draft(state: State, draft_id: str) -> ApplyResult:
     """Mark a draft's conflicts as settled, or given up."""
-    if draft_id in state.past:
-        del state.past[draft_id]
+    if draft_id in state.unresolved_drafts:
+        del state.unresolved_drafts[draft_id]
     elif draft_id in state.outcomes:
-        state.shut = [*state.shut, draft_id]
+        state.closed_drafts = [*state.closed_drafts, draft_id]
     else:
         return ApplyResult(HTTPStatus.NOT_FOUND, "no such draft is open")
     return ApplyResult(HTTPStatus.OK)
@@ -65,18 +65,18 @@
     """Keep only the drafts with conflicts: the others are part of what was acknowledged by now."""
     for draft in state.drafts:
         outcome = state.outcomes[draft.id]
-        if outcome.open and draft.id not in state.shut:
-            state.past[draft.id] = (draft, outcome)
-    state.ground = b""
+        if outcome.open and draft.id not in state.closed_drafts:
+            state.unresolved_drafts[draft.id] = (draft, outcome)
+    state.merge_base = b""
     state.drafts = []
     state.outcomes = {}
-    state.shut = []
+    state.closed_drafts = []
 
 
 def open_drafts(state: State) -> dict[str, tuple[Draft, Outcome]]:
     """Return the drafts merged since the last acknowledged change, and earlier ones with conflicts."""
     current = {draft.id: (draft, state.outcomes[draft.id]) for draft in state.drafts}
-    for draft_id in state.shut:
+    for draft_id in state.closed_drafts:
         draft, outcome = current[draft_id]
         current[draft_id] = (draft, Outcome(outcome.stand))
-    return {**state.past, **current}
+    return {**state.unresolved_drafts, **current}
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -13,14 +13,14 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.controller.draft_merging import MAX_DRAFT_BYTES
 from lapisgrade.gateway.controller.leader_calls import DELIVER_DRAFT
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
 from lapisgrade.gateway.controller.replies import encode_error, encode_result
-from lapisgrade.gateway.controller.change_validation import ApplyResult
-from lapisgrade.gateway.controller.draft_merging import MAX_DRAFT_BYTES
 from lapisgrade.gateway.controller.state_machine import StateMachine
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge import three_way
 from lapisgrade.gateway.merge.three_way import Draft
 from lapisgrade.gateway.rpc import RpcEndpoint
@@ -155,13 +155,13 @@
         edit = msgspec.json.decode(body)
         if not isinstance(edit, dict) or not isinstance(edit.get("By"), str):
             raise InvalidInputError("a draft is an object, and says By whom it is")
-        if not state.conf or not self._delivery.has_disk:
+        if not state.configuration or not self._delivery.has_disk:
             return ApplyResult(HTTPStatus.CONFLICT, "no configuration is known here, or no disk is here")
-        if edit.get("Base") != state.ver:
+        if edit.get("Base") != state.version:
             return ApplyResult(
-                HTTPStatus.PRECONDITION_FAILED, f"version {state.ver} is the newest that is known here"
+                HTTPStatus.PRECONDITION_FAILED, f"version {state.version} is the newest that is known here"
             )
-        return three_way.drafted(msgspec.json.decode(state.conf), edit, edit["By"], self._hostname())
+        return three_way.drafted(msgspec.json.decode(state.configuration), edit, edit["By"], self._hostname())
 
     async def _copy_to_peers(self, draft: Draft) -> int:
         """Return how many other controllers have stored a copy."""
@@ -182,5 +182,5 @@
         drafts = msgspec.json.decode(leader_reply.body) if has_leader else []
         known_ids = {each["Id"] for each in drafts}
         drafts += [three_way.told(each, None) for each in self._delivery.stored() if each.id not in known_ids]
-        reply = {"Leader": has_leader, "Newest": self._state_machine.state.ver, "Drafts": drafts}
+        reply = {"Leader": has_leader, "Newest": self._state_machine.state.version, "Drafts": drafts}
         return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode(reply))
--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -10,8 +10,6 @@
 import msgspec
 
 from lapisgrade.gateway import api
-from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
-from lapisgrade.gateway.controller.replies import decode_draft_id, encode_error, encode_result
 from lapisgrade.gateway.controller.commands import (
     CloseDraft,
     ConfigurationChange,
@@ -20,6 +18,8 @@
     ServerLeaving,
     encode_command,
 )
+from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
+from lapisgrade.gateway.controller.replies import decode_draft_id, encode_error, encode_result
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.status_report import status_report
 from lapisgrade.gateway.controller.watch_service import WatchService
@@ -94,7 +94,7 @@
 
     async def _heartbeat(self, of: str, body: bytes) -> ForwardCallReply:
         server = api.parse_heartbeat(of, body)
-        if server.state == ServerState.DRAIN and of not in self._state_machine.state.left:
+        if server.state == ServerState.DRAIN and of not in self._state_machine.state.departed_servers:
             # Must outlive this leader: the server ends some time after the reply.
             reply = await self.commit(ServerLeaving(of, False))
             if reply.status != HTTPStatus.OK:
@@ -121,9 +121,9 @@
 
     async def _show_configuration(self, of: str, body: bytes) -> ForwardCallReply:
         state = self._state_machine.state
-        if not state.conf:
+        if not state.configuration:
             return encode_error(HTTPStatus.NOT_FOUND, "there is no configuration yet")
-        return ForwardCallReply(HTTPStatus.OK, state.conf)
+        return ForwardCallReply(HTTPStatus.OK, state.configuration)
 
     async def _show_status(self, of: str, body: bytes) -> ForwardCallReply:
         watch = self.watch_service.watch
@@ -164,8 +164,8 @@
         draft, outcome = found
         paths = {conflict.path for conflict in outcome.aside}
         operations = [each for each in draft.ops if outcome.wrong or each.path in paths]
-        configuration = three_way.forced(msgspec.json.decode(state.conf), operations)
-        change = {**configuration, "Ver": state.ver + 1, "Base": state.ver}
+        configuration = three_way.forced(msgspec.json.decode(state.configuration), operations)
+        change = {**configuration, "Ver": state.version + 1, "Base": state.version}
         reply = await self._change(ConfigurationChange(True, msgspec.json.encode(change)))
         if reply.status != HTTPStatus.OK:
             return reply
--- a/lapisgrade/gateway/controller/replies.py
+++ b/lapisgrade/gateway/controller/replies.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
 
 
--- a/lapisgrade/gateway/controller/state.py
+++ b/lapisgrade/gateway/controller/state.py
@@ -12,6 +12,24 @@
 MAX_STAGED_VERSIONS = 8  # each waits 1.4 s at most to come into force
 
 _ENCODED_NAMES = {
+    "configuration": "conf",
+    "version": "ver",
+    "applied_changes": "taken",
+    "departed_servers": "left",
+    "proxies_with_controller": "core",
+    "fencing_token": "fence",
+    "active_configuration": "acting",
+    "active_version": "acting_ver",
+    "staged_versions": "staged",
+    "merge_base": "ground",
+    "unresolved_drafts": "past",
+    "closed_drafts": "shut",
+    "merged_draft_ids": "seen",
+    "merged_versions": "merged",
+    "previous_fencing_token": "prior",
+    "terminating_proxies": "leaving",
+    "previous_owners": "prior_owners",
+    "forgotten_version": "forgotten",
     "live_proxies": "cast",
     "server_snapshot": "roll",
 }
@@ -21,84 +39,86 @@
     """What all commands so far add up to.
 
     Attributes:
-        conf: The newest configuration, as JSON; empty before the first.
-        ver: Its version; 0 before the first.
-        taken: Digests of the changes that were applied, by the version that each made; the oldest go.
-        forgotten: The newest version whose digest is no longer in `taken`.
-        acting: The active configuration (in force), as JSON.
-        acting_ver: Its version, at most the newest.
-        staged: Configurations newer than the active one, by version.
-        merged: Those of the staged versions that were made by merging drafts.
-        left: Servers that drain (False) or are gone (True), by id.
+        configuration: The newest configuration, as JSON; empty before the first.
+        version: Its version; 0 before the first.
+        applied_changes: Digests of changes, by the version that each made; the oldest are forgotten.
+        forgotten_version: The newest version whose digest is no longer in `applied_changes`.
+        active_configuration: The active configuration (in force), as JSON.
+        active_version: Its version, at most the newest.
+        staged_versions: Configurations newer than the active one, by version.
+        merged_versions: Those of the staged versions that were made by merging drafts.
+        departed_servers: Servers that drain (False) or are gone (True), by id.
         server_snapshot: The live servers, as the leader knew them.
         live_proxies: Address, incarnation and zone of the live proxies, by name.
-        core: Those on whose machine a controller runs.
-        leaving: Those whose process was told to shut down.
-        fence: The fencing token of the list of live proxies: the index of its log entry.
-        prior: The fencing token of the list before.
-        prior_owners: Who owned counts under the list before.
-        ground: The newest acknowledged configuration, where drafts were merged on top of it; else empty.
+        proxies_with_controller: Those on whose machine a controller runs.
+        terminating_proxies: Those whose process was told to shut down.
+        fencing_token: The fencing token of the list of live proxies: the index of its log entry.
+        previous_fencing_token: The fencing token of the list before.
+        previous_owners: Who owned counts under the list before.
+        merge_base: The newest acknowledged configuration, where drafts were merged on top of it; else empty.
         drafts: Those drafts.
         outcomes: What came of them, by id.
-        shut: Ids of those that were closed since.
-        past: Drafts merged earlier that still have conflicts, and what came of each, by id.
-        seen: Ids of the last drafts that were merged, to recognize copies.
+        closed_drafts: Ids of those that were closed since.
+        unresolved_drafts: Drafts merged earlier that still have conflicts, and what came of each, by id.
+        merged_draft_ids: Ids of the last drafts that were merged, to recognize copies.
     """
 
-    conf: bytes = b""
-    ver: int = 0
-    taken: dict[int, bytes] = {}
-    left: dict[str, bool] = {}
+    configuration: bytes = b""
+    version: int = 0
+    applied_changes: dict[int, bytes] = {}
+    departed_servers: dict[str, bool] = {}
     live_proxies: dict[str, tuple[str, str, str]] = {}
-    core: list[str] = []
+    proxies_with_controller: list[str] = []
     server_snapshot: list[Server] = []
-    fence: int = 0
-    acting: bytes = b""
-    acting_ver: int = 0
-    staged: dict[int, bytes] = {}
-    ground: bytes = b""
+    fencing_token: int = 0
+    active_configuration: bytes = b""
+    active_version: int = 0
+    staged_versions: dict[int, bytes] = {}
+    merge_base: bytes = b""
     drafts: list[Draft] = []
     outcomes: dict[str, Outcome] = {}
-    past: dict[str, tuple[Draft, Outcome]] = {}
-    shut: list[str] = []
-    seen: list[str] = []
-    merged: list[int] = []
-    prior: int = 0
-    leaving: list[str] = []
-    prior_owners: list[str] = []
-    forgotten: int = 0
+    unresolved_drafts: dict[str, tuple[Draft, Outcome]] = {}
+    closed_drafts: list[str] = []
+    merged_draft_ids: list[str] = []
+    merged_versions: list[int] = []
+    previous_fencing_token: int = 0
+    terminating_proxies: list[str] = []
+    previous_owners: list[str] = []
+    forgotten_version: int = 0
 
     def stage(self, configuration: bytes, version: int) -> None:
         """Make a configuration the newest one; it waits to come into force."""
-        self.conf = configuration
-        self.ver = version
-        self.staged[version] = configuration
-        if len(self.staged) > MAX_STAGED_VERSIONS:  # comes into force with the next one
-            del self.staged[next(iter(self.staged))]
+        self.configuration = configuration
+        self.version = version
+        self.staged_versions[version] = configuration
+        if len(self.staged_versions) > MAX_STAGED_VERSIONS:  # comes into force with the next one
+            del self.staged_versions[next(iter(self.staged_versions))]
         self.forget_activated_merges()
 
     def activate(self, version: int) -> None:
         """Bring a staged version into force; the versions before it will not be."""
-        if version not in self.staged:
+        if version not in self.staged_versions:
             return
-        self.acting = self.staged[version]
-        self.acting_ver = version
-        self.staged = {each: text for each, text in self.staged.items() if each > version}
+        self.active_configuration = self.staged_versions[version]
+        self.active_version = version
+        self.staged_versions = {each: text for each, text in self.staged_versions.items() if each > version}
         self.forget_activated_merges()
 
     def forget_activated_merges(self) -> None:
-        """Have `merged` name staged versions alone."""
-        self.merged = [version for version in self.merged if version in self.staged]
+        """Have `merged_versions` name staged versions alone."""
+        self.merged_versions = [
+            version for version in self.merged_versions if version in self.staged_versions
+        ]
 
 
 class SavedState(msgspec.Struct, array_like=True):
     """A snapshot: the state without configurations, the newest of them, and the others as deltas on it."""
 
     state: State
-    conf: bytes
-    acting: EncodedVersion
-    ground: EncodedVersion
-    staged: dict[int, EncodedVersion]
+    configuration: bytes
+    active_configuration: EncodedVersion
+    merge_base: EncodedVersion
+    staged_versions: dict[int, EncodedVersion]
 
 
 _STATE_DECODER = msgspec.msgpack.Decoder(State)
@@ -110,12 +130,20 @@
     """Return the state as a snapshot."""
 
     def encode_delta(text: bytes) -> EncodedVersion:
-        return encode(state.ver, text, state.ver, state.conf)
+        return encode(state.version, text, state.version, state.configuration)
 
-    without_texts = msgspec.structs.replace(state, conf=b"", acting=b"", ground=b"", staged={})
-    staged = {version: encode_delta(text) for version, text in state.staged.items()}
+    without_texts = msgspec.structs.replace(
+        state, configuration=b"", active_configuration=b"", merge_base=b"", staged_versions={}
+    )
+    staged = {version: encode_delta(text) for version, text in state.staged_versions.items()}
     return msgspec.msgpack.encode(
-        SavedState(without_texts, state.conf, encode_delta(state.acting), encode_delta(state.ground), staged)
+        SavedState(
+            without_texts,
+            state.configuration,
+            encode_delta(state.active_configuration),
+            encode_delta(state.merge_base),
+            staged,
+        )
     )
 
 
@@ -127,8 +155,10 @@
         return _STATE_DECODER.decode(data)
     saved = _SAVED_STATE_DECODER.decode(data)
     state = saved.state
-    state.conf = saved.conf
-    state.acting = decode(saved.acting, saved.conf)
-    state.ground = decode(saved.ground, saved.conf)
-    state.staged = {version: decode(encoded, saved.conf) for version, encoded in saved.staged.items()}
+    state.configuration = saved.configuration
+    state.active_configuration = decode(saved.active_configuration, saved.configuration)
+    state.merge_base = decode(saved.merge_base, saved.configuration)
+    state.staged_versions = {
+        version: decode(encoded, saved.configuration) for version, encoded in saved.staged_versions.items()
+    }
     return state
--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -77,7 +77,7 @@
         if validated.configuration is None:
             return PreparedChange(validated.result)
         state = self.state
-        encoded = encode(validated.version, validated.configuration, state.ver, state.conf)
+        encoded = encode(validated.version, validated.configuration, state.version, state.configuration)
         return PreparedChange(validated.result, NewVersion(change.digest, encoded))
 
     def open_drafts(self) -> dict[str, tuple[Draft, Outcome]]:
@@ -117,11 +117,11 @@
     def apply_new_version(self, command: NewVersion) -> ApplyResult:
         """Accept a version that was validated on the newest one; 412 where another came before it."""
         state, encoded = self.state, command.encoded
-        if state.taken.get(encoded.ver) == command.change_digest:
+        if state.applied_changes.get(encoded.ver) == command.change_digest:
             return _OK  # the same change again
-        if encoded.base != state.ver:
+        if encoded.base != state.version:
             return ApplyResult(HTTPStatus.PRECONDITION_FAILED, str(stale_base(state, encoded.base)))
-        self.accept(decode(encoded, state.conf), encoded.ver, command.change_digest)
+        self.accept(decode(encoded, state.configuration), encoded.ver, command.change_digest)
         return _OK
 
     def accept(self, configuration: bytes, version: int, change_digest: bytes) -> None:
@@ -129,23 +129,25 @@
         state = self.state
         draft_merging.retire_drafts(state)
         state.stage(configuration, version)
-        state.taken[version] = change_digest
-        while len(state.taken) > MAX_REMEMBERED_CHANGES:
-            state.forgotten = next(iter(state.taken))
-            del state.taken[state.forgotten]
+        state.applied_changes[version] = change_digest
+        while len(state.applied_changes) > MAX_REMEMBERED_CHANGES:
+            state.forgotten_version = next(iter(state.applied_changes))
+            del state.applied_changes[state.forgotten_version]
 
     def apply_live_proxies(self, index: int, command: LiveProxies) -> None:
         """Bring a list of live proxies into force, under a new fencing token."""
         state = self.state
-        state.prior_owners = sorted(eligible_owners(state.live_proxies, state.core, state.leaving))
-        state.prior = state.fence
-        state.fence = index
+        state.previous_owners = sorted(
+            eligible_owners(state.live_proxies, state.proxies_with_controller, state.terminating_proxies)
+        )
+        state.previous_fencing_token = state.fencing_token
+        state.fencing_token = index
         state.live_proxies = command.members
-        state.core = command.proxies_with_controller
-        state.leaving = command.terminating_proxies
+        state.proxies_with_controller = command.proxies_with_controller
+        state.terminating_proxies = command.terminating_proxies
 
     def _apply_server_leaving(self, command: ServerLeaving) -> None:
-        departed = self.state.left
+        departed = self.state.departed_servers
         was_gone = departed.pop(command.server, False)
         departed[command.server] = was_gone or command.is_gone
         while len(departed) > MAX_DEPARTED_SERVERS:
--- a/lapisgrade/gateway/controller/status_report.py
+++ b/lapisgrade/gateway/controller/status_report.py
@@ -12,8 +12,8 @@
 ) -> dict[str, Any]:
     """Return which versions are newest and active, each proxy's versions, and what serves; for JSON."""
     return {
-        "Newest": state.ver,
-        "InForce": state.acting_ver,
+        "Newest": state.version,
+        "InForce": state.active_version,
         "Proxies": [_proxy_report(now_us, name, proxy) for name, proxy in sorted(proxies.items())],
         "Servers": _server_report(servers),
     }
--- a/lapisgrade/gateway/controller/version_activation.py
+++ b/lapisgrade/gateway/controller/version_activation.py
@@ -72,13 +72,13 @@
     def become_leader(self, now_us: int, state: State) -> None:
         """Count from now for all staged versions: by `ACTIVATION_TIMEOUT_US` later every proxy that was
         sent one by the last leader has reached this leader, or is in doubt."""
-        self._staged_since_us = dict.fromkeys(state.staged, now_us)
+        self._staged_since_us = dict.fromkeys(state.staged_versions, now_us)
         self._proposed_version = 0
 
     def due(self, now_us: int, state: State, proxies: Iterable[ProxyStatus]) -> Activate | None:
         """Return the activation to propose now, if any."""
         self._staged_since_us = {
-            version: self._staged_since_us.get(version, now_us) for version in state.staged
+            version: self._staged_since_us.get(version, now_us) for version in state.staged_versions
         }
         if not self._staged_since_us:
             return None
@@ -102,7 +102,7 @@
         newest = min((proxy.staged_version for proxy in proxies), default=0)
         delayed = [
             version
-            for version in state.merged
+            for version in state.merged_versions
             if now_us - self._staged_since_us.get(version, 0) < MERGED_VERSION_DELAY_US
         ]
         return min(newest, min(delayed) - 1) if delayed else newest
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -18,9 +18,9 @@
 import msgspec
 
 from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway.controller.commands import Activate, LiveProxies, ServerSnapshot
 from lapisgrade.gateway.controller.configuration_feed import ConfigurationFeed
 from lapisgrade.gateway.controller.proxy_list_feed import ProxyListFeed
-from lapisgrade.gateway.controller.commands import Activate, LiveProxies, ServerSnapshot
 from lapisgrade.gateway.controller.state import State
 from lapisgrade.gateway.controller.version_activation import ProxyStatus, VersionActivation
 from lapisgrade.gateway.quota.ownership import eligible_owners
@@ -82,8 +82,8 @@
             name: ProxyStatus(
                 *each,
                 last_seen_us=now_us,
-                has_local_controller=name in state.core,
-                is_terminating=name in state.leaving,
+                has_local_controller=name in state.proxies_with_controller,
+                is_terminating=name in state.terminating_proxies,
             )
             for name, each in state.live_proxies.items()
         }
@@ -92,7 +92,7 @@
         self._snapshot_proposed_us = now_us
         self._snapshot_addresses = {server.id: server.address for server in state.server_snapshot}
         self._activation.become_leader(now_us, state)
-        self.update_departed_servers(now_us, state.left)
+        self.update_departed_servers(now_us, state.departed_servers)
         self.proxy_lists = ProxyListFeed()
         self._remember_proxy_list(now_us, state)
 
@@ -145,7 +145,11 @@
         }
         core = sorted(name for name, proxy in self.proxies.items() if proxy.has_local_controller)
         leaving = sorted(name for name, proxy in self.proxies.items() if proxy.is_terminating)
-        if (members, core, leaving) == (state.live_proxies, state.core, state.leaving):
+        if (members, core, leaving) == (
+            state.live_proxies,
+            state.proxies_with_controller,
+            state.terminating_proxies,
+        ):
             return None
         if now_us - self._proxy_list_proposed_us < PROXY_LIST_INTERVAL_US:
             return None
@@ -195,7 +199,7 @@
             registry_incarnation=request.registry_incarnation,
             registry_revision=request.registry_revision,
             is_registry_complete=self.is_registry_complete,
-            fencing_token=state.fence,
+            fencing_token=state.fencing_token,
         )
 
     def _observe(self, now_us: int, request: rpc_messages.WatchRequest) -> None:
@@ -220,13 +224,16 @@
         is_other_registry = request.registry_incarnation != self.registry_incarnation and (
             self.is_registry_complete or request.registry_incarnation != f"{self.term}+"
         )
-        has_newer_version = state.acting_ver > request.active_version or state.ver > _newest_version(request)
+        has_newer_version = state.active_version > request.active_version or state.version > _newest_version(
+            request
+        )
         return _Outdated(
             is_other_registry=is_other_registry,
             has_registry_changes=is_other_registry or self.registry.revision > request.registry_revision,
             configuration=request.needs_full_version or has_newer_version,
-            proxy_list=request.fencing_token != state.fence,
-            is_proxy_list_unknown=request.fencing_token not in (state.fence, state.prior),
+            proxy_list=request.fencing_token != state.fencing_token,
+            is_proxy_list_unknown=request.fencing_token
+            not in (state.fencing_token, state.previous_fencing_token),
         )
 
     def _reply(
@@ -238,33 +245,37 @@
         outdated: _Outdated,
     ) -> rpc_messages.WatchReply:
         is_new_list, is_unknown_list = outdated.proxy_list, outdated.is_proxy_list_unknown
-        list_delta = self.proxy_lists.delta(request.fencing_token, state.fence) if is_new_list else None
+        list_delta = (
+            self.proxy_lists.delta(request.fencing_token, state.fencing_token) if is_new_list else None
+        )
         base = 0 if request.needs_full_version else _newest_version(request)
         active = None
-        if state.acting_ver > base:
-            active = self.configuration_feed.version(state.acting_ver, state.acting, base)
-            base = state.acting_ver
+        if state.active_version > base:
+            active = self.configuration_feed.version(state.active_version, state.active_configuration, base)
+            base = state.active_version
         return rpc_messages.WatchReply(
             is_leader=True,
             controllers=controllers,
-            active_version=state.acting_ver,
+            active_version=state.active_version,
             active_configuration=active,
-            staged_versions=self.configuration_feed.chain(state.staged, base),
-            merged_versions=state.merged,
+            staged_versions=self.configuration_feed.chain(state.staged_versions, base),
+            merged_versions=state.merged_versions,
             registry_incarnation=self.registry_incarnation,
             registry_revision=self.registry.revision,
             is_registry_complete=self.is_registry_complete,
             is_full_update=outdated.is_other_registry,
             servers=self._servers(now_us, request, outdated),
             wants_known_servers=request.registry_incarnation not in (str(self.term), f"{self.term}+"),
-            fencing_token=state.fence,
-            previous_fencing_token=state.prior,
+            fencing_token=state.fencing_token,
+            previous_fencing_token=state.previous_fencing_token,
             live_proxies=state.live_proxies if is_new_list and list_delta is None else None,
             live_proxies_delta=list_delta,
-            proxies_with_controller=state.core if is_new_list else [],
-            terminating_proxies=state.leaving if is_new_list else [],
-            previous_owners=state.prior_owners if is_unknown_list else [],
-            earlier_owners=self.proxy_lists.earlier_owners(now_us, state.prior) if is_unknown_list else [],
+            proxies_with_controller=state.proxies_with_controller if is_new_list else [],
+            terminating_proxies=state.terminating_proxies if is_new_list else [],
+            previous_owners=state.previous_owners if is_unknown_list else [],
+            earlier_owners=self.proxy_lists.earlier_owners(now_us, state.previous_fencing_token)
+            if is_unknown_list
+            else [],
         )
 
     def _servers(self, now_us: int, request: rpc_messages.WatchRequest, outdated: _Outdated) -> list[Server]:
@@ -277,9 +288,11 @@
 
     def _remember_proxy_list(self, now_us: int, state: State) -> None:
         """Keep the list in force, for deltas and for the owners by it."""
-        if not self.proxy_lists.knows(state.fence):
-            owners = eligible_owners(state.live_proxies, state.core, state.leaving)
-            self.proxy_lists.remember(now_us, state.fence, state.live_proxies, owners)
+        if not self.proxy_lists.knows(state.fencing_token):
+            owners = eligible_owners(
+                state.live_proxies, state.proxies_with_controller, state.terminating_proxies
+            )
+            self.proxy_lists.remember(now_us, state.fencing_token, state.live_proxies, owners)
 
 
 def without_known_servers(request: rpc_messages.WatchRequest) -> rpc_messages.WatchRequest:
--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from lapisgrade.gateway import SECOND, rpc_messages
+from lapisgrade.gateway.controller.commands import LogCommand
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver
 from lapisgrade.gateway.controller.leader_discovery import LeaderDiscovery
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
-from lapisgrade.gateway.controller.commands import LogCommand
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch, without_known_servers
 from lapisgrade.gateway.registry import Server
@@ -133,7 +133,7 @@
 
     def on_applied(self) -> None:
         """Take in which servers left, by the log."""
-        self.watch.update_departed_servers(self._clock(), self._state_machine.state.left)
+        self.watch.update_departed_servers(self._clock(), self._state_machine.state.departed_servers)
 
     def on_timer(self) -> None:
         """Expire proxies and servers that fell silent."""
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -111,7 +111,7 @@
             ConfigurationChange(True, msgspec.json.encode({**sample_configuration(size, size), "Base": 0}))
         ),
     )
-    text, change = state_machine.state.conf, changed(7)
+    text, change = state_machine.state.configuration, changed(7)
     version = state_machine.prepare(change).command
     entry = encode_command(version)
     whole, delta = feed.version(7, text, 0), feed.version(8, decode(version.encoded, text), 7)
@@ -142,9 +142,9 @@
 def applied(state_machine: StateMachine, entry: bytes) -> None:
     """Take a version over, and forget it again."""
     state = state_machine.state
-    before = (state.conf, state.ver, dict(state.staged), dict(state.taken))
+    before = (state.configuration, state.version, dict(state.staged_versions), dict(state.applied_changes))
     state_machine.apply(2, entry)
-    state.conf, state.ver, state.staged, state.taken = before
+    state.configuration, state.version, state.staged_versions, state.applied_changes = before
 
 
 def of_servers(sizes: tuple[int, ...]) -> list[Row]:
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -178,7 +178,7 @@
             self.state_machine.apply(self.index, data)
             state = self.state_machine.state
             live = sorted(state.live_proxies)
-            self.say(f"log: newest {state.ver}, in force {state.acting_ver}, live proxies {live}")
+            self.say(f"log: newest {state.version}, in force {state.active_version}, live proxies {live}")
             self.turn()
 
     def change(self, more: int, less: int | None = None) -> None:
@@ -188,7 +188,8 @@
         state = self.state_machine.state
         names = [number for number in range(self.tenants) if number not in self.withdrawn]
         self.commit(
-            encode_command(ConfigurationChange(True, conf(state.ver + 1, state.ver, names))), self.term
+            encode_command(ConfigurationChange(True, conf(state.version + 1, state.version, names))),
+            self.term,
         )
 
     def asked(self, proxy: Proxy, ask: rpc_messages.WatchRequest, life: int, asked: int, sent: int) -> None:
@@ -280,7 +281,7 @@
 
 
 def _at_once(self: Watch, now: int, state: State) -> Activate | None:
-    return Activate(state.ver) if state.ver > state.acting_ver else None
+    return Activate(state.version) if state.version > state.active_version else None
 
 
 DEFECTS: Defects = {
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -149,9 +149,9 @@
         for index, data in enumerate(taken, 1):
             state_machine.apply(index, data)
         state = state_machine.state
-        if lost := {each.id for each in drafts} - set(state.seen):
+        if lost := {each.id for each in drafts} - set(state.merged_draft_ids):
             cluster.break_(f"{name}: a draft that was kept is lost: {sorted(lost)}")
-        elif fields(msgspec.json.decode(state.conf)) != fields(wanted) or state.outcomes != outcomes:
+        elif fields(msgspec.json.decode(state.configuration)) != fields(wanted) or state.outcomes != outcomes:
             cluster.break_(f"{name}: the drafts came to something else")
 
 
--- a/lapisgrade/lab/simulation/data_plane_mutants.py
+++ b/lapisgrade/lab/simulation/data_plane_mutants.py
@@ -22,9 +22,12 @@
 def _old_fence(self: StateMachine, index: int, item: LiveProxies) -> None:
     """A new list of live proxies bears the fence of the one before."""
     state = self.state
-    state.fence = state.fence or index
+    state.fencing_token = state.fencing_token or index
     state.live_proxies = item.members
-    state.core, state.leaving = item.proxies_with_controller, item.terminating_proxies
+    state.proxies_with_controller, state.terminating_proxies = (
+        item.proxies_with_controller,
+        item.terminating_proxies,
+    )
 
 
 def _listed_as_up(self: Router, servers: list[Server], is_complete: bool) -> None:
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -42,7 +42,7 @@
 
     def started(self, controller: "SimulatedController") -> None:
         controller.machine.identity = controller.node.identity
-        if controller.state_machine.state.ver:
+        if controller.state_machine.state.version:
             self.break_(f"{controller.machine.name} begins with a state")
 
     def stepped(self, controller: "SimulatedController", restored: bool) -> None:
@@ -153,16 +153,24 @@
     def _note(self, controller: "SimulatedController", entry: Entry) -> None:
         item = _ITEM.decode(entry.data)
         state = controller.state_machine.state
-        if isinstance(item, NewVersion) and state.ver == item.encoded.ver and state.ver not in self.versions:
-            self.versions[state.ver] = (item.encoded.base, state.conf, self.cluster.loop.now_us)
+        if (
+            isinstance(item, NewVersion)
+            and state.version == item.encoded.ver
+            and state.version not in self.versions
+        ):
+            self.versions[state.version] = (item.encoded.base, state.configuration, self.cluster.loop.now_us)
             bases = [base for base, _, _ in self.versions.values()]
             if len(bases) != len(set(bases)):
-                self.break_(f"version {state.ver} is the second one on {item.encoded.base}")
+                self.break_(f"version {state.version} is the second one on {item.encoded.base}")
 
     def _check_state(self, controller: "SimulatedController") -> None:
         state = controller.state_machine.state
-        if state.ver and state.ver in self.versions and self.versions[state.ver][1] != state.conf:
-            self.break_(f"{controller.machine.name} restored another version {state.ver}")
+        if (
+            state.version
+            and state.version in self.versions
+            and self.versions[state.version][1] != state.configuration
+        ):
+            self.break_(f"{controller.machine.name} restored another version {state.version}")
 
     def caught_up(self) -> bool:
         """Whether all that run hold what was committed; an entry may be on its way at any moment."""
@@ -182,7 +190,10 @@
             if node is None or node.commit_index < newest:
                 have = node.commit_index if node is not None else 0
                 self.break_(f"{machine.name} has caught up to {have} of {newest} after a calm time")
-            elif machine.controller.state_machine.state.ver != leader.controller.state_machine.state.ver:
+            elif (
+                machine.controller.state_machine.state.version
+                != leader.controller.state_machine.state.version
+            ):
                 self.break_(f"{machine.name} has another version than the leader")
         if leader.controller.node.state.now_us < self.cluster.loop.now_us - SECOND:
             self.break_("the leader stands still")
--- a/lapisgrade/lab/simulation/mutants.py
+++ b/lapisgrade/lab/simulation/mutants.py
@@ -104,7 +104,7 @@
 def _not_remembered(self: StateMachine, data: bytes) -> None:
     """What a snapshot holds of changes taken is lost."""
     _load(self, data)
-    self.state.taken = {}
+    self.state.applied_changes = {}
 
 
 _load = StateMachine.load
@@ -113,9 +113,14 @@
 
 def _any_base(self: StateMachine, item: NewVersion) -> ApplyResult:
     """A version is taken on top of any other."""
-    if item.encoded.ver <= self.state.ver or self.state.taken.get(item.encoded.ver) == item.change_digest:
+    if (
+        item.encoded.ver <= self.state.version
+        or self.state.applied_changes.get(item.encoded.ver) == item.change_digest
+    ):
         return _apply_new_version(self, item)
-    text = decode(item.encoded, self.state.conf) if not item.encoded.base else self.state.conf
+    text = (
+        decode(item.encoded, self.state.configuration) if not item.encoded.base else self.state.configuration
+    )
     self.accept(text, item.encoded.ver, item.change_digest)
     return ApplyResult(200)
 
@@ -141,11 +146,11 @@
 
 def _without_digest(self: StateMachine, change: ConfigurationChange) -> ValidatedChange:
     """One that was taken is judged as if it were new."""
-    taken, self.state.taken = self.state.taken, {}
+    taken, self.state.applied_changes = self.state.applied_changes, {}
     try:
         return _validate(self, change)
     finally:
-        self.state.taken = taken
+        self.state.applied_changes = taken
 
 
 _validate = StateMachine.validate
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -491,12 +491,12 @@
 SAVED_STATES = {
     "state/state": Sample(
         state.State(
-            conf=b"bytes-355",
-            ver=1356,
-            taken={1357: b"bytes-358"},
-            left={"text-359": True},
+            configuration=b"bytes-355",
+            version=1356,
+            applied_changes={1357: b"bytes-358"},
+            departed_servers={"text-359": True},
             live_proxies={"text-361": ("text-362", "text-363", "text-364")},
-            core=["text-365", "text-366"],
+            proxies_with_controller=["text-365", "text-366"],
             server_snapshot=[
                 registry.Server(
                     id="text-367",
@@ -521,11 +521,11 @@
                     revision=1384,
                 ),
             ],
-            fence=1385,
-            acting=b"bytes-386",
-            acting_ver=1387,
-            staged={1388: b"bytes-389"},
-            ground=b"bytes-390",
+            fencing_token=1385,
+            active_configuration=b"bytes-386",
+            active_version=1387,
+            staged_versions={1388: b"bytes-389"},
+            merge_base=b"bytes-390",
             drafts=[
                 three_way.Draft(
                     id="text-391",
@@ -592,7 +592,7 @@
                     wrong="text-438",
                 )
             },
-            past={
+            unresolved_drafts={
                 "text-439": (
                     three_way.Draft(
                         id="text-440",
@@ -636,25 +636,25 @@
                     ),
                 )
             },
-            shut=["text-471", "text-472"],
-            seen=["text-473", "text-474"],
-            merged=[1475, 1476],
-            prior=1477,
-            leaving=["text-478", "text-479"],
-            prior_owners=["text-480", "text-481"],
-            forgotten=1482,
+            closed_drafts=["text-471", "text-472"],
+            merged_draft_ids=["text-473", "text-474"],
+            merged_versions=[1475, 1476],
+            previous_fencing_token=1477,
+            terminating_proxies=["text-478", "text-479"],
+            previous_owners=["text-480", "text-481"],
+            forgotten_version=1482,
         ),
         state.State,
     ),
     "state/saved-state": Sample(
         state.SavedState(
             state=state.State(
-                conf=b"bytes-483",
-                ver=1484,
-                taken={1485: b"bytes-486"},
-                left={"text-487": True},
+                configuration=b"bytes-483",
+                version=1484,
+                applied_changes={1485: b"bytes-486"},
+                departed_servers={"text-487": True},
                 live_proxies={"text-489": ("text-490", "text-491", "text-492")},
-                core=["text-493", "text-494"],
+                proxies_with_controller=["text-493", "text-494"],
                 server_snapshot=[
                     registry.Server(
                         id="text-495",
@@ -679,11 +679,11 @@
                         revision=1512,
                     ),
                 ],
-                fence=1513,
-                acting=b"bytes-514",
-                acting_ver=1515,
-                staged={1516: b"bytes-517"},
-                ground=b"bytes-518",
+                fencing_token=1513,
+                active_configuration=b"bytes-514",
+                active_version=1515,
+                staged_versions={1516: b"bytes-517"},
+                merge_base=b"bytes-518",
                 drafts=[
                     three_way.Draft(
                         id="text-519",
@@ -750,7 +750,7 @@
                         wrong="text-566",
                     )
                 },
-                past={
+                unresolved_drafts={
                     "text-567": (
                         three_way.Draft(
                             id="text-568",
@@ -794,22 +794,22 @@
                         ),
                     )
                 },
-                shut=["text-599", "text-600"],
-                seen=["text-601", "text-602"],
-                merged=[1603, 1604],
-                prior=1605,
-                leaving=["text-606", "text-607"],
-                prior_owners=["text-608", "text-609"],
-                forgotten=1610,
+                closed_drafts=["text-599", "text-600"],
+                merged_draft_ids=["text-601", "text-602"],
+                merged_versions=[1603, 1604],
+                previous_fencing_token=1605,
+                terminating_proxies=["text-606", "text-607"],
+                previous_owners=["text-608", "text-609"],
+                forgotten_version=1610,
             ),
-            conf=b"bytes-611",
-            acting=configuration_delta.EncodedVersion(
+            configuration=b"bytes-611",
+            active_configuration=configuration_delta.EncodedVersion(
                 ver=1612, base=1613, digest=b"bytes-614", data=b"bytes-615"
             ),
-            ground=configuration_delta.EncodedVersion(
+            merge_base=configuration_delta.EncodedVersion(
                 ver=1616, base=1617, digest=b"bytes-618", data=b"bytes-619"
             ),
-            staged={
+            staged_versions={
                 1620: configuration_delta.EncodedVersion(
                     ver=1621, base=1622, digest=b"bytes-623", data=b"bytes-624"
                 )
--- a/tests/compatibility/test_recovery.py
+++ b/tests/compatibility/test_recovery.py
@@ -128,7 +128,7 @@
             cluster, "conf.drafts", lambda said: [each["State"] for each in said["Drafts"]] == ["stands"] * 2
         )
         last = cluster.controllers["m3"]
-        await cluster.until(lambda: last.state_machine.state.ver == 17)
+        await cluster.until(lambda: last.state_machine.state.version == 17)
         for name in ("m1", "m2"):
             await cluster.kill(cluster.controllers[name])
         body = {"Base": 17, "By": "chedli", "Upsert": {"Pools": [{"Name": "bilan"}]}}
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -64,7 +64,7 @@
         "newest version 2, in force 0; servers that left 0, proxies in the list of live proxies 0",
         f"draft {stored_log.name} by amel: stands",
     ]
-    assert json.loads(found.state_machine.state.conf)["Ports"][0]["Policy"][1]["Prio"] == 9
+    assert json.loads(found.state_machine.state.configuration)["Ports"][0]["Policy"][1]["Prio"] == 9
     assert stored_log.times() == before
 
 
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -80,7 +80,7 @@
         self.assertEqual(one.activation(3 * MS, state_machine.state), Activate(1))
         self.assertIsNone(one.activation(4 * MS, state_machine.state))  # it is under way
         state_machine.apply(3, encode_command(Activate(1)))
-        self.assertEqual(state_machine.state.acting_ver, 1)
+        self.assertEqual(state_machine.state.active_version, 1)
         # The next one meets a proxy that is silent: it comes into force when that one must doubt.
         state_machine.apply(4, encode_command(ConfigurationChange(True, conf(2, 1, 2))))
         self.assertIsNone(one.activation(SECOND, state_machine.state))
@@ -104,7 +104,7 @@
             ).status,  # the same again
         ]
         self.assertEqual(answers, [200, 412, 400, 200])
-        self.assertEqual(list(state_machine.state.staged), [1, 2])
+        self.assertEqual(list(state_machine.state.staged_versions), [1, 2])
         one = Watch(SECOND, 0)
         one.become_leader(0, 1, state_machine.state)
         news = one.reply_if_changed(
@@ -123,7 +123,7 @@
         moments = {}
         for now in range(0, 4 * SECOND, 100 * MS):
             if now % (500 * MS) == 0:
-                ver = state_machine.state.ver + 1
+                ver = state_machine.state.version + 1
                 state_machine.apply(ver, encode_command(ConfigurationChange(True, conf(ver, ver - 1, 1))))
             order = one.activation(now, state_machine.state)
             if order is not None:
@@ -137,11 +137,11 @@
     def test_a_merged_version_waits_for_those_who_were_cut_off_with_a_draft(self) -> None:
         """Guards claims at a proxy that was counted out over the break and has not asked since the heal."""
         state = StateMachine().state
-        state.staged, state.merged = {5: b"{}"}, [5]
+        state.staged_versions, state.merged_versions = {5: b"{}"}, [5]
         one = Watch(SECOND, 0)
         one.proxies = {"a": ProxyStatus("p", "1", "z", SECOND, staged_version=7)}
         self.assertIsNone(one.activation(SECOND, state))
-        state.staged[7] = b"{}"  # acknowledged on top of it: goes by the merged one too
+        state.staged_versions[7] = b"{}"  # acknowledged on top of it: goes by the merged one too
         self.assertIsNone(one.activation(SECOND + MERGED_VERSION_DELAY_US - 1, state))
         self.assertEqual(one.activation(SECOND + MERGED_VERSION_DELAY_US, state), Activate(7))
         one.proxies["b"] = ProxyStatus("p", "1", "z", SECOND, staged_version=4)  # it asked, and lacks both
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -169,7 +169,7 @@
         await site.until(
             lambda: not any(controller.draft_delivery.stored() for controller in site.controllers.values())
         )
-        self.assertEqual(len(site.controllers[leader].state_machine.state.seen), 3)
+        self.assertEqual(len(site.controllers[leader].state_machine.state.merged_draft_ids), 3)
 
     async def test_a_break_that_opens_again_during_the_merge_merges_once(self) -> None:
         site = await self.site()
@@ -192,7 +192,7 @@
         await self.rejoined(site, 5)
         await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
         self.assertEqual(
-            {controller.state_machine.state.ver for controller in site.controllers.values()}, {5}
+            {controller.state_machine.state.version for controller in site.controllers.values()}, {5}
         )
 
     async def test_what_is_no_draft_is_refused_in_plain_words(self) -> None:
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -28,7 +28,7 @@
         return answer.status, answer.wrong
 
     def shown(self) -> dict:
-        return msgspec.json.decode(self.state_machine.state.conf)
+        return msgspec.json.decode(self.state_machine.state.configuration)
 
 
 class Configurations(unittest.TestCase):
@@ -83,7 +83,7 @@
                 status, wrong = operator.send(body)
                 self.assertEqual(status, 400)
                 self.assertIn(words, wrong)
-        self.assertEqual(operator.state_machine.state.ver, 3)
+        self.assertEqual(operator.state_machine.state.version, 3)
 
     def test_a_key_is_never_told(self):
         twice = [{"Name": "a", "Apikeys": ["secret"]}, {"Name": "b", "Apikeys": ["secret"]}]
@@ -125,7 +125,7 @@
         state_machine = StateMachine()
         for number in range(13_000):
             state_machine.apply(number, encode_command(ServerLeaving(f"i-{number}", number % 2 == 0)))
-        self.assertEqual(len(state_machine.state.left), 13_000)
+        self.assertEqual(len(state_machine.state.departed_servers), 13_000)
         again = StateMachine()
         again.load(state_machine.dump())
         self.assertEqual(again.state, state_machine.state)
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -215,9 +215,9 @@
     state_machine = make_state_machine()
     one = draft(put(route(CLAIM, "/claim/", svc="b")))
     assert state_machine.apply(2, encode_command(MergeDraft(one))).status == 200
-    assert (state_machine.state.ver, state_machine.state.merged) == (5, [5])
+    assert (state_machine.state.version, state_machine.state.merged_versions) == (5, [5])
     assert state_machine.apply(3, encode_command(MergeDraft(one))).status == 200  # a neighbour's copy
-    assert state_machine.state.ver == 5
+    assert state_machine.state.version == 5
     assert [each.id for each, _ in state_machine.open_drafts().values()] == [one.id]
 
 
@@ -231,7 +231,7 @@
     )
     state_machine.apply(3, encode_command(MergeDraft(one)))
     # nothing of it stands
-    assert (state_machine.state.ver, state_machine.state.merged) == (6, [])
+    assert (state_machine.state.version, state_machine.state.merged_versions) == (6, [])
     change = {"Ver": 9, "Base": 6, "Upsert": {"Pools": [{"Name": "d"}]}}
     assert (
         state_machine.apply(4, encode_command(ConfigurationChange(False, msgspec.json.encode(change)))).status
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -253,7 +253,7 @@
         self.assertEqual(order, LiveProxies(members(self.names), [], [self.last]))
         state_machine.apply(6, encode_command(order))
         state = state_machine.state
-        self.assertEqual((state.prior, state.prior_owners), (5, self.names))
-        owners = eligible_owners(state.live_proxies, state.core, state.leaving)
+        self.assertEqual((state.previous_fencing_token, state.previous_owners), (5, self.names))
+        owners = eligible_owners(state.live_proxies, state.proxies_with_controller, state.terminating_proxies)
         self.assertEqual(sorted(owners), self.early)
         self.assertEqual(sorted(eligible_owners(state.live_proxies, [], self.names)), self.names)
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -109,7 +109,7 @@
     assert version_log.state_machine.apply(2, encode_command(one)) == ApplyResult(200)
     assert version_log.state_machine.apply(3, encode_command(other)).status == 412
     assert version_log.state_machine.apply(4, encode_command(one)) == ApplyResult(200)  # the same again
-    assert version_log.state_machine.state.ver == 8
+    assert version_log.state_machine.state.version == 8
 
 
 def test_two_under_one_number_are_told_apart(version_log: VersionLog) -> None:
@@ -140,7 +140,7 @@
 
 def test_one_too_long_ago_gets_no_clear_answer(version_log: VersionLog) -> None:
     state = version_log.state_machine.state
-    state.forgotten, state.ver = 700, 900
+    state.forgotten_version, state.version = 700, 900
     old = ConfigurationChange(False, msgspec.json.encode({"Ver": 650, "Base": 649}))
     assert version_log.state_machine.prepare(old).result.status == 504
 
@@ -152,7 +152,7 @@
             ver, encode_command(version_log.state_machine.prepare(change).command)
         )
     data, state = version_log.state_machine.dump(), version_log.state_machine.state
-    assert len(data) < 2 * len(state.conf)
+    assert len(data) < 2 * len(state.configuration)
     again = StateMachine()
     again.load(data)
     assert again.state == state
@@ -166,7 +166,7 @@
 
 
 def test_what_the_log_holds_is_what_the_operator_sent(version_log: VersionLog) -> None:
-    assert msgspec.json.decode(version_log.state_machine.state.conf) == sample_configuration(5, 2)
+    assert msgspec.json.decode(version_log.state_machine.state.configuration) == sample_configuration(5, 2)
     assert isinstance(version_log.state_machine.prepare(changed(7)).command, NewVersion)
 
 
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -152,7 +152,7 @@
         await site.kill(leader)
         await site.until(lambda: any(each.node.is_leader for each in site.controllers.values()))
         after = next(each for each in site.controllers.values() if each.node.is_leader)
-        assert after.state_machine.state.left == {"i-1": False}
+        assert after.state_machine.state.departed_servers == {"i-1": False}
         await site.until(lambda: all(each.servers["i-1"].state == "drain" for each in site.proxies.values()))
         for number in range(6):
             assert status(await site.get("m2", f"/stock/{number}", KEY)) == 200
