--- a/lapisgrade/gateway/controller/state.py
+++ b/lapisgrade/gateway/controller/state.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
-from lapisgrade.gateway.merge.three_way import Draft, Outcome
+from lapisgrade.gateway.merge.three_way import Draft, MergeOutcome
 from lapisgrade.gateway.registry import Server
 
 MAX_STAGED_VERSIONS = 8  # each waits 1.4 s at most to come into force
@@ -76,8 +76,8 @@
     staged_versions: dict[int, bytes] = {}
     merge_base: bytes = b""
     drafts: list[Draft] = []
-    outcomes: dict[str, Outcome] = {}
-    unresolved_drafts: dict[str, tuple[Draft, Outcome]] = {}
+    outcomes: dict[str, MergeOutcome] = {}
+    unresolved_drafts: dict[str, tuple[Draft, MergeOutcome]] = {}
     closed_drafts: list[str] = []
     merged_draft_ids: list[str] = []
     merged_versions: list[int] = []
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -21,7 +21,7 @@
 )
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.local_cluster import SAMPLE
-from lapisgrade.gateway.merge.three_way import drafted
+from lapisgrade.gateway.merge.three_way import make_draft
 from lapisgrade.gateway.storage.log_store import LogStore
 from support.sample_configuration import CONF
 
@@ -34,7 +34,7 @@
         change = encode_command(ConfigurationChange(True, msgspec.json.encode(SAMPLE)))
         rule = {**SAMPLE["Ports"][0]["Policy"][1], "Prio": 9}
         prio = {"Upsert": {"Ports": [{"Vhost": "a.example", "Policy": [rule]}]}}
-        draft = drafted(CONF, prio, "amel", "m1")
+        draft = make_draft(CONF, prio, "amel", "m1")
         entries = [Entry(1, 1, b"", {"first": "10.0.0.1:7660"}), Entry(2, 1, change),
                    Entry(3, 2, encode_command(MergeDraft(draft)))]  # fmt: skip
         whole = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
@@ -54,7 +54,7 @@
     return StoredLog(tmp_path)
 
 
-def test_what_is_on_it_is_told_and_nothing_is_written(stored_log: StoredLog) -> None:
+def test_a_dump_reports_the_log_and_writes_nothing(stored_log: StoredLog) -> None:
     before = stored_log.times()
     found = DiskReport(stored_log.folder)
     assert found.summary() == [
@@ -99,7 +99,7 @@
     assert "key-of-sfax" not in told
 
 
-def test_damage_is_told_and_a_torn_end_is_not_damage(stored_log: StoredLog) -> None:
+def test_corruption_is_reported_and_a_torn_tail_is_none(stored_log: StoredLog) -> None:
     path = os.path.join(stored_log.folder, "log-1.dat")
     with open(path, "ab") as file:
         file.write(b"LGD1 torn")
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -9,6 +9,7 @@
 from returns.result import Failure, Success
 
 from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.clock import now_us
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
@@ -16,7 +17,6 @@
 from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import owner_of
-from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.net.close_reason import CloseReason
 
 ME, OLD, NEW = "me", "old", "new"
@@ -39,7 +39,7 @@
         settings = SimpleNamespace(hostname=ME, ip="10.0.0.1")
         self.context = ProxyContext(settings, Random(1), now_us)
         self.quota_owner = QuotaOwner(ME, "1", 0)
-        self.quota_owner.update_members(0, MembershipUpdate(5, listed(ME, OLD), previous_token=0))
+        self.quota_owner.update_members(0, MembershipUpdate(5, listed(ME, OLD), previous_fencing_token=0))
         self.updates = SimpleNamespace(ownership_ends_us=1 << 60)
         self.asked, self.ended = [], []
         client = SimpleNamespace(quota_request=self._ask, gateways=1)
@@ -62,14 +62,14 @@
         return rpc_messages.QuotaRequest(self.tenant, 1.0, by, fence, 10.0, 10.0)
 
     def peer(self, place) -> SimpleNamespace:
-        return SimpleNamespace(refused=False)
+        return SimpleNamespace(is_refusing=False)
 
     async def call(self, place, ask: rpc_messages.QuotaRequest, within: float):
         name = (ME, OLD, NEW)[int(place[0].rpartition(".")[2]) - 1]
         self.asked.append((name, ask.fencing_token))
         await asyncio.sleep(0)
         reply = self.answers.get(name)
-        return Success(reply) if reply is not None else Failure(Verdict.MAY_HAVE_RUN)
+        return Success(reply) if reply is not None else Failure(CallFailure.MAY_HAVE_RUN)
 
 
 class Asked(unittest.IsolatedAsyncioTestCase):
@@ -86,7 +86,7 @@
         self.assertLess(time.monotonic() - began, 3 * ADD_TIMEOUT_S)
         return self.peers.ended[0].reason
 
-    async def test_an_owner_that_has_a_later_list_is_not_the_last_word(self) -> None:
+    async def test_a_rejection_by_an_owner_with_a_later_list_is_retried_after_the_update(self) -> None:
         peers = self.peers
         peers.answers = {
             OLD: rpc_messages.QuotaReply(False, fencing_token=9),
@@ -97,21 +97,23 @@
         self.assertIs(await self.add(), CloseReason.ANSWERED)
         self.assertEqual((peers.asked[0], peers.asked[-1]), ((OLD, 5), (NEW, 9)))
 
-    async def test_an_owner_without_this_list_yet_is_asked_until_it_has_it(self) -> None:
+    async def test_an_owner_with_an_earlier_list_is_asked_until_it_is_updated(self) -> None:
         peers = self.peers
-        peers.quota_owner.update_members(1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_token=5))
+        peers.quota_owner.update_members(
+            1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_fencing_token=5)
+        )
         peers.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
         asyncio.get_running_loop().call_later(
             0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
         )
         self.assertIs(await self.add(), CloseReason.ANSWERED)
 
-    async def test_it_ends_in_time_where_the_lists_never_meet(self) -> None:
+    async def test_a_call_ends_in_time_where_the_lists_never_agree(self) -> None:
         self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=9)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertLess(len(self.peers.asked), 12)
 
-    async def test_a_word_under_the_same_list_is_the_last_and_silence_is_told(self) -> None:
+    async def test_a_rejection_under_the_same_list_is_final_and_silence_is_a_time_out(self) -> None:
         self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=5)}
         self.assertIs(await self.add(), CloseReason.REJECTED)
         self.assertEqual(len(self.peers.asked), 1)
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -40,25 +40,26 @@
         self.first = owner_of("t", self.early)
         self.names = names
         self.old = QuotaOwner(self.first, "1", 0)
-        self.old.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
+        self.old.update_members(0, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
         self.new = QuotaOwner(self.last, "1", 0)
 
     def joined(self, now_us: int) -> None:
         self.new.update_members(
-            now_us, MembershipUpdate(9, members(self.names), previous_token=5, previous_owners=self.early)
+            now_us,
+            MembershipUpdate(9, members(self.names), previous_fencing_token=5, previous_owners=self.early),
         )
 
-    def test_the_first_list_of_all_begins_with_full_counts(self) -> None:
+    def test_the_first_member_list_starts_with_full_counts(self) -> None:
         reply = take(self.old, 10 * MS)
         self.assertEqual((reply.is_accepted, round(BURST - reply.total)), (True, 39))
 
-    def test_a_process_that_is_started_anew_under_the_first_list_does_not(self) -> None:
+    def test_a_process_restarted_under_the_first_list_starts_empty(self) -> None:
         """Guards against a burst for each life: the list names the life before, which may have granted."""
         again = QuotaOwner(self.first, "2", SECOND)
-        again.update_members(SECOND, MembershipUpdate(5, members(self.early), previous_token=0))
+        again.update_members(SECOND, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
         self.assertLess(BURST - take(again, SECOND + 10 * MS).total, 1.0)
 
-    def test_who_joins_adds_nothing_before_the_last_owner_has_said_its_word(self) -> None:
+    def test_a_joining_owner_grants_nothing_before_the_hand_over(self) -> None:
         """Guards against two owners at a time, where the last one is cut off as another joins (seed 865)."""
         take(self.old, SECOND)
         self.joined(2 * SECOND)
@@ -83,7 +84,7 @@
         later = take(self.new, SECOND + 102 * MS + 2 * SECOND, 0.0)
         self.assertLessEqual(BURST - later.total, BURST - 10.0)
 
-    def test_who_has_handed_over_adds_nothing_though_it_was_not_told_the_new_list_yet(self) -> None:
+    def test_an_owner_that_handed_over_grants_nothing_even_before_the_new_list_arrives(self) -> None:
         self.joined(SECOND)
         self.assertTrue(take(self.old, SECOND).is_accepted)
         self.assertFalse(self.old.hand_over(SECOND, wants(self.new)).must_wait)
@@ -91,13 +92,13 @@
         # The asker may have lied, and there is no such list: then it goes on when its word is out of date.
         self.assertTrue(take(self.old, SECOND + OWNERSHIP_LEASE_US).is_accepted)
 
-    def test_an_answer_that_was_lost_is_given_again_and_makes_no_units(self) -> None:
+    def test_a_lost_reply_is_repeated_and_creates_no_units(self) -> None:
         take(self.old, SECOND, 30.0)
         self.joined(SECOND + MS)
         for told in (False, True):
             if told:
                 self.old.update_members(
-                    SECOND + 3 * MS, MembershipUpdate(9, members(self.names), previous_token=5)
+                    SECOND + 3 * MS, MembershipUpdate(9, members(self.names), previous_fencing_token=5)
                 )
             levels = [self.old.hand_over(SECOND + 5 * MS, wants(self.new)).count.level for _ in range(2)]
             self.assertEqual([round(each) for each in levels], [10, 10])
@@ -107,7 +108,7 @@
         self.new.on_hand_over(SECOND + 7 * MS, wants(self.new), reply, self.first)
         self.assertEqual(round(BURST - take(self.new, SECOND + 7 * MS, 0.0).total), 5)
 
-    def test_a_count_is_given_to_one_life_of_its_owner_alone(self) -> None:
+    def test_a_count_is_handed_to_one_incarnation_of_its_owner(self) -> None:
         """Guards against the level of before once more for each start of the new owner (seed 1212)."""
         self.joined(SECOND)
         self.new.on_hand_over(
@@ -116,7 +117,8 @@
         take(self.new, SECOND, 35.0)
         again = QuotaOwner(self.last, "2", 2 * SECOND)
         again.update_members(
-            2 * SECOND, MembershipUpdate(9, members(self.names), previous_token=5, previous_owners=self.early)
+            2 * SECOND,
+            MembershipUpdate(9, members(self.names), previous_fencing_token=5, previous_owners=self.early),
         )
         self.assertEqual(again.predecessor(2 * SECOND, "t"), self.first)
         reply = self.old.hand_over(2 * SECOND, wants(again))
@@ -124,11 +126,11 @@
         again.on_hand_over(2 * SECOND, wants(again), reply, self.first)
         self.assertLess(BURST - take(again, 2 * SECOND + 100 * MS, 0.0).total, 1.5)
 
-    def test_what_the_last_owner_may_have_granted_without_a_word_is_not_granted_again(self) -> None:
+    def test_what_the_previous_owner_may_have_granted_is_not_granted_again(self) -> None:
         self.joined(SECOND)
         self.assertEqual(round(BURST - take(self.new, SECOND + OWNERSHIP_LEASE_US, 0.0).total), 0)
 
-    def test_who_is_owner_no_less_or_knows_no_better_hands_nothing_over(self) -> None:
+    def test_a_current_owner_or_one_with_an_older_list_hands_nothing_over(self) -> None:
         other = next(name for name in self.early if name != self.first)
         outdated = rpc_messages.HandOverRequest("t", other, 4, RATE, BURST)
         self.assertTrue(self.old.hand_over(SECOND, outdated).must_wait)
@@ -136,27 +138,34 @@
             self.old.hand_over(SECOND, msgspec.structs.replace(outdated, fencing_token=5)).must_wait
         )
         bystander = QuotaOwner(other, "1", 0)
-        bystander.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
+        bystander.update_members(0, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
         self.joined(SECOND)
         self.assertTrue(bystander.hand_over(SECOND, wants(self.new)).must_wait)
         self.assertTrue(take(self.old, SECOND).is_accepted)
 
-    def test_one_whose_own_predecessor_has_not_spoken_has_others_wait(self) -> None:
+    def test_an_owner_still_waiting_for_its_predecessor_has_others_wait(self) -> None:
         """Guards against two lists in quick succession while the first owner is cut off."""
         self.joined(SECOND)
         third = owner_of("t", [name for name in self.names if name != self.last])  # the first one again
         back = QuotaOwner(third, "2", 0)
         newest = MembershipUpdate(
-            12, members(self.names), previous_token=9, previous_owners=self.names, leaving=[self.last]
+            12,
+            members(self.names),
+            previous_fencing_token=9,
+            previous_owners=self.names,
+            terminating_proxies=[self.last],
         )
         back.update_members(SECOND + 50 * MS, newest)
         self.new.update_members(
-            SECOND + 60 * MS, MembershipUpdate(12, members(self.names), previous_token=9, leaving=[self.last])
+            SECOND + 60 * MS,
+            MembershipUpdate(
+                12, members(self.names), previous_fencing_token=9, terminating_proxies=[self.last]
+            ),
         )
         self.assertEqual(back.predecessor(SECOND + 60 * MS, "t"), self.last)
         self.assertTrue(self.new.hand_over(SECOND + 60 * MS, wants(back)).must_wait)
 
-    def test_who_owned_it_before_an_owner_that_is_gone_is_asked_too(self) -> None:
+    def test_the_owner_before_a_departed_owner_is_asked_too(self) -> None:
         """Guards against one that has not heard of the lists since, and adds on (seeds 20924 and 20976)."""
         take(self.old, SECOND - MS)
         self.joined(SECOND)  # the newcomer owns it, is never handed it, and is gone in the next list
@@ -164,18 +173,19 @@
         followed, anew = QuotaOwner(heir, "1", 0), QuotaOwner(heir, "2", 0)
         left = [name for name in self.names if name not in (self.last, self.first)] + [self.first]
         leaving = [self.first]
-        followed.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
-        followed.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_token=5))
+        followed.update_members(0, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
+        followed.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_fencing_token=5))
         followed.update_members(
-            SECOND + 300 * MS, MembershipUpdate(12, members(left), previous_token=9, leaving=leaving)
+            SECOND + 300 * MS,
+            MembershipUpdate(12, members(left), previous_fencing_token=9, terminating_proxies=leaving),
         )
         newest = MembershipUpdate(
             12,
             members(left),
-            previous_token=9,
+            previous_fencing_token=9,
             previous_owners=self.names,
             earlier_owners=[self.early],
-            leaving=leaving,
+            terminating_proxies=leaving,
         )
         anew.update_members(SECOND + 300 * MS, newest)
         for one in (followed, anew):
@@ -187,16 +197,17 @@
         self.assertFalse(take(self.old, now).is_accepted)
         self.assertGreater(BURST - take(followed, now).total, 30)
 
-    def test_a_process_that_knows_nothing_speaks_for_itself_alone(self) -> None:
+    def test_a_restarted_process_hands_over_only_its_own_count(self) -> None:
         """Guards against the owner before it, which has not heard of the lists since (seed 30524)."""
         self.joined(SECOND)
         heir = owner_of("t", [name for name in self.early if name != self.first])
         one, unknowing = QuotaOwner(heir, "1", 0), QuotaOwner(self.last, "2", SECOND)
-        one.update_members(0, MembershipUpdate(5, members(self.early), previous_token=0))
-        one.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_token=5))
+        one.update_members(0, MembershipUpdate(5, members(self.early), previous_fencing_token=0))
+        one.update_members(SECOND, MembershipUpdate(9, members(self.names), previous_fencing_token=5))
         leaving = [self.last, self.first]
         one.update_members(
-            SECOND + 300 * MS, MembershipUpdate(12, members(self.names), previous_token=9, leaving=leaving)
+            SECOND + 300 * MS,
+            MembershipUpdate(12, members(self.names), previous_fencing_token=9, terminating_proxies=leaving),
         )
         now = SECOND + 310 * MS
         self.assertEqual(one.predecessor(now, "t"), self.last)
@@ -207,7 +218,7 @@
         self.assertTrue(take(one, now).is_accepted)
         self.assertFalse(take(self.old, now).is_accepted)
 
-    def test_what_was_handed_over_stays_so_under_a_list_that_is_older_than_the_new_owner_s(self) -> None:
+    def test_a_hand_over_stands_under_a_list_older_than_the_new_owners(self) -> None:
         """Guards against an owner that hears of lists late, one after the other (seed 30136)."""
         take(self.old, SECOND - MS)
         self.joined(SECOND)
@@ -215,13 +226,14 @@
         self.new.on_hand_over(now, wants(self.new), self.old.hand_over(now, wants(self.new)), self.first)
         self.assertTrue(take(self.new, now).is_accepted)
         self.old.update_members(
-            now, MembershipUpdate(8, members(self.early), previous_token=7, previous_owners=self.early)
+            now,
+            MembershipUpdate(8, members(self.early), previous_fencing_token=7, previous_owners=self.early),
         )
         self.assertFalse(take(self.old, now).is_accepted)
-        self.old.update_members(now, MembershipUpdate(9, members(self.names), previous_token=8))
+        self.old.update_members(now, MembershipUpdate(9, members(self.names), previous_fencing_token=8))
         self.assertFalse(take(self.old, now).is_accepted)
 
-    def test_nobody_is_waited_for_whose_process_is_gone(self) -> None:
+    def test_no_hand_over_is_awaited_from_a_terminated_process(self) -> None:
         self.joined(SECOND)
         self.new.on_owner_terminated(SECOND, wants(self.new), self.first)
         self.assertTrue(take(self.new, SECOND + MS).is_accepted)
@@ -230,11 +242,11 @@
         gone = QuotaOwner(self.last, "1", 0)
         left = [name for name in self.names if name != self.first]
         gone.update_members(
-            SECOND, MembershipUpdate(9, members(left), previous_token=5, previous_owners=self.early)
+            SECOND, MembershipUpdate(9, members(left), previous_fencing_token=5, previous_owners=self.early)
         )
         self.assertEqual(gone.predecessor(SECOND, "t"), "")
 
-    def test_one_that_is_told_to_end_owns_no_counts_where_others_stay(self) -> None:
+    def test_a_proxy_shutting_down_owns_no_counts_while_others_remain(self) -> None:
         state_machine, watch = StateMachine(), Watch(SECOND, 0)
         watch.become_leader(0, 1, state_machine.state)
 
