--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -117,11 +117,11 @@
     def apply_new_version(self, command: NewVersion) -> ApplyResult:
         """Accept a version that was validated on the newest one; 412 where another came before it."""
         state, encoded = self.state, command.encoded
-        if state.applied_changes.get(encoded.ver) == command.change_digest:
+        if state.applied_changes.get(encoded.version) == command.change_digest:
             return _OK  # the same change again
         if encoded.base != state.version:
             return ApplyResult(HTTPStatus.PRECONDITION_FAILED, str(stale_base(state, encoded.base)))
-        self.accept(decode(encoded, state.configuration), encoded.ver, command.change_digest)
+        self.accept(decode(encoded, state.configuration), encoded.version, command.change_digest)
         return _OK
 
     def accept(self, configuration: bytes, version: int, change_digest: bytes) -> None:
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -155,7 +155,7 @@
         state = controller.state_machine.state
         if (
             isinstance(item, NewVersion)
-            and state.version == item.encoded.ver
+            and state.version == item.encoded.version
             and state.version not in self.versions
         ):
             self.versions[state.version] = (item.encoded.base, state.configuration, self.cluster.loop.now_us)
--- a/lapisgrade/lab/simulation/mutants.py
+++ b/lapisgrade/lab/simulation/mutants.py
@@ -114,14 +114,14 @@
 def _any_base(self: StateMachine, item: NewVersion) -> ApplyResult:
     """A version is taken on top of any other."""
     if (
-        item.encoded.ver <= self.state.version
-        or self.state.applied_changes.get(item.encoded.ver) == item.change_digest
+        item.encoded.version <= self.state.version
+        or self.state.applied_changes.get(item.encoded.version) == item.change_digest
     ):
         return _apply_new_version(self, item)
     text = (
         decode(item.encoded, self.state.configuration) if not item.encoded.base else self.state.configuration
     )
-    self.accept(text, item.encoded.ver, item.change_digest)
+    self.accept(text, item.encoded.version, item.change_digest)
     return ApplyResult(200)
 
 
