--- a/tests/support/limiter_simulation.py
+++ b/tests/support/limiter_simulation.py
@@ -1,10 +1,22 @@
-"""Real limiters among simulated clients, counter and servers, on a clock that the test moves."""
+"""Real limiters among simulated clients, counter and servers, on a clock that the test moves.
+
+`LimiterSimulation` has the clock, the list of servers, the counter and what was sent. A `LimiterHost` is the host
+of one limiter; it checks the rules of an operation at each step:
+
+1. an operation has one final answer, in time, and no attempt after it;
+2. a repeat is sent only as the category's repeat safety allows;
+3. a draining server gets no attempt after its grace;
+5. a customer's rate limit is exceeded by no more than its slack.
+"""
 
 import heapq
+from collections.abc import Callable
 from random import Random
+from typing import Any
 
 from lapisgrade.engine import Engine
 from lapisgrade.interface import (
+    AddToCounter,
     AttemptOutcome,
     AttemptResult,
     Category,
@@ -17,6 +29,7 @@
     Permissions,
     Placement,
     Plan,
+    Reject,
     RejectReason,
     RepeatSafety,
     ServerEndpoint,
@@ -27,11 +40,7 @@
 from lapisgrade.policy import Limiter
 
 SECOND = 1_000_000
-
-
-DUTIES = ServerRules(250_000, 15 * SECOND, 0.2, SECOND, 3.0)
-
-
+SERVER_RULES = ServerRules(250_000, 15 * SECOND, 0.2, SECOND, 3.0)
 CATEGORIES = [
     Category("look", RepeatSafety.IDEMPOTENT, SECOND, 2 * SECOND, 1.0),
     Category(
@@ -39,200 +48,283 @@
     ),
     Category("burn", RepeatSafety.NON_IDEMPOTENT, 2 * SECOND, 8 * SECOND, 3.0, 0.2),
 ]
-
-
 PLANS = [
     Plan("small", 2.0, 8.0, overage_cost=0.5),
     Plan("capped", 9.0, 20.0, rate_limit_per_s=18.0, rate_limit_burst=40.0, rate_limit_slack=4.0),
     Plan("narrow", 5.0, 10.0, max_in_flight=2),
     Plan("quick", 12.0, 14.0),
 ]
-
-
-class World:
-    """Clients, counter and servers of chance around real limiters; checks each rule at each step."""
-
-    def __init__(self, seed, limiters=3, servers=6, second_copies=True, chances=(70, 8, 6, 6, 5, 5)):
-        self.random, self.now, self.queue, self.order = Random(seed), 7 * SECOND, [], 0
-        self.limiters, self.second_copies, self.chances = limiters, second_copies, chances
-        self.counts, self.silent, self.lossy, self.gates = {}, False, 0.0, [None] * limiters
-        self.entries = {
+OUTCOMES = [
+    AttemptOutcome.OK,
+    AttemptOutcome.ERROR,
+    AttemptOutcome.OVERLOADED,
+    AttemptOutcome.CONNECT_FAILED,
+    AttemptOutcome.CONNECTION_LOST,
+    None,  # no response
+]
+OUTCOME_WEIGHTS = (70, 8, 6, 6, 5, 5)
+ALWAYS_OK = (1, 0, 0, 0, 0, 0)
+MEAN_LATENCY_US = 120_000
+COUNTER_TIMEOUT_US = 30_000
+ANSWER_LEEWAY_US = 8_000  # that an answer may be later than the operation's deadline
+CANCELLATION_US = 2_000
+
+
+class LimiterSimulation:
+    """Simulated time, and all that limiters talk to.
+
+    Attributes:
+        limiters: The hosts of the limiters, by index.
+        endpoints: Every server's entry in the list, by name.
+        counts: The counter's data.
+        is_counter_silent: The counter answers nothing.
+        counter_loss: The share of the counter's replies that are lost, once it has counted.
+        attempts: Every attempt that was sent.
+        replies: Operation, final answer and its time, of each that has one.
+    """
+
+    def __init__(
+        self,
+        seed: int,
+        limiters: int = 3,
+        servers: int = 6,
+        allow_hedging: bool = True,
+        outcome_weights: tuple[int, ...] = OUTCOME_WEIGHTS,
+    ) -> None:
+        self.random, self.now = Random(seed), 7 * SECOND
+        self.limiter_count, self.allow_hedging = limiters, allow_hedging
+        self.outcome_weights = outcome_weights
+        self.counts: dict[int, float] = {}
+        self.is_counter_silent, self.counter_loss = False, 0.0
+        self.endpoints = {
             f"s{i}": ServerEndpoint(f"s{i}", ServerState.READY, f"z{i % 2}", i % 3, 1.0)
             for i in range(servers)
         }
-        self.stores, self.answers, self.ran = {}, [], []
+        self.rate_limits: dict[str, tuple[float, int]] = {}  # by customer: level, and when
+        self.attempts: list[SimulatedAttempt] = []
+        self.replies: list[tuple[Operation, Any, int]] = []
+        self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._scheduled = 0
+        self.limiters: list[LimiterHost] = [None] * limiters
         for i in range(limiters):
-            self.start(i)
+            self.start_limiter(i)
 
-    def at(self, delay, call, *args):
-        self.order += 1
-        heapq.heappush(self.queue, (self.now + max(1, int(delay)), self.order, call, args))
+    def schedule(self, delay_us: float, call: Callable[..., None], *args: Any) -> None:
+        """Call it after that time; calls of one moment come in the order that they were scheduled in."""
+        self._scheduled += 1
+        heapq.heappush(self._events, (self.now + max(1, int(delay_us)), self._scheduled, call, args))
 
-    def start(self, i):
-        self.gates[i] = Gate(self, i)
+    def start_limiter(self, i: int) -> None:
+        """Start that limiter, or replace it by a new process."""
+        self.limiters[i] = LimiterHost(self, i)
 
-    def list(self, **states):
+    def set_states(self, **states: ServerState) -> None:
+        """Give servers, by name, a new state in the list that every limiter has."""
         for name, state in states.items():
-            old = self.entries[name]
-            started = (
-                self.now
-                if state is ServerState.READY and old.state is not ServerState.READY
-                else old.started_us
-            )
-            self.entries[name] = ServerEndpoint(name, state, old.zone, old.cell, old.weight, "", started)
-            for gate in self.gates:
-                gate.told[name] = (state, self.now)
-                gate.module.update_servers([self.entries[name]], False)
-
-    def arrive(self, i, category=0, plan=0, customer="c0", units=1, budget=None):
+            old = self.endpoints[name]
+            restarted = state is ServerState.READY and old.state is not ServerState.READY
+            started_us = self.now if restarted else old.started_us
+            endpoint = ServerEndpoint(name, state, old.zone, old.cell, old.weight, "", started_us)
+            self.endpoints[name] = endpoint
+            for host in self.limiters:
+                host.known_states[name] = (state, self.now)
+                host.limiter.update_servers([endpoint], False)
+
+    def submit(
+        self,
+        i: int,
+        category: int = 0,
+        plan: int = 0,
+        customer: str = "c0",
+        units: int = 1,
+        timeout_us: int | None = None,
+    ) -> Operation:
+        """A client's operation arrives at that limiter."""
         kind = CATEGORIES[category]
-        gate, ends = self.gates[i], self.now + (budget or kind.timeout_us)
-        op = Operation(customer, PLANS[plan], kind, units, self.now, ends, self.limiters)
-        gate.owed[id(op)] = op
-        gate.hops[id(op)] = []
-        self.at(ends - self.now + 8_000, gate.overdue, op)
-        gate.engine.run(gate.module.handle(op), op)
-        return op
-
-    def run(self, until):
-        while self.queue and self.queue[0][0] <= until:
-            self.now, _, call, args = heapq.heappop(self.queue)
+        host, deadline_us = self.limiters[i], self.now + (timeout_us or kind.timeout_us)
+        operation = Operation(customer, PLANS[plan], kind, units, self.now, deadline_us, self.limiter_count)
+        host.pending[id(operation)] = operation
+        host.attempts_of[id(operation)] = []
+        self.schedule(deadline_us - self.now + ANSWER_LEEWAY_US, host.check_answered, operation)
+        host.engine.run(host.limiter.handle(operation), operation)
+        return operation
+
+    def run(self, until_us: int) -> None:
+        """Move the clock, and do all that is due by then."""
+        while self._events and self._events[0][0] <= until_us:
+            self.now, _, call, args = heapq.heappop(self._events)
             owner = getattr(call, "__self__", None)
-            if isinstance(owner, Gate):
-                if self.gates[owner.index] is not owner:
-                    continue  # of an earlier life
+            if isinstance(owner, LimiterHost):
+                if self.limiters[owner.index] is not owner:
+                    continue  # of a process that was replaced
                 owner.clock.now_us = self.now
                 owner.engine.run_due_timers()
             call(*args)
-        self.now = until
-        for gate in self.gates:
-            gate.clock.now_us = until
-            gate.engine.run_due_timers()
-
-    def chance(self):
-        """How a hop ends, and when."""
-        ends = [
-            AttemptOutcome.OK,
-            AttemptOutcome.ERROR,
-            AttemptOutcome.OVERLOADED,
-            AttemptOutcome.CONNECT_FAILED,
-            AttemptOutcome.CONNECTION_LOST,
-            None,
-        ]
-        outcome = self.random.choices(ends, self.chances)[0]
-        return outcome, self.random.expovariate(1 / 120_000) + 1_000
-
-
-class Gate:
-    """One limiter under test, and what the rules say of it."""
-
-    def __init__(self, world, index):
-        self.world, self.index, self.clock = world, index, Clock(world.now)
+        self.now = until_us
+        for host in self.limiters:
+            host.clock.now_us = until_us
+            host.engine.run_due_timers()
+
+    def draw_outcome(self) -> tuple[AttemptOutcome | None, float]:
+        """How an attempt ends, and after how many us; no outcome for no response."""
+        outcome = self.random.choices(OUTCOMES, self.outcome_weights)[0]
+        return outcome, self.random.expovariate(1 / MEAN_LATENCY_US) + 1_000
+
+
+class SimulatedAttempt:
+    """An attempt as the servers saw it; `outcome` is None while it is in flight."""
+
+    def __init__(self, attempt: Any, name: str, sent_us: int) -> None:
+        self.attempt, self.name, self.sent_us = attempt, name, sent_us
+        self.outcome: AttemptOutcome | None = None
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether the server may have executed the operation."""
+        return not (self.outcome and self.outcome.never_ran)
+
+
+class LimiterHost:
+    """The host of one limiter under test, which checks the rules at each step.
+
+    Attributes:
+        pending: Operations without a final answer, by id().
+        attempts_of: Each operation's attempts, by its id().
+        known_states: Each server's state as this limiter knows it, and since when.
+        log_lines: What the limiter logged.
+    """
+
+    def __init__(self, simulation: LimiterSimulation, index: int) -> None:
+        self.simulation, self.index, self.clock = simulation, index, Clock(simulation.now)
         self.engine = Engine(self, self.clock)
-        self.owed, self.hops, self.told, self.said = {}, {}, {}, []
-        self.module = Limiter(
+        self.pending: dict[int, Operation] = {}
+        self.attempts_of: dict[int, list[SimulatedAttempt]] = {}
+        self.known_states: dict[str, tuple[ServerState, int]] = {}
+        self.log_lines: list[str] = []
+        self.limiter = Limiter(
             self.clock,
-            world.random.getrandbits(40),
-            Placement(index, world.limiters, "z0"),
-            CounterSettings(True, 30_000),
+            simulation.random.getrandbits(40),
+            Placement(index, simulation.limiter_count, "z0"),
+            CounterSettings(True, COUNTER_TIMEOUT_US),
             CATEGORIES,
-            DUTIES,
-            Permissions(4, True, world.second_copies, False, 500_000),
+            SERVER_RULES,
+            Permissions(4, True, simulation.allow_hedging, False, 500_000),
         )
-        self.module.update_servers(list(world.entries.values()), True)
-
-    def send(self, hop):
-        op, world, name = hop.operation, self.world, hop.server.address
-        hops = self.hops[id(op)]
-        assert id(op) in self.owed and world.now < op.deadline_us, "rule 1: a hop for what has its answer"
-        live = [each for each in hops if not (each.ended and each.ended.never_ran)]
-        if op.category.repeat_safety is RepeatSafety.NON_IDEMPOTENT:
-            assert not live, "rule 2: an unrepeatable operation sent twice"
-        if op.category.repeat_safety is RepeatSafety.DEDUPLICATED and live:
-            first, zone = live[0], world.entries[name].zone
-            assert zone == world.entries[first.name].zone, "rule 2: sent outside the group"
-            assert world.now <= first.sent + op.category.deduplication_window_us, (
-                "rule 2: sent after it is forgotten"
+        self.limiter.update_servers(list(simulation.endpoints.values()), True)
+
+    # What the engine asks of its host
+
+    def send(self, attempt: Any) -> None:
+        """Send an attempt, if the rules allow it, and draw how it ends."""
+        operation, simulation = attempt.operation, self.simulation
+        earlier = self.attempts_of[id(operation)]
+        self._check_attempt(operation, earlier, attempt.server.address)
+        if not earlier and operation.plan.rate_limit_per_s:
+            self._check_rate_limit(operation)
+        sent = SimulatedAttempt(attempt, attempt.server.address, simulation.now)
+        earlier.append(sent)
+        simulation.attempts.append(sent)
+        outcome, after_us = simulation.draw_outcome()
+        if outcome is None or after_us > operation.deadline_us - simulation.now:
+            outcome, after_us = AttemptOutcome.TIMED_OUT, operation.deadline_us - simulation.now
+        simulation.schedule(after_us, self._finish_attempt, operation, sent, outcome)
+
+    def cancel(self, attempt: Any) -> None:
+        """The attempt ends as cancelled, unless something else comes first."""
+        for sent in self.attempts_of[id(attempt.operation)]:
+            if sent.attempt is attempt:
+                cancelled = (attempt.operation, sent, AttemptOutcome.CANCELLED)
+                self.simulation.schedule(CANCELLATION_US, self._finish_attempt, *cancelled)
+
+    def reject(self, operation: Operation, answer: Reject) -> None:
+        """The limiter's own final answer."""
+        assert self.pending.pop(id(operation), None) is operation, "rule 1: a second final answer"
+        may_have_run = any(each.may_have_run for each in self.attempts_of[id(operation)])
+        if answer.reason is RejectReason.RETRY_LATER and may_have_run:
+            assert operation.category.repeat_safety is RepeatSafety.IDEMPOTENT, (
+                "rule 2: told the client to retry what may have run"
             )
-        assert world.second_copies or all(each.ended for each in hops), "two hops out at once"
-        state, since = self.told.get(name, (ServerState.READY, 0))
-        assert state is ServerState.READY or world.now <= since + DUTIES.drain_grace_us, "rule 3"
-        if not hops and op.plan.rate_limit_per_s:
-            store = world.stores.setdefault(op.customer, [op.plan.rate_limit_burst, world.now])
-            filled = store[0] + op.plan.rate_limit_per_s * (world.now - store[1]) / SECOND
-            store[:] = min(op.plan.rate_limit_burst, filled) - op.units, world.now
-            assert store[0] >= -op.plan.rate_limit_slack, "rule 5"
-        sent = Sent(hop, name, world.now)
-        hops.append(sent)
-        world.ran.append(sent)
-        outcome, after = world.chance()
-        if outcome is None or after > op.deadline_us - world.now:
-            outcome, after = AttemptOutcome.TIMED_OUT, op.deadline_us - world.now
-        world.at(after, self.land, op, sent, outcome)
-
-    def land(self, op, sent, outcome):
-        if sent.ended is not None:
+        self.simulation.replies.append((operation, answer, self.simulation.now))
+
+    def add_to_counter(self, task: Any, add: AddToCounter) -> None:
+        """Call the counter, which replies later, or not at all."""
+        simulation = self.simulation
+        assert abs(add.amount) <= 1e9, "more than the counter accepts"
+        if simulation.is_counter_silent:
+            timed_out = CounterReply(CounterOutcome.TIMED_OUT)
+            simulation.schedule(COUNTER_TIMEOUT_US, self._on_counter_reply, task, timed_out)
             return
-        sent.ended = outcome
-        closed = outcome is AttemptOutcome.OK or id(op) not in self.owed
-        report = AttemptResult(outcome, self.world.now - sent.sent, closed)
-        self.module.on_attempt_finished(sent.hop, report)
-        if id(op) in self.owed:
-            if closed:
-                del self.owed[id(op)]
-                self.world.answers.append((op, AttemptOutcome.OK, self.world.now))
-            self.engine.attempt_finished(sent.hop, report)
-
-    def cancel(self, hop):
-        for sent in self.hops[id(hop.operation)]:
-            if sent.hop is hop:
-                self.world.at(2_000, self.land, hop.operation, sent, AttemptOutcome.CANCELLED)
-
-    def reject(self, op, answer):
-        assert self.owed.pop(id(op), None) is op, "rule 1: a second final answer"
-        live = [each for each in self.hops[id(op)] if not (each.ended and each.ended.never_ran)]
-        if answer.reason is RejectReason.RETRY_LATER and live:
-            assert op.category.repeat_safety is RepeatSafety.IDEMPOTENT, (
-                "rule 2: turned back what may have run"
+        simulation.counts[add.counter_id] = simulation.counts.get(add.counter_id, 0.0) + add.amount
+        reply = CounterReply(CounterOutcome.ADDED, simulation.counts[add.counter_id])
+        if simulation.random.random() < simulation.counter_loss:
+            reply = CounterReply(CounterOutcome.TIMED_OUT)
+        simulation.schedule(simulation.random.randrange(800, 4_000), self._on_counter_reply, task, reply)
+
+    def log(self, text: str) -> None:
+        """Keep a log line."""
+        self.log_lines.append(text)
+
+    def schedule_wakeup(self, when_us: int) -> None:
+        """Run the engine's timers then."""
+        self.simulation.schedule(when_us - self.simulation.now, self._on_timer)
+
+    # What the simulation does
+
+    def disconnect(self, operation: Operation) -> None:
+        """The client disconnects before its answer."""
+        if self.pending.pop(id(operation), None) is not None:
+            operation.is_abandoned = True
+            self.engine.wake(operation, WakeReason.CLIENT_GONE)
+
+    def check_answered(self, operation: Operation) -> None:
+        """The operation must have its final answer by now."""
+        assert id(operation) not in self.pending, "rule 1: no final answer in time"
+
+    def _check_attempt(self, operation: Operation, earlier: list[SimulatedAttempt], server: str) -> None:
+        simulation, category = self.simulation, operation.category
+        assert id(operation) in self.pending, "rule 1: an attempt after the final answer"
+        assert simulation.now < operation.deadline_us, "rule 1: an attempt after the deadline"
+        effective = [each for each in earlier if each.may_have_run]
+        if category.repeat_safety is RepeatSafety.NON_IDEMPOTENT:
+            assert not effective, "rule 2: a non-idempotent operation sent twice"
+        if category.repeat_safety is RepeatSafety.DEDUPLICATED and effective:
+            first, zone = effective[0], simulation.endpoints[server].zone
+            assert zone == simulation.endpoints[first.name].zone, "rule 2: sent outside the scope"
+            assert simulation.now <= first.sent_us + category.deduplication_window_us, (
+                "rule 2: sent after the deduplication window"
             )
-        self.world.answers.append((op, answer, self.world.now))
-
-    def overdue(self, op):
-        assert id(op) not in self.owed, "rule 1: no final answer in time"
-
-    def leave(self, op):
-        """The client goes early."""
-        if self.owed.pop(id(op), None) is not None:
-            op.is_abandoned = True
-            self.engine.wake(op, WakeReason.CLIENT_GONE)
-
-    def add_to_counter(self, task, add):
-        world = self.world
-        assert abs(add.amount) <= 1e9, "more than the counter takes"
-        if world.silent:
-            world.at(30_000, self.counted, task, CounterReply(CounterOutcome.TIMED_OUT))
+        assert simulation.allow_hedging or all(each.outcome for each in earlier), (
+            "two attempts in flight at once"
+        )
+        state, since_us = self.known_states.get(server, (ServerState.READY, 0))
+        is_allowed = state is ServerState.READY or simulation.now <= since_us + SERVER_RULES.drain_grace_us
+        assert is_allowed, "rule 3: an attempt after the drain grace"
+
+    def _check_rate_limit(self, operation: Operation) -> None:
+        """Rule 5: the first attempt of each operation takes its units."""
+        now, plan = self.simulation.now, operation.plan
+        full = (plan.rate_limit_burst, now)
+        level, since_us = self.simulation.rate_limits.get(operation.customer, full)
+        filled = level + plan.rate_limit_per_s * (now - since_us) / SECOND
+        level = min(plan.rate_limit_burst, filled) - operation.units
+        assert level >= -plan.rate_limit_slack, "rule 5: the rate limit is exceeded"
+        self.simulation.rate_limits[operation.customer] = (level, now)
+
+    def _finish_attempt(self, operation: Operation, sent: SimulatedAttempt, outcome: AttemptOutcome) -> None:
+        if sent.outcome is not None:
             return
-        world.counts[add.counter_id] = world.counts.get(add.counter_id, 0.0) + add.amount
-        total = CounterReply(CounterOutcome.ADDED, world.counts[add.counter_id])
-        if world.random.random() < world.lossy:
-            total = CounterReply(CounterOutcome.TIMED_OUT)
-        world.at(world.random.randrange(800, 4_000), self.counted, task, total)
-
-    def counted(self, task, total):
-        self.engine.counter_replied(task, total)
-
-    def log(self, text):
-        self.said.append(text)
-
-    def schedule_wakeup(self, when_us):
-        self.world.at(when_us - self.world.now, self.tick)
-
-    def tick(self):
+        sent.outcome = outcome
+        is_settled = outcome is AttemptOutcome.OK or id(operation) not in self.pending
+        result = AttemptResult(outcome, self.simulation.now - sent.sent_us, is_settled)
+        self.limiter.on_attempt_finished(sent.attempt, result)
+        if id(operation) in self.pending:
+            if is_settled:
+                del self.pending[id(operation)]
+                self.simulation.replies.append((operation, AttemptOutcome.OK, self.simulation.now))
+            self.engine.attempt_finished(sent.attempt, result)
+
+    def _on_counter_reply(self, task: Any, reply: CounterReply) -> None:
+        self.engine.counter_replied(task, reply)
+
+    def _on_timer(self) -> None:
         self.engine.run_due_timers(ticked=True)
-
-
-class Sent:
-    """A hop as the world saw it."""
-
-    def __init__(self, hop, name, sent):
-        self.hop, self.name, self.sent, self.ended = hop, name, sent, None
