--- a/lapisgrade/gateway/__init__.py
+++ b/lapisgrade/gateway/__init__.py
@@ -1,5 +1,7 @@
-"""The whole system round the limiter: control that keeps the configuration and the list of servers, and
-proxies that take both from it, route, and limit. docs/design/system.md says which part does what."""
+"""The gateway round the limiter: controllers keep the configuration and the server registry, proxies route.
+
+docs/design/system.md says which part does what.
+"""
 
 import time
 
--- a/lapisgrade/gateway/configuration.py
+++ b/lapisgrade/gateway/configuration.py
@@ -32,13 +32,13 @@
     return field(metadata={"wire": name}, **options)
 
 
-def check_positive(_: Any, attribute: Any, value: float) -> None:
+def check_positive(_: Any, attribute: Any, value: Any) -> None:
     """Validate a number above 0."""
     if value <= 0:
         raise ValueError(f"{wire_name(attribute.name)} is {value}, not above 0")
 
 
-def check_not_negative(_: Any, attribute: Any, value: float) -> None:
+def check_not_negative(_: Any, attribute: Any, value: Any) -> None:
     """Validate a number from 0 on."""
     if value < 0:
         raise ValueError(f"{wire_name(attribute.name)} is {value}, below 0")
--- a/lapisgrade/gateway/http_client.py
+++ b/lapisgrade/gateway/http_client.py
@@ -3,6 +3,7 @@
 import asyncio
 from collections.abc import Iterable
 from http import HTTPStatus
+from typing import cast
 
 import h11
 
@@ -51,6 +52,7 @@
             message = await send_request(address, "POST", target, body, {"Content-Type": "application/json"})
         except (OSError, TimeoutError, MalformedMessageError):  # it may end in the midst of a reply
             continue
-        if message.head.status_code < HTTPStatus.INTERNAL_SERVER_ERROR:
-            return message.head.status_code
+        response = cast(h11.Response, message.head)
+        if response.status_code < HTTPStatus.INTERNAL_SERVER_ERROR:
+            return response.status_code
     return 0
--- a/lapisgrade/gateway/merge/__init__.py
+++ b/lapisgrade/gateway/merge/__init__.py
@@ -1,2 +1,1 @@
-"""Edits that were made on both sides of a break become one configuration. Decides which fields of a draft
-stand; never what is acknowledged, and never by a clock."""
+"""Edits made on both sides of a partition, and what they come to together. Pure."""
--- a/lapisgrade/gateway/merge/fields.py
+++ b/lapisgrade/gateway/merge/fields.py
@@ -133,7 +133,7 @@
     configuration.update(top_level)
     configuration["Ports"] = _build_ports(items, layout)
     for key in (SERVICES, TENANTS):
-        order = [(key, item["Name"]) for item in layout.get(key) or []]
+        order: list[Path] = [(key, item["Name"]) for item in layout.get(key) or []]
         listed = [{"Name": path[1], **items[path]} for path in _ordered(items, key, order)]
         if listed or (key,) in fields or (key in layout and key == SERVICES):
             configuration[key] = listed
@@ -157,7 +157,7 @@
 
 def _build_ports(items: dict[Path, Json], layout: Json) -> list[Json]:
     layout_ports = layout.get("Ports") or []
-    order = [(ROUTES, rule["Name"]) for port in layout_ports for rule in port.get("Policy") or []]
+    order: list[Path] = [(ROUTES, rule["Name"]) for port in layout_ports for rule in port.get("Policy") or []]
     port_by_host = {port["Vhost"]: port for port in layout_ports}
     rules_by_host: dict[str, list[Json]] = {}
     for path in _ordered(items, ROUTES, order):
--- a/lapisgrade/gateway/rpc_peer.py
+++ b/lapisgrade/gateway/rpc_peer.py
@@ -38,7 +38,7 @@
         """Send a call and return its reply, or how the call failed."""
         self._last_number += 1
         number = self._last_number
-        future = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[Result[Any, CallFailure]] = asyncio.get_running_loop().create_future()
         self._waiting[number] = future
         self._send(number, message)
         try:
--- a/lapisgrade/gateway/settings.py
+++ b/lapisgrade/gateway/settings.py
@@ -149,7 +149,7 @@
     Raises:
         ValueError: The text is no address.
     """
-    host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
+    host, _separator, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is not an address such as 10.0.0.4:8407")
     return Address((host, int(port)))
@@ -186,7 +186,7 @@
 
 def _record_hook(converter: cattrs.Converter, kind: type) -> Callable[..., Any]:
     """Return a hook that reads a record whose fields have their keys of the wire."""
-    overrides = {
+    overrides: dict[str, Any] = {
         each.name: override(rename=each.metadata.get("wire", wire_name(each.name))) for each in fields(kind)
     }
     return make_dict_structure_fn(kind, converter, **overrides)
@@ -251,6 +251,7 @@
         raise SettingsError(f"{path}: not an object")
     raw = {key: value for key, value in raw.items() if value is not None}  # null: the machine has none
     try:
-        return structure(strict_converter(), raw, Settings)
+        settings: Settings = structure(strict_converter(), raw, Settings)
     except InvalidInputError as error:
         raise SettingsError(f"{path}: {error}") from None
+    return settings
