--- a/tests/support/limiter_simulation.py
+++ b/tests/support/limiter_simulation.py
@@ -1,7 +1,7 @@
 """Real limiters among simulated clients, counter and servers, on a clock that the test moves.
 
-`LimiterSimulation` has the clock, the list of servers, the counter and what was sent. A `LimiterHost` is the host
-of one limiter; it checks the rules of an operation at each step:
+`LimiterSimulation` has the clock, the list of servers, the counter and what was sent. A `LimiterHost` is the
+host of one limiter; it checks the rules of an operation at each step:
 
 1. an operation has one final answer, in time, and no attempt after it;
 2. a repeat is sent only as the category's repeat safety allows;
