--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -26,7 +26,7 @@
     ServerSnapshot,
 )
 from lapisgrade.gateway.controller.state_machine import StateMachine
-from lapisgrade.gateway.merge.three_way import told
+from lapisgrade.gateway.merge.three_way import describe_draft
 from lapisgrade.gateway.storage.draft_store import read_drafts
 from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
@@ -61,7 +61,7 @@
         self.state_machine = StateMachine()
         if first.state:
             self.state_machine.load(first.state)
-        self.snapshot_version = self.state_machine.state.ver
+        self.snapshot_version = self.state_machine.state.version
         self.history: list[str] = []  # what the log's entries did, in their order
         for entry in replicated.entries:
             self._apply(entry)
@@ -76,12 +76,15 @@
             f"term {self.term}; a snapshot up to entry {self.snapshot_index} "
             f"(version {self.snapshot_version}), {self.entry_count} entries after it",
             f"voters: {voters}",
-            f"newest version {state.ver}, in force {state.acting_ver}; servers that left {len(state.left)}, "
+            f"newest version {state.version}, in force {state.active_version}; "
+            f"servers that left {len(state.departed_servers)}, "
             f"proxies in the list of live proxies {len(state.live_proxies)}",
         ]
         for draft, outcome in self.state_machine.open_drafts().values():
-            lines.append(f"draft {draft.id} by {draft.by}: {told(draft, outcome)['State']}")
-        lines += [f"draft {draft.id} by {draft.by}: kept, not handed in" for draft in self.drafts.values()]
+            lines.append(f"draft {draft.id} by {draft.author}: {describe_draft(draft, outcome)['State']}")
+        lines += [
+            f"draft {draft.id} by {draft.author}: kept, not handed in" for draft in self.drafts.values()
+        ]
         return lines
 
     def _apply(self, entry: Entry) -> None:
@@ -94,12 +97,12 @@
     def _apply_item(self, entry: Entry) -> None:
         """Apply an entry, and describe what it did; keys and addresses are not shown."""
         item, state = _ITEM_DECODER.decode(entry.data), self.state_machine.state
-        version, conf = state.ver, state.conf
+        version, conf = state.version, state.configuration
         answer = self.state_machine.apply(entry.index, entry.data)
-        self._add_history(entry, _describe_item(item, answer, version, state.ver))
-        if state.ver != version:
+        self._add_history(entry, _describe_item(item, answer, version, state.version))
+        if state.version != version:
             before = msgspec.json.decode(conf) if conf else {}
-            changes = describe_changes(before, msgspec.json.decode(state.conf))
+            changes = describe_changes(before, msgspec.json.decode(state.configuration))
             self.history += [f"  {change}" for change in changes]
 
     def _add_history(self, entry: Entry, what: str) -> None:
@@ -138,7 +141,7 @@
             return f"version {version} on {version_before} was accepted"
         case MergeDraft(draft=draft):
             outcome = f"merged as version {version}" if version != version_before else "nothing of it stands"
-            return f"draft {draft.id} by {draft.by}: {outcome}"
+            return f"draft {draft.id} by {draft.author}: {outcome}"
         case CloseDraft():
             return f"draft {item.draft_id}: closed"
         case Activate():
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -142,7 +142,7 @@
 
     def _decode(self, encoded_version: EncodedVersion) -> RouteTable:
         text = decode(encoded_version, self.texts.get(encoded_version.base, b""))
-        self.texts[encoded_version.ver] = text
+        self.texts[encoded_version.version] = text
         return RouteTable(configuration.read(msgspec.json.decode(text)))
 
     def _activate(self, table: RouteTable) -> None:
@@ -227,7 +227,9 @@
         self.state_machine.apply(self.last_index, data)
         state = self.state_machine.state
         live_proxies = sorted(state.live_proxies)
-        self.note(f"log: newest {state.ver}, in force {state.acting_ver}, live proxies {live_proxies}")
+        self.note(
+            f"log: newest {state.version}, in force {state.active_version}, live proxies {live_proxies}"
+        )
         self.reply_to_pending()
 
     def change(self, added: int, withdrawn: int | None = None) -> None:
@@ -238,7 +240,8 @@
         state = self.state_machine.state
         tenants = [number for number in range(self.tenant_count) if number not in self.withdrawn]
         self._commit(
-            encode_command(ConfigurationChange(True, conf(state.ver + 1, state.ver, tenants))), self.term
+            encode_command(ConfigurationChange(True, conf(state.version + 1, state.version, tenants))),
+            self.term,
         )
 
     def on_watch_request(self, call: WatchCall) -> None:
@@ -349,7 +352,7 @@
 
 def _activate_at_once(self: Watch, now: int, state: State) -> Activate | None:
     """A version comes into force before the proxies have staged it."""
-    return Activate(state.ver) if state.ver > state.acting_ver else None
+    return Activate(state.version) if state.version > state.active_version else None
 
 
 DEFECTS: Defects = {
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -13,8 +13,8 @@
 from lapisgrade.gateway.controller.commands import ConfigurationChange, MergeDraft, encode_command
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.merge.fields import fields
-from lapisgrade.gateway.merge.three_way import Draft, drafted, merge_drafts
+from lapisgrade.gateway.merge.fields import to_fields
+from lapisgrade.gateway.merge.three_way import Draft, make_draft, merge_drafts
 from lapisgrade.lab.explore.cluster import Cluster
 from lapisgrade.lab.explore.defects import Defect, Defects
 from lapisgrade.lab.explore.exploration import Exploration, ExplorationResult, Print, print_nothing
@@ -83,7 +83,7 @@
         drafts: list[Draft] = []
         while len(drafts) < count:
             try:
-                drafts.append(drafted(base, self.change(), f"editor {len(drafts)}", "m"))
+                drafts.append(make_draft(base, self.change(), f"editor {len(drafts)}", "m"))
             except InvalidInputError:
                 continue
         return drafts
@@ -183,9 +183,12 @@
         for index, data in enumerate(commands, 1):
             state_machine.apply(index, data)
         state = state_machine.state
-        if lost := {draft.id for draft in drafts} - set(state.seen):
+        if lost := {draft.id for draft in drafts} - set(state.merged_draft_ids):
             cluster.report_violation(f"{name}: a draft that was kept is lost: {sorted(lost)}")
-        elif fields(msgspec.json.decode(state.conf)) != fields(expected) or state.outcomes != outcomes:
+        elif (
+            to_fields(msgspec.json.decode(state.configuration)) != to_fields(expected)
+            or state.outcomes != outcomes
+        ):
             cluster.report_violation(f"{name}: the drafts came to something else")
 
 
