--- a/lapisgrade/gateway/controller/consensus_driver.py
+++ b/lapisgrade/gateway/controller/consensus_driver.py
@@ -17,6 +17,7 @@
 from http import HTTPStatus
 from typing import Protocol
 
+from lapisgrade.errors import LapisgradeError
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.consensus.messages import Entry
 from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
@@ -53,6 +54,10 @@
         """Have pending watch requests looked at again."""
 
 
+class NodeNotStartedError(LapisgradeError):
+    """Something was asked of the consensus node of a controller that has none, or not yet."""
+
+
 class ConsensusObserver:
     """Is called at the steps of a driver; the laboratory's invariants are checked there. Does nothing."""
 
@@ -88,9 +93,11 @@
         self._clock = clock
         self._metrics = metrics
         self.observer = observer
-        self._log_writer: LogWriter | None = None
-        self._leader_tasks: LeaderTasks | None = None
-        self._pending_proposals: dict[tuple[int, int], asyncio.Future] = {}  # by index and term
+        self._log_writer: LogWriter  # set by `start`, as the next one
+        self._leader_tasks: LeaderTasks
+        self._pending_proposals: dict[
+            tuple[int, int], asyncio.Future[ApplyResult | None]
+        ] = {}  # by index and term
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, node: Node, log_writer: LogWriter, leader_tasks: LeaderTasks) -> None:
@@ -100,6 +107,13 @@
         self._leader_tasks = leader_tasks
         self.observer.on_started()
 
+    @property
+    def started_node(self) -> Node:
+        """The node, for what runs only after `start`."""
+        if self.node is None:
+            raise NodeNotStartedError("this controller has no consensus node, or has not started it yet")
+        return self.node
+
     def close(self) -> None:
         """Cancel the timer."""
         if self._timer is not None:
@@ -109,8 +123,9 @@
 
     def is_leader(self) -> bool:
         """Return whether this node may serve as the leader now: established, and with a valid lease."""
-        if self.node is not None:
-            self.node.advance_clock(self._clock())
+        if self.node is None:
+            return False
+        self.node.advance_clock(self._clock())
         is_leader = self.is_established and self.node.has_lease()
         if is_leader:
             self.observer.on_lease_confirmed()
@@ -130,7 +145,7 @@
 
     def on_written(self, writes: list[DurableWrite], last_index: int, last_term: int) -> None:
         """Note that those writes are on disk, and send the messages that waited for them."""
-        node = self.node
+        node = self.started_node
         node.on_write_durable(self._clock(), last_index, last_term)
         for write in writes:
             for address, message in write.sends_when_durable:
@@ -142,7 +157,7 @@
 
     def step_down(self) -> None:
         """Give up leadership, to a voter with a complete log where there is one."""
-        self.node.step_down()
+        self.started_node.step_down()
         self.step()
 
     async def propose(self, data: bytes) -> ApplyResult | None:
@@ -152,10 +167,10 @@
             The state machine's result. None if this node doesn't lead, or if the outcome is not known
             within `COMMIT_TIMEOUT_S`: the command may be applied later.
         """
-        position = self.node.propose(data)
+        position = self.started_node.propose(data)
         if position is None:
             return None
-        future = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[ApplyResult | None] = asyncio.get_running_loop().create_future()
         self._pending_proposals[position] = future
         self.step()
         try:
@@ -171,7 +186,7 @@
         for command in commands:
             if command is not None:
                 self._metrics.commands_proposed[type(command).__name__] += 1
-                self.node.propose(encode_command(command))
+                self.started_node.propose(encode_command(command))
 
     # ---- effects of the node
 
@@ -253,7 +268,7 @@
                 future.set_result(None)
 
     def _on_timer(self) -> None:
-        self.node.tick(self._clock())
+        self.started_node.tick(self._clock())
         if self.is_established:
             self._leader_tasks.on_timer()
         if self.is_leader():
--- a/lapisgrade/gateway/controller/control_api.py
+++ b/lapisgrade/gateway/controller/control_api.py
@@ -1,6 +1,9 @@
 """Takes the calls of servers and operators over HTTP, as `api.TABLE` lists them, at any controller."""
 
 from http import HTTPStatus
+from typing import cast
+
+import h11
 
 from lapisgrade.gateway import api
 from lapisgrade.gateway.controller.call_forwarding import CallForwarder
@@ -21,7 +24,8 @@
 
     async def handle_call(self, message: Message) -> HttpReply:
         """Return the reply to one HTTP request."""
-        found = api.parse_call(message.head.method.decode(), message.head.target.decode("latin-1"))
+        request = cast(h11.Request, message.head)  # a server parses nothing else
+        found = api.parse_call(request.method.decode(), request.target.decode("latin-1"))
         if isinstance(found, int):
             return found, b'{"Err":"no such call"}', b""
         call, subject = found
--- a/lapisgrade/gateway/controller/draft_merging.py
+++ b/lapisgrade/gateway/controller/draft_merging.py
@@ -33,13 +33,13 @@
         return ApplyResult(HTTPStatus.CONFLICT, f"{MAX_DRAFTS} drafts are there already: settle or drop one")
     if not state.configuration:
         return ApplyResult(HTTPStatus.CONFLICT, "there is no configuration yet")
-    ground = state.merge_base or state.configuration
+    merge_base = state.merge_base or state.configuration
     drafts = [*state.drafts, draft]
     try:
-        merged, outcomes = three_way.merge_drafts(msgspec.json.decode(ground), drafts)
+        merged, outcomes = three_way.merge_drafts(msgspec.json.decode(merge_base), drafts)
     except (KeyError, TypeError, ValueError, IndexError, AttributeError):  # it came from a peer
         return ApplyResult(HTTPStatus.BAD_REQUEST, "not a draft")
-    state.merge_base = ground
+    state.merge_base = merge_base
     state.outcomes = outcomes
     state.drafts = drafts
     state.merged_draft_ids = [*state.merged_draft_ids, draft.id][-MAX_KNOWN_IDS:]
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -47,7 +47,7 @@
         self._forward = forward
         self._random = random
         self._metrics = metrics
-        self._task: asyncio.Task | None = None
+        self._task: asyncio.Task[None] | None = None
 
     def close(self) -> None:
         """Offer nothing any more."""
@@ -82,27 +82,28 @@
 
     def start(self) -> None:
         """Begin to offer what is stored, if anything is and nothing is being offered."""
-        if self._store.drafts and (self._task is None or self._task.done()):
-            self._task = asyncio.get_running_loop().create_task(self._run())
+        store = self._store
+        if store is not None and store.drafts and (self._task is None or self._task.done()):
+            self._task = asyncio.get_running_loop().create_task(self._run(store))
 
-    async def _run(self) -> None:
+    async def _run(self, store: DraftStore) -> None:
         last_refused_id = ""
-        while self._store.drafts:
+        while store.drafts:
             await asyncio.sleep(DELIVERY_INTERVAL_S * (0.5 + self._random.random()))
-            for draft in self.stored():
+            for draft in list(store.drafts.values()):
                 reply = await self._forward(DELIVER_DRAFT, "", msgspec.msgpack.encode(draft))
                 if reply.status == HTTPStatus.OK:
-                    await self._remove(draft)
+                    await self._remove(store, draft)
                 elif reply.status == HTTPStatus.CONFLICT and last_refused_id != draft.id:
                     last_refused_id = draft.id
                     log.warning("draft %s stays on this disk: %s", draft.id, reply.body.decode())
                 if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
                     break  # no leader is known, for the other drafts neither
 
-    async def _remove(self, draft: Draft) -> None:
+    async def _remove(self, store: DraftStore, draft: Draft) -> None:
         """Remove a draft that the log has."""
         try:
-            await self._store.remove(draft.id)
+            await store.remove(draft.id)
             self._metrics.drafts_delivered += 1
         except OSError as error:
             log.warning("a draft that was delivered is still on this disk: %s", error)
--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -133,7 +133,7 @@
 
     def _voter_status(self) -> dict[str, object]:
         """Return who leads, and the voters that a majority is counted of."""
-        node, now_us = self._consensus.node, self.clock()
+        node, now_us = self._consensus.started_node, self.clock()
         heard_us = {name: follower.last_contact_us for name, follower in node.followers.items()}
         heard_us[node.identity] = now_us
         voters = [
--- a/lapisgrade/gateway/controller/leader_discovery.py
+++ b/lapisgrade/gateway/controller/leader_discovery.py
@@ -84,14 +84,14 @@
         """Request to join whenever the node needs to, until cancelled. The driver must be started."""
         while True:
             await asyncio.sleep(JOIN_INTERVAL_S * (0.5 + self._random.random()))
-            node = self._consensus.node
+            node = self._consensus.started_node
             has_no_leader = not node.is_leader and (not node.leader or node.identity not in node.voters)
             if has_no_leader and not node.is_stopping:
                 self._request_join()
 
     def _request_join(self) -> None:
         """Offer the node to all controllers that settings, the log or the leader's last message name."""
-        node = self._consensus.node
+        node = self._consensus.started_node
         addresses = {f"{peer[0]}:{self._port}" for peer in self._settings().peers}
         addresses |= set(node.voters.values())
         addresses |= {node.leader_address}
@@ -105,11 +105,11 @@
             return
         self._consensus.step_down()
         ends_us = self._clock() + int(LEAVE_TIMEOUT_S * SECOND)
-        while self._has_to_leave() and self._clock() < ends_us:
+        while self._is_removable_voter() and self._clock() < ends_us:
             if node.leader_address:
                 self._send(node.leader_address, LeaveRequest(node.identity))
             await asyncio.sleep(LEAVE_INTERVAL_S)
 
-    def _has_to_leave(self) -> bool:
-        node = self._consensus.node
+    def _is_removable_voter(self) -> bool:
+        node = self._consensus.started_node
         return len(node.voters) > MIN_VOTERS and node.identity in node.voters
--- a/lapisgrade/gateway/controller/log_writer.py
+++ b/lapisgrade/gateway/controller/log_writer.py
@@ -15,7 +15,7 @@
 import logging
 from collections.abc import Callable
 from concurrent.futures import Executor
-from typing import Protocol
+from typing import Any, Protocol
 
 import msgspec
 
@@ -120,5 +120,5 @@
         await self._call(self._store.append, records)
         return last_entry
 
-    async def _call(self, call: Callable, data: bytes | list[bytes]) -> None:
+    async def _call(self, call: Callable[[Any], None], data: bytes | list[bytes]) -> None:
         await asyncio.get_running_loop().run_in_executor(self._executor, call, data)
--- a/lapisgrade/gateway/controller/server.py
+++ b/lapisgrade/gateway/controller/server.py
@@ -21,6 +21,7 @@
 from lapisgrade.gateway.clock import now_us
 from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
 from lapisgrade.gateway.consensus.node import Node
+from lapisgrade.gateway.consensus.records import Record
 from lapisgrade.gateway.controller import node_recovery
 from lapisgrade.gateway.controller.call_forwarding import CallForwarder
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver, ConsensusObserver
@@ -126,13 +127,22 @@
             self.consensus, self.state_machine, self.watch_service, self._own_address, clock
         )
         self.forwarder = CallForwarder(self.consensus, leader_calls, discovery, self.rpc, clock)
-        self.draft_delivery = DraftDelivery(
+        self.draft_delivery = self._make_draft_delivery()
+        self.drafts = self._make_draft_service()
+        self.control_api = ControlApi(self.forwarder, self.drafts, self.metrics)
+        self.control_server = HttpServer(self.control_api.handle_call, configuration.MAX_BYTES)
+        self.readiness_server = HttpServer(self._handle_readiness, MAX_READINESS_BODY_BYTES)
+
+    def _make_draft_delivery(self) -> DraftDelivery:
+        return DraftDelivery(
             self.storage.draft_store if self.storage is not None else None,
             self.forwarder.forward,
-            environment.random,
+            self._environment.random,
             self.metrics,
         )
-        self.drafts = DraftService(
+
+    def _make_draft_service(self) -> DraftService:
+        return DraftService(
             self.draft_delivery,
             self.state_machine,
             self.rpc,
@@ -140,9 +150,6 @@
             self.consensus.voter_addresses,
             lambda: self.settings.hostname,
         )
-        self.control_api = ControlApi(self.forwarder, self.drafts, self.metrics)
-        self.control_server = HttpServer(self.control_api.handle_call, configuration.MAX_BYTES)
-        self.readiness_server = HttpServer(self._handle_readiness, MAX_READINESS_BODY_BYTES)
 
     @property
     def node(self) -> Node | None:
@@ -172,7 +179,7 @@
         """Replace the settings; addresses and the data directory stay as they were."""
         self.settings = settings
 
-    async def _recover(self) -> list[asyncio.Task]:
+    async def _recover(self) -> list[asyncio.Task[None]]:
         """Read the disk, start the node and its tasks, and return those."""
         storage = self.storage
         if storage is None:
@@ -188,7 +195,7 @@
         self.draft_delivery.start()
         return tasks
 
-    def _start_node(self, storage: ControllerStorage, records: list) -> LogWriter:
+    def _start_node(self, storage: ControllerStorage, records: list[Record]) -> LogWriter:
         environment = self._environment
         node = node_recovery.restore_node(
             records,
@@ -216,7 +223,7 @@
         await self.membership.leave()
         await asyncio.sleep(FLUSH_S)
 
-    def _close(self, tasks: list[asyncio.Task]) -> None:
+    def _close(self, tasks: list[asyncio.Task[None]]) -> None:
         for task in tasks:
             task.cancel()
         self.draft_delivery.close()
--- a/lapisgrade/gateway/controller/version_activation.py
+++ b/lapisgrade/gateway/controller/version_activation.py
@@ -70,8 +70,11 @@
         self._proposed_us = 0
 
     def become_leader(self, now_us: int, state: State) -> None:
-        """Count from now for all staged versions: by `ACTIVATION_TIMEOUT_US` later every proxy that was
-        sent one by the last leader has reached this leader, or is in doubt."""
+        """Count from now for all staged versions.
+
+        `ACTIVATION_TIMEOUT_US` later every proxy that was sent one by the last leader has reached this one,
+        or is in doubt.
+        """
         self._staged_since_us = dict.fromkeys(state.staged_versions, now_us)
         self._proposed_version = 0
 
