--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -1,7 +1,7 @@
 """The versions of the configuration at one proxy: read as deltas, staged, and activated when ordered.
 
 The leader sends each newer version ahead, as a delta on the one before; a proxy stages it and says so in its
-next watch request. Once all live proxies have staged a version the leader orders it active. `route_tables`
+next watch request. Once all live proxies have staged a version the leader orders it active. `route_versions`
 says what a request meets meanwhile.
 """
 
--- a/lapisgrade/gateway/routing/__init__.py
+++ b/lapisgrade/gateway/routing/__init__.py
@@ -2,7 +2,7 @@
 
 `router.Router` puts the parts together; each of the other modules decides one question and does no I/O:
 
-* `route_tables`: by which version of the configuration is it matched?
+* `route_versions`: by which version of the configuration is it matched? `route_table`: to which route?
 * `split`: which service takes it, where its route has several?
 * `balancer`: which server of the service is it sent to? `upstream_server`: what would it take there?
 * `request_attempts`: when is it queued, hedged, retried, given up?
--- a/lapisgrade/gateway/routing/route_tables.py
+++ b/lapisgrade/gateway/routing/route_versions.py
@@ -16,7 +16,7 @@
 from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
 
 
-class RouteTables:
+class RouteVersions:
     """One proxy's active route table, and the staged ones."""
 
     def __init__(self) -> None:
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -21,7 +21,7 @@
 from lapisgrade.gateway.routing.request_attempts import RequestAttempts
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
 from lapisgrade.gateway.routing.route_table import RouteMatch, RouteTable
-from lapisgrade.gateway.routing.route_tables import RouteTables
+from lapisgrade.gateway.routing.route_versions import RouteVersions
 from lapisgrade.gateway.routing.split import SplitChooser
 from lapisgrade.gateway.routing.upstream_server import UpstreamAttempt
 from lapisgrade.gateway.settings import Slo
@@ -44,7 +44,7 @@
         self.started_us = clock.now_us
         self.proxy_count = 1  # live proxies, that share quotas and the retry budgets' extra
         self.subsets = Subsets(name, zone)
-        self.tables = RouteTables()
+        self.tables = RouteVersions()
         self.clusters: dict[str, UpstreamCluster] = {}  # by service
         self.service_of_server: dict[str, str] = {}  # by the server's id
         self.retry_budgets: dict[str, RetryBudget] = {}  # by service
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -19,7 +19,7 @@
 from lapisgrade.gateway.controller.state import State
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
-from lapisgrade.gateway.routing import route_tables, router
+from lapisgrade.gateway.routing import route_versions, router
 from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.watch_timing import LONG_POLL_US, MISSED_VERSION_AFTER_US
@@ -287,7 +287,7 @@
 DEFECTS: Defects = {
     "serves-withdrawn": (router.Router, "match", _served),
     "acts-at-once": (Watch, "activation", _at_once),
-    "never-doubts": (route_tables, "MISSED_VERSION_AFTER_US", 1 << 60),
+    "never-doubts": (route_versions, "MISSED_VERSION_AFTER_US", 1 << 60),
     "waits-for-nobody": (version_activation, "ACTIVATION_TIMEOUT_US", 0),
     "leads-early": (World, "EARLY", True),
 }
