--- a/lapisgrade/cli/limiter.py
+++ b/lapisgrade/cli/limiter.py
@@ -27,7 +27,8 @@
         from lapisgrade.members import site as members
 
         try:
-            peers = members.beside(members.read(site), str(read_configuration(config).get("name", "")))
+            settings = members.read_settings(site)
+            peers = members.member_service(settings, str(read_configuration(config).get("name", "")))
         except MalformedInputError as error:
             click.echo(f"the configuration: {error}", err=True)
             sys.exit(2)
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -16,6 +16,7 @@
 import zlib
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
+from typing import Any
 
 from lapisgrade.members.core import MAX_NAME_LENGTH
 from lapisgrade.members.host import Host
@@ -23,65 +24,81 @@
 from lapisgrade.net.service import Service
 from lapisgrade.settings import MalformedInputError, parse_address
 
+ALIVE_COUNTER = "members alive"  # among the limiter's counters: members thought to live, itself included
 STATE_PHRASES = {
     MemberState.ALIVE: "lives",
     MemberState.SUSPECT: "is suspected",
     MemberState.DEAD: "is dead",
 }
+KNOWN_KEYS = {"listen", "reached_at", "seeds"}
 
 
 @dataclass(frozen=True, slots=True)
-class Site:
-    """What the file says."""
+class PeersSettings:
+    """The table [peers] of the operator's file."""
 
     listen: tuple[str, int]
     reached_at: str
     seeds: tuple[str, ...]
 
 
-def read(path: str) -> Site:
-    """The operator's file; Malformed names what is wrong with it, in one line."""
-    try:
-        with open(path, "rb") as file:
-            table = tomllib.load(file).get("peers")
-    except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as wrong:
-        raise MalformedInputError(f"{path}: {wrong}") from None
-    if not isinstance(table, dict):
-        raise MalformedInputError(f"{path}: there is no table [peers]")
-    strange = sorted(set(table) - {"listen", "reached_at", "seeds"})
-    if strange:
-        raise MalformedInputError(f"{path}: peers.{strange[0]} is unknown")
+def read_settings(path: str) -> PeersSettings:
+    """Read the operator's file.
+
+    Raises:
+        MalformedInputError: It can't be read, or holds something wrong; one line says what.
+    """
+    table = _read_table(path)
+    unknown = sorted(set(table) - KNOWN_KEYS)
+    if unknown:
+        raise MalformedInputError(f"{path}: peers.{unknown[0]} is unknown")
     seeds = table.get("seeds", [])
     if not isinstance(seeds, list):
         raise MalformedInputError(f"{path}: peers.seeds is not a list")
-    for each in seeds:
-        parse_address(each, f"{path}: a seed")
+    for seed in seeds:
+        parse_address(seed, f"{path}: a seed")
     reached_at = table.get("reached_at", "")
     if reached_at:
         parse_address(reached_at, f"{path}: peers.reached_at")
-    return Site(parse_address(table.get("listen"), f"{path}: peers.listen"), reached_at, tuple(seeds))
+    listen = parse_address(table.get("listen"), f"{path}: peers.listen")
+    return PeersSettings(listen, reached_at, tuple(seeds))
+
+
+def _read_table(path: str) -> dict[str, Any]:
+    try:
+        with open(path, "rb") as file:
+            table = tomllib.load(file).get("peers")
+    except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        raise MalformedInputError(f"{path}: {error}") from None
+    if not isinstance(table, dict):
+        raise MalformedInputError(f"{path}: there is no table [peers]")
+    return table
 
 
-def beside(site: Site, name: str) -> Callable[[Service], contextlib.AbstractAsyncContextManager[None]]:
-    """What `serve` runs beside the limiter of that name."""
+def member_service(
+    settings: PeersSettings, name: str
+) -> Callable[[Service], contextlib.AbstractAsyncContextManager[None]]:
+    """Return what `serve` runs beside the limiter of that name: a member, from its start to its end."""
 
     @contextlib.asynccontextmanager
-    async def member(service: Service) -> AsyncIterator[None]:
+    async def run_member(service: Service) -> AsyncIterator[None]:
+        """Be a member beside a limiter."""
+
         def on_change(update: Update) -> None:
             service.log(f"limiter {update.name} {STATE_PHRASES[MemberState(update.state)]}")
-            service.peer_counts["members alive"] = len(host.core.alive()) if host.core is not None else 1
+            service.peer_counts[ALIVE_COUNTER] = len(host.core.alive()) if host.core is not None else 1
 
-        # Chance of its own, the same for the same name: what the decisions draw is not touched.
+        # Randomness of its own, the same for the same name: what the decisions draw is not touched.
         host = Host(name[:MAX_NAME_LENGTH], service.log, on_change, zlib.crc32(name.encode()))
         host.udp.counts = service.peer_counts
         try:
-            await host.open(*site.listen, list(site.seeds), site.reached_at)
-        except OSError as wrong:
-            raise MalformedInputError(f"peers.listen: {wrong.strerror or wrong}") from None
-        service.peer_counts["members alive"] = 1
+            await host.open(*settings.listen, list(settings.seeds), settings.reached_at)
+        except OSError as error:
+            raise MalformedInputError(f"peers.listen: {error.strerror or error}") from None
+        service.peer_counts[ALIVE_COUNTER] = 1
         try:
             yield
         finally:
             host.close()
 
-    return member
+    return run_member
--- a/lapisgrade/peers/udp.py
+++ b/lapisgrade/peers/udp.py
@@ -16,6 +16,7 @@
 
 MAX_FRAMES_PER_SECOND = 400  # read from one address; a member sends some tens
 MAX_PEERS = 4096  # addresses of which it is kept how much they sent
+MAX_BUFFERED_BYTES = 64 * frame.MAX_FRAME_BYTES  # that wait to be sent; past it frames are dropped
 LOG_INTERVAL_S = 30.0  # between two lines about frames that can't be read
 
 
@@ -79,7 +80,8 @@
         if self._transport is None or self._transport.is_closing() or not port.isdecimal():
             self.counts["peer frames unsent"] += 1
             return
-        if self._transport.get_write_buffer_size() > 64 * frame.MAX_FRAME_BYTES:
+        # asyncio's own transports for datagrams have the method; their declared type lacks it.
+        if self._transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:  # type: ignore[attr-defined]
             self.counts["peer frames unsent"] += 1  # the socket is full: a late frame is worth nothing
             return
         try:
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -46,6 +46,7 @@
         self.router = SimpleNamespace(quota_clients={self.tenant: client})
         self.host = SimpleNamespace(enqueue=self.ended.append)
         self.answers = {}
+        self.is_refusing = False  # whether nobody listens at the other proxies
 
     def transport(self) -> QuotaTransport:
         return QuotaTransport(
@@ -99,7 +100,8 @@
 
     async def test_an_owner_with_an_earlier_list_is_asked_until_it_is_updated(self) -> None:
         peers = self.peers
-        peers.quota_owner.update_members(1, MembershipUpdate(9, listed(ME, OLD, NEW), previous_fencing_token=5))
+        update = MembershipUpdate(9, listed(ME, OLD, NEW), previous_fencing_token=5)
+        peers.quota_owner.update_members(1, update)
         peers.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
         asyncio.get_running_loop().call_later(
             0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
@@ -119,5 +121,41 @@
         self.assertIs(await self.add(), CloseReason.TIMED_OUT)
 
 
+class TakeOverTest(unittest.IsolatedAsyncioTestCase):
+    """This proxy has joined, and owns a count that `OLD` owned before."""
+
+    async def asyncSetUp(self) -> None:
+        self.peers = Peers()
+        owner = self.peers.quota_owner = QuotaOwner(ME, "1", 0)
+        owner.update_members(now_us(), MembershipUpdate(5, listed(OLD), previous_fencing_token=0))
+        owner.update_members(now_us(), MembershipUpdate(9, listed(ME, OLD), previous_fencing_token=5))
+        self.tenant = next(name for name in map(str, range(999)) if owner_of(name, [ME, OLD]) == ME)
+        self.transport = self.peers.transport()
+        self.addCleanup(self.transport.close)
+
+    async def add(self) -> rpc_messages.QuotaReply:
+        return await self.transport.answer_add(
+            rpc_messages.QuotaRequest(self.tenant, 1.0, "x", 9, 10.0, 10.0)
+        )
+
+    async def test_it_continues_with_the_count_that_the_last_owner_hands_over(self) -> None:
+        handed = rpc_messages.HandedCount(7.0, 0.0, 0)
+        self.peers.answers = {OLD: rpc_messages.HandOverReply(False, handed)}
+        reply = await self.add()
+        self.assertTrue(reply.is_accepted)
+        self.assertAlmostEqual(reply.total, 10.0 - 6.0, delta=0.5)
+        self.assertEqual(self.peers.asked, [(OLD, 9)])
+
+    async def test_it_begins_an_empty_count_where_the_last_owner_has_terminated(self) -> None:
+        self.peers.is_refusing = True
+        reply = await self.add()
+        self.assertTrue(reply.is_accepted)
+        self.assertAlmostEqual(reply.total, 10.0 + 1.0, delta=0.5)
+
+    async def test_it_adds_nothing_where_the_last_owner_may_still_act(self) -> None:
+        self.peers.answers = {OLD: rpc_messages.HandOverReply(True)}
+        self.assertFalse((await self.add()).is_accepted)
+
+
 if __name__ == "__main__":
     unittest.main()
--- a/tests/lab/fleet/test_peers.py
+++ b/tests/lab/fleet/test_peers.py
@@ -92,8 +92,8 @@
     path = tmp_path / "peers.toml"
     path.write_text(text)
     with pytest.raises(MalformedInputError, match=what):
-        site.read(str(path))
+        site.read_settings(str(path))
     sample = str(ROOT / "deploy" / "sample.json")
     done = CliRunner().invoke(cli, ["serve", sample, "--site", str(path)])
     assert done.exit_code == 2 and "Traceback" not in done.output
-    assert site.read(str(ROOT / "deploy" / "peers.toml")).listen == ("127.0.0.1", 7400)
+    assert site.read_settings(str(ROOT / "deploy" / "peers.toml")).listen == ("127.0.0.1", 7400)
