--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -9,6 +9,7 @@
 import logging
 import os
 from collections.abc import Callable
+from http import HTTPStatus
 from random import Random
 
 from lapisgrade.gateway import SECOND, clock, registry, rpc_messages
@@ -18,11 +19,12 @@
 from lapisgrade.gateway.proxy.client_front import ClientFront
 from lapisgrade.gateway.proxy.context import ProxyContext
 from lapisgrade.gateway.proxy.control_updates import ControlUpdates
-from lapisgrade.gateway.proxy.host import ProxyHost, ServerPool
+from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.proxy.load_reporter import LoadReporter
 from lapisgrade.gateway.proxy.peer_reachability import PeerReachability
 from lapisgrade.gateway.proxy.quota_transport import QuotaTransport
 from lapisgrade.gateway.proxy.server_list import ServerList
+from lapisgrade.gateway.proxy.server_pool import ServerPool
 from lapisgrade.gateway.proxy.version_rollout import VersionRollout
 from lapisgrade.gateway.proxy.watch_client import WatchClient
 from lapisgrade.gateway.proxy.watch_target import WatchTarget
@@ -40,7 +42,7 @@
 MAX_READINESS_BODY_BYTES = 4096
 LAST_CONNECTIONS_S = 2.6  # after SIGTERM in which the platform may still send connections
 EXIT_RESERVE_S = 0.4  # of the grace time that is left for the process to exit
-SHUTDOWN_POLL_S = 0.05  # between looks whether all requests have been answered
+SHUTDOWN_POLL_S = 0.05  # between checks whether all requests have been answered
 
 
 class Proxy:
@@ -222,8 +224,8 @@
 
     async def _answer_readiness(self, message: HttpMessage) -> tuple[int, bytes, bytes]:
         if message.head.target != b"/-/readyz":
-            return 404, b"", b""
-        return 200 if self.ready else 503, b"", b""
+            return HTTPStatus.NOT_FOUND, b"", b""
+        return HTTPStatus.OK if self.ready else HTTPStatus.SERVICE_UNAVAILABLE, b"", b""
 
     @property
     def active_version(self) -> int:
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -63,7 +63,7 @@
         return rpc_messages.QuotaRequest(self.tenant, 1.0, by, fence, 10.0, 10.0)
 
     def peer(self, place) -> SimpleNamespace:
-        return SimpleNamespace(is_refusing=False)
+        return SimpleNamespace(is_refusing=self.is_refusing)
 
     async def call(self, place, ask: rpc_messages.QuotaRequest, within: float):
         name = (ME, OLD, NEW)[int(place[0].rpartition(".")[2]) - 1]
