--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -21,7 +21,7 @@
 from lapisgrade.gateway.controller.state import State
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
-from lapisgrade.gateway.routing import route_tables, router
+from lapisgrade.gateway.routing import route_versions, router
 from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.watch_timing import LONG_POLL_US, MISSED_VERSION_AFTER_US
@@ -358,7 +358,7 @@
 DEFECTS: Defects = {
     "serves-withdrawn": Defect(router.Router, "match", _match_active_only),
     "acts-at-once": Defect(Watch, "activation", _activate_at_once),
-    "never-doubts": Defect(route_tables, "MISSED_VERSION_AFTER_US", 1 << 60),
+    "never-doubts": Defect(route_versions, "MISSED_VERSION_AFTER_US", 1 << 60),
     "waits-for-nobody": Defect(version_activation, "ACTIVATION_TIMEOUT_US", 0),
     "leads-early": Defect(World, "LEADS_EARLY", True),
 }
