--- a/lapisgrade/fakes/listener.py
+++ b/lapisgrade/fakes/listener.py
@@ -1,6 +1,7 @@
 """What every fake does as a listener on loopback: listen, say where, break its connections, end."""
 
 import asyncio
+from typing import Self
 import contextlib
 
 
@@ -13,7 +14,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
         self._closed = False
 
-    async def open(self):
+    async def open(self) -> Self:
         """Listen; OSError where the port is taken. Returns the fake itself."""
         self._server = await asyncio.start_server(self._meet, self.host, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -66,6 +66,7 @@
 
 # First, as it may switch off garbage collection while a role's code loads.
 from lapisgrade.gateway.errors import InvalidInputError
+
 from lapisgrade.gateway import startup  # isort: skip
 
 import asyncio
--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.configuration_check import describe_changes
 from lapisgrade.gateway.consensus.log import ReplicatedLog
 from lapisgrade.gateway.consensus.messages import Entry
@@ -26,6 +25,7 @@
     ServerSnapshot,
 )
 from lapisgrade.gateway.controller.state_machine import StateMachine
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge.three_way import describe_draft
 from lapisgrade.gateway.storage.draft_store import read_drafts
 from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
--- a/lapisgrade/gateway/cli/machine_loss.py
+++ b/lapisgrade/gateway/cli/machine_loss.py
@@ -1,10 +1,10 @@
 """What the loss of machines at once would do, by what the controllers say of themselves: pure."""
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.cli.operator_client import JsonObject
 from lapisgrade.gateway.configuration import Configuration
 from lapisgrade.gateway.controller.watch import PROXY_TIMEOUT_US
+from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
 
 
--- a/lapisgrade/gateway/cli/rollout.py
+++ b/lapisgrade/gateway/cli/rollout.py
@@ -9,9 +9,9 @@
 
 from attrs import define, field
 
-from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.cli.exit_codes import ExitCode
 from lapisgrade.gateway.cli.operator_client import JsonObject, OperatorClient, Print
+from lapisgrade.gateway.errors import InvalidInputError
 
 POLL_INTERVAL_S = 0.2
 UNRESPONSIVE_AFTER_MS = 2_000
