--- a/lapisgrade/policy/operation_attempts.py
+++ b/lapisgrade/policy/operation_attempts.py
@@ -71,8 +71,8 @@
         "_deadline_us",
         "_may_have_run",
         "_operation",
+        "_overdue_after_us",
         "_overdue_at_us",
-        "_overdue_us",
         "_permissions",
         "_server_pool",
         "_target_us",
@@ -96,8 +96,8 @@
         self._may_have_run: list[Attempt] = []  # those that may have been executed, or may still be
         self._deadline_us = operation.deadline_us - RESPONSE_MARGIN_US
         self._target_us = operation.arrived_us + operation.category.latency_target_us
-        self._overdue_us = 0  # after its start, when the last attempt is overdue
-        self._overdue_at_us = 0
+        self._overdue_after_us = 0  # from an attempt's start
+        self._overdue_at_us = 0  # when to decide what to do about the attempts in flight
 
     def run(self) -> CommandGenerator[None]:
         """Yield commands until an attempt finishes the operation or no further one may follow."""
@@ -187,9 +187,9 @@
         now_us, category = self._clock.now_us, self._operation.category
         expected_us = self._server_pool.expected_latency_us(self._operation)
         deviation_us = self._server_pool.latencies[category.name].deviation(now_us)
-        self._overdue_us = int(expected_us + OVERDUE_DEVIATIONS * deviation_us)
+        self._overdue_after_us = int(expected_us + OVERDUE_DEVIATIONS * deviation_us)
         if has_started and len(self._attempts) < self._permissions.max_attempts:
-            self._overdue_at_us = now_us + self._overdue_us
+            self._overdue_at_us = now_us + self._overdue_after_us
         else:
             self._overdue_at_us = self._deadline_us
 
@@ -201,7 +201,7 @@
             self._overdue_at_us = self._deadline_us
             return State.WAITING
         if self._server_pool.concurrency.utilization() > LOAD_SHEDDING_THRESHOLD:
-            self._overdue_at_us = now_us + self._overdue_us  # a hedge would only lengthen the queues
+            self._overdue_at_us = now_us + self._overdue_after_us  # a hedge would only lengthen the queues
             return State.WAITING
         if self._permissions.may_hedge:
             return State.SELECTING
