--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -1,139 +1,30 @@
-"""A whole small system on loopback, for a first look and for tests: controllers, proxies, stand-in servers
-that beat and drain by the protocol, an operator and a few clients. Each machine has its own address in 127/8.
+"""A small gateway on loopback, in one process, for a first look and for tests.
+
+It has controllers, proxies and stand-in servers; each machine has its own address in 127/8. `LocalCluster`
+also plays the operator and the clients.
 """
 
 import asyncio
 import os
 import tempfile
-from collections import Counter
 from random import Random
+from typing import Any
 
-import h11
 import msgspec
-from returns.result import Failure
+from returns.result import Failure, Result
 
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.controller.server import Controller
+from lapisgrade.gateway.fake_server import POLL_INTERVAL_S, FakeServer
 from lapisgrade.gateway.http_client import post_to_any, send_request
-from lapisgrade.gateway.http_server import encode_response
 from lapisgrade.gateway.proxy.process import Proxy
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import Address, Bind, Settings
-from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
+from lapisgrade.net.http import Message
 
 CTL, HTTP, READY, INNER = 8407, 8405, 8406, 7660  # ports, as of one deployment
-BEAT = 0.3  # s between a stand-in's beats
-LOOK = 0.01  # s between looks at what is waited for
-
-
-class Server:
-    """One stand-in server: answers by the protocol, and counts what it ran."""
-
-    def __init__(
-        self, name: str, svc: str, address: tuple[str, int], work: float = 0.01, slots: int = 4
-    ) -> None:
-        self.name, self.svc, self.address, self.work, self.slots = name, svc, address, work, slots
-        self.ran: Counter[str] = Counter()  # by Try-Id
-        self.tenants: Counter[str] = Counter()
-        self.seen: Counter[str] = Counter()  # what was reset unread, by Try-Id
-        self.deadlines: dict[str, int] = {}  # ms that it was handed, by Try-Id
-        self.dropped: dict[str, float] = {}  # s that it worked until its caller had gone, by Try-Id
-        self.state, self.seq, self.running = "up", 0, 0
-        self.manner = (
-            ""  # a fault to play: cut, mixed, unsealed, extra, full (resets what it can't take), failing
-        )
-        self._server: asyncio.Server | None = None
-        self._callers: dict[asyncio.StreamWriter, asyncio.StreamReader] = {}
-
-    async def start(self) -> None:
-        self._server = await asyncio.start_server(self._serve, *self.address)
-
-    def close(self) -> None:
-        self._server.close()
-        for writer in self._callers:
-            writer.transport.abort()
-
-    async def beat(self, controllers: list[tuple[str, int]]) -> int:
-        """Tell the first controller that answers; the status, 0 for none."""
-        self.seq += 1
-        body = {
-            "Svc": self.svc, "Addr": f"{self.address[0]}:{self.address[1]}", "Az": "local", "Ver": "v1",
-            "Slots": self.slots, "State": self.state, "Warmup_time": "0ms", "Seq": self.seq,
-        }  # fmt: skip
-        return await post_to_any(
-            controllers, f"/-/rpc?call=servers.heartbeat&of={self.name}", msgspec.json.encode(body)
-        )
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._callers[writer] = reader
-        try:
-            rest, goes_on = b"", True
-            while goes_on:
-                parser, message = MessageParser(h11.SERVER), None
-                while message is None:
-                    chunk = rest or await reader.read(65_536)
-                    rest = b""
-                    if not chunk:
-                        return
-                    message = parser.feed(chunk)
-                rest = message.rest
-                goes_on = await self._one(message, writer)
-        except (OSError, MalformedMessageError, asyncio.CancelledError):
-            pass
-        finally:
-            self._callers.pop(writer, None)
-            writer.close()
-
-    async def _one(self, message: Message, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request; whether the connection goes on."""
-        if self.manner == "full":
-            self.seen[message.headers().get(b"try-id", b"").decode()] += 1
-            writer.transport.abort()
-            return False
-        writer.write(await self._answer(message, writer))
-        return self.manner != "cut"
-
-    async def _work_on(self, name: str, writer: asyncio.StreamWriter) -> None:
-        """The work that a request takes; dropped once its connection closes, as most servers do."""
-        loop = asyncio.get_running_loop()
-        began = loop.time()
-        while (worked := loop.time() - began) < self.work:
-            if writer.transport.is_closing() or self._callers[writer].at_eof():
-                self.dropped[name] = worked
-                return
-            await asyncio.sleep(min(LOOK, self.work - worked))
-
-    async def _answer(self, message: Message, writer: asyncio.StreamWriter) -> bytes:
-        fields = {name: value.decode() for name, value in message.headers().items()}
-        name = fields.get(b"try-id", "")
-        own = f"Try-Id: {name}\r\nInstance: {self.name}\r\nServer-Load: {self.running},0,{self.slots}\r\n"
-        if fields.get(b"want-instance", self.name) != self.name:
-            return encode_response(421, b"", own.encode())
-        if self.running >= self.slots or self.state != "up":
-            return encode_response(503, b"", (own + "Not-Run: 1\r\n").encode())
-        self.running += 1
-        self.ran[name] += 1
-        self.tenants[fields.get(b"tenant", "")] += 1
-        self.deadlines[name] = int(fields.get(b"deadline-ms", "0"))
-        try:
-            await self._work_on(name, writer)
-        finally:
-            self.running -= 1
-        body = f"{self.svc} {message.head.target.decode()}".encode()
-        whole = encode_response(200, body, (own + "Server-Seal: seal\r\n").encode())
-        match self.manner:
-            case "cut":
-                return whole[:-3]
-            case "mixed":
-                return encode_response(200, b"another's", b"Try-Id: another\r\nServer-Seal: seal\r\n") + whole
-            case "failing":
-                return encode_response(500, body, (own + "Server-Seal: seal\r\n").encode())
-            case "unsealed":
-                return encode_response(200, body, own.encode())
-            case "extra":
-                return whole + whole
-        return whole
+HEARTBEAT_INTERVAL_S = 0.3  # between a stand-in's heartbeats
 
 
 class LocalCluster:
@@ -147,7 +38,7 @@
         self.voters = self.names[:voters]
         self.controllers: dict[str, Controller] = {}
         self.proxies: dict[str, Proxy] = {}
-        self.servers: dict[str, Server] = {}
+        self.servers: dict[str, FakeServer] = {}
         self.random = Random(1)
         self._tasks: dict[object, asyncio.Task] = {}
         self._first = True
@@ -186,7 +77,7 @@
             self._first,
             True,
             folder,
-            int(BEAT * SECOND),
+            int(HEARTBEAT_INTERVAL_S * SECOND),
         )
 
     @property
@@ -200,7 +91,7 @@
         """One server, a configuration (the sample), and proxies that know both."""
         await self.start_server("garantie", **more)
         while await self.put(conf or SAMPLE) != 200:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
         await self.until(lambda: all(each.ready and each.servers for each in self.proxies.values()))
         return self
 
@@ -220,9 +111,9 @@
             for name in [name for name, each in table.items() if each is part]:
                 del table[name]
 
-    async def start_server(self, svc: str, **more) -> Server:
+    async def start_server(self, svc: str, **more) -> FakeServer:
         number = len(self.servers) + 1
-        server = Server(
+        server = FakeServer(
             f"i-{number}", svc, (f"127.{self.ip[self.names[0]].split('.')[1]}.1.{number}", 8080), **more
         )
         await server.start()
@@ -230,12 +121,12 @@
         self._tasks[server] = asyncio.get_running_loop().create_task(self._beats(server))
         return server
 
-    async def _beats(self, server: Server) -> None:
+    async def _beats(self, server: FakeServer) -> None:
         while True:
-            await server.beat(self.random.sample(self.ctl, len(self.ctl)))
-            await asyncio.sleep(BEAT)
+            await server.send_heartbeat(self.random.sample(self.ctl, len(self.ctl)))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    def silence(self, server: Server) -> None:
+    def silence(self, server: FakeServer) -> None:
         """It beats no more, and answers on."""
         self._tasks.pop(server).cancel()
 
@@ -271,38 +162,46 @@
         """Wait until that holds; TimeoutError where it doesn't in time."""
         async with asyncio.timeout(within):
             while not ready():
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(POLL_INTERVAL_S)
+
 
+class Partition:
+    """A network partition between the processes of a cluster: messages are lost, and calls time out.
 
-class Links:
-    """What the parts of a site say to each other, some of it cut: words are lost, calls fall silent."""
+    Attributes:
+        isolated: The addresses of the machines that reach no other machine.
+    """
 
-    def __init__(self, site: LocalCluster) -> None:
-        self.apart: set[str] = set()  # machines that reach nobody else
-        self.ip = site.ip
-        for part in (*site.controllers.values(), *site.proxies.values()):
-            self._wrap(part.rpc, part.settings.ip)
+    def __init__(self, cluster: LocalCluster) -> None:
+        """Take over the sending of all processes; no machine is isolated yet."""
+        self.isolated: set[str] = set()
+        self._ip = cluster.ip
+        for process in (*cluster.controllers.values(), *cluster.proxies.values()):
+            self._intercept(process.rpc, process.settings.ip)
 
-    def part(self, name: str) -> None:
-        self.apart.add(self.ip[name])
+    def isolate(self, name: str) -> None:
+        """Cut a machine off from all others."""
+        self.isolated.add(self._ip[name])
 
-    def _wrap(self, rpc: RpcEndpoint, own: str) -> None:
+    def _intercept(self, rpc: RpcEndpoint, own_ip: str) -> None:
         call, post = rpc.call, rpc.post
 
-        def cut(other: str) -> bool:
-            return own != other and bool(self.apart & {own, other})
+        def is_cut(other_ip: str) -> bool:
+            return own_ip != other_ip and bool(self.isolated & {own_ip, other_ip})
 
-        async def called(address, message, within):
-            if cut(address[0]):
-                await asyncio.sleep(within)  # the caller's own time-out
+        async def call_unless_cut(
+            address: tuple[str, int], message: Any, timeout_s: float
+        ) -> Result[Any, CallFailure]:
+            if is_cut(address[0]):
+                await asyncio.sleep(timeout_s)
                 return Failure(CallFailure.MAY_HAVE_RUN)
-            return await call(address, message, within)
+            return await call(address, message, timeout_s)
 
-        def posted(address, message) -> None:
-            if not cut(address[0]):
+        def post_unless_cut(address: tuple[str, int], message: Any) -> None:
+            if not is_cut(address[0]):
                 post(address, message)
 
-        rpc.call, rpc.post = called, posted
+        rpc.call, rpc.post = call_unless_cut, post_unless_cut  # type: ignore[method-assign]
 
 
 SAMPLE = {
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -14,7 +14,8 @@
 
 from lapisgrade.gateway.http_client import send_request
 from lapisgrade.gateway.http_server import encode_response
-from lapisgrade.gateway.local_cluster import SAMPLE, LocalCluster, Server
+from lapisgrade.gateway.fake_server import FakeServer
+from lapisgrade.gateway.local_cluster import SAMPLE, LocalCluster
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.routing.upstream_protocol import UpstreamProtocol
 from lapisgrade.interface import AttemptOutcome
@@ -37,7 +38,7 @@
 }  # fmt: skip
 
 
-class Unruly(Server):
+class Unruly(FakeServer):
     """A stand-in that answers each request in a manner drawn by chance."""
 
     def __init__(self, *args: Any, chance: Random, **more: Any) -> None:
@@ -46,7 +47,7 @@
         self.arrived: Counter[str] = Counter()  # by Try-Id, run or not
         self._lately: deque[str] = deque(maxlen=8)  # ids of others, whose answers come astray
 
-    async def _one(self, message: Message, writer: asyncio.StreamWriter) -> bool:
+    async def _answer_request(self, message: Message, writer: asyncio.StreamWriter) -> bool:
         """Answer one request in some manner; whether the connection goes on."""
         name = message.headers()[b"try-id"].decode()
         self.arrived[name] += 1
--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -12,7 +12,8 @@
 import msgspec
 
 from lapisgrade.gateway.http_client import post_to_any, send_request
-from lapisgrade.gateway.local_cluster import CTL, HTTP, INNER, READY, SAMPLE, Server
+from lapisgrade.gateway.fake_server import FakeServer
+from lapisgrade.gateway.local_cluster import CTL, HTTP, INNER, READY, SAMPLE
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.fleet.process import ROOT, before_exec
 from lapisgrade.net.http import MalformedMessageError
@@ -53,7 +54,7 @@
         self.cuts = os.path.join(folder, "cuts.json")
         self.cut()
         self.running: dict[tuple[str, str], asyncio.subprocess.Process] = {}
-        self.server = Server("i-1", "garantie", (f"127.{net}.1.1", 8080), slots=64)
+        self.server = FakeServer("i-1", "garantie", (f"127.{net}.1.1", 8080), slots=64)
         self.ctl = [Address((self.ip[name], CTL)) for name in self.controllers]
         self.tasks: list[asyncio.Task] = []
         self.number = 0
@@ -130,11 +131,11 @@
             while not await holds():
                 await asyncio.sleep(PAUSE)
 
-    async def beats(self, server: Server) -> None:
+    async def beats(self, server: FakeServer) -> None:
         turn = 0
         while True:
             turn += 1
-            await server.beat(self.ctl[turn % len(self.ctl) :] + self.ctl)
+            await server.send_heartbeat(self.ctl[turn % len(self.ctl) :] + self.ctl)
             await asyncio.sleep(BEAT)
 
     async def call(self, name: str, host: str, path: str, key: str) -> int:
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -23,7 +23,8 @@
 from lapisgrade.gateway.cli.operator_client import OperatorClient, lagging_proxies
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.http_client import post_to_any, send_request
-from lapisgrade.gateway.local_cluster import HTTP, SAMPLE, Server
+from lapisgrade.gateway.fake_server import FakeServer
+from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
 from lapisgrade.net.http import MalformedMessageError
 
@@ -314,7 +315,7 @@
     """One case on machines of 127.`net`; TimeoutError where something never came to be."""
     tenants = [{**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}]
     async with Fleet(net, folder, MACHINES.get(case, 3), tenants=tenants) as fleet:
-        second = Server("i-2", NEW, (f"127.{net}.1.2", 8080), slots=64)
+        second = FakeServer("i-2", NEW, (f"127.{net}.1.2", 8080), slots=64)
         await second.start()
         fleet.tasks.append(asyncio.create_task(fleet.beats(second)))
         fleet.server.ran, second.ran = Stamped(), Stamped()
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -16,7 +16,7 @@
 from lapisgrade.gateway.controller import drafts
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.http_client import post_to_any
-from lapisgrade.gateway.local_cluster import CTL, SAMPLE, Links, LocalCluster
+from lapisgrade.gateway.local_cluster import CTL, SAMPLE, Partition, LocalCluster
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.partitions import rejoin
 
@@ -142,8 +142,8 @@
 
     async def test_a_leader_lost_while_three_partitions_merge(self) -> None:
         site = await self.site()
-        links = Links(site)
-        links.part("m1"), links.part("m2"), links.part("m3")
+        partition = Partition(site)
+        partition.isolate("m1"), partition.isolate("m2"), partition.isolate("m3")
         await site.until(
             lambda: not any(controller.consensus.is_leader() for controller in site.controllers.values())
         )
@@ -151,7 +151,7 @@
         for name, text in edits.items():
             self.assertEqual((await self.drafted(site, name, text, name))[0], 0)
         self.assertEqual({each.active_version for each in site.proxies.values()}, {1})
-        links.apart.clear()
+        partition.isolated.clear()
         await site.until(
             lambda: any(controller.state_machine.state.drafts for controller in site.controllers.values())
         )
@@ -173,22 +173,22 @@
 
     async def test_a_partition_that_recurs_during_the_merge_merges_once(self) -> None:
         site = await self.site()
-        links = Links(site)
-        links.part("m3")
+        partition = Partition(site)
+        partition.isolate("m3")
         await site.until(lambda: any(site.controllers[each].consensus.is_leader() for each in ("m1", "m2")))
         await self.drafted(site, "m3", edit(Action={"Svc": "reparation"}))
         change = {"Ver": 4, "Base": 1, **claim(Prio=0)}
         controllers = [(site.ip[each], CTL) for each in ("m1", "m2")]
         while await post_to_any(controllers, "/-/rpc?call=conf.update", msgspec.json.encode(change)) != 200:
             await asyncio.sleep(0.02)
-        links.apart.clear()
+        partition.isolated.clear()
         await site.until(
             lambda: any(controller.state_machine.state.drafts for controller in site.controllers.values())
         )
-        links.part("m3")
+        partition.isolate("m3")
         await site.until(lambda: site.proxies["m1"].active_version == site.proxies["m2"].active_version == 5)
         self.assertEqual((self.rule(site, "m1").prio, self.rule(site, "m1").action.svc), (0, "reparation"))
-        links.apart.clear()
+        partition.isolated.clear()
         await self.rejoined(site, 5)
         await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
         self.assertEqual(
--- a/tests/gateway/proxy/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -6,7 +6,7 @@
 import msgspec
 from support.local_clusters import local_cluster, serving_cluster
 
-from lapisgrade.gateway.local_cluster import SAMPLE, Links, send_request
+from lapisgrade.gateway.local_cluster import SAMPLE, Partition, send_request
 from lapisgrade.net.http import Message
 
 KEY = "key-of-sfax"
@@ -75,7 +75,7 @@
         site.silence(leaving)  # it never says drain, and its last beat is late
         got = await send_request(site.ctl[0], "POST", "/-/rpc?call=servers.deregister&of=i-1")
         self.assertEqual(status(got), 200)
-        await leaving.beat(site.ctl)
+        await leaving.send_heartbeat(site.ctl)
         await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
         before = leaving.ran.total()
         answers = [status(await site.get(name, "/stock/1", KEY)) for name in site.names for _ in range(4)]
@@ -93,8 +93,8 @@
     async def test_config_a_read_is_no_older_than_the_last_acknowledgement_or_gets_503(self) -> None:
         """Also at a machine that is cut off: it knows of no majority, and answers no older version."""
         async with serving_cluster() as site:
-            links = Links(site)
-            links.part("m3")
+            partition = Partition(site)
+            partition.isolate("m3")
             change = {"Ver": 5, "Base": 1, "Upsert": {"Tenants": []}, "Del": {}}
             places = [(site.ip[name], 8407) for name in ("m1", "m2")]
             taken = 0
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -13,7 +13,7 @@
 from support.local_clusters import local_cluster, serving_cluster
 
 from lapisgrade.gateway.controller.watch import Watch
-from lapisgrade.gateway.local_cluster import SAMPLE, Links, LocalCluster, post_to_any, send_request
+from lapisgrade.gateway.local_cluster import SAMPLE, Partition, LocalCluster, post_to_any, send_request
 from lapisgrade.net.http import Message
 
 KEY = "key-of-sfax"
@@ -148,7 +148,7 @@
         leader = next(each for each in site.controllers.values() if each.node.is_leader)
         server = site.servers["i-1"]
         server.state = "drain"
-        assert await server.beat([(leader.settings.ip, 8407)]) == 200
+        assert await server.send_heartbeat([(leader.settings.ip, 8407)]) == 200
         await site.kill(leader)
         await site.until(lambda: any(each.node.is_leader for each in site.controllers.values()))
         after = next(each for each in site.controllers.values() if each.node.is_leader)
@@ -218,14 +218,14 @@
 
 async def test_an_isolated_proxy_is_not_ready_and_one_without_a_leader_is():
     async with served_cluster(1) as site:
-        links = Links(site)
-        links.part("m3")
+        partition = Partition(site)
+        partition.isolate("m3")
         await site.until(lambda: not site.proxies["m3"].ready)
         assert status(await send_request((site.ip["m3"], READY), "GET", "/-/readyz")) == 503
         # The others may have waited for it for as long, where its controller led and they asked it first.
         await site.until(lambda: site.proxies["m1"].ready and site.proxies["m2"].ready)
         assert not site.proxies["m3"].ready
-        links.apart.clear()
+        partition.isolated.clear()
         await site.until(lambda: site.proxies["m3"].ready)
         for name in ("m1", "m2"):
             await site.kill(site.controllers[name])
