--- a/lapisgrade/gateway/membership/gossip.py
+++ b/lapisgrade/gateway/membership/gossip.py
@@ -17,11 +17,11 @@
     """Drives one proxy's partial view from `open` to `close`."""
 
     def __init__(
-        self, name: str, partial_view: PartialView, now: Callable[[], int], say: Callable[[str], None]
+        self, name: str, partial_view: PartialView, now: Callable[[], int], log_line: Callable[[str], None]
     ) -> None:
         self.partial_view = partial_view
         self._now = now
-        self.udp = Udp(name, CODEC, lambda: 0, self._on_frame, say)
+        self.udp = Udp(name, CODEC, lambda: 0, self._on_frame, log_line)
         self._timer: asyncio.TimerHandle | None = None
 
     async def open(self, host: str, port: int) -> None:
--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -49,10 +49,10 @@
 
 
 class Shuffle(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """Some neighbours of the sender, which wants some of the receiver's unless this is the answer already."""
+    """Some neighbours of the sender, which wants some of the receiver's unless this is the reply already."""
 
-    answer: bool
-    way: ControlHint
+    is_reply: bool
+    control_hint: ControlHint
     updates: list[Neighbour] = []
 
 
@@ -124,9 +124,9 @@
 
     def on_shuffle(self, source: str, shuffle: Shuffle) -> list[SendShuffle]:
         """Take in a neighbour's entries, and answer with ours; entries out of bounds are ignored."""
-        self.on_control_hint(shuffle.way)
+        self.on_control_hint(shuffle.control_hint)
         answer, sent = [], self._sent
-        if not shuffle.answer:
+        if not shuffle.is_reply:
             sample = self._sample(SHUFFLE_ENTRIES, source)
             answer = [SendShuffle(source, Shuffle(True, self.control_hint, sample))]
             sent = [neighbour.address for neighbour in sample]
--- a/lapisgrade/members/core.py
+++ b/lapisgrade/members/core.py
@@ -137,7 +137,7 @@
             return self.failure_detector.on_ack(message)
         # One that holds us dead learns at once that we live: partitions that meet again need no second round.
         is_refuted = self.incarnation != incarnation
-        return [self._sync(source, True)] if not message.answer or is_refuted else []
+        return [self._sync(source, True)] if not message.is_reply or is_refuted else []
 
     # ---- time
 
--- a/lapisgrade/members/messages.py
+++ b/lapisgrade/members/messages.py
@@ -54,7 +54,7 @@
 class Sync(msgspec.Struct, array_like=True, tag="s", frozen=True):
     """A part of the sender's table; the receiver replies with a part of its own, unless this is the reply."""
 
-    answer: bool
+    is_reply: bool
     updates: list[Update] = []
 
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -421,8 +421,10 @@
 GOSSIP_MESSAGES = {
     "gossip/shuffle": Sample(
         partial_view.Shuffle(
-            answer=True,
-            way=partial_view.ControlHint(term=1297, leader="text-298", controllers=["text-299", "text-300"]),
+            is_reply=True,
+            control_hint=partial_view.ControlHint(
+                term=1297, leader="text-298", controllers=["text-299", "text-300"]
+            ),
             updates=[
                 partial_view.Neighbour(address="text-301", zone="text-302", age=1303),
                 partial_view.Neighbour(address="text-304", zone="text-305", age=1306),
@@ -481,7 +483,7 @@
     ),
     "member/sync": Sample(
         member_messages.Sync(
-            answer=True,
+            is_reply=True,
             updates=[
                 member_messages.Update(
                     name="text-345", address="text-346", incarnation=1347, state=1348, by="text-349"
