--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -57,7 +57,7 @@
     """
     stopping = asyncio.Event()
     async with Site(options.plan) as site:
-        for line in site.where():
+        for line in site.listening_lines():
             print_line(line)
         load = client.Client(site.listens, options.plan.seed)
         with _interrupts(load, stopping, print_line):
@@ -72,7 +72,7 @@
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-        await site.end_limiters()
+        await site.shut_down_limiters()
         wall_s = time.monotonic() - started_s
     return verdict(site, load.tally, options, wall_s, print_line)
 
@@ -118,7 +118,7 @@
         counts, servers = load.tally.counts, site.pool.totals()
         print_line(
             f"sent {load.tally.sent}: finished {counts['finished']}, turned back {counts['turned back']}, "
-            f"given up {counts['given up']}; servers took {servers.asked}, "
+            f"given up {counts['given up']}; servers took {servers.requests}, "
             f"counter calls {site.counter.tally.calls}"
         )
 
@@ -128,7 +128,7 @@
     await asyncio.sleep(options.leave_at_s or 0.0)
     name = site.pool.servers[0].name
     print_line(f"{name} drains; it dies {options.grace_s:g} s later")
-    await site.leave(0, options.grace_s)
+    await site.drain_and_remove(0, options.grace_s)
     print_line(f"{name} is gone")
 
 
@@ -140,12 +140,16 @@
             print_line(line)
         violations += _load_violations(tally)
     servers = site.pool.totals()
-    late = [after_s for after_s in servers.after_drain if after_s > options.grace_s + MAX_DISCOVERY_DELAY_S]
+    late = [
+        after_s
+        for after_s in servers.requests_after_drain_s
+        if after_s > options.grace_s + MAX_DISCOVERY_DELAY_S
+    ]
     if late:
         violations.append(f"{len(late)} operations came to a draining server past the grace")
     print_line(
-        f"servers: took {servers.asked}, finished {servers.served}, erred {servers.errors}, "
-        f"turned away {servers.turned_away}; counter: {site.counter.tally.added} additions"
+        f"servers: took {servers.requests}, finished {servers.completed}, erred {servers.errors}, "
+        f"turned away {servers.rejected}; counter: {site.counter.tally.added} additions"
     )
     for line in violations:
         print_line(f"RULE BROKEN: {line}")
--- a/lapisgrade/cli/fake_site.py
+++ b/lapisgrade/cli/fake_site.py
@@ -7,7 +7,7 @@
 import click
 
 from lapisgrade.cli.options import load_shape, parse_address, shape_options
-from lapisgrade.fakes.servers import Knobs
+from lapisgrade.fakes.servers import ServerBehavior
 from lapisgrade.fakes.site import Plan, sample
 
 
@@ -48,9 +48,9 @@
     """Start stand-ins and limiters in one process on loopback; with --load, drive load and report."""
     from lapisgrade.cli import demo as demo_run
 
-    knobs = Knobs(capacity=capacity, cold_from=0.3, warm_s=2.0)
+    behavior = ServerBehavior(capacity=capacity, cold_from=0.3, warm_s=2.0)
     options = demo_run.DemoOptions(
-        plan=Plan(limiters=limiters, servers=servers, knobs=knobs, seed=seed),
+        plan=Plan(limiters=limiters, servers=servers, behavior=behavior, seed=seed),
         shape=load_shape(shape, rate, seconds, peak, at_s, length_s) if load else None,
         seconds=seconds if load else 0.0,
         leave_at_s=leave_at_s,
@@ -78,15 +78,15 @@
 async def _run_fakes(server_count: int, seed: int) -> None:
     """Run a counter, a discovery and servers until SIGINT or SIGTERM."""
     from lapisgrade.fakes.counter import Counter
-    from lapisgrade.fakes.discovery import Discovery, Row
-    from lapisgrade.fakes.servers import Pool
+    from lapisgrade.fakes.discovery import Discovery, ServerEntry
+    from lapisgrade.fakes.servers import ServerPool
 
     configuration = sample()
     counter = await Counter(*parse_address(configuration["counter"], "counter")).open()
     discovery = await Discovery(*parse_address(configuration["discovery"], "discovery")).open()
-    pool = await Pool(server_count, Knobs(), seed).open()
+    pool = await ServerPool(server_count, ServerBehavior(), seed).open()
     for index, server in enumerate(pool.servers):
-        discovery.put(Row(server.name, server.address, cell=index % 3))
+        discovery.put(ServerEntry(server.name, server.address, cell=index % 3))
     click.echo(f"counter    {counter.address}\ndiscovery  {discovery.address}")
     for server in pool.servers:
         click.echo(f"server     {server.name} {server.address}")
--- a/lapisgrade/fakes/counter/store.py
+++ b/lapisgrade/fakes/counter/store.py
@@ -7,9 +7,9 @@
 
 from dataclasses import dataclass, field
 
-LONGEST_LIFE_MS = 60_000  # the protocol's figure: a longer life counts as this
-MOST_AMOUNT = 1e9  # the protocol's figure: the most that one call may add
-NAME_BYTES = 64  # the protocol's figure: the longest name
+MAX_LIFETIME_MS = 60_000  # the protocol's figure: a longer life counts as this
+MAX_AMOUNT = 1e9  # the protocol's figure: the most that one call may add
+MAX_NAME_BYTES = 64  # the protocol's figure: the longest name
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
         """The new total of `name` after adding `amount`; a name past its life starts again from nothing."""
         count = self.counts.get(name)
         if count is None or count.until_s <= now_s:
-            count = Count(0.0, now_s + min(life_ms, LONGEST_LIFE_MS) / 1000)
+            count = Count(0.0, now_s + min(life_ms, MAX_LIFETIME_MS) / 1000)
             self.counts[name] = count
         count.total = round(count.total + amount, 7)
         return count.total
@@ -80,7 +80,7 @@
     except ValueError:
         tally.errors += 1
         return b"-ERR the amount or the life is not a number\r\n"
-    if not 1 <= len(name) <= NAME_BYTES or abs(amount) > MOST_AMOUNT or amount != amount or life_ms < 1:
+    if not 1 <= len(name) <= MAX_NAME_BYTES or abs(amount) > MAX_AMOUNT or amount != amount or life_ms < 1:
         tally.errors += 1
         return b"-ERR name, amount or life out of range\r\n"
     total = store.add(name, amount, life_ms, now_s)
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class Split:
-    """Two halves that each believe themselves whole, and the counts they parted from."""
+    """Two halves that each believe themselves whole, and the counts that they were split from."""
 
     base: dict[bytes, Count]
     halves: tuple[Store, Store]
@@ -107,15 +107,15 @@
     return Split(base, halves)
 
 
-def heal(parted: Split) -> Store:
+def heal(partition: Split) -> Store:
     """One store again: for each name, the base and what each half added to it since the split."""
     healed = Store()
-    names = list(parted.base)
-    for half in parted.halves:
-        names.extend(name for name in half.counts if name not in parted.base and name not in names)
+    names = list(partition.base)
+    for half in partition.halves:
+        names.extend(name for name in half.counts if name not in partition.base and name not in names)
     for name in names:
-        base = parted.base.get(name)
-        counts = [half.counts.get(name) for half in parted.halves]
+        base = partition.base.get(name)
+        counts = [half.counts.get(name) for half in partition.halves]
         total = base.total if base else 0.0
         for count in counts:
             if count is not None:
--- a/lapisgrade/fakes/discovery.py
+++ b/lapisgrade/fakes/discovery.py
@@ -9,16 +9,17 @@
 import contextlib
 import json
 from dataclasses import dataclass
+from typing import Any
 
 from lapisgrade.fakes import http
 from lapisgrade.fakes.listener import Listener
 
-LONGEST_WATCH_MS = 60_000  # a watch waits this long at the most, whatever it asks for
+MAX_WATCH_MS = 60_000  # a watch waits this long at the most, whatever it asks for
 STATES = ("in_service", "terminating", "terminated")
 
 
 @dataclass(slots=True)
-class Row:
+class ServerEntry:
     """One server as discovery names it; `changed` is the version at which it last changed."""
 
     instance_id: str
@@ -30,7 +31,8 @@
     started_ms: int = 0
     changed: int = 0
 
-    def told(self) -> dict:
+    def to_json(self) -> dict[str, Any]:
+        """The entry as discovery encodes it."""
         return {
             "instanceId": self.instance_id,
             "hostPort": self.host_port,
@@ -48,22 +50,23 @@
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
         super().__init__(host, port)
         self.generation = 1
-        self.rows: dict[str, Row] = {}  # in the order they came
+        self.entries: dict[str, ServerEntry] = {}  # in the order they came
         self.calls = 0
         self._changed = asyncio.Event()
         self._tasks: set[asyncio.Task] = set()
 
     async def close(self) -> None:
+        """End the agent and all watches."""
         self.stop_listening()
         for task in list(self._tasks):
             task.cancel()
         await super().close()
 
-    def put(self, row: Row) -> None:
+    def put(self, entry: ServerEntry) -> None:
         """Name a server, or change how it is named."""
         self._bump()
-        row.changed = self.generation
-        self.rows[row.instance_id] = row
+        entry.changed = self.generation
+        self.entries[entry.instance_id] = entry
 
     def drain(self, instance_id: str) -> None:
         """The server wants nothing new and finishes what it has."""
@@ -73,18 +76,20 @@
         """The server is gone."""
         self._set(instance_id, "terminated")
 
-    def whole(self) -> dict:
-        live = [row.told() for row in self.rows.values() if row.lifecycle != "terminated"]
+    def complete_list(self) -> dict[str, Any]:
+        """All servers that have not terminated."""
+        live = [entry.to_json() for entry in self.entries.values() if entry.lifecycle != "terminated"]
         return {"generation": self.generation, "reset": True, "instances": live}
 
-    def since(self, version: int) -> dict:
-        rows = [row.told() for row in self.rows.values() if row.changed > version]
-        return {"generation": self.generation, "reset": False, "instances": rows}
+    def changes_since(self, version: int) -> dict[str, Any]:
+        """The servers that have changed after a version."""
+        entries = [entry.to_json() for entry in self.entries.values() if entry.changed > version]
+        return {"generation": self.generation, "reset": False, "instances": entries}
 
     def _set(self, instance_id: str, lifecycle: str) -> None:
-        row = self.rows[instance_id]
+        entry = self.entries[instance_id]
         self._bump()
-        row.lifecycle, row.changed = lifecycle, self.generation
+        entry.lifecycle, entry.changed = lifecycle, self.generation
 
     def _bump(self) -> None:
         self.generation += 1
@@ -99,22 +104,22 @@
         finally:
             self._tasks.discard(task)
 
-    async def _handle(self, asked: http.Asked) -> http.Reply:
+    async def _handle(self, request: http.Request) -> http.Response:
         self.calls += 1
-        if asked.method != "GET" or asked.path != "/discovery/hosts":
-            return http.Reply(404)
-        query = asked.query()
+        if request.method != "GET" or request.path != "/discovery/hosts":
+            return http.Response(404)
+        query = request.query()
         if "since" not in query:
-            told = self.whole()
+            update = self.complete_list()
         else:
             try:
                 version = int(query["since"])
-                wait_ms = min(int(query.get("timeout_ms", "0")), LONGEST_WATCH_MS)
+                wait_ms = min(int(query.get("timeout_ms", "0")), MAX_WATCH_MS)
             except ValueError:
-                return http.Reply(400, b"since and timeout_ms are whole numbers")
+                return http.Response(400, b"since and timeout_ms are whole numbers")
             if version >= self.generation and wait_ms > 0:
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._changed.wait(), wait_ms / 1000)
-            told = self.since(version)
-        body = json.dumps(told).encode()
-        return http.Reply(200, body, (("Content-Type", "application/json"),))
+            update = self.changes_since(version)
+        body = json.dumps(update).encode()
+        return http.Response(200, body, (("Content-Type", "application/json"),))
--- a/lapisgrade/fakes/listener.py
+++ b/lapisgrade/fakes/listener.py
@@ -15,39 +15,46 @@
 
     async def open(self):
         """Listen; OSError where the port is taken. Returns the fake itself."""
-        self._server = await asyncio.start_server(self._meet, self.host, self.port)
+        self._server = await asyncio.start_server(self._on_connection, self.host, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
     @property
     def address(self) -> str:
+        """Where it listens, as `host:port`."""
         return f"{self.host}:{self.port}"
 
     @property
     def connections(self) -> int:
+        """How many connections are open."""
         return len(self._writers)
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Break every open connection, as a network or a process that fails."""
         for writer in list(self._writers):
             writer.transport.abort()
         self._writers.clear()
 
     def stop_listening(self) -> None:
+        """Refuse new connections; those open go on."""
         if self._server is not None:
             self._server.close()
 
     async def close(self) -> None:
+        """Refuse new connections and break the open ones."""
         self._closed = True
         self.stop_listening()
-        self.cut()
+        self.reset_connections()
         if self._server is not None:
             with contextlib.suppress(Exception):
                 await self._server.wait_closed()
 
-    async def _meet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A new connection. One that was accepted just as this closed is broken off unseen (guards what its
-        subclass writes to, which may be closed by now)."""
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a new connection.
+
+        One that was accepted just as this closed is aborted unseen (guards what its subclass writes to, which
+        may be closed by now).
+        """
         if self._closed:
             writer.transport.abort()
             return
--- a/lapisgrade/fakes/servers.py
+++ b/lapisgrade/fakes/servers.py
@@ -17,11 +17,11 @@
 from lapisgrade.fakes import http
 from lapisgrade.fakes.listener import Listener
 
-SILENT_LOOK_S = 0.05  # between a silent server's looks whether it is well again
+SILENCE_CHECK_INTERVAL_S = 0.05  # between a silent server's looks whether it is well again
 
 
 @dataclass(slots=True)
-class Knobs:
+class ServerBehavior:
     """How one server behaves. Times in seconds, shares from 0 to 1."""
 
     capacity: int = 8  # operations at work at once
@@ -35,47 +35,49 @@
 
 
 @dataclass(slots=True)
-class Counts:
+class ServerCounts:
     """What one server has seen."""
 
-    asked: int = 0
-    served: int = 0
+    requests: int = 0
+    completed: int = 0
     errors: int = 0
-    turned_away: int = 0
-    no_id: int = 0
-    probes: int = 0
-    most_at_work: int = 0
-    after_drain: list[float] = field(default_factory=list)  # seconds after the drain at which work came
+    rejected: int = 0
+    without_id: int = 0
+    health_checks: int = 0
+    max_in_flight: int = 0
+    requests_after_drain_s: list[float] = field(default_factory=list)  # how long after the drain they came
 
 
 class Server(Listener):
-    """One fake server. `await open()`, then `drain()`, `kill()`, and `knobs` at any time."""
+    """One fake server. `await open()`, then `drain()`, `kill()`, and `behavior` at any time."""
 
-    def __init__(self, name: str, knobs: Knobs, seed: int, host: str = "127.0.0.1", port: int = 0) -> None:
+    def __init__(
+        self, name: str, behavior: ServerBehavior, seed: int, host: str = "127.0.0.1", port: int = 0
+    ) -> None:
         super().__init__(host, port)
-        self.name, self.knobs = name, knobs
+        self.name, self.behavior = name, behavior
         self.random = Random(seed)
-        self.counts = Counts()
-        self.at_work = 0
-        self.waiting = 0
+        self.counts = ServerCounts()
+        self.in_flight = 0
+        self.queued = 0
         self.started_s = time.monotonic()
         self.drained_s: float | None = None
         self.paused_until_s = 0.0
-        self.alive = False
+        self.is_running = False
         self._slot = asyncio.Condition()
 
     async def open(self) -> "Server":
         """Listen and start cold; OSError where the port is taken."""
         await super().open()
-        self.started_s, self.drained_s, self.alive = time.monotonic(), None, True
+        self.started_s, self.drained_s, self.is_running = time.monotonic(), None, True
         return self
 
-    def room(self, now_s: float) -> int:
+    def capacity_at(self, now_s: float) -> int:
         """Operations it takes at work at once by now, warming from `cold_from` of its capacity."""
-        knobs = self.knobs
-        warm = 1.0 if knobs.warm_s <= 0 else min(1.0, (now_s - self.started_s) / knobs.warm_s)
-        share = knobs.cold_from + (1.0 - knobs.cold_from) * warm
-        return max(1, math.floor(knobs.capacity * share + 1e-9))  # rounding takes no slot away
+        behavior = self.behavior
+        warm = 1.0 if behavior.warm_s <= 0 else min(1.0, (now_s - self.started_s) / behavior.warm_s)
+        share = behavior.cold_from + (1.0 - behavior.cold_from) * warm
+        return max(1, math.floor(behavior.capacity * share + 1e-9))  # rounding takes no slot away
 
     def pause(self, seconds: float) -> None:
         """Stall whole for `seconds`, as a process that stops: nothing is answered until then."""
@@ -87,101 +89,109 @@
 
     async def kill(self) -> None:
         """End at once, as a machine that vanishes: no listener, every connection broken."""
-        self.alive = False
+        self.is_running = False
         self.stop_listening()
-        self.cut()
+        self.reset_connections()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await http.serve(reader, writer, self._handle)
 
-    async def _handle(self, asked: http.Asked) -> http.Reply:
+    async def _handle(self, request: http.Request) -> http.Response:
         now = time.monotonic()
-        if asked.path in ("/alive", "/metrics/load"):
-            self.counts.probes += 1
-            fit = self.drained_s is None and self.at_work < self.room(now)
-            body = self._load(now).encode() if asked.path == "/metrics/load" else b""
-            return http.Reply(200 if fit else 503, body)
-        if "x-request-id" not in asked.headers:
-            self.counts.no_id += 1
-            return http.Reply(404, b"no X-Request-ID")
-        self.counts.asked += 1
+        if request.path in ("/alive", "/metrics/load"):
+            self.counts.health_checks += 1
+            fit = self.drained_s is None and self.in_flight < self.capacity_at(now)
+            body = self._load(now).encode() if request.path == "/metrics/load" else b""
+            return http.Response(200 if fit else 503, body)
+        if "x-request-id" not in request.headers:
+            self.counts.without_id += 1
+            return http.Response(404, b"no X-Request-ID")
+        self.counts.requests += 1
         if self.drained_s is not None:
-            self.counts.after_drain.append(now - self.drained_s)
+            self.counts.requests_after_drain_s.append(now - self.drained_s)
         if self.drained_s is not None or (
-            self.at_work >= self.room(now) and self.waiting >= self.knobs.queue
+            self.in_flight >= self.capacity_at(now) and self.queued >= self.behavior.queue
         ):
-            self.seen(asked, now, False)
-            self.counts.turned_away += 1
-            return http.Reply(503, b"", (("X-Not-Processed", "1"),))
+            self.on_request(request, now, False)
+            self.counts.rejected += 1
+            return http.Response(503, b"", (("X-Not-Processed", "1"),))
         async with self._slot:
-            self.waiting += 1
+            self.queued += 1
             try:
-                await self._slot.wait_for(lambda: self.at_work < self.room(time.monotonic()))
+                await self._slot.wait_for(lambda: self.in_flight < self.capacity_at(time.monotonic()))
             finally:
-                self.waiting -= 1
-            self.at_work += 1
-        self.seen(asked, now, True)
-        self.counts.most_at_work = max(self.counts.most_at_work, self.at_work)
+                self.queued -= 1
+            self.in_flight += 1
+        self.on_request(request, now, True)
+        self.counts.max_in_flight = max(self.counts.max_in_flight, self.in_flight)
         try:
-            return await self._work(asked)
+            return await self._work(request)
         finally:
             async with self._slot:
-                self.at_work -= 1
+                self.in_flight -= 1
                 self._slot.notify_all()
 
-    async def _work(self, asked: http.Asked) -> http.Reply:
-        knobs = self.knobs
-        if knobs.silent:
-            while knobs.silent:
-                await asyncio.sleep(SILENT_LOOK_S)
-            return http.Reply(500, abort=True)  # what it sat on is lost; its slot is free again
-        await asyncio.sleep(knobs.median_s * math.exp(knobs.sigma * self.random.gauss(0.0, 1.0)))
+    async def _work(self, request: http.Request) -> http.Response:
+        behavior = self.behavior
+        if behavior.silent:
+            while behavior.silent:
+                await asyncio.sleep(SILENCE_CHECK_INTERVAL_S)
+            return http.Response(500, abort=True)  # what it sat on is lost; its slot is free again
+        await asyncio.sleep(behavior.median_s * math.exp(behavior.sigma * self.random.gauss(0.0, 1.0)))
         stalled = self.paused_until_s - time.monotonic()
         if stalled > 0:
             await asyncio.sleep(stalled)
         load = (("X-Server-Load", "TEXT " + self._load(time.monotonic())),)
-        if self.random.random() < knobs.error_share:
+        if self.random.random() < behavior.error_share:
             self.counts.errors += 1
-            return http.Reply(500, b"", load)
-        self.counts.served += 1
-        return http.Reply(200, b"done " + asked.headers["x-request-id"].encode() + b" " + asked.body, load)
+            return http.Response(500, b"", load)
+        self.counts.completed += 1
+        return http.Response(
+            200, b"done " + request.headers["x-request-id"].encode() + b" " + request.body, load
+        )
 
-    def seen(self, asked: http.Asked, came_s: float, ran: bool) -> None:
+    def on_request(self, request: http.Request, came_s: float, ran: bool) -> None:
         """For whoever watches: a request that came at `came_s` was turned away, or is at work now."""
 
     def _load(self, now_s: float) -> str:
-        room = self.room(now_s)
-        return f"inflight={self.at_work}, queue={self.waiting}, util={min(1.0, self.at_work / room):.2f}"
+        capacity = self.capacity_at(now_s)
+        return (
+            f"inflight={self.in_flight}, queue={self.queued}, util={min(1.0, self.in_flight / capacity):.2f}"
+        )
 
 
-class Pool:
+class ServerPool:
     """Servers named s0, s1, ... with one knob set, each seeded from one seed."""
 
-    def __init__(self, size: int, knobs: Knobs, seed: int, host: str = "127.0.0.1") -> None:
+    def __init__(self, size: int, behavior: ServerBehavior, seed: int, host: str = "127.0.0.1") -> None:
         chance = Random(seed)
         self.servers = [
-            Server(f"s{i}", Knobs(**_fields(knobs)), chance.getrandbits(48), host) for i in range(size)
+            Server(f"s{i}", ServerBehavior(**_fields(behavior)), chance.getrandbits(48), host)
+            for i in range(size)
         ]
 
-    async def open(self) -> "Pool":
+    async def open(self) -> "ServerPool":
+        """Start all servers; returns the pool itself."""
         for server in self.servers:
             await server.open()
         return self
 
     async def close(self) -> None:
+        """End all servers."""
         for server in self.servers:
             with contextlib.suppress(Exception):
                 await server.kill()
 
-    def totals(self) -> Counts:
-        total = Counts()
+    def totals(self) -> ServerCounts:
+        """The counts of all servers together."""
+        total = ServerCounts()
         for server in self.servers:
-            for name in ("asked", "served", "errors", "turned_away", "no_id", "probes"):
+            for name in ("requests", "completed", "errors", "rejected", "without_id", "health_checks"):
                 setattr(total, name, getattr(total, name) + getattr(server.counts, name))
-            total.after_drain.extend(server.counts.after_drain)
-        total.most_at_work = max((each.counts.most_at_work for each in self.servers), default=0)
+            total.requests_after_drain_s.extend(server.counts.requests_after_drain_s)
+        total.max_in_flight = max((each.counts.max_in_flight for each in self.servers), default=0)
         return total
 
 
-def _fields(knobs: Knobs) -> dict:
-    return {name: getattr(knobs, name) for name in Knobs.__slots__}
+def _fields(behavior: ServerBehavior) -> dict:
+    return {name: getattr(behavior, name) for name in ServerBehavior.__slots__}
--- a/lapisgrade/fakes/site.py
+++ b/lapisgrade/fakes/site.py
@@ -1,8 +1,8 @@
 """A whole small site in one process on loopback: counter, discovery, servers and limiters, each ours.
 
-The limiters are the real ones (`lapisgrade.net.service.Service`), told by the sample configuration with the
-addresses of the fakes filled in. Ports are chosen free by the system unless asked for; `Site.where()`
-says which were taken.
+The limiters are the real ones (`lapisgrade.net.service.Service`), with the sample configuration in which the
+addresses of the fakes are filled in. Ports are chosen free by the system unless asked for;
+`Site.listening_lines()` says which were taken.
 """
 
 import asyncio
@@ -16,11 +16,11 @@
 from typing import Any
 
 from lapisgrade.fakes.counter import Counter
-from lapisgrade.fakes.discovery import Discovery, Row
-from lapisgrade.fakes.servers import Knobs, Pool
+from lapisgrade.fakes.discovery import Discovery, ServerEntry
+from lapisgrade.fakes.servers import ServerBehavior, ServerPool
 
-UP_S = 5.0  # how long a limiter may take to answer `GET /up` before the site gives up starting
-LOOK_S = 0.02  # between looks whether a limiter is up
+START_TIMEOUT_S = 5.0  # how long a limiter may take to answer `GET /up` before the site gives up starting
+CHECK_INTERVAL_S = 0.02  # between looks whether a limiter is up
 
 
 def sample() -> dict[str, Any]:
@@ -29,8 +29,10 @@
 
 
 def _first_own_port() -> int:
-    """The first port that the system gives to whoever binds none of its choice (proc(5),
-    ip_local_port_range)."""
+    """The first port that the system gives to whoever binds none of its choice.
+
+    See proc(5), ip_local_port_range.
+    """
     try:
         with open("/proc/sys/net/ipv4/ip_local_port_range") as file:
             return int(file.read().split()[0])
@@ -38,7 +40,7 @@
         return 32_768
 
 
-PORTS = 8_000  # below the system's own range, that `free_port` draws from
+PORT_COUNT = 8_000  # below the system's own range, that `free_port` draws from
 _turns = itertools.count(os.getpid() * 97)
 
 
@@ -48,16 +50,16 @@
     It lies below those that the system hands out itself: a process that is killed and started again at its
     port must not find that a socket of somebody else's was given it meanwhile.
     """
-    first = max(1024, _first_own_port() - PORTS)
-    for _ in range(PORTS):
-        port = first + next(_turns) % PORTS
+    first = max(1024, _first_own_port() - PORT_COUNT)
+    for _ in range(PORT_COUNT):
+        port = first + next(_turns) % PORT_COUNT
         try:
             with socket.create_server((host, port)), socket.socket(type=socket.SOCK_DGRAM) as words:
                 words.bind((host, port))
                 return port
         except OSError:
             continue
-    raise OSError(f"no port is free among {PORTS} from {first}")
+    raise OSError(f"no port is free among {PORT_COUNT} from {first}")
 
 
 @dataclass(slots=True)
@@ -66,7 +68,7 @@
 
     limiters: int = 2
     servers: int = 4
-    knobs: Knobs = field(default_factory=Knobs)
+    behavior: ServerBehavior = field(default_factory=ServerBehavior)
     seed: int = 1
     template: dict[str, Any] | None = None  # the limiters' configuration; the sample where None
     ports: tuple[int, int, int] = (0, 0, 0)  # counter, discovery, first limiter; 0 for any free port
@@ -79,7 +81,7 @@
         self.plan = plan
         self.counter = Counter(port=plan.ports[0])
         self.discovery = Discovery(port=plan.ports[1])
-        self.pool = Pool(plan.servers, plan.knobs, plan.seed)
+        self.pool = ServerPool(plan.servers, plan.behavior, plan.seed)
         self.services: list = []
         self.listens: list[tuple[str, int]] = []
         self._runs: list[asyncio.Task] = []
@@ -89,27 +91,27 @@
         await self.discovery.open()
         await self.pool.open()
         for i, server in enumerate(self.pool.servers):
-            self.discovery.put(Row(server.name, server.address, cell=i % 3))
+            self.discovery.put(ServerEntry(server.name, server.address, cell=i % 3))
         from lapisgrade.net.service import Service  # the limiter itself, only when a site is started
 
         for i in range(self.plan.limiters):
             port = self.plan.ports[2] + i if self.plan.ports[2] else free_port()
-            told = self.told(i, port)
-            service = Service(told)
+            configuration = self.limiter_configuration(i, port)
+            service = Service(configuration)
             self.services.append(service)
             self.listens.append(("127.0.0.1", port))
             self._runs.append(asyncio.create_task(service.run()))
         for address in self.listens:
-            await up(address, self._runs)
+            await wait_until_ready(address, self._runs)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await self.end_limiters()
+        await self.shut_down_limiters()
         await self.pool.close()
         await self.discovery.close()
         await self.counter.close()
 
-    async def end_limiters(self) -> None:
+    async def shut_down_limiters(self) -> None:
         """Tell each limiter to end, and wait until each has answered all that it owes."""
         for service in self.services:
             service.shut_down()
@@ -117,19 +119,19 @@
             await asyncio.wait(self._runs)
         self._runs = []
 
-    def told(self, index: int, port: int) -> dict[str, Any]:
+    def limiter_configuration(self, index: int, port: int) -> dict[str, Any]:
         """The configuration of limiter `index`, listening at `port`."""
-        told = copy.deepcopy(self.plan.template or sample())
-        told["name"] = f"{told.get('name', 'lg')}-{index}"
-        told["listen"] = f"127.0.0.1:{port}"
-        told["discovery"], told["counter"] = self.discovery.address, self.counter.address
-        told["known"] = self.discovery.whole()
-        told["seed"] = f"{(self.plan.seed * 1_000_003 + index) % (1 << 64):016x}"
-        settings = told.setdefault("settings", {})
+        configuration = copy.deepcopy(self.plan.template or sample())
+        configuration["name"] = f"{configuration.get('name', 'lg')}-{index}"
+        configuration["listen"] = f"127.0.0.1:{port}"
+        configuration["discovery"], configuration["counter"] = self.discovery.address, self.counter.address
+        configuration["known"] = self.discovery.complete_list()
+        configuration["seed"] = f"{(self.plan.seed * 1_000_003 + index) % (1 << 64):016x}"
+        settings = configuration.setdefault("settings", {})
         settings["SelfIndex"], settings["NInstances"] = index, self.plan.limiters
-        return told
+        return configuration
 
-    def where(self) -> list[str]:
+    def listening_lines(self) -> list[str]:
         """Lines that say where each part listens."""
         return [
             f"counter    {self.counter.address}",
@@ -138,7 +140,7 @@
             *(f"limiter    {host}:{port}   (send requests here)" for host, port in self.listens),
         ]
 
-    async def leave(self, index: int, grace_s: float) -> None:
+    async def drain_and_remove(self, index: int, grace_s: float) -> None:
         """Server `index` drains, is gone from discovery after `grace_s`, and then dies."""
         server = self.pool.servers[index]
         server.drain()
@@ -148,7 +150,7 @@
         await server.kill()
 
 
-async def answers_up(address: tuple[str, int], within_s: float = 1.0) -> bool:
+async def is_ready(address: tuple[str, int], within_s: float = 1.0) -> bool:
     """Whether the limiter at `address` answers `GET /up` with 200."""
     try:
         async with asyncio.timeout(within_s):
@@ -162,16 +164,16 @@
         return False
 
 
-async def up(address: tuple[str, int], runs: list[asyncio.Task]) -> None:
+async def wait_until_ready(address: tuple[str, int], runs: list[asyncio.Task]) -> None:
     """Wait until the limiter at `address` answers `GET /up` with 200; RuntimeError if it ends or is slow."""
     loop = asyncio.get_running_loop()
-    ends = loop.time() + UP_S
+    ends = loop.time() + START_TIMEOUT_S
     while loop.time() < ends:
         for run in runs:
             if run.done():
                 run.result()
                 raise RuntimeError("a limiter ended while starting")
-        if await answers_up(address):
+        if await is_ready(address):
             return
-        await asyncio.sleep(LOOK_S)
-    raise RuntimeError(f"the limiter at {address[0]}:{address[1]} did not come up in {UP_S:g} s")
+        await asyncio.sleep(CHECK_INTERVAL_S)
+    raise RuntimeError(f"the limiter at {address[0]}:{address[1]} did not come up in {START_TIMEOUT_S:g} s")
--- a/lapisgrade/lab/fleet/faults.py
+++ b/lapisgrade/lab/fleet/faults.py
@@ -4,8 +4,8 @@
 import time
 from random import Random
 
-from lapisgrade.fakes.counter import Manner
-from lapisgrade.fakes.discovery import Row
+from lapisgrade.fakes.counter import CounterMode
+from lapisgrade.fakes.discovery import ServerEntry
 from lapisgrade.lab.emulator import scenario as scenarios
 from lapisgrade.lab.emulator.scenario import Fault, Scenario
 from lapisgrade.lab.fleet import history as h
@@ -168,14 +168,18 @@
             self.held.append((state, number))
             return
         for each in self.limiters:
-            row = each.agent.rows[f"s{number}"]
+            entry = each.agent.entries[f"s{number}"]
             if state == "in_service":
                 started_ms = time.time_ns() // 1_000_000
-                each.agent.put(Row(row.instance_id, row.host_port, row.zone, row.cell, started_ms=started_ms))
+                each.agent.put(
+                    ServerEntry(
+                        entry.instance_id, entry.host_port, entry.zone, entry.cell, started_ms=started_ms
+                    )
+                )
             elif state == "terminating":
-                each.agent.drain(row.instance_id)
+                each.agent.drain(entry.instance_id)
             else:
-                each.agent.remove(row.instance_id)
+                each.agent.remove(entry.instance_id)
 
     async def _on_links(self, fault: Fault) -> None:
         picked = self._links(fault)
@@ -232,20 +236,20 @@
     async def _on_counter(self, fault: Fault) -> None:
         counter, kind = self.counter, fault.kind.removeprefix("counter_")
         if kind == "lost":
-            counter.turn(Manner.SILENT)
+            counter.set_mode(CounterMode.SILENT)
             if await self._for(fault):
-                counter.turn(Manner.WELL)
+                counter.set_mode(CounterMode.NORMAL)
         elif kind in ("back", "well"):
-            counter.turn(Manner.WELL)
+            counter.set_mode(CounterMode.NORMAL)
         elif kind == "slow":
             counter.delay_s = SLOW_S
-            counter.turn(Manner.SLOW)
+            counter.set_mode(CounterMode.SLOW)
             if await self._for(fault):
-                counter.turn(Manner.WELL)
+                counter.set_mode(CounterMode.NORMAL)
         elif kind in ("stale", "spoilt"):
-            counter.turn(Manner(kind))
+            counter.set_mode(CounterMode(kind))
             if await self._for(fault):
-                counter.turn(Manner.WELL)
+                counter.set_mode(CounterMode.NORMAL)
         elif kind == "restart":
             counter.restart()
         elif kind == "split":
@@ -253,7 +257,7 @@
             if await self._for(fault):
                 counter.heal()
         elif kind == "swap":
-            fresh = SeenCounter(most_connections=COUNTER_CONNECTIONS * self.sc.limiters)
+            fresh = SeenCounter(max_connections=COUNTER_CONNECTIONS * self.sc.limiters)
             fresh.writer = self.writer
             self.swapped.append(await fresh.open())
             for each in self.limiters:
--- a/lapisgrade/lab/fleet/ground.py
+++ b/lapisgrade/lab/fleet/ground.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from lapisgrade.fakes.discovery import Row
+from lapisgrade.fakes.discovery import ServerEntry
 from lapisgrade.fakes.site import free_port
 from lapisgrade.lab.emulator import scenario as scenarios
 from lapisgrade.lab.emulator.scenario import Scenario
@@ -43,7 +43,7 @@
         self.writer = h.Writer(self.files[0])
         self.supervisor = Supervisor()
         self.chance = Random(sc.seed)
-        self.counter = SeenCounter(most_connections=COUNTER_CONNECTIONS * sc.limiters)
+        self.counter = SeenCounter(max_connections=COUNTER_CONNECTIONS * sc.limiters)
         self.counter.writer = self.writer
         self.swapped: list[SeenCounter] = []
         self.relays: list[TcpRelay | UdpRelay] = []
@@ -147,7 +147,7 @@
             for number, address in enumerate(self.addresses):
                 if "server" in led:
                     address = (await self._relay(limiter, "server", address, number)).address
-                limiter.agent.put(Row(f"s{number}", address, sc.zone_of(number), cell=number % 4))
+                limiter.agent.put(ServerEntry(f"s{number}", address, sc.zone_of(number), cell=number % 4))
         await asyncio.gather(*(each.start() for each in self.limiters))
 
     def _led(self) -> set[str]:
--- a/lapisgrade/lab/fleet/limiter.py
+++ b/lapisgrade/lab/fleet/limiter.py
@@ -9,7 +9,7 @@
 from lapisgrade.lab.fleet import history as h
 from lapisgrade.lab.fleet.process import Failed, Process
 from lapisgrade.lab.fleet.relay import TcpRelay, UdpRelay
-from lapisgrade.fakes.site import answers_up, free_port
+from lapisgrade.fakes.site import is_ready, free_port
 from typing import TYPE_CHECKING
 
 from lapisgrade.lab.fleet.limiter_settings import settings
@@ -59,7 +59,7 @@
             "counter": self.counter_at,
             "seed": f"{(sc.seed * 1_000_003 + self.index) % (1 << 64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
-            "known": self.agent.whole(),
+            "known": self.agent.complete_list(),
             "settings": settings(sc, self.index),
             "state": str(self.state),
             "clock": {"offset_ms": offset},
@@ -83,7 +83,7 @@
         while time.monotonic() < until:
             if not self.process.running:
                 raise Failed(f"limiter {self.index} ended while starting, see {self.process.log}")
-            if await answers_up(("127.0.0.1", self.port)):
+            if await is_ready(("127.0.0.1", self.port)):
                 self.up = True
                 self.life("up")
                 if self.config.read_bytes() != told:
--- a/lapisgrade/lab/fleet/observed.py
+++ b/lapisgrade/lab/fleet/observed.py
@@ -48,9 +48,9 @@
         self.writer.put(h.Opened(at=h.now_us(), to="discovery"))
         await super()._accept(reader, writer)
 
-    async def _handle(self, asked: http.Asked) -> http.Reply:
+    async def _handle(self, request: http.Request) -> http.Response:
         self.writer.put(h.Asked(at=h.now_us(), limiter=self.limiter))
-        reply = await super()._handle(asked)
+        reply = await super()._handle(request)
         if reply.status == 200:
             for row in json.loads(reply.body)["instances"]:
                 name, state = row["instanceId"], row["lifecycle"]
--- a/lapisgrade/lab/fleet/servers.py
+++ b/lapisgrade/lab/fleet/servers.py
@@ -23,8 +23,8 @@
         self.writer.put(h.Opened(at=h.now_us(), to=self.name))
         await super()._accept(reader, writer)
 
-    def seen(self, asked: http.Asked, came_s: float, ran: bool) -> None:
-        at, op = round(came_s * h.SECOND), asked.headers["x-request-id"]
+    def on_request(self, request: http.Request, came_s: float, ran: bool) -> None:
+        at, op = round(came_s * h.SECOND), request.headers["x-request-id"]
         self.writer.put(h.Came(at=at, op=op, server=self.name, ran=ran))
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         self.all: list[Seen] = []
-        self.usual: servers.Knobs = servers.Knobs()
+        self.usual: servers.ServerBehavior = servers.ServerBehavior()
         self.writer: h.Writer | None = None
 
     async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
@@ -41,9 +41,9 @@
 
     async def do_open(self, history: str, count: int, seed: int, knobs: dict[str, Any]) -> dict[str, Any]:
         self.writer = h.Writer(history)
-        self.usual = servers.Knobs(**knobs)
+        self.usual = servers.ServerBehavior(**knobs)
         for i in range(count):
-            server = Seen(f"s{i}", servers.Knobs(**knobs), seed * 1_000_003 + i)
+            server = Seen(f"s{i}", servers.ServerBehavior(**knobs), seed * 1_000_003 + i)
             server.writer = self.writer
             self.all.append(await server.open())
         return {"addresses": [each.address for each in self.all]}
@@ -51,7 +51,7 @@
     async def do_mode(self, which: list[int], mode: str, factor: float = 1.0) -> dict[str, Any]:
         """`well`, `slow` (times `factor`), `failing` (a share `factor`), `fast_errors`, `silent`."""
         for i in which:
-            knobs, usual = self.all[i].knobs, self.usual
+            knobs, usual = self.all[i].behavior, self.usual
             knobs.silent = mode == "silent"
             knobs.median_s = {"slow": usual.median_s * factor, "fast_errors": 0.0}.get(mode, usual.median_s)
             knobs.error_share = {"failing": factor, "fast_errors": 1.0}.get(mode, 0.0)
@@ -70,7 +70,7 @@
     async def do_restart(self, which: list[int]) -> dict[str, Any]:
         """A new process at the same place: cold, and empty."""
         for i in which:
-            if self.all[i].alive:
+            if self.all[i].is_running:
                 await self.all[i].kill()
             await self.all[i].open()
         return {"addresses": [self.all[i].address for i in which]}
--- a/lapisgrade/net/client_listener.py
+++ b/lapisgrade/net/client_listener.py
@@ -137,8 +137,7 @@
         await client.run(reader)
 
     def _make_room(self, newest: ClientConnection) -> None:
-        """Guards the descriptors: one that asks nothing goes, else one that is idle, else the newest is
-        rejected when it asks.
+        """Close one that asks nothing, else one that is idle, else reject the newest (guards descriptors).
 
         One that came just now may be about to ask, and would lose what it asks.
         """
--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -61,7 +61,7 @@
         self._address = address
         self._backoff = PollBackoff(random, limiters)
         self._version: int | None = None  # of the list applied last; None: the complete one comes first
-        self._watches: list[asyncio.Task] = []  # the newest last
+        self._watches: list[asyncio.Task[None]] = []  # the newest last
 
     def start(self) -> None:
         """Watch from now on, for changes after the list applied last."""
@@ -115,7 +115,7 @@
     def _start_watch(self) -> None:
         self._watches.append(asyncio.create_task(self._follow(self._address, self._version)))
 
-    def _keep_only(self, watches: list[asyncio.Task]) -> None:
+    def _keep_only(self, watches: list[asyncio.Task[None]]) -> None:
         for each in self._watches:
             if each not in watches:
                 each.cancel()
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -47,11 +47,11 @@
 
     async def faults(site):
         await asyncio.sleep(0.8)
-        site.counter.turn(counter.Manner.SPOILT)
+        site.counter.set_mode(counter.CounterMode.SPOILT)
         await asyncio.sleep(0.8)
         seen.append(site.counter.tally.added)
         site.counter.restart()  # an empty counter in its place, as a swap to a fresh one
-        site.counter.turn(counter.Manner.WELL)
+        site.counter.set_mode(counter.CounterMode.NORMAL)
 
     assert run(demo.run(ask_demo(seconds=3.0, leave=None), said.append, faults)) == 0
     assert seen and seen[0] > 0 and "RULE BROKEN" not in " ".join(said)
--- a/tests/fakes/test_counter.py
+++ b/tests/fakes/test_counter.py
@@ -51,10 +51,10 @@
             heard == b"$3\r\n2.5\r\n$3\r\n1.5\r\n+PONG\r\n+OK\r\n"
             b"-ERR unknown command 'GET'\r\n-ERR the amount or the life is not a number\r\n"
         )
-        till.manner = counter.Manner.BUSY
+        till.mode = counter.CounterMode.BUSY
         assert await call(till.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"-BUSY try later\r\n"
         assert till.store.counts[b"k"].total == 1.5 and till.tally.busy == 1
-        till.manner = counter.Manner.WELL
+        till.mode = counter.CounterMode.NORMAL
         till.restart()  # comes back empty
         assert await call(till.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"$3\r\n1.0\r\n"
         await till.close()
@@ -64,8 +64,8 @@
 
 def test_a_silent_counter_replies_nothing_and_a_full_one_resets_connections():
     async def go():
-        till = await counter.Counter(most_connections=1).open()
-        till.manner = counter.Manner.SILENT
+        till = await counter.Counter(max_connections=1).open()
+        till.mode = counter.CounterMode.SILENT
         reader, writer = await asyncio.open_connection("127.0.0.1", till.port)
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         with pytest.raises(TimeoutError):
@@ -81,8 +81,8 @@
 
 def test_a_silent_counter_notices_closed_connections_and_recovers():
     async def go():
-        till = await counter.Counter(most_connections=4).open()
-        till.manner = counter.Manner.SILENT
+        till = await counter.Counter(max_connections=4).open()
+        till.mode = counter.CounterMode.SILENT
         for _ in range(3):  # ten limiters' worth of time-outs: each gives its connection up and opens another
             lines = [await asyncio.open_connection("127.0.0.1", till.port) for _ in range(4)]
             for _, writer in lines:
@@ -95,7 +95,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", till.port)
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         await asyncio.sleep(0.02)
-        till.manner = counter.Manner.WELL
+        till.mode = counter.CounterMode.NORMAL
         assert await call(till.port, [b"PING"]) == b"+PONG\r\n"
         writer.write(b"*1\r\n$4\r\nPING\r\n")  # the one that is owed an answer gets none for a later call
         assert await asyncio.wait_for(reader.read(10), 1.0) == b""
@@ -144,9 +144,9 @@
         assert (one, two) == (b"$3\r\n6.0\r\n", b"$3\r\n7.0\r\n")  # each half believes itself whole
         till.heal()
         assert await call(till.port, [b"INCRTTL", b"k", b"0", b"60000"]) == b"$3\r\n8.0\r\n"
-        till.turn(counter.Manner.STALE)
+        till.set_mode(counter.CounterMode.STALE)
         assert await call(till.port, [b"INCRTTL", b"k", b"4", b"60000"]) == b"$3\r\n8.0\r\n"
-        till.turn(counter.Manner.SPOILT)
+        till.set_mode(counter.CounterMode.SPOILT)
         assert await call(till.port, [b"INCRTTL", b"k", b"1", b"60000"]) == b"$5\r\nfresh\r\n"
         assert till.store.counts[b"k"].total == 13.0  # lies told, but every addition was made
         await till.close()
--- a/tests/fakes/test_discovery.py
+++ b/tests/fakes/test_discovery.py
@@ -23,8 +23,8 @@
 def test_discovery_replies_the_full_list_and_then_changes():
     async def go():
         agent = await discovery.Discovery().open()
-        agent.put(discovery.Row("s0", "127.0.0.1:1"))
-        agent.put(discovery.Row("s1", "127.0.0.1:2"))
+        agent.put(discovery.ServerEntry("s0", "127.0.0.1:1"))
+        agent.put(discovery.ServerEntry("s1", "127.0.0.1:2"))
         status, body = await get(agent.port, "/discovery/hosts")
         whole = json.loads(body)
         assert status == 200 and whole["reset"]
@@ -39,7 +39,7 @@
         quiet = await get(agent.port, f"/discovery/hosts?since={told['generation']}&timeout_ms=50")
         assert json.loads(quiet[1])["instances"] == []
         agent.remove("s1")
-        assert [r["instanceId"] for r in agent.whole()["instances"]] == ["s0"]
+        assert [r["instanceId"] for r in agent.complete_list()["instances"]] == ["s0"]
         assert (await get(agent.port, "/discovery/hosts?since=x"))[0] == 400
         assert (await get(agent.port, "/elsewhere"))[0] == 404
         await agent.close()
--- a/tests/fakes/test_listener.py
+++ b/tests/fakes/test_listener.py
@@ -27,7 +27,7 @@
         await one.close()
         # What the loop does where it accepted the connection, and ran this only after the end.
         reader, writer = await asyncio.open_connection(one.host, (await _Seen().open()).port)
-        await one._meet(reader, writer)
+        await one._on_connection(reader, writer)
         return one.accepted, writer.transport.is_closing()
 
     assert asyncio.run(met()) == (1, True)
--- a/tests/fakes/test_servers.py
+++ b/tests/fakes/test_servers.py
@@ -22,16 +22,16 @@
 
 def test_a_full_or_draining_server_rejects_as_not_processed():
     async def go():
-        knobs = servers.Knobs(capacity=2, queue=1, median_s=0.3, sigma=0.0)
+        knobs = servers.ServerBehavior(capacity=2, queue=1, median_s=0.3, sigma=0.0)
         server = await servers.Server("s0", knobs, 7).open()
         answers = await asyncio.gather(*(ask(server.port, str(i)) for i in range(5)))
         statuses = sorted(status for status, _ in answers)
         assert statuses == [200, 200, 200, 503, 503]
         assert all(b"X-Not-Processed: 1" in head for status, head in answers if status == 503)
-        assert server.counts.most_at_work == 2
+        assert server.counts.max_in_flight == 2
         assert (await ask(server.port, number=None))[0] == 404
         server.drain()
-        assert (await ask(server.port, "9"))[0] == 503 and len(server.counts.after_drain) == 1
+        assert (await ask(server.port, "9"))[0] == 503 and len(server.counts.requests_after_drain_s) == 1
         await server.kill()
         with pytest.raises(OSError):
             await ask(server.port, "10")
@@ -40,5 +40,5 @@
 
 
 def test_a_server_in_slow_start_has_a_growing_share_of_its_capacity():
-    server = servers.Server("s0", servers.Knobs(capacity=10, cold_from=0.3, warm_s=10.0), 1)
-    assert [server.room(server.started_s + t) for t in (0, 5, 10, 60)] == [3, 6, 10, 10]
+    server = servers.Server("s0", servers.ServerBehavior(capacity=10, cold_from=0.3, warm_s=10.0), 1)
+    assert [server.capacity_at(server.started_s + t) for t in (0, 5, 10, 60)] == [3, 6, 10, 10]
--- a/tests/lab/load/test_load.py
+++ b/tests/lab/load/test_load.py
@@ -34,7 +34,9 @@
 
 def test_a_stall_of_one_second_shows_across_the_distribution():
     async def go():
-        server = await servers.Server("s0", servers.Knobs(capacity=500, queue=500, median_s=0.002), 3).open()
+        server = await servers.Server(
+            "s0", servers.ServerBehavior(capacity=500, queue=500, median_s=0.002), 3
+        ).open()
         planned = schedule.plan(schedule.Shape("constant", 100, 3), MIX, 1)
         tool = client.Client([("127.0.0.1", server.port)], 1)
         asyncio.get_running_loop().call_later(1.0, server.pause, 1.0)
