--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -8,7 +8,7 @@
     RequestVoteReply,
 )
 from lapisgrade.gateway.consensus.timing import LEASE_US
-from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation.mutants import BY_RULE
 from support.consensus_nodes import VOTERS, elected_leader, new_node, append_reply, sync_disk, take_effects
 
@@ -79,5 +79,5 @@
 
 
 def test_a_membership_change_before_that_entry_is_detected() -> None:
-    with switched(BY_RULE, "change-before-own-entry"), pytest.raises(AssertionError):
+    with injected(BY_RULE, "change-before-own-entry"), pytest.raises(AssertionError):
         test_no_membership_change_before_an_entry_of_its_own_term_is_committed()
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -13,7 +13,7 @@
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.merge.fields import from_fields, to_fields, diff
 from lapisgrade.gateway.merge.three_way import Draft, make_draft, force_changes, merge_drafts, describe_draft
-from lapisgrade.lab.explore.rejoin import Chance
+from lapisgrade.lab.explore.rejoin import ConfigurationRandom
 
 CLAIM, SCRIPT = "r-claim", "r-script"
 
@@ -68,14 +68,14 @@
 def test_fields_round_trip_without_loss() -> None:
     assert from_fields(to_fields(GROUND), GROUND) == GROUND
     for seed in range(200):
-        conf = Chance(seed).conf()
+        conf = ConfigurationRandom(seed).configuration()
         assert from_fields(to_fields(conf), conf) == conf
 
 
 def test_the_changes_of_an_edit_lead_from_one_configuration_to_the_other() -> None:
     for seed in range(200):
-        chance = Chance(seed)
-        conf = chance.conf()
+        chance = ConfigurationRandom(seed)
+        conf = chance.configuration()
         one = chance.drafts(conf, 1)[0]
         merged, outcomes = merge_drafts(conf, [one])
         assert not outcomes[one.id].is_open
@@ -172,8 +172,8 @@
 def test_order_of_arrival_and_duplicates_do_not_matter() -> None:
     met = 0
     for seed in range(60):
-        chance = Chance(seed)
-        ground = chance.conf()
+        chance = ConfigurationRandom(seed)
+        ground = chance.configuration()
         drafts = chance.drafts(ground, 3)
         first = merge_drafts(ground, drafts)
         met += any(each.is_open for each in first[1].values())
@@ -185,8 +185,8 @@
 
 def test_every_field_of_every_draft_is_merged_or_reported() -> None:
     for seed in range(200):
-        chance = Chance(seed)
-        base = chance.conf()
+        chance = ConfigurationRandom(seed)
+        base = chance.configuration()
         drafts = chance.drafts(base, 2)  # on the version before, as on a side that heard nothing since
         try:
             ground = apply_change(base, {"Ver": 10, **chance.change()})
