--- a/tests/lab/simulation/test_data_plane.py
+++ b/tests/lab/simulation/test_data_plane.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lapisgrade.lab.explore import data_plane as explored
-from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation import data_plane_mutants
 from lapisgrade.lab.simulation.data_plane import played
 
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("name", explored.DEFECTS)
 def test_each_wrong_version_is_found(name: str) -> None:
     begin, many = data_plane_mutants.FOUND_FROM.get(name, (0, 12))
-    with switched(explored.DEFECTS, name):
+    with injected(explored.DEFECTS, name):
         found = next((seed for seed in range(begin, begin + many) if played(seed).wrong), None)
         assert found is not None, f"{name} survived {many} seeds from {begin} on"
 
