--- a/tests/lab/simulation/test_fault_schedules.py
+++ b/tests/lab/simulation/test_fault_schedules.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation import mutants
 from lapisgrade.lab.simulation.courses import COURSES
 
@@ -58,6 +58,6 @@
     ("name", "schedule"), [(name, schedule) for group, schedule in mutants.COURSES_OF for name in group]
 )
 def test_each_wrong_version_is_found(name: str, schedule: str) -> None:
-    with switched(mutants.MUTANTS, name):
+    with injected(mutants.MUTANTS, name):
         found = next((seed for seed in range(MUTANT_SEEDS) if COURSES[schedule](seed).wrong), None)
         assert found is not None, f"{name} survived {MUTANT_SEEDS} seeds of {schedule}"
