--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -221,7 +221,7 @@
         if not self.last_read_us:
             # Nothing was admitted before the owner was first reached.
             self.local_bucket.set_level(now_us, self.local_bucket.burst)
-            self.epoch = 0  # the level is known from here on
+            self.is_level_known = True
         self.last_read_us = now_us
         self.bucket.set_level(now_us, self.plan.burst - total)
 
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -10,7 +10,6 @@
 """
 
 import math
-from hashlib import blake2b
 
 from lapisgrade.interface import (
     AddToCounter,
@@ -26,10 +25,9 @@
     WakeReason,
 )
 from lapisgrade.policy.counter_breaker import CounterBreaker
+from lapisgrade.policy.counter_epoch import MAX_EPOCH_DECAYS, CounterEpoch
 from lapisgrade.rate import SECOND, DecayingSum, TokenBucket
 
-MAX_EPOCH_US = 30 * SECOND  # that one counter id is used; short of the counter's longest TTL, seldom renewed
-MAX_EPOCH_DECAYS = 15  # of `decay_us` in an epoch; amounts grow e-fold in each, and the counter takes 1e9
 COUNTER_TTL_US = 45 * SECOND  # outlives its epoch, so that a limiter that is late still finds the count
 RESPONSE_MARGIN_US = 6_000  # before an operation's deadline; a few rounds of the host's clock
 MAX_LEASE_OPERATIONS = 50  # the design's cap
@@ -93,9 +91,8 @@
     def _reset(self, now_us: int, plan: Plan) -> None:
         """Begin with nothing known of the count."""
         self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)  # the quota's, by the totals
-        self.epoch_us = min(MAX_EPOCH_US, MAX_EPOCH_DECAYS * self.decay_us)
-        self.counter_id = 0
-        self.epoch = -1  # -1: no call was made yet
+        self.counter_epoch = CounterEpoch(self.customer, self.decay_us)
+        self.is_level_known = False  # whether the bucket says more than the plan, as a call was made
         self.last_read_us = 0  # when the count was last told; 0: never
         self.leased_units = 0.0
         self.lease_expires_us = 0
@@ -259,7 +256,7 @@
 
     def _units_to_request(self, units: float) -> float:
         """A lease on a part of what is left, in operations of so many units; at least one."""
-        level = self.bucket.read(self.clock.now_us) if self.epoch >= 0 else 0.0
+        level = self.bucket.read(self.clock.now_us) if self.is_level_known else 0.0
         operations = max(1, int(level / (2 * self.gateway_count * units)))
         return min(MAX_LEASE_OPERATIONS, operations) * units
 
@@ -306,15 +303,18 @@
             The `CounterOutcome`.
         """
         sent_us = self.clock.now_us
-        self._enter_epoch(sent_us)
+        self.is_level_known = True
+        epoch = self.counter_epoch
+        if epoch.enter(sent_us):  # every limiter restores its own part of the count there
+            self.to_restore.add(sent_us, self.own_use.read(sent_us) - self.to_restore.read(sent_us))
         # What is restored was used before, and is no new use; what is unreported is new to all.
         added = units + self.unreported.read(sent_us)
         restored = self.to_restore.read(sent_us)
         self.unreported.value = 0.0
         self.to_restore.value = 0.0
-        epoch_start_us = self.epoch * self.epoch_us
-        growth = math.exp((sent_us - epoch_start_us) / self.decay_us)
-        reply: CounterReply = yield AddToCounter(self.counter_id, (added + restored) * growth, COUNTER_TTL_US)
+        epoch_start_us = epoch.start_us
+        amount = (added + restored) * epoch.growth(sent_us)
+        reply: CounterReply = yield AddToCounter(epoch.counter_id, amount, COUNTER_TTL_US)
         now_us = self.clock.now_us
         self.counter_breaker.record_reply(now_us, reply.outcome, sent_us)
         if reply.outcome is CounterOutcome.REJECTED:
@@ -334,15 +334,6 @@
         self.own_use.add(now_us, added)
         return reply.outcome
 
-    def _enter_epoch(self, now_us: int) -> None:
-        """Use another counter id in each epoch; every limiter restores its own part of the count there."""
-        if now_us // self.epoch_us == self.epoch:
-            return
-        self.epoch = now_us // self.epoch_us
-        digest = blake2b(f"{self.customer} {self.epoch}".encode(), digest_size=8).digest()
-        self.counter_id = int.from_bytes(digest, "big") >> 1
-        self.to_restore.add(now_us, self.own_use.read(now_us) - self.to_restore.read(now_us))
-
     def _apply_total(
         self, now_us: int, use: float, level: float, restored: float, counting_since_us: int
     ) -> tuple[float, float]:
