--- a/lapisgrade/net/client_listener.py
+++ b/lapisgrade/net/client_listener.py
@@ -133,10 +133,10 @@
         self.awaiting_first_request[client] = asyncio.get_running_loop().time()
         self.metrics.client_connections_accepted += 1
         if len(self.clients) > self._max_connections:
-            self._make_room(client)
+            self._free_capacity(client)
         await client.run(reader)
 
-    def _make_room(self, newest: ClientConnection) -> None:
+    def _free_capacity(self, newest: ClientConnection) -> None:
         """Close one that asks nothing, else one that is idle, else reject the newest (guards descriptors).
 
         One that came just now may be about to ask, and would lose what it asks.
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -61,6 +61,9 @@
     """Brings events to the policy in the order of the queue, and carries out what it asks for."""
 
     parse_load_report = staticmethod(parse_load_report)
+    # Set by whoever builds the host, before `run`.
+    pool: ConnectionPool
+    counter: CounterService
 
     def __init__(
         self,
@@ -69,7 +72,7 @@
         log: Callable[[str], None],
         metrics: NetMetrics,
     ) -> None:
-        """`now` is in us; `log` takes one line for the people on call. `pool` must be set before `run`."""
+        """`now` is in us; `log` takes one line for the people on call."""
         self.now = now
         self._log = log
         self._metrics = metrics
@@ -79,8 +82,6 @@
         self.engine = Engine(self, self.clock)
         self.policy = build_policy(self.clock)
         self.unanswered: dict[ClientRequest, Operation] = {}  # operations without their final response
-        self.pool: ConnectionPool | None = None
-        self.counter: CounterService | None = None
         self._wake_at_us = 0  # the wake-up requested last
 
     async def run(self) -> None:
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -17,7 +17,12 @@
 from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.rate_limited_log import RateLimitedLog
 from lapisgrade.net.request_parser import RequestParser
-from lapisgrade.net.service_configuration import check_kinds, read_configuration, service_addresses
+from lapisgrade.net.service_configuration import (
+    Address,
+    check_kinds,
+    read_configuration,
+    service_addresses,
+)
 from lapisgrade.policy import Limiter
 from lapisgrade.settings import (
     Fields,
@@ -60,19 +65,7 @@
         self._known_servers = configuration["known"]
         self.host = Host(lambda clock: _build_policy(clock, seed, settings), now, self.log, self.metrics)
         connections = read_connection_settings(settings)
-        self.listener = ClientListener(
-            self.host.enqueue,
-            now,
-            self.log,
-            self.metrics,
-            RequestParser(
-                read_categories(settings),
-                read_plans(settings),
-                read_placement(settings).limiter_count,
-                read_max_units(settings),
-            ),
-            sockets // CLIENTS_DIVISOR,
-        )
+        self.listener = self._build_listener(settings, now, sockets // CLIENTS_DIVISOR)
         self.host.pool = ConnectionPool(
             self.host.enqueue, now, self.log, self.metrics, connections, sockets // SERVERS_DIVISOR
         )
@@ -90,16 +83,30 @@
                 counter.timeout_us,
                 connections.connect_timeout_us,
             )
-        self._discovery = DiscoveryClient(
+        self._discovery = self._build_discovery(settings, discovery_address)
+        self._shutdown_requested = asyncio.Event()
+
+    def _build_listener(
+        self, settings: Fields, now: Callable[[], int], max_connections: int
+    ) -> ClientListener:
+        parser = RequestParser(
+            read_categories(settings),
+            read_plans(settings),
+            read_placement(settings).limiter_count,
+            read_max_units(settings),
+        )
+        return ClientListener(self.host.enqueue, now, self.log, self.metrics, parser, max_connections)
+
+    def _build_discovery(self, settings: Fields, address: Address) -> DiscoveryClient:
+        return DiscoveryClient(
             self.host.enqueue,
             self.log,
             self.metrics,
-            discovery_address,
+            address,
             self.host.pool,
             self.host.policy.random,
             read_placement(settings).limiter_count,
         )
-        self._shutdown_requested = asyncio.Event()
 
     def shut_down(self) -> None:
         """Have `run` answer what is owed, and return."""
@@ -115,7 +122,7 @@
         )
         self.metrics.reloads += 1
         self._discovery.change_address(discovery_address)
-        if counter_address is not None:
+        if counter_address is not None and self._counter is not None:
             self._counter.change_address(counter_address)
 
     async def run(self) -> None:
