--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,15 +10,21 @@
 
 from support.loopback_network import LoopbackNetwork, reserve_loopback_network
 
+TIMEOUT_S = 180.0  # of a test that is a coroutine function
+
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Run a test that is a coroutine function on an event loop of its own, in asyncio's debug mode."""
+    """Run a test that is a coroutine function on an event loop of its own, in asyncio's debug mode.
+
+    Raises:
+        TimeoutError: It takes longer than `TIMEOUT_S`.
+    """
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     arguments = {name: pyfuncitem.funcargs[name] for name in pyfuncitem._fixtureinfo.argnames}
     with asyncio.Runner(debug=True) as runner:
-        runner.run(pyfuncitem.obj(**arguments))
+        runner.run(asyncio.wait_for(pyfuncitem.obj(**arguments), TIMEOUT_S))
     return True
 
 
--- a/tests/fakes/test_counter.py
+++ b/tests/fakes/test_counter.py
@@ -7,23 +7,19 @@
 from lapisgrade.fakes import counter
 
 
-def run(work, seconds=60):
-    return asyncio.run(asyncio.wait_for(work, seconds))
-
-
 async def call(port, *calls):
     """Raw RESP2 calls, pipelined on one connection; the raw bytes that came back, until they stop."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for words in calls:
         writer.write(b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words))
-    heard = b""
-    while heard.count(b"\r\n") < len(calls):
+    received = b""
+    while received.count(b"\r\n") < len(calls):
         chunk = await asyncio.wait_for(reader.read(4096), 2)
         if not chunk:
             break
-        heard += chunk
+        received += chunk
     writer.transport.abort()
-    return heard
+    return received
 
 
 def test_a_count_expires_from_its_first_addition_and_starts_again():
@@ -35,88 +31,76 @@
     assert store.forget(61.0) == 2 and not store.counts
 
 
-def test_the_counter_adds_rejects_and_refuses_unknown_commands():
-    async def go():
-        till = await counter.Counter().open()
-        heard = await call(
-            till.port,
-            [b"INCRTTL", b"k", b"2.5", b"4000"],
-            [b"INCRTTL", b"k", b"-1", b"4000"],
-            [b"PING"],
-            [b"SELECT", b"0"],
-            [b"GET", b"k"],
-            [b"INCRTTL", b"k", b"lots", b"1"],
-        )
-        assert (
-            heard == b"$3\r\n2.5\r\n$3\r\n1.5\r\n+PONG\r\n+OK\r\n"
-            b"-ERR unknown command 'GET'\r\n-ERR the amount or the life is not a number\r\n"
-        )
-        till.manner = counter.Manner.BUSY
-        assert await call(till.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"-BUSY try later\r\n"
-        assert till.store.counts[b"k"].total == 1.5 and till.tally.busy == 1
-        till.manner = counter.Manner.WELL
-        till.restart()  # comes back empty
-        assert await call(till.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"$3\r\n1.0\r\n"
-        await till.close()
-
-    run(go())
-
-
-def test_a_silent_counter_replies_nothing_and_a_full_one_resets_connections():
-    async def go():
-        till = await counter.Counter(most_connections=1).open()
-        till.manner = counter.Manner.SILENT
-        reader, writer = await asyncio.open_connection("127.0.0.1", till.port)
-        writer.write(b"*1\r\n$4\r\nPING\r\n")
-        with pytest.raises(TimeoutError):
-            await asyncio.wait_for(reader.read(10), 0.3)
-        with pytest.raises(ConnectionResetError):  # the second connection is reset
-            await call(till.port, [b"PING"])
-        assert till.tally.reset_connections == 1
-        writer.transport.abort()
-        await till.close()
-
-    run(go())
-
-
-def test_a_silent_counter_notices_closed_connections_and_recovers():
-    async def go():
-        till = await counter.Counter(most_connections=4).open()
-        till.manner = counter.Manner.SILENT
-        for _ in range(3):  # ten limiters' worth of time-outs: each gives its connection up and opens another
-            lines = [await asyncio.open_connection("127.0.0.1", till.port) for _ in range(4)]
-            for _, writer in lines:
-                writer.write(b"*1\r\n$4\r\nPING\r\n")
-            await asyncio.sleep(0.02)
-            for _, writer in lines:
-                writer.transport.abort()
-            await asyncio.sleep(0.02)
-        assert till.connections == 0 and till.tally.reset_connections == 0
-        reader, writer = await asyncio.open_connection("127.0.0.1", till.port)
-        writer.write(b"*1\r\n$4\r\nPING\r\n")
-        await asyncio.sleep(0.02)
-        till.manner = counter.Manner.WELL
-        assert await call(till.port, [b"PING"]) == b"+PONG\r\n"
-        writer.write(b"*1\r\n$4\r\nPING\r\n")  # the one that is owed an answer gets none for a later call
-        assert await asyncio.wait_for(reader.read(10), 1.0) == b""
-        await till.close()
-
-    run(go())
-
+async def test_the_counter_adds_rejects_and_refuses_unknown_commands():
+    fake = await counter.Counter().open()
+    received = await call(
+        fake.port,
+        [b"INCRTTL", b"k", b"2.5", b"4000"],
+        [b"INCRTTL", b"k", b"-1", b"4000"],
+        [b"PING"],
+        [b"SELECT", b"0"],
+        [b"GET", b"k"],
+        [b"INCRTTL", b"k", b"lots", b"1"],
+    )
+    assert (
+        received == b"$3\r\n2.5\r\n$3\r\n1.5\r\n+PONG\r\n+OK\r\n"
+        b"-ERR unknown command 'GET'\r\n-ERR the amount or the life is not a number\r\n"
+    )
+    fake.manner = counter.Manner.BUSY
+    assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"-BUSY try later\r\n"
+    assert fake.store.counts[b"k"].total == 1.5 and fake.tally.busy == 1
+    fake.manner = counter.Manner.WELL
+    fake.restart()  # comes back empty
+    assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"$3\r\n1.0\r\n"
+    await fake.close()
+
+
+async def test_a_silent_counter_replies_nothing_and_a_full_one_resets_connections():
+    fake = await counter.Counter(most_connections=1).open()
+    fake.manner = counter.Manner.SILENT
+    reader, writer = await asyncio.open_connection("127.0.0.1", fake.port)
+    writer.write(b"*1\r\n$4\r\nPING\r\n")
+    with pytest.raises(TimeoutError):
+        await asyncio.wait_for(reader.read(10), 0.3)
+    with pytest.raises(ConnectionResetError):  # the second connection is reset
+        await call(fake.port, [b"PING"])
+    assert fake.tally.reset_connections == 1
+    writer.transport.abort()
+    await fake.close()
 
-def test_an_endless_partial_command_is_cut_off_at_a_bound():
-    async def go():
-        till = await counter.Counter().open()
-        reader, writer = await asyncio.open_connection("127.0.0.1", till.port)
-        writer.write(b"*2\r\n$%d\r\n" % (4 << 20))
-        for _ in range(80):
-            writer.write(b"x" * 65_536)
-        with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-            await writer.drain()
-            await asyncio.wait_for(reader.readexactly(1), 5)
-        await till.close()
 
-    run(go())
+async def test_a_silent_counter_notices_closed_connections_and_recovers():
+    fake = await counter.Counter(most_connections=4).open()
+    fake.manner = counter.Manner.SILENT
+    for _ in range(3):  # ten limiters' worth of time-outs: each gives its connection up and opens another
+        lines = [await asyncio.open_connection("127.0.0.1", fake.port) for _ in range(4)]
+        for _, writer in lines:
+            writer.write(b"*1\r\n$4\r\nPING\r\n")
+        await asyncio.sleep(0.02)
+        for _, writer in lines:
+            writer.transport.abort()
+        await asyncio.sleep(0.02)
+    assert fake.connections == 0 and fake.tally.reset_connections == 0
+    reader, writer = await asyncio.open_connection("127.0.0.1", fake.port)
+    writer.write(b"*1\r\n$4\r\nPING\r\n")
+    await asyncio.sleep(0.02)
+    fake.manner = counter.Manner.WELL
+    assert await call(fake.port, [b"PING"]) == b"+PONG\r\n"
+    writer.write(b"*1\r\n$4\r\nPING\r\n")  # the one that is owed an answer gets none for a later call
+    assert await asyncio.wait_for(reader.read(10), 1.0) == b""
+    await fake.close()
+
+
+async def test_an_endless_partial_command_is_cut_off_at_a_bound():
+    fake = await counter.Counter().open()
+    reader, writer = await asyncio.open_connection("127.0.0.1", fake.port)
+    writer.write(b"*2\r\n$%d\r\n" % (4 << 20))
+    for _ in range(80):
+        writer.write(b"x" * 65_536)
+    with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
+        await writer.drain()
+        await asyncio.wait_for(reader.readexactly(1), 5)
+    await fake.close()
 
 
 def test_a_split_counter_accepts_writes_in_both_halves_and_a_heal_counts_each_once():
@@ -134,21 +118,18 @@
     assert counter.heal(late).counts[b"a"].total == 9.0
 
 
-def test_split_halves_reply_apart_then_as_one_and_a_stale_or_corrupt_counter_is_wrong():
-    async def go():
-        till = await counter.Counter().open()
-        assert await call(till.port, [b"INCRTTL", b"k", b"5", b"60000"]) == b"$3\r\n5.0\r\n"
-        till.split()
-        one = await call(till.port, [b"INCRTTL", b"k", b"1", b"60000"])
-        two = await call(till.port, [b"INCRTTL", b"k", b"2", b"60000"])
-        assert (one, two) == (b"$3\r\n6.0\r\n", b"$3\r\n7.0\r\n")  # each half believes itself whole
-        till.heal()
-        assert await call(till.port, [b"INCRTTL", b"k", b"0", b"60000"]) == b"$3\r\n8.0\r\n"
-        till.turn(counter.Manner.STALE)
-        assert await call(till.port, [b"INCRTTL", b"k", b"4", b"60000"]) == b"$3\r\n8.0\r\n"
-        till.turn(counter.Manner.SPOILT)
-        assert await call(till.port, [b"INCRTTL", b"k", b"1", b"60000"]) == b"$5\r\nfresh\r\n"
-        assert till.store.counts[b"k"].total == 13.0  # lies told, but every addition was made
-        await till.close()
-
-    run(go())
+async def test_split_halves_reply_apart_then_as_one_and_a_stale_or_corrupt_counter_is_wrong():
+    fake = await counter.Counter().open()
+    assert await call(fake.port, [b"INCRTTL", b"k", b"5", b"60000"]) == b"$3\r\n5.0\r\n"
+    fake.split()
+    one = await call(fake.port, [b"INCRTTL", b"k", b"1", b"60000"])
+    two = await call(fake.port, [b"INCRTTL", b"k", b"2", b"60000"])
+    assert (one, two) == (b"$3\r\n6.0\r\n", b"$3\r\n7.0\r\n")  # each half believes itself whole
+    fake.heal()
+    assert await call(fake.port, [b"INCRTTL", b"k", b"0", b"60000"]) == b"$3\r\n8.0\r\n"
+    fake.turn(counter.Manner.STALE)
+    assert await call(fake.port, [b"INCRTTL", b"k", b"4", b"60000"]) == b"$3\r\n8.0\r\n"
+    fake.turn(counter.Manner.SPOILT)
+    assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"60000"]) == b"$5\r\nfresh\r\n"
+    assert fake.store.counts[b"k"].total == 13.0  # lies told, but every addition was made
+    await fake.close()
--- a/tests/fakes/test_servers.py
+++ b/tests/fakes/test_servers.py
@@ -7,10 +7,6 @@
 from lapisgrade.fakes import servers
 
 
-def run(work, seconds=60):
-    return asyncio.run(asyncio.wait_for(work, seconds))
-
-
 async def ask(port, number="1", path="/api"):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     head = f"GET {path} HTTP/1.1\r\nHost: s\r\n" + (f"X-Request-ID: {number}\r\n" if number else "") + "\r\n"
@@ -20,23 +16,20 @@
     return int(head.split(b" ")[1]), head
 
 
-def test_a_full_or_draining_server_rejects_as_not_processed():
-    async def go():
-        knobs = servers.Knobs(capacity=2, queue=1, median_s=0.3, sigma=0.0)
-        server = await servers.Server("s0", knobs, 7).open()
-        answers = await asyncio.gather(*(ask(server.port, str(i)) for i in range(5)))
-        statuses = sorted(status for status, _ in answers)
-        assert statuses == [200, 200, 200, 503, 503]
-        assert all(b"X-Not-Processed: 1" in head for status, head in answers if status == 503)
-        assert server.counts.most_at_work == 2
-        assert (await ask(server.port, number=None))[0] == 404
-        server.drain()
-        assert (await ask(server.port, "9"))[0] == 503 and len(server.counts.after_drain) == 1
-        await server.kill()
-        with pytest.raises(OSError):
-            await ask(server.port, "10")
-
-    run(go())
+async def test_a_full_or_draining_server_rejects_as_not_processed():
+    knobs = servers.Knobs(capacity=2, queue=1, median_s=0.3, sigma=0.0)
+    server = await servers.Server("s0", knobs, 7).open()
+    answers = await asyncio.gather(*(ask(server.port, str(i)) for i in range(5)))
+    statuses = sorted(status for status, _ in answers)
+    assert statuses == [200, 200, 200, 503, 503]
+    assert all(b"X-Not-Processed: 1" in head for status, head in answers if status == 503)
+    assert server.counts.most_at_work == 2
+    assert (await ask(server.port, number=None))[0] == 404
+    server.drain()
+    assert (await ask(server.port, "9"))[0] == 503 and len(server.counts.after_drain) == 1
+    await server.kill()
+    with pytest.raises(OSError):
+        await ask(server.port, "10")
 
 
 def test_a_server_in_slow_start_has_a_growing_share_of_its_capacity():
--- a/tests/lab/fleet/test_relay.py
+++ b/tests/lab/fleet/test_relay.py
@@ -17,46 +17,43 @@
     return server, server.sockets[0].getsockname()
 
 
-def test_a_tcp_link_is_cut_in_either_direction_healed_slowed_and_reset():
-    async def go():
-        server, where = await echo()
-        relay = await TcpRelay(where, 1).open()
-        reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
-
-        async def ask(words: bytes, within_s: float = 5.0) -> bytes:
-            writer.write(words)
-            return await asyncio.wait_for(reader.readexactly(len(words)), within_s)
-
-        assert await ask(b"one") == b"one"
-        for cut in ({THERE}, {BACK}, {THERE, BACK}):
-            relay.link.cut = frozenset(cut)
-            relay.turn()
-            with pytest.raises(TimeoutError):
-                await ask(b"two", 0.15)
-            relay.link.heal()
-            relay.turn()
-            assert await asyncio.wait_for(reader.readexactly(3), 5) == b"two"  # held back, not lost
-        loop = asyncio.get_running_loop()
-        relay.link.delay_s, began = 0.1, loop.time()
-        assert await ask(b"slow") == b"slow"
-        assert loop.time() - began >= 0.2  # there and back
-        relay.link = Link(rate=10_000)
-        began = loop.time()
-        assert await ask(b"x" * 1500) == b"x" * 1500
-        assert loop.time() - began >= 0.15
-        relay.link = Link(reset=True)
+async def test_a_tcp_link_is_cut_in_either_direction_healed_slowed_and_reset():
+    server, where = await echo()
+    relay = await TcpRelay(where, 1).open()
+    reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
+
+    async def ask(words: bytes, within_s: float = 5.0) -> bytes:
+        writer.write(words)
+        return await asyncio.wait_for(reader.readexactly(len(words)), within_s)
+
+    assert await ask(b"one") == b"one"
+    for cut in ({THERE}, {BACK}, {THERE, BACK}):
+        relay.link.cut = frozenset(cut)
         relay.turn()
-        with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-            await ask(b"end")
-        with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-            other, writes = await asyncio.open_connection("127.0.0.1", relay.port)
-            writes.write(b"x")
-            await other.readexactly(1)
-        assert relay.passed.resets == 2
-        await relay.close()
-        server.close()
-
-    asyncio.run(go())
+        with pytest.raises(TimeoutError):
+            await ask(b"two", 0.15)
+        relay.link.heal()
+        relay.turn()
+        assert await asyncio.wait_for(reader.readexactly(3), 5) == b"two"  # held back, not lost
+    loop = asyncio.get_running_loop()
+    relay.link.delay_s, began = 0.1, loop.time()
+    assert await ask(b"slow") == b"slow"
+    assert loop.time() - began >= 0.2  # there and back
+    relay.link = Link(rate=10_000)
+    began = loop.time()
+    assert await ask(b"x" * 1500) == b"x" * 1500
+    assert loop.time() - began >= 0.15
+    relay.link = Link(reset=True)
+    relay.turn()
+    with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
+        await ask(b"end")
+    with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
+        other, writes = await asyncio.open_connection("127.0.0.1", relay.port)
+        writes.write(b"x")
+        await other.readexactly(1)
+    assert relay.passed.resets == 2
+    await relay.close()
+    server.close()
 
 
 def test_a_datagram_link_loses_duplicates_and_reorders_by_its_seed():
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -111,79 +111,67 @@
     return BUSY * detection_bounds_us(Timing(), count, lost, 1)["known"] / 1e6
 
 
-def test_killed_paused_and_restarted_members_are_detected_everywhere(tmp_path):
-    async def go():
-        async with Fleet(tmp_path, 5) as fleet:
-            everybody = set(fleet.nodes)
-            for name in ("m0", "m1"):
-                await fleet.nodes[name].process.kill()
-            await fleet.until(lambda: fleet.agree(everybody - {"m0", "m1"}), within(5))
-            await fleet.nodes["m0"].start(fleet.supervisor, [fleet.nodes["m3"].relay.address], fleet.link)
-            await fleet.until(lambda: fleet.agree(everybody - {"m1"}), within(5))
-            fleet.nodes["m2"].process.pause()
-            await fleet.until(lambda: fleet.agree(everybody - {"m1", "m2"}), within(5))
-            fleet.nodes["m2"].process.resume()
-            await fleet.until(lambda: fleet.agree(everybody - {"m1"}), within(5))
-            said = [await node.end() for node in fleet.live()]
-            assert all(each["counts"]["refuted"] >= 0 and each["counts"]["sent"] for each in said)
-
-    asyncio.run(go())
+async def test_killed_paused_and_restarted_members_are_detected_everywhere(tmp_path):
+    async with Fleet(tmp_path, 5) as fleet:
+        everybody = set(fleet.nodes)
+        for name in ("m0", "m1"):
+            await fleet.nodes[name].process.kill()
+        await fleet.until(lambda: fleet.agree(everybody - {"m0", "m1"}), within(5))
+        await fleet.nodes["m0"].start(fleet.supervisor, [fleet.nodes["m3"].relay.address], fleet.link)
+        await fleet.until(lambda: fleet.agree(everybody - {"m1"}), within(5))
+        fleet.nodes["m2"].process.pause()
+        await fleet.until(lambda: fleet.agree(everybody - {"m1", "m2"}), within(5))
+        fleet.nodes["m2"].process.resume()
+        await fleet.until(lambda: fleet.agree(everybody - {"m1"}), within(5))
+        said = [await node.end() for node in fleet.live()]
+        assert all(each["counts"]["refuted"] >= 0 and each["counts"]["sent"] for each in said)
 
 
 @pytest.mark.parametrize("link", [Link(), Link(loss=0.2, twice=0.1, swap=0.1)], ids=["sound", "lossy"])
-def test_a_partitioned_member_is_dead_to_the_rest_and_returns_when_healed(link, tmp_path):
-    async def go():
-        async with Fleet(tmp_path, 5, link) as fleet:
-            everybody, lone = set(fleet.nodes), fleet.nodes["m4"]
-            rest = everybody - {"m4"}
-            lone.relay.link = Link(cut=frozenset({THERE, BACK}))
-            for name in rest:
-                fleet.nodes[name].relay.deaf.add(lone.port)
-            await fleet.until(
-                lambda: fleet.agree(rest, rest) and fleet.agree({"m4"}, {"m4"}), 2 * within(5, link.loss)
-            )
-            lone.relay.link = link
-            for name in rest:
-                fleet.nodes[name].relay.deaf.clear()
-            await fleet.until(lambda: fleet.agree(everybody), 60)
-
-    asyncio.run(go())
-
-
-def test_a_flood_a_foreign_version_and_noise_have_a_bounded_cost(tmp_path):
-    async def go():
-        async with Fleet(tmp_path, 3) as fleet:
-            one = fleet.nodes["m0"]
-            loop = asyncio.get_running_loop()
-            flood, _ = await loop.create_datagram_endpoint(
-                asyncio.DatagramProtocol, remote_addr=("127.0.0.1", one.port)
-            )
-            ping = CODEC.encode("m9", 1, messages.Ping(1, "nobody"))
-            other = msgspec.msgpack.encode([frame.VERSION + 1, {"a": 1}])
-            for i in range(6 * MAX_FRAMES_PER_SECOND):
-                flood.sendto((ping, other, b"noise", b"\xc1" * 3000)[i % 4])
-                if i % 50 == 0:
-                    await asyncio.sleep(0.005)
-            await asyncio.sleep(0.5)
-            assert fleet.agree(set(fleet.nodes))
-            said = await one.end()
-            assert said["counts"]["peer frames too many"] > 0 and said["counts"]["peer frames refused"] > 0
-            assert said["alive"] == ["m0", "m1", "m2"]
-            log = (tmp_path / "m0.log").read_text()
-            assert log.count("a frame from") == 1 and "Traceback" not in log
-
-    asyncio.run(go())
-
-
-def test_a_member_that_cannot_listen_reports_it_in_one_line(tmp_path):
-    async def go():
-        child = Process("m", [sys.executable, "-m", "lapisgrade.members", "m", "nowhere"], tmp_path / "log")
-        async with Supervisor() as supervisor:
-            await supervisor.start(child)
-            assert await child.wait() == 2
-            assert (tmp_path / "log").read_text().startswith("the member could not start: listen is not")
-
-    asyncio.run(go())
+async def test_a_partitioned_member_is_dead_to_the_rest_and_returns_when_healed(link, tmp_path):
+    async with Fleet(tmp_path, 5, link) as fleet:
+        everybody, lone = set(fleet.nodes), fleet.nodes["m4"]
+        rest = everybody - {"m4"}
+        lone.relay.link = Link(cut=frozenset({THERE, BACK}))
+        for name in rest:
+            fleet.nodes[name].relay.deaf.add(lone.port)
+        await fleet.until(
+            lambda: fleet.agree(rest, rest) and fleet.agree({"m4"}, {"m4"}), 2 * within(5, link.loss)
+        )
+        lone.relay.link = link
+        for name in rest:
+            fleet.nodes[name].relay.deaf.clear()
+        await fleet.until(lambda: fleet.agree(everybody), 60)
+
+
+async def test_a_flood_a_foreign_version_and_noise_have_a_bounded_cost(tmp_path):
+    async with Fleet(tmp_path, 3) as fleet:
+        one = fleet.nodes["m0"]
+        loop = asyncio.get_running_loop()
+        flood, _ = await loop.create_datagram_endpoint(
+            asyncio.DatagramProtocol, remote_addr=("127.0.0.1", one.port)
+        )
+        ping = CODEC.encode("m9", 1, messages.Ping(1, "nobody"))
+        other = msgspec.msgpack.encode([frame.VERSION + 1, {"a": 1}])
+        for i in range(6 * MAX_FRAMES_PER_SECOND):
+            flood.sendto((ping, other, b"noise", b"\xc1" * 3000)[i % 4])
+            if i % 50 == 0:
+                await asyncio.sleep(0.005)
+        await asyncio.sleep(0.5)
+        assert fleet.agree(set(fleet.nodes))
+        said = await one.end()
+        assert said["counts"]["peer frames too many"] > 0 and said["counts"]["peer frames refused"] > 0
+        assert said["alive"] == ["m0", "m1", "m2"]
+        log = (tmp_path / "m0.log").read_text()
+        assert log.count("a frame from") == 1 and "Traceback" not in log
+
+
+async def test_a_member_that_cannot_listen_reports_it_in_one_line(tmp_path):
+    child = Process("m", [sys.executable, "-m", "lapisgrade.members", "m", "nowhere"], tmp_path / "log")
+    async with Supervisor() as supervisor:
+        await supervisor.start(child)
+        assert await child.wait() == 2
+        assert (tmp_path / "log").read_text().startswith("the member could not start: listen is not")
 
 
 def test_frames_fit_a_datagram_and_malformed_ones_are_rejected():
