--- a/lapisgrade/gateway/controller/control_api.py
+++ b/lapisgrade/gateway/controller/control_api.py
@@ -9,10 +9,9 @@
 from lapisgrade.gateway.controller.call_forwarding import CallForwarder
 from lapisgrade.gateway.controller.drafts import DraftService
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
+from lapisgrade.gateway.http_server import HttpReply
 from lapisgrade.net.http import Message
 
-HttpReply = tuple[int, bytes, bytes]  # status, body, further header lines
-
 
 class ControlApi:
     """Handles one request after another; drafts are taken here, all else on the leader."""
@@ -27,11 +26,11 @@
         request = cast(h11.Request, message.head)  # a server parses nothing else
         found = api.parse_call(request.method.decode(), request.target.decode("latin-1"))
         if isinstance(found, int):
-            return found, b'{"Err":"no such call"}', b""
+            return HttpReply(found, b'{"Err":"no such call"}')
         call, subject = found
         self._metrics.calls[call.name] += 1
         if message.size > call.max_body_bytes:
-            return HTTPStatus.REQUEST_ENTITY_TOO_LARGE, b'{"Err":"the body is too long"}', b""
+            return HttpReply(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, b'{"Err":"the body is too long"}')
         body = b"".join(message.body)
         if call.name == "conf.draft":
             reply = await self._drafts.accept(body)
@@ -40,4 +39,4 @@
             if call.name == "conf.drafts":
                 reply = self._drafts.add_stored_drafts(reply)
         self._metrics.call_replies[f"{call.name} {reply.status}"] += 1
-        return reply.status, reply.body, b""
+        return HttpReply(reply.status, reply.body)
--- a/lapisgrade/gateway/controller/server.py
+++ b/lapisgrade/gateway/controller/server.py
@@ -25,7 +25,7 @@
 from lapisgrade.gateway.controller import node_recovery
 from lapisgrade.gateway.controller.call_forwarding import CallForwarder
 from lapisgrade.gateway.controller.consensus_driver import ConsensusDriver, ConsensusObserver
-from lapisgrade.gateway.controller.control_api import ControlApi, HttpReply
+from lapisgrade.gateway.controller.control_api import ControlApi
 from lapisgrade.gateway.controller.drafts import DraftDelivery, DraftService
 from lapisgrade.gateway.controller.leader_calls import LeaderCalls
 from lapisgrade.gateway.controller.leader_discovery import ClusterMembership, LeaderDiscovery
@@ -34,7 +34,7 @@
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.controller.watch_service import WatchService
-from lapisgrade.gateway.http_server import HttpServer
+from lapisgrade.gateway.http_server import HttpReply, HttpServer
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import Settings, parse_address
 from lapisgrade.gateway.storage.draft_store import DraftStore
@@ -265,4 +265,4 @@
 
     async def _handle_readiness(self, message: HttpMessage) -> HttpReply:
         ready = not self.control_server.closing
-        return HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE, b"", b""
+        return HttpReply(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
--- a/lapisgrade/gateway/http_server.py
+++ b/lapisgrade/gateway/http_server.py
@@ -7,6 +7,7 @@
 import socket
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
+from typing import NamedTuple
 
 import h11
 
@@ -20,7 +21,22 @@
 CLOSE_FIELD = b"Connection: close\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
-Handler = Callable[[Message], Awaitable[tuple[int, bytes, bytes]]]  # status, body, further header lines
+
+class HttpReply(NamedTuple):
+    """What a handler answers.
+
+    Attributes:
+        status: The HTTP status.
+        body: JSON; empty for none.
+        fields: Further header lines, each with its line end.
+    """
+
+    status: int
+    body: bytes = b""
+    fields: bytes = b""
+
+
+Handler = Callable[[Message], Awaitable[HttpReply]]
 
 
 class HttpServer:
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from lapisgrade.gateway import SECOND, clock, registry, rpc_messages
-from lapisgrade.gateway.http_server import HttpServer
+from lapisgrade.gateway.http_server import HttpReply, HttpServer
 from lapisgrade.gateway.membership.gossip import Gossip
 from lapisgrade.gateway.membership.partial_view import PartialView
 from lapisgrade.gateway.proxy.client_front import ClientFront
@@ -222,10 +222,10 @@
         """Whether it reaches no other machine though other proxies live."""
         return self.reachability.is_isolated(len(self.quota_owner.proxies))
 
-    async def _answer_readiness(self, message: HttpMessage) -> tuple[int, bytes, bytes]:
+    async def _answer_readiness(self, message: HttpMessage) -> HttpReply:
         if message.head.target != b"/-/readyz":
-            return HTTPStatus.NOT_FOUND, b"", b""
-        return HTTPStatus.OK if self.ready else HTTPStatus.SERVICE_UNAVAILABLE, b"", b""
+            return HttpReply(HTTPStatus.NOT_FOUND)
+        return HttpReply(HTTPStatus.OK if self.ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
     @property
     def active_version(self) -> int:
