--- a/tests/gateway/consensus/test_cluster.py
+++ b/tests/gateway/consensus/test_cluster.py
@@ -18,7 +18,7 @@
     assert cluster.leader()
     old = cluster.leader()
     others = [each for each in "abc" if each != old]
-    cluster.cut = {(old, others[0]), (others[0], old)}
+    cluster.cut_links = {(old, others[0]), (others[0], old)}
     cluster.run(0.3)  # the leader's lease now rests on the other one alone
     cluster.kill(others[1])
     cluster.start(others[1])
@@ -26,7 +26,7 @@
         cluster.run(0.02)
         leased = [
             each
-            for each, controller in cluster.controllers.items()
+            for each, controller in cluster.nodes.items()
             if controller.is_leader and controller.has_lease()
         ]
         assert len(leased) <= 1
@@ -55,12 +55,12 @@
     cluster.kill(gone)
     cluster.start("d", identity="new")
     cluster.run(4)
-    voters = cluster.controllers[cluster.leader()].voters
+    voters = cluster.nodes[cluster.leader()].voters
     assert sorted(voters) == sorted({*"abc"} - {gone} | {"new"})
     cluster.start(gone)
     cluster.run(3)
-    assert cluster.controllers[cluster.leader()].term in cluster.leaders
-    assert gone in cluster.controllers[cluster.leader()].voters
+    assert cluster.nodes[cluster.leader()].term in cluster.leaders
+    assert gone in cluster.nodes[cluster.leader()].voters
 
 
 def test_a_leader_that_shuts_down_gracefully_transfers_leadership_at_once():
@@ -69,25 +69,25 @@
     cluster.propose(b"x")
     cluster.run(0.2)
     old = cluster.leader()
-    cluster.controllers[old].step_down()
-    cluster.drain(old)
-    assert not cluster.controllers[old].is_leader
+    cluster.nodes[old].step_down()
+    cluster.carry_out_effects(old)
+    assert not cluster.nodes[old].is_leader
     cluster.run(0.06)
     assert cluster.leader() not in ("", old)
     cluster.propose(b"y")
     cluster.run(0.2)
-    assert b"y" in cluster.acked
+    assert b"y" in cluster.acknowledged
 
 
 def test_a_leader_that_reaches_nobody_steps_down():
     cluster = Cluster(3)
     cluster.run(2)
     old = cluster.leader()
-    cluster.cut = {(old, each) for each in "abc" if each != old}
+    cluster.cut_links = {(old, each) for each in "abc" if each != old}
     cluster.run(0.6)
-    assert not cluster.controllers[old].has_lease()
+    assert not cluster.nodes[old].has_lease()
     cluster.run(1.5)
-    assert not cluster.controllers[old].is_leader
+    assert not cluster.nodes[old].is_leader
     assert cluster.leader() not in ("", old)
 
 
@@ -100,7 +100,7 @@
         for number in range(30):
             cluster.propose(b"%d" % number)
             cluster.run(0.02)
-        assert cluster.controllers[cluster.leader()].log.snapshot_index > 8
+        assert cluster.nodes[cluster.leader()].log.snapshot_index > 8
         cluster.start(away)
         cluster.run(3)
-        assert cluster.controllers[away].commit_index == cluster.controllers[cluster.leader()].commit_index
+        assert cluster.nodes[away].commit_index == cluster.nodes[cluster.leader()].commit_index
--- a/tests/gateway/consensus/test_election.py
+++ b/tests/gateway/consensus/test_election.py
@@ -15,7 +15,7 @@
 from lapisgrade.gateway.consensus.records import HardState, SnapshotRecord
 from lapisgrade.gateway.consensus.state import Role
 from lapisgrade.gateway.consensus.timing import ELECTION_TIMEOUT_US, LEASE_US, RESTART_GUARD_US
-from lapisgrade.lab.explore.defects import switched
+from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation.mutants import BY_RULE
 from support.consensus_nodes import (
     NOW,
@@ -170,5 +170,5 @@
     ],
 )
 def test_a_defect_in_an_election_rule_is_detected(defect: str, test: Callable[[], None]) -> None:
-    with switched(BY_RULE, defect), pytest.raises(AssertionError):
+    with injected(BY_RULE, defect), pytest.raises(AssertionError):
         test()
--- a/tests/lab/explore/test_rejoin.py
+++ b/tests/lab/explore/test_rejoin.py
@@ -7,7 +7,7 @@
 
 def test_no_draft_is_lost_or_merged_twice_and_all_controllers_come_to_the_same() -> None:
     said: list[str] = []
-    count, seed = rejoin.explore(range(10), say=said.append)
+    count, seed = rejoin.explore(range(10), print_line=said.append)
     assert (seed, said) == (-1, [])
     assert count > 40
 
