--- a/tests/fakes/test_counter.py
+++ b/tests/fakes/test_counter.py
@@ -46,18 +46,18 @@
         received == b"$3\r\n2.5\r\n$3\r\n1.5\r\n+PONG\r\n+OK\r\n"
         b"-ERR unknown command 'GET'\r\n-ERR the amount or the life is not a number\r\n"
     )
-    fake.manner = counter.Manner.BUSY
+    fake.mode = counter.CounterMode.BUSY
     assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"-BUSY try later\r\n"
     assert fake.store.counts[b"k"].total == 1.5 and fake.tally.busy == 1
-    fake.manner = counter.Manner.WELL
+    fake.mode = counter.CounterMode.NORMAL
     fake.restart()  # comes back empty
     assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"$3\r\n1.0\r\n"
     await fake.close()
 
 
 async def test_a_silent_counter_replies_nothing_and_a_full_one_resets_connections():
-    fake = await counter.Counter(most_connections=1).open()
-    fake.manner = counter.Manner.SILENT
+    fake = await counter.Counter(max_connections=1).open()
+    fake.mode = counter.CounterMode.SILENT
     reader, writer = await asyncio.open_connection("127.0.0.1", fake.port)
     writer.write(b"*1\r\n$4\r\nPING\r\n")
     with pytest.raises(TimeoutError):
@@ -70,8 +70,8 @@
 
 
 async def test_a_silent_counter_notices_closed_connections_and_recovers():
-    fake = await counter.Counter(most_connections=4).open()
-    fake.manner = counter.Manner.SILENT
+    fake = await counter.Counter(max_connections=4).open()
+    fake.mode = counter.CounterMode.SILENT
     for _ in range(3):  # ten limiters' worth of time-outs: each gives its connection up and opens another
         lines = [await asyncio.open_connection("127.0.0.1", fake.port) for _ in range(4)]
         for _, writer in lines:
@@ -84,7 +84,7 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", fake.port)
     writer.write(b"*1\r\n$4\r\nPING\r\n")
     await asyncio.sleep(0.02)
-    fake.manner = counter.Manner.WELL
+    fake.mode = counter.CounterMode.NORMAL
     assert await call(fake.port, [b"PING"]) == b"+PONG\r\n"
     writer.write(b"*1\r\n$4\r\nPING\r\n")  # the one that is owed an answer gets none for a later call
     assert await asyncio.wait_for(reader.read(10), 1.0) == b""
@@ -127,9 +127,9 @@
     assert (one, two) == (b"$3\r\n6.0\r\n", b"$3\r\n7.0\r\n")  # each half believes itself whole
     fake.heal()
     assert await call(fake.port, [b"INCRTTL", b"k", b"0", b"60000"]) == b"$3\r\n8.0\r\n"
-    fake.turn(counter.Manner.STALE)
+    fake.set_mode(counter.CounterMode.STALE)
     assert await call(fake.port, [b"INCRTTL", b"k", b"4", b"60000"]) == b"$3\r\n8.0\r\n"
-    fake.turn(counter.Manner.SPOILT)
+    fake.set_mode(counter.CounterMode.SPOILT)
     assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"60000"]) == b"$5\r\nfresh\r\n"
     assert fake.store.counts[b"k"].total == 13.0  # lies told, but every addition was made
     await fake.close()
--- a/tests/fakes/test_discovery.py
+++ b/tests/fakes/test_discovery.py
@@ -18,8 +18,8 @@
 
 async def test_discovery_replies_the_full_list_and_then_changes():
     fake = await discovery.Discovery().open()
-    fake.put(discovery.Row("s0", "127.0.0.1:1"))
-    fake.put(discovery.Row("s1", "127.0.0.1:2"))
+    fake.put(discovery.ServerEntry("s0", "127.0.0.1:1"))
+    fake.put(discovery.ServerEntry("s1", "127.0.0.1:2"))
     status, body = await get(fake.port, "/discovery/hosts")
     whole = json.loads(body)
     assert status == 200 and whole["reset"]
@@ -34,7 +34,7 @@
     quiet = await get(fake.port, f"/discovery/hosts?since={told['generation']}&timeout_ms=50")
     assert json.loads(quiet[1])["instances"] == []
     fake.remove("s1")
-    assert [r["instanceId"] for r in fake.whole()["instances"]] == ["s0"]
+    assert [r["instanceId"] for r in fake.complete_list()["instances"]] == ["s0"]
     assert (await get(fake.port, "/discovery/hosts?since=x"))[0] == 400
     assert (await get(fake.port, "/elsewhere"))[0] == 404
     await fake.close()
--- a/tests/fakes/test_listener.py
+++ b/tests/fakes/test_listener.py
@@ -22,5 +22,5 @@
     await listener.close()
     # What the loop does where it accepted the connection, and ran this only after the end.
     reader, writer = await asyncio.open_connection(listener.host, (await CountingListener().open()).port)
-    await listener._meet(reader, writer)
+    await listener._on_connection(reader, writer)
     assert (listener.accepted, writer.transport.is_closing()) == (1, True)
