--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -61,7 +61,7 @@
 # A second command-line library beside click, on which `lapisgrade.cli` is written. Neither can take the
 # other's part without a change that is seen: this module's docstring is the usage text that docopt parses and
 # prints, and a bad command line prints it and ends with code 1 (click: other texts, code 2); and roles start
-# through here, where click costs 51 ms of processor time to import and docopt 20 ms (medians of 7 on a busy
+# through here, where click costs 51 ms of processor time to import and docopt 21 ms (medians of 7 on a busy
 # machine). `lapisgrade.cli.gateway` hands these commands' arguments on as they are.
 
 # First, as it may switch off garbage collection while a role's code loads.
