--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -8,24 +8,19 @@
 """
 
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
 from random import Random
 from typing import Any, Self
 
 import msgspec
 
-from lapisgrade.gateway import SECOND, configuration, rpc_messages
-from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
+from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.controller import version_activation
 from lapisgrade.gateway.controller.commands import Activate, ConfigurationChange, encode_command
 from lapisgrade.gateway.controller.state import State
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.routing import route_versions, router
-from lapisgrade.gateway.routing.route_table import RouteTable
-from lapisgrade.gateway.settings import Slo
 from lapisgrade.gateway.watch_timing import LONG_POLL_US, MISSED_VERSION_AFTER_US
-from lapisgrade.interface import Clock
 from lapisgrade.lab.emulator.sim import Sim
 from lapisgrade.lab.explore.defects import Defect, Defects
 from lapisgrade.lab.explore.exploration import (
@@ -35,13 +30,12 @@
     lines_up_to_violation,
     print_nothing,
 )
+from lapisgrade.lab.explore.watch_proxy import MS, Proxy, WatchCall
 
-MS = 1_000
 UNIT = "calls"
 MESSAGE_LOSS = 0.02
 TICK_US = 50 * MS
 CALL_INTERVAL_US = 50 * MS
-WATCH_TIMEOUT_US = 900 * MS
 
 
 def conf(ver: int, base: int, tenants: int | list[int]) -> bytes:
@@ -66,108 +60,6 @@
     )
 
 
-class Proxy:
-    """One proxy's watch requests and its router."""
-
-    def __init__(self, world: "World", name: str) -> None:
-        """Start the proxy."""
-        self.world = world
-        self.name = name
-        self.incarnation = 0
-        self.start()
-
-    def start(self) -> None:
-        """Begin a new incarnation, which knows nothing."""
-        self.incarnation += 1
-        self.is_terminating = False
-        self.router = router.Router(Clock(self.world.sim.now), 1, Slo(), "z", self.name)
-        self.active_version = 0
-        self.fencing_token = 0
-        self.frozen_until_us = 0
-        self.request_number = 0
-        self.live_proxies: rpc_messages.ProxiesByName = {}
-        self.texts: dict[int, bytes] = {}  # configurations by version, on which deltas are decoded
-        self.send_watch_request()
-
-    def send_watch_request(self) -> None:
-        """Ask for updates; once more when answered, or where no reply comes in time."""
-        self.request_number += 1
-        request = rpc_messages.WatchRequest(
-            self.name,
-            "10.0.0.1:1",
-            str(self.incarnation),
-            "z",
-            self.active_version,
-            "1+",
-            1 << 30,
-            self.fencing_token,
-            staged_version=max(self.router.tables.staged, default=self.active_version),
-            is_terminating=self.is_terminating,
-        )
-        call = WatchCall(self, request, self.incarnation, self.request_number, self.world.sim.now)
-        self.world.deliver(self, self.world.on_watch_request, call)
-        self.world.sim.after(WATCH_TIMEOUT_US, self._on_watch_timeout, call)
-
-    def _on_watch_timeout(self, call: "WatchCall") -> None:
-        if self.is_pending(call):
-            self.send_watch_request()
-
-    def is_pending(self, call: "WatchCall") -> bool:
-        """Whether that is the newest request of this incarnation."""
-        return (call.incarnation, call.number) == (self.incarnation, self.request_number)
-
-    def on_watch_reply(self, reply: rpc_messages.WatchReply, call: "WatchCall") -> None:
-        """Act by a reply, once the proxy isn't frozen; a late one changes nothing."""
-        if self.world.sim.now < self.frozen_until_us:
-            self.world.sim.at(self.frozen_until_us, self.on_watch_reply, reply, call)
-            return
-        if not self.is_pending(call):
-            return
-        tables = self.router.tables
-        members = reply.updated_proxies(self.fencing_token, self.live_proxies)
-        if members is not None:
-            self.live_proxies = members
-        if self.name in self.live_proxies:
-            tables.confirmed_us = max(tables.confirmed_us, call.sent_us)
-        if reply.active_configuration is not None and reply.active_version > self.active_version:
-            self._activate(self._decode(reply.active_configuration))
-        elif reply.active_version in tables.staged:
-            self._activate(tables.staged[reply.active_version])
-        elif reply.active_version > self.active_version:
-            tables.staged.clear()
-        for encoded_version in reply.staged_versions.values():
-            tables.stage(self._decode(encoded_version))
-        self.fencing_token = reply.fencing_token
-        self.send_watch_request()
-
-    def _decode(self, encoded_version: EncodedVersion) -> RouteTable:
-        text = decode(encoded_version, self.texts.get(encoded_version.base, b""))
-        self.texts[encoded_version.version] = text
-        return RouteTable(configuration.read(msgspec.json.decode(text)))
-
-    def _activate(self, table: RouteTable) -> None:
-        self.active_version = table.version
-        self.router.activate(table)
-        self.world.note(f"{self.name} acts by version {self.active_version}")
-
-    def call(self, tenant: int) -> int:
-        """The status that a tenant's call gets here: 200 where it is accepted."""
-        match = self.router.match(self.world.sim.now, f"t{tenant}.example", "/", f"key-t{tenant}")
-        return match if isinstance(match, int) else 200
-
-
-@dataclass(slots=True)
-class WatchCall:
-    """A watch request under way."""
-
-    proxy: Proxy
-    request: rpc_messages.WatchRequest
-    incarnation: int  # of the proxy
-    number: int  # of the proxy's requests
-    sent_us: int
-    reply_by_us: int = 0  # when the leader replies also without an update
-
-
 class World:
     """A leader, proxies, the network between them, and clients that call all proxies."""
 
@@ -184,7 +76,7 @@
         self.last_index = 0
         self.pending: list[WatchCall] = []
         self.become_leader(1)
-        self.cut_off: set[str] = set()  # proxies that reach nobody
+        self.isolated: set[str] = set()  # proxies that reach nobody
         self.tenant_count = 0
         self.withdrawn: set[int] = set()
         self.first_accepted_us: dict[int, int] = {}  # by tenant
@@ -269,7 +161,7 @@
 
     def deliver(self, proxy: Proxy, handler: Callable[..., None], *args: Any) -> None:
         """Call a handler some time later, unless the proxy is cut off or the message is lost."""
-        if proxy.name not in self.cut_off and self.random.random() > MESSAGE_LOSS:
+        if proxy.name not in self.isolated and self.random.random() > MESSAGE_LOSS:
             self.sim.after(self.random.choice((1, 2, 5, 40)) * MS, handler, *args)
 
     def inject_fault(self) -> None:
@@ -278,8 +170,8 @@
         self.note(("cut off", "frozen", "started anew", "leader changes")[kind] + f" ({proxy.name})")
         match kind:
             case 0:
-                self.cut_off.add(proxy.name)
-                self.sim.after(self.random.randrange(3 * SECOND), self.cut_off.discard, proxy.name)
+                self.isolated.add(proxy.name)
+                self.sim.after(self.random.randrange(3 * SECOND), self.isolated.discard, proxy.name)
             case 1:
                 proxy.frozen_until_us = self.sim.now + self.random.randrange(3 * SECOND)
             case 2:
@@ -314,7 +206,7 @@
             self.note(f"WRONG: {proxy.name} takes t{tenant}, refused before")
 
     def run(self, changes: int = 4) -> Self:
-        """Play so many changes with faults beside them, and a calm end."""
+        """Simulate so many changes with faults beside them, and a calm end."""
         self.sim.run(self.sim.now + 3 * SECOND)
         for number in range(changes):
             self.sim.at(self.sim.now + self.random.randrange(SECOND), self.inject_fault)
@@ -364,13 +256,13 @@
 }
 
 
-def _plays(seed: int) -> Iterator[tuple[str, World]]:
+def _simulations(seed: int) -> Iterator[tuple[str, World]]:
     yield f"seed {seed}", World(seed).run()
 
 
-EXPLORATION = Exploration(DEFECTS, _plays, lambda world: world.call_count)
+EXPLORATION = Exploration(DEFECTS, _simulations, lambda world: world.call_count)
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Play each seed until one goes wrong; counts the calls that were made."""
+    """Simulate each seed until one goes wrong; counts the calls that were made."""
     return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/cluster.py
+++ b/lapisgrade/lab/explore/cluster.py
@@ -63,7 +63,7 @@
         """Start the nodes for the first time, as each other's voters."""
         self.random = Random(seed)
         self.now_us = 0
-        self.cut_links: set[tuple[str, str]] = set()  # from and to
+        self.blocked_links: set[tuple[str, str]] = set()  # from and to
         self.nodes: dict[str, Node | None] = {}  # None: not running
         self.disks: dict[str, list[bytes]] = {}  # records that are synced
         self.incarnations: dict[str, int] = {}
@@ -112,13 +112,13 @@
         if wipe:
             self.disks[name] = []
 
-    def cut_off(self, name: str, names: str, one_way: bool) -> None:
-        """Cut the links from a node to the others; those to it too unless `one_way`."""
+    def isolate(self, name: str, names: str, one_way: bool) -> None:
+        """Block the links from a node to the others; those to it too unless `one_way`."""
         self.note(f"{name} is cut off" + (", one way" if one_way else ""))
         others = [other for other in names if other != name]
-        self.cut_links = {(name, other) for other in others}
+        self.blocked_links = {(name, other) for other in others}
         if not one_way:
-            self.cut_links |= {(other, name) for other in others}
+            self.blocked_links |= {(other, name) for other in others}
 
     def leader(self) -> str:
         """The name of the first node that is a leader, empty for none."""
@@ -219,9 +219,9 @@
             self.report_violation("two leaders in one term")
 
     def send(self, source: str, destination: str, message: Message) -> None:
-        """Deliver a message some time later, unless its link is cut or it is lost."""
-        is_cut = (source, destination) in self.cut_links
-        if not is_cut and (source == destination or self.random.random() > MESSAGE_LOSS):
+        """Deliver a message some time later, unless its link is blocked or it is lost."""
+        is_blocked = (source, destination) in self.blocked_links
+        if not is_blocked and (source == destination or self.random.random() > MESSAGE_LOSS):
             self._schedule(self.random.randrange(300, 5000), destination, Arrival(message))
 
     # ---- findings
--- a/lapisgrade/lab/explore/control.py
+++ b/lapisgrade/lab/explore/control.py
@@ -17,11 +17,11 @@
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Play each seed until one goes wrong; counts the changes that were acknowledged."""
+    """Simulate each seed until one goes wrong; counts the changes that were acknowledged."""
 
-    def plays(seed: int) -> Iterator[tuple[str, Play]]:
+    def simulations(seed: int) -> Iterator[tuple[str, Play]]:
         for course in courses_for(defect):
             yield f"seed {seed}, {course}", COURSES[course](seed)
 
-    exploration = Exploration(DEFECTS, plays, lambda play: play.acknowledged())
+    exploration = Exploration(DEFECTS, simulations, lambda play: play.acknowledged())
     return exploration.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/data_plane.py
+++ b/lapisgrade/lab/explore/data_plane.py
@@ -10,13 +10,13 @@
 DEFECTS = data_plane_mutants.DEFECTS
 
 
-def _plays(seed: int) -> Iterator[tuple[str, DataPlane]]:
+def _simulations(seed: int) -> Iterator[tuple[str, DataPlane]]:
     yield f"seed {seed}", played(seed)
 
 
-EXPLORATION = Exploration(DEFECTS, _plays, lambda play: len(play.sent_us))
+EXPLORATION = Exploration(DEFECTS, _simulations, lambda play: len(play.sent_us))
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Play each seed until one goes wrong; counts the requests that were sent to servers."""
+    """Simulate each seed until one goes wrong; counts the requests that were sent to servers."""
     return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/exploration.py
+++ b/lapisgrade/lab/explore/exploration.py
@@ -19,8 +19,8 @@
     """Ignore a line of output."""
 
 
-class Play(Protocol):
-    """What was played by one seed."""
+class Simulation(Protocol):
+    """What happened by one seed."""
 
     @property
     def is_wrong(self) -> bool:
@@ -37,23 +37,23 @@
     wrong_seed: int  # the first one, NO_SEED for none
 
 
-AnyPlay = TypeVar("AnyPlay", bound=Play)
+AnySimulation = TypeVar("AnySimulation", bound=Simulation)
 
 
 @dataclass(frozen=True, slots=True)
-class Exploration(Generic[AnyPlay]):
-    """What is played by each seed, and with which defects it can be."""
+class Exploration(Generic[AnySimulation]):
+    """What is simulated by each seed, and the defects that can be put in."""
 
     defects: Defects
-    plays: Callable[[int], Iterable[tuple[str, AnyPlay]]]  # by seed: each with a title
-    count: Callable[[AnyPlay], int]
+    simulations: Callable[[int], Iterable[tuple[str, AnySimulation]]]  # by seed: each with a title
+    count: Callable[[AnySimulation], int]
     crashes: tuple[type[Exception], ...] = ()  # errors that count as a violation
 
     def run(self, seeds: Iterable[int], defect: str, print_line: Print) -> ExplorationResult:
-        """Play seeds until one breaks an invariant.
+        """Simulate seeds until one breaks an invariant.
 
         Args:
-            seeds: played in this order.
+            seeds: simulated in this order.
             defect: a known defect to put in; none where it is empty.
             print_line: called with each line of what led to the violation.
         """
@@ -61,11 +61,11 @@
         with injected(self.defects, defect):
             for seed in seeds:
                 try:
-                    for title, play in self.plays(seed):
-                        count += self.count(play)
-                        if play.is_wrong:
+                    for title, simulation in self.simulations(seed):
+                        count += self.count(simulation)
+                        if simulation.is_wrong:
                             print_line(f"{title}:")
-                            for line in play.transcript():
+                            for line in simulation.transcript():
                                 print_line(line)
                             return ExplorationResult(count, seed)
                 except self.crashes as error:
--- a/lapisgrade/lab/explore/log.py
+++ b/lapisgrade/lab/explore/log.py
@@ -34,32 +34,32 @@
         self.cluster = Cluster(seed, names)
         self._last_number = 0
 
-    def play(self, fault_count: int = 8) -> Cluster:
-        """Play so many faults, check the logs, and return the cluster."""
+    def run(self, fault_count: int = 8) -> Cluster:
+        """Inject so many faults, check the logs, and return the cluster."""
         cluster = self.cluster
         cluster.run(2)
         for _ in range(fault_count):
-            self._play_fault()
+            self._run_fault()
         cluster.run(3)
         check(cluster)
         return cluster
 
-    def _play_fault(self) -> None:
+    def _run_fault(self) -> None:
         cluster, random = self.cluster, self.random
         victim = random.choice([*self.names, cluster.leader() or self.names[0]])
         fault = random.choice(FAULTS)
         for _ in range(random.randrange(1, 5)):
             cluster.propose(self._next_command())
             cluster.run(random.random() * random.choice((0.02, 0.005)))
-        self._bring_on(fault, victim)
+        self._inject(fault, victim)
         for _ in range(random.randrange(4)):
             cluster.run(random.random())
             cluster.propose(self._next_command())
-        cluster.cut_links = set()
+        cluster.blocked_links = set()
         cluster.restart_stopped(self.names)
         cluster.run(4)
 
-    def _bring_on(self, fault: str, victim: str) -> None:
+    def _inject(self, fault: str, victim: str) -> None:
         cluster = self.cluster
         if fault == "all and a wipe":
             self._wait_for_acknowledgement()
@@ -70,7 +70,7 @@
             case "kill" | "wipe":
                 cluster.kill(victim, wipe=fault == "wipe")
             case _:
-                cluster.cut_off(victim, self.names, one_way=fault == "one way")
+                cluster.isolate(victim, self.names, one_way=fault == "one way")
 
     def _wait_for_acknowledgement(self) -> None:
         command = self._next_command()
@@ -84,9 +84,9 @@
         return b"%d" % self._last_number
 
 
-def play(seed: int, names: str = "abc", fault_count: int = 8) -> Cluster:
-    """Play the schedule of a seed."""
-    return Schedule(seed, names).play(fault_count)
+def simulate(seed: int, names: str = "abc", fault_count: int = 8) -> Cluster:
+    """Simulate the schedule of a seed."""
+    return Schedule(seed, names).run(fault_count)
 
 
 def check(cluster: Cluster) -> None:
@@ -146,13 +146,13 @@
 }
 
 
-def _plays(seed: int) -> Iterator[tuple[str, Cluster]]:
-    yield f"seed {seed}", play(seed)
+def _simulations(seed: int) -> Iterator[tuple[str, Cluster]]:
+    yield f"seed {seed}", simulate(seed)
 
 
-EXPLORATION = Exploration(DEFECTS, _plays, lambda cluster: len(cluster.acknowledged), CRASHES)
+EXPLORATION = Exploration(DEFECTS, _simulations, lambda cluster: len(cluster.acknowledged), CRASHES)
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Play each seed until one goes wrong; counts the changes that were acknowledged."""
+    """Simulate each seed until one goes wrong; counts the changes that were acknowledged."""
     return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -7,20 +7,15 @@
 defects can be put in; each must be found.
 """
 
-from collections.abc import Callable, Generator, Iterator
+from collections.abc import Callable, Iterator
 from random import Random
 from typing import Any, Self
 
-from lapisgrade.engine import Engine
-from lapisgrade.gateway import SECOND, rpc_messages
+from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.configuration import Tenant
-from lapisgrade.gateway.quota.client import QuotaClient
-from lapisgrade.gateway.quota.owner import QuotaOwner
-from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US, owner_of
-from lapisgrade.gateway.settings import Slo
-from lapisgrade.interface import Clock, CounterOutcome, CounterReply, Operation
+from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.lab.explore import activation
-from lapisgrade.lab.explore.activation import MESSAGE_LOSS, MS
+from lapisgrade.lab.explore.activation import MESSAGE_LOSS
 from lapisgrade.lab.explore.exploration import (
     NO_SEED,
     Exploration,
@@ -29,15 +24,13 @@
     print_nothing,
 )
 from lapisgrade.lab.explore.quota_defects import DEFECTS
+from lapisgrade.lab.explore.quota_limiter import SLO, TENANT, Limiter
+from lapisgrade.lab.explore.watch_proxy import MS, Proxy
 from lapisgrade.lab.partitions.quota import allowed, most
 
 UNIT = "requests"
-SLO = Slo()
-TENANT = "t"
-COUNT_TIMEOUT_US = 150 * MS  # that an add may take, as at a proxy
 AWAY_US = 2600 * MS  # that a limiter is cut off until it is surely counted out
 TERMINATION_GRACE_US = 2600 * MS  # that a process goes on once it was told to end
-HAND_OVER_TIMEOUT_US = 100 * MS  # that an owner waits for the count's hand-over, as at a proxy
 PRESSURE = 7.5  # times its rate that the tenant asks for
 LIMITS = ((24.0, 24.0), (60.0, 60.0), (12.0, 40.0), (40.0, 8.0))  # rate and burst
 OWNER_FAULT_SHARE = 0.6  # of the faults that hit the count's owner
@@ -55,173 +48,6 @@
 )
 
 
-class Limiter(activation.Proxy):
-    """A proxy with a quota client and an owner, and the engine's host for both."""
-
-    world: "World"
-
-    def start(self) -> None:
-        """Begin a new incarnation, which owns nothing."""
-        now = self.world.sim.now
-        self.clock = Clock(now)
-        self.acts_until_us = 0  # as an owner
-        self.engine = Engine(self, self.clock)
-        super().start()
-        self.quota_owner = QuotaOwner(self.name, str(self.incarnation), now)
-        self.quota_client = QuotaClient(self.clock, self.world.tenant, SLO, 1, now)
-
-    def on_watch_reply(self, reply: rpc_messages.WatchReply, call: activation.WatchCall) -> None:
-        """Also take over the list of live proxies, as an owner and as a client."""
-        is_heeded = self.is_awake() and self.is_pending(call)
-        super().on_watch_reply(reply, call)
-        if not is_heeded:
-            return
-        self.quota_owner.on_watch_reply(self.world.sim.now, reply)
-        if reply.fencing_token == self.quota_owner.fencing_token:
-            self.acts_until_us = call.sent_us + OWNERSHIP_LEASE_US
-            self.clock.now_us = self.world.sim.now
-            self.quota_client.set_limiter_count(len(self.quota_owner.proxies))
-
-    def is_awake(self) -> bool:
-        """Whether the process isn't frozen."""
-        return self.world.sim.now >= self.frozen_until_us
-
-    def when_awake(self, incarnation: int, handler: Callable[..., object], *args: Any) -> None:
-        """Call a handler now, or when the process wakes; never where it is another one by then."""
-        if not self.is_awake():
-            self.world.sim.at(self.frozen_until_us, self.when_awake, incarnation, handler, *args)
-        elif incarnation == self.incarnation:
-            self.clock.now_us = max(self.clock.now_us, self.world.sim.now)
-            handler(*args)
-
-    # ---- as a client of the count
-
-    def request(self) -> None:
-        """Have a request of the tenant admitted or refused."""
-        unused: Any = None  # a quota client reads neither plan nor category
-        now_us = self.clock.now_us
-        operation = Operation(TENANT, unused, unused, 1.0, now_us, now_us + 2 * SECOND, 1)
-
-        def run() -> Generator[Any, Any, None]:
-            admission: Any = self.quota_client.admit(operation)
-            retry_after = yield from admission
-            self.world.on_request_decided(retry_after is None)
-
-        self.engine.run(run(), operation)
-
-    def add_to_counter(self, task: Any, add: Any) -> None:
-        """Ask the count's owner, as the engine's host; the first of reply and time-out counts."""
-        world, incarnation = self.world, self.incarnation
-        owner = world.limiter_named(owner_of(TENANT, self.quota_owner.eligible_owners))
-        request = self.quota_client.quota_request(self.name, self.quota_owner.fencing_token)
-        replies: list[CounterReply] = []
-
-        def on_first_reply(reply: CounterReply) -> None:
-            if not replies:
-                replies.append(reply)
-                self.on_counter_reply(task, reply)
-
-        def on_quota_reply(reply: rpc_messages.QuotaReply) -> None:
-            on_first_reply(self._counter_reply(reply))
-
-        if owner is None:
-            rejected = CounterReply(CounterOutcome.REJECTED)
-            world.sim.after(0, self.when_awake, incarnation, on_first_reply, rejected)
-        elif owner is self:
-            self.after_hand_over(
-                request,
-                lambda: world.sim.after(0, self.when_awake, incarnation, on_quota_reply, self.add(request)),
-            )
-        else:
-            timed_out = CounterReply(CounterOutcome.TIMED_OUT)
-            world.sim.after(COUNT_TIMEOUT_US, self.when_awake, incarnation, on_first_reply, timed_out)
-            world.deliver_between(
-                self, owner, self._on_request_at, owner, request, incarnation, on_quota_reply
-            )
-
-    def _counter_reply(self, reply: rpc_messages.QuotaReply) -> CounterReply:
-        if not reply.is_accepted:
-            return CounterReply(CounterOutcome.REJECTED)
-        self.quota_client.gateway_count = max(1, reply.active_limiters)
-        return CounterReply(CounterOutcome.ADDED, reply.total)
-
-    def on_counter_reply(self, task: Any, reply: CounterReply) -> None:
-        """Hand the engine what came of an add."""
-        self.engine.counter_replied(task, reply)
-
-    # ---- as the count's owner
-
-    def _on_request_at(
-        self,
-        owner: "Limiter",
-        request: rpc_messages.QuotaRequest,
-        incarnation: int,
-        on_reply: Callable[[rpc_messages.QuotaReply], None],
-    ) -> None:
-        def add_and_reply() -> None:
-            reply = owner.add(request)
-            self.world.deliver_between(owner, self, self.when_awake, incarnation, on_reply, reply)
-
-        owner.when_awake(owner.incarnation, owner.after_hand_over, request, add_and_reply)
-
-    def after_hand_over(self, request: rpc_messages.QuotaRequest, then: Callable[[], object]) -> None:
-        """Call `then` once the count's owner before has handed it over, or has not in time."""
-        world, owner, incarnation = self.world, self.quota_owner, self.incarnation
-        token = owner.fencing_token
-        name = owner.predecessor(world.sim.now, request.tenant) if owner.owns(request.tenant) else ""
-        predecessor = world.limiter_named(name)
-        if predecessor is None or predecessor is self:
-            then()
-            return
-        calls: list[bool] = []  # the first of reply and time-out counts
-
-        def call_once() -> None:
-            if not calls:
-                calls.append(True)
-                then()
-
-        def on_reply(reply: rpc_messages.HandOverReply) -> None:
-            if owner is self.quota_owner and owner.fencing_token == token:
-                owner.on_hand_over(world.sim.now, hand_over, reply, name)
-            call_once()
-
-        hand_over = rpc_messages.HandOverRequest(
-            request.tenant, self.name, token, request.rate, request.burst, owner.incarnation
-        )
-
-        def on_request() -> None:
-            reply = predecessor.quota_owner.hand_over(world.sim.now, hand_over)
-            world.deliver_between(predecessor, self, self.when_awake, incarnation, on_reply, reply)
-
-        world.deliver_between(self, predecessor, predecessor.when_awake, predecessor.incarnation, on_request)
-        world.sim.after(HAND_OVER_TIMEOUT_US, self.when_awake, incarnation, call_once)
-
-    def add(self, request: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
-        """Add to the count that this limiter owns."""
-        reply = self.quota_owner.add(self.world.sim.now, request, self.acts_until_us)
-        if reply.is_accepted:
-            self.world.on_granted(self.name, self.quota_owner.fencing_token)
-        return reply
-
-    # ---- the rest of the engine's host
-
-    def schedule_wakeup(self, when_us: int) -> None:
-        """Run the engine's timers when they are due."""
-        self.world.sim.at(when_us, self.when_awake, self.incarnation, self.engine.run_due_timers, True)
-
-    def reject(self, operation: Any, answer: Any) -> None:
-        """Nothing is sent to clients here."""
-
-    def send(self, attempt: Any) -> None:
-        """Nothing is sent to servers here."""
-
-    def cancel(self, attempt: Any) -> None:
-        """Nothing is sent to servers here."""
-
-    def log(self, text: str) -> None:
-        """Nothing is logged here."""
-
-
 class World(activation.World):
     """The same leader, and one tenant with a limit in place of many with routes."""
 
@@ -264,7 +90,7 @@
 
     # ---- network, faults and clients
 
-    def deliver(self, proxy: activation.Proxy, handler: Callable[..., None], *args: Any) -> None:
+    def deliver(self, proxy: Proxy, handler: Callable[..., None], *args: Any) -> None:
         """As before, where there is a leader."""
         if self.sim.now >= self.leaderless_until_us:
             super().deliver(proxy, handler, *args)
@@ -273,7 +99,7 @@
         self, sender: Limiter, receiver: Limiter, handler: Callable[..., object], *args: Any
     ) -> None:
         """Deliver between limiters: those that are cut off reach each other, and none of the rest."""
-        is_same_side = (sender.name in self.cut_off) == (receiver.name in self.cut_off)
+        is_same_side = (sender.name in self.isolated) == (receiver.name in self.isolated)
         if is_same_side and self.random.random() > MESSAGE_LOSS:
             self.sim.after(self.random.choice((1, 1, 2, 5, 40, 140)) * MS, handler, *args)
 
@@ -289,14 +115,14 @@
         others = self.random.sample(self.proxies, self.random.randrange(1, len(self.proxies)))
         duration_us = self.random.randrange(200, 5000) * MS
         self.note(f"{FAULTS[kind]} ({victim.name}, {len(others)}) for {duration_us / SECOND:.1f} s")
-        self._carry_out(FAULTS[kind], victim, others, duration_us)
+        self._inject(FAULTS[kind], victim, others, duration_us)
 
-    def _carry_out(self, fault: str, victim: Limiter, others: list[Limiter], duration_us: int) -> None:
+    def _inject(self, fault: str, victim: Limiter, others: list[Limiter], duration_us: int) -> None:
         match fault:
             case "cut off":
-                self._cut_off({victim.name}, duration_us)
+                self._isolate({victim.name}, duration_us)
             case "half cut off":
-                self._cut_off({victim.name, *(limiter.name for limiter in others)}, duration_us)
+                self._isolate({victim.name, *(limiter.name for limiter in others)}, duration_us)
             case "frozen":
                 victim.frozen_until_us = self.sim.now + duration_us
             case "killed":
@@ -312,21 +138,21 @@
                     limiter.is_terminating = True
                     self.sim.after(TERMINATION_GRACE_US, self._terminate, limiter, limiter.incarnation)
             case _:
-                self.cut_off.add(victim.name)
-                self.sim.after(AWAY_US, self._return_while_next_is_cut, victim.name)
+                self.isolated.add(victim.name)
+                self.sim.after(AWAY_US, self._return_while_next_owner_is_isolated, victim.name)
 
-    def _cut_off(self, names: set[str], duration_us: int) -> None:
-        self.cut_off |= names
-        self.sim.after(duration_us, self.cut_off.difference_update, names)
+    def _isolate(self, names: set[str], duration_us: int) -> None:
+        self.isolated |= names
+        self.sim.after(duration_us, self.isolated.difference_update, names)
 
-    def _return_while_next_is_cut(self, name: str) -> None:
+    def _return_while_next_owner_is_isolated(self, name: str) -> None:
         """One that was counted out is back, just as the owner of its counts since is cut off."""
         others = [limiter.name for limiter in self.proxies if limiter.name != name]
         next_owner = owner_of(TENANT, others)
         self.note(f"{name} is back, {next_owner} is cut off")
-        self.cut_off.discard(name)
-        self.cut_off.add(next_owner)
-        self.sim.after(AWAY_US, self.cut_off.discard, next_owner)
+        self.isolated.discard(name)
+        self.isolated.add(next_owner)
+        self.sim.after(AWAY_US, self.isolated.discard, next_owner)
 
     def _terminate(self, limiter: Limiter, incarnation: int) -> None:
         """End a process that was told to, unless it was killed before, and start it anew."""
@@ -342,7 +168,7 @@
         self.sim.after(pause_s * SECOND, self.send_requests)
 
     def run(self, changes: int = 6) -> Self:
-        """Play so many faults, and a calm end."""
+        """Simulate so many faults, and a calm end."""
         self.sim.run(self.sim.now + 2 * SECOND)
         self.send_requests()
         for _ in range(changes):
@@ -380,15 +206,15 @@
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Play each seed until one goes wrong; counts the requests, and prints how near the worst one came."""
+    """Simulate each seed until one goes wrong; counts the requests, prints how near the worst came."""
     shares: dict[int, float] = {}  # of what is allowed, by seed
 
-    def plays(seed: int) -> Iterator[tuple[str, World]]:
+    def simulations(seed: int) -> Iterator[tuple[str, World]]:
         world = World(seed).run()
         shares[seed] = world.max_admitted / world.max_allowed
         yield f"seed {seed}", world
 
-    exploration = Exploration(DEFECTS, plays, lambda world: world.call_count)
+    exploration = Exploration(DEFECTS, simulations, lambda world: world.call_count)
     result = exploration.run(seeds, defect, print_line)
     if result.wrong_seed == NO_SEED:
         worst = max(shares, key=lambda seed: shares[seed])
--- /dev/null
+++ b/lapisgrade/lab/explore/quota_limiter.py
@@ -0,0 +1,208 @@
+"""A limiter of the quota's exploration: a quota client and an owner, as they are, on a proxy."""
+
+from collections.abc import Callable, Generator
+from typing import Any, Protocol
+
+from lapisgrade.engine import Engine
+from lapisgrade.gateway import SECOND, rpc_messages
+from lapisgrade.gateway.configuration import Tenant
+from lapisgrade.gateway.quota.client import QuotaClient
+from lapisgrade.gateway.quota.owner import QuotaOwner
+from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US, owner_of
+from lapisgrade.gateway.settings import Slo
+from lapisgrade.interface import Clock, CounterOutcome, CounterReply, Operation
+from lapisgrade.lab.explore.watch_proxy import MS, Proxy, ProxyWorld, WatchCall
+
+SLO = Slo()
+TENANT = "t"
+COUNT_TIMEOUT_US = 150 * MS  # that an add may take, as at a proxy
+HAND_OVER_TIMEOUT_US = 100 * MS  # that an owner waits for the count's hand-over, as at a proxy
+
+
+class QuotaWorld(ProxyWorld, Protocol):
+    """What a limiter needs of the world around it."""
+
+    @property
+    def tenant(self) -> Tenant:
+        """The tenant whose quota is explored."""
+
+    def limiter_named(self, name: str) -> "Limiter | None":
+        """The limiter of that name, None for none."""
+
+    def deliver_between(
+        self, sender: "Limiter", receiver: "Limiter", handler: Callable[..., object], *args: Any
+    ) -> None:
+        """Call a handler some time later, unless the message is lost."""
+
+    def on_request_decided(self, is_admitted: bool) -> None:
+        """Take note of a request of the tenant."""
+
+    def on_granted(self, name: str, fencing_token: int) -> None:
+        """Take note of a grant by the count's owner of that name."""
+
+
+class Limiter(Proxy):
+    """A proxy with a quota client and an owner, and the engine's host for both."""
+
+    world: QuotaWorld
+
+    def start(self) -> None:
+        """Begin a new incarnation, which owns nothing."""
+        now = self.world.sim.now
+        self.clock = Clock(now)
+        self.acts_until_us = 0  # as an owner
+        self.engine = Engine(self, self.clock)
+        super().start()
+        self.quota_owner = QuotaOwner(self.name, str(self.incarnation), now)
+        self.quota_client = QuotaClient(self.clock, self.world.tenant, SLO, 1, now)
+
+    def on_watch_reply(self, reply: rpc_messages.WatchReply, call: WatchCall) -> None:
+        """Also take over the list of live proxies, as an owner and as a client."""
+        is_heeded = self.is_awake() and self.is_pending(call)
+        super().on_watch_reply(reply, call)
+        if not is_heeded:
+            return
+        self.quota_owner.on_watch_reply(self.world.sim.now, reply)
+        if reply.fencing_token == self.quota_owner.fencing_token:
+            self.acts_until_us = call.sent_us + OWNERSHIP_LEASE_US
+            self.clock.now_us = self.world.sim.now
+            self.quota_client.set_limiter_count(len(self.quota_owner.proxies))
+
+    def is_awake(self) -> bool:
+        """Whether the process isn't frozen."""
+        return self.world.sim.now >= self.frozen_until_us
+
+    def when_awake(self, incarnation: int, handler: Callable[..., object], *args: Any) -> None:
+        """Call a handler now, or when the process wakes; never where it is another one by then."""
+        if not self.is_awake():
+            self.world.sim.at(self.frozen_until_us, self.when_awake, incarnation, handler, *args)
+        elif incarnation == self.incarnation:
+            self.clock.now_us = max(self.clock.now_us, self.world.sim.now)
+            handler(*args)
+
+    # ---- as a client of the count
+
+    def request(self) -> None:
+        """Have a request of the tenant admitted or refused."""
+        unused: Any = None  # a quota client reads neither plan nor category
+        now_us = self.clock.now_us
+        operation = Operation(TENANT, unused, unused, 1.0, now_us, now_us + 2 * SECOND, 1)
+
+        def run() -> Generator[Any, Any, None]:
+            admission: Any = self.quota_client.admit(operation)
+            retry_after = yield from admission
+            self.world.on_request_decided(retry_after is None)
+
+        self.engine.run(run(), operation)
+
+    def add_to_counter(self, task: Any, add: Any) -> None:
+        """Ask the count's owner, as the engine's host; the first of reply and time-out counts."""
+        world, incarnation = self.world, self.incarnation
+        owner = world.limiter_named(owner_of(TENANT, self.quota_owner.eligible_owners))
+        request = self.quota_client.quota_request(self.name, self.quota_owner.fencing_token)
+        replies: list[CounterReply] = []
+
+        def on_first_reply(reply: CounterReply) -> None:
+            if not replies:
+                replies.append(reply)
+                self.on_counter_reply(task, reply)
+
+        def on_quota_reply(reply: rpc_messages.QuotaReply) -> None:
+            on_first_reply(self._counter_reply(reply))
+
+        if owner is None:
+            rejected = CounterReply(CounterOutcome.REJECTED)
+            world.sim.after(0, self.when_awake, incarnation, on_first_reply, rejected)
+        elif owner is self:
+            self.after_hand_over(
+                request,
+                lambda: world.sim.after(0, self.when_awake, incarnation, on_quota_reply, self.add(request)),
+            )
+        else:
+            timed_out = CounterReply(CounterOutcome.TIMED_OUT)
+            world.sim.after(COUNT_TIMEOUT_US, self.when_awake, incarnation, on_first_reply, timed_out)
+            world.deliver_between(
+                self, owner, self._on_request_at, owner, request, incarnation, on_quota_reply
+            )
+
+    def _counter_reply(self, reply: rpc_messages.QuotaReply) -> CounterReply:
+        if not reply.is_accepted:
+            return CounterReply(CounterOutcome.REJECTED)
+        self.quota_client.gateway_count = max(1, reply.active_limiters)
+        return CounterReply(CounterOutcome.ADDED, reply.total)
+
+    def on_counter_reply(self, task: Any, reply: CounterReply) -> None:
+        """Hand the engine what came of an add."""
+        self.engine.counter_replied(task, reply)
+
+    # ---- as the count's owner
+
+    def _on_request_at(
+        self,
+        owner: "Limiter",
+        request: rpc_messages.QuotaRequest,
+        incarnation: int,
+        on_reply: Callable[[rpc_messages.QuotaReply], None],
+    ) -> None:
+        def add_and_reply() -> None:
+            reply = owner.add(request)
+            self.world.deliver_between(owner, self, self.when_awake, incarnation, on_reply, reply)
+
+        owner.when_awake(owner.incarnation, owner.after_hand_over, request, add_and_reply)
+
+    def after_hand_over(self, request: rpc_messages.QuotaRequest, then: Callable[[], object]) -> None:
+        """Call `then` once the count's owner before has handed it over, or has not in time."""
+        world, owner, incarnation = self.world, self.quota_owner, self.incarnation
+        token = owner.fencing_token
+        name = owner.predecessor(world.sim.now, request.tenant) if owner.owns(request.tenant) else ""
+        predecessor = world.limiter_named(name)
+        if predecessor is None or predecessor is self:
+            then()
+            return
+        calls: list[bool] = []  # the first of reply and time-out counts
+
+        def call_once() -> None:
+            if not calls:
+                calls.append(True)
+                then()
+
+        def on_reply(reply: rpc_messages.HandOverReply) -> None:
+            if owner is self.quota_owner and owner.fencing_token == token:
+                owner.on_hand_over(world.sim.now, hand_over, reply, name)
+            call_once()
+
+        hand_over = rpc_messages.HandOverRequest(
+            request.tenant, self.name, token, request.rate, request.burst, owner.incarnation
+        )
+
+        def on_request() -> None:
+            reply = predecessor.quota_owner.hand_over(world.sim.now, hand_over)
+            world.deliver_between(predecessor, self, self.when_awake, incarnation, on_reply, reply)
+
+        world.deliver_between(self, predecessor, predecessor.when_awake, predecessor.incarnation, on_request)
+        world.sim.after(HAND_OVER_TIMEOUT_US, self.when_awake, incarnation, call_once)
+
+    def add(self, request: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
+        """Add to the count that this limiter owns."""
+        reply = self.quota_owner.add(self.world.sim.now, request, self.acts_until_us)
+        if reply.is_accepted:
+            self.world.on_granted(self.name, self.quota_owner.fencing_token)
+        return reply
+
+    # ---- the rest of the engine's host
+
+    def schedule_wakeup(self, when_us: int) -> None:
+        """Run the engine's timers when they are due."""
+        self.world.sim.at(when_us, self.when_awake, self.incarnation, self.engine.run_due_timers, True)
+
+    def reject(self, operation: Any, answer: Any) -> None:
+        """Nothing is sent to clients here."""
+
+    def send(self, attempt: Any) -> None:
+        """Nothing is sent to servers here."""
+
+    def cancel(self, attempt: Any) -> None:
+        """Nothing is sent to servers here."""
+
+    def log(self, text: str) -> None:
+        """Nothing is logged here."""
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -110,8 +110,8 @@
     def hand_in(self, cluster: Cluster, draft: Draft, holder: str) -> None:
         """Have a controller offer a draft to whoever leads, where it reaches it."""
         command, leader = encode_command(MergeDraft(draft)), cluster.leader()
-        is_cut = {(holder, leader), (leader, holder)} & cluster.cut_links
-        if not leader or cluster.nodes[holder] is None or is_cut:
+        is_blocked = {(holder, leader), (leader, holder)} & cluster.blocked_links
+        if not leader or cluster.nodes[holder] is None or is_blocked:
             return
         if command in cluster.acknowledged or self.DROPS_EARLY:
             self.by_draft[draft.id].discard(holder)
@@ -131,10 +131,10 @@
         self.drafts = self.random.drafts(self.base, DRAFT_COUNT)
         self.holders = DraftHolders(self.drafts, self.random)
 
-    def play(self) -> Cluster:
-        """Play all rounds, check the outcome, and return the cluster."""
+    def run(self) -> Cluster:
+        """Run all rounds, check the outcome, and return the cluster."""
         for number in range(ROUNDS):
-            self._play_round(is_calm=number >= ROUNDS - CALM_ROUNDS)
+            self._run_round(is_calm=number >= ROUNDS - CALM_ROUNDS)
         self.cluster.run(2)
         check(self.cluster, self.base, self.drafts)
         return self.cluster
@@ -145,7 +145,7 @@
             self.cluster.propose(command)
             self.cluster.run(0.5)
 
-    def _play_round(self, is_calm: bool) -> None:
+    def _run_round(self, is_calm: bool) -> None:
         cluster, random = self.cluster, self.random
         victim = random.choice([*NAMES, cluster.leader() or "a", cluster.leader() or "a"])
         fault = "calm" if is_calm else random.choice(FAULTS)
@@ -157,9 +157,9 @@
                 if fault == "wipe":
                     self.holders.on_disk_emptied(victim)
             case "cut" | "one way":
-                cluster.cut_off(victim, NAMES, one_way=fault == "one way")
+                cluster.isolate(victim, NAMES, one_way=fault == "one way")
         cluster.run(random.random())
-        cluster.cut_links = set()
+        cluster.blocked_links = set()
         cluster.restart_stopped(NAMES)
         cluster.run(1 + random.random())
 
@@ -170,9 +170,9 @@
                     self.holders.hand_in(self.cluster, draft, holder)
 
 
-def play(seed: int) -> Cluster:
-    """Play the schedule of a seed."""
-    return Schedule(seed).play()
+def simulate(seed: int) -> Cluster:
+    """Simulate the schedule of a seed."""
+    return Schedule(seed).run()
 
 
 def check(cluster: Cluster, base: JsonObject, drafts: list[Draft]) -> None:
@@ -203,13 +203,13 @@
 }
 
 
-def _plays(seed: int) -> Iterator[tuple[str, Cluster]]:
-    yield f"seed {seed}", play(seed)
+def _simulations(seed: int) -> Iterator[tuple[str, Cluster]]:
+    yield f"seed {seed}", simulate(seed)
 
 
-EXPLORATION = Exploration(DEFECTS, _plays, lambda cluster: len(cluster.acknowledged), CRASHES)
+EXPLORATION = Exploration(DEFECTS, _simulations, lambda cluster: len(cluster.acknowledged), CRASHES)
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Play each seed until one goes wrong; counts the entries that were acknowledged."""
+    """Simulate each seed until one goes wrong; counts the entries that were acknowledged."""
     return EXPLORATION.run(seeds, defect, print_line)
--- /dev/null
+++ b/lapisgrade/lab/explore/watch_proxy.py
@@ -0,0 +1,137 @@
+"""A proxy of the explorations: its watch requests and its router, as they are, in simulated time."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+import msgspec
+
+from lapisgrade.gateway import configuration, rpc_messages
+from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
+from lapisgrade.gateway.routing import router
+from lapisgrade.gateway.routing.route_table import RouteTable
+from lapisgrade.gateway.settings import Slo
+from lapisgrade.interface import Clock
+from lapisgrade.lab.emulator.sim import Sim
+
+MS = 1_000
+WATCH_TIMEOUT_US = 900 * MS
+
+
+@dataclass(slots=True)
+class WatchCall:
+    """A watch request under way."""
+
+    proxy: "Proxy"
+    request: rpc_messages.WatchRequest
+    incarnation: int  # of the proxy
+    number: int  # of the proxy's requests
+    sent_us: int
+    reply_by_us: int = 0  # when the leader replies also without an update
+
+
+class ProxyWorld(Protocol):
+    """What a proxy needs of the world around it."""
+
+    @property
+    def sim(self) -> Sim:
+        """Time, and what happens in it."""
+
+    def deliver(self, proxy: "Proxy", handler: Callable[..., None], *args: Any) -> None:
+        """Call a handler some time later, unless the message is lost."""
+
+    def on_watch_request(self, call: WatchCall) -> None:
+        """Take in a watch request as the leader."""
+
+    def note(self, what: str) -> None:
+        """Add a line to the transcript."""
+
+
+class Proxy:
+    """One proxy's watch requests and its router."""
+
+    def __init__(self, world: ProxyWorld, name: str) -> None:
+        """Start the proxy."""
+        self.world = world
+        self.name = name
+        self.incarnation = 0
+        self.start()
+
+    def start(self) -> None:
+        """Begin a new incarnation, which knows nothing."""
+        self.incarnation += 1
+        self.is_terminating = False
+        self.router = router.Router(Clock(self.world.sim.now), 1, Slo(), "z", self.name)
+        self.active_version = 0
+        self.fencing_token = 0
+        self.frozen_until_us = 0
+        self.request_number = 0
+        self.live_proxies: rpc_messages.ProxiesByName = {}
+        self.texts: dict[int, bytes] = {}  # configurations by version, on which deltas are decoded
+        self.send_watch_request()
+
+    def send_watch_request(self) -> None:
+        """Ask for updates; once more when answered, or where no reply comes in time."""
+        self.request_number += 1
+        request = rpc_messages.WatchRequest(
+            self.name,
+            "10.0.0.1:1",
+            str(self.incarnation),
+            "z",
+            self.active_version,
+            "1+",
+            1 << 30,
+            self.fencing_token,
+            staged_version=max(self.router.tables.staged, default=self.active_version),
+            is_terminating=self.is_terminating,
+        )
+        call = WatchCall(self, request, self.incarnation, self.request_number, self.world.sim.now)
+        self.world.deliver(self, self.world.on_watch_request, call)
+        self.world.sim.after(WATCH_TIMEOUT_US, self._on_watch_timeout, call)
+
+    def _on_watch_timeout(self, call: WatchCall) -> None:
+        if self.is_pending(call):
+            self.send_watch_request()
+
+    def is_pending(self, call: WatchCall) -> bool:
+        """Whether that is the newest request of this incarnation."""
+        return (call.incarnation, call.number) == (self.incarnation, self.request_number)
+
+    def on_watch_reply(self, reply: rpc_messages.WatchReply, call: WatchCall) -> None:
+        """Act by a reply, once the proxy isn't frozen; a late one changes nothing."""
+        if self.world.sim.now < self.frozen_until_us:
+            self.world.sim.at(self.frozen_until_us, self.on_watch_reply, reply, call)
+            return
+        if not self.is_pending(call):
+            return
+        tables = self.router.tables
+        members = reply.updated_proxies(self.fencing_token, self.live_proxies)
+        if members is not None:
+            self.live_proxies = members
+        if self.name in self.live_proxies:
+            tables.confirmed_us = max(tables.confirmed_us, call.sent_us)
+        if reply.active_configuration is not None and reply.active_version > self.active_version:
+            self._activate(self._decode(reply.active_configuration))
+        elif reply.active_version in tables.staged:
+            self._activate(tables.staged[reply.active_version])
+        elif reply.active_version > self.active_version:
+            tables.staged.clear()
+        for encoded_version in reply.staged_versions.values():
+            tables.stage(self._decode(encoded_version))
+        self.fencing_token = reply.fencing_token
+        self.send_watch_request()
+
+    def _decode(self, encoded_version: EncodedVersion) -> RouteTable:
+        text = decode(encoded_version, self.texts.get(encoded_version.base, b""))
+        self.texts[encoded_version.version] = text
+        return RouteTable(configuration.read(msgspec.json.decode(text)))
+
+    def _activate(self, table: RouteTable) -> None:
+        self.active_version = table.version
+        self.router.activate(table)
+        self.world.note(f"{self.name} acts by version {self.active_version}")
+
+    def call(self, tenant: int) -> int:
+        """The status that a tenant's call gets here: 200 where it is accepted."""
+        match = self.router.match(self.world.sim.now, f"t{tenant}.example", "/", f"key-t{tenant}")
+        return match if isinstance(match, int) else 200
--- a/lapisgrade/lab/quota_ways.py
+++ b/lapisgrade/lab/quota_ways.py
@@ -17,7 +17,7 @@
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.lab.explore import quota as explored
-from lapisgrade.lab.explore.activation import WatchCall
+from lapisgrade.lab.explore.watch_proxy import WatchCall
 from lapisgrade.lab.partitions.quota import allowed, most
 from lapisgrade.rate import TokenBucket
 
@@ -129,16 +129,16 @@
         self.bytes_out += sum(LENGTH + len(msgspec.msgpack.encode((1, each))) for each in (ask, taken))
 
     def deliver(self, proxy, call, *args) -> None:
-        if proxy.name not in self.cut_off:
+        if proxy.name not in self.isolated:
             self.sim.after(WAY, call, *args)
 
     def deliver_between(self, one, other, call, *args) -> None:
-        if (one.name in self.cut_off) == (other.name in self.cut_off):
+        if (one.name in self.isolated) == (other.name in self.isolated):
             self.sim.after(WAY, call, *args)
 
     def send_requests(self) -> None:
         one = self.random.choices(self.proxies, self.shares)[0]
-        if one.name not in self.cut_off:  # its clients have gone elsewhere
+        if one.name not in self.isolated:  # its clients have gone elsewhere
             self.requests += 1
             one.when_awake(one.incarnation, one.request)
         self.sim.after(self.random.expovariate(self.press * self.tenant.rate_s) * SECOND, self.send_requests)
@@ -176,8 +176,8 @@
     world.span(WARM)
     calm = world.span(CALM)
     name = owner_of("t", world.proxies[0].quota_owner.eligible_owners)
-    world.cut_off.add(name)
-    world.sim.after(DARK * SECOND, world.cut_off.discard, name)
+    world.isolated.add(name)
+    world.sim.after(DARK * SECOND, world.isolated.discard, name)
     return calm, world.span(DARK + AFTER)
 
 
--- a/tests/gateway/consensus/test_cluster.py
+++ b/tests/gateway/consensus/test_cluster.py
@@ -18,7 +18,7 @@
     assert cluster.leader()
     old = cluster.leader()
     others = [each for each in "abc" if each != old]
-    cluster.cut_links = {(old, others[0]), (others[0], old)}
+    cluster.blocked_links = {(old, others[0]), (others[0], old)}
     cluster.run(0.3)  # the leader's lease now rests on the other one alone
     cluster.kill(others[1])
     cluster.start(others[1])
@@ -83,7 +83,7 @@
     cluster = Cluster(3)
     cluster.run(2)
     old = cluster.leader()
-    cluster.cut_links = {(old, each) for each in "abc" if each != old}
+    cluster.blocked_links = {(old, each) for each in "abc" if each != old}
     cluster.run(0.6)
     assert not cluster.nodes[old].has_lease()
     cluster.run(1.5)
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -9,7 +9,8 @@
 from click.testing import CliRunner
 
 from lapisgrade.cli.main import cli
-from lapisgrade.lab.explore.activation import DEFECTS, MS, World, conf, explore
+from lapisgrade.lab.explore.activation import DEFECTS, World, conf, explore
+from lapisgrade.lab.explore.watch_proxy import MS
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.controller.commands import Activate, ConfigurationChange, LiveProxies, encode_command
 from lapisgrade.gateway.controller.state_machine import StateMachine
--- a/tests/lab/explore/test_log.py
+++ b/tests/lab/explore/test_log.py
@@ -7,14 +7,14 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_what_was_acknowledged_outlives_kills_cuts_and_one_emptied_disk(seed: int) -> None:
-    cluster = log.play(seed)
+    cluster = log.simulate(seed)
     assert cluster.violations == []
     assert len(cluster.nodes[cluster.leader()].voters) == 3
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_five_voters(seed: int) -> None:
-    assert log.play(100 + seed, "abcde").violations == []
+    assert log.simulate(100 + seed, "abcde").violations == []
 
 
 @pytest.mark.parametrize("name", log.DEFECTS)
