--- /dev/null
+++ b/tests/test_engine.py
@@ -0,0 +1,180 @@
+"""The engine: which event resumes a generator, in which order, and when it asks for a wake-up."""
+
+from typing import Any
+
+import pytest
+
+from lapisgrade.engine import Engine
+from lapisgrade.interface import (
+    AddToCounter,
+    AttemptOutcome,
+    AttemptResult,
+    Category,
+    Clock,
+    CounterOutcome,
+    CounterReply,
+    LogMessage,
+    Operation,
+    Plan,
+    Reject,
+    RejectReason,
+    RepeatSafety,
+    Resume,
+    Sleep,
+    Spawn,
+    WakeReason,
+)
+
+
+class RecordingHost:
+    """Keeps the commands that reach it."""
+
+    def __init__(self) -> None:
+        self.commands: list[Any] = []
+        self.tasks: list[Any] = []
+        self.wakeups_us: list[int] = []
+
+    def send(self, attempt: Any) -> None:
+        self.commands.append(("send", attempt))
+
+    def cancel(self, attempt: Any) -> None:
+        self.commands.append(("cancel", attempt))
+
+    def reject(self, operation: Operation, answer: Reject) -> None:
+        self.commands.append(("reject", operation, answer.reason))
+
+    def add_to_counter(self, task: Any, add: AddToCounter) -> None:
+        self.tasks.append(task)
+
+    def log(self, text: str) -> None:
+        self.commands.append(("log", text))
+
+    def schedule_wakeup(self, when_us: int) -> None:
+        self.wakeups_us.append(when_us)
+
+
+class Setup:
+    """An engine at time 1000 us, its host, and what its generators were resumed with."""
+
+    def __init__(self) -> None:
+        self.host = RecordingHost()
+        self.clock = Clock(1_000)
+        self.engine = Engine(self.host, self.clock)
+        self.events: list[Any] = []
+
+    def operation(self) -> Operation:
+        category = Category("c", RepeatSafety.IDEMPOTENT, 1, 1, 1.0)
+        return Operation("u", Plan("p", 0.0, 0.0), category, 1.0, 1_000, 9_000, 1)
+
+    def sleeper(self, *until_us: int):
+        for until in until_us:
+            self.events.append((yield Sleep(until)))
+
+    def advance(self, now_us: int) -> None:
+        self.clock.now_us = now_us
+        self.engine.run_due_timers(ticked=True)
+
+
+@pytest.fixture
+def setup() -> Setup:
+    return Setup()
+
+
+def test_a_sleep_ends_at_its_time_and_not_before(setup: Setup) -> None:
+    setup.engine.run(setup.sleeper(5_000))
+    setup.advance(4_999)
+    assert setup.events == []
+    setup.advance(5_000)
+    assert setup.events == [WakeReason.TIMER]
+
+
+def test_a_sleep_until_the_past_lasts_one_us(setup: Setup) -> None:
+    setup.engine.run(setup.sleeper(0))
+    assert setup.host.wakeups_us == [1_001]
+
+
+def test_only_the_earliest_timer_asks_for_a_wakeup(setup: Setup) -> None:
+    for until_us in (5_000, 7_000, 3_000):
+        setup.engine.run(setup.sleeper(until_us))
+    assert setup.host.wakeups_us == [5_000, 3_000]
+
+
+def test_a_timer_of_a_sleep_that_ended_early_resumes_nothing(setup: Setup) -> None:
+    operation = setup.operation()
+    setup.engine.run(setup.sleeper(5_000, 8_000), operation)
+    setup.engine.wake(operation, WakeReason.RESPONSE_STARTED)
+    setup.advance(5_000)
+    assert setup.events == [WakeReason.RESPONSE_STARTED]
+    setup.advance(8_000)
+    assert setup.events == [WakeReason.RESPONSE_STARTED, WakeReason.TIMER]
+
+
+def test_the_end_of_an_attempt_is_an_event_with_both(setup: Setup) -> None:
+    class AttemptStub:
+        operation = setup.operation()
+
+    attempt, result = AttemptStub(), AttemptResult(AttemptOutcome.OK, 7)
+    setup.engine.run(setup.sleeper(5_000), attempt.operation)
+    setup.engine.attempt_finished(attempt, result)
+    assert setup.events[0].attempt is attempt
+    assert setup.events[0].result is result
+
+
+def test_an_event_while_the_counter_is_waited_for_is_dropped(setup: Setup) -> None:
+    def caller():
+        setup.events.append((yield AddToCounter(1, 1.0, 1)))
+
+    operation = setup.operation()
+    setup.engine.run(caller(), operation)
+    setup.engine.wake(operation, WakeReason.CLIENT_GONE)
+    assert setup.events == []
+    reply = CounterReply(CounterOutcome.ADDED, 1.0)
+    setup.engine.counter_replied(setup.host.tasks[0], reply)
+    assert setup.events == [reply]
+
+
+def test_spawned_and_resumed_generators_run_once_the_present_one_waits(setup: Setup) -> None:
+    other = setup.operation()
+
+    def spawned():
+        yield LogMessage("spawned")
+
+    def first():
+        yield Spawn(spawned())
+        yield Resume(other)
+        yield LogMessage("first")
+
+    setup.engine.run(setup.sleeper(9_000), other)
+    setup.engine.run(first())
+    assert setup.host.commands == [("log", "first"), ("log", "spawned")]
+    assert setup.events == [WakeReason.RESUMED]
+
+
+def test_a_rejection_reaches_the_host_with_its_operation(setup: Setup) -> None:
+    operation = setup.operation()
+
+    def rejecting():
+        yield Reject(RejectReason.FAILED)
+
+    setup.engine.run(rejecting(), operation)
+    assert setup.host.commands == [("reject", operation, RejectReason.FAILED)]
+    assert operation.task.is_finished
+
+
+def test_a_generator_that_raises_is_finished_and_its_error_is_the_callers(setup: Setup) -> None:
+    def failing():
+        yield LogMessage("about to fail")
+        raise ZeroDivisionError
+
+    operation = setup.operation()
+    with pytest.raises(ZeroDivisionError):
+        setup.engine.run(failing(), operation)
+    assert operation.task.is_finished
+
+
+def test_what_is_no_command_is_refused(setup: Setup) -> None:
+    def wrong():
+        yield "sleep"
+
+    with pytest.raises(TypeError, match="no command"):
+        setup.engine.run(wrong())
