--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -18,6 +18,7 @@
 import msgspec
 
 from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway.configuration_delta import EncodedVersion
 from lapisgrade.gateway.controller.commands import Activate, LiveProxies, ServerSnapshot
 from lapisgrade.gateway.controller.configuration_feed import ConfigurationFeed
 from lapisgrade.gateway.controller.proxy_list_feed import ProxyListFeed
@@ -45,6 +46,7 @@
     is_proxy_list_unknown: bool  # neither the newest list nor the one before it
 
     def is_anything(self) -> bool:
+        """Return whether there is something to send."""
         return self.has_registry_changes or self.configuration or self.proxy_list
 
 
@@ -224,16 +226,15 @@
         is_other_registry = request.registry_incarnation != self.registry_incarnation and (
             self.is_registry_complete or request.registry_incarnation != f"{self.term}+"
         )
-        has_newer_version = state.active_version > request.active_version or state.version > _newest_version(
-            request
-        )
+        lacks_active = state.active_version > request.active_version
+        lacks_newest = state.version > _newest_version(request)
+        known_tokens = (state.fencing_token, state.previous_fencing_token)
         return _Outdated(
             is_other_registry=is_other_registry,
             has_registry_changes=is_other_registry or self.registry.revision > request.registry_revision,
-            configuration=request.needs_full_version or has_newer_version,
+            configuration=request.needs_full_version or lacks_active or lacks_newest,
             proxy_list=request.fencing_token != state.fencing_token,
-            is_proxy_list_unknown=request.fencing_token
-            not in (state.fencing_token, state.previous_fencing_token),
+            is_proxy_list_unknown=request.fencing_token not in known_tokens,
         )
 
     def _reply(
@@ -248,17 +249,13 @@
         list_delta = (
             self.proxy_lists.delta(request.fencing_token, state.fencing_token) if is_new_list else None
         )
-        base = 0 if request.needs_full_version else _newest_version(request)
-        active = None
-        if state.active_version > base:
-            active = self.configuration_feed.version(state.active_version, state.active_configuration, base)
-            base = state.active_version
+        active, staged = self._missing_versions(request, state)
         return rpc_messages.WatchReply(
             is_leader=True,
             controllers=controllers,
             active_version=state.active_version,
             active_configuration=active,
-            staged_versions=self.configuration_feed.chain(state.staged_versions, base),
+            staged_versions=staged,
             merged_versions=state.merged_versions,
             registry_incarnation=self.registry_incarnation,
             registry_revision=self.registry.revision,
@@ -278,6 +275,17 @@
             else [],
         )
 
+    def _missing_versions(
+        self, request: rpc_messages.WatchRequest, state: State
+    ) -> tuple[EncodedVersion | None, dict[int, EncodedVersion]]:
+        """Return the active version and the staged ones, as far as the proxy lacks them."""
+        base = 0 if request.needs_full_version else _newest_version(request)
+        active = None
+        if state.active_version > base:
+            active = self.configuration_feed.version(state.active_version, state.active_configuration, base)
+            base = state.active_version
+        return active, self.configuration_feed.chain(state.staged_versions, base)
+
     def _servers(self, now_us: int, request: rpc_messages.WatchRequest, outdated: _Outdated) -> list[Server]:
         """Return the servers that the proxy lacks, or whose state it lacks."""
         if not outdated.has_registry_changes:
