--- a/lapisgrade/gateway/fake_server.py
+++ b/lapisgrade/gateway/fake_server.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections import Counter
+from typing import cast
 
 import h11
 import msgspec
@@ -126,7 +127,7 @@
             await self._execute(name, writer)
         finally:
             self.running -= 1
-        body = f"{self.svc} {message.head.target.decode()}".encode()
+        body = f"{self.svc} {cast(h11.Request, message.head).target.decode()}".encode()
         whole = encode_response(200, body, (own + "Server-Seal: seal\r\n").encode())
         match self.manner:
             case "cut":
--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -7,9 +7,11 @@
 import asyncio
 import os
 import tempfile
+from collections.abc import Callable
 from random import Random
-from typing import Any
+from typing import Any, cast
 
+import h11
 import msgspec
 from returns.result import Failure, Result
 
@@ -20,7 +22,7 @@
 from lapisgrade.gateway.http_client import post_to_any, send_request
 from lapisgrade.gateway.proxy.process import Proxy
 from lapisgrade.gateway.rpc import RpcEndpoint
-from lapisgrade.gateway.settings import Address, Bind, Settings
+from lapisgrade.gateway.settings import Address, Bind, Settings, Span
 from lapisgrade.net.http import Message
 
 CTL, HTTP, READY, INNER = 8407, 8405, 8406, 7660  # ports, as of one deployment
@@ -28,11 +30,29 @@
 
 
 class LocalCluster:
-    """The system, its servers and its operator, in this process. `async with` starts and ends it."""
+    """A gateway, its servers and its operator, in this process. `async with` starts and ends it.
+
+    Attributes:
+        folder: Where each controller has a folder of its own.
+        names: The machines.
+        ip: Each machine's address.
+        voters: The machines that run a controller.
+        controllers: Running controllers by machine.
+        proxies: Running proxies by machine.
+        servers: Stand-in servers by name.
+    """
 
     def __init__(self, machines: int = 3, voters: int = 3, net: int = 77, folder: str | None = None) -> None:
-        self._folder = None if folder else tempfile.TemporaryDirectory()
-        self.folder = folder or self._folder.name
+        """Start nothing yet.
+
+        Args:
+            machines: How many there are.
+            voters: How many of them run a controller.
+            net: The second number of their addresses.
+            folder: Where controllers store their logs; by default a folder that goes with the cluster.
+        """
+        self._temporary_folder = None if folder else tempfile.TemporaryDirectory[str]()
+        self.folder = self._temporary_folder.name if self._temporary_folder else str(folder)
         self.names = [f"m{number}" for number in range(1, machines + 1)]
         self.ip = {name: f"127.{net}.0.{number}" for number, name in enumerate(self.names, 1)}
         self.voters = self.names[:voters]
@@ -40,7 +60,7 @@
         self.proxies: dict[str, Proxy] = {}
         self.servers: dict[str, FakeServer] = {}
         self.random = Random(1)
-        self._tasks: dict[object, asyncio.Task] = {}
+        self._tasks: dict[object, asyncio.Task[None]] = {}
         self._first = True
 
     async def __aenter__(self) -> "LocalCluster":
@@ -51,18 +71,21 @@
         self._first = False
         return self
 
-    async def __aexit__(self, *_) -> None:
-        for each in (*self.proxies.values(), *self.controllers.values()):
-            each.end()
-        for each in self.servers.values():
-            each.close()
+    async def __aexit__(self, *_: object) -> None:
+        for proxy in self.proxies.values():
+            proxy.end()
+        for controller in self.controllers.values():
+            controller.end()
+        for server in self.servers.values():
+            server.close()
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
-        if self._folder is not None:
-            self._folder.cleanup()
+        if self._temporary_folder is not None:
+            self._temporary_folder.cleanup()
 
     def settings(self, name: str) -> Settings:
+        """Return the settings of a machine."""
         ip = self.ip[name]
         peers = tuple(Address((self.ip[each], CTL)) for each in self.voters[:3])
         bind = Bind(Address((ip, HTTP)), Address((ip, READY)), Address((ip, CTL)))
@@ -77,18 +100,20 @@
             self._first,
             True,
             folder,
-            int(HEARTBEAT_INTERVAL_S * SECOND),
+            Span(HEARTBEAT_INTERVAL_S * SECOND),
         )
 
     @property
     def ctl(self) -> list[tuple[str, int]]:
+        """Where controllers take calls."""
         return [(self.ip[name], CTL) for name in self.controllers]
 
     def http(self, name: str) -> tuple[str, int]:
+        """Return where a machine's proxy takes requests."""
         return (self.ip[name], HTTP)
 
-    async def served(self, conf: dict | None = None, **more) -> "LocalCluster":
-        """One server, a configuration (the sample), and proxies that know both."""
+    async def served(self, conf: dict[str, Any] | None = None, **more: Any) -> "LocalCluster":
+        """Start one server, put a configuration (the sample), and wait until all proxies know both."""
         await self.start_server("garantie", **more)
         while await self.put(conf or SAMPLE) != 200:
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -96,22 +121,25 @@
         return self
 
     async def start_controller(self, name: str) -> None:
+        """Start a machine's controller, on the folder that it has."""
         controller = self.controllers[name] = Controller(self.settings(name))
         self._tasks[controller] = asyncio.get_running_loop().create_task(controller.run())
 
     async def start_proxy(self, name: str) -> None:
+        """Start a machine's proxy."""
         proxy = self.proxies[name] = Proxy(self.settings(name))
         self._tasks[proxy] = asyncio.get_running_loop().create_task(proxy.run())
 
     async def kill(self, part: Controller | Proxy) -> None:
-        """As a process that is killed: nothing is said to anybody."""
+        """End a role as a process that is killed: it notifies nobody."""
         self._tasks[part].cancel()
         await asyncio.gather(self._tasks.pop(part), return_exceptions=True)
         for table in (self.controllers, self.proxies):
             for name in [name for name, each in table.items() if each is part]:
                 del table[name]
 
-    async def start_server(self, svc: str, **more) -> FakeServer:
+    async def start_server(self, svc: str, **more: Any) -> FakeServer:
+        """Start a stand-in server of a service, which sends heartbeats from then on."""
         number = len(self.servers) + 1
         server = FakeServer(
             f"i-{number}", svc, (f"127.{self.ip[self.names[0]].split('.')[1]}.1.{number}", 8080), **more
@@ -130,7 +158,7 @@
         """It beats no more, and answers on."""
         self._tasks.pop(server).cancel()
 
-    async def put(self, conf: dict, call: str = "conf.replace") -> int:
+    async def put(self, conf: dict[str, Any], call: str = "conf.replace") -> int:
         """The operator's call, at any controller until one answers."""
         return await post_to_any(self.ctl, f"/-/rpc?call={call}", msgspec.json.encode(conf))
 
@@ -154,12 +182,17 @@
             got = await send_request(self.http(name), method, path, fields=fields)
             back = got.headers().get(b"retry-after")
             tries -= 1
-            if got.head.status_code not in (429, 503) or not back or not tries:
+            status = cast(h11.Response, got.head).status_code
+            if status not in (429, 503) or not back or not tries:
                 return got
             await asyncio.sleep(float(back))
 
-    async def until(self, ready, within: float = 20.0) -> None:
-        """Wait until that holds; TimeoutError where it doesn't in time."""
+    async def until(self, ready: Callable[[], Any], within: float = 20.0) -> None:
+        """Wait until that holds, so many seconds at most.
+
+        Raises:
+            TimeoutError: It doesn't in time.
+        """
         async with asyncio.timeout(within):
             while not ready():
                 await asyncio.sleep(POLL_INTERVAL_S)
@@ -176,8 +209,10 @@
         """Take over the sending of all processes; no machine is isolated yet."""
         self.isolated: set[str] = set()
         self._ip = cluster.ip
-        for process in (*cluster.controllers.values(), *cluster.proxies.values()):
-            self._intercept(process.rpc, process.settings.ip)
+        for controller in cluster.controllers.values():
+            self._intercept(controller.rpc, controller.settings.ip)
+        for proxy in cluster.proxies.values():
+            self._intercept(proxy.rpc, proxy.settings.ip)
 
     def isolate(self, name: str) -> None:
         """Cut a machine off from all others."""
