--- a/lapisgrade/gateway/controller/metrics.py
+++ b/lapisgrade/gateway/controller/metrics.py
@@ -1,7 +1,7 @@
 """What a controller counts, for its log line at the end of the process and for tests."""
 
 from collections import Counter
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field, fields
 from typing import Any
 
 
@@ -41,4 +41,9 @@
 
     def nonzero(self) -> dict[str, Any]:
         """Every metric that was counted at least once, by name."""
-        return {name: value for name, value in asdict(self).items() if value}
+        values = {each.name: getattr(self, each.name) for each in fields(self)}
+        return {
+            name: dict(value) if isinstance(value, Counter) else value
+            for name, value in values.items()
+            if value
+        }
--- /dev/null
+++ b/tests/gateway/controller/test_metrics.py
@@ -0,0 +1,16 @@
+"""A controller's metrics: what its log line at the end of the process has."""
+
+from lapisgrade.gateway.controller.metrics import ControllerMetrics
+
+
+def test_only_metrics_that_were_counted_are_reported_with_their_labels() -> None:
+    metrics = ControllerMetrics()
+    assert metrics.nonzero() == {}
+    metrics.disk_syncs += 2
+    metrics.calls["conf.show"] += 3
+    metrics.call_replies["conf.show 200"] += 3
+    assert metrics.nonzero() == {
+        "disk_syncs": 2,
+        "calls": {"conf.show": 3},
+        "call_replies": {"conf.show 200": 3},
+    }
