--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -186,6 +186,12 @@
             began.append(sorted(state.live_proxies))
             lead(self, now_us, term, state)
 
+        await site.until(
+            lambda: all(
+                sorted(each.state_machine.state.live_proxies) == site.names
+                for each in site.controllers.values()
+            )
+        )
         with mock.patch.object(Watch, "become_leader", seen):
             for each in list(site.controllers.values()):
                 await site.kill(each)
