--- a/lapisgrade/gateway/controller/__init__.py
+++ b/lapisgrade/gateway/controller/__init__.py
@@ -3,7 +3,7 @@
 Where to look, from the outside in:
 
 * `server` assembles one controller, starts it and shuts it down.
-* `control_api`, `call_forwarding`, `leader_calls`: calls of servers and operators, and their way to the leader.
+* `control_api`, `call_forwarding`, `leader_calls`: calls of servers and operators, and where they run.
 * `drafts`: edits while no leader can be reached.
 * `watch_service`, `watch`, `version_activation`: what proxies are sent, and when a version comes into force;
   `configuration_feed` and `proxy_list_feed` encode it as deltas.
