--- a/tests/net/test_hops.py
+++ b/tests/net/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to servers: each way one can end, and what it is told for."""
+"""Connections to servers: how each attempt ends, and which connections are reused."""
 
 import asyncio
 from types import SimpleNamespace
@@ -20,28 +20,28 @@
 SECOND = 1_000_000
 
 
-class Hop:
-    """A hop as the pool needs it."""
+class FakeAttempt:
+    """An attempt as the pool needs it."""
 
     def __init__(self, now, body=b"x", server="s", lasts=0.5):
-        asked = ClientRequest(object(), b"POST", b"/api", b"h", b"1", None, [body])
-        self.operation = SimpleNamespace(handle=asked, deadline_us=now() + int(lasts * SECOND))
+        request = ClientRequest(object(), b"POST", b"/api", b"h", b"1", None, [body])
+        self.operation = SimpleNamespace(handle=request, deadline_us=now() + int(lasts * SECOND))
         self.server, self.sent_us = SimpleNamespace(address=server), now()
 
 
-def pool(port, dial=1.0, idle=30.0):
-    landed, now = asyncio.Queue(), wall_clock()
-    lines = ConnectionSettings(int(dial * SECOND), int(idle * SECOND))
-    made = ConnectionPool(landed.put_nowait, now, lambda text: None, NetMetrics(), lines, 4)
-    made.update_addresses({"s": ("127.0.0.1", port)})
-    return made, landed, now
+def new_pool(port, dial=1.0, idle=30.0):
+    finished, now = asyncio.Queue(), wall_clock()
+    settings = ConnectionSettings(int(dial * SECOND), int(idle * SECOND))
+    pool = ConnectionPool(finished.put_nowait, now, lambda text: None, NetMetrics(), settings, 4)
+    pool.update_addresses({"s": ("127.0.0.1", port)})
+    return pool, finished, now
 
 
 @on_loopback
 async def test_each_close_reason_of_an_attempt_is_reported():
     backend = await Backend().open()
-    made, landed, now = pool(backend.port)
-    for manner, ending, outcome in [
+    pool, finished, now = new_pool(backend.port)
+    for manner, reason, outcome in [
         ("well", CloseReason.ANSWERED, AttemptOutcome.OK),
         ("error", CloseReason.ERROR_RESPONSE, AttemptOutcome.ERROR),
         ("full", CloseReason.REJECTED, AttemptOutcome.OVERLOADED),
@@ -53,24 +53,24 @@
         ("silent", CloseReason.TIMED_OUT, AttemptOutcome.TIMED_OUT),
     ]:
         backend.manner = manner
-        made.send(Hop(now))
-        event: AttemptFinished = await landed.get()
-        assert (event.reason, event.reason.outcome) == (ending, outcome), manner
+        pool.send(FakeAttempt(now))
+        event: AttemptFinished = await finished.get()
+        assert (event.reason, event.reason.outcome) == (reason, outcome), manner
         assert not outcome.never_ran or manner == "full"
     backend.manner = "load"
-    made.send(Hop(now))
-    assert parse_load_report((await landed.get()).message) == {"inflight": 7.0, "util": 0.5}
+    pool.send(FakeAttempt(now))
+    assert parse_load_report((await finished.get()).message) == {"inflight": 7.0, "util": 0.5}
     backend.manner = "silent"
-    hop = Hop(now)
-    made.send(hop)
+    attempt = FakeAttempt(now)
+    pool.send(attempt)
     await asyncio.sleep(0.05)
-    made.cancel(hop)
-    assert (await landed.get()).reason is CloseReason.CANCELLED
+    pool.cancel(attempt)
+    assert (await finished.get()).reason is CloseReason.CANCELLED
     backend.close()
-    made.send(Hop(now))
-    assert (await landed.get()).reason.outcome is AttemptOutcome.CONNECT_FAILED
-    made.send(Hop(now, server="unknown"))
-    assert (await landed.get()).reason.outcome is AttemptOutcome.NOT_SENT
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason.outcome is AttemptOutcome.CONNECT_FAILED
+    pool.send(FakeAttempt(now, server="unknown"))
+    assert (await finished.get()).reason.outcome is AttemptOutcome.NOT_SENT
 
 
 @on_loopback
@@ -78,28 +78,28 @@
     async def nobody():
         await asyncio.sleep(30)
 
-    made, landed, now = pool(1, dial=0.1)
+    pool, finished, now = new_pool(1, dial=0.1)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("lapisgrade.net.upstream_connection.connect", lambda *_: nobody())
-        made.send(Hop(now))
-        assert (await landed.get()).reason is CloseReason.CONNECT_TIMEOUT
-        hop = Hop(now)
-        made.send(hop)
-        made.cancel(hop)
-        assert (await landed.get()).reason is CloseReason.NOT_SENT
+        pool.send(FakeAttempt(now))
+        assert (await finished.get()).reason is CloseReason.CONNECT_TIMEOUT
+        attempt = FakeAttempt(now)
+        pool.send(attempt)
+        pool.cancel(attempt)
+        assert (await finished.get()).reason is CloseReason.NOT_SENT
 
 
 @on_loopback
 async def test_nothing_is_sent_for_answered_operations_or_to_departing_servers():
     backend = await Backend().open()
-    made, landed, now = pool(backend.port)
-    over, leaving = Hop(now), Hop(now)
-    made.send(over)
+    pool, finished, now = new_pool(backend.port)
+    over, leaving = FakeAttempt(now), FakeAttempt(now)
+    pool.send(over)
     over.operation.handle.client = None
-    assert (await landed.get()).reason is CloseReason.NOT_SENT
-    made.send(leaving)
-    made.update_addresses({"s": None})
-    assert (await landed.get()).reason is CloseReason.NOT_SENT and not backend.seen
+    assert (await finished.get()).reason is CloseReason.NOT_SENT
+    pool.send(leaving)
+    pool.update_addresses({"s": None})
+    assert (await finished.get()).reason is CloseReason.NOT_SENT and not backend.seen
     backend.close()
 
 
@@ -107,91 +107,91 @@
 async def test_idle_connections_are_closed_before_the_server_closes_them():
     """What is written to a connection that the server has closed may have run, for all that we know."""
     backend = await Backend().open()
-    made, landed, now = pool(backend.port, idle=1.6)
+    pool, finished, now = new_pool(backend.port, idle=1.6)
     for wait, connections in [(0.0, 1), (0.0, 1), (0.65, 2)]:
         await asyncio.sleep(wait)
-        made.send(Hop(now))
-        assert (await landed.get()).reason is CloseReason.ANSWERED
-        assert made.metrics.upstream_connections_opened == connections
+        pool.send(FakeAttempt(now))
+        assert (await finished.get()).reason is CloseReason.ANSWERED
+        assert pool.metrics.upstream_connections_opened == connections
     await until(backend.writers[0].is_closing)  # by us, with nothing more to send
     backend.shut()
     await asyncio.sleep(0)  # it is closed, and its end is not yet read
-    made.send(Hop(now))
-    assert (await landed.get()).reason is CloseReason.ANSWERED
-    assert made.metrics.upstream_connections_opened == 3
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    assert pool.metrics.upstream_connections_opened == 3
     backend.close()
 
 
 @on_loopback
 async def test_a_second_response_on_a_connection_belongs_to_no_request():
-    """It lies read by asyncio, but not by us, when the connection is wanted for the next hop."""
+    """It lies read by asyncio, but not by us, when the connection is wanted for the next attempt."""
     backend = await Backend().open()
-    made, landed, now = pool(backend.port)
-    made.send(Hop(now))
-    assert (await landed.get()).reason is CloseReason.ANSWERED
+    pool, finished, now = new_pool(backend.port)
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
     backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfor ")
-    link = made._idle["s"][0]
+    connection = pool._idle["s"][0]
     for _ in range(1000):
-        if link.has_unread_data() or not made._idle["s"]:
+        if connection.has_unread_data() or not pool._idle["s"]:
             break
         await asyncio.sleep(0)
-    made.send(Hop(now, body=b"two"))
-    event = await landed.get()
+    pool.send(FakeAttempt(now, body=b"two"))
+    event = await finished.get()
     assert event.reason is CloseReason.ANSWERED and b"".join(event.message.body) == b"for two"
-    assert made.metrics.upstream_connections_opened == 2
+    assert pool.metrics.upstream_connections_opened == 2
     backend.close()
 
 
 @on_loopback
 async def test_a_reassigned_address_belongs_to_the_new_server_alone():
     backend = await Backend().open()
-    made, landed, now = pool(backend.port)
-    made.send(Hop(now))
-    assert (await landed.get()).reason is CloseReason.ANSWERED
-    made.update_addresses({"new": ("127.0.0.1", backend.port)})  # before the old one is told to be gone
-    made.send(Hop(now))
-    assert (await landed.get()).reason is CloseReason.NOT_SENT
-    made.send(Hop(now, server="new"))
-    assert (await landed.get()).reason is CloseReason.ANSWERED
-    assert made.metrics.upstream_connections_opened == 2
-    assert list(made.addresses) == list(made.last_received_us) == list(made._idle) == ["new"]
+    pool, finished, now = new_pool(backend.port)
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    pool.update_addresses({"new": ("127.0.0.1", backend.port)})  # before the old one is told to be gone
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.NOT_SENT
+    pool.send(FakeAttempt(now, server="new"))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    assert pool.metrics.upstream_connections_opened == 2
+    assert list(pool.addresses) == list(pool.last_received_us) == list(pool._idle) == ["new"]
     backend.close()
 
 
 @on_loopback
 async def test_an_unresponsive_server_must_accept_a_new_connection_first():
     backend = await Backend(0.1).open()
-    made, landed, now = pool(backend.port, dial=0.15)
+    pool, finished, now = new_pool(backend.port, dial=0.15)
     for _ in range(2):
-        made.send(Hop(now))
-    assert {(await landed.get()).reason for _ in range(2)} == {CloseReason.ANSWERED}
+        pool.send(FakeAttempt(now))
+    assert {(await finished.get()).reason for _ in range(2)} == {CloseReason.ANSWERED}
     backend.manner = "silent"
-    made.send(Hop(now, lasts=0.2))
-    assert (await landed.get()).reason is CloseReason.TIMED_OUT
+    pool.send(FakeAttempt(now, lasts=0.2))
+    assert (await finished.get()).reason is CloseReason.TIMED_OUT
     backend.manner = "well"
-    made.send(Hop(now))
-    assert (await landed.get()).reason is CloseReason.ANSWERED
-    assert made.metrics.upstream_connections_opened == 3
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    assert pool.metrics.upstream_connections_opened == 3
     backend.close()
 
 
 @on_loopback
 async def test_a_response_received_while_the_process_was_suspended_is_not_timed_out():
     async with Site() as site:
-        got, landed = asyncio.Queue(), asyncio.Queue()
+        got, finished = asyncio.Queue(), asyncio.Queue()
         address = ("127.0.0.1", site.till.port)
         calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 100_000, 100_000)
-        made, landed, now = pool(site.backends[0].port)
+        pool, finished, now = new_pool(site.backends[0].port)
         for _ in range(2):  # the first ones open the connections
             calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
-            made.send(Hop(now, lasts=0.2))
+            pool.send(FakeAttempt(now, lasts=0.2))
             assert (await got.get()).reason is CloseReason.ANSWERED
-            assert (await landed.get()).reason is CloseReason.ANSWERED
+            assert (await finished.get()).reason is CloseReason.ANSWERED
         site.till.asleep = site.backends[0].asleep = 0.4  # each answers, and we do not look for so long
         calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
         assert (await got.get()).reason is CloseReason.ANSWERED
-        made.send(Hop(now, lasts=0.2))
-        assert (await landed.get()).reason is CloseReason.ANSWERED
+        pool.send(FakeAttempt(now, lasts=0.2))
+        assert (await finished.get()).reason is CloseReason.ANSWERED
 
 
 @on_loopback
@@ -204,9 +204,9 @@
         writer.transport.abort()
 
     server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
-    made, landed, now = pool(server.sockets[0].getsockname()[1])
-    made.send(Hop(now, body=bytes(30_000_000)))
-    event = await landed.get()
+    pool, finished, now = new_pool(server.sockets[0].getsockname()[1])
+    pool.send(FakeAttempt(now, body=bytes(30_000_000)))
+    event = await finished.get()
     assert event.reason is CloseReason.INCOMPLETE_WRITE and event.reason.outcome.never_ran
     server.close()
 
@@ -214,14 +214,14 @@
 @on_loopback
 async def test_the_pool_keeps_to_its_connection_limit():
     parties = [await Backend(0.1).open() for _ in range(5)]
-    made, landed, now = pool(1)
-    made.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(parties)})
+    pool, finished, now = new_pool(1)
+    pool.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(parties)})
     for i in range(5):
-        made.send(Hop(now, server=f"s{i}"))
-    endings = [(await landed.get()).reason for _ in range(5)]
-    assert endings.count(CloseReason.NOT_SENT) == 1 and endings.count(CloseReason.ANSWERED) == 4
-    made.send(Hop(now, server="s4"))  # the one idle for longest makes room
-    assert (await landed.get()).reason is CloseReason.ANSWERED
+        pool.send(FakeAttempt(now, server=f"s{i}"))
+    reasons = [(await finished.get()).reason for _ in range(5)]
+    assert reasons.count(CloseReason.NOT_SENT) == 1 and reasons.count(CloseReason.ANSWERED) == 4
+    pool.send(FakeAttempt(now, server="s4"))  # the one idle for longest makes room
+    assert (await finished.get()).reason is CloseReason.ANSWERED
     for each in parties:
         each.close()
 
--- /dev/null
+++ b/tests/net/test_counter_client.py
@@ -0,0 +1,51 @@
+"""Calls to the counter service, which may be silent, busy or wrong."""
+
+import asyncio
+from types import SimpleNamespace
+
+from support.event_loop import on_loopback
+from support.limiter_site import Site
+
+from lapisgrade.interface import AddToCounter, CounterOutcome
+from lapisgrade.net.counter_client import CounterClient
+from lapisgrade.net.metrics import NetMetrics
+
+
+@on_loopback
+async def test_each_close_reason_of_a_counter_call_and_no_reply_for_another():
+    """An answer that comes too late is not taken for the next call's."""
+    async with Site() as site:
+        got = asyncio.Queue()
+        address = ("127.0.0.1", site.till.port)
+        calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 250_000, 100_000)
+
+        async def tell(amount, manner):
+            site.till.manner = manner
+            calls.add(SimpleNamespace(), AddToCounter(7, amount, 45_000_000))
+            event = await got.get()
+            return event.reason.counter_outcome, event.total
+
+        assert await tell(2.0, "well") == (CounterOutcome.ADDED, 2.0)
+        assert site.till.seen[-1] == [b"INCRTTL", b"7", b"2.000000", b"45000"]
+        assert await tell(1.0, "busy") == (CounterOutcome.REJECTED, 0.0)
+        assert await tell(3.0, 0.4) == (CounterOutcome.TIMED_OUT, 0.0)
+        await asyncio.sleep(0.2)
+        assert await tell(-1.0, "well") == (CounterOutcome.ADDED, 4.0)
+        assert await tell(1.0, "close") == (CounterOutcome.TIMED_OUT, 0.0)
+        assert await tell(1.0, "silent") == (CounterOutcome.TIMED_OUT, 0.0)
+        assert await tell(1.0, "well") == (CounterOutcome.ADDED, 5.0)  # on a new connection
+        for spoilt in [
+            b"$3\r\nnan\r\n",
+            b"$4\r\n1e99",
+            b"$4\r\nmany\r\n",
+            b"$9999999\r\n",
+            b":5\r\n",
+            b"\r\n",
+            b"$1\r\n55\r\n",
+            b"$-1\r\n",
+            b"-" + bytes(999),
+        ]:
+            assert await tell(1.0, spoilt) == (CounterOutcome.TIMED_OUT, 0.0)
+        site.till.close()
+        await asyncio.sleep(0.01)
+        assert await tell(1.0, "well") == (CounterOutcome.REJECTED, 0.0)
--- /dev/null
+++ b/tests/net/test_rate_limited_log.py
@@ -0,0 +1,15 @@
+"""The limiter's log on standard error."""
+
+from lapisgrade.net.rate_limited_log import MAX_LINES_PER_SECOND, RateLimitedLog
+
+
+def test_log_lines_are_rate_limited(capfd, monkeypatch):
+    now = [5.0]
+    monkeypatch.setattr("lapisgrade.net.rate_limited_log.time.monotonic", lambda: now[0])
+    log = RateLimitedLog("n0")
+    for i in range(MAX_LINES_PER_SECOND + 7):
+        log.write(f"line {i}")
+    now[0] = 6.0
+    log.write("after")
+    said = capfd.readouterr().err.splitlines()
+    assert len(said) == MAX_LINES_PER_SECOND + 2 and "7 lines left out" in said[-2]
