--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -25,9 +25,9 @@
 MAX_GRANT_DELAY_S = 0.25
 # Of the unreported allowance, what may be used at once; most spans without the owner are short.
 UNREPORTED_BURST_FRACTION = 0.8
-# s after which one that is rejected without the owner is told to retry: another proxy may reach the owner.
+# s after which a client rejected without the owner may retry: another proxy may reach the owner.
 UNREPORTED_RETRY_S = 0.3
-# us that one is told to wait at most; beyond what clients of the deployments have.
+# The longest Retry-After; beyond the deadlines of the deployments' clients.
 MAX_RETRY_AFTER_US = 5 * SECOND
 # us between calls to an owner that does not answer; a new one is there within a second.
 PROBE_INTERVAL_US = 80_000
@@ -61,7 +61,7 @@
 
 
 class OwnerBreaker(CounterBreaker):
-    """The breaker of one tenant's count: its owner may be gone while others' are there, and soon be back."""
+    """The breaker of one tenant's count: its owner may be away while others' are there, and soon be back."""
 
     probe_interval_us = PROBE_INTERVAL_US
 
--- a/lapisgrade/gateway/quota/epochs.py
+++ b/lapisgrade/gateway/quota/epochs.py
@@ -83,7 +83,7 @@
         None  # of the membership before; None for the one that came here last
     )
     terminating_proxies: Sequence[str] = ()  # those of the proxies that are shutting down
-    previous_owners: Sequence[str] = ()  # who owned counts under the membership before, if that is told
+    previous_owners: Sequence[str] = ()  # who owned counts under the membership before, if it is sent
     # The same of the memberships before that one, the latest first, by which somebody may still act.
     earlier_owners: Sequence[Sequence[str]] = ()
 
--- a/lapisgrade/members/host.py
+++ b/lapisgrade/members/host.py
@@ -26,7 +26,7 @@
 
 
 class Host:
-    """One member's life: `await open(...)`, then `core.alive()`, and `close()` at the end."""
+    """One member from start to end: `await open(...)`, then `core.alive()`, and `close()` at the end."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
             reached_at: where others reach this one, if that is not where it listens.
 
         Returns:
-            The address that others are told.
+            The address that is sent to the others.
 
         Raises:
             OSError: The address is taken.
@@ -80,7 +80,7 @@
         return address
 
     def close(self) -> None:
-        """Stop, without a word to the others."""
+        """Stop; the others are not notified."""
         if self._timer is not None:
             self._timer.cancel()
         self.udp.close()
