--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -27,7 +27,7 @@
 UNREPORTED_BURST_FRACTION = 0.8
 # s after which a client rejected without the owner may retry: another proxy may reach the owner.
 UNREPORTED_RETRY_S = 0.3
-# The longest Retry-After; beyond the deadlines of the deployments' clients.
+# The longest Retry-After; beyond the time that the deployments' clients have.
 MAX_RETRY_AFTER_US = 5 * SECOND
 # us between calls to an owner that does not answer; a new one is there within a second.
 PROBE_INTERVAL_US = 80_000
