--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -9,7 +9,7 @@
 from lapisgrade.gateway.routing.upstream_server import UpstreamAttempt
 from lapisgrade.interface import Reject
 from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.events import AttemptFinished, ClientDisconnected
+from lapisgrade.net.events import AttemptClosed, ClientDisconnected
 from lapisgrade.net.host import Host, LocalResponse
 from lapisgrade.net.http import Message as HttpMessage
 from lapisgrade.net.response_writer import ResponseWriter
@@ -43,10 +43,10 @@
         super().send(attempt)
         self.on_load_change()
 
-    def _on_attempt_finished(self, event: AttemptFinished) -> None:
+    def _on_attempt_closed(self, event: AttemptClosed) -> None:
         if event.reason is CloseReason.ERROR_RESPONSE:
             event.attempt.operation.handle.failure = event.message
-        super()._on_attempt_finished(event)
+        super()._on_attempt_closed(event)
         self.on_load_change()
 
     def reject(self, operation: RoutedRequest, answer: Reject) -> None:
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -22,7 +22,7 @@
 from lapisgrade.lab.simulation.network import Endpoint
 from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process, VirtualLoop
 from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.events import AttemptFinished, RequestReceived
+from lapisgrade.net.events import AttemptClosed, RequestReceived
 from lapisgrade.net.http import MessageParser
 from lapisgrade.policy.attempt import Attempt
 
@@ -76,9 +76,9 @@
         proxy = self._proxy
         there = proxy.plane.sent(proxy, hop)
         landed = (
-            AttemptFinished(hop, CloseReason.ANSWERED, ANSWERED)
+            AttemptClosed(hop, CloseReason.ANSWERED, ANSWERED)
             if there
-            else AttemptFinished(hop, CloseReason.CONNECTION_REFUSED)
+            else AttemptClosed(hop, CloseReason.CONNECTION_REFUSED)
         )
         asyncio.get_running_loop().call_later(WORK / SECOND, proxy.host.enqueue, landed)
 
--- a/lapisgrade/net/connection_pool.py
+++ b/lapisgrade/net/connection_pool.py
@@ -7,7 +7,7 @@
 from lapisgrade.interface import ConnectionSettings
 from lapisgrade.net import SECOND
 from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.net.events import AttemptFinished, Event
+from lapisgrade.net.events import AttemptClosed, Event
 from lapisgrade.net.http import Message
 from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.server_protocol import ServerProtocol
@@ -17,7 +17,7 @@
 class ConnectionPool:
     """Writes attempts to connections, a new one or the idle one used last.
 
-    `send` and `cancel` are called by the host. What becomes of an attempt comes back as an `AttemptFinished`
+    `send` and `cancel` are called by the host. What becomes of an attempt comes back as an `AttemptClosed`
     through `enqueue`, exactly one for each attempt sent.
     """
 
@@ -58,7 +58,7 @@
             self._in_flight[attempt] = connection
             connection.assign(attempt)
         elif server not in self.addresses or not self._has_capacity():
-            self._enqueue(AttemptFinished(attempt, CloseReason.NOT_SENT))
+            self._enqueue(AttemptClosed(attempt, CloseReason.NOT_SENT))
         else:
             self._open_connections += 1
             self._in_flight[attempt] = UpstreamConnection(self, server, attempt)
@@ -163,7 +163,7 @@
         """An attempt has ended, with a complete response or without one."""
         del self._in_flight[attempt]
         self.metrics.attempts_finished[reason] += 1
-        self._enqueue(AttemptFinished(attempt, reason, message))
+        self._enqueue(AttemptClosed(attempt, reason, message))
 
     def on_connection_idle(self, connection: UpstreamConnection) -> None:
         """A connection may be reused."""
--- a/lapisgrade/net/events.py
+++ b/lapisgrade/net/events.py
@@ -40,8 +40,11 @@
 
 
 @dataclass(slots=True)
-class AttemptFinished:
-    """An attempt has ended, with a complete response or without one."""
+class AttemptClosed:
+    """A server's side of an attempt has ended, with a complete response or without one.
+
+    The host makes an `interface.AttemptFinished` of it, once it is clear what becomes of the client.
+    """
 
     attempt: Any
     reason: CloseReason
@@ -73,5 +76,5 @@
 
 
 Event = (
-    RequestReceived | ClientDisconnected | AttemptFinished | CounterCallFinished | ServersUpdated | TimerFired
+    RequestReceived | ClientDisconnected | AttemptClosed | CounterCallFinished | ServersUpdated | TimerFired
 )
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -25,7 +25,7 @@
 from lapisgrade.net.connection import call_after_pending_io
 from lapisgrade.net.connection_pool import ConnectionPool
 from lapisgrade.net.events import (
-    AttemptFinished,
+    AttemptClosed,
     ClientDisconnected,
     ClientRequest,
     CounterCallFinished,
@@ -89,7 +89,7 @@
         handlers: dict[type, Callable[[Any], None]] = {
             RequestReceived: self._on_request_received,
             ClientDisconnected: self._on_client_disconnected,
-            AttemptFinished: self._on_attempt_finished,
+            AttemptClosed: self._on_attempt_closed,
             CounterCallFinished: self._on_counter_call_finished,
             ServersUpdated: self._on_servers_updated,
             TimerFired: self._on_timer_fired,
@@ -127,7 +127,7 @@
             self._metrics.requests_abandoned += 1
             self.engine.wake(operation, WakeReason.CLIENT_GONE)
 
-    def _on_attempt_finished(self, event: AttemptFinished) -> None:
+    def _on_attempt_closed(self, event: AttemptClosed) -> None:
         attempt, reason, message = event.attempt, event.reason, event.message
         operation = attempt.operation
         client = operation.handle.client
--- a/tests/net/test_hops.py
+++ b/tests/net/test_hops.py
@@ -13,7 +13,7 @@
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.connection_pool import ConnectionPool
 from lapisgrade.net.counter_client import CounterClient
-from lapisgrade.net.events import AttemptFinished, ClientRequest
+from lapisgrade.net.events import AttemptClosed, ClientRequest
 from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.server_protocol import parse_load_report
 
@@ -54,7 +54,7 @@
     ]:
         backend.manner = manner
         made.send(Hop(now))
-        event: AttemptFinished = await landed.get()
+        event: AttemptClosed = await landed.get()
         assert (event.reason, event.reason.outcome) == (ending, outcome), manner
         assert not outcome.never_ran or manner == "full"
     backend.manner = "load"
