--- a/tests/support/loopback_network.py
+++ b/tests/support/loopback_network.py
@@ -18,7 +18,8 @@
 FIRST_NETWORK = 1
 MAX_NETWORKS = 75
 RESERVATION_PORT = 8999  # below the ports that the system hands out itself
-CHECKED_PORTS = (8080, 8405, 8406, 8407)  # a server's, and a machine's HTTP, readiness and control port
+# A server's port; a machine's HTTP, readiness and control port; and those that machines call each other at.
+CHECKED_PORTS = (8080, 8405, 8406, 8407, *range(7660, 7676))
 CHECKED_HOSTS = range(1, 10)
 RETRY_INTERVAL_S = 0.1
 
@@ -86,10 +87,15 @@
 
 
 def _is_idle(network: LoopbackNetwork) -> bool:
-    """Whether nobody listens there (guards against processes that outlived the test that started them)."""
-    for subnet, host, port in itertools.product((0, 1), CHECKED_HOSTS, CHECKED_PORTS):
-        with socket.socket() as probe:
-            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    """Whether nobody listens there.
+
+    (Guards against processes that outlived their test, and listeners that a cancelled start left open.)
+    """
+    probes = itertools.product((socket.SOCK_STREAM, socket.SOCK_DGRAM), (0, 1), CHECKED_HOSTS, CHECKED_PORTS)
+    for kind, subnet, host, port in probes:
+        with socket.socket(type=kind) as probe:
+            if kind is socket.SOCK_STREAM:
+                probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
                 probe.bind((f"127.{network.number}.{subnet}.{host}", port))
             except OSError:
