--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -93,7 +93,7 @@
     async def call(self, name: str, state: str) -> bool:
         """Whether any controller acknowledged it."""
         self._seq += 1
-        host = self.endpoint._host
+        host = self.endpoint.host
         body = {"Svc": "svc", "Addr": f"{host}:8080", "Az": "z", "Ver": "v", "Slots": 50, "State": state,
                 "Warmup_time": "0ms", "Seq": self._seq}  # fmt: skip
         machine = self.random.choice([each for each in self.cluster.machines.values() if not each.removed])
--- a/lapisgrade/lab/simulation/network.py
+++ b/lapisgrade/lab/simulation/network.py
@@ -81,7 +81,7 @@
     """One process's place on the network, with the calls of `gateway.rpc.RpcEndpoint`."""
 
     def __init__(self, network: Network, process: Process, host: str, answer: Answer, hear: Hear) -> None:
-        self._network, self._process, self._host = network, process, host
+        self._network, self.process, self.host = network, process, host
         self._answer, self._hear = answer, hear
         self._address: Address | None = None
         self._numbers = 0
@@ -96,19 +96,19 @@
             del self._network.listening[self._address]
 
     def post(self, address: Address, message: Any) -> None:
-        self._network.carry(self._host, address[0], message, lambda got: self._give(address, got))
+        self._network.carry(self.host, address[0], message, lambda got: self._give(address, got))
 
     def _give(self, address: Address, message: Any) -> None:
         other = self._network.listening.get((address[0], address[1]))
-        if other is not None and other._process.alive:
-            self._network.loop.after(0, other._process, other._hear, message)
+        if other is not None and other.process.alive:
+            self._network.loop.after(0, other.process, other._hear, message)
 
     async def call(self, address: Address, message: Any, within: float) -> Result[Any, CallFailure]:
         """As `gateway.rpc.RpcEndpoint.call`."""
         self._numbers += 1
         number, future = self._numbers, asyncio.get_running_loop().create_future()
         self._waiting[number] = future
-        self._network.carry(self._host, address[0], message, lambda got: self._ask(address, number, got))
+        self._network.carry(self.host, address[0], message, lambda got: self._ask(address, number, got))
         try:
             async with asyncio.timeout(within):
                 return await future
@@ -119,26 +119,26 @@
 
     def _ask(self, address: Address, number: int, message: Any) -> None:
         other = self._network.listening.get((address[0], address[1]))
-        if other is None or not other._process.alive:
+        if other is None or not other.process.alive:
             return self._back(address[0], number, Failure(CallFailure.NOT_RUN))
         loop = self._network.loop
-        loop.after(0, other._process, lambda: loop.create_task(other._reply(self, number, message)))
+        loop.after(0, other.process, lambda: loop.create_task(other._reply(self, number, message)))
 
     async def _reply(self, caller: "Endpoint", number: int, message: Any) -> None:
         answer = await self._answer(message)
         if answer is not None:
             self._network.carry(
-                self._host, caller._host, answer, lambda got: caller._answered(number, Success(got))
+                self.host, caller.host, answer, lambda got: caller._answered(number, Success(got))
             )
 
     def _back(self, source: str, number: int, result: Result) -> None:
         """A refused connection: it comes as fast as the network lets it."""
-        if (source, self._host) not in self._network.cuts:
+        if (source, self.host) not in self._network.cuts:
             self._network.loop.after(FASTEST, None, self._answered, number, result)
 
     def _answered(self, number: int, result: Result) -> None:
-        if self._process.alive:
-            self._network.loop.after(0, self._process, self._resolve, number, result)
+        if self.process.alive:
+            self._network.loop.after(0, self.process, self._resolve, number, result)
 
     def _resolve(self, number: int, result: Result) -> None:
         future = self._waiting.pop(number, None)
