--- a/lapisgrade/lab/explore/control.py
+++ b/lapisgrade/lab/explore/control.py
@@ -1,27 +1,29 @@
-"""The control plane explored: all courses of `lab/simulation/courses.py` by seed, and wrong versions."""
+"""The control plane explored: all fault schedules of `lab/simulation` by seed, and known defects."""
 
 from collections.abc import Iterator
 
 from lapisgrade.lab.explore.exploration import Exploration, ExplorationResult, Print, print_nothing
-from lapisgrade.lab.simulation import mutants
-from lapisgrade.lab.simulation.courses import COURSES
-from lapisgrade.lab.simulation.plays import Play
+from lapisgrade.lab.simulation.control_plane import ControlPlaneSimulation
+from lapisgrade.lab.simulation.defects import control_plane as control_plane_defects
+from lapisgrade.lab.simulation.fault_schedules import FAULT_SCHEDULES
 
 UNIT = "acknowledged changes"
-DEFECTS = mutants.MUTANTS
+DEFECTS = control_plane_defects.CONTROL_PLANE_DEFECTS
 
 
-def courses_for(defect: str) -> list[str]:
-    """The courses that are played: the one that finds that wrong version, all for none."""
-    return [course for group, course in mutants.COURSES_OF if defect in group] or list(COURSES)
+def schedules_for(defect: str) -> list[str]:
+    """Return the schedules to run: the one that finds that defect, or all for none."""
+    return [
+        schedule for group, schedule in control_plane_defects.SCHEDULES_BY_DEFECTS if defect in group
+    ] or list(FAULT_SCHEDULES)
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
     """Simulate each seed until one goes wrong; counts the changes that were acknowledged."""
 
-    def simulations(seed: int) -> Iterator[tuple[str, Play]]:
-        for course in courses_for(defect):
-            yield f"seed {seed}, {course}", COURSES[course](seed)
+    def simulations(seed: int) -> Iterator[tuple[str, ControlPlaneSimulation]]:
+        for schedule in schedules_for(defect):
+            yield f"seed {seed}, {schedule}", FAULT_SCHEDULES[schedule](seed)
 
-    exploration = Exploration(DEFECTS, simulations, lambda play: play.acknowledged())
+    exploration = Exploration(DEFECTS, simulations, lambda simulation: simulation.acknowledged())
     return exploration.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/data_plane.py
+++ b/lapisgrade/lab/explore/data_plane.py
@@ -1,20 +1,20 @@
-"""The data plane explored beside the control plane (`lab/simulation/data_plane.py`), and wrong versions."""
+"""The data plane explored beside the control plane (`lab/simulation/data_plane.py`), and known defects."""
 
 from collections.abc import Iterator
 
 from lapisgrade.lab.explore.exploration import Exploration, ExplorationResult, Print, print_nothing
-from lapisgrade.lab.simulation import data_plane_mutants
-from lapisgrade.lab.simulation.data_plane import DataPlane, played
+from lapisgrade.lab.simulation.data_plane import DataPlaneSimulation, simulate
+from lapisgrade.lab.simulation.defects import data_plane as data_plane_defects
 
 UNIT = "requests"
-DEFECTS = data_plane_mutants.DEFECTS
+DEFECTS = data_plane_defects.DEFECTS
 
 
-def _simulations(seed: int) -> Iterator[tuple[str, DataPlane]]:
-    yield f"seed {seed}", played(seed)
+def _simulations(seed: int) -> Iterator[tuple[str, DataPlaneSimulation]]:
+    yield f"seed {seed}", simulate(seed)
 
 
-EXPLORATION = Exploration(DEFECTS, _simulations, lambda play: len(play.sent_us))
+EXPLORATION = Exploration(DEFECTS, _simulations, lambda simulation: len(simulation.sent_us))
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
--- a/lapisgrade/lab/partitions/control.py
+++ b/lapisgrade/lab/partitions/control.py
@@ -19,7 +19,7 @@
 from lapisgrade.gateway.http_client import send_request
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.partitions.fleet import Fleet
-from lapisgrade.lab.simulation.linearizability import UNANSWERED, Event, first_wrong
+from lapisgrade.lab.simulation.linearizability import UNANSWERED, Event, first_violation
 from lapisgrade.net.http import MalformedMessageError
 
 LONG = 20.0  # s that a leader is cut off
@@ -155,7 +155,7 @@
         found.unclear = sum(each.kind == "change" and each.taken is None for each in events)
         found.reads = sum(each.kind == "read" for each in events)
         found.longest_wait = max(each.longest for each in operators if not each.only)
-        if (at := first_wrong(events, 1)) is not None:
+        if (at := first_violation(events, 1)) is not None:
             found.wrong.append(f"the history up to {at / 1e6:.3f} s can't be explained")
 
     async def struck(self, wipe: bool) -> None:
--- a/lapisgrade/lab/simulation/clients.py
+++ b/lapisgrade/lab/simulation/clients.py
@@ -1,59 +1,78 @@
-"""Operators and limiters of the simulated control plane, and the history of what they were told."""
+"""Operators and watch clients of the simulated control plane, and the history of the replies they had."""
 
 import asyncio
+from collections.abc import Coroutine
 from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 
-from lapisgrade.lab.simulation.cluster import CALLS_PORT, PORT, CallReply, Cluster, OperatorCall
+from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.lab.simulation.cluster import Cluster
 from lapisgrade.lab.simulation.network import Endpoint
+from lapisgrade.lab.simulation.operator_call import OPERATOR_PORT, RPC_PORT, CallReply, OperatorCall
 from lapisgrade.lab.simulation.virtual_loop import CURRENT, Process
-from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway import rpc_messages
-from lapisgrade.gateway.configuration_delta import decode
 
-PATIENCE = 1.0  # s that an operator waits for an answer
-TRIES = 40  # of one order; then it is left without a clear answer
-ENDS = (400, 409, 412, 413, 422)  # statuses that end an order
+REPLY_TIMEOUT_S = 1.0
+WATCH_TIMEOUT_S = 0.6
+WATCH_RETRY_DELAY_S = 0.05
+MAX_ATTEMPTS = 40  # of one change; then its outcome stays unknown
+FINAL_STATUSES = (400, 409, 412, 413, 422)  # of a change that is rejected for good
+FIRST_BACKOFF_S = 0.03
+MAX_BACKOFF_S = 0.5
+BACKOFF_FACTOR = 1.6
+READ_RATE = 0.4
+SAME_LAYOUT_RATE = 0.7
+DELTA_RATE = 0.7
+MAX_RESEND_DELAY_S = 3
+UPDATE_CALL = "conf.update"
+REPLACE_CALL = "conf.replace"
 
 
 @dataclass(slots=True)
 class Operation:
-    """One order or read, as its caller saw it. Times in us; `returned` is None where no clear answer came."""
+    """One change or read, as its caller saw it."""
 
     kind: str  # "change" or "read"
-    called: int
-    returned: int | None = None
+    called_us: int
+    returned_us: int | None = None  # None while no final reply came
     status: int = 0
-    ver: int = 0
+    version: int = 0
     base: int = 0
-    text: bytes = b""  # what was read
+    text: bytes = b""  # the change, or the configuration that was read
 
 
-async def call_any(
-    cluster: Cluster, endpoint: Endpoint, call: str, body: bytes, first: str = ""
-) -> CallReply | None:
-    """Call one machine that the list names, `first` if it runs; None for no answer."""
-    machines = [each for each in cluster.machines.values() if not each.removed]
-    machine = cluster.machines.get(first) or cluster.loop.random.choice(machines)
-    got = await endpoint.call((machine.ip, CALLS_PORT), OperatorCall(call, "", body), PATIENCE)
-    reply = got.value_or(None)
+async def call_any(cluster: Cluster, endpoint: Endpoint, call: str, body: bytes) -> CallReply | None:
+    """Call a random machine that was not removed; None for no reply."""
+    machines = [each for each in cluster.machines.values() if not each.is_removed]
+    machine = cluster.loop.random.choice(machines)
+    result = await endpoint.call((machine.ip, OPERATOR_PORT), OperatorCall(call, "", body), REPLY_TIMEOUT_S)
+    reply = result.value_or(None)
     return reply if isinstance(reply, CallReply) else None
 
 
 class Client:
-    """A process on a host of its own that no cut touches."""
+    """A process on a host of its own that no partition affects."""
 
     def __init__(self, cluster: Cluster, name: str, host: str) -> None:
-        self.cluster, self.loop, self.random = cluster, cluster.loop, cluster.loop.random
+        self.cluster = cluster
+        self.loop = cluster.loop
+        self.random = cluster.loop.random
         self.process = Process(name)
         cluster.processes.append(self.process)
-        self.endpoint = Endpoint(cluster.network, self.process, host, self._answer, lambda word: None)
+        self.endpoint = Endpoint(cluster.network, self.process, host, self._on_call, lambda message: None)
 
-    async def _answer(self, message: object) -> None:
+    async def _on_call(self, message: object) -> None:
         return None
 
-    def begin(self, work) -> asyncio.Task:
+    async def run(self) -> None:
+        """Run the client's work."""
+        raise NotImplementedError
+
+    def start_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task:
+        """Start a task in the client's process."""
         token = CURRENT.set(self.process)
         try:
             return self.loop.create_task(work)
@@ -62,7 +81,7 @@
 
 
 class Operator(Client):
-    """Sends changes on top of what it knows last, and again until an answer is clear; reads between them."""
+    """Sends changes based on the newest version it knows, each until a final reply; reads between them."""
 
     def __init__(
         self,
@@ -72,180 +91,219 @@
         routes: int = 3,
         pause: float = 0.4,
     ) -> None:
-        """`pause`: s between its calls, at the most."""
+        """Create an operator with at most `pause` s between its calls, and `routes` rules in its changes."""
         super().__init__(cluster, f"operator {number}", f"10.1.0.{number}")
-        self.number, self.history, self.routes = number, history, routes
-        self.known = 0
+        self.number = number
+        self.history = history
+        self.routes = routes
+        self.known_version = 0
         self.pause = pause
-        self.ack_lost = 0.2  # part of the answers that are lost on their way
-        self.most_reads: int | None = None  # reads in a row, before a change comes; None: as many as drawn
-        self.repeats = 0.2  # part of the orders that are sent again some time after they were answered
+        self.lost_reply_rate = 0.2
+        self.max_consecutive_reads: int | None = None  # before a change comes; None: no bound
+        self.resend_rate = 0.2  # of the changes that are sent again some time after their reply
 
-    async def work(self) -> None:
+    async def run(self) -> None:
+        """Send changes and reads for ever."""
         reads = 0
         while True:
             await asyncio.sleep(self.random.random() * self.pause)
-            if self.random.random() < 0.4 and reads != self.most_reads:
+            if self.random.random() < READ_RATE and reads != self.max_consecutive_reads:
                 reads += 1
                 await self.read()
             else:
                 reads = 0
                 await self.change()
 
-    def body(self, ver: int, base: int) -> tuple[str, bytes]:
-        """An order; its content tells it apart from any other of that version."""
-        mark = f"{self.number}-{self.loop.now_us}"
-        services = [{"Name": "svc"}, {"Name": f"mark-{mark}"}]
-        if base and self.random.random() < 0.7:
-            change = {"Ver": ver, "Base": base, "Upsert": {"Pools": services[1:]}}
-            return "conf.update", msgspec.json.encode(change)
+    def make_change(self, version: int, base: int) -> tuple[str, bytes]:
+        """Return the call and body of a change that differs from any other of that version."""
+        services = [{"Name": "svc"}, {"Name": f"mark-{self.number}-{self.loop.now_us}"}]
+        if base and self.random.random() < DELTA_RATE:
+            delta = {"Ver": version, "Base": base, "Upsert": {"Pools": services[1:]}}
+            return UPDATE_CALL, msgspec.json.encode(delta)
         rules = [
             {
                 "Name": f"r{i}",
                 "Match": {"Pfx": f"/p{i}/"},
-                "Action": {"Svc": "svc", "Timeout": f"{1 + ver % 9}s"},
+                "Action": {"Svc": "svc", "Timeout": f"{1 + version % 9}s"},
             }
             for i in range(self.routes)
         ]
         ports = [{"Vhost": "a.example", "Policy": rules}]
-        whole = {"Ver": ver, "Base": base, "Ports": ports, "Pools": services}
-        return "conf.replace", msgspec.json.encode(whole)
+        configuration = {"Ver": version, "Base": base, "Ports": ports, "Pools": services}
+        return REPLACE_CALL, msgspec.json.encode(configuration)
 
     async def change(self) -> None:
-        base = self.known
-        ver = base + 1 + self.random.randrange(2)
-        call, body = self.body(ver, base)
-        operation = Operation("change", self.loop.now_us, ver=ver, base=base, text=body)
+        """Send a change until a final reply, or too often without one."""
+        base = self.known_version
+        version = base + 1 + self.random.randrange(2)
+        call, body = self.make_change(version, base)
+        operation = Operation("change", self.loop.now_us, version=version, base=base, text=body)
         self.history.append(operation)
-        wait = 0.03
-        for _ in range(TRIES):
-            reply = await call_any(self.cluster, self.endpoint, call, self.respelt(body))
-            lost = self.random.random() < self.ack_lost
-            if reply is not None and not lost and (reply.status == 200 or reply.status in ENDS):
-                operation.status, operation.returned = reply.status, self.loop.now_us
-                if reply.status == 200:
-                    self.known = max(self.known, ver)
-                else:
-                    await self.read()
-                if self.random.random() < self.repeats:
-                    await self.repeat(operation, call, body)
+        backoff_s = FIRST_BACKOFF_S
+        for _ in range(MAX_ATTEMPTS):
+            reply = await call_any(self.cluster, self.endpoint, call, self.reformat(body))
+            is_lost = self.random.random() < self.lost_reply_rate
+            if reply is not None and not is_lost and (reply.status == 200 or reply.status in FINAL_STATUSES):
+                await self._on_final_reply(operation, call, body, reply.status)
                 return
-            await asyncio.sleep(wait)
-            wait = min(0.5, wait * 1.6)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(MAX_BACKOFF_S, backoff_s * BACKOFF_FACTOR)
         await self.read()
 
-    def respelt(self, body: bytes) -> bytes:
-        """The same order, at times laid out in another way."""
-        if self.random.random() < 0.7:
+    async def _on_final_reply(self, operation: Operation, call: str, body: bytes, status: int) -> None:
+        operation.status = status
+        operation.returned_us = self.loop.now_us
+        if status == 200:
+            self.known_version = max(self.known_version, operation.version)
+        else:
+            await self.read()
+        if self.random.random() < self.resend_rate:
+            await self.resend(operation, call, body)
+
+    def reformat(self, body: bytes) -> bytes:
+        """Return the same change, at times laid out in another way."""
+        if self.random.random() < SAME_LAYOUT_RATE:
             return body
-        raw = msgspec.json.decode(body)
-        return msgspec.json.format(msgspec.json.encode(dict(reversed(raw.items()))), indent=1)
+        fields = msgspec.json.decode(body)
+        return msgspec.json.format(msgspec.json.encode(dict(reversed(fields.items()))), indent=1)
 
-    async def repeat(self, operation: Operation, call: str, body: bytes) -> None:
-        """Send an order that was answered once more, some time later: it is answered alike."""
-        await asyncio.sleep(self.random.random() * 3)
-        reply = await call_any(self.cluster, self.endpoint, call, self.respelt(body))
+    async def resend(self, operation: Operation, call: str, body: bytes) -> None:
+        """Send a change again some time after its reply, and check that the reply is the same."""
+        await asyncio.sleep(self.random.random() * MAX_RESEND_DELAY_S)
+        reply = await call_any(self.cluster, self.endpoint, call, self.reformat(body))
         if reply is None or reply.status >= 500:
             return
         if operation.status == 200 and reply.status != 200:
-            self.cluster.invariants.break_(
-                f"version {operation.ver} was taken, and is refused when sent again: {reply.status}"
+            self.cluster.invariants.report_violation(
+                f"version {operation.version} was taken, and is refused when sent again: {reply.status}"
             )
         if operation.status != 200 and reply.status == 200:
-            self.cluster.invariants.break_(
-                f"version {operation.ver} was refused, and is taken when sent again"
+            self.cluster.invariants.report_violation(
+                f"version {operation.version} was refused, and is taken when sent again"
             )
 
     async def read(self) -> None:
+        """Read the configuration; only a reply goes into the history."""
         operation = Operation("read", self.loop.now_us)
         reply = await call_any(self.cluster, self.endpoint, "conf.show", b"")
         if reply is None or reply.status not in (200, 404):
             return
-        operation.returned, operation.status = self.loop.now_us, reply.status
-        operation.text = reply.body if reply.status == 200 else b""
-        operation.ver = msgspec.json.decode(reply.body)["Ver"] if reply.status == 200 else 0
+        operation.returned_us = self.loop.now_us
+        operation.status = reply.status
+        if reply.status == 200:
+            operation.text = reply.body
+            operation.version = msgspec.json.decode(reply.body)["Ver"]
         self.history.append(operation)
-        self.known = max(self.known, operation.ver)
+        self.known_version = max(self.known_version, operation.version)
 
 
-class Limiter(Client):
-    """Asks for news as a proxy does, and notes whether anything goes back."""
+class WatchClient(Client):
+    """Watches the configuration as a proxy does, and checks that nothing goes back."""
 
     def __init__(self, cluster: Cluster, number: int) -> None:
         super().__init__(cluster, f"limiter {number}", f"10.2.0.{number}")
-        self.number, self.ver, self.life, self.turn, self.fence = number, 0, "", 0, 0
-        self.texts: dict[int, bytes] = {}
-        self.leader, self.term, self.lost_base = "", 0, False
-        self.fresh_us = 0  # when the last answered ask was sent
+        self.number = number
+        self.active_version = 0
+        self.registry_incarnation = ""
+        self.registry_revision = 0
+        self.fencing_token = 0
+        self.configurations: dict[int, bytes] = {}  # by version
+        self.leader_address = ""
+        self.term = 0
+        self.needs_full_version = False
+        self.last_contact_us = 0  # when the last watch request was sent that was answered
 
-    async def work(self) -> None:
+    async def run(self) -> None:
+        """Send watch requests for ever."""
         while True:
-            await self.ask()
+            await self.poll()
+
+    async def poll(self) -> None:
+        """Send one watch request, to the leader where it is known, and apply the reply."""
+        address = self.leader_address or self._random_address()
+        host, _, port = address.rpartition(":")
+        sent_us = self.loop.now_us
+        result = await self.endpoint.call((host, int(port)), self._request(), WATCH_TIMEOUT_S)
+        reply = result.value_or(None)
+        if not isinstance(reply, rpc_messages.WatchReply) or not reply.is_leader:
+            is_reply = isinstance(reply, rpc_messages.WatchReply)
+            self.leader_address = reply.leader_address if is_reply else ""
+            await asyncio.sleep(WATCH_RETRY_DELAY_S)
+            return
+        self.leader_address = address
+        term = int(reply.registry_incarnation.rstrip("+"))
+        if term < self.term:
+            self.leader_address = ""
+            return
+        self.term = term
+        if self._apply(reply):
+            self.last_contact_us = sent_us
+            self.registry_incarnation = reply.registry_incarnation
+            self.registry_revision = reply.registry_revision
+            self.fencing_token = reply.fencing_token
+
+    def _random_address(self) -> str:
+        machines = [each for each in self.cluster.machines.values() if not each.is_removed]
+        return f"{self.random.choice(machines).ip}:{RPC_PORT}"
 
-    async def ask(self) -> None:
-        held = max(self.texts, default=self.ver)
-        machines = [each for each in self.cluster.machines.values() if not each.removed]
-        place = self.leader or f"{self.random.choice(machines).ip}:{PORT}"
-        ask = rpc_messages.WatchRequest(
+    def _request(self) -> rpc_messages.WatchRequest:
+        return rpc_messages.WatchRequest(
             f"limiter-{self.number}",
             f"10.2.0.{self.number}:7600",
             "life",
             "z",
-            self.ver,
-            self.life,
-            self.turn,
-            self.fence,
-            staged_version=held,
-            needs_full_version=self.lost_base,
+            self.active_version,
+            self.registry_incarnation,
+            self.registry_revision,
+            self.fencing_token,
+            staged_version=max(self.configurations, default=self.active_version),
+            needs_full_version=self.needs_full_version,
         )
-        host, _, port = place.rpartition(":")
-        sent = self.loop.now_us
-        got = await self.endpoint.call((host, int(port)), ask, 0.6)
-        news = got.value_or(None)
-        if not isinstance(news, rpc_messages.WatchReply) or not news.is_leader:
-            self.leader = news.leader_address if isinstance(news, rpc_messages.WatchReply) else ""
-            await asyncio.sleep(0.05)
-            return
-        self.leader = place
-        term = int(news.registry_incarnation.rstrip("+"))
-        if term < self.term:
-            self.leader = ""
-            return
-        self.term = term
+
+    def _apply(self, reply: rpc_messages.WatchReply) -> bool:
+        """Apply a leader's reply; return whether its configurations could be decoded."""
         try:
-            self.take(news)
-            self.lost_base = False
-        except InvalidInputError as wrong:
-            if self.lost_base:
-                self.cluster.invariants.break_(f"limiter {self.number} can't read a version: {wrong}")
-            self.lost_base = True
-            return
-        self.fresh_us = sent
-        self.life, self.turn, self.fence = (
-            news.registry_incarnation,
-            news.registry_revision,
-            news.fencing_token,
-        )
+            self.on_reply(reply)
+        except InvalidInputError as error:
+            if self.needs_full_version:
+                self.cluster.invariants.report_violation(
+                    f"limiter {self.number} can't read a version: {error}"
+                )
+            self.needs_full_version = True
+            return False
+        self.needs_full_version = False
+        return True
 
-    def take(self, news: rpc_messages.WatchReply) -> None:
+    def on_reply(self, reply: rpc_messages.WatchReply) -> None:
+        """Store the configurations of a leader's reply, and check that no version or token goes back."""
         invariants = self.cluster.invariants
-        if news.active_configuration is not None:
-            self.keep(news.active_configuration)
-        for encoded in news.staged_versions.values():
-            if encoded.version not in self.texts:
-                self.keep(encoded)
-        if news.active_version < self.ver:
-            invariants.break_(f"limiter {self.number} is told version {news.active_version} after {self.ver}")
-        if news.fencing_token < self.fence:
-            invariants.break_(f"limiter {self.number} is told fence {news.fencing_token} after {self.fence}")
-        if news.active_version > self.ver:
-            if news.active_version in self.texts:
-                self.ver = news.active_version
-            self.texts = {ver: text for ver, text in self.texts.items() if ver >= self.ver}
-
-    def keep(self, encoded) -> None:
-        text = decode(encoded, self.texts.get(encoded.base, b""))
-        self.texts[encoded.version] = text
-        known = self.cluster.invariants.versions.get(encoded.version)
-        if known is None or known[1] != text:
-            self.cluster.invariants.break_(f"limiter {self.number} has another version {encoded.version}")
+        if reply.active_configuration is not None:
+            self.store_version(reply.active_configuration)
+        for encoded in reply.staged_versions.values():
+            if encoded.version not in self.configurations:
+                self.store_version(encoded)
+        version = reply.active_version
+        if version < self.active_version:
+            invariants.report_violation(
+                f"limiter {self.number} is told version {version} after {self.active_version}"
+            )
+        if reply.fencing_token < self.fencing_token:
+            invariants.report_violation(
+                f"limiter {self.number} is told fence {reply.fencing_token} after {self.fencing_token}"
+            )
+        if version > self.active_version:
+            if version in self.configurations:
+                self.active_version = version
+            self.configurations = {
+                each: text for each, text in self.configurations.items() if each >= self.active_version
+            }
+
+    def store_version(self, encoded: EncodedVersion) -> None:
+        """Decode a configuration, and check it against the log's."""
+        text = decode(encoded, self.configurations.get(encoded.base, b""))
+        self.configurations[encoded.version] = text
+        logged = self.cluster.invariants.versions.get(encoded.version)
+        if logged is None or logged[1] != text:
+            self.cluster.invariants.report_violation(
+                f"limiter {self.number} has another version {encoded.version}"
+            )
--- a/lapisgrade/lab/simulation/data_plane_mutants.py
+++ b/lapisgrade/lab/simulation/defects/data_plane.py
@@ -1,26 +1,23 @@
-"""Wrong versions of the data plane, each of which the plays of `data_plane` must find."""
+"""Known defects of the data plane, each of which `simulation.data_plane` must find."""
 
 from typing import Any
 
-
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.controller import watch
-from lapisgrade.gateway.controller.leader_calls import LeaderCalls
 from lapisgrade.gateway.controller.change_validation import ApplyResult
 from lapisgrade.gateway.controller.commands import LiveProxies, ServerLeaving
+from lapisgrade.gateway.controller.leader_calls import LeaderCalls
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.registry import Server
 from lapisgrade.gateway.routing.router import Router
 from lapisgrade.lab.explore import quota_defects
 from lapisgrade.lab.explore.defects import Defect, Defects
 
-FOREVER = 1 << 60  # us
-
 _commit, _update_servers = LeaderCalls.commit, Router.update_servers
 
 
-def _old_fence(self: StateMachine, index: int, item: LiveProxies) -> None:
-    """A new list of live proxies bears the fence of the one before."""
+def _apply_live_proxies_without_new_token(self: StateMachine, index: int, item: LiveProxies) -> None:
+    """A new list of live proxies has the fencing token of the previous one."""
     state = self.state
     state.fencing_token = state.fencing_token or index
     state.live_proxies = item.members
@@ -30,16 +27,16 @@
     )
 
 
-def _listed_as_up(self: Router, servers: list[Server], is_complete: bool) -> None:
-    """A server that drains is sent requests like any other."""
+def _update_servers_ignoring_drain(self: Router, servers: list[Server], is_complete: bool) -> None:
+    """A draining server is sent requests like any other."""
     for each in servers:
         if each.state == "drain":
             each.state = "up"
     _update_servers(self, servers, is_complete)
 
 
-async def _unlogged(self: LeaderCalls, item: Any) -> rpc_messages.ForwardCallReply:
-    """A server's leaving is acknowledged by the leader's memory alone."""
+async def _commit_without_departures(self: LeaderCalls, item: Any) -> rpc_messages.ForwardCallReply:
+    """A server's departure is acknowledged though only the leader's memory has it."""
     if not isinstance(item, ServerLeaving):
         return await _commit(self, item)
     self.watch_service.watch.registry.mark_left(self.clock(), item.server, item.is_gone)
@@ -47,19 +44,19 @@
     return rpc_messages.ForwardCallReply(ApplyResult(200).status)
 
 
-def _forgets_who_left(self: watch.Watch, now_us: int, departed: dict[str, bool]) -> None:
-    """A new leader goes by beats alone."""
+def _update_departed_servers_to_none(self: watch.Watch, now_us: int, departed: dict[str, bool]) -> None:
+    """A new leader goes by heartbeats alone."""
     self.departed_servers = {}
 
 
-# The first seed and how many from it on are enough to find each; 0 and 12 where nothing else is said.
-FOUND_FROM = {"asks-nobody": (24, 12), "forgets-leases": (24, 12)}
-OF_QUOTA = ("never-expires", "any-fence", "asks-nobody", "forgets-leases", "undivided")
+# The first seed, and how many from it on find each defect; 0 and 12 for all others.
+FIRST_SEED_AND_COUNT = {"asks-nobody": (24, 12), "forgets-leases": (24, 12)}
+QUOTA_DEFECTS = ("never-expires", "any-fence", "asks-nobody", "forgets-leases", "undivided")
 DEFECTS: Defects = {
-    **{name: quota_defects.DEFECTS[name] for name in OF_QUOTA},
-    "old-fence": Defect(StateMachine, "apply_live_proxies", _old_fence),
+    **{name: quota_defects.DEFECTS[name] for name in QUOTA_DEFECTS},
+    "old-fence": Defect(StateMachine, "apply_live_proxies", _apply_live_proxies_without_new_token),
     "counted-out-too-soon": Defect(watch, "PROXY_TIMEOUT_US", 400_000),
-    "sends-to-draining": Defect(Router, "update_servers", _listed_as_up),
-    "leaving-not-logged": Defect(LeaderCalls, "commit", _unlogged),
-    "forgets-who-left": Defect(watch.Watch, "update_departed_servers", _forgets_who_left),
+    "sends-to-draining": Defect(Router, "update_servers", _update_servers_ignoring_drain),
+    "leaving-not-logged": Defect(LeaderCalls, "commit", _commit_without_departures),
+    "forgets-who-left": Defect(watch.Watch, "update_departed_servers", _update_departed_servers_to_none),
 }
--- /dev/null
+++ b/lapisgrade/lab/simulation/machine.py
@@ -0,0 +1,192 @@
+"""A simulated machine: a disk, and one controller process at a time, with the controller's real shell."""
+
+from random import Random
+from typing import Protocol
+
+from lapisgrade.gateway.consensus.messages import Entry
+from lapisgrade.gateway.controller.consensus_driver import ConsensusObserver
+from lapisgrade.gateway.controller.server import Controller, ControllerEnvironment, ControllerStorage
+from lapisgrade.gateway.settings import Address, Bind, Settings, Span
+from lapisgrade.lab.simulation.disk import Disk
+from lapisgrade.lab.simulation.network import Endpoint, Network, OnCall, OnMessage
+from lapisgrade.lab.simulation.operator_call import OPERATOR_PORT, RPC_PORT, CallReply, Message, OperatorCall
+from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process, VirtualLoop
+
+HEARTBEAT_INTERVAL_US = 1_300_000
+RPC_PORTS = (RPC_PORT, RPC_PORT + 15)
+
+
+class ControllerChecks(Protocol):
+    """Checks made at each step of a controller."""
+
+    def on_started(self, controller: "SimulatedController") -> None:
+        """Check a controller that has read its disk."""
+
+    def on_lease_confirmed(self, controller: "SimulatedController") -> None:
+        """Check a controller that is about to answer as the leader."""
+
+    def on_entry_applied(self, controller: "SimulatedController", entry: Entry) -> None:
+        """Check an entry that a controller has applied."""
+
+    def on_effects_carried_out(self, controller: "SimulatedController", restored: bool) -> None:
+        """Check a controller after a step; `restored` if it loaded a snapshot."""
+
+
+class Environment(Protocol):
+    """What a machine needs of the cluster that it belongs to."""
+
+    loop: VirtualLoop
+    network: Network
+    processes: list[Process]
+    seeds: list[str]
+
+    @property
+    def checks(self) -> ControllerChecks:
+        """The checks made at each step of a controller."""
+
+    def note(self, what: str) -> None:
+        """Add a line to the transcript."""
+
+
+class NoDrafts:
+    """A draft store that keeps none."""
+
+    def __init__(self) -> None:
+        self.drafts: dict = {}
+
+    async def load(self) -> None:
+        """Load nothing."""
+
+    def close(self) -> None:
+        """Close nothing."""
+
+
+class InvariantObserver(ConsensusObserver):
+    """Has the invariants checked at each step of a controller."""
+
+    def __init__(self, controller: "SimulatedController", checks: ControllerChecks) -> None:
+        self._controller = controller
+        self._checks = checks
+
+    def on_started(self) -> None:
+        """Check a node that was restored from its disk."""
+        self._checks.on_started(self._controller)
+
+    def on_lease_confirmed(self) -> None:
+        """Check a leader that is about to answer."""
+        self._checks.on_lease_confirmed(self._controller)
+
+    def on_entry_applied(self, entry: Entry) -> None:
+        """Check an entry that was applied."""
+        self._checks.on_entry_applied(self._controller, entry)
+
+    def on_effects_carried_out(self, restored: bool) -> None:
+        """Check the node after a step."""
+        self._checks.on_effects_carried_out(self._controller, restored)
+
+
+class SimulatedController(Controller):
+    """A controller in a simulated environment, which takes operators' calls beside its own RPC."""
+
+    def __init__(self, machine: "Machine", settings: Settings, process: Process) -> None:
+        cluster = machine.cluster
+        self.machine = machine
+
+        def clock() -> int:
+            return cluster.loop.now_us + process.skew_us
+
+        def rpc(on_call: OnCall, on_message: OnMessage) -> Endpoint:
+            return Endpoint(cluster.network, process, machine.ip, on_call, on_message)
+
+        environment = ControllerEnvironment(
+            clock=clock,
+            random=Random(cluster.loop.random.getrandbits(64)),
+            started_us=clock(),
+            storage=ControllerStorage(machine.disk, NoDrafts(), machine.disk),
+            rpc=rpc,
+            observer=InvariantObserver(self, cluster.checks),
+        )
+        super().__init__(settings, environment)
+        self.calls = Endpoint(
+            cluster.network, process, machine.ip, self._on_operator_call, lambda message: None
+        )
+
+    async def run(self) -> None:
+        """Listen for operators' calls too, and run until the shutdown is complete."""
+        await self.calls.listen((self.settings.ip, OPERATOR_PORT))
+        await super().run()
+
+    async def _on_operator_call(self, message: Message) -> Message | None:
+        if not isinstance(message, OperatorCall):
+            return None
+        reply = await self.forwarder.forward(message.call, message.of, message.body)
+        return CallReply(reply.status, reply.body)
+
+
+class Machine:
+    """A host for one controller process at a time, with a disk."""
+
+    def __init__(self, cluster: Environment, name: str, ip: str) -> None:
+        self.cluster = cluster
+        self.name = name
+        self.ip = ip
+        self.disk = Disk(cluster.loop.random)
+        self.process: Process | None = None
+        self.controller: SimulatedController | None = None
+        self.identity = ""  # of the node on its disk, as it started last
+        self.lost_until_us = 0  # counted as lost while it is down, and for a time after
+        self.is_removed = False
+
+    @property
+    def is_running(self) -> bool:
+        """Whether its process is alive."""
+        return self.process is not None and self.process.is_alive
+
+    def start(self, bootstrap: bool = False) -> None:
+        """Start a controller process on the machine's disk."""
+        cluster = self.cluster
+        self.process = process = Process(self.name)
+        cluster.processes.append(process)
+        settings = process_settings(self.name, self.ip, cluster.seeds, bootstrap, is_controller=True)
+        token = CURRENT.set(process)
+        try:
+            self.controller = SimulatedController(self, settings, process)
+            cluster.loop.call_soon(lambda: cluster.loop.create_task(self._run(self.controller, process)))
+        finally:
+            CURRENT.reset(token)
+        cluster.note(f"{self.name} starts")
+
+    async def _run(self, controller: SimulatedController, process: Process) -> None:
+        await controller.run()
+        self.cluster.note(f"{self.name} has ended")
+        controller.calls.close()
+        process.is_alive = False
+
+    def stop(self) -> None:
+        """Begin a graceful shutdown, as SIGTERM does."""
+        self.cluster.note(f"{self.name} is told to end")
+        self.cluster.loop.schedule(0, self.process, self.controller.end)
+
+    def kill(self, power: bool = False, wipe: bool = False) -> None:
+        """Kill the process, as SIGKILL, a loss of `power` or of the disk (`wipe`) does."""
+        self.cluster.note(f"{self.name}: " + ("disk lost" if wipe else "power lost" if power else "killed"))
+        if self.process is not None:
+            self.process.is_alive = False
+        if wipe:
+            self.disk.wipe()
+        elif power:
+            self.disk.lose_power()
+        else:
+            self.disk.kill()
+
+    def freeze(self, seconds: float) -> None:
+        """Have the process run nothing for so many seconds."""
+        self.cluster.note(f"{self.name} stands still for {seconds:.1f} s")
+        self.process.frozen_until_us = self.cluster.loop.now_us + round(seconds * SECOND)
+
+
+def process_settings(name: str, ip: str, seeds: list[str], bootstrap: bool, is_controller: bool) -> Settings:
+    """Return the settings of a simulated process."""
+    addresses = tuple(Address((seed, OPERATOR_PORT)) for seed in seeds)
+    heartbeat = Span(HEARTBEAT_INTERVAL_US)
+    return Settings(name, ip, "z", Bind(), RPC_PORTS, addresses, bootstrap, is_controller, "", heartbeat)
--- /dev/null
+++ b/lapisgrade/lab/simulation/proxy_faults.py
@@ -0,0 +1,95 @@
+"""Faults of simulated proxies, at the owner of the tenant's counter more often than not."""
+
+from collections.abc import Callable
+from random import Random
+
+from lapisgrade.lab.simulation.cluster import Cluster
+from lapisgrade.lab.simulation.proxies import ProxyMachine
+from lapisgrade.lab.simulation.virtual_loop import SECOND
+
+OWNER_FAULT_RATE = 0.6
+FAULT_DURATIONS_S = (0.3, 1.0, 2.4, 4.0)
+RESTART_DELAY_S = 3.0  # after a graceful shutdown began
+OWNER_SWAP_S = 2.6  # of a partition that makes the owner lose its role
+NEXT_OWNER_SWAP_S = 2.2
+MAX_SKEW_US = 500 * SECOND
+
+
+class ProxyFaultInjector:
+    """Injects faults into the proxies of a simulation."""
+
+    def __init__(
+        self,
+        cluster: Cluster,
+        random: Random,
+        machines: list[ProxyMachine],
+        call_after: Callable[..., None],
+    ) -> None:
+        self.cluster = cluster
+        self.random = random
+        self.machines = machines
+        self.call_after = call_after
+
+    def inject_random(self, owner_name: str) -> None:
+        """Inject a random fault; `owner_name` is the proxy that owns the tenant's counter."""
+        running = [each for each in self.machines if each.is_running]
+        if not running:
+            return
+        owner = next((each for each in running if each.name == owner_name), None)
+        if owner is not None and self.random.random() < OWNER_FAULT_RATE:
+            machine = owner
+        else:
+            machine = self.random.choice(running)
+        faults = (
+            self.partition,
+            self.freeze,
+            self.kill,
+            self.stop,
+            self.kill_all,
+            self.skew_clock,
+            self.swap_owners,
+        )
+        fault = self.random.choice(faults)
+        fault(machine, self.random.choice(FAULT_DURATIONS_S))
+
+    def partition(self, machine: ProxyMachine, seconds: float) -> None:
+        """Block a proxy's links to all machines but its clients."""
+        self.cluster.note(f"{machine.name} is cut off for {seconds} s")
+        everyone = (*self.machines, *self.cluster.machines.values())
+        others = [each.ip for each in everyone if each is not machine]
+        outbound = {(machine.ip, ip) for ip in others}
+        inbound = {(ip, machine.ip) for ip in others}
+        self.cluster.network.blocked_links |= outbound | inbound
+        self.call_after(seconds, self.cluster.heal)
+
+    def freeze(self, machine: ProxyMachine, seconds: float) -> None:
+        """Freeze a proxy."""
+        machine.freeze(seconds)
+
+    def kill(self, machine: ProxyMachine, seconds: float) -> None:
+        """Kill a proxy, and start it again."""
+        machine.kill()
+        self.call_after(self.random.choice((0.3, seconds)), machine.start)
+
+    def stop(self, machine: ProxyMachine, seconds: float) -> None:
+        """Shut a proxy down gracefully, and start it again."""
+        machine.stop()
+        self.call_after(RESTART_DELAY_S + seconds, machine.start)
+
+    def kill_all(self, machine: ProxyMachine, seconds: float) -> None:
+        """Kill all proxies, and start them again."""
+        for each in self.machines:
+            each.kill()
+            self.call_after(0.2 + self.random.random() * 0.5, each.start)
+
+    def skew_clock(self, machine: ProxyMachine, seconds: float) -> None:
+        """Restart a proxy with another steady clock, as a machine has after a boot."""
+        machine.kill()
+        machine.start(self.random.randrange(MAX_SKEW_US))
+
+    def swap_owners(self, machine: ProxyMachine, seconds: float) -> None:
+        """Partition a proxy until it counts as unresponsive; as it returns, partition another."""
+        self.partition(machine, OWNER_SWAP_S)
+        others = [each for each in self.machines if each.is_running and each is not machine]
+        if others:
+            self.call_after(2.61, self.partition, self.random.choice(others), NEXT_OWNER_SWAP_S)
--- /dev/null
+++ b/lapisgrade/lab/simulation/schedule_common.py
@@ -0,0 +1,47 @@
+"""What all fault schedules of the control plane begin and end with."""
+
+from collections.abc import Callable
+
+from lapisgrade.lab.simulation.control_plane import ControlPlaneSimulation
+from lapisgrade.lab.simulation.machine import Machine
+
+
+def start_simulation(
+    seed: int, size: int = 3, tolerate: int = 1, pause: float = 0.1, operators: int = 2
+) -> ControlPlaneSimulation:
+    """Start a cluster, and run it for up to a second more."""
+    simulation = ControlPlaneSimulation(seed, size, tolerate, operators, pause=pause)
+    simulation.start()
+    simulation.loop.run_for(simulation.random.random())
+    return simulation
+
+
+def leader_and_others(simulation: ControlPlaneSimulation) -> tuple[Machine, list[Machine]]:
+    """Wait for an established leader; return it and the others in random order."""
+    simulation.loop.run_until(simulation.cluster.has_established_leader, 6.0)
+    leader = simulation.cluster.leader() or simulation.cluster.running_machines()[0]
+    others = [each for each in simulation.cluster.running_machines() if each is not leader]
+    simulation.random.shuffle(others)
+    return leader, others
+
+
+def block_links(simulation: ControlPlaneSimulation, some: list[Machine], others: list[Machine]) -> None:
+    """Block all links, both ways, between some machines and others."""
+    links = {(a.ip, b.ip) for a in some for b in others if a is not b}
+    simulation.cluster.network.blocked_links |= links | {(b, a) for a, b in links}
+
+
+def repeat_step(
+    simulation: ControlPlaneSimulation, step: Callable[[ControlPlaneSimulation], None], pause: float
+) -> ControlPlaneSimulation:
+    """Run a step three times, with `pause` s to repair between, and finish the simulation."""
+    for _ in range(3):
+        step(simulation)
+        simulation.cluster.heal()
+        for machine in simulation.cluster.machines.values():
+            machine.disk.slowdown = 1.0
+            if not machine.is_running and not machine.is_removed:
+                machine.start()
+        simulation.loop.run_for(pause)
+    simulation.finish()
+    return simulation
--- /dev/null
+++ b/lapisgrade/lab/simulation/server.py
@@ -0,0 +1,79 @@
+"""A simulated server: it registers with heartbeats, drains, and deregisters."""
+
+import asyncio
+from collections.abc import Callable
+
+import msgspec
+
+from lapisgrade.lab.simulation.clients import REPLY_TIMEOUT_S, Client
+from lapisgrade.lab.simulation.cluster import Cluster
+from lapisgrade.lab.simulation.machine import Machine
+from lapisgrade.lab.simulation.operator_call import OPERATOR_PORT, CallReply, OperatorCall
+from lapisgrade.lab.simulation.virtual_loop import SECOND
+
+HEARTBEAT_INTERVAL_S = 1.3
+DRAIN_S = 3.0  # that a server goes on once its drain is acknowledged
+LATE_HEARTBEAT_RATE = 0.1  # of the heartbeats that arrive once more, late
+MAX_HEARTBEAT_DELAY_S = 3.0
+SILENT_RATE = 0.3  # of the servers that deregister without draining
+MIN_LIFETIME_S = 4.0
+LIFETIME_SPREAD_S = 30
+
+
+class SimulatedServer(Client):
+    """Sends heartbeats, drains, and ends once its departure was acknowledged."""
+
+    def __init__(self, cluster: Cluster, number: int, on_ended: Callable[[], None]) -> None:
+        super().__init__(cluster, f"server {number}", f"10.4.0.{number}")
+        self.id = f"i-{number}"
+        self.departed_us = 0  # when its drain or deregistration was first acknowledged
+        self.has_ended = False
+        self._on_ended = on_ended
+        self._sequence = 0
+
+    async def run(self) -> None:
+        """Run one process from its registration to its end."""
+        lifetime_s = MIN_LIFETIME_S + self.random.random() * LIFETIME_SPREAD_S
+        started_us = self.loop.now_us
+        while self.loop.now_us - started_us < lifetime_s * SECOND:
+            await self.call("servers.heartbeat", "up")
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S * (0.9 + 0.2 * self.random.random()))
+        is_silent = self.random.random() < SILENT_RATE
+        while not await self.call("servers.deregister" if is_silent else "servers.heartbeat", "drain"):
+            await asyncio.sleep(0.2)
+        self.departed_us = self.loop.now_us
+        self.cluster.note(f"{self.id}: its leaving is acknowledged")
+        await asyncio.sleep(DRAIN_S)
+        if not is_silent:
+            await self.call("servers.deregister", "drain")
+        self.has_ended = True
+        self._on_ended()
+
+    async def call(self, name: str, state: str) -> bool:
+        """Call any controller; return whether it acknowledged."""
+        self._sequence += 1
+        body = {
+            "Svc": "svc",
+            "Addr": f"{self.endpoint.host}:8080",
+            "Az": "z",
+            "Ver": "v",
+            "Slots": 50,
+            "State": state,
+            "Warmup_time": "0ms",
+            "Seq": self._sequence,
+        }
+        machine = self.random.choice([each for each in self.cluster.machines.values() if not each.is_removed])
+        message = OperatorCall(name, self.id, msgspec.json.encode(body))
+        if self.random.random() < LATE_HEARTBEAT_RATE:
+            delay_us = round(self.random.random() * MAX_HEARTBEAT_DELAY_S * SECOND)
+            self.loop.schedule(delay_us, None, self._deliver_again, machine, message)
+        result = await self.endpoint.call((machine.ip, OPERATOR_PORT), message, REPLY_TIMEOUT_S)
+        reply = result.value_or(None)
+        return isinstance(reply, CallReply) and reply.status == 200
+
+    def _deliver_again(self, machine: Machine, message: OperatorCall) -> None:
+        """Deliver a copy of a heartbeat late; nobody waits for the reply."""
+        self.start_task(self._send_once(machine, message))
+
+    async def _send_once(self, machine: Machine, message: OperatorCall) -> None:
+        await self.endpoint.call((machine.ip, OPERATOR_PORT), message, REPLY_TIMEOUT_S)
--- a/lapisgrade/lab/simulation/virtual_loop.py
+++ b/lapisgrade/lab/simulation/virtual_loop.py
@@ -1,7 +1,7 @@
-"""An asyncio event loop on which time is simulated, and which knows whose callback it runs.
+"""An asyncio event loop in simulated time that knows whose callback it runs.
 
 Every callback belongs to the process in whose context it was scheduled. One of a process that was killed is
-dropped, one of a process that stands still waits, and one of a slow process is late.
+dropped, and one of a frozen process waits.
 """
 
 import asyncio
@@ -16,13 +16,12 @@
 
 
 class Process:
-    """One life of one process."""
+    """One simulated process, from its start to its end."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.alive = True
-        self.frozen_until = 0  # us
-        self.slow_us = 0  # us by which each of its callbacks may be late
+        self.is_alive = True
+        self.frozen_until_us = 0
         self.skew_us = 0  # its steady clock ahead of the loop's
         self.tasks: list[asyncio.Task] = []
 
@@ -31,47 +30,56 @@
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """`run_for` plays so many simulated seconds. Errors that nobody handles are kept in `errors`."""
+    """Runs so many simulated seconds (`run_for`); errors that nobody handles are kept in `errors`."""
 
     def __init__(self, random: Random) -> None:
         self.now_us = 10 * SECOND
         self.random = random
         self.errors: list[str] = []
-        self.callbacks = 0  # that were run; what a play costs
+        self.callback_count = 0  # that were run; what a simulation costs
         self._order = 0
         self._events: list[tuple[int, int, asyncio.Handle, Process | None]] = []
         self._tasks: list[asyncio.Task] = []
 
-    # ---- what asyncio needs
+    # ---- the interface of asyncio's event loops
 
     def time(self) -> float:
+        """Return the simulated time (s)."""
         return self.now_us / SECOND
 
     def get_debug(self) -> bool:
+        """Asyncio's debug mode is off."""
         return False
 
     def is_running(self) -> bool:
+        """The loop always runs."""
         return True
 
     def is_closed(self) -> bool:
+        """The loop is never closed."""
         return False
 
     def create_future(self) -> asyncio.Future:
+        """Create a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(self, coro: Coroutine, *, name: str | None = None, context: Any = None) -> asyncio.Task:
+        """Start a task in the current process."""
         task = asyncio.Task(coro, loop=self, name=name, context=context)
         process = CURRENT.get()
         (process.tasks if process is not None else self._tasks).append(task)
         return task
 
     def call_soon(self, callback: Callable, *args: Any, context: Any = None) -> asyncio.Handle:
+        """Have the callback run at once."""
         return self._schedule(asyncio.Handle(callback, args, self, context), self.now_us)
 
     def call_later(self, delay: float, callback: Callable, *args: Any, context: Any = None) -> asyncio.Handle:
+        """Have the callback run in `delay` s."""
         return self.call_at(self.time() + delay, callback, *args, context=context)
 
     def call_at(self, when: float, callback: Callable, *args: Any, context: Any = None) -> asyncio.Handle:
+        """Have the callback run at that time (s)."""
         handle = asyncio.TimerHandle(when, callback, args, self, context)
         return self._schedule(handle, max(self.now_us, round(when * SECOND)))
 
@@ -79,17 +87,20 @@
         pass
 
     def run_in_executor(self, executor: Any, func: Callable, *args: Any) -> asyncio.Future:
-        """Run it as the blocking thread of `executor`, which says how long it takes."""
+        """Run it on a simulated `executor`, which decides how long it takes."""
         return executor.submit_to(self, func, args)
 
     def call_exception_handler(self, context: dict) -> None:
-        wrong = context.get("exception")
-        if wrong is not None or "destroyed" not in context.get("message", ""):
-            self.errors.append(f"{context.get('message')}: {wrong!r}")
+        """Keep an error that nobody handled."""
+        error = context.get("exception")
+        if error is not None or "destroyed" not in context.get("message", ""):
+            self.errors.append(f"{context.get('message')}: {error!r}")
 
-    # ---- the play
+    # ---- control of the simulation
 
-    def after(self, delay_us: int, process: Process | None, callback: Callable, *args: Any) -> asyncio.Handle:
+    def schedule(
+        self, delay_us: int, process: Process | None, callback: Callable, *args: Any
+    ) -> asyncio.Handle:
         """Have `callback` run in the context of `process`."""
         context = copy_context()
         context.run(CURRENT.set, process)
@@ -103,7 +114,7 @@
         return handle
 
     def run_for(self, seconds: float) -> None:
-        """Play that long."""
+        """Run so many simulated seconds."""
         ends = self.now_us + round(seconds * SECOND)
         asyncio._set_running_loop(self)
         try:
@@ -119,19 +130,19 @@
         if handle.cancelled():
             return
         if process is not None:
-            if not process.alive:
+            if not process.is_alive:
                 return
-            late = process.frozen_until - self.now_us
+            late = process.frozen_until_us - self.now_us
             if late > 0:
                 self._order += 1
-                heapq.heappush(self._events, (process.frozen_until, self._order, handle, process))
+                heapq.heappush(self._events, (process.frozen_until_us, self._order, handle, process))
                 return
-        self.callbacks += 1
+        self.callback_count += 1
         handle._run()
 
-    def run_until(self, done: Callable[[], bool], within: float, step: float = 0.01) -> bool:
-        """Play until that holds, so many seconds at the most; whether it did."""
-        ends = self.now_us + round(within * SECOND)
+    def run_until(self, done: Callable[[], bool], timeout_s: float, step: float = 0.01) -> bool:
+        """Run until `done`, so many seconds at the most; return whether it was."""
+        ends = self.now_us + round(timeout_s * SECOND)
         while not done():
             if self.now_us >= ends:
                 return False
@@ -139,10 +150,10 @@
         return True
 
     def finish(self, processes: list[Process]) -> None:
-        """End what is still under way, once nothing of it can act any more."""
+        """Close all tasks of processes that are no longer alive, at the end of a simulation."""
         self._events.clear()
         for process in processes:
-            process.alive = False
+            process.is_alive = False
         for task in [*self._tasks, *(each for process in processes for each in process.tasks)]:
             task._log_destroy_pending = False
             if not task.done():
--- a/tests/gateway/consensus/test_election.py
+++ b/tests/gateway/consensus/test_election.py
@@ -4,6 +4,15 @@
 from random import Random
 
 import pytest
+from support.consensus_nodes import (
+    NOW,
+    VOTERS,
+    append_entries,
+    elected_leader,
+    new_node,
+    sync_disk,
+    take_effects,
+)
 
 from lapisgrade.gateway.consensus.messages import (
     Entry,
@@ -16,16 +25,7 @@
 from lapisgrade.gateway.consensus.state import Role
 from lapisgrade.gateway.consensus.timing import ELECTION_TIMEOUT_US, LEASE_US, RESTART_GUARD_US
 from lapisgrade.lab.explore.defects import injected
-from lapisgrade.lab.simulation.mutants import BY_RULE
-from support.consensus_nodes import (
-    NOW,
-    VOTERS,
-    append_entries,
-    elected_leader,
-    new_node,
-    sync_disk,
-    take_effects,
-)
+from lapisgrade.lab.simulation.defects.control_plane import FOUND_BY_UNIT_TESTS
 
 
 def ask(**over) -> RequestVote:
@@ -170,5 +170,5 @@
     ],
 )
 def test_a_defect_in_an_election_rule_is_detected(defect: str, test: Callable[[], None]) -> None:
-    with injected(BY_RULE, defect), pytest.raises(AssertionError):
+    with injected(FOUND_BY_UNIT_TESTS, defect), pytest.raises(AssertionError):
         test()
--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -1,6 +1,7 @@
 """A leader's commit, lease and changes of voters, on a single node that is fed by hand."""
 
 import pytest
+from support.consensus_nodes import VOTERS, append_reply, elected_leader, new_node, sync_disk, take_effects
 
 from lapisgrade.gateway.consensus.messages import (
     Entry,
@@ -9,8 +10,7 @@
 )
 from lapisgrade.gateway.consensus.timing import LEASE_US
 from lapisgrade.lab.explore.defects import injected
-from lapisgrade.lab.simulation.mutants import BY_RULE
-from support.consensus_nodes import VOTERS, elected_leader, new_node, append_reply, sync_disk, take_effects
+from lapisgrade.lab.simulation.defects.control_plane import FOUND_BY_UNIT_TESTS
 
 
 def test_commits_only_through_an_entry_of_its_own_term() -> None:
@@ -79,5 +79,5 @@
 
 
 def test_a_membership_change_before_that_entry_is_detected() -> None:
-    with injected(BY_RULE, "change-before-own-entry"), pytest.raises(AssertionError):
+    with injected(FOUND_BY_UNIT_TESTS, "change-before-own-entry"), pytest.raises(AssertionError):
         test_no_membership_change_before_an_entry_of_its_own_term_is_committed()
--- a/tests/lab/simulation/test_data_plane.py
+++ b/tests/lab/simulation/test_data_plane.py
@@ -4,8 +4,8 @@
 
 from lapisgrade.lab.explore import data_plane as explored
 from lapisgrade.lab.explore.defects import injected
-from lapisgrade.lab.simulation import data_plane_mutants
-from lapisgrade.lab.simulation.data_plane import played
+from lapisgrade.lab.simulation.data_plane import simulate
+from lapisgrade.lab.simulation.defects import data_plane as data_plane_defects
 
 SEEDS = 10
 
@@ -18,23 +18,26 @@
     sent = grants = 0
     for seed in range(SEEDS):
         with subtests.test(seed=seed):
-            play = played(seed)
-            assert play.wrong == [], "\n".join(play.transcript())
-            sent, grants = sent + len(play.sent_us), grants + play.grants
+            simulation = simulate(seed)
+            assert simulation.violations == [], "\n".join(simulation.transcript())
+            sent, grants = sent + len(simulation.sent_us), grants + simulation.counter_adds
     assert sent > 200 * SEEDS
     assert grants > 500 * SEEDS
 
 
 def test_a_seed_replays_exactly() -> None:
-    first, second = played(3), played(3)
-    assert (first.cluster.said, first.sent_us) == (second.cluster.said, second.sent_us)
+    first, second = simulate(3), simulate(3)
+    assert (first.cluster.transcript_lines, first.sent_us) == (
+        second.cluster.transcript_lines,
+        second.sent_us,
+    )
 
 
 @pytest.mark.parametrize("name", explored.DEFECTS)
 def test_each_wrong_version_is_found(name: str) -> None:
-    begin, many = data_plane_mutants.FOUND_FROM.get(name, (0, 12))
+    begin, many = data_plane_defects.FIRST_SEED_AND_COUNT.get(name, (0, 12))
     with injected(explored.DEFECTS, name):
-        found = next((seed for seed in range(begin, begin + many) if played(seed).wrong), None)
+        found = next((seed for seed in range(begin, begin + many) if simulate(seed).violations), None)
         assert found is not None, f"{name} survived {many} seeds from {begin} on"
 
 
--- a/tests/lab/simulation/test_fault_schedules.py
+++ b/tests/lab/simulation/test_fault_schedules.py
@@ -6,11 +6,11 @@
 import pytest
 
 from lapisgrade.lab.explore.defects import injected
-from lapisgrade.lab.simulation import mutants
-from lapisgrade.lab.simulation.courses import COURSES
+from lapisgrade.lab.simulation.defects import control_plane as control_plane_defects
+from lapisgrade.lab.simulation.fault_schedules import FAULT_SCHEDULES
 
 SEEDS = 8  # of each schedule
-MUTANT_SEEDS = 30  # in which a wrong version must be found
+DEFECT_SEEDS = 30  # in which a wrong version must be found
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
@@ -42,22 +42,25 @@
     acknowledged = 0
     for seed in range(seeds):
         with subtests.test(schedule=schedule, seed=seed):
-            play = COURSES[schedule](seed)
-            assert play.wrong == [], "\n".join(play.transcript())
-            acknowledged += play.acknowledged()
+            simulation = FAULT_SCHEDULES[schedule](seed)
+            assert simulation.violations == [], "\n".join(simulation.transcript())
+            acknowledged += simulation.acknowledged()
     assert acknowledged > 5 * seeds
 
 
 def test_a_seed_replays_exactly() -> None:
-    first, second = COURSES["drawn"](3), COURSES["drawn"](3)
-    assert first.cluster.said == second.cluster.said
+    first, second = FAULT_SCHEDULES["drawn"](3), FAULT_SCHEDULES["drawn"](3)
+    assert first.cluster.transcript_lines == second.cluster.transcript_lines
     assert first.history == second.history
 
 
 @pytest.mark.parametrize(
-    ("name", "schedule"), [(name, schedule) for group, schedule in mutants.COURSES_OF for name in group]
+    ("name", "schedule"),
+    [(name, schedule) for group, schedule in control_plane_defects.SCHEDULES_BY_DEFECTS for name in group],
 )
 def test_each_wrong_version_is_found(name: str, schedule: str) -> None:
-    with injected(mutants.MUTANTS, name):
-        found = next((seed for seed in range(MUTANT_SEEDS) if COURSES[schedule](seed).wrong), None)
-        assert found is not None, f"{name} survived {MUTANT_SEEDS} seeds of {schedule}"
+    with injected(control_plane_defects.CONTROL_PLANE_DEFECTS, name):
+        found = next(
+            (seed for seed in range(DEFECT_SEEDS) if FAULT_SCHEDULES[schedule](seed).violations), None
+        )
+        assert found is not None, f"{name} survived {DEFECT_SEEDS} seeds of {schedule}"
--- a/tests/lab/simulation/test_linearizability.py
+++ b/tests/lab/simulation/test_linearizability.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lapisgrade.lab.simulation.linearizability import UNANSWERED, Event, first_wrong, linearizable
+from lapisgrade.lab.simulation.linearizability import UNANSWERED, Event, first_violation, linearizable
 
 
 def change(called: int, returned: int, ver: int, base: int, taken: bool | None = True) -> Event:
@@ -23,7 +23,7 @@
     ):
         with subtests.test(events=events):
             assert linearizable(events)
-            assert first_wrong(events) is None
+            assert first_violation(events) is None
 
 
 def test_histories_that_none_explains(subtests: pytest.Subtests) -> None:
@@ -36,4 +36,4 @@
     ):
         with subtests.test(events=events):
             assert not linearizable(events)
-            assert first_wrong(events) == at
+            assert first_violation(events) == at
