--- a/lapisgrade/cli/lab_fleet.py
+++ b/lapisgrade/cli/lab_fleet.py
@@ -65,7 +65,7 @@
 
     try:
         findings = [reports.load(f"{folder}/findings.json") for folder in folders]
-    except reports.BadFindings as error:
+    except reports.FindingsError as error:
         click.echo(f"the findings: {error}", err=True)
         sys.exit(EXIT_INVALID_INPUT)
     Path(out).parent.mkdir(parents=True, exist_ok=True)
@@ -105,15 +105,15 @@
         folder: of the play; None for one of its own in `runs_folder`.
         runs_folder: holds a folder for each play.
     """
-    from lapisgrade.lab.fleet import checker, ground, history, process
+    from lapisgrade.lab.fleet import checker, test_bed, history, process
     from lapisgrade.lab.fleet import report as reports
 
     changes = {"seed": seed, "limiters": limiters}
     text, scenario = _read_scenario(path, changes)
     folder = folder or runs_folder / f"{scenario.name}-{scenario.seed}"
     try:
-        files = asyncio.run(ground.play(scenario, text, path, folder.resolve(), changes))
-    except process.Failed as error:
+        files = asyncio.run(test_bed.run(scenario, text, path, folder.resolve(), changes))
+    except process.ProcessFailedError as error:
         click.echo(f"the play: {error}", err=True)
         sys.exit(EXIT_NOT_STARTED)
     except KeyboardInterrupt:
--- a/lapisgrade/lab/fleet/__init__.py
+++ b/lapisgrade/lab/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""The proving ground: many processes of the program, faults between them, and a checker of what they did.
+"""A test bed of many real processes with faults between them, and a checker of what they did.
 
-`lapisgrade lab fleet run SCENARIO` plays a scenario of the laboratory (docs/lab.md) with real processes on
+`lapisgrade lab fleet run SCENARIO` runs a scenario of the laboratory (docs/lab.md) with real processes on
 loopback; docs/lab-fleet.md says what each figure means. Never imported by `python -m lapisgrade`.
 """
--- a/lapisgrade/lab/fleet/checker.py
+++ b/lapisgrade/lab/fleet/checker.py
@@ -23,7 +23,7 @@
 BIN_US = 100_000  # of the series: goodput and calls are counted in bins of this
 FULL_SHARE, FULL_US = 0.95, 2 * SECOND  # full service: this share of the goodput before, over this long
 BEFORE_US = 5 * SECOND  # "before the fault" is this long, or what there is
-MOST_KEPT = 200  # breaches kept in full; the rest are counted
+MAX_BREACHES = 200  # breaches kept in full; the rest are counted
 ENDS = ("finished", "turned back", "given up", "broken", "none")
 CALLS = ("counter", "discovery", "servers", "connections")
 
@@ -76,22 +76,22 @@
 
 
 @dataclass(slots=True)
-class Try:
+class Attempt:
     """One try of an operation, while it can still go wrong."""
 
-    sent: h.Sent
-    answered: h.Answered | None = None
-    came: list[h.Came] = field(default_factory=list)
-    hurt: bool = False  # its limiter was killed or stopped while it may have held it
+    sent: h.AttemptSent
+    answered: h.AttemptAnswered | None = None
+    received: list[h.RequestReceived] = field(default_factory=list)
+    is_excused: bool = False  # its limiter was killed or stopped while it may have held it
 
 
 @dataclass(slots=True)
-class Down:
+class ProcessStatus:
     """A limiter's process: whether it is up, and whether it is stopped."""
 
-    down: bool = False
-    paused: bool = False
-    resumed: int = 0  # when it last went on
+    is_down: bool = False
+    is_paused: bool = False
+    resumed_us: int = 0  # when it last went on
 
 
 class Checker:
@@ -101,48 +101,48 @@
         self.found = Findings()
         self._categories: dict[str, Category] = {}
         self._plans: dict[str, Plan] = {}
-        self._begun = self._ended = 0
+        self._started_us = self._ended_us = 0
         self._grace_us = self._leeway_us = 0
-        self._tries: dict[str, Try] = {}
-        self._due: deque[tuple[int, str]] = deque()  # (when it can go, op); nearly by time
+        self._attempts: dict[str, Attempt] = {}
+        self._deadlines: deque[tuple[int, str]] = deque()  # (when it can go, op); nearly by time
         # by origin: hops that ran, as long as a repeat would count
-        self._effects: dict[str, list[h.Came]] = {}
-        self._forget: deque[tuple[int, str]] = deque()
+        self._effects: dict[str, list[h.RequestReceived]] = {}
+        self._effect_expiries: deque[tuple[int, str]] = deque()
         # Tries that a stopped limiter may still read when it goes on, long after their clients have left.
-        self._excused: set[str] = set()
-        self._lives: dict[int, Down] = {}
-        self._told: dict[tuple[int, str], h.Told] = {}
-        self._left: dict[str, int] = {}  # server: since when it is leaving or gone
-        self._ceilings: dict[str, quota.Store] = {}
+        self._excused_attempts: set[str] = set()
+        self._processes: dict[int, ProcessStatus] = {}
+        self._notified: dict[tuple[int, str], h.ServerStateNotified] = {}
+        self._departed_us: dict[str, int] = {}  # server: since when it is leaving or gone
+        self._rate_limits: dict[str, quota.Store] = {}
         self._quotas: dict[str, quota.Quota] = {}
         self._plan_of: dict[str, str] = {}
         self._open_faults: dict[tuple[str, str], FaultSeen] = {}
         self._see = {
-            h.Begin: self._begin,
-            h.Sent: self._sent,
-            h.Answered: self._answered,
-            h.Came: self._came,
-            h.Fact: self._fact,
-            h.Told: self._tell,
-            h.Fault: self._fault,
-            h.Life: self._life,
-            h.End: self._end,
-            h.Counted: lambda event: self._call("counter", event.at),
-            h.Asked: lambda event: self._call("discovery", event.at),
-            h.Opened: lambda event: self._call("connections", event.at),
+            h.RunStarted: self._on_run_started,
+            h.AttemptSent: self._on_sent,
+            h.AttemptAnswered: self._on_answered,
+            h.RequestReceived: self._on_received,
+            h.ServerStateChanged: self._on_state_changed,
+            h.ServerStateNotified: self._on_state_notified,
+            h.FaultChanged: self._on_fault,
+            h.LimiterProcessChanged: self._on_process_event,
+            h.RunEnded: self._on_run_ended,
+            h.CounterCalled: lambda event: self._count_call("counter", event.at),
+            h.DiscoveryCalled: lambda event: self._count_call("discovery", event.at),
+            h.ConnectionOpened: lambda event: self._count_call("connections", event.at),
         }
 
     def see(self, event: h.Event) -> None:
-        while self._due and self._due[0][0] <= event.at:
-            self._let_go(self._due.popleft()[1])
-        while self._forget and self._forget[0][0] <= event.at:
-            self._effects.pop(self._forget.popleft()[1], None)
+        while self._deadlines and self._deadlines[0][0] <= event.at:
+            self._close_attempt(self._deadlines.popleft()[1])
+        while self._effect_expiries and self._effect_expiries[0][0] <= event.at:
+            self._effects.pop(self._effect_expiries.popleft()[1], None)
         self._see[type(event)](event)
 
     def end(self) -> Findings:
         """Everything has been seen."""
-        while self._due:
-            self._let_go(self._due.popleft()[1])
+        while self._deadlines:
+            self._close_attempt(self._deadlines.popleft()[1])
         found = self.found
         found.over = {name: each.over for name, each in self._quotas.items()}
         for plan in self._plans:
@@ -155,16 +155,16 @@
             what += f", the stated bound is {found.over_bound:.1f}"
             found.broken += 1
             found.breaches.insert(0, Breach(0, what, "", found.seconds))  # first: never among those left out
-        bins = max(1, ((self._ended or self._begun) - self._begun) // BIN_US)
+        bins = max(1, ((self._ended_us or self._started_us) - self._started_us) // BIN_US)
         for series in (found.goodput, *found.calls.values()):
             del series[bins:]
             series.extend([0] * (bins - len(series)))
-        self._after_faults(bins)
+        self._measure_recovery(bins)
         return found
 
     # ---- figures
 
-    def _after_faults(self, bins: int) -> None:
+    def _measure_recovery(self, bins: int) -> None:
         found = self.found
         if not found.faults:
             return
@@ -183,82 +183,84 @@
             found.stampede[kind] = max(series[first:], default=0) / usual if usual else 0.0
 
     def _count(self, series: list[int], at: int) -> None:
-        place = (at - self._begun) // BIN_US
-        if self._begun and place >= 0 and not (self._ended and at > self._ended):
+        place = (at - self._started_us) // BIN_US
+        if self._started_us and place >= 0 and not (self._ended_us and at > self._ended_us):
             series.extend([0] * (place + 1 - len(series)))
             series[place] += 1
 
-    def _call(self, kind: str, at: int) -> None:
+    def _count_call(self, kind: str, at: int) -> None:
         self._count(self.found.calls.setdefault(kind, []), at)
 
-    def _breach(self, rule: int, what: str, op: str, at: int) -> None:
+    def _report_breach(self, rule: int, what: str, op: str, at: int) -> None:
         self.found.broken += 1
-        if len(self.found.breaches) < MOST_KEPT:
-            self.found.breaches.append(Breach(rule, what, op, (at - self._begun) / SECOND))
+        if len(self.found.breaches) < MAX_BREACHES:
+            self.found.breaches.append(Breach(rule, what, op, (at - self._started_us) / SECOND))
 
     # ---- events
 
-    def _begin(self, event: h.Begin) -> None:
+    def _on_run_started(self, event: h.RunStarted) -> None:
         found, info = self.found, flatten(event.settings)
         found.name, found.seed, found.limiters = event.name, event.seed, event.limiters
         found.seconds, found.over_bound = event.seconds, event.over_bound
         found.calls = {kind: [] for kind in CALLS}  # what came before the play is not counted
         self._categories = {each.name: each for each in read_categories(info)}
         self._plans = {each.name: each for each in read_plans(info)}
-        self._begun, self._grace_us = event.at, read_server_rules(info).drain_grace_us
+        self._started_us, self._grace_us = event.at, read_server_rules(info).drain_grace_us
         self._leeway_us = AFTER_US + event.leeway_us
 
-    def _sent(self, event: h.Sent) -> None:
-        self._tries[event.op] = each = Try(event)
-        life = self._lives.get(event.limiter)
-        each.hurt = life is not None and (life.down or life.paused)
-        self._due.append((event.ends + GRACE_US + self._leeway_us, event.op))
+    def _on_sent(self, event: h.AttemptSent) -> None:
+        self._attempts[event.op] = each = Attempt(event)
+        record_event = self._processes.get(event.limiter)
+        each.is_excused = record_event is not None and (record_event.is_down or record_event.is_paused)
+        self._deadlines.append((event.ends + GRACE_US + self._leeway_us, event.op))
         self.found.share[event.limiter] = self.found.share.get(event.limiter, 0) + 1
         self._quota(event).asked(event.units, event.at)
 
-    def _quota(self, sent: h.Sent) -> quota.Quota:
+    def _quota(self, sent: h.AttemptSent) -> quota.Quota:
         kept = self._quotas.get(sent.customer)
         if kept is None:
             plan = self._plans[sent.plan]
-            kept = self._quotas[sent.customer] = quota.Quota(plan.rate, plan.burst, self._begun)
+            kept = self._quotas[sent.customer] = quota.Quota(plan.rate, plan.burst, self._started_us)
             self._plan_of[sent.customer] = sent.plan
         return kept
 
-    def _answered(self, event: h.Answered) -> None:
-        each = self._tries.get(event.op)
+    def _on_answered(self, event: h.AttemptAnswered) -> None:
+        each = self._attempts.get(event.op)
         if each is None:
             return
         if each.answered is not None:
-            self._breach(1, "a second final answer", event.op, event.at)
+            self._report_breach(1, "a second final answer", event.op, event.at)
             return
         each.answered = event
         if event.how == "finished":
             self._count(self.found.goodput, event.at)
             self._quota(each.sent).let_in(each.sent.units, event.at)
 
-    def _came(self, event: h.Came) -> None:
-        self._call("servers", event.at)
-        if event.server in self._left:
-            stale_s = (event.at - self._left[event.server]) / SECOND
+    def _on_received(self, event: h.RequestReceived) -> None:
+        self._count_call("servers", event.at)
+        if event.server in self._departed_us:
+            stale_s = (event.at - self._departed_us[event.server]) / SECOND
             self.found.staleness_s = max(self.found.staleness_s, stale_s)
-        each = self._tries.get(event.op)
+        each = self._attempts.get(event.op)
         if each is None:
-            if event.op not in self._excused:
+            if event.op not in self._excused_attempts:
                 what = f"sent to {event.server} long after its time, or never taken"
-                self._breach(1, what, event.op, event.at)
+                self._report_breach(1, what, event.op, event.at)
             return
         answered, sent = each.answered, each.sent
         over = min(answered.at if answered is not None else sent.ends, sent.ends)
-        if event.at > over + self._leeway_us and not each.hurt:
-            self._breach(1, f"sent to {event.server} {event.at - over} us after its end", event.op, event.at)
-        self._late(each, event)
-        if not each.came:
-            self._ceiling(sent, event.at)
-        each.came.append(event)
+        if event.at > over + self._leeway_us and not each.is_excused:
+            self._report_breach(
+                1, f"sent to {event.server} {event.at - over} us after its end", event.op, event.at
+            )
+        self._check_notified_state(each, event)
+        if not each.received:
+            self._check_rate_limit(sent, event.at)
+        each.received.append(event)
         if event.ran:
-            self._ran(each, event)
+            self._check_repeat(each, event)
 
-    def _ran(self, each: Try, event: h.Came) -> None:
+    def _check_repeat(self, each: Attempt, event: h.RequestReceived) -> None:
         """Rule 2, over all tries of one operation of a client."""
         sent, category = each.sent, self._categories[each.sent.category]
         if category.repeat_safety is RepeatSafety.IDEMPOTENT:
@@ -267,34 +269,34 @@
         if effects is None:
             effects = self._effects[sent.origin] = []
             keep = category.timeout_us * 4 + category.deduplication_window_us + self._leeway_us
-            self._forget.append((event.at + keep, sent.origin))
+            self._effect_expiries.append((event.at + keep, sent.origin))
         effects.append(event)
         if len(effects) < 2:
             return
         first = effects[0]
         if category.repeat_safety is RepeatSafety.NON_IDEMPOTENT:
-            self._breach(2, f"ran at {first.server} and again at {event.server}", event.op, event.at)
+            self._report_breach(2, f"ran at {first.server} and again at {event.server}", event.op, event.at)
         elif (
             category.deduplication_scope is DeduplicationScope.ALL
             and event.at > first.at + category.deduplication_window_us + self._leeway_us
         ):
-            self._breach(
+            self._report_breach(
                 2,
                 f"ran at {first.server}, and again at {event.server} when its key was forgotten",
                 event.op,
                 event.at,
             )
 
-    def _late(self, each: Try, event: h.Came) -> None:
+    def _check_notified_state(self, each: Attempt, event: h.RequestReceived) -> None:
         """Rule 3."""
-        told = self._told.get((each.sent.limiter, event.server))
+        told = self._notified.get((each.sent.limiter, event.server))
         if told is None or told.state == "in_service":
             return
-        life = self._lives.get(each.sent.limiter, Down())
-        if life.paused or life.resumed > told.at:
+        record_event = self._processes.get(each.sent.limiter, ProcessStatus())
+        if record_event.is_paused or record_event.resumed_us > told.at:
             return  # it was stopped in between: it read the list when it went on
         if event.at > told.at + self._grace_us + self._leeway_us:
-            self._breach(
+            self._report_breach(
                 3,
                 f"sent to {event.server} {event.at - told.at} us after limiter "
                 f"{each.sent.limiter} was told that it is {told.state}",
@@ -302,39 +304,39 @@
                 event.at,
             )
 
-    def _ceiling(self, sent: h.Sent, at: int) -> None:
+    def _check_rate_limit(self, sent: h.AttemptSent, at: int) -> None:
         """Rule 5: the first hop of each try takes its units."""
         plan = self._plans[sent.plan]
         if plan.rate_limit_per_s <= 0:
             return
-        store = self._ceilings.get(sent.customer)
+        store = self._rate_limits.get(sent.customer)
         if store is None:
             # The slack, and what came late by the leeway, is room below nothing.
             room = plan.rate_limit_slack + plan.rate_limit_per_s * (self._leeway_us - AFTER_US) / SECOND
             full = plan.rate_limit_burst + room
-            store = self._ceilings[sent.customer] = quota.Store(
-                plan.rate_limit_per_s, full, full, self._begun
+            store = self._rate_limits[sent.customer] = quota.Store(
+                plan.rate_limit_per_s, full, full, self._started_us
             )
         if not store.take(sent.units, at):
-            self._breach(
+            self._report_breach(
                 5, f"the ceiling of customer {sent.customer} was passed by more than its slack", sent.op, at
             )
             store.level -= sent.units
 
-    def _fact(self, event: h.Fact) -> None:
+    def _on_state_changed(self, event: h.ServerStateChanged) -> None:
         if event.state == "in_service":
-            self._left.pop(event.server, None)
+            self._departed_us.pop(event.server, None)
         else:
-            self._left.setdefault(event.server, event.at)
+            self._departed_us.setdefault(event.server, event.at)
 
-    def _tell(self, event: h.Told) -> None:
-        old = self._told.get((event.limiter, event.server))
+    def _on_state_notified(self, event: h.ServerStateNotified) -> None:
+        old = self._notified.get((event.limiter, event.server))
         # Told again of what it knows, or that one that drains is gone, it still knows since the first time.
         if old is None or event.state == "in_service" or old.state == "in_service":
-            self._told[event.limiter, event.server] = event
+            self._notified[event.limiter, event.server] = event
 
-    def _fault(self, event: h.Fault) -> None:
-        at_s = (event.at - self._begun) / SECOND
+    def _on_fault(self, event: h.FaultChanged) -> None:
+        at_s = (event.at - self._started_us) / SECOND
         key = event.what, event.target
         if event.on:
             seen = self._open_faults[key] = FaultSeen(event.what, event.target, at_s, at_s)
@@ -342,48 +344,50 @@
         elif key in self._open_faults:
             self._open_faults.pop(key).ended_s = at_s
 
-    def _life(self, event: h.Life) -> None:
-        life = self._lives.setdefault(event.limiter, Down())
+    def _on_process_event(self, event: h.LimiterProcessChanged) -> None:
+        record_event = self._processes.setdefault(event.limiter, ProcessStatus())
         if event.what in ("killed", "ended"):
-            life.down = True
+            record_event.is_down = True
         elif event.what == "up":
-            life.down = life.paused = False
-            for key in [key for key in self._told if key[0] == event.limiter]:
-                del self._told[key]
+            record_event.is_down = record_event.is_paused = False
+            for key in [key for key in self._notified if key[0] == event.limiter]:
+                del self._notified[key]
         elif event.what == "paused":
-            life.paused = True
+            record_event.is_paused = True
         elif event.what == "resumed":
-            life.paused, life.resumed = False, event.at
-        if life.down or life.paused:
-            for each in self._tries.values():
+            record_event.is_paused, record_event.resumed_us = False, event.at
+        if record_event.is_down or record_event.is_paused:
+            for each in self._attempts.values():
                 if each.sent.limiter == event.limiter and each.answered is None:
-                    each.hurt = True
+                    each.is_excused = True
 
-    def _end(self, event: h.End) -> None:
-        self._ended = event.at
+    def _on_run_ended(self, event: h.RunEnded) -> None:
+        self._ended_us = event.at
 
-    def _let_go(self, op: str) -> None:
+    def _close_attempt(self, op: str) -> None:
         """Its time and all leeway are over: what can be said of it now is final."""
-        each = self._tries.pop(op, None)
+        each = self._attempts.pop(op, None)
         if each is None:
             return
-        if each.hurt:
-            self._excused.add(op)
+        if each.is_excused:
+            self._excused_attempts.add(op)
         how = each.answered.how if each.answered is not None else "none"
         self.found.ends[how] += 1
         sent, category = each.sent, self._categories[each.sent.category]
         if how in ("none", "broken"):
-            if each.hurt:
+            if each.is_excused:
                 self.found.exempt += 1
             else:
                 what = "no answer in time" if how == "none" else "its connection ended without an answer"
-                self._breach(1, f"{what} (limiter {sent.limiter})", op, sent.ends)
+                self._report_breach(1, f"{what} (limiter {sent.limiter})", op, sent.ends)
         if (
             how == "turned back"
             and category.repeat_safety is RepeatSafety.NON_IDEMPOTENT
-            and any(c.ran for c in each.came)
+            and any(c.ran for c in each.received)
         ):
-            self._breach(2, f"turned back after it ran at {each.came[0].server}", op, each.answered.at)
+            self._report_breach(
+                2, f"turned back after it ran at {each.received[0].server}", op, each.answered.at
+            )
 
 
 def check(events) -> Findings:
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -14,40 +14,40 @@
 from lapisgrade.settings import Fields
 
 
-def swallow() -> None:
+def drop_answers() -> None:
     """One operation in ten never gets an answer (rule 1)."""
-    honest = policy.Limiter.handle
+    original = policy.Limiter.handle
 
     def operation(self: policy.Limiter, op: Operation):
         if self.random.random() < 0.1:
             return
-        yield from honest(self, op)
+        yield from original(self, op)
 
     policy.Limiter.handle = operation
 
 
-def twice() -> None:
+def repeat_non_idempotent() -> None:
     """What must not repeat is sent again before its answer can come (rule 2)."""
-    honest = policy.Limiter.handle
+    original = policy.Limiter.handle
 
     def operation(self: policy.Limiter, op: Operation):
         op.category = replace(op.category, repeat_safety=RepeatSafety.IDEMPOTENT)
-        yield from honest(self, op)
+        yield from original(self, op)
 
     policy.Limiter.handle, operation_attempts.OVERDUE_DEVIATIONS = operation, -1000.0
 
 
-def deaf() -> None:
+def ignore_drain() -> None:
     """News of servers that drain is not heard (rule 3)."""
     discovery_client.STATES["terminating"] = ServerState.READY
 
 
-def unmetered() -> None:
+def remove_quotas() -> None:
     """No plan has a quota or a ceiling (rule 5, and any stated bound)."""
-    honest = service.read_plans
+    original = service.read_plans
 
     def plans(info: Fields) -> list:
-        made = honest(info)
+        made = original(info)
         for plan in made:
             plan.rate = plan.rate_limit_per_s = 0.0
         return made
@@ -55,7 +55,12 @@
     service.read_plans = plans
 
 
-DEFECTS = {"swallow": (swallow, 1), "twice": (twice, 2), "deaf": (deaf, 3), "unmetered": (unmetered, 5)}
+DEFECTS = {
+    "swallow": (drop_answers, 1),
+    "twice": (repeat_non_idempotent, 2),
+    "deaf": (ignore_drain, 3),
+    "unmetered": (remove_quotas, 5),
+}
 
 
 def main() -> int:
--- a/lapisgrade/lab/fleet/faults.py
+++ b/lapisgrade/lab/fleet/faults.py
@@ -11,161 +11,163 @@
 from lapisgrade.lab.fleet import history as h
 from lapisgrade.lab.fleet import process
 from lapisgrade.lab.fleet.limiter import Limiter
-from lapisgrade.lab.fleet.observed import SeenCounter
 from lapisgrade.lab.fleet.process import Helper
+from lapisgrade.lab.fleet.recorders import RecordingCounter
 from lapisgrade.lab.fleet.relay import BACK, THERE, Link, TcpRelay, UdpRelay
 
-NOTICE_S = 2.0  # discovery tells of a server that vanished so long after, as in the emulator
+DISCOVERY_DELAY_S = 2.0  # discovery tells of a server that vanished so long after, as in the emulator
 COUNTER_CONNECTIONS = 8  # the stand-in counter takes so many for each limiter, old ones and new ones
-ENDS_S = 3.0  # past the longest hard stop, for a limiter that was told to end
-SLOW_S = 0.010  # the emulator's factor of ten on a counter's millisecond
+HARD_STOP_MARGIN_S = 3.0  # past the longest hard stop, for a limiter that was told to end
+SLOW_COUNTER_DELAY_S = 0.010  # the emulator's factor of ten on a counter's millisecond
 
 
 class FaultInjector:
     """Strikes what a play consists of; `Ground` has it."""
 
-    sc: Scenario
+    scenario: Scenario
     writer: h.Writer
-    chance: Random
-    counter: SeenCounter
-    swapped: list[SeenCounter]
+    random: Random
+    counter: RecordingCounter
+    replaced_counters: list[RecordingCounter]
     relays: list[TcpRelay | UdpRelay]
     limiters: list[Limiter]
     servers: Helper
     addresses: list[str]
-    held: list[tuple[str, int]] | None
-    _begun: float
-    _undoing: list[asyncio.Task]
+    pending_changes: list[tuple[str, int]] | None
+    _started_s: float
+    _running_faults: list[asyncio.Task]
 
-    async def _faults(self) -> None:
-        for fault in sorted(self.sc.faults, key=lambda each: each.at_us):
-            wait = self._begun + fault.at_us / h.SECOND - time.monotonic()
+    async def _inject_faults(self) -> None:
+        for fault in sorted(self.scenario.faults, key=lambda each: each.at_us):
+            wait = self._started_s + fault.at_us / h.SECOND - time.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
             # A surge is in the clients' schedule: here it is only marked.
-            work = self._surge(fault) if fault.kind == "surge" else self._one(fault)
-            self._undoing.append(asyncio.create_task(work))
-        if self._undoing:
-            await asyncio.gather(*self._undoing)
+            work = self._surge(fault) if fault.kind == "surge" else self._inject(fault)
+            self._running_faults.append(asyncio.create_task(work))
+        if self._running_faults:
+            await asyncio.gather(*self._running_faults)
 
-    def _mark(self, fault: Fault, on: bool) -> None:
-        self.writer.put(h.Fault(at=h.now_us(), what=fault.kind, target=fault.target, on=on))
+    def _record(self, fault: Fault, on: bool) -> None:
+        self.writer.put(h.FaultChanged(at=h.now_us(), what=fault.kind, target=fault.target, on=on))
 
     async def _surge(self, fault: Fault) -> None:
-        self._mark(fault, True)
-        if await self._for(fault):
-            self._mark(fault, False)
+        self._record(fault, True)
+        if await self._wait_duration(fault):
+            self._record(fault, False)
 
-    async def _one(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         """One fault, from its beginning to its end."""
-        self._mark(fault, True)
+        self._record(fault, True)
         kind = fault.kind
         if kind.startswith("limiter_") or kind.startswith("disk_"):
-            await self._on_limiters(fault)
+            await self._inject_into_limiters(fault)
         elif kind.startswith("server_"):
-            await self._on_servers(fault)
+            await self._inject_into_servers(fault)
         elif kind.startswith("link_") or kind in ("partition", "counter_cut"):
-            await self._on_links(fault)
+            await self._inject_into_links(fault)
         elif kind.startswith("counter_"):
-            await self._on_counter(fault)
+            await self._inject_into_counter(fault)
         elif kind == "discovery_stale":
-            self.held = []
-            await self._for(fault)
-            held, self.held = self.held, None
-            for state, number in held:
-                self._news(state, number)
-        self._mark(fault, False)
+            self.pending_changes = []
+            await self._wait_duration(fault)
+            pending_changes, self.pending_changes = self.pending_changes, None
+            for state, number in pending_changes:
+                self._change_server_state(state, number)
+        self._record(fault, False)
 
-    async def _for(self, fault: Fault) -> bool:
+    async def _wait_duration(self, fault: Fault) -> bool:
         """Wait for the fault's length; whether it has an end."""
         if fault.for_us:
             await asyncio.sleep(fault.for_us / h.SECOND)
         return bool(fault.for_us)
 
-    def _picked(self, fault: Fault, count: int) -> list[int]:
+    def _select(self, fault: Fault, count: int) -> list[int]:
         target = fault.target
         if target == "all":
             return list(range(count))
         if target.startswith("share:"):
-            return sorted(self.chance.sample(range(count), min(count, round(float(target[6:]) * count))))
-        return numbers(target, count)
+            return sorted(self.random.sample(range(count), min(count, round(float(target[6:]) * count))))
+        return parse_range(target, count)
 
-    async def _on_limiters(self, fault: Fault) -> None:
-        picked = [self.limiters[i] for i in self._members(fault)]
+    async def _inject_into_limiters(self, fault: Fault) -> None:
+        picked = [self.limiters[i] for i in self._select_limiters(fault)]
 
         async def one(place: int, limiter: Limiter) -> None:
             await asyncio.sleep(place * fault.wave_us / h.SECOND)
-            await self._limiter(fault, limiter)
+            await self._inject_into_limiter(fault, limiter)
 
         await asyncio.gather(*(one(place, each) for place, each in enumerate(picked)))
 
-    def _members(self, fault: Fault) -> list[int]:
+    def _select_limiters(self, fault: Fault) -> list[int]:
         if fault.target.startswith("group:"):
-            return numbers(self.sc.parties[fault.target[6:]].limiters, self.sc.limiters)
-        return self._picked(fault, self.sc.limiters)
+            return parse_range(self.scenario.parties[fault.target[6:]].limiters, self.scenario.limiters)
+        return self._select(fault, self.scenario.limiters)
 
-    async def _limiter(self, fault: Fault, limiter: Limiter) -> None:
+    async def _inject_into_limiter(self, fault: Fault, limiter: Limiter) -> None:
         kind, proc = fault.kind, limiter.process
         if kind == "limiter_pause":
             if proc.pause():
-                limiter.life("paused")
-                if await self._for(fault) and proc.resume():
-                    limiter.life("resumed")
+                limiter.record_event("paused")
+                if await self._wait_duration(fault) and proc.resume():
+                    limiter.record_event("resumed")
         elif kind == "disk_full":
             proc.refuse_writes(True)
-            if await self._for(fault):
+            if await self._wait_duration(fault):
                 proc.refuse_writes(False)
         elif kind == "limiter_term":
-            limiter.life("ended")
-            await proc.end(max(each.timeout_us for each in self.sc.categories) / h.SECOND + ENDS_S)
-            if await self._for(fault):
+            limiter.record_event("ended")
+            await proc.end(
+                max(each.timeout_us for each in self.scenario.categories) / h.SECOND + HARD_STOP_MARGIN_S
+            )
+            if await self._wait_duration(fault):
                 await limiter.start()
         else:
-            limiter.life("killed")
+            limiter.record_event("killed")
             await proc.kill()
             if kind.startswith("disk_"):
-                {"lost": process.lose, "truncated": process.truncate, "flipped": process.flip}[kind[5:]](
+                {"lost": process.wipe, "truncated": process.truncate, "flipped": process.flip_bit}[kind[5:]](
                     limiter.state
                 )
-            if await self._for(fault) or kind == "limiter_restart":
+            if await self._wait_duration(fault) or kind == "limiter_restart":
                 await limiter.start()
 
-    async def _on_servers(self, fault: Fault) -> None:
-        which, kind = self._picked(fault, self.sc.servers), fault.kind.removeprefix("server_")
+    async def _inject_into_servers(self, fault: Fault) -> None:
+        which, kind = self._select(fault, self.scenario.servers), fault.kind.removeprefix("server_")
         if kind in ("slow", "failing", "fast_errors", "silent", "well"):
-            await self.servers.ask(do="mode", which=which, mode=kind, factor=fault.factor)
-            if await self._for(fault):
-                await self.servers.ask(do="mode", which=which, mode="well")
+            await self.servers.request(do="mode", which=which, mode=kind, factor=fault.factor)
+            if await self._wait_duration(fault):
+                await self.servers.request(do="mode", which=which, mode="well")
         elif kind == "drain":
             for i in which:
-                self._news("terminating", i)
-            await self.servers.ask(do="drain", which=which)
-            await asyncio.sleep(4 * self.sc.duties.drain_grace_us / h.SECOND)
+                self._change_server_state("terminating", i)
+            await self.servers.request(do="drain", which=which)
+            await asyncio.sleep(4 * self.scenario.duties.drain_grace_us / h.SECOND)
             for i in which:
-                self._news("terminated", i)
-            await self.servers.ask(do="kill", which=which)
+                self._change_server_state("terminated", i)
+            await self.servers.request(do="kill", which=which)
         elif kind == "kill":
-            await self.servers.ask(do="kill", which=which)
+            await self.servers.request(do="kill", which=which)
             back = fault.for_us / h.SECOND
-            await asyncio.sleep(min(NOTICE_S, back) if back else NOTICE_S)
+            await asyncio.sleep(min(DISCOVERY_DELAY_S, back) if back else DISCOVERY_DELAY_S)
             for i in which:
-                self._news("terminated", i)
+                self._change_server_state("terminated", i)
             if back:
-                await asyncio.sleep(max(0.0, back - NOTICE_S))
-                await self._restart(which)
+                await asyncio.sleep(max(0.0, back - DISCOVERY_DELAY_S))
+                await self._restart_servers(which)
         elif kind == "restart":
-            await self._restart(which)
+            await self._restart_servers(which)
 
-    async def _restart(self, which: list[int]) -> None:
-        await self.servers.ask(do="restart", which=which)
+    async def _restart_servers(self, which: list[int]) -> None:
+        await self.servers.request(do="restart", which=which)
         for i in which:
-            self._news("in_service", i)
+            self._change_server_state("in_service", i)
 
-    def _news(self, state: str, number: int) -> None:
+    def _change_server_state(self, state: str, number: int) -> None:
         """A server's state changes; discovery's agents hear of it, unless discovery keeps its news back."""
-        self.writer.put(h.Fact(at=h.now_us(), server=f"s{number}", state=state))
-        if self.held is not None:
-            self.held.append((state, number))
+        self.writer.put(h.ServerStateChanged(at=h.now_us(), server=f"s{number}", state=state))
+        if self.pending_changes is not None:
+            self.pending_changes.append((state, number))
             return
         for each in self.limiters:
             entry = each.agent.entries[f"s{number}"]
@@ -181,19 +183,19 @@
             else:
                 each.agent.remove(entry.instance_id)
 
-    async def _on_links(self, fault: Fault) -> None:
-        picked = self._links(fault)
+    async def _inject_into_links(self, fault: Fault) -> None:
+        picked = self._affected_relays(fault)
         for relay in picked:
-            turn(relay.link, fault)
+            apply_to_link(relay.link, fault)
             relay.turn()
-        self._part(fault, True)
-        if await self._for(fault):
+        self._block_peers(fault, True)
+        if await self._wait_duration(fault):
             for relay in picked:
                 relay.link.heal()
                 relay.turn()
-            self._part(fault, False)
+            self._block_peers(fault, False)
 
-    def _links(self, fault: Fault) -> list[TcpRelay]:
+    def _affected_relays(self, fault: Fault) -> list[TcpRelay]:
         """The relays of the links that the fault concerns."""
         if fault.kind != "partition":
             kinds = (
@@ -201,11 +203,11 @@
                 if fault.kind == "counter_cut"
                 else ([fault.link] if fault.link else list(scenarios.LINKS))
             )
-            members = [self.limiters[i] for i in self._members(fault)]
+            members = [self.limiters[i] for i in self._select_limiters(fault)]
             return [relay for each in members for kind in kinds for relay, _ in each.links[kind]]
-        party = self.sc.parties[fault.target[6:]]
-        inside = set(numbers(party.limiters, self.sc.limiters))
-        servers = set(numbers(party.servers, self.sc.servers))
+        party = self.scenario.parties[fault.target[6:]]
+        inside = set(parse_range(party.limiters, self.scenario.limiters))
+        servers = set(parse_range(party.servers, self.scenario.servers))
         made = []
         for each in self.limiters:
             here = each.index in inside
@@ -216,13 +218,13 @@
                         made.append(relay)
         return made
 
-    def _part(self, fault: Fault, on: bool) -> None:
+    def _block_peers(self, fault: Fault, on: bool) -> None:
         """What limiters send one another goes by the receiver's relay: that is deaf to those cut off from
         it. In a partition these are all of the other side; where a link is cut, those whose it is."""
         apart = fault.kind == "partition"
         if not apart and (fault.kind not in ("link_cut", "link_cut_back") or fault.link not in ("", "peer")):
             return
-        inside = set(self._members(fault))
+        inside = set(self._select_limiters(fault))
         for each in self.limiters:
             away = {
                 other.peer_port
@@ -233,50 +235,50 @@
             for relay, _ in each.links["peer"]:
                 relay.deaf = relay.deaf | away if on else relay.deaf - away
 
-    async def _on_counter(self, fault: Fault) -> None:
+    async def _inject_into_counter(self, fault: Fault) -> None:
         counter, kind = self.counter, fault.kind.removeprefix("counter_")
         if kind == "lost":
             counter.set_mode(CounterMode.SILENT)
-            if await self._for(fault):
+            if await self._wait_duration(fault):
                 counter.set_mode(CounterMode.NORMAL)
         elif kind in ("back", "well"):
             counter.set_mode(CounterMode.NORMAL)
         elif kind == "slow":
-            counter.delay_s = SLOW_S
+            counter.delay_s = SLOW_COUNTER_DELAY_S
             counter.set_mode(CounterMode.SLOW)
-            if await self._for(fault):
+            if await self._wait_duration(fault):
                 counter.set_mode(CounterMode.NORMAL)
         elif kind in ("stale", "spoilt"):
             counter.set_mode(CounterMode(kind))
-            if await self._for(fault):
+            if await self._wait_duration(fault):
                 counter.set_mode(CounterMode.NORMAL)
         elif kind == "restart":
             counter.restart()
         elif kind == "split":
             counter.split()
-            if await self._for(fault):
+            if await self._wait_duration(fault):
                 counter.heal()
         elif kind == "swap":
-            fresh = SeenCounter(max_connections=COUNTER_CONNECTIONS * self.sc.limiters)
+            fresh = RecordingCounter(max_connections=COUNTER_CONNECTIONS * self.scenario.limiters)
             fresh.writer = self.writer
-            self.swapped.append(await fresh.open())
+            self.replaced_counters.append(await fresh.open())
             for each in self.limiters:
                 each.counter_at = fresh.address
                 each.write_config()
-                each.reread()
+                each.signal_reload()
 
 
-def held_us(sc: Scenario, fault: Fault) -> int:
+def max_delay_us(scenario: Scenario, fault: Fault) -> int:
     """How much later than it was sent something may come through a link with this fault: what was written
     before or during a cut goes out when the link is healed, as a kernel sends it again."""
     if fault.kind == "link_slow":
         return fault.delay_us + fault.jitter_us
     if fault.kind == "partition" or fault.kind.startswith("link_cut"):
-        return fault.for_us or sc.seconds_us
+        return fault.for_us or scenario.seconds_us
     return 0
 
 
-def turn(link: Link, fault: Fault) -> None:
+def apply_to_link(link: Link, fault: Fault) -> None:
     """A link takes on what the fault says."""
     kind = fault.kind
     if kind in ("link_cut", "partition", "counter_cut"):
@@ -292,7 +294,7 @@
         link.rate = fault.rate
 
 
-def numbers(text: str, count: int) -> list[int]:
+def parse_range(text: str, count: int) -> list[int]:
     """`N` or `N-M` (or nothing) as numbers below `count`."""
     if not text:
         return []
--- a/lapisgrade/lab/fleet/history.py
+++ b/lapisgrade/lab/fleet/history.py
@@ -14,10 +14,10 @@
 import msgspec
 
 SECOND = 1_000_000
-MOST_LINE = 1 << 20  # bytes; a longer line is no event of ours
+MAX_LINE_BYTES = 1 << 20  # bytes; a longer line is no event of ours
 
 
-class BadHistory(ValueError):
+class HistoryError(ValueError):
     """A history that can't be read; says where."""
 
 
@@ -27,7 +27,7 @@
     at: int
 
 
-class Begin(Event, tag="begin"):
+class RunStarted(Event, tag="begin"):
     """The play starts. `settings` are the limiters' settings, as in their configuration."""
 
     name: str
@@ -39,7 +39,7 @@
     leeway_us: int = 0  # how far links that delay may move what is seen
 
 
-class Sent(Event, tag="sent"):
+class AttemptSent(Event, tag="sent"):
     """A client sent an operation (`op`, the id of this try) to a limiter; `origin` is its first try's id."""
 
     op: str
@@ -53,7 +53,7 @@
     ends: int  # when its client stops waiting
 
 
-class Answered(Event, tag="answered"):
+class AttemptAnswered(Event, tag="answered"):
     """How it ended for the client: `finished`, `turned back`, `given up`, `broken` (the connection failed
     or was refused) or `none` (no answer in its time and the grace)."""
 
@@ -62,7 +62,7 @@
     advice_ms: int = 0
 
 
-class Came(Event, tag="came"):
+class RequestReceived(Event, tag="came"):
     """A hop of an operation reached a server; `ran` says whether it was taken to be run."""
 
     op: str
@@ -70,7 +70,7 @@
     ran: bool
 
 
-class Counted(Event, tag="counted"):
+class CounterCalled(Event, tag="counted"):
     """The counter was called; `amount` was added, unless it turned the call away."""
 
     name: str
@@ -79,26 +79,26 @@
     added: bool = True
 
 
-class Asked(Event, tag="asked"):
+class DiscoveryCalled(Event, tag="asked"):
     """Discovery was asked by a limiter (its agent was)."""
 
     limiter: int
 
 
-class Opened(Event, tag="opened"):
+class ConnectionOpened(Event, tag="opened"):
     """A connection was opened to a server, the counter or an agent."""
 
     to: str
 
 
-class Fact(Event, tag="fact"):
+class ServerStateChanged(Event, tag="fact"):
     """A server's state changed at discovery."""
 
     server: str
     state: str
 
 
-class Told(Event, tag="told"):
+class ServerStateNotified(Event, tag="told"):
     """A limiter's agent told it of a server's state."""
 
     limiter: int
@@ -106,7 +106,7 @@
     state: str
 
 
-class Fault(Event, tag="fault"):
+class FaultChanged(Event, tag="fault"):
     """A fault began, or ended (`on` false)."""
 
     what: str
@@ -114,7 +114,7 @@
     on: bool
 
 
-class Life(Event, tag="life"):
+class LimiterProcessChanged(Event, tag="life"):
     """A limiter's process: `started`, `up`, `killed`, `ended`, `paused`, `resumed`, with its process id."""
 
     limiter: int
@@ -122,11 +122,24 @@
     pid: int = 0
 
 
-class End(Event, tag="end"):
+class RunEnded(Event, tag="end"):
     """The play is over; what comes later is the limiters' own ending."""
 
 
-AnyEvent = Begin | Sent | Answered | Came | Counted | Asked | Opened | Fact | Told | Fault | Life | End
+AnyEvent = (
+    RunStarted
+    | RunEnded
+    | AttemptSent
+    | AttemptAnswered
+    | RequestReceived
+    | CounterCalled
+    | DiscoveryCalled
+    | ConnectionOpened
+    | ServerStateChanged
+    | ServerStateNotified
+    | FaultChanged
+    | LimiterProcessChanged
+)
 _DECODER = msgspec.json.Decoder(AnyEvent)
 
 
@@ -159,14 +172,14 @@
     killed) is left out."""
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
-            if len(line) > MOST_LINE:
-                raise BadHistory(f"{path}:{number}: longer than {MOST_LINE} bytes")
+            if len(line) > MAX_LINE_BYTES:
+                raise HistoryError(f"{path}:{number}: longer than {MAX_LINE_BYTES} bytes")
             if not line.endswith(b"\n"):
                 return
             try:
                 yield _DECODER.decode(line)
             except msgspec.MsgspecError as wrong:
-                raise BadHistory(f"{path}:{number}: {wrong}") from None
+                raise HistoryError(f"{path}:{number}: {wrong}") from None
 
 
 def merged(paths: Iterable[Path | str]) -> Iterator[Event]:
@@ -179,10 +192,10 @@
 
 
 def _ordered(events: Iterator[Event], window: int = 4096) -> Iterator[Event]:
-    held: list[tuple[int, int, Event]] = []
+    window_heap: list[tuple[int, int, Event]] = []
     for number, event in enumerate(events):
-        heapq.heappush(held, (event.at, number, event))
-        if len(held) > window:
-            yield heapq.heappop(held)[2]
-    while held:
-        yield heapq.heappop(held)[2]
+        heapq.heappush(window_heap, (event.at, number, event))
+        if len(window_heap) > window:
+            yield heapq.heappop(window_heap)[2]
+    while window_heap:
+        yield heapq.heappop(window_heap)[2]
--- a/lapisgrade/lab/fleet/limiter_settings.py
+++ b/lapisgrade/lab/fleet/limiter_settings.py
@@ -13,13 +13,13 @@
 GROUPS = {DeduplicationScope.ALL: "all", DeduplicationScope.ZONE: "zone", DeduplicationScope.CELL: "cell"}
 
 
-def settings(sc: Scenario, index: int) -> dict[str, Any]:
+def settings(scenario: Scenario, index: int) -> dict[str, Any]:
     """A limiter's settings as the operators name them, as the scenario has them."""
     return {
         "SelfIndex": index,
-        "NInstances": sc.limiters,
-        "Zone": sc.zone_of(index),
-        "Zones": [f"z{i}" for i in range(sc.zones)],
+        "NInstances": scenario.limiters,
+        "Zone": scenario.zone_of(index),
+        "Zones": [f"z{i}" for i in range(scenario.zones)],
         "RequestClasses": [
             {
                 "Name": each.name,
@@ -31,7 +31,7 @@
                 "Group": GROUPS[each.deduplication_scope],
                 "KeyTtl": each.deduplication_window_us / 1000,
             }
-            for each in sc.categories
+            for each in scenario.categories
         ],
         "TiersOfService": [
             {
@@ -44,27 +44,27 @@
                 "CeilingBurst": each.rate_limit_burst,
                 "CapSlack": each.rate_limit_slack,
             }
-            for each in sc.plans
+            for each in scenario.plans
         ],
         "Ceilings": {
-            "AttemptsCap": sc.leave.max_attempts,
-            "Cancel": sc.leave.may_cancel,
-            "ParallelTries": sc.leave.may_hedge,
-            "RetryAfter": sc.leave.max_retry_after_us > 0,
-            "MaxRetryAfter": sc.leave.max_retry_after_us / 1000,
+            "AttemptsCap": scenario.leave.max_attempts,
+            "Cancel": scenario.leave.may_cancel,
+            "ParallelTries": scenario.leave.may_hedge,
+            "RetryAfter": scenario.leave.max_retry_after_us > 0,
+            "MaxRetryAfter": scenario.leave.max_retry_after_us / 1000,
             "DialTimeout": 200.0,
             "Keepalive": 30000.0,
         },
         "Rules": {
-            "DrainGrace": sc.duties.drain_grace_us / 1000,
-            "Cold": sc.duties.slow_start_us / 1000,
-            "ColdFrom": sc.duties.slow_start_initial_weight,
-            "Fall": sc.duties.overload_window_us / 1000,
-            "FallMultiple": sc.duties.max_overload_factor,
+            "DrainGrace": scenario.duties.drain_grace_us / 1000,
+            "Cold": scenario.duties.slow_start_us / 1000,
+            "ColdFrom": scenario.duties.slow_start_initial_weight,
+            "Fall": scenario.duties.overload_window_us / 1000,
+            "FallMultiple": scenario.duties.max_overload_factor,
         },
         "Specifics": {
-            "SharedCounter": sc.calls,
-            "CountLimit": sc.count_limit_us / 1000,
-            "UnitsTop": sc.most_units,
+            "SharedCounter": scenario.calls,
+            "CountLimit": scenario.count_limit_us / 1000,
+            "UnitsTop": scenario.most_units,
         },
     }
--- a/lapisgrade/lab/fleet/load.py
+++ b/lapisgrade/lab/fleet/load.py
@@ -18,11 +18,11 @@
 from lapisgrade.lab.load import client
 from lapisgrade.lab.load.schedule import Planned
 
-MOST_TRIES = 4  # of one operation, whatever becomes of them
+MAX_ATTEMPTS = 4  # of one operation, whatever becomes of them
 # a limiter that could not be reached is passed over for so long, while others of the set are not
-SHUNNED_S = 0.5
-COME_BACK_S = 0.1  # one turned back without advice comes again after this
-HOW = {200: "finished", 429: "turned back", 503: "turned back", 0: "broken", -1: "none"}
+AVOIDED_S = 0.5
+DEFAULT_RETRY_DELAY_S = 0.1  # one turned back without advice comes again after this
+OUTCOMES = {200: "finished", 429: "turned back", 503: "turned back", 0: "broken", -1: "none"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,29 +34,29 @@
     first: int
 
 
-def schedule(sc: scenarios.Scenario) -> list[Due]:
+def schedule(scenario: scenarios.Scenario) -> list[Due]:
     """Everything that clients will ask, from the scenario's seed alone: its rate, surges, customers and
     shares."""
-    chance = Random(sc.seed)
-    customers = sc.customer_table(chance.getrandbits(64))
-    surges = [each for each in sc.faults if each.kind == "surge"]
+    random = Random(scenario.seed)
+    customers = scenario.customer_table(random.getrandbits(64))
+    surges = [each for each in scenario.faults if each.kind == "surge"]
     made, at = [], 0.0
     while True:
-        rate = sc.rate
+        rate = scenario.rate
         for each in surges:
-            over = each.at_us + (each.for_us or sc.seconds_us)
+            over = each.at_us + (each.for_us or scenario.seconds_us)
             rate *= each.factor if each.at_us <= at < over else 1.0
-        at += chance.expovariate(rate) * h.SECOND
-        if at >= sc.seconds_us:
+        at += random.expovariate(rate) * h.SECOND
+        if at >= scenario.seconds_us:
             return made
-        customer = customers.pick(chance)
-        category = chance.choices(sc.categories, sc.category_shares)[0]
+        customer = customers.pick(random)
+        category = random.choices(scenario.categories, scenario.category_shares)[0]
         planned = Planned(
             round(at),
             int(customer.name, 16),
             customer.plan.name,
             category.name,
-            chance.randint(1, sc.most_units),
+            random.randint(1, scenario.most_units),
             category.timeout_us,
         )
         made.append(Due(planned, category, customer.first))
@@ -65,11 +65,13 @@
 class Clients(client.Client):
     """The load tool, with customers that keep to their sets and a history of every try."""
 
-    def __init__(self, targets: list[tuple[str, int]], sc: scenarios.Scenario, writer: h.Writer) -> None:
-        super().__init__(targets, sc.seed)
-        self.sc, self.writer = sc, writer
-        self.spread = min(sc.spread, sc.limiters)
-        self._shunned = [0.0] * len(targets)
+    def __init__(
+        self, targets: list[tuple[str, int]], scenario: scenarios.Scenario, writer: h.Writer
+    ) -> None:
+        super().__init__(targets, scenario.seed)
+        self.scenario, self.writer = scenario, writer
+        self.spread = min(scenario.spread, scenario.limiters)
+        self._avoided_until = [0.0] * len(targets)
 
     async def play(self, dues: list[Due], start_us: int) -> None:
         """Everything at its time after `start_us` (monotonic us); ends when every try has its end."""
@@ -78,7 +80,7 @@
         for due in dues:
             if (wait := zero + due.planned.due_us / h.SECOND - loop.time()) > 0:
                 await asyncio.sleep(wait)
-            task = asyncio.create_task(self._tries(due, start_us + due.planned.due_us))
+            task = asyncio.create_task(self._run_attempts(due, start_us + due.planned.due_us))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         while self._tasks:
@@ -88,9 +90,9 @@
         """A limiter of the set, of those that could be reached of late where there are any."""
         members = [(first + k) % len(self.targets) for k in range(self.spread)]
         now = asyncio.get_running_loop().time()
-        return self.chance.choice([each for each in members if self._shunned[each] <= now] or members)
+        return self.chance.choice([each for each in members if self._avoided_until[each] <= now] or members)
 
-    async def _tries(self, due: Due, due_us: int) -> None:
+    async def _run_attempts(self, due: Due, due_us: int) -> None:
         loop, category = asyncio.get_running_loop(), due.category
         origin = f"{self.chance.getrandbits(64):016x}"
         key = (
@@ -98,11 +100,11 @@
             if category.repeat_safety is RepeatSafety.DEDUPLICATED
             else ""
         )
-        number, again = origin, self.chance.random() < self.sc.retry_share
-        for _ in range(MOST_TRIES):
+        number, again = origin, self.chance.random() < self.scenario.retry_share
+        for _ in range(MAX_ATTEMPTS):
             which, planned = self.which(due.first), due.planned
             ends_us = due_us + planned.timeout_us
-            sent = h.Sent(
+            sent = h.AttemptSent(
                 at=h.now_us(),
                 op=number,
                 origin=origin,
@@ -122,11 +124,13 @@
             status, headers = await self.exchange(
                 which, request, body, (ends_us + client.GRACE_US) / h.SECOND
             )
-            how = HOW.get(status, "given up")
+            how = OUTCOMES.get(status, "given up")
             advice = float(headers.get("retry-after", 0.0))
-            self.writer.put(h.Answered(at=h.now_us(), op=number, how=how, advice_ms=round(advice * 1000)))
+            self.writer.put(
+                h.AttemptAnswered(at=h.now_us(), op=number, how=how, advice_ms=round(advice * 1000))
+            )
             if how == "broken":
-                self._shunned[which] = loop.time() + SHUNNED_S
+                self._avoided_until[which] = loop.time() + AVOIDED_S
                 if category.repeat_safety is RepeatSafety.NON_IDEMPOTENT:
                     return  # it may have run
                 if category.repeat_safety is RepeatSafety.DEDUPLICATED and h.now_us() + planned.timeout_us > (
@@ -135,7 +139,7 @@
                     return  # its key may be forgotten before the next try ends
             elif how == "turned back" and again:
                 again = False
-                await asyncio.sleep(max(advice, COME_BACK_S))
+                await asyncio.sleep(max(advice, DEFAULT_RETRY_DELAY_S))
             else:
                 return
             number, due_us = f"{self.chance.getrandbits(64):016x}", h.now_us()
@@ -153,10 +157,10 @@
     async def do_open(
         self, history: str, scenario: str, path: str, changes: dict[str, Any], targets: list[str]
     ) -> dict[str, Any]:
-        self.sc = scenarios.changed(scenarios.parse(scenario, path), changes)
+        self.scenario = scenarios.changed(scenarios.parse(scenario, path), changes)
         self.writer = h.Writer(history)
         where = [(host, int(port)) for host, _, port in (each.rpartition(":") for each in targets)]
-        self.clients, self.dues = Clients(where, self.sc, self.writer), schedule(self.sc)
+        self.clients, self.dues = Clients(where, self.scenario, self.writer), schedule(self.scenario)
         return {"operations": len(self.dues)}
 
     async def do_play(self, start_us: int) -> dict[str, Any]:
--- a/lapisgrade/lab/fleet/observed.py
+++ b/lapisgrade/lab/fleet/recorders.py
@@ -1,20 +1,21 @@
-"""The project's stand-ins for counter and discovery, which write down what they are asked and tell."""
+"""The project's fakes of the counter and of discovery, which record their calls in the history."""
 
 import contextlib
 import json
-from lapisgrade.lab.fleet import history as h
+
 from lapisgrade.fakes import http
 from lapisgrade.fakes.counter import Counter
 from lapisgrade.fakes.discovery import Discovery
+from lapisgrade.lab.fleet import history as h
 
 
-class SeenCounter(Counter):
-    """The stand-in counter, which writes down each call."""
+class RecordingCounter(Counter):
+    """A fake counter that records each call."""
 
     writer: h.Writer
 
     async def _accept(self, reader, writer) -> None:
-        self.writer.put(h.Opened(at=h.now_us(), to="counter"))
+        self.writer.put(h.ConnectionOpened(at=h.now_us(), to="counter"))
         await super()._accept(reader, writer)
 
     async def _answer(self, words, half: int) -> bytes:
@@ -24,7 +25,7 @@
                 added = said.startswith(b"$")
                 total = float(said.split(b"\r\n")[1]) if added else 0.0
                 self.writer.put(
-                    h.Counted(
+                    h.CounterCalled(
                         at=h.now_us(),
                         name=words[1].decode("latin-1"),
                         amount=float(words[2]),
@@ -35,31 +36,35 @@
         return said
 
 
-class Agent(Discovery):
-    """One limiter's discovery agent: tells of servers by the addresses that this limiter reaches them at, and
-    writes down what it has told, and when."""
+class RecordingDiscovery(Discovery):
+    """One limiter's discovery agent, which records each server state that the limiter learns.
+
+    Its servers have the addresses by which this limiter reaches them.
+    """
 
     def __init__(self, writer: h.Writer, limiter: int) -> None:
         super().__init__()
         self.writer, self.limiter = writer, limiter
-        self._last_told: dict[str, str] = {}
+        self._last_notified: dict[str, str] = {}
 
     async def _accept(self, reader, writer) -> None:
-        self.writer.put(h.Opened(at=h.now_us(), to="discovery"))
+        self.writer.put(h.ConnectionOpened(at=h.now_us(), to="discovery"))
         await super()._accept(reader, writer)
 
     async def _handle(self, request: http.Request) -> http.Response:
-        self.writer.put(h.Asked(at=h.now_us(), limiter=self.limiter))
+        self.writer.put(h.DiscoveryCalled(at=h.now_us(), limiter=self.limiter))
         reply = await super()._handle(request)
         if reply.status == 200:
             for row in json.loads(reply.body)["instances"]:
                 name, state = row["instanceId"], row["lifecycle"]
-                if self._last_told.get(name) != state:
-                    self._last_told[name] = state
-                    told = h.Told(at=h.now_us(), limiter=self.limiter, server=name, state=state)
+                if self._last_notified.get(name) != state:
+                    self._last_notified[name] = state
+                    told = h.ServerStateNotified(
+                        at=h.now_us(), limiter=self.limiter, server=name, state=state
+                    )
                     self.writer.put(told)
         return reply
 
-    def anew(self) -> None:
-        """A new process asks: what was told to the last one is not told to it."""
-        self._last_told.clear()
+    def forget_notified(self) -> None:
+        """Forget what the limiter has learned, as a new process of it knows nothing."""
+        self._last_notified.clear()
--- a/lapisgrade/lab/fleet/report.py
+++ b/lapisgrade/lab/fleet/report.py
@@ -28,7 +28,7 @@
 DPI = 110
 
 
-class BadFindings(ValueError):
+class FindingsError(ValueError):
     """A file that holds no findings."""
 
 
@@ -36,7 +36,7 @@
     try:
         return msgspec.json.decode(Path(path).read_bytes(), type=Findings)
     except (OSError, msgspec.MsgspecError) as wrong:
-        raise BadFindings(f"{path}: {wrong}") from None
+        raise FindingsError(f"{path}: {wrong}") from None
 
 
 def save(found: Findings, path: Path) -> None:
--- a/lapisgrade/lab/fleet/servers.py
+++ b/lapisgrade/lab/fleet/servers.py
@@ -7,32 +7,32 @@
 
 from typing import Any
 
+from lapisgrade.fakes import http, servers
 from lapisgrade.lab.fleet import history as h
 from lapisgrade.lab.fleet.process import serve_commands
-from lapisgrade.fakes import http, servers
 
 KNOBS = ("capacity", "queue", "median_s", "sigma", "cold_from", "warm_s")
 
 
-class Seen(servers.Server):
+class RecordingServer(servers.Server):
     """A stand-in server that writes down what comes."""
 
     writer: h.Writer
 
     async def _accept(self, reader, writer) -> None:
-        self.writer.put(h.Opened(at=h.now_us(), to=self.name))
+        self.writer.put(h.ConnectionOpened(at=h.now_us(), to=self.name))
         await super()._accept(reader, writer)
 
     def on_request(self, request: http.Request, came_s: float, ran: bool) -> None:
         at, op = round(came_s * h.SECOND), request.headers["x-request-id"]
-        self.writer.put(h.Came(at=at, op=op, server=self.name, ran=ran))
+        self.writer.put(h.RequestReceived(at=at, op=op, server=self.name, ran=ran))
 
 
 class Servers:
     """All servers of the play, and the commands that change them."""
 
     def __init__(self) -> None:
-        self.all: list[Seen] = []
+        self.all: list[RecordingServer] = []
         self.usual: servers.ServerBehavior = servers.ServerBehavior()
         self.writer: h.Writer | None = None
 
@@ -43,7 +43,7 @@
         self.writer = h.Writer(history)
         self.usual = servers.ServerBehavior(**knobs)
         for i in range(count):
-            server = Seen(f"s{i}", servers.ServerBehavior(**knobs), seed * 1_000_003 + i)
+            server = RecordingServer(f"s{i}", servers.ServerBehavior(**knobs), seed * 1_000_003 + i)
             server.writer = self.writer
             self.all.append(await server.open())
         return {"addresses": [each.address for each in self.all]}
--- /dev/null
+++ b/lapisgrade/lab/fleet/test_bed.py
@@ -0,0 +1,233 @@
+"""A test bed: one run of a scenario with real processes and faults, and a history of what happened.
+
+    paths = await run(scenario, text, path, folder)
+
+`folder` then holds the history's files (`*.jsonl`), and for each limiter its configuration, its state folder
+(its "disk") and its log. The counter and one discovery agent a limiter are the project's stand-ins, in this
+process; so are the relays, which are on those kinds of link only that a fault of the scenario concerns.
+"""
+
+import asyncio
+import sys
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from lapisgrade.fakes.discovery import ServerEntry
+from lapisgrade.fakes.site import free_port
+from lapisgrade.lab.emulator import scenario as scenarios
+from lapisgrade.lab.emulator.scenario import Scenario
+from lapisgrade.lab.fleet import history as h
+from lapisgrade.lab.fleet import process
+from lapisgrade.lab.fleet.faults import COUNTER_CONNECTIONS, HARD_STOP_MARGIN_S, FaultInjector, max_delay_us
+from lapisgrade.lab.fleet.limiter import Limiter
+from lapisgrade.lab.fleet.limiter_settings import settings
+from lapisgrade.lab.fleet.process import Helper, Supervisor
+from lapisgrade.lab.fleet.recorders import RecordingCounter
+from lapisgrade.lab.fleet.relay import TcpRelay, UdpRelay
+
+LIMITER = (sys.executable, "-m", "lapisgrade")
+SETTLE_S = 0.7  # after the last limiter is up, before the load begins
+
+
+class TestBed(FaultInjector):
+    """All processes of one run, the stand-ins, the relays between them, and the history's writer."""
+
+    def __init__(self, scenario: Scenario, folder: Path, command: tuple[str, ...] = LIMITER) -> None:
+        self.scenario = scenario
+        self.folder = folder
+        self.command = command
+        folder.mkdir(parents=True, exist_ok=True)
+        self.files = [folder / name for name in ("ground.jsonl", "servers.jsonl", "clients.jsonl")]
+        for path in self.files:
+            path.unlink(missing_ok=True)
+        self.writer = h.Writer(self.files[0])
+        self.supervisor = Supervisor()
+        self.random = Random(scenario.seed)
+        self.counter = RecordingCounter(max_connections=COUNTER_CONNECTIONS * scenario.limiters)
+        self.counter.writer = self.writer
+        self.replaced_counters: list[RecordingCounter] = []
+        self.relays: list[TcpRelay | UdpRelay] = []
+        self.limiters: list[Limiter] = []
+        self.servers = Helper("the servers", "lapisgrade.lab.fleet.servers", folder / "servers.log")
+        self.clients = Helper("the clients", "lapisgrade.lab.fleet.load", folder / "clients.log")
+        self.addresses: list[str] = []
+        self.pending_changes: list[tuple[str, int]] | None = None  # server states that discovery delays
+        self._started_s = 0.0
+        self._fault_task: asyncio.Task | None = None  # the faults, each at its time
+        self._running_faults: list[asyncio.Task] = []
+
+    async def run(self, text: str, path: str, changes: dict[str, Any]) -> list[Path]:
+        """Run the scenario of that `text`, read at `path`, with `changes`; return the history's files."""
+        async with self.supervisor:
+            try:
+                await self._open()
+                await self._open_clients(text, path, changes)
+                await asyncio.sleep(SETTLE_S)
+                await self._run_load_and_faults()
+                await self._close(self._longest_timeout_us() / h.SECOND + HARD_STOP_MARGIN_S)
+            finally:
+                await self._release()
+        return self.files
+
+    def _longest_timeout_us(self) -> int:
+        return max(each.timeout_us for each in self.scenario.categories)
+
+    async def _open_clients(self, text: str, path: str, changes: dict[str, Any]) -> None:
+        await self.supervisor.start(self.clients)
+        await self.clients.request(
+            do="open",
+            history=str(self.files[2]),
+            scenario=text,
+            path=path,
+            changes=changes,
+            targets=[f"127.0.0.1:{each.port}" for each in self.limiters],
+        )
+
+    async def _run_load_and_faults(self) -> None:
+        """Run the clients' load, with each fault at its time, until the load is over."""
+        scenario = self.scenario
+        start_us = h.now_us()
+        self._started_s = start_us / h.SECOND
+        self._record_start(start_us)
+        self._fault_task = asyncio.create_task(self._inject_faults())
+        timeout_s = (scenario.seconds_us + 6 * self._longest_timeout_us()) / h.SECOND + 30.0
+        await self.clients.request(timeout_s, do="play", start_us=start_us)
+        self.writer.put(h.RunEnded(at=start_us + scenario.seconds_us))
+        self._fault_task.cancel()
+        (outcome,) = await asyncio.gather(self._fault_task, return_exceptions=True)
+        if isinstance(outcome, Exception):
+            raise outcome  # a fault could not be injected: the run shows nothing
+
+    def _record_start(self, start_us: int) -> None:
+        scenario = self.scenario
+        self.writer.put(
+            h.RunStarted(
+                at=start_us,
+                name=scenario.name,
+                seed=scenario.seed,
+                limiters=scenario.limiters,
+                seconds=scenario.seconds_us / h.SECOND,
+                settings=settings(scenario, 0),
+                over_bound=scenario.over_bound,
+                leeway_us=max((max_delay_us(scenario, each) for each in scenario.faults), default=0),
+            )
+        )
+
+    async def _release(self) -> None:
+        """Close everything; nobody writes to the history after (guards Ctrl-C in the midst of a fault)."""
+        tasks = [task for task in (self._fault_task, *self._running_faults) if task is not None]
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+        for relay in self.relays:
+            await relay.close()
+        for each in (self.counter, *self.replaced_counters, *(each.agent for each in self.limiters)):
+            await each.close()
+        self.writer.close()
+
+    async def _open(self) -> None:
+        """Open the counter, the servers, and all limiters."""
+        await self.counter.open()
+        await self.supervisor.start(self.servers)
+        self.addresses = await self._open_servers()
+        relayed = self._relayed_links()
+        for index in range(self.scenario.limiters):
+            await self._open_limiter(index, relayed)
+        await asyncio.gather(*(each.start() for each in self.limiters))
+
+    async def _open_servers(self) -> list[str]:
+        """Have the servers' process open them; return their addresses."""
+        scenario = self.scenario
+        server = scenario.server
+        reply = await self.servers.request(
+            do="open",
+            history=str(self.files[1]),
+            count=scenario.servers,
+            seed=scenario.seed,
+            knobs={
+                "capacity": server.capacity,
+                "queue": server.queue,
+                "median_s": server.median_us / h.SECOND,
+                "sigma": server.sigma,
+                "cold_from": server.cold_from,
+                "warm_s": server.warm_us / h.SECOND,
+            },
+        )
+        return reply["addresses"]
+
+    async def _open_limiter(self, index: int, relayed: set[str]) -> None:
+        """Create a limiter with its discovery agent, and relays on the links of the kinds in `relayed`."""
+        limiter = Limiter(self, index)
+        self.limiters.append(limiter)
+        await limiter.agent.open()
+        limiter.counter_at = self.counter.address
+        if "counter" in relayed:
+            relay = await self._add_relay(limiter, "counter", self.counter.address, 0)
+            limiter.counter_at = relay.address
+        if "discovery" in relayed:
+            await self._add_relay(limiter, "discovery", limiter.agent.address, 0)
+        if self.scenario.peers:
+            await self._open_peer(limiter, "peer" in relayed)
+        for number, address in enumerate(self.addresses):
+            if "server" in relayed:
+                relay = await self._add_relay(limiter, "server", address, number)
+                address = relay.address
+            zone = self.scenario.zone_of(number)
+            limiter.agent.put(ServerEntry(f"s{number}", address, zone, cell=number % 4))
+
+    def _relayed_links(self) -> set[str]:
+        """Return the kinds of link that some fault of the scenario concerns."""
+        relayed: set[str] = set()
+        for fault in self.scenario.faults:
+            if fault.kind == "partition":
+                relayed.update(scenarios.LINKS)
+            elif fault.kind.startswith("link_"):
+                relayed.update([fault.link] if fault.link else scenarios.LINKS)
+            elif fault.kind == "counter_cut":
+                relayed.add("counter")
+        return relayed
+
+    async def _add_relay(self, limiter: Limiter, kind: str, address: str, number: int) -> TcpRelay:
+        host, _, port = address.rpartition(":")
+        relay = await TcpRelay((host, int(port)), self.random.getrandbits(48)).open()
+        self.relays.append(relay)
+        limiter.links[kind].append((relay, number))
+        return relay
+
+    async def _open_peer(self, limiter: Limiter, is_relayed: bool) -> None:
+        limiter.peer_port = free_port()
+        limiter.reached_at = f"127.0.0.1:{limiter.peer_port}"
+        if is_relayed:
+            relay = await UdpRelay(("127.0.0.1", limiter.peer_port), self.random.getrandbits(48)).open()
+            self.relays.append(relay)
+            limiter.links["peer"].append((relay, limiter.index))
+            limiter.reached_at = relay.address
+
+    async def _close(self, within_s: float) -> None:
+        """End the limiters gracefully, then the helpers."""
+        for each in self.limiters:
+            if each.process.is_paused:
+                each.process.resume()
+        await asyncio.gather(*(each.process.end(within_s) for each in self.limiters))
+        await self.servers.request(do="close")
+        for helper in (self.clients, self.servers):
+            helper.child.stdin.close()
+            async with asyncio.timeout(process.SHUTDOWN_TIMEOUT_S):
+                await helper.wait()
+
+
+async def run(
+    scenario: Scenario,
+    text: str,
+    path: str,
+    folder: Path,
+    changes: dict[str, Any] | None = None,
+    command: tuple[str, ...] = LIMITER,
+) -> list[Path]:
+    """Run a scenario; return the history's files.
+
+    Raises:
+        ProcessFailedError: A process did not start, or ended by itself.
+    """
+    return await TestBed(scenario, folder, command).run(text, path, changes or {})
--- a/tests/lab/fleet/test_checker.py
+++ b/tests/lab/fleet/test_checker.py
@@ -18,12 +18,12 @@
 
 
 def begin(**more):
-    return h.Begin(at=S, name="t", seed=1, limiters=2, seconds=10, settings=SETTINGS, **more)
+    return h.RunStarted(at=S, name="t", seed=1, limiters=2, seconds=10, settings=SETTINGS, **more)
 
 
 def sent(op="a", at=2.0, category="read", units=1, limiter=0, origin=None, plan="basic", customer="c"):
     at = round(at * S)
-    return h.Sent(
+    return h.AttemptSent(
         at=at,
         op=op,
         origin=origin or op,
@@ -38,23 +38,23 @@
 
 
 def answered(op="a", at=2.1, how="finished"):
-    return h.Answered(at=round(at * S), op=op, how=how)
+    return h.AttemptAnswered(at=round(at * S), op=op, how=how)
 
 
 def came(op="a", at=2.05, server="s0", ran=True):
-    return h.Came(at=round(at * S), op=op, server=server, ran=ran)
+    return h.RequestReceived(at=round(at * S), op=op, server=server, ran=ran)
 
 
 def life(what, at, limiter=0):
-    return h.Life(at=round(at * S), limiter=limiter, what=what)
+    return h.LimiterProcessChanged(at=round(at * S), limiter=limiter, what=what)
 
 
 def told(state, at, server="s0", limiter=0):
-    return h.Told(at=round(at * S), limiter=limiter, server=server, state=state)
+    return h.ServerStateNotified(at=round(at * S), limiter=limiter, server=server, state=state)
 
 
 def found(*events, **more):
-    every = [begin(**more), *events, h.End(at=11 * S)]
+    every = [begin(**more), *events, h.RunEnded(at=11 * S)]
     return checker.check(sorted(every, key=lambda event: event.at))
 
 
@@ -194,7 +194,7 @@
 
 
 def test_recovery_time_is_measured_from_the_end_of_the_fault():
-    fault = [h.Fault(at=at * S, what="k", target="all", on=at == 4) for at in (4, 5)]
+    fault = [h.FaultChanged(at=at * S, what="k", target="all", on=at == 4) for at in (4, 5)]
     got = found(*steady(but=lambda at: not 4 < at < 6.5), *fault)
     assert got.faults[0].began_s == 3 and got.faults[0].ended_s == 4
     assert got.faults[0].full_service_s == pytest.approx(1.5, abs=0.15)
@@ -203,19 +203,19 @@
 
 
 def test_a_stampede_is_the_peak_after_the_fault_over_the_mean_before():
-    calls = [h.Counted(at=round((1 + i / 10) * S), name="n", amount=1, total=1) for i in range(100)]
-    rush = [h.Counted(at=6 * S + 10 + i, name="n", amount=1, total=1) for i in range(19)]
-    got = found(*calls, *rush, h.Fault(at=5 * S, what="k", target="all", on=True))
+    calls = [h.CounterCalled(at=round((1 + i / 10) * S), name="n", amount=1, total=1) for i in range(100)]
+    rush = [h.CounterCalled(at=6 * S + 10 + i, name="n", amount=1, total=1) for i in range(19)]
+    got = found(*calls, *rush, h.FaultChanged(at=5 * S, what="k", target="all", on=True))
     assert got.stampede["counter"] == pytest.approx(20, rel=0.1)
 
 
 def test_staleness_is_how_long_a_departed_server_still_got_attempts():
     got = found(
-        h.Fact(at=2 * S, server="s0", state="terminating"),
+        h.ServerStateChanged(at=2 * S, server="s0", state="terminating"),
         sent(at=2.4),
         came(at=2.5),
         answered(at=2.6),
-        h.Fact(at=3 * S, server="s0", state="in_service"),
+        h.ServerStateChanged(at=3 * S, server="s0", state="in_service"),
         sent("b", 4),
         came("b", 4.1),
         answered("b", 4.2),
@@ -231,14 +231,19 @@
     with h.Writer(two) as writer:
         writer.put(came())
     two.write_bytes(two.read_bytes() + b'{"kind":"came","at":1')  # its writer was killed
-    assert [type(each) for each in h.merged([one, two])] == [h.Begin, h.Sent, h.Came, h.Answered]
+    assert [type(each) for each in h.merged([one, two])] == [
+        h.RunStarted,
+        h.AttemptSent,
+        h.RequestReceived,
+        h.AttemptAnswered,
+    ]
     one.write_bytes(b'{"kind":"came","at":1,"op":"a","server":"s0","ran":true}\n{"kind":"went"}\n')
-    with pytest.raises(h.BadHistory, match=r"one.jsonl:2: "):
+    with pytest.raises(h.HistoryError, match=r"one.jsonl:2: "):
         list(h.read(one))
 
 
 def test_findings_are_stored_and_shown(tmp_path):
-    got = found(*steady(), sent("late", 5), h.Fault(at=4 * S, what="link_cut", target="0", on=True))
+    got = found(*steady(), sent("late", 5), h.FaultChanged(at=4 * S, what="link_cut", target="0", on=True))
     report.save(got, tmp_path / "findings.json")
     assert report.load(str(tmp_path / "findings.json")) == got
     text = "\n".join(report.lines(got))
@@ -247,5 +252,5 @@
     page = report.page([got])
     assert "data:image/png;base64," in page and "RULE 1 BROKEN" in page
     (tmp_path / "findings.json").write_text("{")
-    with pytest.raises(report.BadFindings):
+    with pytest.raises(report.FindingsError):
         report.load(str(tmp_path / "findings.json"))
--- a/tests/lab/fleet/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -10,7 +10,7 @@
 
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.emulator.world import World
-from lapisgrade.lab.fleet import checker, ground, history
+from lapisgrade.lab.fleet import checker, history, test_bed
 from lapisgrade.lab.quota import Bound
 from lapisgrade.policy.account import LOCAL_SHARE_FACTOR
 from lapisgrade.policy.counter_breaker import PROBE_INTERVAL_US
@@ -108,7 +108,7 @@
 def test_processes_keep_the_bound_and_every_rate_limit(case, tmp_path):
     said = text(*PLAYS[case], seconds=5.5, limiters=4)
     sc = scenario.parse(said, "loss.toml")
-    files = asyncio.run(ground.play(sc, said, "loss.toml", tmp_path))
+    files = asyncio.run(test_bed.run(sc, said, "loss.toml", tmp_path))
     got = checker.check(history.merged(files))
     assert got.ok, got.breaches[:5]
     assert got.ends["finished"] > 200 and set(got.quotas) == {"basic", "pro"}
--- a/tests/lab/fleet/test_peers.py
+++ b/tests/lab/fleet/test_peers.py
@@ -9,7 +9,7 @@
 
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.emulator import scenario
-from lapisgrade.lab.fleet import checker, ground, history
+from lapisgrade.lab.fleet import checker, history, test_bed
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.members import site
 from lapisgrade.settings import MalformedInputError
@@ -54,7 +54,7 @@
 )
 def test_limiters_detect_failed_and_recovered_peers_and_keep_every_rule(faults, dead, by, tmp_path):
     said = SCENE + faults
-    files = asyncio.run(ground.play(scenario.parse(said, "peers.toml"), said, "peers.toml", tmp_path))
+    files = asyncio.run(test_bed.run(scenario.parse(said, "peers.toml"), said, "peers.toml", tmp_path))
     got = checker.check(history.merged(files))
     assert got.ok, got.breaches[:5]
     assert got.ends["finished"] > 200
--- a/tests/lab/fleet/test_processes.py
+++ b/tests/lab/fleet/test_processes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from lapisgrade.lab.emulator import scenario
-from lapisgrade.lab.fleet import checker, defects, ground, history, process
+from lapisgrade.lab.fleet import checker, defects, history, process, test_bed
 
 BASE = """
 [run]
@@ -64,9 +64,9 @@
     return BASE.format(seconds=seconds, limiters=limiters, rate=rate, run=run) + "".join(faults)
 
 
-def play(said: str, folder: Path, command: tuple[str, ...] = ground.LIMITER) -> checker.Findings:
+def play(said: str, folder: Path, command: tuple[str, ...] = test_bed.LIMITER) -> checker.Findings:
     sc = scenario.parse(said, "test.toml")
-    files = asyncio.run(ground.play(sc, said, "test.toml", folder, command=command))
+    files = asyncio.run(test_bed.run(sc, said, "test.toml", folder, command=command))
     return checker.check(history.merged(files))
 
 
@@ -213,7 +213,7 @@
 
 def test_a_limiter_that_cannot_start_is_reported_and_nothing_is_left(tmp_path):
     said = text(limiters=2)
-    with pytest.raises(process.Failed, match="ended while starting"):
+    with pytest.raises(process.ProcessFailedError, match="ended while starting"):
         play(said, tmp_path, (sys.executable, "-c", "raise SystemExit(3)"))
 
 
@@ -223,11 +223,11 @@
     (state / "old").write_bytes(b"old")
     os.utime(state / "old", (1, 1))
     (state / "deep" / "new").write_bytes(bytes(range(100)))
-    process.flip(state)
+    process.flip_bit(state)
     assert (state / "deep" / "new").read_bytes()[50] == 50 ^ 0x10
     process.truncate(state)
     assert (state / "deep" / "new").read_bytes() == bytes(range(50))
-    process.lose(state)
+    process.wipe(state)
     assert list(state.iterdir()) == []
 
     async def full() -> int:
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -84,7 +84,7 @@
         return [node.relay.address for node in list(self.nodes.values())[:2] if node.relay is not None]
 
     def live(self) -> list[Node]:
-        return [node for node in self.nodes.values() if node.process.running and not node.process.paused]
+        return [node for node in self.nodes.values() if node.process.is_running and not node.process.is_paused]
 
     def agree(self, names: set[str], among: set[str] | None = None) -> bool:
         for node in self.live():
@@ -98,10 +98,10 @@
         """Wait for it; an AssertionError where it does not come about."""
         ends = time.monotonic() + within_s
         # Those that run now are to run on: one that ended by itself is told at once, with its last words.
-        running = [node for node in self.nodes.values() if node.process is not None and node.process.running]
+        running = [node for node in self.nodes.values() if node.process is not None and node.process.is_running]
         while not look():
             for node in running:
-                assert node.process.running, f"{node.name} ended: {node.process.log.read_text()[-500:]}"
+                assert node.process.is_running, f"{node.name} ended: {node.process.log.read_text()[-500:]}"
             held = {node.name: node.holds for node in self.live()}
             assert time.monotonic() < ends, held
             await asyncio.sleep(0.02)
