--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -10,7 +10,7 @@
 from lapisgrade.gateway.consensus.timing import LEASE_US
 from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation.mutants import BY_RULE
-from support.consensus_nodes import VOTERS, elected_leader, new_node, append_reply, sync_disk, take_effects
+from support.consensus_nodes import VOTERS, append_reply, elected_leader, new_node, sync_disk, take_effects
 
 
 def test_commits_only_through_an_entry_of_its_own_term() -> None:
--- a/tests/gateway/consensus/test_snapshots.py
+++ b/tests/gateway/consensus/test_snapshots.py
@@ -6,7 +6,7 @@
     JoinRequest,
 )
 from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, Snapshot, SnapshotAssembly, SnapshotTransfer
-from support.consensus_nodes import VOTERS, elected_leader, append_reply, sync_disk, take_effects
+from support.consensus_nodes import VOTERS, append_reply, elected_leader, sync_disk, take_effects
 
 
 def transferred(lose=lambda turn: False, again=lambda turn: False) -> tuple[bytes, int]:
--- a/tests/gateway/controller/test_activation_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -9,15 +9,15 @@
 import sys
 import tempfile
 import time
-import unittest
 from collections import Counter
+from pathlib import Path
 
 import msgspec
 
-from support.loopback_network import reserve_loopback_network
-from lapisgrade.lab.partitions.fleet import PAUSE, Fleet
-from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.gateway.cli.tenants import TenantClient
+from lapisgrade.lab.fleet.process import ROOT
+from lapisgrade.lab.partitions.fleet import PAUSE, Fleet
+from support.loopback_network import LoopbackNetwork, reserve_loopback_network
 
 TICKET = {
     "Apikeys": ["key-of-gabes"], "Name": "gabes",
@@ -73,122 +73,124 @@
         return len(self.first) == len(self.fleet.ip)
 
 
-class FirstTrain(unittest.IsolatedAsyncioTestCase):
-    async def asyncSetUp(self) -> None:
-        self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.network = self.enterContext(reserve_loopback_network())
-
-    async def onboard(self, calls: Calls, fault=None) -> None:
-        """Bring the tenant in under calls at every proxy, with a fault as the change is sent."""
-        fleet = calls.fleet
-        client = TenantClient(fleet.ctl, calls.on_operator_line)
-        doing = asyncio.create_task(client.apply(msgspec.json.encode(TICKET), 8.0))
-        if fault is not None:
-            await fault()
-        await doing
+async def onboard(calls: Calls, fault=None) -> None:
+    """Bring the tenant in under calls at every proxy, with a fault as the change is sent."""
+    fleet = calls.fleet
+    client = TenantClient(fleet.ctl, calls.on_operator_line)
+    doing = asyncio.create_task(client.apply(msgspec.json.encode(TICKET), 8.0))
+    if fault is not None:
+        await fault()
+    await doing
+    await fleet.until(calls.all_take)
+    await calls.end()
+    assert calls.wrong == [], "a proxy refused what another had taken"
+
+
+async def test_all_proxies_activate_a_change_together_and_traffic_goes_on(
+    tmp_path: Path, loopback_network: LoopbackNetwork
+) -> None:
+    async with Fleet(loopback_network.number, str(tmp_path)) as fleet:
+        calls = Calls(fleet)
+        await onboard(calls)
+        assert max(calls.first.values()) - min(calls.first.values()) < 0.5
+        assert Counter(status for status, _ in calls.pulls) == {200: len(calls.pulls)}
+
+
+async def test_a_proxy_paused_over_the_activation_answers_503_when_it_resumes(
+    tmp_path: Path, loopback_network: LoopbackNetwork
+) -> None:
+    async with Fleet(loopback_network.number, str(tmp_path)) as fleet:
+        calls = Calls(fleet)
+
+        async def others_take() -> bool:
+            return calls.first.keys() == {"m1", "m2"}
+
+        async def freeze() -> None:
+            fleet.send("proxy", "m3", signal.SIGSTOP)
+            await fleet.until(others_take)
+            await asyncio.sleep(0.3)
+            fleet.send("proxy", "m3", signal.SIGCONT)
+
+        await onboard(calls, freeze)
+        assert max(calls.first["m1"], calls.first["m2"]) - calls.sent_at < WITHOUT_SILENT_S
+        assert calls.first["m3"] - min(calls.first.values()) > 0.2
+
+
+async def test_the_leader_is_killed_while_the_change_is_sent(
+    tmp_path: Path, loopback_network: LoopbackNetwork
+) -> None:
+    async with Fleet(loopback_network.number, str(tmp_path)) as fleet:
+        leader = await fleet.leader()
+
+        async def kill() -> None:
+            fleet.send("controller", leader, signal.SIGKILL)
+            await fleet.running["controller", leader].wait()
+            await fleet.start("controller", leader)
+
+        calls = Calls(fleet)
+        await kill()
+        client = TenantClient(fleet.ctl, lambda line: None)
+
+        async def applied() -> bool:
+            try:
+                return await client.apply(msgspec.json.encode(TICKET), 8.0) in (0, 3)
+            except Exception:
+                return False
+
+        await fleet.until(applied)
         await fleet.until(calls.all_take)
         await calls.end()
-        self.assertEqual(calls.wrong, [], "a proxy refused what another had taken")
-
-    async def test_all_proxies_activate_a_change_together_and_traffic_goes_on(self) -> None:
-        async with Fleet(self.network.number, self.folder) as fleet:
-            calls = Calls(fleet)
-            await self.onboard(calls)
-            self.assertLess(max(calls.first.values()) - min(calls.first.values()), 0.5)
-            self.assertEqual(Counter(status for status, _ in calls.pulls), {200: len(calls.pulls)})
-
-    async def test_a_proxy_paused_over_the_activation_answers_503_when_it_resumes(self) -> None:
-        async with Fleet(self.network.number, self.folder) as fleet:
-            calls = Calls(fleet)
-
-            async def others_take() -> bool:
-                return calls.first.keys() == {"m1", "m2"}
-
-            async def freeze() -> None:
-                fleet.send("proxy", "m3", signal.SIGSTOP)
-                await fleet.until(others_take)
-                await asyncio.sleep(0.3)
-                fleet.send("proxy", "m3", signal.SIGCONT)
-
-            await self.onboard(calls, freeze)
-            self.assertLess(max(calls.first["m1"], calls.first["m2"]) - calls.sent_at, WITHOUT_SILENT_S)
-            self.assertGreater(calls.first["m3"] - min(calls.first.values()), 0.2)
-
-    async def test_the_leader_is_killed_while_the_change_is_sent(self) -> None:
-        async with Fleet(self.network.number, self.folder) as fleet:
-            leader = await fleet.leader()
-
-            async def kill() -> None:
-                fleet.send("controller", leader, signal.SIGKILL)
-                await fleet.running["controller", leader].wait()
-                await fleet.start("controller", leader)
-
-            calls = Calls(fleet)
-            await kill()
-            client = TenantClient(fleet.ctl, lambda line: None)
-
-            async def applied() -> bool:
+        assert calls.wrong == []
+
+
+async def test_a_proxy_is_killed_and_restarted_during_the_activation(
+    tmp_path: Path, loopback_network: LoopbackNetwork
+) -> None:
+    async with Fleet(loopback_network.number, str(tmp_path)) as fleet:
+
+        async def again() -> None:
+            fleet.send("proxy", "m2", signal.SIGKILL)
+            await fleet.running["proxy", "m2"].wait()
+            await fleet.start("proxy", "m2")
+
+        await onboard(Calls(fleet), again)
+
+
+async def test_a_sighup_during_startup_reloads_the_settings() -> None:
+    with tempfile.TemporaryDirectory() as folder, reserve_loopback_network() as network:
+        ip = network.host(9)
+        path = os.path.join(folder, "settings.json")
+        os.mkfifo(path)  # whoever reads waits for us to write
+        told = {"Hostname": "m1", "Ip": ip, "Az": "z", "Bind": {"Ctl": f"{ip}:8407"},
+                "Portrange": [7660, 7675], "Peers": [f"{ip}:8407"]}  # fmt: skip
+
+        running = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "lapisgrade.gateway", "controller", f"--settings={path}",
+            cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+        )  # fmt: skip
+
+        async def read(first: bool) -> None:
+            """It reads the settings once; the first time it is signalled over it."""
+            while True:
                 try:
-                    return await client.apply(msgspec.json.encode(TICKET), 8.0) in (0, 3)
-                except Exception:
-                    return False
-
-            await fleet.until(applied)
-            await fleet.until(calls.all_take)
-            await calls.end()
-            self.assertEqual(calls.wrong, [])
-
-    async def test_a_proxy_is_killed_and_restarted_during_the_activation(self) -> None:
-        async with Fleet(self.network.number, self.folder) as fleet:
-
-            async def again() -> None:
-                fleet.send("proxy", "m2", signal.SIGKILL)
-                await fleet.running["proxy", "m2"].wait()
-                await fleet.start("proxy", "m2")
-
-            await self.onboard(Calls(fleet), again)
-
-
-class EarlyWord(unittest.IsolatedAsyncioTestCase):
-    async def test_a_sighup_during_startup_reloads_the_settings(self) -> None:
-        with tempfile.TemporaryDirectory() as folder, reserve_loopback_network() as network:
-            ip = network.host(9)
-            path = os.path.join(folder, "settings.json")
-            os.mkfifo(path)  # whoever reads waits for us to write
-            told = {"Hostname": "m1", "Ip": ip, "Az": "z", "Bind": {"Ctl": f"{ip}:8407"},
-                    "Portrange": [7660, 7675], "Peers": [f"{ip}:8407"]}  # fmt: skip
-
-            running = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lapisgrade.gateway", "controller", f"--settings={path}",
-                cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            )  # fmt: skip
-
-            async def read(first: bool) -> None:
-                """It reads the settings once; the first time it is signalled over it."""
-                while True:
-                    try:
-                        file = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
-                        break
-                    except OSError:  # it has not opened them yet
-                        await asyncio.sleep(PAUSE)
-                if first:
-                    running.send_signal(signal.SIGHUP)
-                    os.mkfifo(f"{path}.new")
-                    os.replace(f"{path}.new", path)  # the next reading is of another file
-                os.write(file, json.dumps(told).encode())
-                os.close(file)
-
-            async with asyncio.timeout(20.0):
-                await read(True)
-                await read(False)
-                said = b""
-                while b"settings read again" not in said:
-                    line = await running.stderr.readline()
-                    self.assertTrue(line, said)
-                    said += line
-            running.send_signal(signal.SIGTERM)
-            self.assertEqual(await running.wait(), 0)
-
-
-if __name__ == "__main__":
-    unittest.main()
+                    file = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
+                    break
+                except OSError:  # it has not opened them yet
+                    await asyncio.sleep(PAUSE)
+            if first:
+                running.send_signal(signal.SIGHUP)
+                os.mkfifo(f"{path}.new")
+                os.replace(f"{path}.new", path)  # the next reading is of another file
+            os.write(file, json.dumps(told).encode())
+            os.close(file)
+
+        async with asyncio.timeout(20.0):
+            await read(True)
+            await read(False)
+            said = b""
+            while b"settings read again" not in said:
+                line = await running.stderr.readline()
+                assert line, said
+                said += line
+        running.send_signal(signal.SIGTERM)
+        assert await running.wait() == 0
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -6,23 +6,24 @@
 import asyncio
 import os
 import shutil
-import unittest
 from unittest import mock
 
 import msgspec
-from support.local_clusters import serving_cluster
+import pytest
 
 from lapisgrade.gateway.cli.drafts import DraftClient
 from lapisgrade.gateway.controller import drafts
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.http_client import post_to_any
-from lapisgrade.gateway.local_cluster import CTL, SAMPLE, Partition, LocalCluster
+from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster, Partition
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.partitions import rejoin
+from support.local_clusters import serving_cluster
 
 POOLS = [*SAMPLE["Pools"], {"Name": "reparation"}]
 
 
+TWO_SERVICES = {**SAMPLE, "Pools": POOLS}
 claim = rejoin.edit
 
 
@@ -30,47 +31,51 @@
     return msgspec.json.encode(claim(**more))
 
 
-class OnBothSides(unittest.IsolatedAsyncioTestCase):
-    async def site(self) -> LocalCluster:
-        return await self.enterAsyncContext(serving_cluster({**SAMPLE, "Pools": POOLS}))
+def draft_client(site: LocalCluster, name: str, said: list[str]) -> DraftClient:
+    return DraftClient([Address((site.ip[name], CTL))], said.append)
+
+
+async def send_draft(site: LocalCluster, name: str, text: bytes, by: str = "amel") -> tuple[int, list[str]]:
+    said: list[str] = []
+    return await draft_client(site, name, said).send(text, by), said
 
-    def client(self, site: LocalCluster, name: str, said: list[str]) -> DraftClient:
-        return DraftClient([Address((site.ip[name], CTL))], said.append)
 
-    async def drafted(
-        self, site: LocalCluster, name: str, text: bytes, by: str = "amel"
-    ) -> tuple[int, list[str]]:
-        said: list[str] = []
-        return await self.client(site, name, said).send(text, by), said
+async def leave_alone(site: LocalCluster, name: str) -> None:
+    """Only that controller is left."""
+    for other in [each for each in site.controllers if each != name]:
+        await site.kill(site.controllers[other])
+    await site.until(lambda: not site.controllers[name].consensus.is_leader())
 
-    async def alone(self, site: LocalCluster, name: str) -> None:
-        """Only that controller is left."""
-        for other in [each for each in site.controllers if each != name]:
-            await site.kill(site.controllers[other])
-        await site.until(lambda: not site.controllers[name].consensus.is_leader())
 
-    async def rejoined(self, site: LocalCluster, ver: int) -> None:
-        await site.until(lambda: all(each.active_version == ver for each in site.proxies.values()))
+async def wait_for_version(site: LocalCluster, ver: int) -> None:
+    await site.until(lambda: all(each.active_version == ver for each in site.proxies.values()))
 
-    def rule(self, site: LocalCluster, name: str):
-        table = site.proxies[name].router.tables.active
-        return next(rule for rule in table.configuration.ports[0].policy if rule.name == "r-claim")
 
-    async def test_edits_of_one_route_on_both_sides_are_both_kept_and_reported(self) -> None:
-        site = await self.site()
-        await self.alone(site, "m3")
-        status, said = await self.drafted(site, "m3", edit(Action={"Svc": "reparation"}))
+def claim_rule(site: LocalCluster, name: str):
+    table = site.proxies[name].router.tables.active
+    return next(rule for rule in table.configuration.ports[0].policy if rule.name == "r-claim")
+
+
+async def test_edits_of_one_route_on_both_sides_are_both_kept_and_reported() -> None:
+    async with serving_cluster(TWO_SERVICES) as site:
+        await leave_alone(site, "m3")
+        status, said = await send_draft(site, "m3", edit(Action={"Svc": "reparation"}))
         name = said[0].split()[1]
-        self.assertEqual((status, said), (0, [
-            f"draft {name} on version 1: kept on 1 disk, not in force",
-            "  mind: no neighbour has a copy: it is lost with that machine"]))  # fmt: skip
+        assert (status, said) == (
+            0,
+            [
+                f"draft {name} on version 1: kept on 1 disk, not in force",
+                "  mind: no neighbour has a copy: it is lost with that machine",
+            ],
+        )
         said = []
-        self.assertEqual(await self.client(site, "m3", said).print_drafts(), 0)
-        self.assertEqual(said, [
+        assert await draft_client(site, "m3", said).print_drafts() == 0
+        assert said == [
             "no leader is reached from here: what was merged elsewhere is not known",
             f"{name} by amel at m3 on version 1: kept, not in force",
-            "  Routes/r-claim/Action/Svc"])  # fmt: skip
-        self.assertEqual(self.rule(site, "m3").action.svc, "garantie")
+            "  Routes/r-claim/Action/Svc",
+        ]
+        assert claim_rule(site, "m3").action.svc == "garantie"
         # The other side: an acknowledged change of the same route.
         await site.kill(site.controllers["m3"])
         for each in ("m1", "m2"):
@@ -79,21 +84,22 @@
         while await site.put(change, "conf.update") != 200:
             await asyncio.sleep(0.02)
         await site.start_controller("m3")
-        await self.rejoined(site, 5)
+        await wait_for_version(site, 5)
         for each in site.names:
-            rule = self.rule(site, each)
-            self.assertEqual((rule.action.svc, rule.action.timeout, rule.prio), ("reparation", 1_500_000, 0))
+            rule = claim_rule(site, each)
+            assert (rule.action.svc, rule.action.timeout, rule.prio) == ("reparation", 1_500_000, 0)
         said = []
-        self.assertEqual(await self.client(site, "m1", said).print_drafts(), 0)
-        self.assertEqual(said, [f"{name} by amel at m3 on version 1: merged, all of it stands"])
+        assert await draft_client(site, "m1", said).print_drafts() == 0
+        assert said == [f"{name} by amel at m3 on version 1: merged, all of it stands"]
         await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
 
-    async def test_a_conflicting_field_is_reported_and_accepted_or_dropped(self) -> None:
-        site = await self.site()
-        await self.alone(site, "m3")
-        _, said = await self.drafted(site, "m3", edit(Prio=3, Action={"Svc": "reparation"}))
+
+async def test_a_conflicting_field_is_reported_and_accepted_or_dropped() -> None:
+    async with serving_cluster(TWO_SERVICES) as site:
+        await leave_alone(site, "m3")
+        _, said = await send_draft(site, "m3", edit(Prio=3, Action={"Svc": "reparation"}))
         name = said[0].split()[1]
-        _, said = await self.drafted(site, "m3", edit(Mode="idem", Prio=5), "badr")
+        _, said = await send_draft(site, "m3", edit(Mode="idem", Prio=5), "badr")
         other = said[0].split()[1]
         await site.kill(site.controllers["m3"])
         for each in ("m1", "m2"):
@@ -104,44 +110,51 @@
         await site.start_controller("m3")
         await site.until(lambda: len(site.controllers["m2"].state_machine.open_drafts()) == 2)
         said = []
-        client = self.client(site, "m2", said)
-        self.assertEqual(await client.print_drafts(), 1)
-        self.assertEqual(sorted(said), sorted([
-            f"{name} by amel at m3 on version 1: merged in part",
-            "  Routes/r-claim/Prio: has 0, wants 3: acknowledged since",
-            f"{other} by badr at m3 on version 1: merged in part",
-            "  Routes/r-claim/Prio: has 0, wants 5: acknowledged since"]))  # fmt: skip
-        self.assertEqual(await client.settle(name), 0)
-        await site.until(lambda: all(self.rule(site, each).prio == 3 for each in site.names))
-        rule = self.rule(site, "m1")
-        self.assertEqual((rule.action.svc, rule.mode), ("reparation", "idem"))
-        self.assertEqual(await client.drop(other), 0)
-        self.assertEqual(await client.drop(other), 1)
-        self.assertEqual(said[-3:], [
-            f"draft {name}: what was set aside is acknowledged", f"draft {other}: closed",
-            "answered 404: no such draft is open"])  # fmt: skip
-        self.assertEqual(await client.print_drafts(), 0)
-
-    async def test_a_replica_on_another_disk_survives_the_drafts_own_disk(self) -> None:
-        site = await self.site()
+        client = draft_client(site, "m2", said)
+        assert await client.print_drafts() == 1
+        assert sorted(said) == sorted(
+            [
+                f"{name} by amel at m3 on version 1: merged in part",
+                "  Routes/r-claim/Prio: has 0, wants 3: acknowledged since",
+                f"{other} by badr at m3 on version 1: merged in part",
+                "  Routes/r-claim/Prio: has 0, wants 5: acknowledged since",
+            ]
+        )
+        assert await client.settle(name) == 0
+        await site.until(lambda: all(claim_rule(site, each).prio == 3 for each in site.names))
+        rule = claim_rule(site, "m1")
+        assert (rule.action.svc, rule.mode) == ("reparation", "idem")
+        assert await client.drop(other) == 0
+        assert await client.drop(other) == 1
+        assert said[-3:] == [
+            f"draft {name}: what was set aside is acknowledged",
+            f"draft {other}: closed",
+            "answered 404: no such draft is open",
+        ]
+        assert await client.print_drafts() == 0
+
+
+async def test_a_replica_on_another_disk_survives_the_drafts_own_disk() -> None:
+    async with serving_cluster(TWO_SERVICES) as site:
         while not site.controllers["m3"].node.leader:
             await asyncio.sleep(0.02)
         # Two of three on this side, but neither may lead: drafts are kept all the same.
         for controller in site.controllers.values():
             controller.consensus.is_leader = lambda: False
         with mock.patch.object(drafts, "COPY_TIMEOUT_S", 5.0):  # a machine busy with other work
-            status, said = await self.drafted(site, "m3", edit(Prio=0))
-        self.assertEqual((status, said[0].split(": ")[1]), (0, "kept on 3 disks, not in force"))
-        await self.alone(site, "m1")
+            status, said = await send_draft(site, "m3", edit(Prio=0))
+        assert (status, said[0].split(": ")[1]) == (0, "kept on 3 disks, not in force")
+        await leave_alone(site, "m1")
         await site.kill(site.controllers["m1"])
         shutil.rmtree(os.path.join(site.folder, "m3"))
         for each in ("m1", "m2"):
             await site.start_controller(each)
-        await self.rejoined(site, 2)
-        self.assertEqual(self.rule(site, "m2").prio, 0)
+        await wait_for_version(site, 2)
+        assert claim_rule(site, "m2").prio == 0
+
 
-    async def test_a_leader_lost_while_three_partitions_merge(self) -> None:
-        site = await self.site()
+async def test_a_leader_lost_while_three_partitions_merge() -> None:
+    async with serving_cluster(TWO_SERVICES) as site:
         partition = Partition(site)
         partition.isolate("m1"), partition.isolate("m2"), partition.isolate("m3")
         await site.until(
@@ -149,8 +162,8 @@
         )
         edits = {"m1": edit(Prio=4), "m2": edit(Action={"Svc": "reparation"}), "m3": edit(Mode="idem")}
         for name, text in edits.items():
-            self.assertEqual((await self.drafted(site, name, text, name))[0], 0)
-        self.assertEqual({each.active_version for each in site.proxies.values()}, {1})
+            assert (await send_draft(site, name, text, name))[0] == 0
+        assert {each.active_version for each in site.proxies.values()} == {1}
         partition.isolated.clear()
         await site.until(
             lambda: any(controller.state_machine.state.drafts for controller in site.controllers.values())
@@ -162,21 +175,22 @@
         await site.start_controller(leader)
 
         def whole(name: str) -> bool:
-            rule = self.rule(site, name)
+            rule = claim_rule(site, name)
             return (rule.prio, rule.action.svc, rule.mode) == (4, "reparation", "idem")
 
         await site.until(lambda: all(whole(each) for each in site.names))
         await site.until(
             lambda: not any(controller.draft_delivery.stored() for controller in site.controllers.values())
         )
-        self.assertEqual(len(site.controllers[leader].state_machine.state.merged_draft_ids), 3)
+        assert len(site.controllers[leader].state_machine.state.merged_draft_ids) == 3
 
-    async def test_a_partition_that_recurs_during_the_merge_merges_once(self) -> None:
-        site = await self.site()
+
+async def test_a_partition_that_recurs_during_the_merge_merges_once() -> None:
+    async with serving_cluster(TWO_SERVICES) as site:
         partition = Partition(site)
         partition.isolate("m3")
         await site.until(lambda: any(site.controllers[each].consensus.is_leader() for each in ("m1", "m2")))
-        await self.drafted(site, "m3", edit(Action={"Svc": "reparation"}))
+        await send_draft(site, "m3", edit(Action={"Svc": "reparation"}))
         change = {"Ver": 4, "Base": 1, **claim(Prio=0)}
         controllers = [(site.ip[each], CTL) for each in ("m1", "m2")]
         while await post_to_any(controllers, "/-/rpc?call=conf.update", msgspec.json.encode(change)) != 200:
@@ -187,30 +201,29 @@
         )
         partition.isolate("m3")
         await site.until(lambda: site.proxies["m1"].active_version == site.proxies["m2"].active_version == 5)
-        self.assertEqual((self.rule(site, "m1").prio, self.rule(site, "m1").action.svc), (0, "reparation"))
+        assert (claim_rule(site, "m1").prio, claim_rule(site, "m1").action.svc) == (0, "reparation")
         partition.isolated.clear()
-        await self.rejoined(site, 5)
+        await wait_for_version(site, 5)
         await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
-        self.assertEqual(
-            {controller.state_machine.state.version for controller in site.controllers.values()}, {5}
-        )
+        assert {controller.state_machine.state.version for controller in site.controllers.values()} == {5}
+
 
-    async def test_invalid_drafts_are_rejected_with_the_reason(self) -> None:
-        site = await self.site()
+async def test_invalid_drafts_are_rejected_with_the_reason() -> None:
+    async with serving_cluster(TWO_SERVICES) as site:
         for text, wrong in (
             (edit(Action={"Svc": "nowhere"}), "service 'nowhere' is not in Pools"),
             (edit(), "nothing would change"),
             (edit(Mode="never"), "'never' is no mode"),
             (b'{"Upsert": 3}', "Upsert and Del are objects"),
         ):
-            status, said = await self.drafted(site, "m2", text)
-            self.assertEqual(status, 1)
-            self.assertIn(wrong, said[0])
+            status, said = await send_draft(site, "m2", text)
+            assert status == 1
+            assert wrong in said[0]
         for text in (b"{", b"[]", b'{"Ver": 3}'):
-            with self.assertRaises(InvalidInputError):
-                await self.drafted(site, "m2", text)
+            with pytest.raises(InvalidInputError):
+                await send_draft(site, "m2", text)
         body = msgspec.json.encode({"Base": 7, "By": "x", **claim(Prio=0)})
-        self.assertEqual(await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body), 412)
+        assert await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body) == 412
         for body, status in ((b"{", 400), (b"[]", 400), (b'{"Base":1}', 400)):
-            self.assertEqual(await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body), status)
-        self.assertFalse(any(controller.draft_delivery.stored() for controller in site.controllers.values()))
+            assert await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body) == status
+        assert not any(controller.draft_delivery.stored() for controller in site.controllers.values())
--- a/tests/gateway/controller/test_proxy_list_feed.py
+++ b/tests/gateway/controller/test_proxy_list_feed.py
@@ -1,24 +1,24 @@
 """Lists of live proxies told by their changes, and whole where the base is not known."""
 
-import unittest
 from random import Random
 
 import msgspec
+import pytest
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.controller.watch_service import MAX_FAN_OUT_INTERVAL_US, fan_out_interval_us
-from lapisgrade.gateway.controller.proxy_list_feed import MAX_LISTS, ProxyListFeed
 from lapisgrade.gateway.controller.commands import LiveProxies, encode_command
+from lapisgrade.gateway.controller.proxy_list_feed import MAX_LISTS, ProxyListFeed
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
+from lapisgrade.gateway.controller.watch_service import MAX_FAN_OUT_INTERVAL_US, fan_out_interval_us
 
 
 def members(names, life: str = "1") -> rpc_messages.ProxiesByName:
     return {name: (f"10.0.0.1:{name}", life, "z") for name in map(str, names)}
 
 
-class ProxyLists(unittest.TestCase):
-    def setUp(self) -> None:
+class ProxyListLeader:
+    def __init__(self) -> None:
         self.state_machine, self.watch = StateMachine(), Watch(SECOND, 0)
         self.watch.become_leader(0, 1, self.state_machine.state)
 
@@ -31,45 +31,53 @@
         self.state_machine.apply(fence, encode_command(LiveProxies(made, [], [])))
         self.told(fence)  # the leader looks at each list as it comes
 
-    def test_a_reader_with_any_earlier_list_reaches_the_newest(self) -> None:
-        for seed in range(20):
-            self.setUp()
-            random, made, held = Random(seed), members(range(40)), {0: {}}
-            for fence in range(1, 25):
-                self.listed(fence, made)
-                for base in random.sample(sorted(held), min(len(held), 4)):
-                    news = self.told(base)
-                    self.assertEqual(news.updated_proxies(base, held[base]), made)
-                held[fence] = made
-                gone = random.sample(sorted(made), min(len(made), random.choice((0, 1, 10))))
-                made = {name: each for name, each in made.items() if name not in gone}
-                made |= members(random.sample(range(60), random.choice((0, 1, 10))), str(fence))
-
-    def test_a_change_of_ten_in_two_hundred_costs_a_tenth_of_the_list(self) -> None:
-        first = members(range(200))
-        self.listed(1, first)
-        whole = self.told(0)
-        self.listed(2, {**first, **members(range(10), "2")})
-        delta = self.told(1)
-        self.assertIsNone(delta.live_proxies)
-        self.assertLess(len(msgspec.msgpack.encode(delta)), 0.1 * len(msgspec.msgpack.encode(whole)))
-
-    def test_a_delta_on_a_different_list_is_rejected(self) -> None:
-        delta = rpc_messages.ProxyListDelta(4, members([1]), [])
-        news = rpc_messages.WatchReply(True, fencing_token=5, live_proxies_delta=delta)
-        self.assertIsNone(news.updated_proxies(3, members([2])))
-        self.assertEqual(news.updated_proxies(4, members([2])), members([1, 2]))
-
-    def test_remembered_lists_are_bounded(self) -> None:
-        feed = ProxyListFeed()
-        for fence in range(1, 10 * MAX_LISTS):
-            feed.remember(fence, fence, members(range(fence % 7)))
-        self.assertIsNone(feed.delta(1, 10 * MAX_LISTS - 1))
-        self.assertLessEqual(len(feed._lists), MAX_LISTS)
-
-
-class FanOut(unittest.TestCase):
-    def test_the_fan_out_interval_grows_with_the_proxies_up_to_a_bound(self) -> None:
-        self.assertLess(fan_out_interval_us(12), 5_000)
-        self.assertLess(fan_out_interval_us(200), 100_000)
-        self.assertEqual(fan_out_interval_us(13_000), MAX_FAN_OUT_INTERVAL_US)
+
+@pytest.fixture
+def leader() -> ProxyListLeader:
+    return ProxyListLeader()
+
+
+def test_a_reader_with_any_earlier_list_reaches_the_newest(leader: ProxyListLeader) -> None:
+    for seed in range(20):
+        leader = ProxyListLeader()
+        random, made, held = Random(seed), members(range(40)), {0: {}}
+        for fence in range(1, 25):
+            leader.listed(fence, made)
+            for base in random.sample(sorted(held), min(len(held), 4)):
+                news = leader.told(base)
+                assert news.updated_proxies(base, held[base]) == made
+            held[fence] = made
+            gone = random.sample(sorted(made), min(len(made), random.choice((0, 1, 10))))
+            made = {name: each for name, each in made.items() if name not in gone}
+            made |= members(random.sample(range(60), random.choice((0, 1, 10))), str(fence))
+
+
+def test_a_change_of_ten_in_two_hundred_costs_a_tenth_of_the_list(leader: ProxyListLeader) -> None:
+    first = members(range(200))
+    leader.listed(1, first)
+    whole = leader.told(0)
+    leader.listed(2, {**first, **members(range(10), "2")})
+    delta = leader.told(1)
+    assert delta.live_proxies is None
+    assert len(msgspec.msgpack.encode(delta)) < 0.1 * len(msgspec.msgpack.encode(whole))
+
+
+def test_a_delta_on_a_different_list_is_rejected(leader: ProxyListLeader) -> None:
+    delta = rpc_messages.ProxyListDelta(4, members([1]), [])
+    news = rpc_messages.WatchReply(True, fencing_token=5, live_proxies_delta=delta)
+    assert news.updated_proxies(3, members([2])) is None
+    assert news.updated_proxies(4, members([2])) == members([1, 2])
+
+
+def test_remembered_lists_are_bounded(leader: ProxyListLeader) -> None:
+    feed = ProxyListFeed()
+    for fence in range(1, 10 * MAX_LISTS):
+        feed.remember(fence, fence, members(range(fence % 7)))
+    assert feed.delta(1, 10 * MAX_LISTS - 1) is None
+    assert len(feed._lists) <= MAX_LISTS
+
+
+def test_the_fan_out_interval_grows_with_the_proxies_up_to_a_bound() -> None:
+    assert fan_out_interval_us(12) < 5_000
+    assert fan_out_interval_us(200) < 100_000
+    assert fan_out_interval_us(13_000) == MAX_FAN_OUT_INTERVAL_US
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -1,8 +1,7 @@
 """The state machine: changes one after another, as the log orders them."""
 
-import unittest
-
 import msgspec
+import pytest
 
 from lapisgrade.gateway.controller.commands import (
     ConfigurationChange,
@@ -31,101 +30,103 @@
         return msgspec.json.decode(self.state_machine.state.configuration)
 
 
-class Configurations(unittest.TestCase):
-    def test_a_configuration_is_read_back_as_it_was_stored(self):
-        operator = Operator()
-        self.assertEqual(operator.send(WHOLE), (200, ""))
-        self.assertEqual(operator.shown(), {name: each for name, each in WHOLE.items() if name != "Base"})
-
-    def test_of_two_operators_on_one_base_the_second_is_rejected(self):
-        operator = Operator()
-        operator.send(WHOLE)
-        transcript = [
-            operator.send(changed(Ver=9, Base=7)),
-            operator.send(changed(Ver=11, Base=7)),
-            operator.send(changed(Ver=9, Base=7)),  # the winner, unsure, sends the same again
-            operator.send(changed(Ver=11, Base=9)),
-        ]
-        self.assertEqual(transcript, [(200, ""), (412, "version 9 is in force, not 7"), (200, ""), (200, "")])
-
-    def test_a_reformatted_change_is_the_same_change(self):
-        operator = Operator()
-        operator.send(WHOLE)
-        again = dict(reversed(WHOLE.items()))
-        self.assertEqual(operator.send(again), (200, ""))
-        self.assertEqual(
-            operator.send(changed(Tenants=None)), (412, "version 7 is not above 7, which is in force")
-        )
-
-    def test_each_kind_of_invalid_configuration_is_rejected_with_the_reason(self):
-        operator = Operator()
-        operator.send(changed(Ver=3))
-        cut = msgspec.json.encode(WHOLE)[:-9]
-        split = [{"Svc": "garantie", "Wt": 0}, {"Svc": "reports", "Wt": 0}]
-        cases = {
-            "cut short": (cut, "the body is not whole JSON"),
-            "unknown service": (with_action(Svc="nobody"), "route r-stock: service 'nobody' is not in Pools"),
-            "no time-out": (with_action(Timeout="0ms"), "Timeout is 0, not above 0"),
-            "weight below 0": (
-                with_action(Svc="", Split=[{"Svc": "reports", "Wt": -1}]),
-                "Wt is -1, below 0",
-            ),
-            "no weight": (with_action(Svc="", Split=split), "the weights of Split add up to 0"),
-            "bare prefix": (with_rule(Match={"Pfx": "stock/"}), "'stock/' does not begin with a slash"),
-            "old version": (changed(Ver=3, Base=3, Tenants=[]), "version 3 is not above 3"),
-            "a name twice": (with_rule(Name="r-claim"), "a route stands twice: 'r-claim'"),
-            "a number as text": (changed(Ver="7"), "Ver and Base are whole numbers"),
-        }
-        for name, (body, words) in cases.items():
-            with self.subTest(name):
-                if isinstance(body, dict) and name not in ("old version",):
-                    body = {**body, "Base": 3}
-                status, wrong = operator.send(body)
-                self.assertEqual(status, 400)
-                self.assertIn(words, wrong)
-        self.assertEqual(operator.state_machine.state.version, 3)
-
-    def test_a_key_is_never_shown(self):
-        twice = [{"Name": "a", "Apikeys": ["secret"]}, {"Name": "b", "Apikeys": ["secret"]}]
-        self.assertEqual(Operator().send(changed(Tenants=twice)), (400, "a key stands twice"))
-
-    def test_named_items_are_changed_and_removed_and_the_rest_stays(self):
-        operator = Operator()
-        operator.send(WHOLE)
-        new = {**RULE, "Name": "r-new", "Match": {"Pfx": "/new/"}}
-        change = {
-            "Ver": 9,
-            "Base": 7,
-            "Del": {"Routes": ["r-claim"]},
-            "Upsert": {
-                "Ports": [{"Vhost": "a.example", "Policy": [{**RULE, "Prio": 0}, new]}],
-                "Tenants": [{"Name": "port", "Apikeys": ["k3"]}],
-            },
-        }
-        self.assertEqual(operator.send(change, whole=False), (200, ""))
-        shown = operator.shown()
-        self.assertEqual(shown["Ports"], [{"Vhost": "a.example", "Policy": [{**RULE, "Prio": 0}, new]}])
-        self.assertEqual([each["Name"] for each in shown["Tenants"]], ["sfax", "port"])
-        self.assertEqual((shown["Ver"], shown["Pools"]), (9, WHOLE["Pools"]))
-        self.assertEqual(operator.send(change, whole=False), (200, ""))
-
-    def test_a_state_survives_a_snapshot(self):
-        operator, other = Operator(), StateMachine()
-        operator.send(WHOLE)
-        operator.state_machine.apply(2, encode_command(ServerLeaving("i-1", False)))
-        operator.state_machine.apply(
-            3, encode_command(ServerSnapshot([Server("i-2", "garantie", "10.0.0.1:80", "z", 2, "up", 4)]))
-        )
-        other.load(operator.state_machine.dump())
-        self.assertEqual(other.state, operator.state_machine.state)
-
-
-class Servers(unittest.TestCase):
-    def test_all_servers_of_a_large_deployment_may_leave_at_once(self):
-        state_machine = StateMachine()
-        for number in range(13_000):
-            state_machine.apply(number, encode_command(ServerLeaving(f"i-{number}", number % 2 == 0)))
-        self.assertEqual(len(state_machine.state.departed_servers), 13_000)
-        again = StateMachine()
-        again.load(state_machine.dump())
-        self.assertEqual(again.state, state_machine.state)
+def test_a_configuration_is_read_back_as_it_was_stored():
+    operator = Operator()
+    assert operator.send(WHOLE) == (200, "")
+    assert operator.shown() == {name: each for name, each in WHOLE.items() if name != "Base"}
+
+
+def test_of_two_operators_on_one_base_the_second_is_rejected():
+    operator = Operator()
+    operator.send(WHOLE)
+    transcript = [
+        operator.send(changed(Ver=9, Base=7)),
+        operator.send(changed(Ver=11, Base=7)),
+        operator.send(changed(Ver=9, Base=7)),  # the winner, unsure, sends the same again
+        operator.send(changed(Ver=11, Base=9)),
+    ]
+    assert transcript == [(200, ""), (412, "version 9 is in force, not 7"), (200, ""), (200, "")]
+
+
+def test_a_reformatted_change_is_the_same_change():
+    operator = Operator()
+    operator.send(WHOLE)
+    again = dict(reversed(WHOLE.items()))
+    assert operator.send(again) == (200, "")
+    assert operator.send(changed(Tenants=None)) == (412, "version 7 is not above 7, which is in force")
+
+
+def test_each_kind_of_invalid_configuration_is_rejected_with_the_reason(subtests: pytest.Subtests):
+    operator = Operator()
+    operator.send(changed(Ver=3))
+    cut = msgspec.json.encode(WHOLE)[:-9]
+    split = [{"Svc": "garantie", "Wt": 0}, {"Svc": "reports", "Wt": 0}]
+    cases = {
+        "cut short": (cut, "the body is not whole JSON"),
+        "unknown service": (with_action(Svc="nobody"), "route r-stock: service 'nobody' is not in Pools"),
+        "no time-out": (with_action(Timeout="0ms"), "Timeout is 0, not above 0"),
+        "weight below 0": (
+            with_action(Svc="", Split=[{"Svc": "reports", "Wt": -1}]),
+            "Wt is -1, below 0",
+        ),
+        "no weight": (with_action(Svc="", Split=split), "the weights of Split add up to 0"),
+        "bare prefix": (with_rule(Match={"Pfx": "stock/"}), "'stock/' does not begin with a slash"),
+        "old version": (changed(Ver=3, Base=3, Tenants=[]), "version 3 is not above 3"),
+        "a name twice": (with_rule(Name="r-claim"), "a route stands twice: 'r-claim'"),
+        "a number as text": (changed(Ver="7"), "Ver and Base are whole numbers"),
+    }
+    for name, (body, words) in cases.items():
+        with subtests.test(name):
+            if isinstance(body, dict) and name not in ("old version",):
+                body = {**body, "Base": 3}
+            status, wrong = operator.send(body)
+            assert status == 400
+            assert words in wrong
+    assert operator.state_machine.state.version == 3
+
+
+def test_a_key_is_never_shown():
+    twice = [{"Name": "a", "Apikeys": ["secret"]}, {"Name": "b", "Apikeys": ["secret"]}]
+    assert Operator().send(changed(Tenants=twice)) == (400, "a key stands twice")
+
+
+def test_named_items_are_changed_and_removed_and_the_rest_stays():
+    operator = Operator()
+    operator.send(WHOLE)
+    new = {**RULE, "Name": "r-new", "Match": {"Pfx": "/new/"}}
+    change = {
+        "Ver": 9,
+        "Base": 7,
+        "Del": {"Routes": ["r-claim"]},
+        "Upsert": {
+            "Ports": [{"Vhost": "a.example", "Policy": [{**RULE, "Prio": 0}, new]}],
+            "Tenants": [{"Name": "port", "Apikeys": ["k3"]}],
+        },
+    }
+    assert operator.send(change, whole=False) == (200, "")
+    shown = operator.shown()
+    assert shown["Ports"] == [{"Vhost": "a.example", "Policy": [{**RULE, "Prio": 0}, new]}]
+    assert [each["Name"] for each in shown["Tenants"]] == ["sfax", "port"]
+    assert (shown["Ver"], shown["Pools"]) == (9, WHOLE["Pools"])
+    assert operator.send(change, whole=False) == (200, "")
+
+
+def test_a_state_survives_a_snapshot():
+    operator, other = Operator(), StateMachine()
+    operator.send(WHOLE)
+    operator.state_machine.apply(2, encode_command(ServerLeaving("i-1", False)))
+    operator.state_machine.apply(
+        3, encode_command(ServerSnapshot([Server("i-2", "garantie", "10.0.0.1:80", "z", 2, "up", 4)]))
+    )
+    other.load(operator.state_machine.dump())
+    assert other.state == operator.state_machine.state
+
+
+def test_all_servers_of_a_large_deployment_may_leave_at_once():
+    state_machine = StateMachine()
+    for number in range(13_000):
+        state_machine.apply(number, encode_command(ServerLeaving(f"i-{number}", number % 2 == 0)))
+    assert len(state_machine.state.departed_servers) == 13_000
+    again = StateMachine()
+    again.load(state_machine.dump())
+    assert again.state == state_machine.state
--- a/tests/gateway/membership/test_partial_view.py
+++ b/tests/gateway/membership/test_partial_view.py
@@ -1,18 +1,17 @@
 """Partial views shuffled between neighbours, in simulated time."""
 
 import heapq
-import unittest
 from random import Random
 
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.membership.gossip import CODEC
 from lapisgrade.gateway.membership.partial_view import (
-    MAX_VIEW,
     MAX_CONTROLLERS,
+    MAX_VIEW,
+    ControlHint,
     Neighbour,
-    Shuffle,
     PartialView,
-    ControlHint,
+    Shuffle,
 )
 
 
@@ -67,66 +66,64 @@
         return found
 
 
-class PartialViewTest(unittest.TestCase):
-    def test_all_find_each_other_within_seconds_at_a_cost_that_does_not_grow(self) -> None:
-        costs = []
-        for count in (20, 300):
-            world = World(count)
-            world.run(6)
-            for name in world.partial_view:
-                self.assertEqual(len(world.reached(name)), count)
-            world.sent = world.bytes = 0
-            world.run(10)
-            costs.append(world.bytes / count / 10)
-            known = [
-                sum(name in each.view for each in world.partial_view.values()) for name in world.partial_view
-            ]
-            self.assertGreater(min(known), 0)
-            self.assertLess(max(known), 3 * MAX_VIEW)  # nobody is everybody's neighbour
-        self.assertLess(costs[1], 1.2 * costs[0])
-
-    def test_those_that_die_are_forgotten_and_the_others_stay_connected(self) -> None:
-        world = World(120)
-        world.run(8)
-        for name in list(world.partial_view)[::2]:
-            del world.partial_view[name]
-        world.run(30)
-        live = set(world.partial_view)
-        self.assertEqual(world.reached(next(iter(live))) & live, live)
-        dead = sum(name not in live for each in world.partial_view.values() for name in each.view)
-        self.assertLess(dead, 0.05 * sum(len(each.view) for each in world.partial_view.values()))
-
-    def test_halves_that_were_cut_meet_again_by_one_introduction(self) -> None:
-        world = World(40)
-        names = list(world.partial_view)
-        world.run(5)
-        for name in names[:20]:
-            world.side[name] = 1
-        world.run(40)
-        self.assertEqual(world.reached(names[0]) & set(names[20:]), set())
-        world.side = dict.fromkeys(names, 0)
-        world.partial_view[names[0]].introduce([names[30]])
+def test_all_find_each_other_within_seconds_at_a_cost_that_does_not_grow() -> None:
+    costs = []
+    for count in (20, 300):
+        world = World(count)
+        world.run(6)
+        for name in world.partial_view:
+            assert len(world.reached(name)) == count
+        world.sent = world.bytes = 0
         world.run(10)
-        self.assertEqual(len(world.reached(names[0])), 40)
-
-    def test_a_neighbour_that_lies_is_bounded(self) -> None:
-        partial_view = PartialView("10.0.0.1:1", "z", Random(1), 0)
-        flood = [Neighbour(f"10.1.0.{each}:1", "z") for each in range(200)]
-        partial_view.on_shuffle("10.0.0.9:1", Shuffle(False, ControlHint(), flood))
-        self.assertLessEqual(len(partial_view.view), 6)
-        strange = [
-            Neighbour("nobody", "z"),
-            Neighbour("10.0.0.2:99999", "z"),
-            Neighbour("10.0.0.3:1", "z" * 65),
-            Neighbour("10.0.0.4:1", "z", -1),
+        costs.append(world.bytes / count / 10)
+        known = [
+            sum(name in each.view for each in world.partial_view.values()) for name in world.partial_view
         ]
-        partial_view.view.clear()
-        partial_view.on_shuffle(
-            "10.0.0.9:1",
-            Shuffle(True, ControlHint(9, "here", ["10.0.0.2:1"] * (MAX_CONTROLLERS + 1)), strange),
-        )
-        self.assertEqual((partial_view.view, partial_view.control_hint), ({}, ControlHint()))
-
-
-if __name__ == "__main__":
-    unittest.main()
+        assert min(known) > 0
+        assert max(known) < 3 * MAX_VIEW  # nobody is everybody's neighbour
+    assert costs[1] < 1.2 * costs[0]
+
+
+def test_those_that_die_are_forgotten_and_the_others_stay_connected() -> None:
+    world = World(120)
+    world.run(8)
+    for name in list(world.partial_view)[::2]:
+        del world.partial_view[name]
+    world.run(30)
+    live = set(world.partial_view)
+    assert world.reached(next(iter(live))) & live == live
+    dead = sum(name not in live for each in world.partial_view.values() for name in each.view)
+    assert dead < 0.05 * sum(len(each.view) for each in world.partial_view.values())
+
+
+def test_halves_that_were_cut_meet_again_by_one_introduction() -> None:
+    world = World(40)
+    names = list(world.partial_view)
+    world.run(5)
+    for name in names[:20]:
+        world.side[name] = 1
+    world.run(40)
+    assert world.reached(names[0]) & set(names[20:]) == set()
+    world.side = dict.fromkeys(names, 0)
+    world.partial_view[names[0]].introduce([names[30]])
+    world.run(10)
+    assert len(world.reached(names[0])) == 40
+
+
+def test_a_neighbour_that_lies_is_bounded() -> None:
+    partial_view = PartialView("10.0.0.1:1", "z", Random(1), 0)
+    flood = [Neighbour(f"10.1.0.{each}:1", "z") for each in range(200)]
+    partial_view.on_shuffle("10.0.0.9:1", Shuffle(False, ControlHint(), flood))
+    assert len(partial_view.view) <= 6
+    strange = [
+        Neighbour("nobody", "z"),
+        Neighbour("10.0.0.2:99999", "z"),
+        Neighbour("10.0.0.3:1", "z" * 65),
+        Neighbour("10.0.0.4:1", "z", -1),
+    ]
+    partial_view.view.clear()
+    partial_view.on_shuffle(
+        "10.0.0.9:1",
+        Shuffle(True, ControlHint(9, "here", ["10.0.0.2:1"] * (MAX_CONTROLLERS + 1)), strange),
+    )
+    assert (partial_view.view, partial_view.control_hint) == ({}, ControlHint())
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -11,8 +11,8 @@
 from lapisgrade.gateway.controller.draft_merging import MAX_DRAFTS
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.merge.fields import from_fields, to_fields, diff
-from lapisgrade.gateway.merge.three_way import Draft, make_draft, force_changes, merge_drafts, describe_draft
+from lapisgrade.gateway.merge.fields import diff, from_fields, to_fields
+from lapisgrade.gateway.merge.three_way import Draft, describe_draft, force_changes, make_draft, merge_drafts
 from lapisgrade.lab.explore.rejoin import ConfigurationRandom
 
 CLAIM, SCRIPT = "r-claim", "r-script"
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -2,10 +2,11 @@
 
 import asyncio
 import time
-import unittest
+from collections.abc import Iterator
 from random import Random
 from types import SimpleNamespace
 
+import pytest
 from returns.result import Failure, Success
 
 from lapisgrade.gateway import rpc_messages
@@ -73,89 +74,108 @@
         return Success(reply) if reply is not None else Failure(CallFailure.MAY_HAVE_RUN)
 
 
-class Asked(unittest.IsolatedAsyncioTestCase):
-    async def asyncSetUp(self) -> None:
+class CallingProxy:
+    def __init__(self) -> None:
         self.peers = Peers()
         self.transport = self.peers.transport()
-        self.addCleanup(self.transport.close)
 
     async def add(self) -> CloseReason:
         began = time.monotonic()
         self.transport.add(None, SimpleNamespace(counter_id=self.peers.tenant))
         while not self.peers.ended:
             await asyncio.sleep(0.005)
-        self.assertLess(time.monotonic() - began, 3 * ADD_TIMEOUT_S)
+        assert time.monotonic() - began < 3 * ADD_TIMEOUT_S
         return self.peers.ended[0].reason
 
-    async def test_a_rejection_by_an_owner_with_a_later_list_is_retried_after_the_update(self) -> None:
-        peers = self.peers
-        peers.answers = {
-            OLD: rpc_messages.QuotaReply(False, fencing_token=9),
-            NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9),
-        }
-        update = MembershipUpdate(9, listed(ME, OLD, NEW), (), 5)
-        asyncio.get_running_loop().call_later(0.03, peers.quota_owner.update_members, 1, update)
-        self.assertIs(await self.add(), CloseReason.ANSWERED)
-        self.assertEqual((peers.asked[0], peers.asked[-1]), ((OLD, 5), (NEW, 9)))
-
-    async def test_an_owner_with_an_earlier_list_is_asked_until_it_is_updated(self) -> None:
-        peers = self.peers
-        update = MembershipUpdate(9, listed(ME, OLD, NEW), previous_fencing_token=5)
-        peers.quota_owner.update_members(1, update)
-        peers.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
-        asyncio.get_running_loop().call_later(
-            0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
-        )
-        self.assertIs(await self.add(), CloseReason.ANSWERED)
 
-    async def test_a_call_ends_in_time_where_the_lists_never_agree(self) -> None:
-        self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=9)}
-        self.assertIs(await self.add(), CloseReason.REJECTED)
-        self.assertLess(len(self.peers.asked), 12)
+@pytest.fixture
+def caller() -> Iterator[CallingProxy]:
+    proxy = CallingProxy()
+    yield proxy
+    proxy.transport.close()
+
+
+async def test_a_rejection_by_an_owner_with_a_later_list_is_retried_after_the_update(
+    caller: CallingProxy,
+) -> None:
+    peers = caller.peers
+    peers.answers = {
+        OLD: rpc_messages.QuotaReply(False, fencing_token=9),
+        NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9),
+    }
+    update = MembershipUpdate(9, listed(ME, OLD, NEW), (), 5)
+    asyncio.get_running_loop().call_later(0.03, peers.quota_owner.update_members, 1, update)
+    assert await caller.add() is CloseReason.ANSWERED
+    assert (peers.asked[0], peers.asked[-1]) == ((OLD, 5), (NEW, 9))
+
+
+async def test_an_owner_with_an_earlier_list_is_asked_until_it_is_updated(caller: CallingProxy) -> None:
+    peers = caller.peers
+    update = MembershipUpdate(9, listed(ME, OLD, NEW), previous_fencing_token=5)
+    peers.quota_owner.update_members(1, update)
+    peers.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
+    asyncio.get_running_loop().call_later(
+        0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
+    )
+    assert await caller.add() is CloseReason.ANSWERED
 
-    async def test_a_rejection_under_the_same_list_is_final_and_silence_is_a_time_out(self) -> None:
-        self.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=5)}
-        self.assertIs(await self.add(), CloseReason.REJECTED)
-        self.assertEqual(len(self.peers.asked), 1)
-        self.peers.answers, self.peers.ended[:] = {}, []
-        self.assertIs(await self.add(), CloseReason.TIMED_OUT)
 
+async def test_a_call_ends_in_time_where_the_lists_never_agree(caller: CallingProxy) -> None:
+    caller.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=9)}
+    assert await caller.add() is CloseReason.REJECTED
+    assert len(caller.peers.asked) < 12
 
-class TakeOverTest(unittest.IsolatedAsyncioTestCase):
+
+async def test_a_rejection_under_the_same_list_is_final_and_silence_is_a_time_out(
+    caller: CallingProxy,
+) -> None:
+    caller.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=5)}
+    assert await caller.add() is CloseReason.REJECTED
+    assert len(caller.peers.asked) == 1
+    caller.peers.answers, caller.peers.ended[:] = {}, []
+    assert await caller.add() is CloseReason.TIMED_OUT
+
+
+class NewOwner:
     """This proxy has joined, and owns a count that `OLD` owned before."""
 
-    async def asyncSetUp(self) -> None:
+    def __init__(self) -> None:
         self.peers = Peers()
         owner = self.peers.quota_owner = QuotaOwner(ME, "1", 0)
         owner.update_members(now_us(), MembershipUpdate(5, listed(OLD), previous_fencing_token=0))
         owner.update_members(now_us(), MembershipUpdate(9, listed(ME, OLD), previous_fencing_token=5))
         self.tenant = next(name for name in map(str, range(999)) if owner_of(name, [ME, OLD]) == ME)
         self.transport = self.peers.transport()
-        self.addCleanup(self.transport.close)
 
     async def add(self) -> rpc_messages.QuotaReply:
         return await self.transport.answer_add(
             rpc_messages.QuotaRequest(self.tenant, 1.0, "x", 9, 10.0, 10.0)
         )
 
-    async def test_it_continues_with_the_count_that_the_last_owner_hands_over(self) -> None:
-        handed = rpc_messages.HandedCount(7.0, 0.0, 0)
-        self.peers.answers = {OLD: rpc_messages.HandOverReply(False, handed)}
-        reply = await self.add()
-        self.assertTrue(reply.is_accepted)
-        self.assertAlmostEqual(reply.total, 10.0 - 6.0, delta=0.5)
-        self.assertEqual(self.peers.asked, [(OLD, 9)])
 
-    async def test_it_begins_an_empty_count_where_the_last_owner_has_terminated(self) -> None:
-        self.peers.is_refusing = True
-        reply = await self.add()
-        self.assertTrue(reply.is_accepted)
-        self.assertAlmostEqual(reply.total, 10.0 + 1.0, delta=0.5)
+@pytest.fixture
+def new_owner() -> Iterator[NewOwner]:
+    proxy = NewOwner()
+    yield proxy
+    proxy.transport.close()
+
+
+async def test_it_continues_with_the_count_that_the_last_owner_hands_over(new_owner: NewOwner) -> None:
+    handed = rpc_messages.HandedCount(7.0, 0.0, 0)
+    new_owner.peers.answers = {OLD: rpc_messages.HandOverReply(False, handed)}
+    reply = await new_owner.add()
+    assert reply.is_accepted
+    assert reply.total == pytest.approx(10.0 - 6.0, abs=0.5)
+    assert new_owner.peers.asked == [(OLD, 9)]
+
 
-    async def test_it_adds_nothing_where_the_last_owner_may_still_act(self) -> None:
-        self.peers.answers = {OLD: rpc_messages.HandOverReply(True)}
-        self.assertFalse((await self.add()).is_accepted)
+async def test_it_begins_an_empty_count_where_the_last_owner_has_terminated(new_owner: NewOwner) -> None:
+    new_owner.peers.is_refusing = True
+    reply = await new_owner.add()
+    assert reply.is_accepted
+    assert reply.total == pytest.approx(10.0 + 1.0, abs=0.5)
 
 
-if __name__ == "__main__":
-    unittest.main()
+async def test_it_adds_nothing_where_the_last_owner_may_still_act(new_owner: NewOwner) -> None:
+    new_owner.peers.answers = {OLD: rpc_messages.HandOverReply(True)}
+    assert not (await new_owner.add()).is_accepted
--- a/tests/gateway/proxy/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -1,13 +1,12 @@
 """What the operators' pages ask of a request and of a read: docs/design/rules.md names each test."""
 
 import asyncio
-import unittest
 
 import msgspec
-from support.local_clusters import local_cluster, serving_cluster
 
 from lapisgrade.gateway.local_cluster import SAMPLE, Partition, send_request
 from lapisgrade.net.http import Message
+from support.local_clusters import local_cluster, serving_cluster
 
 KEY = "key-of-sfax"
 
@@ -24,12 +23,8 @@
     return conf
 
 
-class Requests(unittest.IsolatedAsyncioTestCase):
-    async def asyncSetUp(self) -> None:
-        self.site = await self.enterAsyncContext(local_cluster())
-
-    async def test_gone_a_server_stops_work_once_its_client_has_disconnected(self) -> None:
-        site = await self.site.served(work=2.0)
+async def test_gone_a_server_stops_work_once_its_client_has_disconnected() -> None:
+    async with serving_cluster(work=2.0) as site:
         server = site.servers["i-1"]
         for path, method in (("/stock/1", "GET"), ("/claim/1", "POST")):
             asked = asyncio.create_task(site.get("m1", path, KEY, method=method, id=path))
@@ -37,26 +32,29 @@
             asked.cancel()
             await asyncio.gather(asked, return_exceptions=True)
             await site.until(lambda path=path: path in server.dropped)
-            self.assertLess(server.dropped[path], 0.5)
+            assert server.dropped[path] < 0.5
+
 
-    async def test_config_a_request_is_answered_at_its_routes_timeout(self) -> None:
-        site = await self.site.served(with_timeout("400ms"), work=3.0)
+async def test_config_a_request_is_answered_at_its_routes_timeout() -> None:
+    async with serving_cluster(with_timeout("400ms"), work=3.0) as site:
         for path, method in (("/stock/1", "GET"), ("/claim/1", "POST")):
             began = asyncio.get_running_loop().time()
             got = await site.get("m1", path, KEY, method=method)
-            self.assertIn(status(got), (502, 504))
-            self.assertLess(asyncio.get_running_loop().time() - began, 0.65)
+            assert status(got) in (502, 504)
+            assert asyncio.get_running_loop().time() - began < 0.65
 
-    async def test_budget_a_server_is_given_no_more_than_the_remaining_time(self) -> None:
-        site = await self.site.served()
+
+async def test_budget_a_server_is_given_no_more_than_the_remaining_time() -> None:
+    async with serving_cluster() as site:
         server = site.servers["i-1"]
         await site.get("m1", "/stock/1", KEY, id="short", **{"Deadline-Ms": "300"})
         await site.get("m1", "/stock/1", KEY, id="long", **{"Deadline-Ms": "60000"})
-        self.assertTrue(0 < server.deadlines["short"] <= 300, server.deadlines)
-        self.assertTrue(0 < server.deadlines["long"] <= 2000, server.deadlines)  # the route's own
+        assert 0 < server.deadlines["short"] <= 300, server.deadlines
+        assert 0 < server.deadlines["long"] <= 2000, server.deadlines  # the route's own
+
 
-    async def test_budget_no_more_servers_run_a_request_than_its_routes_tries(self) -> None:
-        site = await self.site.served()
+async def test_budget_no_more_servers_run_a_request_than_its_routes_tries() -> None:
+    async with serving_cluster() as site:
         for _ in range(4):
             await site.start_server("garantie")
         await site.until(lambda: all(len(each.servers) == 5 for each in site.proxies.values()))
@@ -65,48 +63,49 @@
         for number in range(20):
             await site.get("m1", f"/stock/{number}", KEY, id=f"try-{number}", tries=1)
         runs = [sum(each.ran[f"try-{number}"] for each in site.servers.values()) for number in range(20)]
-        self.assertLessEqual(max(runs), SAMPLE["Ports"][0]["Policy"][0]["Action"]["Tries"])
+        assert max(runs) <= SAMPLE["Ports"][0]["Policy"][0]["Action"]["Tries"]
+
 
-    async def test_drain_a_deregistered_server_gets_no_more_requests(self) -> None:
-        site = await self.site.served()
+async def test_drain_a_deregistered_server_gets_no_more_requests() -> None:
+    async with serving_cluster() as site:
         await site.start_server("garantie")
         await site.until(lambda: all(len(each.servers) == 2 for each in site.proxies.values()))
         leaving = site.servers["i-1"]
         site.silence(leaving)  # it never says drain, and its last beat is late
         got = await send_request(site.ctl[0], "POST", "/-/rpc?call=servers.deregister&of=i-1")
-        self.assertEqual(status(got), 200)
+        assert status(got) == 200
         await leaving.send_heartbeat(site.ctl)
         await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
         before = leaving.ran.total()
         answers = [status(await site.get(name, "/stock/1", KEY)) for name in site.names for _ in range(4)]
-        self.assertEqual((answers, leaving.ran.total() - before), ([200] * 12, 0))
-
-
-class Unconfigured(unittest.IsolatedAsyncioTestCase):
-    async def test_denied_a_proxy_without_a_configuration_answers_503_and_denies_nobody(self) -> None:
-        async with local_cluster() as site:
-            await site.until(lambda: site.proxies["m1"].client_front.is_listening())
-            got = await site.get("m1", "/stock/1", KEY, tries=1)
-            self.assertEqual(status(got), 503)
-            self.assertIn(b"retry-after", got.headers())
-
-    async def test_config_a_read_is_no_older_than_the_last_acknowledgement_or_gets_503(self) -> None:
-        """Also at a machine that is cut off: it knows of no majority, and answers no older version."""
-        async with serving_cluster() as site:
-            partition = Partition(site)
-            partition.isolate("m3")
-            change = {"Ver": 5, "Base": 1, "Upsert": {"Tenants": []}, "Del": {}}
-            places = [(site.ip[name], 8407) for name in ("m1", "m2")]
-            taken = 0
-            while taken != 200:
-                got = await send_request(
-                    places[0], "POST", "/-/rpc?call=conf.update", msgspec.json.encode(change)
-                )
-                taken = status(got)
-                places.reverse()
-            reads = []
-            for name in site.names:
-                got = await send_request((site.ip[name], 8407), "POST", "/-/rpc?call=conf.show")
-                whole = msgspec.json.decode(b"".join(got.body)) if status(got) == 200 else {}
-                reads.append((status(got), whole.get("Ver")))
-            self.assertEqual(reads, [(200, 5), (200, 5), (503, None)])
+        assert (answers, leaving.ran.total() - before) == ([200] * 12, 0)
+
+
+async def test_denied_a_proxy_without_a_configuration_answers_503_and_denies_nobody() -> None:
+    async with local_cluster() as site:
+        await site.until(lambda: site.proxies["m1"].client_front.is_listening())
+        got = await site.get("m1", "/stock/1", KEY, tries=1)
+        assert status(got) == 503
+        assert b"retry-after" in got.headers()
+
+
+async def test_config_a_read_is_no_older_than_the_last_acknowledgement_or_gets_503() -> None:
+    """Also at a machine that is cut off: it knows of no majority, and answers no older version."""
+    async with serving_cluster() as site:
+        partition = Partition(site)
+        partition.isolate("m3")
+        change = {"Ver": 5, "Base": 1, "Upsert": {"Tenants": []}, "Del": {}}
+        places = [(site.ip[name], 8407) for name in ("m1", "m2")]
+        taken = 0
+        while taken != 200:
+            got = await send_request(
+                places[0], "POST", "/-/rpc?call=conf.update", msgspec.json.encode(change)
+            )
+            taken = status(got)
+            places.reverse()
+        reads = []
+        for name in site.names:
+            got = await send_request((site.ip[name], 8407), "POST", "/-/rpc?call=conf.show")
+            whole = msgspec.json.decode(b"".join(got.body)) if status(got) == 200 else {}
+            reads.append((status(got), whole.get("Ver")))
+        assert reads == [(200, 5), (200, 5), (503, None)]
--- a/tests/gateway/proxy/test_version_rollout.py
+++ b/tests/gateway/proxy/test_version_rollout.py
@@ -1,9 +1,9 @@
 """The versions of the configuration at one proxy: staged, activated, and read as deltas."""
 
-import unittest
 from types import SimpleNamespace
 
 import msgspec
+import pytest
 
 from lapisgrade.gateway.configuration_delta import EncodedVersion, encode
 from lapisgrade.gateway.errors import ConfigurationError
@@ -27,8 +27,8 @@
     return encode(version, text(version), base, text(base))
 
 
-class VersionRolloutTest(unittest.TestCase):
-    def setUp(self) -> None:
+class StagedVersions:
+    def __init__(self) -> None:
         self.limits: list = []
         self.router = Router(Clock(0), 1, Slo(), "z")
         self.rollout = VersionRollout(self.router, SimpleNamespace(apply_limits=self.limits.append))
@@ -37,60 +37,63 @@
         """The active version, and the staged ones."""
         return self.rollout.active_version, sorted(self.router.tables.staged)
 
-    def test_a_version_is_staged_and_activated_when_the_leader_orders_it(self) -> None:
-        self.rollout.apply(WatchReply(True, active_version=1, active_configuration=complete(1)))
-        self.rollout.apply(
-            WatchReply(True, active_version=1, staged_versions={2: delta(2, 1), 3: delta(3, 2)})
-        )
-        self.assertEqual((self.state(), self.rollout.staged_version), ((1, [2, 3]), 3))
-        self.rollout.apply(WatchReply(True, active_version=2))
-        self.assertEqual((self.state(), self.router.tables.active.version), ((2, [3]), 2))
-        self.assertEqual(len(self.limits), 2)
-
-    def test_an_earlier_or_known_version_changes_nothing(self) -> None:
-        self.rollout.apply(WatchReply(True, active_version=3, active_configuration=complete(3)))
-        self.rollout.apply(
-            WatchReply(
-                True, active_version=2, active_configuration=complete(2), staged_versions={3: complete(3)}
-            )
-        )
-        self.assertEqual((self.state(), len(self.limits)), ((3, []), 1))
 
-    def test_an_active_version_that_was_never_staged_here_is_asked_for(self) -> None:
-        self.rollout.apply(
-            WatchReply(
-                True, active_version=1, active_configuration=complete(1), staged_versions={2: delta(2, 1)}
-            )
-        )
-        self.rollout.apply(WatchReply(True, active_version=5))
-        self.assertEqual((self.state(), self.rollout.staged_version), ((1, []), 1))
-
-    def test_a_merged_version_is_marked_until_it_is_active(self) -> None:
-        self.rollout.apply(
-            WatchReply(
-                True,
-                active_version=1,
-                active_configuration=complete(1),
-                staged_versions={2: delta(2, 1)},
-                merged_versions=[2],
-            )
+@pytest.fixture
+def versions() -> StagedVersions:
+    return StagedVersions()
+
+
+def test_a_version_is_staged_and_activated_when_the_leader_orders_it(versions: StagedVersions) -> None:
+    versions.rollout.apply(WatchReply(True, active_version=1, active_configuration=complete(1)))
+    versions.rollout.apply(
+        WatchReply(True, active_version=1, staged_versions={2: delta(2, 1), 3: delta(3, 2)})
+    )
+    assert (versions.state(), versions.rollout.staged_version) == ((1, [2, 3]), 3)
+    versions.rollout.apply(WatchReply(True, active_version=2))
+    assert (versions.state(), versions.router.tables.active.version) == ((2, [3]), 2)
+    assert len(versions.limits) == 2
+
+
+def test_an_earlier_or_known_version_changes_nothing(versions: StagedVersions) -> None:
+    versions.rollout.apply(WatchReply(True, active_version=3, active_configuration=complete(3)))
+    versions.rollout.apply(
+        WatchReply(True, active_version=2, active_configuration=complete(2), staged_versions={3: complete(3)})
+    )
+    assert (versions.state(), len(versions.limits)) == ((3, []), 1)
+
+
+def test_an_active_version_that_was_never_staged_here_is_asked_for(versions: StagedVersions) -> None:
+    versions.rollout.apply(
+        WatchReply(True, active_version=1, active_configuration=complete(1), staged_versions={2: delta(2, 1)})
+    )
+    versions.rollout.apply(WatchReply(True, active_version=5))
+    assert (versions.state(), versions.rollout.staged_version) == ((1, []), 1)
+
+
+def test_a_merged_version_is_marked_until_it_is_active(versions: StagedVersions) -> None:
+    versions.rollout.apply(
+        WatchReply(
+            True,
+            active_version=1,
+            active_configuration=complete(1),
+            staged_versions={2: delta(2, 1)},
+            merged_versions=[2],
         )
-        self.assertEqual(self.router.tables.merged_versions, {2})
-        self.rollout.apply(WatchReply(True, active_version=2))
-        self.assertEqual(self.router.tables.merged_versions, set())
+    )
+    assert versions.router.tables.merged_versions == {2}
+    versions.rollout.apply(WatchReply(True, active_version=2))
+    assert versions.router.tables.merged_versions == set()
 
-    def test_a_delta_on_an_unknown_base_is_refused_and_a_complete_version_helps(self) -> None:
-        self.rollout.apply(WatchReply(True, active_version=1, active_configuration=complete(1)))
-        with self.assertRaises(ConfigurationError):
-            self.rollout.apply(WatchReply(True, active_version=1, staged_versions={3: delta(3, 2)}))
-        self.rollout.has_lost_base = True
-        self.rollout.apply(WatchReply(True, active_version=1, staged_versions={3: complete(3)}))
-        self.assertEqual((self.state(), self.rollout.has_lost_base), ((1, [3]), False))
 
-    def test_a_version_that_calls_itself_another_is_refused(self) -> None:
-        with self.assertRaises(ConfigurationError):
-            self.rollout.apply(WatchReply(True, active_version=2, active_configuration=encode(2, text(1))))
+def test_a_delta_on_an_unknown_base_is_refused_and_a_complete_version_helps(versions: StagedVersions) -> None:
+    versions.rollout.apply(WatchReply(True, active_version=1, active_configuration=complete(1)))
+    with pytest.raises(ConfigurationError):
+        versions.rollout.apply(WatchReply(True, active_version=1, staged_versions={3: delta(3, 2)}))
+    versions.rollout.has_lost_base = True
+    versions.rollout.apply(WatchReply(True, active_version=1, staged_versions={3: complete(3)}))
+    assert (versions.state(), versions.rollout.has_lost_base) == ((1, [3]), False)
 
 
-if __name__ == "__main__":
-    unittest.main()
+def test_a_version_that_calls_itself_another_is_refused(versions: StagedVersions) -> None:
+    with pytest.raises(ConfigurationError):
+        versions.rollout.apply(WatchReply(True, active_version=2, active_configuration=encode(2, text(1))))
--- a/tests/gateway/quota/test_ownership.py
+++ b/tests/gateway/quota/test_ownership.py
@@ -1,28 +1,23 @@
 """Owners of counts, remembered from one list of live proxies to the next."""
 
-import unittest
 from random import Random
 
 from lapisgrade.gateway.quota.ownership import OwnerTable, owner_of
 
 
-class Owners(unittest.TestCase):
-    def test_the_cached_table_finds_the_same_owners_over_changing_lists(self) -> None:
-        tenants = [f"tenant-{i}" for i in range(60)]
-        for seed in range(20):
-            random, table = Random(seed), OwnerTable()
-            names = {f"edge-{i}" for i in range(40)}
-            for step in range(30):
-                table.update(names)
-                for tenant in random.sample(tenants, 40):
-                    self.assertEqual(table.owner(tenant), owner_of(tenant, names), f"{seed} {step}")
-                leaving = random.sample(sorted(names), min(len(names), random.choice((0, 1, 10, 80))))
-                joining = random.sample(range(80), random.choice((0, 1, 10, 60)))
-                names = names.difference(leaving) | {f"edge-{i}" for i in joining}
+def test_the_cached_table_finds_the_same_owners_over_changing_lists() -> None:
+    tenants = [f"tenant-{i}" for i in range(60)]
+    for seed in range(20):
+        random, table = Random(seed), OwnerTable()
+        names = {f"edge-{i}" for i in range(40)}
+        for step in range(30):
+            table.update(names)
+            for tenant in random.sample(tenants, 40):
+                assert table.owner(tenant) == owner_of(tenant, names), f"{seed} {step}"
+            leaving = random.sample(sorted(names), min(len(names), random.choice((0, 1, 10, 80))))
+            joining = random.sample(range(80), random.choice((0, 1, 10, 60)))
+            names = names.difference(leaving) | {f"edge-{i}" for i in joining}
 
-    def test_nobody_owns_a_count_without_live_proxies(self) -> None:
-        self.assertEqual(OwnerTable().owner("t"), "")
 
-
-if __name__ == "__main__":
-    unittest.main()
+def test_nobody_owns_a_count_without_live_proxies() -> None:
+    assert OwnerTable().owner("t") == ""
--- a/tests/gateway/routing/test_balancer.py
+++ b/tests/gateway/routing/test_balancer.py
@@ -1,8 +1,9 @@
 """Servers that fail, or that neighbours report as unhealthy."""
 
-import unittest
 from random import Random
 
+import pytest
+
 from lapisgrade.gateway import SECOND, registry
 from lapisgrade.gateway.membership.subsets import Subsets
 from lapisgrade.gateway.routing.balancer import UpstreamCluster
@@ -12,8 +13,8 @@
 MS = 1_000
 
 
-class OutlierEjectionTest(unittest.TestCase):
-    def setUp(self) -> None:
+class FailingServers:
+    def __init__(self) -> None:
         self.cluster = UpstreamCluster(Random(1), "z", Subsets("l", "z"))
         for name in ("s1", "s2"):
             self.cluster.update(0, registry.Server(name, "a", "10.0.0.1:1", "z", 2, "up", 1))
@@ -28,48 +29,52 @@
         names = [self.cluster.choose(now, 50 * MS, []).address for _ in range(200)]
         return names.count("s1") / 200
 
-    def test_a_server_that_fails_is_ejected_for_a_second_and_tried_again(self) -> None:
-        for _ in range(8):
-            self.end(SECOND, "s1", AttemptOutcome.ERROR)
-            self.end(SECOND, "s2", AttemptOutcome.OK)
-        self.assertEqual(self.taken(SECOND), 0.0)
-        self.assertEqual(self.taken(SECOND + 900 * MS), 0.0)
-        # Well again, it is used as soon as the other's slots are taken.
-        for _ in range(2):
-            self.cluster.on_attempt_started(
-                20 * SECOND, Attempt(None, self.cluster.servers["s2"], 0, 20 * SECOND)
-            )
-        self.assertEqual(self.taken(20 * SECOND), 1.0)
-
-    def test_neighbours_reports_change_the_choice_and_neither_one_nor_all_exclude_a_healthy_server(
-        self,
-    ) -> None:
-        subsets = self.cluster._subsets
-        subsets.update_members({name: ("10.0.0.9:1", "", "z") for name in ("l", "a", "b", "c")})
-        self.assertEqual(self.cluster.unhealthy_servers(SECOND), [])
-        for name in "abc":
-            subsets.on_load_report(SECOND, name, {}, [])
-        subsets.on_load_report(SECOND, "a", {}, ["s1"])
-        self.assertGreater(self.taken(SECOND), 0.2)
-        subsets.on_load_report(SECOND, "b", {}, ["s1"])
-        self.assertEqual(self.taken(SECOND), 0.0)
-        for _ in range(2):
-            self.cluster.on_attempt_started(SECOND, Attempt(None, self.cluster.servers["s2"], 0, SECOND))
-        subsets.on_load_report(SECOND, "c", {}, ["s1"])
-        # Its own good answers weigh more than what the others say.
-        for _ in range(12):
-            self.end(SECOND, "s1", AttemptOutcome.OK)
-        self.assertGreater(self.cluster.servers["s1"].confidence(SECOND, 3), 0.7)
-        self.assertEqual(self.taken(SECOND), 1.0)
-
-    def test_a_dropped_idle_connection_does_not_exclude_a_healthy_server(self) -> None:
-        for _ in range(3):
-            self.end(SECOND, "s1", AttemptOutcome.CONNECTION_LOST, 0.3)
-            self.end(SECOND, "s1", AttemptOutcome.OK)
-            self.end(SECOND, "s2", AttemptOutcome.OK)
-        self.assertGreater(self.cluster.servers["s1"].health(SECOND, 50 * MS), 0.5)
-        self.assertEqual(self.cluster.servers["s1"].ejected_until_us, 0)
-
-
-if __name__ == "__main__":
-    unittest.main()
+
+@pytest.fixture
+def failing() -> FailingServers:
+    return FailingServers()
+
+
+def test_a_server_that_fails_is_ejected_for_a_second_and_tried_again(failing: FailingServers) -> None:
+    for _ in range(8):
+        failing.end(SECOND, "s1", AttemptOutcome.ERROR)
+        failing.end(SECOND, "s2", AttemptOutcome.OK)
+    assert failing.taken(SECOND) == 0.0
+    assert failing.taken(SECOND + 900 * MS) == 0.0
+    # Well again, it is used as soon as the other's slots are taken.
+    for _ in range(2):
+        failing.cluster.on_attempt_started(
+            20 * SECOND, Attempt(None, failing.cluster.servers["s2"], 0, 20 * SECOND)
+        )
+    assert failing.taken(20 * SECOND) == 1.0
+
+
+def test_neighbours_reports_change_the_choice_and_neither_one_nor_all_exclude_a_healthy_server(
+    failing: FailingServers,
+) -> None:
+    subsets = failing.cluster._subsets
+    subsets.update_members({name: ("10.0.0.9:1", "", "z") for name in ("l", "a", "b", "c")})
+    assert failing.cluster.unhealthy_servers(SECOND) == []
+    for name in "abc":
+        subsets.on_load_report(SECOND, name, {}, [])
+    subsets.on_load_report(SECOND, "a", {}, ["s1"])
+    assert failing.taken(SECOND) > 0.2
+    subsets.on_load_report(SECOND, "b", {}, ["s1"])
+    assert failing.taken(SECOND) == 0.0
+    for _ in range(2):
+        failing.cluster.on_attempt_started(SECOND, Attempt(None, failing.cluster.servers["s2"], 0, SECOND))
+    subsets.on_load_report(SECOND, "c", {}, ["s1"])
+    # Its own good answers weigh more than what the others say.
+    for _ in range(12):
+        failing.end(SECOND, "s1", AttemptOutcome.OK)
+    assert failing.cluster.servers["s1"].confidence(SECOND, 3) > 0.7
+    assert failing.taken(SECOND) == 1.0
+
+
+def test_a_dropped_idle_connection_does_not_exclude_a_healthy_server(failing: FailingServers) -> None:
+    for _ in range(3):
+        failing.end(SECOND, "s1", AttemptOutcome.CONNECTION_LOST, 0.3)
+        failing.end(SECOND, "s1", AttemptOutcome.OK)
+        failing.end(SECOND, "s2", AttemptOutcome.OK)
+    assert failing.cluster.servers["s1"].health(SECOND, 50 * MS) > 0.5
+    assert failing.cluster.servers["s1"].ejected_until_us == 0
--- a/tests/gateway/routing/test_idle_connections.py
+++ b/tests/gateway/routing/test_idle_connections.py
@@ -1,6 +1,6 @@
 """Idle connections that servers drop: which are still trusted, and for which requests."""
 
-import unittest
+import pytest
 
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.routing.idle_connections import LIMIT_HOLDS_US, IdleConnections
@@ -8,8 +8,8 @@
 MS = 1_000
 
 
-class IdleConnectionsTest(unittest.TestCase):
-    def setUp(self) -> None:
+class ReusedConnections:
+    def __init__(self) -> None:
         self.idle_connections = IdleConnections()
 
     def broke(self, now: int, idle_us: int, took_us: int = 2 * MS, service: str = "a") -> bool:
@@ -17,25 +17,32 @@
         self.idle_connections.on_reuse(attempt, idle_us)
         return self.idle_connections.on_attempt_finished(now, attempt, service, True, took_us)
 
-    def test_a_non_idempotent_request_avoids_connections_idle_as_long_as_one_that_was_dropped(self) -> None:
-        self.assertTrue(self.idle_connections.is_trusted(0, "a", 9 * SECOND, False))
-        self.assertTrue(self.broke(SECOND, 400 * MS))
-        self.assertFalse(self.idle_connections.is_trusted(SECOND, "a", 300 * MS, False))
-        self.assertTrue(self.idle_connections.is_trusted(SECOND, "a", 200 * MS, False))
-        self.assertTrue(self.idle_connections.is_trusted(SECOND, "b", 300 * MS, False))
-        # Idempotent requests go on testing, and a limit that nothing confirms expires.
-        self.assertTrue(self.idle_connections.is_trusted(SECOND, "a", 9 * SECOND, True))
-        self.assertTrue(self.idle_connections.is_trusted(SECOND + LIMIT_HOLDS_US, "a", 300 * MS, False))
-
-    def test_the_shortest_idle_time_counts_and_a_slow_or_early_reset_teaches_nothing(self) -> None:
-        self.broke(SECOND, 400 * MS)
-        self.broke(SECOND, 900 * MS)
-        self.assertFalse(self.idle_connections.is_trusted(SECOND, "a", 300 * MS, False))
-        self.assertFalse(self.broke(SECOND, 700 * MS, took_us=500 * MS, service="b"))
-        self.assertFalse(self.broke(SECOND, 10 * MS, service="b"))
-        self.assertFalse(self.idle_connections.on_attempt_finished(SECOND, object(), "b", True, 0))
-        self.assertTrue(self.idle_connections.is_trusted(SECOND, "b", 9 * SECOND, False))
-
-
-if __name__ == "__main__":
-    unittest.main()
+
+@pytest.fixture
+def connections() -> ReusedConnections:
+    return ReusedConnections()
+
+
+def test_a_non_idempotent_request_avoids_connections_idle_as_long_as_one_that_was_dropped(
+    connections: ReusedConnections,
+) -> None:
+    assert connections.idle_connections.is_trusted(0, "a", 9 * SECOND, False)
+    assert connections.broke(SECOND, 400 * MS)
+    assert not connections.idle_connections.is_trusted(SECOND, "a", 300 * MS, False)
+    assert connections.idle_connections.is_trusted(SECOND, "a", 200 * MS, False)
+    assert connections.idle_connections.is_trusted(SECOND, "b", 300 * MS, False)
+    # Idempotent requests go on testing, and a limit that nothing confirms expires.
+    assert connections.idle_connections.is_trusted(SECOND, "a", 9 * SECOND, True)
+    assert connections.idle_connections.is_trusted(SECOND + LIMIT_HOLDS_US, "a", 300 * MS, False)
+
+
+def test_the_shortest_idle_time_counts_and_a_slow_or_early_reset_teaches_nothing(
+    connections: ReusedConnections,
+) -> None:
+    connections.broke(SECOND, 400 * MS)
+    connections.broke(SECOND, 900 * MS)
+    assert not connections.idle_connections.is_trusted(SECOND, "a", 300 * MS, False)
+    assert not connections.broke(SECOND, 700 * MS, took_us=500 * MS, service="b")
+    assert not connections.broke(SECOND, 10 * MS, service="b")
+    assert not connections.idle_connections.on_attempt_finished(SECOND, object(), "b", True, 0)
+    assert connections.idle_connections.is_trusted(SECOND, "b", 9 * SECOND, False)
--- a/tests/gateway/routing/test_request_attempts.py
+++ b/tests/gateway/routing/test_request_attempts.py
@@ -1,10 +1,10 @@
 """The attempts of one request: queued, hedged inside its target time, retried, given up."""
 
-import unittest
 from dataclasses import dataclass
 from typing import Any
 
 import msgspec
+import pytest
 
 from lapisgrade.gateway import SECOND, configuration, registry
 from lapisgrade.gateway.routing.request import RoutedRequest
@@ -58,8 +58,8 @@
         return self.router.clock.now_us
 
 
-class RequestAttemptsTest(unittest.TestCase):
-    def setUp(self) -> None:
+class HedgingRouter:
+    def __init__(self) -> None:
         self.clock = Clock(100 * SECOND)
         self.router = Router(self.clock, 1, Slo(), "z", "c")
         self.router.started_us = 0
@@ -90,95 +90,108 @@
         made.go_on(None)
         return made
 
-    def test_a_hedge_can_answer_inside_the_target_time(self) -> None:
-        began, one = self.clock.now_us, self.request()
-        at = one.sleep() - began
-        self.assertEqual(len(set(one.sent)), 2)
-        self.assertGreater(at, 1.5 * USUAL_US)  # most requests end before
-        self.assertLess(at + 1.2 * USUAL_US, TARGET_US)
-
-    def test_a_request_beyond_its_target_time_is_hedged_once_it_is_overdue(self) -> None:
-        began, one = self.clock.now_us, self.request(arrived_ago_us=800 * MS)
-        self.assertGreaterEqual(one.sleep() - began, 2.5 * USUAL_US)
-        self.assertEqual(len(one.sent), 2)
-
-    def test_a_non_idempotent_request_is_never_hedged(self) -> None:
-        one = self.request(mode="mutate")
-        self.assertIsInstance(one.yielded, Sleep)
-        self.assertGreaterEqual(one.yielded.until_us, self.clock.now_us + 2 * SECOND)
-        self.assertEqual(len(one.sent), 1)
-
-    def test_an_early_hedge_leaves_half_of_the_budget_to_retries(self) -> None:
-        budget = self.router.retry_budget("a")
-        while budget.try_spend(self.clock.now_us, is_early_hedge=True):
-            pass
-        self.assertGreater(budget.available(self.clock.now_us), 4)
-        one = self.request()
-        one.sleep()
-        self.assertEqual(len(one.sent), 1)
-        one.sleep()  # overdue: now it is what the budget is for
-        self.assertEqual(len(one.sent), 2)
-
-    def test_an_early_hedge_does_not_queue_at_a_server_whose_slots_are_taken(self) -> None:
-        fillers = [self.request(mode="mutate") for _ in range(12)]
-        self.assertEqual(sum(len(each.sent) for each in fillers), 12)
-        one = self.request()
-        one.sleep()
-        self.assertEqual(len(one.sent), 1)
 
-    def test_the_first_response_ends_the_request(self) -> None:
-        one = self.request()
-        one.sleep()
-        server = self.router.cluster("a").servers[one.sent[1]]
-        attempt = next(iter(server.in_flight))
-        with self.assertRaises(StopIteration):
-            result = AttemptResult(AttemptOutcome.OK, USUAL_US)
-            result.is_final = True
-            self.router.on_attempt_finished(attempt, result)
-            one.go_on(AttemptFinished(attempt, result))
-
-    def test_a_request_is_queued_while_no_server_is_up_and_told_to_come_back(self) -> None:
-        self.router.update_servers([], True)
-        began_us, one = self.clock.now_us, self.request()
-        while isinstance(one.yielded, Sleep):
-            one.sleep()
-        self.assertEqual(one.sent, [])
-        self.assertEqual(self.clock.now_us - began_us, int(MAX_QUEUE_RATIO * TARGET_US))
-        self.assertEqual(one.yielded.status, 503)
-        self.assertTrue(0.1 * TARGET_US < one.yielded.retry_after_us < 0.6 * TARGET_US)
-
-    def test_a_queued_request_is_sent_to_a_server_that_comes_up(self) -> None:
-        self.router.update_servers([], True)
-        one = self.request()
-        self.router.update_servers([registry.Server("s9", "a", "10.0.0.1:9", "z", 4, "up", 1)], False)
+@pytest.fixture
+def hedging() -> HedgingRouter:
+    return HedgingRouter()
+
+
+def test_a_hedge_can_answer_inside_the_target_time(hedging: HedgingRouter) -> None:
+    began, one = hedging.clock.now_us, hedging.request()
+    at = one.sleep() - began
+    assert len(set(one.sent)) == 2
+    assert at > 1.5 * USUAL_US  # most requests end before
+    assert at + 1.2 * USUAL_US < TARGET_US
+
+
+def test_a_request_beyond_its_target_time_is_hedged_once_it_is_overdue(hedging: HedgingRouter) -> None:
+    began, one = hedging.clock.now_us, hedging.request(arrived_ago_us=800 * MS)
+    assert one.sleep() - began >= 2.5 * USUAL_US
+    assert len(one.sent) == 2
+
+
+def test_a_non_idempotent_request_is_never_hedged(hedging: HedgingRouter) -> None:
+    one = hedging.request(mode="mutate")
+    assert isinstance(one.yielded, Sleep)
+    assert one.yielded.until_us >= hedging.clock.now_us + 2 * SECOND
+    assert len(one.sent) == 1
+
+
+def test_an_early_hedge_leaves_half_of_the_budget_to_retries(hedging: HedgingRouter) -> None:
+    budget = hedging.router.retry_budget("a")
+    while budget.try_spend(hedging.clock.now_us, is_early_hedge=True):
+        pass
+    assert budget.available(hedging.clock.now_us) > 4
+    one = hedging.request()
+    one.sleep()
+    assert len(one.sent) == 1
+    one.sleep()  # overdue: now it is what the budget is for
+    assert len(one.sent) == 2
+
+
+def test_an_early_hedge_does_not_queue_at_a_server_whose_slots_are_taken(hedging: HedgingRouter) -> None:
+    fillers = [hedging.request(mode="mutate") for _ in range(12)]
+    assert sum(len(each.sent) for each in fillers) == 12
+    one = hedging.request()
+    one.sleep()
+    assert len(one.sent) == 1
+
+
+def test_the_first_response_ends_the_request(hedging: HedgingRouter) -> None:
+    one = hedging.request()
+    one.sleep()
+    server = hedging.router.cluster("a").servers[one.sent[1]]
+    attempt = next(iter(server.in_flight))
+    with pytest.raises(StopIteration):
+        result = AttemptResult(AttemptOutcome.OK, USUAL_US)
+        result.is_final = True
+        hedging.router.on_attempt_finished(attempt, result)
+        one.go_on(AttemptFinished(attempt, result))
+
+
+def test_a_request_is_queued_while_no_server_is_up_and_told_to_come_back(hedging: HedgingRouter) -> None:
+    hedging.router.update_servers([], True)
+    began_us, one = hedging.clock.now_us, hedging.request()
+    while isinstance(one.yielded, Sleep):
         one.sleep()
-        self.assertEqual(one.sent, ["s9"])
+    assert one.sent == []
+    assert hedging.clock.now_us - began_us == int(MAX_QUEUE_RATIO * TARGET_US)
+    assert one.yielded.status == 503
+    assert 0.1 * TARGET_US < one.yielded.retry_after_us < 0.6 * TARGET_US
+
+
+def test_a_queued_request_is_sent_to_a_server_that_comes_up(hedging: HedgingRouter) -> None:
+    hedging.router.update_servers([], True)
+    one = hedging.request()
+    hedging.router.update_servers([registry.Server("s9", "a", "10.0.0.1:9", "z", 4, "up", 1)], False)
+    one.sleep()
+    assert one.sent == ["s9"]
 
-    def test_a_non_idempotent_request_is_retried_only_where_it_has_not_run(self) -> None:
-        one = self.request(mode="mutate")
+
+def test_a_non_idempotent_request_is_retried_only_where_it_has_not_run(hedging: HedgingRouter) -> None:
+    one = hedging.request(mode="mutate")
+    one.finish(AttemptOutcome.OVERLOADED)
+    assert len(set(one.sent)) == 2
+    one.finish(AttemptOutcome.CONNECTION_LOST)
+    assert (len(one.sent), one.yielded.status) == (2, 502)
+
+
+def test_an_idempotent_request_is_retried_up_to_its_routes_attempts(hedging: HedgingRouter) -> None:
+    one = hedging.request()
+    for _ in range(3):
+        assert isinstance(one.yielded, Sleep)
+        one.finish(AttemptOutcome.ERROR)
+    assert (len(set(one.sent)), one.yielded.status) == (3, 502)
+
+
+def test_what_surely_has_not_run_is_told_to_come_back(hedging: HedgingRouter) -> None:
+    one = hedging.request(mode="mutate")
+    for _ in range(3):
         one.finish(AttemptOutcome.OVERLOADED)
-        self.assertEqual(len(set(one.sent)), 2)
-        one.finish(AttemptOutcome.CONNECTION_LOST)
-        self.assertEqual((len(one.sent), one.yielded.status), (2, 502))
-
-    def test_an_idempotent_request_is_retried_up_to_its_routes_attempts(self) -> None:
-        one = self.request()
-        for _ in range(3):
-            self.assertIsInstance(one.yielded, Sleep)
-            one.finish(AttemptOutcome.ERROR)
-        self.assertEqual((len(set(one.sent)), one.yielded.status), (3, 502))
-
-    def test_what_surely_has_not_run_is_told_to_come_back(self) -> None:
-        one = self.request(mode="mutate")
-        for _ in range(3):
-            one.finish(AttemptOutcome.OVERLOADED)
-        self.assertEqual((one.yielded.status, one.yielded.reason), (503, RejectReason.RETRY_LATER))
-
-    def test_a_request_is_given_up_at_its_deadline(self) -> None:
-        began_us, one = self.clock.now_us, self.request(mode="mutate")
-        one.sleep()
-        self.assertEqual((self.clock.now_us - began_us, one.yielded.status), (3 * SECOND, 504))
+    assert (one.yielded.status, one.yielded.reason) == (503, RejectReason.RETRY_LATER)
 
 
-if __name__ == "__main__":
-    unittest.main()
+def test_a_request_is_given_up_at_its_deadline(hedging: HedgingRouter) -> None:
+    began_us, one = hedging.clock.now_us, hedging.request(mode="mutate")
+    one.sleep()
+    assert (hedging.clock.now_us - began_us, one.yielded.status) == (3 * SECOND, 504)
--- a/tests/gateway/routing/test_retry_budget.py
+++ b/tests/gateway/routing/test_retry_budget.py
@@ -1,7 +1,5 @@
 """Further tries over all proxies: the sum keeps to the rule."""
 
-import unittest
-
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
 from lapisgrade.gateway.settings import Slo
 
@@ -9,23 +7,14 @@
 SLO = Slo()
 
 
-class Further(unittest.TestCase):
-    def test_the_sum_over_proxies_keeps_to_the_rule_also_right_after_their_start(self):
-        for began, extra in ((-60 * SECOND, SLO.retry_extra), (0, 0.0)):
-            budgets = [RetryBudget(SLO, began) for _ in range(14)]
-            spent = 0
-            for each in budgets:
-                each.proxy_count = 14
-                for number in range(100):
-                    each.on_request(number * 10_000)
-                    spent += each.try_spend(number * 10_000) + each.try_spend(number * 10_000)
-            self.assertLessEqual(spent, SLO.retry_ratio * 1400 + extra)
-            self.assertGreater(spent, 0.7 * SLO.retry_ratio * 1400)
-
-
-if __name__ == "__main__":
-    unittest.main()
-
-
-if __name__ == "__main__":
-    unittest.main()
+def test_the_sum_over_proxies_keeps_to_the_rule_also_right_after_their_start():
+    for began, extra in ((-60 * SECOND, SLO.retry_extra), (0, 0.0)):
+        budgets = [RetryBudget(SLO, began) for _ in range(14)]
+        spent = 0
+        for each in budgets:
+            each.proxy_count = 14
+            for number in range(100):
+                each.on_request(number * 10_000)
+                spent += each.try_spend(number * 10_000) + each.try_spend(number * 10_000)
+        assert spent <= SLO.retry_ratio * 1400 + extra
+        assert spent > 0.7 * SLO.retry_ratio * 1400
--- a/tests/gateway/routing/test_split.py
+++ b/tests/gateway/routing/test_split.py
@@ -1,11 +1,11 @@
 """The services of a split route, by their weights."""
 
-import unittest
 from collections import Counter
 from random import Random
 from unittest import mock
 
 import attrs
+import pytest
 
 from lapisgrade.gateway import SECOND, configuration
 from lapisgrade.gateway.routing import split
@@ -13,32 +13,30 @@
 from lapisgrade.gateway.settings import Span
 
 
-class SplitChooserTest(unittest.TestCase):
-    def rule(self, *weights: float) -> configuration.Rule:
-        shares = tuple(configuration.Share(f"s{i}", each) for i, each in enumerate(weights))
-        action = configuration.Action(timeout=Span(SECOND), split=shares)
-        return configuration.Rule("r", configuration.Match("/"), action)
+def split_rule(*weights: float) -> configuration.Rule:
+    shares = tuple(configuration.Share(f"s{i}", each) for i, each in enumerate(weights))
+    action = configuration.Action(timeout=Span(SECOND), split=shares)
+    return configuration.Rule("r", configuration.Match("/"), action)
 
-    def shares(self, rule: configuration.Rule, proxies: int, requests: int) -> list[float]:
-        taken = [SplitChooser(Random(seed)) for seed in range(proxies)]
-        seen = Counter(each.choose(rule) for each in taken for _ in range(requests))
-        return [seen[part.svc] / (proxies * requests) for part in rule.action.shares()]
 
-    def test_each_service_gets_its_weights_share_of_few_requests_at_one_proxy_and_at_many(self) -> None:
-        for proxies, requests, off in ((1, 300, 0.01), (12, 25, 0.03), (200, 2, 0.1)):
-            for weights in ((90, 10), (50, 50), (1, 1, 8)):
-                got = self.shares(self.rule(*weights), proxies, requests)
-                for share, weight in zip(got, weights, strict=True):
-                    self.assertAlmostEqual(share, weight / sum(weights), delta=off)
+def observed_shares(rule: configuration.Rule, proxies: int, requests: int) -> list[float]:
+    taken = [SplitChooser(Random(seed)) for seed in range(proxies)]
+    seen = Counter(each.choose(rule) for each in taken for _ in range(requests))
+    return [seen[part.svc] / (proxies * requests) for part in rule.action.shares()]
 
-    def test_a_service_of_no_weight_gets_nothing_and_remembered_routes_are_bounded(self) -> None:
-        self.assertEqual(self.shares(self.rule(0, 3, 0), 5, 50), [0.0, 1.0, 0.0])
-        chooser = SplitChooser(Random(1))
-        with mock.patch.object(split, "MAX_ROUTES", 3):
-            for number in range(9):
-                chooser.choose(attrs.evolve(self.rule(1, 1), name=f"r{number}"))
-        self.assertEqual(len(chooser._offsets), 3)
 
+def test_each_service_gets_its_weights_share_of_few_requests_at_one_proxy_and_at_many() -> None:
+    for proxies, requests, off in ((1, 300, 0.01), (12, 25, 0.03), (200, 2, 0.1)):
+        for weights in ((90, 10), (50, 50), (1, 1, 8)):
+            got = observed_shares(split_rule(*weights), proxies, requests)
+            for share, weight in zip(got, weights, strict=True):
+                assert share == pytest.approx(weight / sum(weights), abs=off)
 
-if __name__ == "__main__":
-    unittest.main()
+
+def test_a_service_of_no_weight_gets_nothing_and_remembered_routes_are_bounded() -> None:
+    assert observed_shares(split_rule(0, 3, 0), 5, 50) == [0.0, 1.0, 0.0]
+    chooser = SplitChooser(Random(1))
+    with mock.patch.object(split, "MAX_ROUTES", 3):
+        for number in range(9):
+            chooser.choose(attrs.evolve(split_rule(1, 1), name=f"r{number}"))
+    assert len(chooser._offsets) == 3
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -7,9 +7,9 @@
 
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.configuration_delta import EncodedVersion, decode, encode
-from lapisgrade.gateway.controller.configuration_feed import MAX_TEXTS, ConfigurationFeed
 from lapisgrade.gateway.controller.change_validation import ApplyResult
 from lapisgrade.gateway.controller.commands import ConfigurationChange, NewVersion, encode_command
+from lapisgrade.gateway.controller.configuration_feed import MAX_TEXTS, ConfigurationFeed
 from lapisgrade.gateway.controller.state import SavedState
 from lapisgrade.gateway.controller.state_machine import PreparedChange, StateMachine
 from lapisgrade.gateway.errors import InvalidInputError
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -8,6 +8,7 @@
 import msgspec
 import pytest
 
+from lapisgrade.fakes.site import free_port
 from lapisgrade.lab.fleet.process import Process, Supervisor
 from lapisgrade.lab.fleet.relay import BACK, THERE, Link, UdpRelay
 from lapisgrade.members import messages
@@ -15,7 +16,6 @@
 from lapisgrade.members.timing import Timing, detection_bounds_us
 from lapisgrade.peers import frame
 from lapisgrade.peers.udp import MAX_FRAMES_PER_SECOND
-from lapisgrade.fakes.site import free_port
 
 BUSY = 3.0  # times the stated bound: what a machine busy with other work may add
 
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -5,12 +5,12 @@
 import socket
 
 import pytest
-from support.event_loop import on_loopback, until
-from support.fake_peers import heard
-from support.limiter_site import Site
 
 from lapisgrade.net import client_listener
 from lapisgrade.net.close_reason import CloseReason
+from support.event_loop import on_loopback, until
+from support.fake_peers import heard
+from support.limiter_site import Site
 
 
 @on_loopback
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -4,9 +4,6 @@
 from types import SimpleNamespace
 
 import pytest
-from support.event_loop import on_loopback, until
-from support.fake_peers import Backend
-from support.limiter_site import Site
 
 from lapisgrade.interface import AddToCounter, AttemptOutcome, ConnectionSettings
 from lapisgrade.net.clock import wall_clock
@@ -16,6 +13,9 @@
 from lapisgrade.net.events import AttemptClosed, ClientRequest
 from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.server_protocol import parse_load_report
+from support.event_loop import on_loopback, until
+from support.fake_peers import Backend
+from support.limiter_site import Site
 
 SECOND = 1_000_000
 
--- a/tests/net/test_counter_client.py
+++ b/tests/net/test_counter_client.py
@@ -3,12 +3,11 @@
 import asyncio
 from types import SimpleNamespace
 
-from support.event_loop import on_loopback
-from support.limiter_site import Site
-
 from lapisgrade.interface import AddToCounter, CounterOutcome
 from lapisgrade.net.counter_client import CounterClient
 from lapisgrade.net.metrics import NetMetrics
+from support.event_loop import on_loopback
+from support.limiter_site import Site
 
 
 @on_loopback
--- a/tests/net/test_poll_backoff.py
+++ b/tests/net/test_poll_backoff.py
@@ -3,7 +3,6 @@
 import heapq
 from random import Random
 
-
 from lapisgrade.net.poll_backoff import PollBackoff
 
 
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -11,12 +11,12 @@
 from types import SimpleNamespace
 
 import pytest
-from support.event_loop import on_loopback, until
-from support.fake_peers import Agent, Till, heard
-from support.limiter_site import Site
 
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.settings import MalformedInputError
+from support.event_loop import on_loopback, until
+from support.fake_peers import Agent, Till, heard
+from support.limiter_site import Site
 
 
 @on_loopback
