--- a/lapisgrade/gateway/consensus/election.py
+++ b/lapisgrade/gateway/consensus/election.py
@@ -4,7 +4,7 @@
 all voters grant it and say that they hold no lease, the vote itself need not wait for leases to run out.
 """
 
-from dataclasses import dataclass, field
+import msgspec
 
 from lapisgrade.gateway.consensus.election_timer import ElectionTimer
 from lapisgrade.gateway.consensus.messages import OutgoingMessage, RequestVote, RequestVoteReply, TimeoutNow
@@ -13,13 +13,14 @@
 from lapisgrade.gateway.consensus.voter import Voter
 
 
-@dataclass(slots=True)
-class VoteTally:
+class VoteTally(msgspec.Struct):
     """Identities of those that granted the current pre-vote or vote."""
 
-    granted: set[str] = field(default_factory=set)
-    lease_free: set[str] = field(default_factory=set)  # of `granted`: those that hold no lease
-    unanimous_only: set[str] = field(default_factory=set)  # of `granted`: those that count if all grant
+    granted: set[str] = msgspec.field(default_factory=set)
+    lease_free: set[str] = msgspec.field(default_factory=set)  # of `granted`: those that hold no lease
+    unanimous_only: set[str] = msgspec.field(
+        default_factory=set
+    )  # of `granted`: those that count if all grant
 
 
 class Election:
--- a/lapisgrade/gateway/consensus/membership.py
+++ b/lapisgrade/gateway/consensus/membership.py
@@ -5,7 +5,8 @@
 """
 
 from collections.abc import Mapping
-from dataclasses import dataclass
+
+import msgspec
 
 from lapisgrade.gateway.consensus.progress import PeerStatus
 
@@ -19,8 +20,7 @@
 """A group isn't shrunk below it, except where a disk is known to be lost."""
 
 
-@dataclass(slots=True)
-class ClusterView:
+class ClusterView(msgspec.Struct):
     """The group as its leader sees it."""
 
     now_us: int
--- a/lapisgrade/gateway/consensus/progress.py
+++ b/lapisgrade/gateway/consensus/progress.py
@@ -1,12 +1,11 @@
 """What a leader knows of the other nodes."""
 
-from dataclasses import dataclass
+import msgspec
 
 from lapisgrade.gateway.consensus.snapshots import SnapshotTransfer
 
 
-@dataclass(slots=True)
-class PeerStatus:
+class PeerStatus(msgspec.Struct):
     """Another node, voter or learner, as far as a change of voters asks."""
 
     address: str
@@ -14,7 +13,6 @@
     last_contact_us: int  # when its last message of this term came
 
 
-@dataclass(slots=True)
 class FollowerProgress(PeerStatus):
     """How far replication to one follower has come (thesis, figure 3.1: nextIndex, matchIndex)."""
 
--- a/lapisgrade/gateway/consensus/records.py
+++ b/lapisgrade/gateway/consensus/records.py
@@ -3,8 +3,6 @@
 Records are encoded as msgpack arrays by tag and position: names may change, tags, order and types may not.
 """
 
-from dataclasses import dataclass, field
-
 import msgspec
 
 from lapisgrade.gateway.consensus.messages import Entry, OutgoingMessage
@@ -41,8 +39,7 @@
 Record = HardState | EntriesRecord | SnapshotRecord
 
 
-@dataclass(slots=True)
-class DurableWrite:
+class DurableWrite(msgspec.Struct):
     """Records to bring onto the disk, in order, and messages that may be sent only after that."""
 
     records: list[Record]
@@ -51,11 +48,10 @@
     last_term: int
 
 
-@dataclass(slots=True)
-class Effects:
+class Effects(msgspec.Struct):
     """What the shell has to do since effects were last taken: first `snapshot`, then `committed`."""
 
-    writes: list[DurableWrite] = field(default_factory=list)
-    sends: list[OutgoingMessage] = field(default_factory=list)
-    committed: list[Entry] = field(default_factory=list)  # to be applied to the state machine
+    writes: list[DurableWrite] = msgspec.field(default_factory=list)
+    sends: list[OutgoingMessage] = msgspec.field(default_factory=list)
+    committed: list[Entry] = msgspec.field(default_factory=list)  # to be applied to the state machine
     snapshot: bytes | None = None  # to be loaded into the state machine before
--- a/lapisgrade/gateway/consensus/snapshots.py
+++ b/lapisgrade/gateway/consensus/snapshots.py
@@ -5,7 +5,7 @@
 the leader compacts meanwhile (guards a node that would otherwise chase the log's end for ever).
 """
 
-from dataclasses import dataclass, field
+import msgspec
 
 from lapisgrade.gateway.consensus.messages import InstallSnapshot
 
@@ -16,8 +16,7 @@
 """A follower accepts no larger snapshot."""
 
 
-@dataclass(frozen=True, slots=True)
-class Snapshot:
+class Snapshot(msgspec.Struct, frozen=True):
     """The state machine's state up to the entry `index`, and the voters then."""
 
     index: int
@@ -26,8 +25,7 @@
     state: bytes
 
 
-@dataclass(slots=True)
-class SnapshotTransfer:
+class SnapshotTransfer(msgspec.Struct):
     """The leader's side: how much of one snapshot a follower has."""
 
     snapshot: Snapshot
@@ -52,15 +50,14 @@
             self.sent_us = None
 
 
-@dataclass(slots=True)
-class SnapshotAssembly:
+class SnapshotAssembly(msgspec.Struct):
     """The follower's side: the chunks of one snapshot, as they arrive."""
 
     leader: str = ""
     term: int = 0
     last_index: int = 0
     total: int = 0
-    data: bytearray = field(default_factory=bytearray)
+    data: bytearray = msgspec.field(default_factory=bytearray)
 
     def add(self, chunk: InstallSnapshot) -> bytes | None:
         """Add one chunk; returns the complete snapshot, None while more is missing."""
--- a/lapisgrade/gateway/controller/change_validation.py
+++ b/lapisgrade/gateway/controller/change_validation.py
@@ -5,7 +5,6 @@
 first time, as long as its digest is remembered.
 """
 
-from dataclasses import dataclass
 from http import HTTPStatus
 from typing import Any
 
@@ -25,8 +24,7 @@
     wrong: str = ""
 
 
-@dataclass(frozen=True, slots=True)
-class ValidatedChange:
+class ValidatedChange(msgspec.Struct, frozen=True):
     """The result of a validation.
 
     Attributes:
--- a/lapisgrade/gateway/controller/metrics.py
+++ b/lapisgrade/gateway/controller/metrics.py
@@ -1,12 +1,12 @@
 """What a controller counts, for its log line at the end of the process and for tests."""
 
 from collections import Counter
-from dataclasses import dataclass, field, fields
 from typing import Any
 
+import msgspec
 
-@dataclass(slots=True)
-class ControllerMetrics:
+
+class ControllerMetrics(msgspec.Struct):
     """Totals since the process started.
 
     Attributes:
@@ -28,7 +28,7 @@
     elections_won: int = 0
     membership_changes: int = 0
     entries_applied: int = 0
-    commands_proposed: Counter[str] = field(default_factory=Counter)
+    commands_proposed: Counter[str] = msgspec.field(default_factory=Counter)
     disk_syncs: int = 0
     disk_write_failures: int = 0
     invalid_peer_addresses: int = 0
@@ -36,12 +36,12 @@
     proxies_found_dead: int = 0
     drafts_stored: int = 0
     drafts_delivered: int = 0
-    calls: Counter[str] = field(default_factory=Counter)
-    call_replies: Counter[str] = field(default_factory=Counter)
+    calls: Counter[str] = msgspec.field(default_factory=Counter)
+    call_replies: Counter[str] = msgspec.field(default_factory=Counter)
 
     def nonzero(self) -> dict[str, Any]:
         """Every metric that was counted at least once, by name."""
-        values = {each.name: getattr(self, each.name) for each in fields(self)}
+        values = msgspec.structs.asdict(self)
         return {
             name: dict(value) if isinstance(value, Counter) else value
             for name, value in values.items()
--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -4,7 +4,8 @@
 """
 
 from collections.abc import Iterable
-from dataclasses import dataclass
+
+import msgspec
 
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
 from lapisgrade.gateway.rpc_messages import ProxiesByName, ProxyListDelta
@@ -12,8 +13,7 @@
 MAX_LISTS = 12  # lists that are remembered: about two seconds' worth, at the leader's highest rate
 
 
-@dataclass(frozen=True, slots=True)
-class _ProxyList:
+class _ProxyList(msgspec.Struct, frozen=True):
     members: ProxiesByName
     owners: tuple[str, ...]  # the members that own counts
     since_us: int
--- a/lapisgrade/gateway/controller/server.py
+++ b/lapisgrade/gateway/controller/server.py
@@ -12,11 +12,12 @@
 import os
 from collections.abc import Awaitable, Callable
 from concurrent.futures import Executor, ThreadPoolExecutor
-from dataclasses import dataclass
 from http import HTTPStatus
 from random import Random
 from typing import Any
 
+import msgspec
+
 from lapisgrade.gateway import STARTED_US, configuration, rpc_messages
 from lapisgrade.gateway.clock import now_us
 from lapisgrade.gateway.consensus.messages import Message as ConsensusMessage
@@ -50,8 +51,7 @@
 MessageHandler = Callable[[Any], None]
 
 
-@dataclass(frozen=True, slots=True)
-class ControllerStorage:
+class ControllerStorage(msgspec.Struct, frozen=True):
     """A controller's disk: its files, and the executor that makes blocking calls on them, one at a time."""
 
     log_store: LogStore
@@ -59,8 +59,7 @@
     executor: Executor
 
 
-@dataclass(frozen=True, slots=True)
-class ControllerEnvironment:
+class ControllerEnvironment(msgspec.Struct, frozen=True):
     """What a controller takes from the machine that it runs on; the laboratory simulates it.
 
     Attributes:
--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -5,7 +5,6 @@
 on the newest version.
 """
 
-from dataclasses import dataclass
 from http import HTTPStatus
 
 import msgspec
@@ -40,8 +39,7 @@
 _COMMAND_DECODER = msgspec.msgpack.Decoder(LogCommand)
 
 
-@dataclass(frozen=True, slots=True)
-class PreparedChange:
+class PreparedChange(msgspec.Struct, frozen=True):
     """What a change would be answered now, and the command for it; None where none is needed."""
 
     result: ApplyResult
--- a/lapisgrade/gateway/controller/version_activation.py
+++ b/lapisgrade/gateway/controller/version_activation.py
@@ -26,7 +26,8 @@
 """
 
 from collections.abc import Iterable
-from dataclasses import dataclass
+
+import msgspec
 
 from lapisgrade.gateway.controller.commands import Activate
 from lapisgrade.gateway.controller.state import State
@@ -36,8 +37,7 @@
 ACTIVATION_RETRY_US = 300_000  # after which an activation that did not commit is proposed again
 
 
-@dataclass(slots=True)
-class ProxyStatus:
+class ProxyStatus(msgspec.Struct):
     """What the leader knows of a live proxy.
 
     Attributes:
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -13,8 +13,6 @@
 with a `+` once it is complete; a proxy that has another registry is sent a complete one.
 """
 
-from dataclasses import dataclass
-
 import msgspec
 
 from lapisgrade.gateway import rpc_messages
@@ -35,8 +33,7 @@
 _LIVE_STATES = (ServerState.UP, ServerState.DRAIN)
 
 
-@dataclass(slots=True, frozen=True)
-class _Outdated:
+class _Outdated(msgspec.Struct, frozen=True):
     """What of a proxy's knowledge is not the newest."""
 
     is_other_registry: bool  # all of it has to be sent
--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -10,7 +10,6 @@
 """
 
 import re
-from dataclasses import dataclass
 from random import Random
 
 import msgspec
@@ -56,8 +55,7 @@
     updates: list[Neighbour] = []
 
 
-@dataclass(frozen=True, slots=True)
-class SendShuffle:
+class SendShuffle(msgspec.Struct, frozen=True):
     """Send a shuffle to a neighbour."""
 
     to: str
--- a/lapisgrade/gateway/membership/subsets.py
+++ b/lapisgrade/gateway/membership/subsets.py
@@ -10,9 +10,10 @@
 
 import functools
 from collections.abc import Sequence
-from dataclasses import dataclass
 from hashlib import blake2b
 
+import msgspec
+
 MAX_SUBSET_PROXIES = 6  # proxies that report to each other
 REPORT_TTL_US = 1_500_000  # that a neighbour's report holds
 REPORT_INTERVAL_US = 700_000  # after which an unchanged report is sent again
@@ -57,8 +58,7 @@
     return assign(names, -(-len(names) // MAX_SUBSET_PROXIES)) if names else []
 
 
-@dataclass(frozen=True, slots=True)
-class LoadReport:
+class LoadReport(msgspec.Struct, frozen=True):
     """What one neighbour has reported."""
 
     received_us: int
--- a/lapisgrade/gateway/proxy/metrics.py
+++ b/lapisgrade/gateway/proxy/metrics.py
@@ -1,13 +1,13 @@
 """What a proxy counts, for its log line at the end of the process and for tests."""
 
-from dataclasses import asdict, dataclass, field
 from typing import Any
 
+import msgspec
+
 from lapisgrade.net.metrics import NetMetrics
 
 
-@dataclass(slots=True)
-class ProxyMetrics:
+class ProxyMetrics(msgspec.Struct):
     """Totals since the process started.
 
     Attributes:
@@ -42,9 +42,9 @@
     hand_overs_sent: int = 0
     hand_overs_deferred: int = 0
     hand_overs_received: int = 0
-    transport: NetMetrics = field(default_factory=NetMetrics)
+    transport: NetMetrics = msgspec.field(default_factory=NetMetrics)
 
     def nonzero(self) -> dict[str, Any]:
         """Every metric that was counted at least once, by name."""
-        values = {**asdict(self), "transport": self.transport.nonzero()}
+        values = {**msgspec.structs.asdict(self), "transport": self.transport.nonzero()}
         return {name: value for name, value in values.items() if value}
--- a/lapisgrade/gateway/quota/count.py
+++ b/lapisgrade/gateway/quota/count.py
@@ -7,7 +7,7 @@
 its capacity for a lease's time, as what an owner before granted may still be spent.
 """
 
-from dataclasses import dataclass
+import msgspec
 
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.rate import TokenBucket
@@ -23,8 +23,7 @@
     return max(1.0, burst or rate)
 
 
-@dataclass(slots=True, frozen=True)
-class Lease:
+class Lease(msgspec.Struct, frozen=True):
     """What one quota client has leased of a count."""
 
     granted_us: int = 0  # when it last took units
--- a/lapisgrade/gateway/quota/epochs.py
+++ b/lapisgrade/gateway/quota/epochs.py
@@ -29,9 +29,10 @@
 """
 
 from collections.abc import Sequence
-from dataclasses import dataclass, field
 from enum import Enum, auto
 
+import msgspec
+
 from lapisgrade.gateway.rpc_messages import ProxiesByName, WatchReply
 
 MAX_CLAIMS = 4096  # tenants whose claim an epoch remembers
@@ -72,8 +73,7 @@
     FIRST_MEMBERSHIP = auto()  # it is the first of the whole system: nobody has owned a count before
 
 
-@dataclass(slots=True, frozen=True)
-class MembershipUpdate:
+class MembershipUpdate(msgspec.Struct, frozen=True):
     """A newer membership of live proxies, as the leader of the controllers sends it."""
 
     fencing_token: int
@@ -101,8 +101,7 @@
         )
 
 
-@dataclass(slots=True)
-class OwnershipEpoch:
+class OwnershipEpoch(msgspec.Struct):
     """One membership of live proxies, since it arrived here."""
 
     began_us: int
@@ -111,8 +110,8 @@
     owners: tuple[str, ...]  # those of the members that own counts
     previous_owners: tuple[str, ...]  # the owners under the epoch before; empty where that is not known
     continuity: Continuity
-    _exclusive: set[str] = field(default_factory=set)  # tenants
-    _predecessor_inactive: set[str] = field(default_factory=set)  # tenants
+    _exclusive: set[str] = msgspec.field(default_factory=set)  # tenants
+    _predecessor_inactive: set[str] = msgspec.field(default_factory=set)  # tenants
 
     def claim(self, tenant: str) -> ClaimState:
         """Return how far this proxy's claim to the tenant's count has come."""
--- a/lapisgrade/gateway/quota/hand_over.py
+++ b/lapisgrade/gateway/quota/hand_over.py
@@ -6,7 +6,8 @@
 """
 
 from collections.abc import Sequence
-from dataclasses import dataclass
+
+import msgspec
 
 from lapisgrade.gateway.quota.count import Count
 from lapisgrade.gateway.quota.epochs import ClaimState, OwnershipEpoch
@@ -19,8 +20,7 @@
 NO_COUNT = HandOverReply(False)  # this proxy does not act for the count, and has nothing to give
 
 
-@dataclass(slots=True, frozen=True)
-class Release:
+class Release(msgspec.Struct, frozen=True):
     """A count was handed over to its owner by a membership that is not known here yet."""
 
     until_us: int  # nothing is granted of it here until then
--- a/lapisgrade/gateway/rpc.py
+++ b/lapisgrade/gateway/rpc.py
@@ -7,11 +7,12 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
 from typing import Any
 
 from returns.result import Result
 
+import msgspec
+
 from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.rpc_connection import Codec, Connection
 from lapisgrade.gateway.rpc_peer import Peer
@@ -21,8 +22,7 @@
 LISTEN_BACKLOG = 256
 
 
-@dataclass(slots=True)
-class RpcMetrics:
+class RpcMetrics(msgspec.Struct):
     """Counters of one endpoint since its start."""
 
     calls_sent: int = 0
--- a/lapisgrade/gateway/storage/log_format.py
+++ b/lapisgrade/gateway/storage/log_format.py
@@ -19,7 +19,8 @@
 
 import struct
 import zlib
-from dataclasses import dataclass
+
+import msgspec
 
 BLOCK_BYTES = 512
 
@@ -28,8 +29,7 @@
 _MAGIC = b"LGD1"
 
 
-@dataclass(frozen=True, slots=True)
-class LogFileContents:
+class LogFileContents(msgspec.Struct, frozen=True):
     """What a data file holds.
 
     Attributes:
