--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -8,53 +8,55 @@
 
 from lapisgrade.net import client_listener
 from lapisgrade.net.close_reason import CloseReason
-from support.event_loop import on_loopback, until
-from support.fake_peers import heard
-from support.limiter_site import Site
+from support.event_loop import on_limiter_loop, wait_until
+from support.fake_peers import Behavior, read_message
+from support.limiter_site import LimiterSite
 
 
-@on_loopback
+@on_limiter_loop
 async def test_requests_and_responses_are_forwarded_unchanged():
-    async with Site(servers=1) as site:
+    async with LimiterSite(servers=1) as site:
         on = await site.connect()
         body = bytes(range(256)) * 200
-        for number, manner in enumerate(["well", "chunks", "early", "end", "well"]):
-            site.backends[0].manner = manner
-            status, _, answer = await site.ask("file", str(number), body, on=on, path="/api/a?b=c%20d")
-            assert (status, answer) == (200, b"for " + body), manner
-            first, headers, came, *_ = site.backends[0].seen[-1]
+        for number, behavior in enumerate(
+            [Behavior.NORMAL, Behavior.CHUNKED, Behavior.EARLY_HINTS, Behavior.UNTIL_CLOSE, Behavior.NORMAL]
+        ):
+            site.servers[0].behavior = behavior
+            status, _, answer = await site.request("file", str(number), body, on=on, path="/api/a?b=c%20d")
+            assert (status, answer) == (200, b"for " + body), behavior
+            first, headers, came, *_ = site.servers[0].received[-1]
             assert first == "POST /api/a?b=c%20d HTTP/1.1" and came == body
             assert headers["x-request-id"] == str(number) and headers["idempotency-key"] == f"k{number}"
             assert 0.5 < float(headers["x-timeout"]) <= 0.8
-        assert len(site.backends[0].writers) == 2  # "end" closed one; the others were used again
+        assert len(site.servers[0].writers) == 2  # UNTIL_CLOSE closed one; the others were used again
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_request_may_arrive_in_fragments_and_chunked():
-    async with Site() as site:
+    async with LimiterSite() as site:
         reader, writer = await site.connect()
-        for byte in site.request("burn", "7", b"abc"):
+        for byte in site.encode_request("burn", "7", b"abc"):
             writer.write(bytes([byte]))
             await asyncio.sleep(0)
-        assert (await heard(reader))[2] == b"for abc"
+        assert (await read_message(reader))[2] == b"for abc"
         how = {"Content_Length": None, "Transfer_Encoding": "chunked", "Expect": "100-continue"}
-        writer.write(site.request("burn", "8", **how))
+        writer.write(site.encode_request("burn", "8", **how))
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
         writer.write(b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
-        assert (await heard(reader))[2] == b"for abc"
+        assert (await read_message(reader))[2] == b"for abc"
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_pipelined_request_waits_for_the_one_before_it():
-    async with Site() as site:
+    async with LimiterSite() as site:
         reader, writer = await site.connect()
-        writer.write(site.request("burn", "1", b"one") + site.request("burn", "2", b"two"))
-        assert [(await heard(reader))[2] for _ in range(2)] == [b"for one", b"for two"]
+        writer.write(site.encode_request("burn", "1", b"one") + site.encode_request("burn", "2", b"two"))
+        assert [(await read_message(reader))[2] for _ in range(2)] == [b"for one", b"for two"]
 
 
-@on_loopback
+@on_limiter_loop
 async def test_bad_requests_get_400_and_no_traceback(capfd):
-    async with Site() as site:
+    async with LimiterSite() as site:
         for bad in [
             {"X_Plan": "other"},
             {"X_Plan": None},
@@ -83,133 +85,133 @@
             {"bad header": "1"},
             {"kind": "file", "Idempotency_Key": None},
         ]:
-            status, headers, _ = await site.ask(**{"kind": "burn", **bad})
+            status, headers, _ = await site.request(**{"kind": "burn", **bad})
             assert status == 400 and headers["connection"] == "close", bad
-        assert (await site.ask("burn", body=bytes(70_000)))[0] == 413
-        assert (await site.ask(timeout="900000.0"))[0] == 200  # no longer than the hard stop
-        hidden = site.request("burn", "hidden", b"x")
+        assert (await site.request("burn", body=bytes(70_000)))[0] == 413
+        assert (await site.request(timeout="900000.0"))[0] == 200  # no longer than the hard stop
+        hidden = site.encode_request("burn", "hidden", b"x")
         for bad in [
             {"Transfer_Encoding": "chunked", "Content_Length": str(len(hidden) + 5)},
             {"Content_Length": "60000000"},
             {"Content_Length": "-5"},
         ]:
             reader, writer = await site.connect()
-            writer.write(site.request("burn", "outer", **bad) + b"0\r\n\r\n" + hidden)
+            writer.write(site.encode_request("burn", "outer", **bad) + b"0\r\n\r\n" + hidden)
             assert (await reader.readuntil(b"\r\n"))[9:12] in (b"400", b"413"), bad
             await reader.read()
-        assert not site.sent("outer") and not site.sent("hidden")
+        assert not site.attempts("outer") and not site.attempts("hidden")
         reader, writer = await site.connect()
         writer.write(b"\x16\x03\x01\x02\r\n\r\n")
-        assert (await heard(reader))[0].startswith("HTTP/1.1 400")
-        assert len(site.sent("1")) == 1 and not site.service.metrics.handler_failures
+        assert (await read_message(reader))[0].startswith("HTTP/1.1 400")
+        assert len(site.attempts("1")) == 1 and not site.service.metrics.handler_failures
     assert "Traceback" not in capfd.readouterr().err
 
 
-@on_loopback
+@on_limiter_loop
 async def test_rejections_carry_retry_after():
-    async with Site() as site:
-        answers = [await site.ask(number=str(i), X_Plan="none") for i in range(3)]
+    async with LimiterSite() as site:
+        answers = [await site.request(number=str(i), X_Plan="none") for i in range(3)]
         status, headers, _ = answers[-1]
-        assert status == 429 and 0 < float(headers["retry-after"]) <= 0.5 and not site.sent("2")
+        assert status == 429 and 0 < float(headers["retry-after"]) <= 0.5 and not site.attempts("2")
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_disconnected_client_cancels_its_attempts():
-    async with Site(servers=1) as site:
-        site.backends[0].manner = "silent"
+    async with LimiterSite(servers=1) as site:
+        site.servers[0].behavior = Behavior.SILENT
         _, writer = await site.connect()
-        writer.write(site.request("burn", "5"))
-        await until(lambda: site.sent("5"))
+        writer.write(site.encode_request("burn", "5"))
+        await wait_until(lambda: site.attempts("5"))
         writer.close()
-        await until(lambda: site.service.metrics.requests_abandoned == 1)
-        await until(lambda: site.service.metrics.attempts_finished[CloseReason.CANCELLED] == 1)
+        await wait_until(lambda: site.service.metrics.requests_abandoned == 1)
+        await wait_until(lambda: site.service.metrics.attempts_finished[CloseReason.CANCELLED] == 1)
         assert not site.service.host.unanswered
 
 
-@on_loopback
+@on_limiter_loop
 async def test_idle_client_connections_are_evicted_and_busy_ones_kept():
-    async with Site(sockets=16) as site:
+    async with LimiterSite(sockets=16) as site:
         kept = [await site.connect() for _ in range(8)]
-        await site.ask(path="/up", on=kept[0])  # the one used last is the last to go
+        await site.request(path="/up", on=kept[0])  # the one used last is the last to go
         await asyncio.sleep(client_listener.GRACE_S)
         more = [await site.connect() for _ in range(4)]
         assert [await reader.read(1) for reader, _ in kept[1:5]] == [b""] * 4
         left = [kept[0], *kept[5:], *more]
-        for each in site.backends:
-            each.manner = 0.3
+        for each in site.servers:
+            each.behavior = 0.3
         site.service.host.policy.server_pool.concurrency.value = 99.0
         site.service.host.pool.max_connections = 8
         for i, (_, writer) in enumerate(left):
-            writer.write(site.request("burn", f"{i}"))
-        await until(lambda: len(site.service.host.unanswered) == 8)
-        assert (await site.ask("burn", "over"))[0] == 503 and not site.sent("over")
+            writer.write(site.encode_request("burn", f"{i}"))
+        await wait_until(lambda: len(site.service.host.unanswered) == 8)
+        assert (await site.request("burn", "over"))[0] == 503 and not site.attempts("over")
         for reader, _ in left:
-            assert (await heard(reader))[0].startswith("HTTP/1.1 200")
+            assert (await read_message(reader))[0].startswith("HTTP/1.1 200")
 
 
-@on_loopback
+@on_limiter_loop
 async def test_connections_without_a_request_time_out_and_others_stay():
-    async with Site() as site:
+    async with LimiterSite() as site:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(client_listener.ClientListener, "request_timeout_s", 0.4)
             patch.setattr(client_listener.ClientListener, "idle_timeout_s", 1.0)
             silent, half, slow, asked = [await site.connect() for _ in range(4)]
-            half[1].write(site.request()[:40])
-            for each in site.backends:
-                each.manner = 0.5
-            busy = asyncio.create_task(site.ask("burn", "1", on=slow))
-            assert (await site.ask(path="/up", on=asked))[0] == 200
+            half[1].write(site.encode_request()[:40])
+            for each in site.servers:
+                each.behavior = 0.5
+            busy = asyncio.create_task(site.request("burn", "1", on=slow))
+            assert (await site.request(path="/up", on=asked))[0] == 200
             assert await silent[0].read() == b""
-            assert (await heard(half[0]))[0].startswith("HTTP/1.1 408")
+            assert (await read_message(half[0]))[0].startswith("HTTP/1.1 408")
             assert (await busy)[0] == 200  # longer than either, but something is owed
-            assert (await site.ask(path="/up", on=asked))[0] == 200
+            assert (await site.request(path="/up", on=asked))[0] == 200
             assert await asked[0].read() == b"" and not site.service.listener.clients
 
 
-@on_loopback
+@on_limiter_loop
 async def test_idle_connections_leave_capacity_for_active_ones():
     """Found in an incident: clients that asked once and stayed held all that clients may hold."""
-    async with Site(sockets=64) as site:  # 32 for clients, a quarter of them at rest
+    async with LimiterSite(sockets=64) as site:  # 32 for clients, a quarter of them at rest
         kept = [await site.connect() for _ in range(24)]
         for on in kept:
-            assert (await site.ask(path="/up", on=on))[0] == 200
+            assert (await site.request(path="/up", on=on))[0] == 200
         await asyncio.sleep(client_listener.GRACE_S + 2 * client_listener.CHECK_INTERVAL_S + 0.1)
         assert len(site.service.listener.idle) == 8
         assert [await reader.read(1) for reader, _ in kept[:16]] == [b""] * 16
-        assert [(await site.ask(path="/up", on=on))[0] for on in kept[16:]] == [200] * 8
+        assert [(await site.request(path="/up", on=on))[0] for on in kept[16:]] == [200] * 8
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_request_id_in_flight_is_not_sent_twice():
-    async with Site() as site:
-        for each in site.backends:
-            each.manner = 0.2
-        first = asyncio.create_task(site.ask("burn", "same"))
-        await until(lambda: site.sent("same"))
-        assert (await site.ask("burn", "same"))[0] == 409
-        assert (await first)[0] == 200 and len(site.sent("same")) == 1
-        assert (await site.ask("burn", "same"))[0] == 200
+    async with LimiterSite() as site:
+        for each in site.servers:
+            each.behavior = 0.2
+        first = asyncio.create_task(site.request("burn", "same"))
+        await wait_until(lambda: site.attempts("same"))
+        assert (await site.request("burn", "same"))[0] == 409
+        assert (await first)[0] == 200 and len(site.attempts("same")) == 1
+        assert (await site.request("burn", "same"))[0] == 200
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_bad_request_is_not_retried_and_does_not_count_against_the_server():
-    async with Site() as site:
-        for each in site.backends:
-            each.manner = "rejected"
-        assert [(await site.ask(kind, kind))[0] for kind in ("look", "file", "burn")] == [400] * 3
-        assert [len(site.sent(kind)) for kind in ("look", "file", "burn")] == [1] * 3
+    async with LimiterSite() as site:
+        for each in site.servers:
+            each.behavior = Behavior.BAD_REQUEST
+        assert [(await site.request(kind, kind))[0] for kind in ("look", "file", "burn")] == [400] * 3
+        assert [len(site.attempts(kind)) for kind in ("look", "file", "burn")] == [1] * 3
         fleet = site.service.host.policy.server_pool
         assert not fleet.concurrency.in_flight
         assert all(each.health(0, 1.0) == 1.0 for each in fleet.servers.values())
 
 
-@on_loopback
+@on_limiter_loop
 async def test_hundreds_of_pipelined_requests_and_a_client_that_does_not_read():
-    async with Site() as site:
+    async with LimiterSite() as site:
         reader, writer = await site.connect()
-        writer.write(site.request(path="/up") * 400)
+        writer.write(site.encode_request(path="/up") * 400)
         for _ in range(400):
-            assert (await heard(reader))[0].startswith("HTTP/1.1 200")
+            assert (await read_message(reader))[0].startswith("HTTP/1.1 200")
         closed = site.service.metrics.client_connections_closed
         with socket.socket() as deaf:
             deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -217,8 +219,8 @@
             deaf.setblocking(False)
             with contextlib.suppress(ConnectionError):
                 for i in range(200):
-                    asked = site.request("burn", f"{i}", bytes(60_000))
+                    asked = site.encode_request("burn", f"{i}", bytes(60_000))
                     await asyncio.get_running_loop().sock_sendall(deaf, asked)
-                    await until(lambda i=i: site.sent(f"{i}") or closed[CloseReason.TIMED_OUT])
-                    await until(lambda: not site.service.host.unanswered)
-        assert closed[CloseReason.TIMED_OUT] == 1 and not site.sent("199")
+                    await wait_until(lambda i=i: site.attempts(f"{i}") or closed[CloseReason.TIMED_OUT])
+                    await wait_until(lambda: not site.service.host.unanswered)
+        assert closed[CloseReason.TIMED_OUT] == 1 and not site.attempts("199")
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -13,9 +13,9 @@
 from lapisgrade.net.events import AttemptClosed, ClientRequest
 from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.server_protocol import parse_load_report
-from support.event_loop import on_loopback, until
-from support.fake_peers import Backend
-from support.limiter_site import Site
+from support.event_loop import on_limiter_loop, wait_until
+from support.fake_peers import Behavior, FakeServer
+from support.limiter_site import LimiterSite
 
 SECOND = 1_000_000
 
@@ -37,43 +37,43 @@
     return pool, finished, now
 
 
-@on_loopback
+@on_limiter_loop
 async def test_each_close_reason_of_an_attempt_is_reported():
-    backend = await Backend().open()
-    pool, finished, now = new_pool(backend.port)
-    for manner, reason, outcome in [
-        ("well", CloseReason.ANSWERED, AttemptOutcome.OK),
-        ("error", CloseReason.ERROR_RESPONSE, AttemptOutcome.ERROR),
-        ("full", CloseReason.REJECTED, AttemptOutcome.OVERLOADED),
-        ("rejected", CloseReason.CLIENT_ERROR, AttemptOutcome.INVALID_REQUEST),
-        ("plain 503", CloseReason.ERROR_RESPONSE, AttemptOutcome.ERROR),
-        ("noise", CloseReason.MALFORMED, AttemptOutcome.ERROR),
-        ("short", CloseReason.CONNECTION_LOST, AttemptOutcome.CONNECTION_LOST),
-        ("close", CloseReason.CONNECTION_LOST, AttemptOutcome.CONNECTION_LOST),
-        ("silent", CloseReason.TIMED_OUT, AttemptOutcome.TIMED_OUT),
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port)
+    for behavior, reason, outcome in [
+        (Behavior.NORMAL, CloseReason.ANSWERED, AttemptOutcome.OK),
+        (Behavior.ERROR, CloseReason.ERROR_RESPONSE, AttemptOutcome.ERROR),
+        (Behavior.OVERLOADED, CloseReason.REJECTED, AttemptOutcome.OVERLOADED),
+        (Behavior.BAD_REQUEST, CloseReason.CLIENT_ERROR, AttemptOutcome.INVALID_REQUEST),
+        (Behavior.UNAVAILABLE, CloseReason.ERROR_RESPONSE, AttemptOutcome.ERROR),
+        (Behavior.MALFORMED, CloseReason.MALFORMED, AttemptOutcome.ERROR),
+        (Behavior.TRUNCATED, CloseReason.CONNECTION_LOST, AttemptOutcome.CONNECTION_LOST),
+        (Behavior.CLOSE, CloseReason.CONNECTION_LOST, AttemptOutcome.CONNECTION_LOST),
+        (Behavior.SILENT, CloseReason.TIMED_OUT, AttemptOutcome.TIMED_OUT),
     ]:
-        backend.manner = manner
+        server.behavior = behavior
         pool.send(FakeAttempt(now))
         event: AttemptClosed = await finished.get()
-        assert (event.reason, event.reason.outcome) == (reason, outcome), manner
-        assert not outcome.never_ran or manner == "full"
-    backend.manner = "load"
+        assert (event.reason, event.reason.outcome) == (reason, outcome), behavior
+        assert not outcome.never_ran or behavior == Behavior.OVERLOADED
+    server.behavior = Behavior.LOAD_REPORT
     pool.send(FakeAttempt(now))
     assert parse_load_report((await finished.get()).message) == {"inflight": 7.0, "util": 0.5}
-    backend.manner = "silent"
+    server.behavior = Behavior.SILENT
     attempt = FakeAttempt(now)
     pool.send(attempt)
     await asyncio.sleep(0.05)
     pool.cancel(attempt)
     assert (await finished.get()).reason is CloseReason.CANCELLED
-    backend.close()
+    server.close()
     pool.send(FakeAttempt(now))
     assert (await finished.get()).reason.outcome is AttemptOutcome.CONNECT_FAILED
     pool.send(FakeAttempt(now, server="unknown"))
     assert (await finished.get()).reason.outcome is AttemptOutcome.NOT_SENT
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_connection_that_is_never_established_has_run_nothing():
     async def nobody():
         await asyncio.sleep(30)
@@ -89,47 +89,47 @@
         assert (await finished.get()).reason is CloseReason.NOT_SENT
 
 
-@on_loopback
+@on_limiter_loop
 async def test_nothing_is_sent_for_answered_operations_or_to_departing_servers():
-    backend = await Backend().open()
-    pool, finished, now = new_pool(backend.port)
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port)
     over, leaving = FakeAttempt(now), FakeAttempt(now)
     pool.send(over)
     over.operation.handle.client = None
     assert (await finished.get()).reason is CloseReason.NOT_SENT
     pool.send(leaving)
     pool.update_addresses({"s": None})
-    assert (await finished.get()).reason is CloseReason.NOT_SENT and not backend.seen
-    backend.close()
+    assert (await finished.get()).reason is CloseReason.NOT_SENT and not server.received
+    server.close()
 
 
-@on_loopback
+@on_limiter_loop
 async def test_idle_connections_are_closed_before_the_server_closes_them():
     """What is written to a connection that the server has closed may have run, for all that we know."""
-    backend = await Backend().open()
-    pool, finished, now = new_pool(backend.port, idle=1.6)
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port, idle=1.6)
     for wait, connections in [(0.0, 1), (0.0, 1), (0.65, 2)]:
         await asyncio.sleep(wait)
         pool.send(FakeAttempt(now))
         assert (await finished.get()).reason is CloseReason.ANSWERED
         assert pool.metrics.upstream_connections_opened == connections
-    await until(backend.writers[0].is_closing)  # by us, with nothing more to send
-    backend.shut()
+    await wait_until(server.writers[0].is_closing)  # by us, with nothing more to send
+    server.abort_connections()
     await asyncio.sleep(0)  # it is closed, and its end is not yet read
     pool.send(FakeAttempt(now))
     assert (await finished.get()).reason is CloseReason.ANSWERED
     assert pool.metrics.upstream_connections_opened == 3
-    backend.close()
+    server.close()
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_second_response_on_a_connection_belongs_to_no_request():
     """It lies read by asyncio, but not by us, when the connection is wanted for the next attempt."""
-    backend = await Backend().open()
-    pool, finished, now = new_pool(backend.port)
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port)
     pool.send(FakeAttempt(now))
     assert (await finished.get()).reason is CloseReason.ANSWERED
-    backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfor ")
+    server.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfor ")
     connection = pool._idle["s"][0]
     for _ in range(1000):
         if connection.has_unread_data() or not pool._idle["s"]:
@@ -139,62 +139,64 @@
     event = await finished.get()
     assert event.reason is CloseReason.ANSWERED and b"".join(event.message.body) == b"for two"
     assert pool.metrics.upstream_connections_opened == 2
-    backend.close()
+    server.close()
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_reassigned_address_belongs_to_the_new_server_alone():
-    backend = await Backend().open()
-    pool, finished, now = new_pool(backend.port)
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port)
     pool.send(FakeAttempt(now))
     assert (await finished.get()).reason is CloseReason.ANSWERED
-    pool.update_addresses({"new": ("127.0.0.1", backend.port)})  # before the old one is told to be gone
+    pool.update_addresses({"new": ("127.0.0.1", server.port)})  # before the old one is told to be gone
     pool.send(FakeAttempt(now))
     assert (await finished.get()).reason is CloseReason.NOT_SENT
     pool.send(FakeAttempt(now, server="new"))
     assert (await finished.get()).reason is CloseReason.ANSWERED
     assert pool.metrics.upstream_connections_opened == 2
     assert list(pool.addresses) == list(pool.last_received_us) == list(pool._idle) == ["new"]
-    backend.close()
+    server.close()
 
 
-@on_loopback
+@on_limiter_loop
 async def test_an_unresponsive_server_must_accept_a_new_connection_first():
-    backend = await Backend(0.1).open()
-    pool, finished, now = new_pool(backend.port, dial=0.15)
+    server = await FakeServer(0.1).open()
+    pool, finished, now = new_pool(server.port, dial=0.15)
     for _ in range(2):
         pool.send(FakeAttempt(now))
     assert {(await finished.get()).reason for _ in range(2)} == {CloseReason.ANSWERED}
-    backend.manner = "silent"
+    server.behavior = Behavior.SILENT
     pool.send(FakeAttempt(now, lasts=0.2))
     assert (await finished.get()).reason is CloseReason.TIMED_OUT
-    backend.manner = "well"
+    server.behavior = Behavior.NORMAL
     pool.send(FakeAttempt(now))
     assert (await finished.get()).reason is CloseReason.ANSWERED
     assert pool.metrics.upstream_connections_opened == 3
-    backend.close()
+    server.close()
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_response_received_while_the_process_was_suspended_is_not_timed_out():
-    async with Site() as site:
+    async with LimiterSite() as site:
         got, finished = asyncio.Queue(), asyncio.Queue()
-        address = ("127.0.0.1", site.till.port)
+        address = ("127.0.0.1", site.counter.port)
         calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 100_000, 100_000)
-        pool, finished, now = new_pool(site.backends[0].port)
+        pool, finished, now = new_pool(site.servers[0].port)
         for _ in range(2):  # the first ones open the connections
             calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
             pool.send(FakeAttempt(now, lasts=0.2))
             assert (await got.get()).reason is CloseReason.ANSWERED
             assert (await finished.get()).reason is CloseReason.ANSWERED
-        site.till.asleep = site.backends[0].asleep = 0.4  # each answers, and we do not look for so long
+        site.counter.block_once_s = site.servers[0].block_once_s = (
+            0.4  # each answers, and we do not look for so long
+        )
         calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
         assert (await got.get()).reason is CloseReason.ANSWERED
         pool.send(FakeAttempt(now, lasts=0.2))
         assert (await finished.get()).reason is CloseReason.ANSWERED
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_partially_written_request_has_not_run():
     """A server that stops reading and dies: the last byte never left this machine."""
 
@@ -211,24 +213,24 @@
     server.close()
 
 
-@on_loopback
+@on_limiter_loop
 async def test_the_pool_keeps_to_its_connection_limit():
-    parties = [await Backend(0.1).open() for _ in range(5)]
+    peers = [await FakeServer(0.1).open() for _ in range(5)]
     pool, finished, now = new_pool(1)
-    pool.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(parties)})
+    pool.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(peers)})
     for i in range(5):
         pool.send(FakeAttempt(now, server=f"s{i}"))
     reasons = [(await finished.get()).reason for _ in range(5)]
     assert reasons.count(CloseReason.NOT_SENT) == 1 and reasons.count(CloseReason.ANSWERED) == 4
     pool.send(FakeAttempt(now, server="s4"))  # the one idle for longest makes room
     assert (await finished.get()).reason is CloseReason.ANSWERED
-    for each in parties:
+    for each in peers:
         each.close()
 
 
-@on_loopback
+@on_limiter_loop
 async def test_an_operation_that_may_have_run_is_not_retried():
-    async with Site() as site:
-        for each in site.backends:
-            each.manner = "close"
-        assert (await site.ask("burn", "9"))[0] == 502 and len(site.sent("9")) == 1
+    async with LimiterSite() as site:
+        for each in site.servers:
+            each.behavior = Behavior.CLOSE
+        assert (await site.request("burn", "9"))[0] == 502 and len(site.attempts("9")) == 1
--- a/tests/net/test_counter_client.py
+++ b/tests/net/test_counter_client.py
@@ -6,33 +6,34 @@
 from lapisgrade.interface import AddToCounter, CounterOutcome
 from lapisgrade.net.counter_client import CounterClient
 from lapisgrade.net.metrics import NetMetrics
-from support.event_loop import on_loopback
-from support.limiter_site import Site
+from support.event_loop import on_limiter_loop
+from support.fake_peers import Behavior
+from support.limiter_site import LimiterSite
 
 
-@on_loopback
+@on_limiter_loop
 async def test_each_close_reason_of_a_counter_call_and_no_reply_for_another():
     """An answer that comes too late is not taken for the next call's."""
-    async with Site() as site:
+    async with LimiterSite() as site:
         got = asyncio.Queue()
-        address = ("127.0.0.1", site.till.port)
+        address = ("127.0.0.1", site.counter.port)
         calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 250_000, 100_000)
 
-        async def tell(amount, manner):
-            site.till.manner = manner
+        async def tell(amount, behavior):
+            site.counter.behavior = behavior
             calls.add(SimpleNamespace(), AddToCounter(7, amount, 45_000_000))
             event = await got.get()
             return event.reason.counter_outcome, event.total
 
-        assert await tell(2.0, "well") == (CounterOutcome.ADDED, 2.0)
-        assert site.till.seen[-1] == [b"INCRTTL", b"7", b"2.000000", b"45000"]
-        assert await tell(1.0, "busy") == (CounterOutcome.REJECTED, 0.0)
+        assert await tell(2.0, Behavior.NORMAL) == (CounterOutcome.ADDED, 2.0)
+        assert site.counter.received[-1] == [b"INCRTTL", b"7", b"2.000000", b"45000"]
+        assert await tell(1.0, Behavior.BUSY) == (CounterOutcome.REJECTED, 0.0)
         assert await tell(3.0, 0.4) == (CounterOutcome.TIMED_OUT, 0.0)
         await asyncio.sleep(0.2)
-        assert await tell(-1.0, "well") == (CounterOutcome.ADDED, 4.0)
-        assert await tell(1.0, "close") == (CounterOutcome.TIMED_OUT, 0.0)
-        assert await tell(1.0, "silent") == (CounterOutcome.TIMED_OUT, 0.0)
-        assert await tell(1.0, "well") == (CounterOutcome.ADDED, 5.0)  # on a new connection
+        assert await tell(-1.0, Behavior.NORMAL) == (CounterOutcome.ADDED, 4.0)
+        assert await tell(1.0, Behavior.CLOSE) == (CounterOutcome.TIMED_OUT, 0.0)
+        assert await tell(1.0, Behavior.SILENT) == (CounterOutcome.TIMED_OUT, 0.0)
+        assert await tell(1.0, Behavior.NORMAL) == (CounterOutcome.ADDED, 5.0)  # on a new connection
         for spoilt in [
             b"$3\r\nnan\r\n",
             b"$4\r\n1e99",
@@ -45,6 +46,6 @@
             b"-" + bytes(999),
         ]:
             assert await tell(1.0, spoilt) == (CounterOutcome.TIMED_OUT, 0.0)
-        site.till.close()
+        site.counter.close()
         await asyncio.sleep(0.01)
-        assert await tell(1.0, "well") == (CounterOutcome.REJECTED, 0.0)
+        assert await tell(1.0, Behavior.NORMAL) == (CounterOutcome.REJECTED, 0.0)
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -2,42 +2,43 @@
 
 import asyncio
 
-from support.event_loop import on_loopback, until
-from support.limiter_site import Site
+from support.event_loop import on_limiter_loop, wait_until
+from support.fake_peers import Behavior
+from support.limiter_site import LimiterSite
 
 
-@on_loopback
+@on_limiter_loop
 async def test_the_watch_continues_and_a_departing_server_gets_no_new_requests():
-    async with Site() as site:
+    async with LimiterSite() as site:
         await asyncio.sleep(0.7)
-        paths = [path for path, _ in site.agent.calls]
+        paths = [path for path, _ in site.discovery.calls]
         assert len(paths) >= 3 and all("since=3&timeout_ms=4000" in path for path in paths)
-        site.agent.change(s0="terminating")
-        await until(lambda: list(site.service.host.pool.addresses) == ["s1"])
+        site.discovery.change(s0="terminating")
+        await wait_until(lambda: list(site.service.host.pool.addresses) == ["s1"])
         for i in range(20):
-            assert (await site.ask("burn", str(i)))[0] == 200
-        assert len(site.backends[0].seen) == 0 and len(site.backends[1].seen) == 20
-        site.agent.change(s0="in_service", s1="terminated")
-        await until(lambda: list(site.service.host.pool.addresses) == ["s0"])
-        assert (await site.ask("burn", "back"))[0] == 200 and len(site.backends[0].seen) == 1
-        before = len(site.agent.calls)
-        site.agent.shut()
+            assert (await site.request("burn", str(i)))[0] == 200
+        assert len(site.servers[0].received) == 0 and len(site.servers[1].received) == 20
+        site.discovery.change(s0="in_service", s1="terminated")
+        await wait_until(lambda: list(site.service.host.pool.addresses) == ["s0"])
+        assert (await site.request("burn", "back"))[0] == 200 and len(site.servers[0].received) == 1
+        before = len(site.discovery.calls)
+        site.discovery.abort_connections()
         await asyncio.sleep(0.18)
-        assert len(site.agent.calls) > before  # within 200 ms
-        site.agent.manner, before = "hasty", len(site.agent.calls)
-        await until(lambda: len(site.agent.calls) > before + 4)
-        times = [when for _, when in site.agent.calls[-4:]]
+        assert len(site.discovery.calls) > before  # within 200 ms
+        site.discovery.behavior, before = Behavior.EMPTY_REPLIES, len(site.discovery.calls)
+        await wait_until(lambda: len(site.discovery.calls) > before + 4)
+        times = [when for _, when in site.discovery.calls[-4:]]
         assert 0.25 < times[-1] - times[0] < 0.6  # each within 200 ms, and no more often than it takes
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_discovery_agent_that_rejects_calls_is_backed_off():
-    async with Site() as site:
-        site.agent.manner = "busy"
+    async with LimiterSite() as site:
+        site.discovery.behavior = Behavior.BUSY
         await asyncio.sleep(1.0)
-        before = len(site.agent.calls)
+        before = len(site.discovery.calls)
         await asyncio.sleep(1.0)
-        assert len(site.agent.calls) - before <= 5  # ten if it came back at once
-        site.agent.manner = "well"
-        site.agent.change(s0="terminating")
-        await until(lambda: "s0" not in site.service.host.pool.addresses)
+        assert len(site.discovery.calls) - before <= 5  # ten if it came back at once
+        site.discovery.behavior = Behavior.NORMAL
+        site.discovery.change(s0="terminating")
+        await wait_until(lambda: "s0" not in site.service.host.pool.addresses)
--- a/tests/net/test_random_faults.py
+++ b/tests/net/test_random_faults.py
@@ -6,22 +6,35 @@
 
 import pytest
 
-from support.event_loop import run_on_loop
-from support.limiter_site import Site
+from support.event_loop import run_on_limiter_loop
+from support.fake_peers import Behavior
+from support.limiter_site import LimiterSite
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_rules_hold_on_sockets_under_chance(seed):
-    run_on_loop(chance(Random(seed)))
+    run_on_limiter_loop(chance(Random(seed)))
 
 
 async def chance(random):
-    async with Site(servers=4) as site:
+    async with LimiterSite(servers=4) as site:
         time, done = asyncio.get_running_loop().time, {}
-        ways = ["well"] * 6 + [0.05, 0.2, "error", "full", "close", "short", "noise", "silent", "chunks"]
-        for each in site.backends:
-            each.manner = lambda: random.choice(ways)
-        site.till.manner = lambda: random.choice(["well"] * 6 + [0.04, "busy", "close"])
+        ways = [Behavior.NORMAL] * 6 + [
+            0.05,
+            0.2,
+            Behavior.ERROR,
+            Behavior.OVERLOADED,
+            Behavior.CLOSE,
+            Behavior.TRUNCATED,
+            Behavior.MALFORMED,
+            Behavior.SILENT,
+            Behavior.CHUNKED,
+        ]
+        for each in site.servers:
+            each.behavior = lambda: random.choice(ways)
+        site.counter.behavior = lambda: random.choice(
+            [Behavior.NORMAL] * 6 + [0.04, Behavior.BUSY, Behavior.CLOSE]
+        )
 
         async def client(name):
             on = None
@@ -31,7 +44,7 @@
                 started, time_out = time(), random.choice([0.1, 0.5, 0.9])
 
                 async def ask(*args, **more):
-                    return *await site.ask(*args, **more), time()
+                    return *await site.request(*args, **more), time()
 
                 asking = asyncio.create_task(ask(kind, number, on=on, timeout=str(time_out)))
                 if random.random() < 0.1:
@@ -51,17 +64,17 @@
         async def trouble():
             for _ in range(25):
                 await asyncio.sleep(random.random() * 0.15)
-                party = random.choice([*site.backends, site.till, site.agent])
-                party.shut()
+                peer = random.choice([*site.servers, site.counter, site.discovery])
+                peer.abort_connections()
                 if random.random() < 0.3:
                     states = ["in_service", "in_service", "terminating"]
-                    site.agent.change(**{f"s{random.randrange(4)}": random.choice(states)})
+                    site.discovery.change(**{f"s{random.randrange(4)}": random.choice(states)})
 
         await asyncio.gather(trouble(), *(client(str(i)) for i in range(12)))
         for number, (kind, status, ended) in done.items():
-            hops = site.sent(number)
+            hops = site.attempts(number)
             assert all(hop[3] < ended + 0.3 for hop in hops), "rule 1: sent after its answer"
-            may_have_run = [hop for hop in hops if hop[4] != "full"]
+            may_have_run = [hop for hop in hops if hop[4] != Behavior.OVERLOADED]
             if kind == "burn":
                 assert len(may_have_run) <= 1 and not (status == 429 and may_have_run), "rule 2"
         statuses = Counter(status for _, status, _ in done.values())
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -14,22 +14,22 @@
 
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.settings import MalformedInputError
-from support.event_loop import on_loopback, until
-from support.fake_peers import Agent, Till, heard
-from support.limiter_site import Site
+from support.event_loop import on_limiter_loop, wait_until
+from support.fake_peers import FakeCounter, FakeDiscovery, read_message
+from support.limiter_site import LimiterSite
 
 
-@on_loopback
+@on_limiter_loop
 async def test_open_operations_are_answered_at_shutdown():
-    async with Site() as site:
-        for each in site.backends:
-            each.manner = 0.6
+    async with LimiterSite() as site:
+        for each in site.servers:
+            each.behavior = 0.6
         idle, busy = await site.connect(), await site.connect()
-        asked = asyncio.create_task(site.ask("burn", "1", on=busy))
+        asked = asyncio.create_task(site.request("burn", "1", on=busy))
         await asyncio.sleep(0.05)
         site.service.shut_down()
         await asyncio.sleep(0.1)
-        late = asyncio.create_task(site.ask("burn", "2"))  # still comes, on a new connection
+        late = asyncio.create_task(site.request("burn", "2"))  # still comes, on a new connection
         silent = await site.connect()  # and asks nothing: it is not waited for
 
         async def insist():  # one that never stops to ask whether it is up, on a new connection each time
@@ -37,16 +37,16 @@
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 while True:
                     reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
-                    writer.write(site.request(path="/up"))
-                    seen.add((await heard(reader))[0].split(" ")[1])
+                    writer.write(site.encode_request(path="/up"))
+                    seen.add((await read_message(reader))[0].split(" ")[1])
             return seen
 
         insisting = asyncio.create_task(insist())
-        assert (await site.ask("look", "3", on=idle, timeout="0.1"))[0] == 502  # or on one that was kept
+        assert (await site.request("look", "3", on=idle, timeout="0.1"))[0] == 502  # or on one that was kept
         assert (await asked)[0] == 200
         assert (await late)[0] == 200
         assert (await late)[1]["connection"] == "close" and await idle[0].read() == b""
-        await asyncio.wait_for(site.run, 1)
+        await asyncio.wait_for(site.running, 1)
         assert await insisting == {"503"}
         assert await silent[0].read() == b""
         closed = site.service.metrics.client_connections_closed
@@ -70,18 +70,24 @@
         process = run()
         _, said = process.communicate(timeout=20)
         assert process.returncode == 2 and words in said and said.count("\n") == 1
-    site = Site()
-    site.agent = SimpleNamespace(port=1, told=lambda: {"generation": 1, "reset": True, "instances": []})
-    site.till.port = 1
+    site = LimiterSite()
+    site.discovery = SimpleNamespace(
+        port=1, endpoint_list=lambda: {"generation": 1, "reset": True, "instances": []}
+    )
+    site.counter.port = 1
     site.port = Random(os.getpid()).randrange(20_000, 30_000)
-    told.write_text(json.dumps(site.told()))
+    told.write_text(json.dumps(site.configuration()))
     process = run()
 
     async def ask():
-        return (await site.ask(path="/up"))[0], (await site.ask())[0]
+        return (await site.request(path="/up"))[0], (await site.request())[0]
 
     assert asyncio.run(asyncio.wait_for(ask(), 10)) == (200, 429)  # no server is known
-    for text in ["{", json.dumps({**site.told(), "counter": "nowhere"}), json.dumps(site.told())]:
+    for text in [
+        "{",
+        json.dumps({**site.configuration(), "counter": "nowhere"}),
+        json.dumps(site.configuration()),
+    ]:
         told.write_text(text)
         process.send_signal(signal.SIGHUP)
         assert asyncio.run(asyncio.wait_for(ask(), 10)) == (200, 429)
@@ -92,34 +98,39 @@
     assert "told to end by SIGTERM" in said
 
 
-@on_loopback
+@on_limiter_loop
 async def test_a_reload_moves_discovery_and_counter_under_open_operations():
-    async with Site(counter_timeout_ms=5000.0) as site:  # also a busy machine answers the open call in time
-        pool, rows = site.service.host.pool, site.agent.rows
-        agent, till = await Agent(rows).open(), await Till().open()
+    # also a busy machine answers the open call in time
+    async with LimiterSite(counter_timeout_ms=5000.0) as site:
+        pool, rows = site.service.host.pool, site.discovery.rows
+        discovery, counter = await FakeDiscovery(rows).open(), await FakeCounter().open()
         with pytest.raises(MalformedInputError):
-            site.service.reload({**site.told(), "counter": 7})
-        site.service.reload({**site.told(), "discovery": "127.0.0.1:1"})  # nobody listens there yet
-        site.agent.change(s0="terminating")
-        await until(lambda: list(pool.addresses) == ["s1"])  # so the one before is still followed
-        site.till.manner = site.backends[1].manner = 0.02
-        early = [asyncio.create_task(site.ask("burn", f"early-{i}")) for i in range(4)]
-        await until(lambda: site.till.seen)
+            site.service.reload({**site.configuration(), "counter": 7})
+        site.service.reload({**site.configuration(), "discovery": "127.0.0.1:1"})  # nobody listens there yet
+        site.discovery.change(s0="terminating")
+        await wait_until(lambda: list(pool.addresses) == ["s1"])  # so the one before is still followed
+        site.counter.behavior = site.servers[1].behavior = 0.02
+        early = [asyncio.create_task(site.request("burn", f"early-{i}")) for i in range(4)]
+        await wait_until(lambda: site.counter.received)
         site.service.reload(
-            {**site.told(), "discovery": f"127.0.0.1:{agent.port}", "counter": f"127.0.0.1:{till.port}"}
+            {
+                **site.configuration(),
+                "discovery": f"127.0.0.1:{discovery.port}",
+                "counter": f"127.0.0.1:{counter.port}",
+            }
         )
-        for each in (site.agent, site.till):
+        for each in (site.discovery, site.counter):
             each.server.close()  # takes no new connections; open ones stay
         assert [(await each)[0] for each in early] == [200] * 4
         assert site.service.metrics.counter_calls_finished[CloseReason.ANSWERED] >= 1
-        await until(lambda: agent.calls)
-        assert agent.calls[0][0] == "/discovery/hosts"
-        agent.change(s0="in_service", s1="terminated")
-        await until(lambda: list(pool.addresses) == ["s0"])
-        before = len(site.till.seen)
-        site.agent.shut()
-        site.till.shut()
-        assert (await site.ask("burn", "after", X_Customer="0" * 16))[0] == 200
-        assert len(site.till.seen) == before and till.seen and len(site.sent("after")) == 1
-        agent.close()
-        till.close()
+        await wait_until(lambda: discovery.calls)
+        assert discovery.calls[0][0] == "/discovery/hosts"
+        discovery.change(s0="in_service", s1="terminated")
+        await wait_until(lambda: list(pool.addresses) == ["s0"])
+        before = len(site.counter.received)
+        site.discovery.abort_connections()
+        site.counter.abort_connections()
+        assert (await site.request("burn", "after", X_Customer="0" * 16))[0] == 200
+        assert len(site.counter.received) == before and counter.received and len(site.attempts("after")) == 1
+        discovery.close()
+        counter.close()
