--- a/lapisgrade/cli/options.py
+++ b/lapisgrade/cli/options.py
@@ -5,8 +5,8 @@
 
 import click
 
-from lapisgrade.lab.load import schedule
 from lapisgrade import settings
+from lapisgrade.lab.load import schedule
 
 Command = TypeVar("Command", bound=Callable[..., Any])
 
--- a/lapisgrade/fakes/listener.py
+++ b/lapisgrade/fakes/listener.py
@@ -1,8 +1,8 @@
 """What every fake does as a listener on loopback: listen, say where, break its connections, end."""
 
 import asyncio
-from typing import Self
 import contextlib
+from typing import Self
 
 
 class Listener:
--- a/lapisgrade/gateway/rpc.py
+++ b/lapisgrade/gateway/rpc.py
@@ -9,9 +9,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from returns.result import Result
-
 import msgspec
+from returns.result import Result
 
 from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.rpc_connection import Codec, Connection
