--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -20,33 +20,33 @@
 
 
 def test_the_demo_keeps_the_rules_while_a_server_departs():
-    said = []
-    assert run(demo.run(ask_demo(), said.append)) == 0
-    end = next(line for line in said if line.startswith("sent ") and "lost" in line)
+    lines = []
+    assert run(demo.run(ask_demo(), lines.append)) == 0
+    end = next(line for line in lines if line.startswith("sent ") and "lost" in line)
     counts = dict(part.rsplit(" ", 1) for part in end.split(": ")[1].split(" in ")[0].split(", "))
     assert counts["lost"] == "0"
     assert int(counts["finished"]) > 100
     assert sum(map(int, counts.values())) == int(end.split(":")[0].split()[1])
-    assert any("s0 is gone" in line for line in said)
-    assert "RULE BROKEN" not in " ".join(said)
+    assert any("s0 is gone" in line for line in lines)
+    assert "RULE BROKEN" not in " ".join(lines)
 
 
 def test_ctrl_c_sends_no_more_and_answers_what_is_in_flight():
-    said = []
+    lines = []
 
     async def go():
         asyncio.get_running_loop().call_later(1.5, os.kill, os.getpid(), signal.SIGINT)
-        return await demo.run(ask_demo(seconds=6.0, leave=None), said.append)
+        return await demo.run(ask_demo(seconds=6.0, leave=None), lines.append)
 
     assert run(go()) == 0
-    end = next(line for line in said if line.startswith("sent ") and "not sent" in line)
+    end = next(line for line in lines if line.startswith("sent ") and "not sent" in line)
     assert "lost 0" in end
     assert int(end.split("not sent ")[1].split()[0]) > 100
-    assert any(line.startswith("stopping") for line in said)
+    assert any(line.startswith("stopping") for line in lines)
 
 
 def test_limiters_keep_the_rules_while_the_counter_is_wrong_and_replaced():
-    said, seen = [], []
+    lines, seen = [], []
 
     async def faults(site):
         await asyncio.sleep(0.8)
@@ -56,7 +56,7 @@
         site.counter.restart()  # an empty counter in its place, as a swap to a fresh one
         site.counter.set_mode(counter.CounterMode.NORMAL)
 
-    assert run(demo.run(ask_demo(seconds=3.0, leave=None), said.append, faults)) == 0
+    assert run(demo.run(ask_demo(seconds=3.0, leave=None), lines.append, faults)) == 0
     assert seen
     assert seen[0] > 0
-    assert "RULE BROKEN" not in " ".join(said)
+    assert "RULE BROKEN" not in " ".join(lines)
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -67,19 +67,19 @@
 
 
 def test_every_kind_of_error_is_reported_with_its_place() -> None:
-    for edit, words in WRONG:
+    for edit, expected in WRONG:
         wrong, minded = configuration_check.check_text(conf(edit))
-        assert words in " ".join(wrong), (words, wrong)
+        assert expected in " ".join(wrong), (expected, wrong)
         assert minded == []
         assert "key-of-sfax" not in " ".join(wrong)
 
 
 def test_valid_but_suspicious_configurations_get_warnings() -> None:
     assert configuration_check.check_text(msgspec.json.encode(CONF)) == ([], [])
-    for edit, words in MINDED:
+    for edit, expected in MINDED:
         wrong, minded = configuration_check.check_text(conf(edit))
-        assert wrong == [], words
-        assert words in "\n".join(minded)
+        assert wrong == [], expected
+        assert expected in "\n".join(minded)
 
 
 def test_errors_carry_a_hint_how_to_correct_them() -> None:
@@ -89,21 +89,21 @@
     wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).pop("Timeout")))
     place = "$.Ports[0].Policy[1].Action.Timeout"
     assert wrong == [f"required field missing @ {place} (it can't be left out)"]
-    for edit, words in WRONG[1:8]:
-        assert configuration_check.check_text(conf(edit))[0][0].endswith(")"), words
+    for edit, expected in WRONG[1:8]:
+        assert configuration_check.check_text(conf(edit))[0][0].endswith(")"), expected
 
 
 def test_a_host_listed_twice_has_the_routes_of_both() -> None:
     def twice(c: dict, rules: list) -> None:
         c["Ports"] = [{"Vhost": "a.example", "Policy": [each]} for each in rules]
 
-    made = msgspec.json.decode(conf(twice))
-    table = RouteTable(configuration.read(made))
+    edited = msgspec.json.decode(conf(twice))
+    table = RouteTable(configuration.read(edited))
     assert [table.find_rule("a.example", f"/{each}/1").name for each in ("stock", "claim")] == [
         "r-stock",
         "r-claim",
     ]
-    later = apply_change(made, {"Ver": 2, "Del": {"Routes": ["r-none"]}})
+    later = apply_change(edited, {"Ver": 2, "Del": {"Routes": ["r-none"]}})
     assert len(later["Ports"][0]["Policy"]) == 2
 
 
--- a/tests/gateway/cli/test_commands.py
+++ b/tests/gateway/cli/test_commands.py
@@ -30,9 +30,9 @@
             file.write(data)
         return path
 
-    def run_it(self, *words: str) -> tuple[int, str, str]:
+    def run_command(self, *arguments: str) -> tuple[int, str, str]:
         out, err = io.StringIO(), io.StringIO()
-        argv = mock.patch("sys.argv", ["lapisgrade-gateway", *words])
+        argv = mock.patch("sys.argv", ["lapisgrade-gateway", *arguments])
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err), argv:
             code = main_module.main()
         return code, out.getvalue(), err.getvalue()
@@ -45,13 +45,13 @@
 
 def test_check_conf(program: Program) -> None:
     good = program.write("good", msgspec.json.encode(CONF))
-    assert program.run_it("check", "conf", good) == (0, "it can be taken\n", "")
+    assert program.run_command("check", "conf", good) == (0, "it can be taken\n", "")
     bad = program.write("bad", conf(lambda c, r: (action(r).update(Timeout="0s"), r[0].update(Mode="x"))))
-    code, out, _ = program.run_it("check", "conf", bad)
+    code, out, _ = program.run_command("check", "conf", bad)
     assert (code, out.count("\n")) == (1, 3), out
     short = program.write("short", msgspec.json.encode(CONF)[:-9])
-    assert program.run_it("check", "conf", short)[0] == 1
-    code, out, err = program.run_it("check", "conf", "/nowhere")
+    assert program.run_command("check", "conf", short)[0] == 1
+    code, out, err = program.run_command("check", "conf", "/nowhere")
     assert (code, out, err.count("\n")) == (2, "", 1)
 
 
@@ -64,7 +64,7 @@
         c["Tenants"][0]["Apikeys"] = ["another"]
 
     one, two = program.write("one", msgspec.json.encode(CONF)), program.write("two", conf(edit))
-    assert program.run_it("diff", two, one) == (
+    assert program.run_command("diff", two, one) == (
         1,
         """changes:
   + Pools/b
@@ -80,15 +80,15 @@
 """,
         "",
     )
-    assert program.run_it("diff", one, one) == (0, "", "")
+    assert program.run_command("diff", one, one) == (0, "", "")
 
 
 def test_an_unreachable_target_is_one_line_and_exit_code_2(program: Program) -> None:
     one = program.write("one", msgspec.json.encode(CONF))
     nobody = "--ctl=127.0.0.1:1"
     calls = [("show",), ("status", "--json"), ("plan", one), ("diff", one), ("loss", "m1")]
-    for words in (*((*each, nobody) for each in calls), ("dump", "/nowhere"), ("dump", program.folder)):
-        code, out, err = program.run_it(*words)
+    for arguments in (*((*each, nobody) for each in calls), ("dump", "/nowhere"), ("dump", program.folder)):
+        code, out, err = program.run_command(*arguments)
         assert (code, out, err.count("\n")) == (2, "", 1), err
 
 
@@ -97,7 +97,7 @@
         where = f"--ctl={site.ip['m1']}:{CTL}"
         status = {"Newest", "InForce", "Proxies", "Servers", "Leader", "Term", "Voters"}
         for word, names in (("status", status), ("drafts", {"Leader", "Newest", "Drafts"})):
-            words = (sys.executable, "-m", "lapisgrade.gateway", word, where, "--json")
-            child = await asyncio.create_subprocess_exec(*words, stdout=asyncio.subprocess.PIPE)
+            arguments = (sys.executable, "-m", "lapisgrade.gateway", word, where, "--json")
+            child = await asyncio.create_subprocess_exec(*arguments, stdout=asyncio.subprocess.PIPE)
             out, _ = await child.communicate()
             assert (child.returncode, set(json.loads(out))) == (0, names)
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -37,8 +37,8 @@
         draft = make_draft(CONF, prio, "amel", "m1")
         entries = [Entry(1, 1, b"", {"first": "10.0.0.1:7660"}), Entry(2, 1, change),
                    Entry(3, 2, encode_command(MergeDraft(draft)))]  # fmt: skip
-        whole = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
-        log_store.renew(msgspec.msgpack.encode(whole))
+        snapshot = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
+        log_store.renew(msgspec.msgpack.encode(snapshot))
         records = (HardState(2, "first"), EntriesRecord(entries[1:]))
         log_store.append([msgspec.msgpack.encode(each) for each in records])
         log_store.close()
@@ -71,8 +71,8 @@
 def test_the_history_says_what_each_entry_did_and_each_version_changed(stored_log: StoredLog) -> None:
     log_store = LogStore(stored_log.folder)
     old = [msgspec.msgpack.decode(each, type=Record) for each in log_store.recover()]
-    gone = {"Del": {"Routes": ["r-stock"]}}
-    late, again = ({"Ver": 4, "Base": 1, **gone}, {"Ver": 5, "Base": 2, **gone})
+    deletion = {"Del": {"Routes": ["r-stock"]}}
+    late, again = ({"Ver": 4, "Base": 1, **deletion}, {"Ver": 5, "Base": 2, **deletion})
     items = [*(ConfigurationChange(False, msgspec.json.encode(each)) for each in (late, again)), Activate(5)]
     items += [ServerLeaving("i-1", False), ServerLeaving("i-1", True)]
     items += [LiveProxies({name: ("p", "1", "z") for name in ("m1", "m2")}), CloseDraft("nobody")]
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -36,12 +36,12 @@
 
 
 def test_a_plan_lists_the_changes() -> None:
-    made = plan_onboarding(CURRENT, SERVERS, text())
-    assert made.lines == [
+    plan = plan_onboarding(CURRENT, SERVERS, text())
+    assert plan.lines == [
         "tenant gabes: new, 1 keys, 40 a second and 20 on top",
         "route r-gabes: gabes.example/ to garantie",
     ]
-    assert (made.objections, made.warnings) == (
+    assert (plan.objections, plan.warnings) == (
         [],
         ["service garantie: 40 a second within 0.4 s may take 16 slots at once, and it has 8"],
     )
@@ -69,9 +69,9 @@
         ("/stock/eu/", "route r-new takes from r-stock, whose prefix is shorter"),
         ("/", "route r-new is hidden in part by r-stock"),
     ):
-        made = plan_onboarding(CURRENT, SERVERS, msgspec.json.encode({**quiet, "Ports": routed(pfx)}))
-        assert doubt in made.warnings
-        assert made.objections == []
+        plan = plan_onboarding(CURRENT, SERVERS, msgspec.json.encode({**quiet, "Ports": routed(pfx)}))
+        assert doubt in plan.warnings
+        assert plan.objections == []
 
 
 def test_an_invalid_ticket_is_rejected_with_its_place() -> None:
@@ -90,8 +90,8 @@
 
 def test_proxies_that_lag_are_listed_with_their_versions() -> None:
     one = {"Name": "c1", "Az": "z", "Held": 4, "InForce": 3, "HeardMs": 20}
-    told = {"Proxies": [one, {**one, "Name": "c2", "Held": 3, "HeardMs": 1900}, {**one, "InForce": 4}]}
-    assert lagging_proxies(told, 4) == [
+    status = {"Proxies": [one, {**one, "Name": "c2", "Held": 3, "HeardMs": 1900}, {**one, "InForce": 4}]}
+    assert lagging_proxies(status, 4) == [
         "c1: holds 4 ready, acts by 3, heard 20 ms ago",
         "c2: last told of 3, acts by 3, heard 1900 ms ago",
     ]
@@ -174,15 +174,17 @@
         said: list[str] = []
         assert await TenantClient(site.ctl, said.append).apply(text(), 4.0) in (0, 3)
         served = await site.get("m1", "/1", "key-of-gabes", host="gabes.example")
-        met = await site.get("m3", "/1", "key-of-gabes", host="gabes.example", tries=1)
+        lagging = await site.get("m3", "/1", "key-of-gabes", host="gabes.example", tries=1)
         old = await site.get("m3", "/stock/1", "key-of-sfax", tries=1)
-        assert [each.head.status_code for each in (served, met)] == [200, 503]
+        assert [each.head.status_code for each in (served, lagging)] == [200, 503]
         assert old.head.status_code in (200, 429)  # as the count allows one that is out of touch
-        assert b"retry-after" in met.headers()
+        assert b"retry-after" in lagging.headers()
 
 
-def run_it(*words: str) -> tuple[int, str, int]:
-    got = subprocess.run([sys.executable, "-m", "lapisgrade.gateway", *words], capture_output=True, text=True)
+def run_command(*arguments: str) -> tuple[int, str, int]:
+    got = subprocess.run(
+        [sys.executable, "-m", "lapisgrade.gateway", *arguments], capture_output=True, text=True
+    )
     return got.returncode, got.stderr, got.stdout.count("\n")
 
 
@@ -190,12 +192,12 @@
     with tempfile.NamedTemporaryFile("wb", suffix=".json") as file:
         file.write(text())
         file.flush()
-        for words, said in (
+        for arguments, said in (
             (("tenant", "plan", "/nowhere.json", "--ctl=127.0.0.1:1"), "/nowhere.json"),
             (("tenant", "plan", file.name, "--ctl=here"), "not an address"),
             (("tenant", "plan", file.name, "--ctl=127.0.0.1:1"), "no controller answers"),
             (("status", "--ctl=127.0.0.1:1"), "no controller answers"),
         ):
-            code, err, out = run_it(*words)
+            code, err, out = run_command(*arguments)
             assert (code, err.count("\n"), out) == (2, 1, 0), err
             assert said in err
--- a/tests/gateway/cli/test_rollout.py
+++ b/tests/gateway/cli/test_rollout.py
@@ -16,7 +16,7 @@
 
 async def test_a_rolling_restart_goes_machine_by_machine_and_nothing_is_refused() -> None:
     async with serving_cluster() as site:
-        said = []
+        lines = []
         answers = []
 
         async def restart(name: str) -> int:
@@ -33,37 +33,39 @@
                 await asyncio.sleep(0.02)
 
         task = asyncio.create_task(pulls())
-        lives = {name: each.context.incarnation for name, each in site.proxies.items()}
-        assert await rollout.RollingRestart(client(site), restart, said.append, 20.0).run(site.names) == 0
+        incarnations = {name: each.context.incarnation for name, each in site.proxies.items()}
+        assert await rollout.RollingRestart(client(site), restart, lines.append, 20.0).run(site.names) == 0
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        assert said == ["1 of 3: m1", "2 of 3: m2", "3 of 3: m3", "all are back and well"]
-        assert not {name for name, each in site.proxies.items() if each.context.incarnation == lives[name]}
+        assert lines == ["1 of 3: m1", "2 of 3: m2", "3 of 3: m3", "all are back and well"]
+        assert not {
+            name for name, each in site.proxies.items() if each.context.incarnation == incarnations[name]
+        }
         assert set(answers) == {200}
 
 
 async def test_a_rolling_restart_stops_at_the_machine_that_is_not_back() -> None:
     async with serving_cluster() as site:
-        said = []
+        lines = []
 
         async def restart(name: str) -> int:
             await site.kill(site.proxies[name])
             return 0
 
-        assert await rollout.RollingRestart(client(site), restart, said.append, 3.0).run(site.names) == 3
-        assert said[:2] == ["1 of 3: m1", "stopped at m1:"]
+        assert await rollout.RollingRestart(client(site), restart, lines.append, 3.0).run(site.names) == 3
+        assert lines[:2] == ["1 of 3: m1", "stopped at m1:"]
         # A leader that is new has not heard it, one that is not has counted it out.
-        assert re.search("^  proxy m1 (is not there|acts by version 0, not 1|was heard .* ago)$", said[2])
+        assert re.search("^  proxy m1 (is not there|acts by version 0, not 1|was heard .* ago)$", lines[2])
         assert len(site.proxies) == 2
 
         async def failing(name: str) -> int:
             return 7
 
-        said.clear()
+        lines.clear()
         await site.start_proxy("m1")
         await site.until(lambda: site.proxies["m1"].ready)
-        assert await rollout.RollingRestart(client(site), failing, said.append, 10.0).run(["m2"]) == 3
-        assert said == ["1 of 1: m2", "stopped at m2:", "  the command ended with 7"]
+        assert await rollout.RollingRestart(client(site), failing, lines.append, 10.0).run(["m2"]) == 3
+        assert lines == ["1 of 1: m2", "stopped at m2:", "  the command ended with 7"]
 
 
 def test_what_is_worse_than_before_the_rollout_is_reported() -> None:
@@ -73,7 +75,7 @@
     monitor = rollout.RolloutMonitor()
     monitor.record_baseline(well)
     assert monitor.problems(well) == []
-    for now, words in (
+    for now, expected in (
         ({**well, "Proxies": []}, "proxy c1 is not there"),
         ({**well, "Proxies": [{**one, "HeardMs": 2500}]}, "proxy c1 was heard 2500 ms ago"),
         ({**well, "Newest": 5}, "proxy c1 acts by version 4, not 5"),
@@ -81,4 +83,4 @@
         ({**well, "Voters": [{**disk, "HeardMs": 9000}]}, "disk d1 was heard 9000 ms ago"),
         ({**well, "Servers": {"s": {"Up": 7}}}, "service s: 7 servers are up, 10 were"),
     ):
-        assert monitor.problems(now) == [words]
+        assert monitor.problems(now) == [expected]
--- a/tests/gateway/consensus/test_snapshots.py
+++ b/tests/gateway/consensus/test_snapshots.py
@@ -9,31 +9,31 @@
 from support.consensus_nodes import VOTERS, append_reply, elected_leader, sync_disk, take_effects
 
 
-def transferred(lose=lambda turn: False, again=lambda turn: False) -> tuple[bytes, int]:
+def transferred(lose=lambda attempt: False, again=lambda attempt: False) -> tuple[bytes, int]:
     state = bytes(range(256)) * (3 * CHUNK_BYTES // 256) + b"end"
     transfer = SnapshotTransfer(Snapshot(9, 2, VOTERS, state))
-    assembly, turns = SnapshotAssembly(), 0
+    assembly, attempts = SnapshotAssembly(), 0
     while True:
-        turns += 1
+        attempts += 1
         chunk = InstallSnapshot(
             3, "b", "b:1", "a", 9, 2, VOTERS, transfer.chunk(), 1, transfer.offset, len(state)
         )
         transfer.sent_us = 1
-        if lose(turns):
+        if lose(attempts):
             continue
-        whole = assembly.add(chunk)
-        if again(turns):
-            whole = assembly.add(chunk) or whole
-        if whole is not None:
-            assert whole == state
-            return whole, turns
+        complete = assembly.add(chunk)
+        if again(attempts):
+            complete = assembly.add(chunk) or complete
+        if complete is not None:
+            assert complete == state
+            return complete, attempts
         transfer.on_reply(9, len(assembly.data))
 
 
 def test_lost_and_repeated_chunks_still_make_a_complete_snapshot() -> None:
     assert transferred()[1] == 4
-    assert transferred(lose=lambda turn: turn in (2, 3))[1] == 6
-    transferred(again=lambda turn: True)
+    assert transferred(lose=lambda attempt: attempt in (2, 3))[1] == 6
+    transferred(again=lambda attempt: True)
 
 
 def test_one_chunk_is_in_flight_and_a_later_compaction_does_not_change_the_snapshot() -> None:
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -31,13 +31,13 @@
     return msgspec.json.encode(claim(**more))
 
 
-def draft_client(site: LocalCluster, name: str, said: list[str]) -> DraftClient:
-    return DraftClient([Address((site.ip[name], CTL))], said.append)
+def draft_client(site: LocalCluster, name: str, lines: list[str]) -> DraftClient:
+    return DraftClient([Address((site.ip[name], CTL))], lines.append)
 
 
 async def send_draft(site: LocalCluster, name: str, text: bytes, by: str = "amel") -> tuple[int, list[str]]:
-    said: list[str] = []
-    return await draft_client(site, name, said).send(text, by), said
+    lines: list[str] = []
+    return await draft_client(site, name, lines).send(text, by), lines
 
 
 async def leave_alone(site: LocalCluster, name: str) -> None:
@@ -59,18 +59,18 @@
 async def test_edits_of_one_route_on_both_sides_are_both_kept_and_reported() -> None:
     async with serving_cluster(TWO_SERVICES) as site:
         await leave_alone(site, "m3")
-        status, said = await send_draft(site, "m3", edit(Action={"Svc": "reparation"}))
-        name = said[0].split()[1]
-        assert (status, said) == (
+        status, lines = await send_draft(site, "m3", edit(Action={"Svc": "reparation"}))
+        name = lines[0].split()[1]
+        assert (status, lines) == (
             0,
             [
                 f"draft {name} on version 1: kept on 1 disk, not in force",
                 "  mind: no neighbour has a copy: it is lost with that machine",
             ],
         )
-        said = []
-        assert await draft_client(site, "m3", said).print_drafts() == 0
-        assert said == [
+        lines = []
+        assert await draft_client(site, "m3", lines).print_drafts() == 0
+        assert lines == [
             "no leader is reached from here: what was merged elsewhere is not known",
             f"{name} by amel at m3 on version 1: kept, not in force",
             "  Routes/r-claim/Action/Svc",
@@ -88,19 +88,19 @@
         for each in site.names:
             rule = claim_rule(site, each)
             assert (rule.action.svc, rule.action.timeout, rule.prio) == ("reparation", 1_500_000, 0)
-        said = []
-        assert await draft_client(site, "m1", said).print_drafts() == 0
-        assert said == [f"{name} by amel at m3 on version 1: merged, all of it stands"]
+        lines = []
+        assert await draft_client(site, "m1", lines).print_drafts() == 0
+        assert lines == [f"{name} by amel at m3 on version 1: merged, all of it stands"]
         await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
 
 
 async def test_a_conflicting_field_is_reported_and_accepted_or_dropped() -> None:
     async with serving_cluster(TWO_SERVICES) as site:
         await leave_alone(site, "m3")
-        _, said = await send_draft(site, "m3", edit(Prio=3, Action={"Svc": "reparation"}))
-        name = said[0].split()[1]
-        _, said = await send_draft(site, "m3", edit(Mode="idem", Prio=5), "badr")
-        other = said[0].split()[1]
+        _, lines = await send_draft(site, "m3", edit(Prio=3, Action={"Svc": "reparation"}))
+        name = lines[0].split()[1]
+        _, lines = await send_draft(site, "m3", edit(Mode="idem", Prio=5), "badr")
+        other = lines[0].split()[1]
         await site.kill(site.controllers["m3"])
         for each in ("m1", "m2"):
             await site.start_controller(each)
@@ -109,10 +109,10 @@
             await asyncio.sleep(0.02)
         await site.start_controller("m3")
         await site.until(lambda: len(site.controllers["m2"].state_machine.open_drafts()) == 2)
-        said = []
-        client = draft_client(site, "m2", said)
+        lines = []
+        client = draft_client(site, "m2", lines)
         assert await client.print_drafts() == 1
-        assert sorted(said) == sorted(
+        assert sorted(lines) == sorted(
             [
                 f"{name} by amel at m3 on version 1: merged in part",
                 "  Routes/r-claim/Prio: has 0, wants 3: acknowledged since",
@@ -126,7 +126,7 @@
         assert (rule.action.svc, rule.mode) == ("reparation", "idem")
         assert await client.drop(other) == 0
         assert await client.drop(other) == 1
-        assert said[-3:] == [
+        assert lines[-3:] == [
             f"draft {name}: what was set aside is acknowledged",
             f"draft {other}: closed",
             "answered 404: no such draft is open",
@@ -142,8 +142,8 @@
         for controller in site.controllers.values():
             controller.consensus.is_leader = lambda: False
         with mock.patch.object(drafts, "COPY_TIMEOUT_S", 5.0):  # a machine busy with other work
-            status, said = await send_draft(site, "m3", edit(Prio=0))
-        assert (status, said[0].split(": ")[1]) == (0, "kept on 3 disks, not in force")
+            status, lines = await send_draft(site, "m3", edit(Prio=0))
+        assert (status, lines[0].split(": ")[1]) == (0, "kept on 3 disks, not in force")
         await leave_alone(site, "m1")
         await site.kill(site.controllers["m1"])
         shutil.rmtree(os.path.join(site.folder, "m3"))
@@ -174,11 +174,11 @@
         await site.kill(site.controllers[leader])
         await site.start_controller(leader)
 
-        def whole(name: str) -> bool:
+        def is_merged(name: str) -> bool:
             rule = claim_rule(site, name)
             return (rule.prio, rule.action.svc, rule.mode) == (4, "reparation", "idem")
 
-        await site.until(lambda: all(whole(each) for each in site.names))
+        await site.until(lambda: all(is_merged(each) for each in site.names))
         await site.until(
             lambda: not any(controller.draft_delivery.stored() for controller in site.controllers.values())
         )
@@ -216,9 +216,9 @@
             (edit(Mode="never"), "'never' is no mode"),
             (b'{"Upsert": 3}', "Upsert and Del are objects"),
         ):
-            status, said = await send_draft(site, "m2", text)
+            status, lines = await send_draft(site, "m2", text)
             assert status == 1
-            assert wrong in said[0]
+            assert wrong in lines[0]
         for text in (b"{", b"[]", b'{"Ver": 3}'):
             with pytest.raises(InvalidInputError):
                 await send_draft(site, "m2", text)
--- a/tests/gateway/controller/test_proxy_list_feed.py
+++ b/tests/gateway/controller/test_proxy_list_feed.py
@@ -13,8 +13,8 @@
 from lapisgrade.gateway.controller.watch_service import MAX_FAN_OUT_INTERVAL_US, fan_out_interval_us
 
 
-def members(names, life: str = "1") -> rpc_messages.ProxiesByName:
-    return {name: (f"10.0.0.1:{name}", life, "z") for name in map(str, names)}
+def members(names, incarnation: str = "1") -> rpc_messages.ProxiesByName:
+    return {name: (f"10.0.0.1:{name}", incarnation, "z") for name in map(str, names)}
 
 
 class ProxyListLeader:
@@ -24,11 +24,11 @@
 
     def told(self, base: int) -> rpc_messages.WatchReply | None:
         ask = rpc_messages.WatchRequest("", "", "1", "z", 0, "1", 0, base)
-        news = self.watch.reply_if_changed(0, ask, self.state_machine.state, [])
-        return msgspec.msgpack.decode(msgspec.msgpack.encode(news), type=type(news)) if news else None
+        reply = self.watch.reply_if_changed(0, ask, self.state_machine.state, [])
+        return msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=type(reply)) if reply else None
 
-    def listed(self, fence: int, made: rpc_messages.ProxiesByName) -> None:
-        self.state_machine.apply(fence, encode_command(LiveProxies(made, [], [])))
+    def listed(self, fence: int, current: rpc_messages.ProxiesByName) -> None:
+        self.state_machine.apply(fence, encode_command(LiveProxies(current, [], [])))
         self.told(fence)  # the leader looks at each list as it comes
 
 
@@ -40,33 +40,33 @@
 def test_a_reader_with_any_earlier_list_reaches_the_newest(leader: ProxyListLeader) -> None:
     for seed in range(20):
         leader = ProxyListLeader()
-        random, made, held = Random(seed), members(range(40)), {0: {}}
+        random, current, known = Random(seed), members(range(40)), {0: {}}
         for fence in range(1, 25):
-            leader.listed(fence, made)
-            for base in random.sample(sorted(held), min(len(held), 4)):
-                news = leader.told(base)
-                assert news.updated_proxies(base, held[base]) == made
-            held[fence] = made
-            gone = random.sample(sorted(made), min(len(made), random.choice((0, 1, 10))))
-            made = {name: each for name, each in made.items() if name not in gone}
-            made |= members(random.sample(range(60), random.choice((0, 1, 10))), str(fence))
+            leader.listed(fence, current)
+            for base in random.sample(sorted(known), min(len(known), 4)):
+                reply = leader.told(base)
+                assert reply.updated_proxies(base, known[base]) == current
+            known[fence] = current
+            departed = random.sample(sorted(current), min(len(current), random.choice((0, 1, 10))))
+            current = {name: each for name, each in current.items() if name not in departed}
+            current |= members(random.sample(range(60), random.choice((0, 1, 10))), str(fence))
 
 
 def test_a_change_of_ten_in_two_hundred_costs_a_tenth_of_the_list(leader: ProxyListLeader) -> None:
     first = members(range(200))
     leader.listed(1, first)
-    whole = leader.told(0)
+    complete = leader.told(0)
     leader.listed(2, {**first, **members(range(10), "2")})
     delta = leader.told(1)
     assert delta.live_proxies is None
-    assert len(msgspec.msgpack.encode(delta)) < 0.1 * len(msgspec.msgpack.encode(whole))
+    assert len(msgspec.msgpack.encode(delta)) < 0.1 * len(msgspec.msgpack.encode(complete))
 
 
 def test_a_delta_on_a_different_list_is_rejected(leader: ProxyListLeader) -> None:
     delta = rpc_messages.ProxyListDelta(4, members([1]), [])
-    news = rpc_messages.WatchReply(True, fencing_token=5, live_proxies_delta=delta)
-    assert news.updated_proxies(3, members([2])) is None
-    assert news.updated_proxies(4, members([2])) == members([1, 2])
+    reply = rpc_messages.WatchReply(True, fencing_token=5, live_proxies_delta=delta)
+    assert reply.updated_proxies(3, members([2])) is None
+    assert reply.updated_proxies(4, members([2])) == members([1, 2])
 
 
 def test_remembered_lists_are_bounded(leader: ProxyListLeader) -> None:
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -20,10 +20,10 @@
     def __init__(self) -> None:
         self.state_machine, self.index = StateMachine(), 0
 
-    def send(self, body: dict | bytes, whole: bool = True) -> tuple[int, str]:
+    def send(self, body: dict | bytes, is_complete: bool = True) -> tuple[int, str]:
         self.index += 1
         data = body if isinstance(body, bytes) else msgspec.json.encode(body)
-        answer = self.state_machine.apply(self.index, encode_command(ConfigurationChange(whole, data)))
+        answer = self.state_machine.apply(self.index, encode_command(ConfigurationChange(is_complete, data)))
         return answer.status, answer.wrong
 
     def shown(self) -> dict:
@@ -59,10 +59,10 @@
 def test_each_kind_of_invalid_configuration_is_rejected_with_the_reason(subtests: pytest.Subtests):
     operator = Operator()
     operator.send(changed(Ver=3))
-    cut = msgspec.json.encode(WHOLE)[:-9]
+    truncated = msgspec.json.encode(WHOLE)[:-9]
     split = [{"Svc": "garantie", "Wt": 0}, {"Svc": "reports", "Wt": 0}]
     cases = {
-        "cut short": (cut, "the body is not whole JSON"),
+        "cut short": (truncated, "the body is not whole JSON"),
         "unknown service": (with_action(Svc="nobody"), "route r-stock: service 'nobody' is not in Pools"),
         "no time-out": (with_action(Timeout="0ms"), "Timeout is 0, not above 0"),
         "weight below 0": (
@@ -75,13 +75,13 @@
         "a name twice": (with_rule(Name="r-claim"), "a route stands twice: 'r-claim'"),
         "a number as text": (changed(Ver="7"), "Ver and Base are whole numbers"),
     }
-    for name, (body, words) in cases.items():
+    for name, (body, expected) in cases.items():
         with subtests.test(name):
             if isinstance(body, dict) and name not in ("old version",):
                 body = {**body, "Base": 3}
             status, wrong = operator.send(body)
             assert status == 400
-            assert words in wrong
+            assert expected in wrong
     assert operator.state_machine.state.version == 3
 
 
@@ -103,12 +103,12 @@
             "Tenants": [{"Name": "port", "Apikeys": ["k3"]}],
         },
     }
-    assert operator.send(change, whole=False) == (200, "")
+    assert operator.send(change, is_complete=False) == (200, "")
     shown = operator.shown()
     assert shown["Ports"] == [{"Vhost": "a.example", "Policy": [{**RULE, "Prio": 0}, new]}]
     assert [each["Name"] for each in shown["Tenants"]] == ["sfax", "port"]
     assert (shown["Ver"], shown["Pools"]) == (9, WHOLE["Pools"])
-    assert operator.send(change, whole=False) == (200, "")
+    assert operator.send(change, is_complete=False) == (200, "")
 
 
 def test_a_state_survives_a_snapshot():
--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -32,11 +32,11 @@
 def test_only_the_probing_request_waits_for_an_unresponsive_count():
     simulation = QuotaSimulation(3)
     simulation.run(8, 30)
-    one = next(each for each in simulation.proxies.values() if not each.quota_owner.owns("t"))
-    one.is_isolated = True
-    simulation.run(1.5, 30, [one.name])
-    simulation.run(1.0, 60, [one.name])
-    assert len(one.quota_client.pending) <= 1
+    proxy = next(each for each in simulation.proxies.values() if not each.quota_owner.owns("t"))
+    proxy.is_isolated = True
+    simulation.run(1.5, 30, [proxy.name])
+    simulation.run(1.0, 60, [proxy.name])
+    assert len(proxy.quota_client.pending) <= 1
 
 
 def test_the_bound_holds_at_eight_times_the_usual_and_the_quota_is_used(subtests: pytest.Subtests):
@@ -49,11 +49,11 @@
 
 
 def test_the_bound_holds_when_half_or_all_proxies_reach_no_owner(subtests: pytest.Subtests):
-    for dark in (7, 14):
-        with subtests.test(dark=dark):
+    for isolated in (7, 14):
+        with subtests.test(dark=isolated):
             simulation = QuotaSimulation(14)
             simulation.run(6, 300)
-            for name in simulation.names[:dark]:
+            for name in simulation.names[:isolated]:
                 simulation.proxies[name].is_isolated = True
             simulation.run(8, 300)
             for each in simulation.proxies.values():
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -16,8 +16,8 @@
 ALWAYS = 1 << 60
 
 
-def members(names, lives=None) -> dict[str, tuple[str, str, str]]:
-    return {name: (f"10.0.0.{ord(name)}:1", (lives or {}).get(name, "1"), "z") for name in names}
+def members(names, incarnations=None) -> dict[str, tuple[str, str, str]]:
+    return {name: (f"10.0.0.{ord(name)}:1", (incarnations or {}).get(name, "1"), "z") for name in names}
 
 
 def take(owner: QuotaOwner, now_us: int, units: float = 1.0, by: str = "x") -> rpc_messages.QuotaReply:
@@ -108,8 +108,8 @@
 def test_a_lost_reply_is_repeated_and_creates_no_units(count: CountChangingHands) -> None:
     take(count.old, SECOND, 30.0)
     count.joined(SECOND + MS)
-    for told in (False, True):
-        if told:
+    for names_told in (False, True):
+        if names_told:
             count.old.update_members(
                 SECOND + 3 * MS, MembershipUpdate(9, members(count.names), previous_fencing_token=5)
             )
@@ -258,12 +258,12 @@
     assert take(count.new, SECOND + MS).is_accepted
     other = QuotaOwner(count.first, "2", 0)  # started anew, it knows of nothing
     assert other.hand_over(SECOND, wants(count.new)) == rpc_messages.HandOverReply(False)
-    gone = QuotaOwner(count.last, "1", 0)
+    departed = QuotaOwner(count.last, "1", 0)
     left = [name for name in count.names if name != count.first]
-    gone.update_members(
+    departed.update_members(
         SECOND, MembershipUpdate(9, members(left), previous_fencing_token=5, previous_owners=count.early)
     )
-    assert gone.predecessor(SECOND, "t") == ""
+    assert departed.predecessor(SECOND, "t") == ""
 
 
 def test_a_proxy_shutting_down_owns_no_counts_while_others_remain(count: CountChangingHands) -> None:
--- a/tests/gateway/quota/test_owner.py
+++ b/tests/gateway/quota/test_owner.py
@@ -13,13 +13,13 @@
     names = [f"c{number}" for number in range(6)]
     for tenant in ("t", "u", "v", "w"):
         for core in (names[:3], names):
-            held = []
+            owners_found = []
             for name in names:
                 one = QuotaOwner(name)
                 one.update_members(0, MembershipUpdate(1, live_proxies(names), core))
-                held += [name] if one.owns(tenant) else []
-            assert len(held) == 1
-            assert held[0] not in core or core == names
+                owners_found += [name] if one.owns(tenant) else []
+            assert len(owners_found) == 1
+            assert owners_found[0] not in core or core == names
 
 
 def test_a_restarted_owner_inherits_its_count_from_the_first_member_list():
@@ -48,9 +48,9 @@
         one.update_members(0, MembershipUpdate(5, live_proxies(names), previous_fencing_token=4))
         one.add(SECOND, ask, 99 * SECOND)
         one.update_members(9 * SECOND, MembershipUpdate(7, live_proxies(names), previous_fencing_token=prior))
-        told = one.add(9 * SECOND, msgspec.structs.replace(ask, fencing_token=7), 99 * SECOND).total
-        assert told >= total, f"after {prior}"
-        assert told < total + 1.5
+        total_now = one.add(9 * SECOND, msgspec.structs.replace(ask, fencing_token=7), 99 * SECOND).total
+        assert total_now >= total, f"after {prior}"
+        assert total_now < total + 1.5
 
 
 def test_only_units_granted_by_the_previous_call_are_returned():
@@ -78,22 +78,22 @@
     one = QuotaOwner(mine)
     fences = (4, 5, 6)  # the asker's: an earlier list, the same, a later one
 
-    def held(now_us: int, acts_until_us: int) -> list[bool]:
+    def owners_found(now_us: int, acts_until_us: int) -> list[bool]:
         asks = [rpc_messages.QuotaRequest("t", 1.0, "a", fence, 60.0, 60.0) for fence in fences]
         return [one.add(now_us, ask, acts_until_us).is_accepted for ask in asks]
 
-    assert held(0, SECOND) == [False] * 3  # it has no list
+    assert owners_found(0, SECOND) == [False] * 3  # it has no list
     one.update_members(0, MembershipUpdate(5, live_proxies(names)))
-    assert held(SECOND, 2 * SECOND) == [True] * 3
+    assert owners_found(SECOND, 2 * SECOND) == [True] * 3
     no_list = rpc_messages.QuotaRequest("t", 1.0, "a", 0, 60.0, 60.0)
     assert not one.add(SECOND, no_list, 2 * SECOND).is_accepted
-    assert held(3 * SECOND, 2 * SECOND) == [False] * 3  # out of touch
+    assert owners_found(3 * SECOND, 2 * SECOND) == [False] * 3  # out of touch
     one.update_members(3 * SECOND, MembershipUpdate(6, others))
-    assert held(3 * SECOND, 9 * SECOND) == [False] * 3  # another owns it
+    assert owners_found(3 * SECOND, 9 * SECOND) == [False] * 3  # another owns it
     assert one.counts.by_tenant == {}
     one.update_members(4 * SECOND, MembershipUpdate(7, live_proxies(names)))
-    assert held(4 * SECOND, 9 * SECOND) == [False] * 3  # that one may add still
-    assert held(4 * SECOND + OWNERSHIP_LEASE_US, 9 * SECOND) == [True] * 3
+    assert owners_found(4 * SECOND, 9 * SECOND) == [False] * 3  # that one may add still
+    assert owners_found(4 * SECOND + OWNERSHIP_LEASE_US, 9 * SECOND) == [True] * 3
 
 
 def test_an_owner_that_handed_over_grants_nothing_to_callers_on_its_list():
--- a/tests/gateway/routing/test_route_versions.py
+++ b/tests/gateway/routing/test_route_versions.py
@@ -36,14 +36,14 @@
     router.activate(table(1, "a", "a"))
     router.tables.confirmed_us = SECOND
 
-    def met(path: str) -> "int | str":
+    def matched(path: str) -> "int | str":
         found = router.match(SECOND, "h", path, "")
         return found if isinstance(found, int) else found[0].action.svc
 
     router.tables.stage(table(2, "b", "b"))
-    assert [met("/claim/1"), met("/desk/1"), met("/look/1")] == ["a", "a", "a"]
+    assert [matched("/claim/1"), matched("/desk/1"), matched("/look/1")] == ["a", "a", "a"]
     router.tables.stage(table(3, "b", "b"), is_merged=True)
-    assert [met("/claim/1"), met("/desk/1"), met("/look/1")] == [503, "a", "a"]
+    assert [matched("/claim/1"), matched("/desk/1"), matched("/look/1")] == [503, "a", "a"]
     router.activate(router.tables.staged[3])
-    assert [met("/claim/1"), met("/desk/1"), met("/look/1")] == ["b", "a", "b"]
+    assert [matched("/claim/1"), matched("/desk/1"), matched("/look/1")] == ["b", "a", "b"]
     assert router.tables.merged_versions == set()
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -18,19 +18,19 @@
         "/stock/",
     )
     assert (made.action.timeout, made.action.tries, made.action.svc) == (2_500_000, 2, "garantie")
-    whole = configuration.read(changed())
-    assert (whole.caps.hdr_bytes, whole.caps.body_bytes, whole.caps.hdr, whole.caps.idle) == (
+    complete = configuration.read(changed())
+    assert (complete.caps.hdr_bytes, complete.caps.body_bytes, complete.caps.hdr, complete.caps.idle) == (
         16384,
         65536,
         3_000_000,
         15_000_000,
     )
-    assert (whole.tenants[0].rate_s, whole.tenants[0].burst, whole.tenants[0].prio) == (81, 81, 1)
-    beat = {
+    assert (complete.tenants[0].rate_s, complete.tenants[0].burst, complete.tenants[0].prio) == (81, 81, 1)
+    heartbeat = {
         "Svc": "a", "Addr": "10.0.0.1:80", "Az": "z", "Ver": "v1", "Slots": 4, "State": "up",
         "Warmup_time": "900ms", "Seq": 4,
     }  # fmt: skip
-    server = api.parse_heartbeat("i-1", msgspec.json.encode(beat))
+    server = api.parse_heartbeat("i-1", msgspec.json.encode(heartbeat))
     assert (
         server.service,
         server.address,
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -33,13 +33,17 @@
 
 
 def test_unknown_fields_and_null_are_ignored():
-    told = read()
-    assert (told.datadir, told.slo.retry_window, told.peers[0]) == ("", 10 * SECOND, ("10.1.0.5", 8407))
-    assert str(told.internal_address(1)) == "10.1.0.5:7661"
+    settings_read = read()
+    assert (settings_read.datadir, settings_read.slo.retry_window, settings_read.peers[0]) == (
+        "",
+        10 * SECOND,
+        ("10.1.0.5", 8407),
+    )
+    assert str(settings_read.internal_address(1)) == "10.1.0.5:7661"
 
 
 def test_each_error_is_reported_with_its_place(subtests: pytest.Subtests):
-    for over, words in (
+    for over, expected in (
         ({"Heartbeat": "soon"}, "'soon' is not a time such as 1500ms or 2.5s"),
         ({"Peers": ["10.1.0.5"]}, "'10.1.0.5' is not an address such as 10.0.0.4:8407"),
         ({"Caps": {"Nofile": "many"}}, "'many' is not of the kind int"),
@@ -47,5 +51,5 @@
     ):
         with subtests.test(over), pytest.raises(InvalidInputError) as caught:
             read(**over)
-        assert words in str(caught.value)
+        assert expected in str(caught.value)
         assert "\n" not in str(caught.value)
--- a/tests/lab/fleet/test_checker.py
+++ b/tests/lab/fleet/test_checker.py
@@ -45,11 +45,11 @@
     return h.Came(at=round(at * S), op=op, server=server, ran=ran)
 
 
-def life(what, at, limiter=0):
+def limiter_event(what, at, limiter=0):
     return h.Life(at=round(at * S), limiter=limiter, what=what)
 
 
-def told(state, at, server="s0", limiter=0):
+def notified(state, at, server="s0", limiter=0):
     return h.Told(at=round(at * S), limiter=limiter, server=server, state=state)
 
 
@@ -107,14 +107,31 @@
                 sent(category="ticket"),
                 came(),
                 answered(how="broken"),
-                life("killed", 2.01),
+                limiter_event("killed", 2.01),
                 sent("b", 9, "ticket", origin="a"),
                 came("b", 9.1),
                 answered("b", 9.2),
             ],
         ),
-        (3, [told("terminating", 2), sent(at=4), came(at=4.1, ran=False), answered(at=4.2, how="given up")]),
-        (3, [told("terminating", 2), told("terminated", 4), sent(at=4), came(at=4.1), answered(at=4.2)]),
+        (
+            3,
+            [
+                notified("terminating", 2),
+                sent(at=4),
+                came(at=4.1, ran=False),
+                answered(at=4.2, how="given up"),
+            ],
+        ),
+        (
+            3,
+            [
+                notified("terminating", 2),
+                notified("terminated", 4),
+                sent(at=4),
+                came(at=4.1),
+                answered(at=4.2),
+            ],
+        ),
         (
             5,
             [
@@ -138,19 +155,36 @@
 @pytest.mark.parametrize(
     "events",
     [
-        [sent(), came(), life("killed", 2.02), answered(how="broken")],  # a limiter that died owes nothing
-        [sent(), came(), life("paused", 2.02), life("resumed", 4.9), answered(at=3.6, how="none")],
-        [life("paused", 1.5), sent(), life("resumed", 4.9), answered(at=3.6, how="none"), came(at=5)],
+        [
+            sent(),
+            came(),
+            limiter_event("killed", 2.02),
+            answered(how="broken"),
+        ],  # a limiter that died owes nothing
+        [
+            sent(),
+            came(),
+            limiter_event("paused", 2.02),
+            limiter_event("resumed", 4.9),
+            answered(at=3.6, how="none"),
+        ],
+        [
+            limiter_event("paused", 1.5),
+            sent(),
+            limiter_event("resumed", 4.9),
+            answered(at=3.6, how="none"),
+            came(at=5),
+        ],
         [sent(category="ticket"), came(), came(server="s1"), answered()],  # servers drop its repeat
         [sent(), came(), came(server="s1"), answered()],  # may run again
         [sent(category="flash"), came(ran=False), came(server="s1"), answered()],  # the first was turned away
         [sent(category="flash"), came(ran=False), answered(how="turned back")],
-        [told("terminating", 2), sent(at=2.2), came(at=2.24), answered(at=2.3)],  # within the grace
-        [told("terminating", 2), told("in_service", 3), sent(at=4), came(at=4.1), answered(at=4.2)],
+        [notified("terminating", 2), sent(at=2.2), came(at=2.24), answered(at=2.3)],  # within the grace
+        [notified("terminating", 2), notified("in_service", 3), sent(at=4), came(at=4.1), answered(at=4.2)],
         [
-            told("terminating", 2),
-            life("killed", 3),
-            life("up", 3.5),
+            notified("terminating", 2),
+            limiter_event("killed", 3),
+            limiter_event("up", 3.5),
             sent(at=4),
             came(at=4.1),
             answered(at=4.2),
--- a/tests/lab/fleet/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -106,9 +106,9 @@
 
 @pytest.mark.parametrize("case", list(PLAYS))
 def test_processes_keep_the_bound_and_every_rate_limit(case, tmp_path):
-    said = text(*PLAYS[case], seconds=5.5, limiters=4)
-    sc = scenario.parse(said, "loss.toml")
-    files = asyncio.run(ground.play(sc, said, "loss.toml", tmp_path))
+    scenario_text = text(*PLAYS[case], seconds=5.5, limiters=4)
+    parsed = scenario.parse(scenario_text, "loss.toml")
+    files = asyncio.run(ground.play(parsed, scenario_text, "loss.toml", tmp_path))
     got = checker.check(history.merged(files))
     assert got.ok, got.breaches[:5]
     assert got.ends["finished"] > 200
@@ -127,8 +127,8 @@
         "split": fault(5, "counter_split", 6),
     }[case]
     spread = min(limiters, 20)
-    said = text(faults, seconds=14, limiters=limiters, spread=spread)
-    got = World(scenario.parse(said, "loss.toml")).run()
+    scenario_text = text(faults, seconds=14, limiters=limiters, spread=spread)
+    got = World(scenario.parse(scenario_text, "loss.toml")).run()
     assert not got.broken, got.breaches[:3]
     basic, pro = most(case, 14, spread, 6).values()
     assert got.quotas["over_worst"] <= max(basic, pro), got.quotas
--- a/tests/lab/fleet/test_processes.py
+++ b/tests/lab/fleet/test_processes.py
@@ -64,13 +64,13 @@
     return BASE.format(seconds=seconds, limiters=limiters, rate=rate, run=run) + "".join(faults)
 
 
-def play(said: str, folder: Path, command: tuple[str, ...] = ground.LIMITER) -> checker.Findings:
-    sc = scenario.parse(said, "test.toml")
-    files = asyncio.run(ground.play(sc, said, "test.toml", folder, command=command))
+def play(scenario_text: str, folder: Path, command: tuple[str, ...] = ground.LIMITER) -> checker.Findings:
+    parsed = scenario.parse(scenario_text, "test.toml")
+    files = asyncio.run(ground.play(parsed, scenario_text, "test.toml", folder, command=command))
     return checker.check(history.merged(files))
 
 
-def gone(pids: list[int]) -> bool:
+def are_gone(pids: list[int]) -> bool:
     """Whether none of these processes runs any more (one that waits to be reaped does not)."""
     for pid in pids:
         try:
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "felt"),
+    ("scenario_text", "has_effect"),
     [
         (text(fault(1, "limiter_kill", "all", 0.3)), lambda f: f.exempt or f.ends["broken"]),
         (text(fault(1, "limiter_pause", "0", 2.0)), lambda f: f.exempt),  # longer than every time-out
@@ -121,12 +121,12 @@
     ],
     ids=["all-killed", "paused", "counter", "links", "partition", "ending", "starting"],
 )
-def test_rules_hold_over_all_processes(said, felt, tmp_path):
-    got = play(said, tmp_path)
+def test_rules_hold_over_all_processes(scenario_text, has_effect, tmp_path):
+    got = play(scenario_text, tmp_path)
     assert got.ok, got.breaches[:5]
     assert sum(got.ends.values()) > 150
     assert got.ends["finished"] > 100
-    assert felt(got)
+    assert has_effect(got)
     assert set(got.share) == {0, 1, 2}
 
 
@@ -139,11 +139,13 @@
     rate = 600 if name == "unmetered" else 60
     # On a busy machine fewer come through in a second: those beyond the quota must still be over the bound.
     seconds = {"deaf": 3.5, "unmetered": 6.0}.get(name, 2.5)
-    said = text(*drained, seconds=seconds, limiters=2, rate=rate, run=run)
-    said = said.replace("drain_grace_ms = 200", "drain_grace_ms = 700")  # it stays up for four times as long
+    scenario_text = text(*drained, seconds=seconds, limiters=2, rate=rate, run=run)
+    scenario_text = scenario_text.replace(
+        "drain_grace_ms = 200", "drain_grace_ms = 700"
+    )  # it stays up for four times as long
     if name == "deaf":  # of two servers, so that a limiter comes back to one that turns all away
-        said = said.replace("servers = 4", "servers = 2")
-    got = play(said, tmp_path, command)
+        scenario_text = scenario_text.replace("servers = 4", "servers = 2")
+    got = play(scenario_text, tmp_path, command)
     caught = {each.rule for each in got.breaches}
     assert rule in caught, (caught, got.ends)
     if name == "unmetered":
@@ -152,8 +154,8 @@
         assert caught == {rule}
 
 
-@pytest.mark.parametrize("way", [signal.SIGINT, signal.SIGKILL])
-def test_no_process_is_left_however_the_test_bed_ends(way, tmp_path):
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGKILL])
+def test_no_process_is_left_however_the_test_bed_ends(signal_number, tmp_path):
     scene = tmp_path / "scene.toml"
     scene.write_text(text(fault(0.2, "limiter_pause", "0", 20), seconds=30))
     args = [
@@ -185,17 +187,17 @@
             pids = [int(each) for each in own.read_text().split()]
         assert len(pids) == 5
         time.sleep(1.0)
-        child.send_signal(way)
-        _, said = child.communicate(timeout=30)
+        child.send_signal(signal_number)
+        _, scenario_text = child.communicate(timeout=30)
     finally:
         child.kill()
-    if way is signal.SIGINT:
+    if signal_number is signal.SIGINT:
         assert child.returncode == 130
-        assert "Traceback" not in said
+        assert "Traceback" not in scenario_text
     until = time.monotonic() + 10
-    while not gone(pids) and time.monotonic() < until:
+    while not are_gone(pids) and time.monotonic() < until:
         time.sleep(0.05)
-    assert gone(pids)
+    assert are_gone(pids)
 
 
 def test_a_scenario_that_cannot_be_played_is_rejected_in_one_line(tmp_path):
@@ -216,9 +218,9 @@
 
 
 def test_a_limiter_that_cannot_start_is_reported_and_nothing_is_left(tmp_path):
-    said = text(limiters=2)
+    scenario_text = text(limiters=2)
     with pytest.raises(process.Failed, match="ended while starting"):
-        play(said, tmp_path, (sys.executable, "-c", "raise SystemExit(3)"))
+        play(scenario_text, tmp_path, (sys.executable, "-c", "raise SystemExit(3)"))
 
 
 def test_disk_faults_lose_truncate_flip_and_fill(tmp_path):
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -51,11 +51,11 @@
 
     async def _read(self, stdout: asyncio.StreamReader) -> None:
         while line := await stdout.readline():
-            said = msgspec.json.decode(line)
-            if "name" in said:
-                self.holds[said["name"]] = said["state"]
+            report = msgspec.json.decode(line)
+            if "name" in report:
+                self.holds[report["name"]] = report["state"]
             else:
-                self.last = said
+                self.last = report
 
     async def end(self) -> dict:
         await self.process.end()
@@ -89,21 +89,21 @@
     def agree(self, names: set[str], among: set[str] | None = None) -> bool:
         for node in self.live():
             if among is None or node.name in among:
-                held = {name for name, state in node.holds.items() if state != "dead"}
-                if held != names - {node.name}:
+                known = {name for name, state in node.holds.items() if state != "dead"}
+                if known != names - {node.name}:
                     return False
         return True
 
-    async def until(self, look, within_s: float) -> None:
+    async def until(self, condition, within_s: float) -> None:
         """Wait for it; an AssertionError where it does not come about."""
         ends = time.monotonic() + within_s
         # Those that run now are to run on: one that ended by itself is told at once, with its last words.
         running = [node for node in self.nodes.values() if node.process is not None and node.process.running]
-        while not look():
+        while not condition():
             for node in running:
                 assert node.process.running, f"{node.name} ended: {node.process.log.read_text()[-500:]}"
-            held = {node.name: node.holds for node in self.live()}
-            assert time.monotonic() < ends, held
+            known = {node.name: node.holds for node in self.live()}
+            assert time.monotonic() < ends, known
             await asyncio.sleep(0.02)
 
 
@@ -123,8 +123,8 @@
         await fleet.until(lambda: fleet.agree(everybody - {"m1", "m2"}), within(5))
         fleet.nodes["m2"].process.resume()
         await fleet.until(lambda: fleet.agree(everybody - {"m1"}), within(5))
-        said = [await node.end() for node in fleet.live()]
-        assert all(each["counts"]["refuted"] >= 0 and each["counts"]["sent"] for each in said)
+        report = [await node.end() for node in fleet.live()]
+        assert all(each["counts"]["refuted"] >= 0 and each["counts"]["sent"] for each in report)
 
 
 @pytest.mark.parametrize("link", [Link(), Link(loss=0.2, twice=0.1, swap=0.1)], ids=["sound", "lossy"])
@@ -159,10 +159,10 @@
                 await asyncio.sleep(0.005)
         await asyncio.sleep(0.5)
         assert fleet.agree(set(fleet.nodes))
-        said = await one.end()
-        assert said["counts"]["peer frames too many"] > 0
-        assert said["counts"]["peer frames refused"] > 0
-        assert said["alive"] == ["m0", "m1", "m2"]
+        report = await one.end()
+        assert report["counts"]["peer frames too many"] > 0
+        assert report["counts"]["peer frames refused"] > 0
+        assert report["alive"] == ["m0", "m1", "m2"]
         log = (tmp_path / "m0.log").read_text()
         assert log.count("a frame from") == 1
         assert "Traceback" not in log
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -57,30 +57,30 @@
 
 
 def test_the_process_reports_errors_and_prints_its_counters(tmp_path):
-    told = tmp_path / "config.json"
+    configuration_file = tmp_path / "config.json"
 
     def run():
         return subprocess.Popen(
             [sys.executable, "-m", "lapisgrade"],
             stderr=subprocess.PIPE,
             text=True,
-            env={**os.environ, "ROUTER_CONFIG": str(told)},
+            env={**os.environ, "ROUTER_CONFIG": str(configuration_file)},
         )
 
-    for text, words in [("{", "the configuration: "), ('{"name": 3}', "name is"), ("[]", "not an object")]:
-        told.write_text(text)
+    for text, expected in [("{", "the configuration: "), ('{"name": 3}', "name is"), ("[]", "not an object")]:
+        configuration_file.write_text(text)
         process = run()
-        _, said = process.communicate(timeout=20)
+        _, errors = process.communicate(timeout=20)
         assert process.returncode == 2
-        assert words in said
-        assert said.count("\n") == 1
+        assert expected in errors
+        assert errors.count("\n") == 1
     site = LimiterSite()
     site.discovery = SimpleNamespace(
         port=1, endpoint_list=lambda: {"generation": 1, "reset": True, "instances": []}
     )
     site.counter.port = 1
     site.port = Random(os.getpid()).randrange(20_000, 30_000)
-    told.write_text(json.dumps(site.configuration()))
+    configuration_file.write_text(json.dumps(site.configuration()))
     process = run()
 
     async def ask():
@@ -92,17 +92,17 @@
         json.dumps({**site.configuration(), "counter": "nowhere"}),
         json.dumps(site.configuration()),
     ]:
-        told.write_text(text)
+        configuration_file.write_text(text)
         process.send_signal(signal.SIGHUP)
         assert asyncio.run(asyncio.wait_for(ask(), 10)) == (200, 429)
     process.send_signal(signal.SIGTERM)
-    _, said = process.communicate(timeout=5)
+    _, errors = process.communicate(timeout=5)
     assert process.returncode == 0
-    assert "requests 4" in said
-    assert "responses_429 4" in said
-    assert said.count("goes on as before: ") == 2
-    assert "reloads 1" in said
-    assert "told to end by SIGTERM" in said
+    assert "requests 4" in errors
+    assert "responses_429 4" in errors
+    assert errors.count("goes on as before: ") == 2
+    assert "reloads 1" in errors
+    assert "told to end by SIGTERM" in errors
 
 
 @on_limiter_loop
