--- a/Makefile
+++ b/Makefile
@@ -17,6 +17,7 @@
 lint: build
 	.venv/bin/ruff check .
 	.venv/bin/ruff format --check .
+	.venv/bin/mypy
 
 test: build
 	$(PY) -m pytest -n logical --maxprocesses 8 --dist worksteal
--- a/tests/compatibility/test_recovery.py
+++ b/tests/compatibility/test_recovery.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 import pytest
+from support.loopback_network import wait_for_loopback_network
 
 from lapisgrade.gateway.http_client import send_request
 from lapisgrade.gateway.local_cluster import LocalCluster
-from support.loopback_network import wait_for_loopback_network
 
 DATA = Path(__file__).parent / "data"
 WITHIN_S = 20.0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,6 @@
 from collections.abc import Iterator
 
 import pytest
-
 from support.loopback_network import LoopbackNetwork, reserve_loopback_network
 
 TIMEOUT_S = 180.0  # of a test that is a coroutine function
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -4,6 +4,8 @@
 
 import msgspec
 import pytest
+from support.local_clusters import serving_cluster
+from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
 
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.cli import configuration_check
@@ -15,8 +17,6 @@
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.settings import Address
-from support.local_clusters import serving_cluster
-from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
 
 WRONG = [
     (lambda c, r: action(r).update(Svc="nowhere"), "route r-claim: service 'nowhere' is not in Pools"),
--- a/tests/gateway/cli/test_commands.py
+++ b/tests/gateway/cli/test_commands.py
@@ -11,11 +11,11 @@
 
 import msgspec
 import pytest
+from support.local_clusters import serving_cluster
+from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
 
 from lapisgrade.gateway import __main__ as main_module
 from lapisgrade.gateway.local_cluster import CTL
-from support.local_clusters import serving_cluster
-from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
 
 
 class Program:
--- a/tests/gateway/cli/test_demo.py
+++ b/tests/gateway/cli/test_demo.py
@@ -5,10 +5,10 @@
 import io
 
 import pytest
+from support.loopback_network import LoopbackNetwork
 
 from lapisgrade.gateway.cli import demo
 from lapisgrade.gateway.local_cluster import LocalCluster
-from support.loopback_network import LoopbackNetwork
 
 
 def test_unserved_requests_are_reported_with_reason_and_proxy() -> None:
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -6,6 +6,7 @@
 
 import msgspec
 import pytest
+from support.sample_configuration import CONF
 
 from lapisgrade.gateway.cli.disk_report import DiskReport
 from lapisgrade.gateway.consensus.messages import Entry
@@ -23,7 +24,6 @@
 from lapisgrade.gateway.local_cluster import SAMPLE
 from lapisgrade.gateway.merge.three_way import make_draft
 from lapisgrade.gateway.storage.log_store import LogStore
-from support.sample_configuration import CONF
 
 
 class StoredLog:
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -7,6 +7,7 @@
 
 import msgspec
 import pytest
+from support.local_clusters import serving_cluster
 
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.cli import tenants
@@ -14,7 +15,6 @@
 from lapisgrade.gateway.cli.tenants import TenantClient, plan_onboarding
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.local_cluster import SAMPLE
-from support.local_clusters import serving_cluster
 
 TICKET = {
     "Name": "gabes", "Apikeys": ["key-of-gabes"], "RateS": 40, "Burst": 20,
--- a/tests/gateway/cli/test_rollout.py
+++ b/tests/gateway/cli/test_rollout.py
@@ -3,11 +3,12 @@
 import asyncio
 import re
 
+from support.local_clusters import serving_cluster
+
 from lapisgrade.gateway.cli import rollout
 from lapisgrade.gateway.cli.operator_client import OperatorClient
 from lapisgrade.gateway.local_cluster import CTL, LocalCluster
 from lapisgrade.gateway.settings import Address
-from support.local_clusters import serving_cluster
 
 
 def client(site: LocalCluster) -> OperatorClient:
--- a/tests/gateway/consensus/test_election.py
+++ b/tests/gateway/consensus/test_election.py
@@ -4,6 +4,15 @@
 from random import Random
 
 import pytest
+from support.consensus_nodes import (
+    NOW,
+    VOTERS,
+    append_entries,
+    elected_leader,
+    new_node,
+    sync_disk,
+    take_effects,
+)
 
 from lapisgrade.gateway.consensus.messages import (
     Entry,
@@ -17,15 +26,6 @@
 from lapisgrade.gateway.consensus.timing import ELECTION_TIMEOUT_US, LEASE_US, RESTART_GUARD_US
 from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation.mutants import BY_RULE
-from support.consensus_nodes import (
-    NOW,
-    VOTERS,
-    append_entries,
-    elected_leader,
-    new_node,
-    sync_disk,
-    take_effects,
-)
 
 
 def ask(**over) -> RequestVote:
--- a/tests/gateway/consensus/test_follower.py
+++ b/tests/gateway/consensus/test_follower.py
@@ -2,13 +2,14 @@
 
 from random import Random
 
+from support.consensus_nodes import NOW, VOTERS, append_entries, new_node, sync_disk, take_effects
+
 from lapisgrade.gateway.consensus.messages import (
     AppendEntries,
     Entry,
 )
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import EntriesRecord, SnapshotRecord
-from support.consensus_nodes import NOW, VOTERS, append_entries, new_node, sync_disk, take_effects
 
 
 def test_recovered_entries_are_durable_only_once_written_again() -> None:
--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -1,6 +1,7 @@
 """A leader's commit, lease and changes of voters, on a single node that is fed by hand."""
 
 import pytest
+from support.consensus_nodes import VOTERS, append_reply, elected_leader, new_node, sync_disk, take_effects
 
 from lapisgrade.gateway.consensus.messages import (
     Entry,
@@ -10,7 +11,6 @@
 from lapisgrade.gateway.consensus.timing import LEASE_US
 from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation.mutants import BY_RULE
-from support.consensus_nodes import VOTERS, append_reply, elected_leader, new_node, sync_disk, take_effects
 
 
 def test_commits_only_through_an_entry_of_its_own_term() -> None:
--- a/tests/gateway/consensus/test_membership.py
+++ b/tests/gateway/consensus/test_membership.py
@@ -2,6 +2,8 @@
 
 from itertools import combinations, product
 
+from support.consensus_nodes import NOW
+
 from lapisgrade.gateway.consensus import membership
 from lapisgrade.gateway.consensus.membership import (
     DISPLACED_AFTER_US,
@@ -10,7 +12,6 @@
     PeerStatus,
     next_voters,
 )
-from support.consensus_nodes import NOW
 
 
 def make_group(size: int, **peers) -> ClusterView:
--- a/tests/gateway/consensus/test_snapshots.py
+++ b/tests/gateway/consensus/test_snapshots.py
@@ -1,12 +1,13 @@
 """Snapshots: their transfer in chunks and what a log keeps meanwhile."""
 
+from support.consensus_nodes import VOTERS, append_reply, elected_leader, sync_disk, take_effects
+
 from lapisgrade.gateway.consensus.messages import (
     InstallSnapshot,
     InstallSnapshotReply,
     JoinRequest,
 )
 from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, Snapshot, SnapshotAssembly, SnapshotTransfer
-from support.consensus_nodes import VOTERS, append_reply, elected_leader, sync_disk, take_effects
 
 
 def transferred(lose=lambda turn: False, again=lambda turn: False) -> tuple[bytes, int]:
--- a/tests/gateway/controller/test_activation_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -13,11 +13,11 @@
 from pathlib import Path
 
 import msgspec
+from support.loopback_network import LoopbackNetwork, reserve_loopback_network
 
 from lapisgrade.gateway.cli.tenants import TenantClient
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet
-from support.loopback_network import LoopbackNetwork, reserve_loopback_network
 
 TICKET = {
     "Apikeys": ["key-of-gabes"], "Name": "gabes",
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -10,6 +10,7 @@
 
 import msgspec
 import pytest
+from support.local_clusters import serving_cluster
 
 from lapisgrade.gateway.cli.drafts import DraftClient
 from lapisgrade.gateway.controller import drafts
@@ -18,7 +19,6 @@
 from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster, Partition
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.partitions import rejoin
-from support.local_clusters import serving_cluster
 
 POOLS = [*SAMPLE["Pools"], {"Name": "reparation"}]
 
--- a/tests/gateway/controller/test_partitions.py
+++ b/tests/gateway/controller/test_partitions.py
@@ -6,9 +6,10 @@
 import tempfile
 from random import Random
 
+from support.loopback_network import reserve_loopback_network
+
 from lapisgrade.lab.partitions import control
 from lapisgrade.lab.partitions.control import play
-from support.loopback_network import reserve_loopback_network
 
 PART = 0.12  # of the long cuts and of the hundreds of changes
 
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -2,6 +2,7 @@
 
 import msgspec
 import pytest
+from support.configurations import RULE, WHOLE, changed, with_action, with_rule
 
 from lapisgrade.gateway.controller.commands import (
     ConfigurationChange,
@@ -11,7 +12,6 @@
 )
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.registry import Server
-from support.configurations import RULE, WHOLE, changed, with_action, with_rule
 
 
 class Operator:
--- a/tests/gateway/proxy/test_answers.py
+++ b/tests/gateway/proxy/test_answers.py
@@ -4,9 +4,9 @@
 from unittest import mock
 
 import pytest
+from support.loopback_network import LoopbackNetwork
 
 from lapisgrade.lab.answers import MUTANTS, Found, Try, play
-from support.loopback_network import LoopbackNetwork
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
--- a/tests/gateway/proxy/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -3,10 +3,10 @@
 import asyncio
 
 import msgspec
+from support.local_clusters import local_cluster, serving_cluster
 
 from lapisgrade.gateway.local_cluster import SAMPLE, Partition, send_request
 from lapisgrade.net.http import Message
-from support.local_clusters import local_cluster, serving_cluster
 
 KEY = "key-of-sfax"
 
--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -3,12 +3,12 @@
 from random import Random
 
 import pytest
+from support.quota_simulation import SECOND, SLO, QuotaSimulation, SimulatedProxy, live_proxies
 
 from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.quota.client import unreported_allowance
 from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.ownership import owner_of
-from support.quota_simulation import SECOND, SLO, QuotaSimulation, SimulatedProxy, live_proxies
 
 
 def test_a_tenant_inside_its_quota_is_not_refused(subtests: pytest.Subtests):
--- a/tests/gateway/quota/test_client.py
+++ b/tests/gateway/quota/test_client.py
@@ -1,11 +1,11 @@
 """A proxy's client of a count: what it asks for, and when refused requests may come back."""
 
 import pytest
+from support.quota_simulation import SECOND, SLO
 
 from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.quota.client import QuotaClient
 from lapisgrade.interface import Clock, CounterOutcome, CounterReply
-from support.quota_simulation import SECOND, SLO
 
 
 def test_a_quota_client_reports_taken_and_returned_units_apart():
--- a/tests/gateway/quota/test_owner.py
+++ b/tests/gateway/quota/test_owner.py
@@ -1,12 +1,12 @@
 """The owner of a count: for whom it adds units, and from when on."""
 
 import msgspec
+from support.quota_simulation import SECOND, live_proxies
 
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.quota.epochs import MembershipUpdate
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US, owner_of
-from support.quota_simulation import SECOND, live_proxies
 
 
 def test_a_machine_with_a_controller_owns_no_count_while_others_can():
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -1,10 +1,10 @@
 """Reading a configuration and finding a request's route in it."""
 
 import msgspec
+from support.configurations import WHOLE, changed, with_rule
 
 from lapisgrade.gateway import api, configuration
 from lapisgrade.gateway.routing.route_table import RouteTable
-from support.configurations import WHOLE, changed, with_rule
 
 
 def test_every_field_of_the_protocol_is_read():
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -10,11 +10,11 @@
 from unittest import mock
 
 import msgspec
+from support.local_clusters import local_cluster, serving_cluster
 
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.local_cluster import SAMPLE, LocalCluster, Partition, post_to_any, send_request
 from lapisgrade.net.http import Message
-from support.local_clusters import local_cluster, serving_cluster
 
 KEY = "key-of-sfax"
 READY = 8406
--- a/tests/lab/partitions/test_cuts.py
+++ b/tests/lab/partitions/test_cuts.py
@@ -7,9 +7,9 @@
 
 import msgspec
 import pytest
+from support.loopback_network import LoopbackNetwork
 
 from lapisgrade.lab.partitions import cuts
-from support.loopback_network import LoopbackNetwork
 
 
 class Heard(asyncio.Protocol):
--- a/tests/lab/partitions/test_quota.py
+++ b/tests/lab/partitions/test_quota.py
@@ -5,12 +5,12 @@
 
 import pytest
 from click.testing import CliRunner
+from support.loopback_network import LoopbackNetwork
+from support.quota_simulation import SLO
 
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.lab.partitions import quota as partitioned
-from support.loopback_network import LoopbackNetwork
-from support.quota_simulation import SLO
 
 # The command line, with the plays' machines on the network that its first argument names.
 CLI_ON_NETWORK = """
--- a/tests/lab/partitions/test_rejoin.py
+++ b/tests/lab/partitions/test_rejoin.py
@@ -4,10 +4,10 @@
 from random import Random
 
 import pytest
+from support.loopback_network import LoopbackNetwork
 
 from lapisgrade.lab.partitions import rejoin
 from lapisgrade.lab.partitions.fleet import Stamped
-from support.loopback_network import LoopbackNetwork
 
 
 @pytest.mark.parametrize(
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -5,13 +5,13 @@
 import socket
 
 import pytest
-
-from lapisgrade.net import client_listener
-from lapisgrade.net.close_reason import CloseReason
 from support.event_loop import on_limiter_loop, wait_until
 from support.fake_peers import Behavior, read_message
 from support.limiter_site import LimiterSite
 
+from lapisgrade.net import client_listener
+from lapisgrade.net.close_reason import CloseReason
+
 
 @on_limiter_loop
 async def test_requests_and_responses_are_forwarded_unchanged():
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -4,6 +4,9 @@
 from types import SimpleNamespace
 
 import pytest
+from support.event_loop import on_limiter_loop, wait_until
+from support.fake_peers import Behavior, FakeServer
+from support.limiter_site import LimiterSite
 
 from lapisgrade.interface import AddToCounter, AttemptOutcome, ConnectionSettings
 from lapisgrade.net.clock import wall_clock
@@ -13,9 +16,6 @@
 from lapisgrade.net.events import AttemptClosed, ClientRequest
 from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.server_protocol import parse_load_report
-from support.event_loop import on_limiter_loop, wait_until
-from support.fake_peers import Behavior, FakeServer
-from support.limiter_site import LimiterSite
 
 SECOND = 1_000_000
 
--- a/tests/net/test_counter_client.py
+++ b/tests/net/test_counter_client.py
@@ -3,13 +3,14 @@
 import asyncio
 from types import SimpleNamespace
 
-from lapisgrade.interface import AddToCounter, CounterOutcome
-from lapisgrade.net.counter_client import CounterClient
-from lapisgrade.net.metrics import NetMetrics
 from support.event_loop import on_limiter_loop
 from support.fake_peers import Behavior
 from support.limiter_site import LimiterSite
 
+from lapisgrade.interface import AddToCounter, CounterOutcome
+from lapisgrade.net.counter_client import CounterClient
+from lapisgrade.net.metrics import NetMetrics
+
 
 @on_limiter_loop
 async def test_each_close_reason_of_a_counter_call_and_no_reply_for_another():
--- a/tests/net/test_random_faults.py
+++ b/tests/net/test_random_faults.py
@@ -5,7 +5,6 @@
 from random import Random
 
 import pytest
-
 from support.event_loop import run_on_limiter_loop
 from support.fake_peers import Behavior
 from support.limiter_site import LimiterSite
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -11,13 +11,13 @@
 from types import SimpleNamespace
 
 import pytest
-
-from lapisgrade.net.close_reason import CloseReason
-from lapisgrade.settings import MalformedInputError
 from support.event_loop import on_limiter_loop, wait_until
 from support.fake_peers import FakeCounter, FakeDiscovery, read_message
 from support.limiter_site import LimiterSite
 
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.settings import MalformedInputError
+
 
 @on_limiter_loop
 async def test_open_operations_are_answered_at_shutdown():
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -1,10 +1,10 @@
 """Quotas and ceilings of customers, with a counter that is there, emptied, silent or crowded."""
 
 import pytest
+from support.limiter_simulation import ALWAYS_OK, PLANS, SECOND, LimiterSimulation
 
 from lapisgrade.interface import AttemptOutcome, AttemptResult, CounterOutcome
 from lapisgrade.policy.counter_breaker import CounterBreaker
-from support.limiter_simulation import ALWAYS_OK, PLANS, SECOND, LimiterSimulation
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,9 +1,9 @@
 """The rules of an operation under seeded chance, each checked at each step, and a few plain cases."""
 
 import pytest
+from support.limiter_simulation import CATEGORIES, PLANS, SECOND, LimiterSimulation
 
 from lapisgrade.interface import AttemptOutcome, RejectReason, ServerState
-from support.limiter_simulation import CATEGORIES, PLANS, SECOND, LimiterSimulation
 
 READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -1,11 +1,11 @@
 """The choice among servers: slow start, bounds on what is in flight, subsets."""
 
 import pytest
+from support.limiter_simulation import ALWAYS_OK, SECOND, SERVER_RULES, LimiterSimulation
 
 from lapisgrade.interface import AttemptOutcome, ServerEndpoint, ServerState
 from lapisgrade.policy.latency import LATENCY_DECAY_US
 from lapisgrade.policy.slow_start import SLOW_START_SHARE
-from support.limiter_simulation import ALWAYS_OK, SECOND, SERVER_RULES, LimiterSimulation
 
 READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,6 +3,7 @@
 from types import SimpleNamespace
 
 import pytest
+from support.limiter_site import Site
 
 from lapisgrade.settings import (
     Fields,
@@ -15,7 +16,6 @@
     read_plans,
     read_server_rules,
 )
-from support.limiter_site import Site
 
 
 def test_settings_read_the_same_from_a_line_and_from_a_tree():
