--- a/tests/gateway/test_api.py
+++ b/tests/gateway/test_api.py
@@ -1,5 +1,6 @@
 """Calls of servers and operators: which are known, and what they carry."""
 
+import msgspec
 import pytest
 
 from lapisgrade.gateway import api
@@ -18,3 +19,19 @@
     assert found == ["servers.heartbeat", 405, 404, 404, 400]
     with pytest.raises(InvalidInputError):
         api.parse_heartbeat("i-1", b'{"Svc":"garantie","Addr":"10.0.0.1:80","Seq":"4"}')
+
+
+def test_a_heartbeat_describes_a_server():
+    heartbeat = {
+        "Svc": "a", "Addr": "10.0.0.1:80", "Az": "z", "Ver": "v1", "Slots": 4, "State": "up",
+        "Warmup_time": "900ms", "Seq": 4,
+    }  # fmt: skip
+    server = api.parse_heartbeat("i-1", msgspec.json.encode(heartbeat))
+    assert (
+        server.service,
+        server.address,
+        server.zone,
+        server.slots,
+        server.sequence_number,
+        server.warm_up_us,
+    ) == ("a", "10.0.0.1:80", "z", 4, 4, 900_000)
