--- a/tests/lab/fleet/test_counts.py
+++ b/tests/lab/fleet/test_counts.py
@@ -5,15 +5,15 @@
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.fleet import counts
 
-ONE = """10:00:00 lg-0: discovery: Busy('status 503')
-10:00:05 lg-0: counts: hops 10, hops answered 9, operations 12
+ONE = """10:00:00 lg-0: discovery: DiscoveryRejectedError('status 503')
+10:00:05 lg-0: counts: attempts 10, attempts_finished_answered 9, requests 12
 10:00:09 lg-0: told to end by SIGTERM
-10:00:09 lg-0: counts: hops 20, hops answered 19, operations 22
-10:00:12 lg-0: counts: hops 3, operations 4
+10:00:09 lg-0: counts: attempts 20, attempts_finished_answered 19, requests 22
+10:00:12 lg-0: counts: attempts 3, requests 4
 """
-TWO = """10:00:01 lg-1: discovery: Busy('status 500')
+TWO = """10:00:01 lg-1: discovery: DiscoveryRejectedError('status 500')
 Traceback (most recent call last):
-10:00:09 lg-1: counts: hops 1, hops timed out 1, operations 2
+10:00:09 lg-1: counts: attempts 1, attempts_finished_timed_out 1, requests 2
 """
 
 
@@ -23,14 +23,14 @@
     (tmp_path / "b.log").write_text(TWO)
     fleet = counts.read([str(tmp_path)])
     assert fleet.lives == {"lg-0": 2, "lg-1": 1}
-    assert fleet.limiters["lg-0"] == {"hops": 23, "hops answered": 19, "operations": 26}
-    assert fleet.total("operations") == 28
-    assert fleet.total("hops timed out") == 1
-    assert fleet.said["discovery: Busy('status #')"] == 2
+    assert fleet.limiters["lg-0"] == {"attempts": 23, "attempts_finished_answered": 19, "requests": 26}
+    assert fleet.total("requests") == 28
+    assert fleet.total("attempts_finished_timed_out") == 1
+    assert fleet.said["discovery: DiscoveryRejectedError('status #')"] == 2
     assert fleet.strange == 1
     said = "\n".join(counts.lines(fleet))
     assert "2 limiters, 3 lives" in said
-    assert "2 x discovery: Busy('status #')" in said
+    assert "2 x discovery: DiscoveryRejectedError('status #')" in said
 
 
 def test_missing_logs_and_logs_without_counters_are_one_line(tmp_path):
