--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 import pytest
-from support.limiter_site import Site
+from support.limiter_site import LimiterSite
 
 from lapisgrade.settings import (
     Fields,
@@ -19,9 +19,9 @@
 
 
 def test_settings_read_the_same_from_a_line_and_from_a_tree():
-    site = Site()
-    site.port, site.agent = 1, SimpleNamespace(port=1, told=lambda: {})
-    tree = flatten(site.told()["settings"])
+    site = LimiterSite()
+    site.port, site.discovery = 1, SimpleNamespace(port=1, endpoint_list=lambda: {})
+    tree = flatten(site.configuration()["settings"])
     line = Fields(
         {name: str(value).lower() if value in (True, False) else str(value) for name, value in tree.items()}
     )
