--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -1,7 +1,8 @@
 """Quotas and ceilings of customers, with a counter that is there, emptied, silent or crowded."""
 
 import pytest
-from support.limiter_simulation import ALWAYS_OK, PLANS, SECOND, LimiterSimulation
+from support.limiter_settings import PLANS, SECOND
+from support.limiter_simulation import ALWAYS_OK, LimiterSimulation
 
 from lapisgrade.interface import AttemptOutcome, AttemptResult, CounterOutcome
 from lapisgrade.policy.counter_breaker import CounterBreaker
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,7 +1,8 @@
 """The rules of an operation under seeded chance, each checked at each step, and a few plain cases."""
 
 import pytest
-from support.limiter_simulation import CATEGORIES, PLANS, SECOND, LimiterSimulation
+from support.limiter_settings import CATEGORIES, PLANS, SECOND
+from support.limiter_simulation import LimiterSimulation
 
 from lapisgrade.interface import AttemptOutcome, RejectReason, ServerState
 
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -1,7 +1,8 @@
 """The choice among servers: slow start, bounds on what is in flight, subsets."""
 
 import pytest
-from support.limiter_simulation import ALWAYS_OK, SECOND, SERVER_RULES, LimiterSimulation
+from support.limiter_settings import SECOND, SERVER_RULES
+from support.limiter_simulation import ALWAYS_OK, LimiterSimulation
 
 from lapisgrade.interface import AttemptOutcome, ServerEndpoint, ServerState
 from lapisgrade.policy.latency import LATENCY_DECAY_US
