--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -3,7 +3,7 @@
 import asyncio
 import subprocess
 import sys
-import tempfile
+from pathlib import Path
 
 import msgspec
 import pytest
@@ -188,16 +188,20 @@
     return got.returncode, got.stderr, got.stdout.count("\n")
 
 
-def test_errors_are_one_line_and_exit_code_2() -> None:
-    with tempfile.NamedTemporaryFile("wb", suffix=".json") as file:
-        file.write(text())
-        file.flush()
-        for arguments, said in (
-            (("tenant", "plan", "/nowhere.json", "--ctl=127.0.0.1:1"), "/nowhere.json"),
-            (("tenant", "plan", file.name, "--ctl=here"), "not an address"),
-            (("tenant", "plan", file.name, "--ctl=127.0.0.1:1"), "no controller answers"),
-            (("status", "--ctl=127.0.0.1:1"), "no controller answers"),
-        ):
-            code, err, out = run_command(*arguments)
-            assert (code, err.count("\n"), out) == (2, 1, 0), err
-            assert said in err
+@pytest.mark.parametrize(
+    ("arguments", "message"),
+    [
+        (("tenant", "plan", "/nowhere.json", "--ctl=127.0.0.1:1"), "/nowhere.json"),
+        (("tenant", "plan", "TICKET", "--ctl=here"), "not an address"),
+        (("tenant", "plan", "TICKET", "--ctl=127.0.0.1:1"), "no controller answers"),
+        (("status", "--ctl=127.0.0.1:1"), "no controller answers"),
+    ],
+)
+def test_errors_are_one_line_and_exit_code_2(
+    arguments: tuple[str, ...], message: str, tmp_path: Path
+) -> None:
+    ticket = tmp_path / "ticket.json"
+    ticket.write_bytes(text())
+    code, err, out = run_command(*(str(ticket) if each == "TICKET" else each for each in arguments))
+    assert (code, err.count("\n"), out) == (2, 1, 0), err
+    assert message in err
--- a/tests/gateway/controller/test_activation_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -7,13 +7,12 @@
 import os
 import signal
 import sys
-import tempfile
 import time
 from collections import Counter
 from pathlib import Path
 
 import msgspec
-from support.loopback_network import LoopbackNetwork, reserve_loopback_network
+from support.loopback_network import LoopbackNetwork
 
 from lapisgrade.gateway.cli.tenants import TenantClient
 from lapisgrade.lab.fleet.process import ROOT
@@ -156,41 +155,42 @@
         await onboard(Calls(fleet), again)
 
 
-async def test_a_sighup_during_startup_reloads_the_settings() -> None:
-    with tempfile.TemporaryDirectory() as folder, reserve_loopback_network() as network:
-        ip = network.host(9)
-        path = os.path.join(folder, "settings.json")
-        os.mkfifo(path)  # whoever reads waits for us to write
-        told = {"Hostname": "m1", "Ip": ip, "Az": "z", "Bind": {"Ctl": f"{ip}:8407"},
-                "Portrange": [7660, 7675], "Peers": [f"{ip}:8407"]}  # fmt: skip
-
-        running = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "lapisgrade.gateway", "controller", f"--settings={path}",
-            cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
-
-        async def read(first: bool) -> None:
-            """It reads the settings once; the first time it is signalled over it."""
-            while True:
-                try:
-                    file = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
-                    break
-                except OSError:  # it has not opened them yet
-                    await asyncio.sleep(PAUSE)
-            if first:
-                running.send_signal(signal.SIGHUP)
-                os.mkfifo(f"{path}.new")
-                os.replace(f"{path}.new", path)  # the next reading is of another file
-            os.write(file, json.dumps(told).encode())
-            os.close(file)
-
-        async with asyncio.timeout(20.0):
-            await read(True)
-            await read(False)
-            said = b""
-            while b"settings read again" not in said:
-                line = await running.stderr.readline()
-                assert line, said
-                said += line
-        running.send_signal(signal.SIGTERM)
-        assert await running.wait() == 0
+async def test_a_sighup_during_startup_reloads_the_settings(
+    loopback_network: LoopbackNetwork, tmp_path: Path
+) -> None:
+    ip = loopback_network.host(9)
+    path = str(tmp_path / "settings.json")
+    os.mkfifo(path)  # whoever reads waits for us to write
+    settings = {"Hostname": "m1", "Ip": ip, "Az": "z", "Bind": {"Ctl": f"{ip}:8407"},
+            "Portrange": [7660, 7675], "Peers": [f"{ip}:8407"]}  # fmt: skip
+
+    running = await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "lapisgrade.gateway", "controller", f"--settings={path}",
+        cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+    )  # fmt: skip
+
+    async def read(first: bool) -> None:
+        """It reads the settings once; the first time it is signalled over it."""
+        while True:
+            try:
+                file = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
+                break
+            except OSError:  # it has not opened them yet
+                await asyncio.sleep(PAUSE)
+        if first:
+            running.send_signal(signal.SIGHUP)
+            os.mkfifo(f"{path}.new")
+            os.replace(f"{path}.new", path)  # the next reading is of another file
+        os.write(file, json.dumps(settings).encode())
+        os.close(file)
+
+    async with asyncio.timeout(20.0):
+        await read(True)
+        await read(False)
+        logged = b""
+        while b"settings read again" not in logged:
+            line = await running.stderr.readline()
+            assert line, logged
+            logged += line
+    running.send_signal(signal.SIGTERM)
+    assert await running.wait() == 0
--- a/tests/gateway/controller/test_partitions.py
+++ b/tests/gateway/controller/test_partitions.py
@@ -3,47 +3,56 @@
 them in full.
 """
 
-import tempfile
+from collections.abc import Awaitable, Callable
+from pathlib import Path
 from random import Random
 
-from support.loopback_network import reserve_loopback_network
+import pytest
+from support.loopback_network import LoopbackNetwork
 
 from lapisgrade.lab.partitions import control
-from lapisgrade.lab.partitions.control import play
 
 PART = 0.12  # of the long cuts and of the hundreds of changes
 
 
-async def played(case: str) -> control.Found:
-    with tempfile.TemporaryDirectory() as folder, reserve_loopback_network() as network:
-        found = await play(case, network.number, folder, Random(7), PART)
-    assert found.wrong == []
-    assert found.acknowledged > 10
-    assert found.reads > 10
-    return found
+Played = Callable[[str], Awaitable[control.Found]]
 
 
-async def test_a_partitioned_leader_acknowledges_nothing_and_the_others_go_on() -> None:
+@pytest.fixture
+def played(loopback_network: LoopbackNetwork, tmp_path: Path) -> Played:
+    """Plays one case, and checks what holds for each."""
+
+    async def play_case(case: str) -> control.Found:
+        found = await control.play(case, loopback_network.number, str(tmp_path), Random(7), PART)
+        assert found.wrong == []
+        assert found.acknowledged > 10
+        assert found.reads > 10
+        return found
+
+    return play_case
+
+
+async def test_a_partitioned_leader_acknowledges_nothing_and_the_others_go_on(played: Played) -> None:
     found = await played("cut")
     assert found.longest_wait < control.WITHIN
 
 
-async def test_a_leader_whose_messages_are_lost() -> None:
+async def test_a_leader_whose_messages_are_lost(played: Played) -> None:
     await played("cut one way, not heard")
 
 
-async def test_a_leader_that_receives_no_messages() -> None:
+async def test_a_leader_that_receives_no_messages(played: Played) -> None:
     await played("cut one way, hears nobody")
 
 
-async def test_a_leader_killed_right_after_an_acknowledgement() -> None:
+async def test_a_leader_killed_right_after_an_acknowledgement(played: Played) -> None:
     await played("killed right after")
 
 
-async def test_a_leader_that_loses_its_disk_right_after_an_acknowledgement() -> None:
+async def test_a_leader_that_loses_its_disk_right_after_an_acknowledgement(played: Played) -> None:
     await played("emptied right after")
 
 
-async def test_a_member_that_was_down_catches_up_and_leads() -> None:
+async def test_a_member_that_was_down_catches_up_and_leads(played: Played) -> None:
     found = await played("away")
     assert found.caught_up < control.WITHIN
--- a/tests/gateway/test_rpc.py
+++ b/tests/gateway/test_rpc.py
@@ -1,7 +1,6 @@
 """Calls between processes: replies, failures that tell whether a call may have run, and bad peers."""
 
 import asyncio
-import socket
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -9,6 +8,7 @@
 import pytest
 from returns.result import Failure, Success
 
+from lapisgrade.fakes.site import free_port
 from lapisgrade.gateway import rpc_connection
 from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.rpc import RpcEndpoint
@@ -38,9 +38,7 @@
 
 
 def free_address() -> tuple[str, int]:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return probe.getsockname()
+    return ("127.0.0.1", free_port())
 
 
 def run(
