--- a/lapisgrade/gateway/controller/consensus_driver.py
+++ b/lapisgrade/gateway/controller/consensus_driver.py
@@ -6,7 +6,9 @@
     2. applies the committed entries and completes the proposals that wait for them,
     3. hands records to the log writer; messages that depend on them are sent once they are on disk,
     4. sends the messages that depend on no write,
-    5. reports a change of leadership, and arms the timer for the node's next deadline.
+    5. hands the node its messages to itself, and repeats 1 to 4 for what they caused,
+    6. replaces a long log by a snapshot,
+    7. reports a change of leadership, and arms the timer for the node's next deadline.
 
 A controller without a disk has no node: its driver is never started, never leads, and proposes nothing.
 """
@@ -31,7 +33,7 @@
 
 log = logging.getLogger("controller")
 
-COMMIT_TIMEOUT_S = 0.85  # that a proposal waits for a majority; callers try elsewhere after 1 s of silence
+COMMIT_TIMEOUT_S = 0.85  # that a proposal waits for a majority; below call_forwarding.FORWARD_TIMEOUT_S
 MIN_TIMER_S = 0.0005  # between two timers of the node, so that one that is overdue can't starve the loop
 
 
--- a/lapisgrade/gateway/controller/state.py
+++ b/lapisgrade/gateway/controller/state.py
@@ -9,7 +9,7 @@
 from lapisgrade.gateway.merge.three_way import Draft, MergeOutcome
 from lapisgrade.gateway.registry import Server
 
-MAX_STAGED_VERSIONS = 8  # each waits 1.4 s at most to come into force
+MAX_STAGED_VERSIONS = 8  # beyond it the oldest is dropped, as later versions replace it
 
 _ENCODED_NAMES = {
     "configuration": "conf",
@@ -91,7 +91,7 @@
         self.configuration = configuration
         self.version = version
         self.staged_versions[version] = configuration
-        if len(self.staged_versions) > MAX_STAGED_VERSIONS:  # comes into force with the next one
+        if len(self.staged_versions) > MAX_STAGED_VERSIONS:  # the next one replaces it
             del self.staged_versions[next(iter(self.staged_versions))]
         self.forget_activated_merges()
 
--- a/lapisgrade/gateway/controller/version_activation.py
+++ b/lapisgrade/gateway/controller/version_activation.py
@@ -5,20 +5,21 @@
           accepted, in `staged_versions`        `Activate` committed, `active_version`
     unknown ------------------------------> staged ------------------------------------> active
        |                                    |    |
-       | no reply of the leader for         |    | made by merging drafts (`State.merged`)
+       | no reply of the leader for         |    | made by merging drafts (`merged_versions`)
        | MISSED_VERSION_AFTER_US            |    v
        +---------------> in doubt <---------+  fenced
 
-* staged: the proxy has the version, and still acts by the active one. It answers 503 (try again) to what the
-  active version refuses and the staged one allows.
+* staged: the proxy has the version, and still acts by the active one. It answers 503 (try again) to
+  every request that exactly one of the two versions accepts.
 * in doubt: the proxy may have missed a version. It answers 503 to everything that its active version refuses.
 * fenced: a staged version that was merged from both sides of a partition. The proxy answers 503 to requests
   that may run only once and that the staged version routes otherwise than the active one.
 
 Rules of activation, for the newest version that satisfies one of them:
 
-1. All live proxies have staged it, and, if it is merged, it was staged `MERGED_VERSION_DELAY_US` ago: a proxy
-   that was partitioned is not among the live ones, and learns of the fence with its first watch request.
+1. At least one proxy is alive, all live ones have staged it, and, if it is merged, it was staged
+   `MERGED_VERSION_DELAY_US` ago: a proxy that was partitioned is not among the live ones, and learns of the
+   fence with its first watch request.
 2. It was staged `ACTIVATION_TIMEOUT_US` ago: by then every proxy that has not staged it is in doubt.
 
 So no proxy refuses for good what another one allows already (guards a new tenant against a proxy that lacks
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -115,7 +115,11 @@
         return self.registry.revision != revision
 
     def advance(self, now_us: int) -> bool:
-        """Expire proxies and servers that fell silent; return whether that changes what proxies know."""
+        """Remove proxies without recent requests and expire servers without recent heartbeats.
+
+        Returns:
+            Whether that changes what proxies know.
+        """
         revision, was_complete = self.registry.revision, self.is_registry_complete
         self.registry.expire(now_us)
         self.proxies = {
--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -136,7 +136,7 @@
         self.watch.update_departed_servers(self._clock(), self._state_machine.state.departed_servers)
 
     def on_timer(self) -> None:
-        """Expire proxies and servers that fell silent."""
+        """Remove proxies without recent requests and expire servers without recent heartbeats."""
         if self.watch.advance(self._clock()):
             self.notify_watchers()
 
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -40,7 +40,7 @@
 RESERVED_FILES = 200  # descriptors that are kept for files, and for calls to controllers and proxies
 MIN_SOCKETS = 64
 MAX_READINESS_BODY_BYTES = 4096
-LAST_CONNECTIONS_S = 2.6  # after SIGTERM in which the platform may still send connections
+LAST_CONNECTIONS_S = 2.6  # after SIGTERM until idle connections are closed; new ones may still come till then
 EXIT_RESERVE_S = 0.4  # of the grace time that is left for the process to exit
 SHUTDOWN_POLL_S = 0.05  # between checks whether all requests have been answered
 
@@ -133,7 +133,7 @@
         return self.context.settings
 
     def reload(self, settings: Settings) -> None:
-        """Take in settings that were read again; only the other machines may change meanwhile."""
+        """Replace the settings; of these only the peers take effect without a restart."""
         self.context.settings = settings
         self._apply_seeds()
 
@@ -174,7 +174,7 @@
         await self.client_front.listen(bind.http)
 
     async def _drain(self) -> None:
-        """Answer the requests in progress; new connections are accepted while the platform sends some."""
+        """Answer the requests in progress; connections are accepted until the end, for one response each."""
         loop, front = asyncio.get_running_loop(), self.client_front
         ends = loop.time() + self.settings.slo.grace / SECOND - EXIT_RESERVE_S
         front.is_draining = True
@@ -199,7 +199,7 @@
         log.info("metrics %s", dict(sorted(metrics.items())))
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        """End the process with a task that should run on (guards against a half of a proxy)."""
+        """Shut the process down when a permanent task ends (guards against a proxy that half works)."""
         if not task.cancelled():
             log.error("a task failed", exc_info=task.exception())
             self.context.metrics.tasks_failed += 1
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -12,12 +12,16 @@
 SELECTING  no server, or the retry budget is spent          given up
 WAITING    the hedge timer                                  HEDGING
 HEDGING    a server is chosen, the attempt starts           WAITING
-HEDGING    the retry budget is spent, or a timer            WAITING
+HEDGING    the retry budget is spent                        WAITING
+HEDGING    the timer of the overdue attempt                 HEDGING
+WAITING    an attempt fails, others are in flight           WAITING
 HEDGING    an attempt fails, others are in flight           HEDGING
 any        the last in flight fails, another may follow     SELECTING
 any        the last in flight fails, none may follow        given up
 any        an attempt is answered, or the client has gone   ended
-any        the deadline                                     given up
+SELECTING  the end of queueing                              given up
+WAITING    the deadline                                     given up
+HEDGING    the deadline                                     given up
 =========  ===============================================  =========
 
 * SELECTING: nothing is in flight, and a server is wanted for the first attempt or a retry.
@@ -51,8 +55,8 @@
 )
 from lapisgrade.policy.latency import LatencyEstimate
 
-RESPONSE_MARGIN_US = 12_000  # before the client's deadline that we end a request; the way back to the client
-MAX_QUEUE_RATIO = 0.2  # of the target time that a request may be queued for a server; a quarter is priced
+RESPONSE_MARGIN_US = 12_000  # from our deadline to the client's; also from the last attempt's start to ours
+MAX_QUEUE_RATIO = 0.2  # of the target time that a request may be queued; from a quarter on it is penalised
 QUEUE_POLL_US = 8_000  # between searches for a server while a request is queued
 RETRY_AFTER_RATIO = 0.35  # of the target time after which one that found no server is to come back
 OVERDUE_DEVIATIONS = 4.0  # above the mean latency that an attempt may take before it is overdue
--- a/lapisgrade/gateway/watch_timing.py
+++ b/lapisgrade/gateway/watch_timing.py
@@ -1,7 +1,8 @@
 """The times that a proxy and the controllers agree on for watch requests.
 
 A proxy always has one watch request at the leading controller (long polling). Both sides reason from these
-times: the leader activates a version without a proxy that is silent only once that proxy doubts by itself.
+times: the leader activates a version without a proxy that sends no requests only once that proxy is in doubt
+by itself (`controller/version_activation.py`).
 """
 
 LONG_POLL_US = 250_000  # that the leader holds a watch request while it has no updates
--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -16,7 +16,8 @@
 operation: a final answer was delivered by the host (`AttemptResult.is_final`) or by `Reject`.
 
 This module holds types only and decides nothing. All times are whole microseconds on the host's one clock;
-`_us` fields without "deadline" or "arrived" in their name are durations.
+`now_us`, `started_us`, `arrived_us`, `deadline_us` and `until_us` are points in time, all other `_us` fields
+are durations.
 """
 
 from collections.abc import Generator
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -30,9 +30,9 @@
 
 COUNTER_TTL_US = 45 * SECOND  # outlives its epoch, so that a limiter that is late still finds the count
 RESPONSE_MARGIN_US = 6_000  # before an operation's deadline; a few rounds of the host's clock
-MAX_LEASE_OPERATIONS = 50  # the design's cap
-LEASE_DURATION_US = SECOND  # the design's
-LOCAL_SHARE_FACTOR = 1.5  # even shares of a quota admitted without the counter; the design's two overshoots
+MAX_LEASE_OPERATIONS = 50  # operations whose units one lease may hold, at most
+LEASE_DURATION_US = SECOND  # how long a lease may be used
+LOCAL_SHARE_FACTOR = 1.5  # even shares of a quota admitted without the counter (docs/design.md)
 IN_FLIGHT_MARGIN = (
     0.8  # attempts under a cap; the others' are known in the mean only, and a wait costs little
 )
@@ -50,7 +50,7 @@
         """Create the record of an operation that begins to wait."""
         self.operation = operation
         self.is_resolved = False
-        self.is_admitted: bool | None = None  # None once resolved: the counter did not tell
+        self.is_admitted: bool | None = None  # None once resolved: the counter did not answer
         self.is_counted = False  # it may have been counted by a call that was not answered
 
 
@@ -82,7 +82,7 @@
         share = LOCAL_SHARE_FACTOR / self.gateway_count
         local_burst = plan.burst * share
         self.local_bucket = TokenBucket(clock.now_us, plan.rate * share, local_burst, local_burst)
-        # Split evenly, and empty at start, whatever the last incarnation spent (guards rule 5).
+        # Split evenly, and empty at start (guards against a second burst after a restart).
         rate = plan.rate_limit_per_s / self.gateway_count
         if rate > 0:
             burst = plan.rate_limit_burst / self.gateway_count
@@ -93,10 +93,10 @@
         self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)  # the quota's, by the totals
         self.counter_epoch = CounterEpoch(self.customer, self.decay_us)
         self.is_level_known = False  # whether the bucket says more than the plan, as a call was made
-        self.last_read_us = 0  # when the count was last told; 0: never
+        self.last_read_us = 0  # when the last total arrived; 0: never
         self.leased_units = 0.0
         self.lease_expires_us = 0
-        self.total_use = DecayingSum(self.decay_us)  # the count as last told, with what we added since
+        self.total_use = DecayingSum(self.decay_us)  # the last total, with what we added since
         self.own_use = DecayingSum(self.decay_us)  # our part of it
         self.unreported = DecayingSum(self.decay_us)  # what is to be added to it
         self.to_restore = DecayingSum(self.decay_us)  # what of our part a new count has not got yet
@@ -154,7 +154,7 @@
             reason = yield Sleep(operation.deadline_us - RESPONSE_MARGIN_US)
             if reason is not WakeReason.RESUMED and not pending.is_resolved:
                 self.pending.remove(pending)
-                return 0  # the client has gone, or is about to
+                return 0  # the client has gone, or the deadline is near: refused without the counter's answer
         return self._admit_by_reply(pending)
 
     def _take_from_lease(self, now_us: int, units: float) -> bool:
@@ -167,7 +167,7 @@
         return True
 
     def _admit_by_reply(self, pending: PendingOperation) -> int | None:
-        """Admit or refuse an operation that waited for the counter, by what the counter told."""
+        """Admit or refuse an operation that waited for the counter, by the counter's answer."""
         now_us, units = self.clock.now_us, pending.operation.units
         if pending.is_admitted is None:
             # A call that timed out was mostly counted: the operation is admitted, or its units are given
@@ -192,7 +192,7 @@
         self.rate_limit_bucket.set_level(now_us, self.rate_limit_bucket.read(now_us) - units)
 
     def admit_locally(self, now_us: int, units: float, is_counted: bool = False) -> int | None:
-        """Admit or refuse by the local share, as the counter does not tell; it is told later.
+        """Admit or refuse by the local share, without the counter; the units are reported to it later.
 
         Args:
             now_us: The present time.
@@ -218,7 +218,7 @@
         return math.ceil((required - available) / rate * SECOND)
 
     def _share_of_last_total(self, now_us: int, units: float) -> tuple[float, float, float]:
-        """What is required, what is available and its rate, by the total that was last told.
+        """What is required, what is available and its rate, by the last total.
 
         The counter is overloaded, not gone: its last total, with the others' use as it was, says more than
         an even share.
@@ -235,7 +235,7 @@
         return self.bucket.level + self.plan.rate * (now_us - self.bucket.updated_us) / SECOND
 
     def estimated_use_of_others(self, now_us: int) -> float:
-        """What other limiters used since the count was last told, at the rate that it told of."""
+        """Estimated use by other limiters since the last total, at the rate seen until then."""
         decays = (now_us - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
         others = max(0.0, self.total_use.read(now_us) - self.own_use.read(now_us))
         return others * math.exp(min(MAX_EPOCH_DECAYS, decays)) * decays
@@ -341,7 +341,7 @@
 
         Args:
             now_us: The present time.
-            use: The use that the total tells, without what the call added.
+            use: The use by the total, without what the call added.
             level: The bucket's level by what was known before.
             restored: What the call restored of our part.
             counting_since_us: The start of the count's epoch.
