--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -27,6 +27,8 @@
 
 
 class StoredLog:
+    """A log on disk with a configuration and a merged draft; `name` is the draft's id."""
+
     def __init__(self, tmp_path: Path) -> None:
         self.folder = str(tmp_path)
         log_store = LogStore(self.folder)
--- a/tests/gateway/controller/test_proxy_list_feed.py
+++ b/tests/gateway/controller/test_proxy_list_feed.py
@@ -18,6 +18,8 @@
 
 
 class ProxyListLeader:
+    """A leader that sends its list of live proxies to readers."""
+
     def __init__(self) -> None:
         self.state_machine, self.watch = StateMachine(), Watch(SECOND, 0)
         self.watch.become_leader(0, 1, self.state_machine.state)
--- a/tests/gateway/proxy/test_peer_reachability.py
+++ b/tests/gateway/proxy/test_peer_reachability.py
@@ -10,6 +10,8 @@
 
 
 class ReachablePeers:
+    """The record of reachable peers, on a clock that the test moves."""
+
     def __init__(self) -> None:
         self.now_us = 10 * ISOLATED_AFTER_US
         context = ProxyContext(SimpleNamespace(ip="10.0.0.1"), Random(1), lambda: self.now_us)
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -75,6 +75,8 @@
 
 
 class CallingProxy:
+    """A proxy that adds to a count which another proxy owns."""
+
     def __init__(self) -> None:
         self.peers = Peers()
         self.transport = self.peers.transport()
--- a/tests/gateway/proxy/test_server_list.py
+++ b/tests/gateway/proxy/test_server_list.py
@@ -25,6 +25,8 @@
 
 
 class ProxyServers:
+    """A proxy's list of servers, with its router and connection pool."""
+
     def __init__(self) -> None:
         self.pool, self.router = Pool(), Router(Clock(0), 1, Slo(), "z")
         self.servers = ServerList(self.router, self.pool)
--- a/tests/gateway/proxy/test_version_rollout.py
+++ b/tests/gateway/proxy/test_version_rollout.py
@@ -28,6 +28,8 @@
 
 
 class StagedVersions:
+    """A proxy that stages and activates versions; `limits` are those that it applied."""
+
     def __init__(self) -> None:
         self.limits: list = []
         self.router = Router(Clock(0), 1, Slo(), "z")
--- a/tests/gateway/proxy/test_watch_target.py
+++ b/tests/gateway/proxy/test_watch_target.py
@@ -10,6 +10,8 @@
 
 
 class WatchedControllers:
+    """A proxy that looks for the leader among two seeds and its neighbours."""
+
     def __init__(self) -> None:
         self.partial_view = PartialView("10.0.0.1:2", "z", Random(1), 0)
         self.watch_target = WatchTarget(Random(2), self.partial_view, ["10.0.0.7:1", "10.0.0.8:1"])
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -108,8 +108,8 @@
 def test_a_lost_reply_is_repeated_and_creates_no_units(count: CountChangingHands) -> None:
     take(count.old, SECOND, 30.0)
     count.joined(SECOND + MS)
-    for names_told in (False, True):
-        if names_told:
+    for is_updated in (False, True):
+        if is_updated:
             count.old.update_members(
                 SECOND + 3 * MS, MembershipUpdate(9, members(count.names), previous_fencing_token=5)
             )
--- a/tests/gateway/quota/test_owner.py
+++ b/tests/gateway/quota/test_owner.py
@@ -48,9 +48,9 @@
         one.update_members(0, MembershipUpdate(5, live_proxies(names), previous_fencing_token=4))
         one.add(SECOND, ask, 99 * SECOND)
         one.update_members(9 * SECOND, MembershipUpdate(7, live_proxies(names), previous_fencing_token=prior))
-        total_now = one.add(9 * SECOND, msgspec.structs.replace(ask, fencing_token=7), 99 * SECOND).total
-        assert total_now >= total, f"after {prior}"
-        assert total_now < total + 1.5
+        later_total = one.add(9 * SECOND, msgspec.structs.replace(ask, fencing_token=7), 99 * SECOND).total
+        assert later_total >= total, f"after {prior}"
+        assert later_total < total + 1.5
 
 
 def test_only_units_granted_by_the_previous_call_are_returned():
@@ -78,22 +78,22 @@
     one = QuotaOwner(mine)
     fences = (4, 5, 6)  # the asker's: an earlier list, the same, a later one
 
-    def owners_found(now_us: int, acts_until_us: int) -> list[bool]:
+    def accepted(now_us: int, acts_until_us: int) -> list[bool]:
         asks = [rpc_messages.QuotaRequest("t", 1.0, "a", fence, 60.0, 60.0) for fence in fences]
         return [one.add(now_us, ask, acts_until_us).is_accepted for ask in asks]
 
-    assert owners_found(0, SECOND) == [False] * 3  # it has no list
+    assert accepted(0, SECOND) == [False] * 3  # it has no list
     one.update_members(0, MembershipUpdate(5, live_proxies(names)))
-    assert owners_found(SECOND, 2 * SECOND) == [True] * 3
+    assert accepted(SECOND, 2 * SECOND) == [True] * 3
     no_list = rpc_messages.QuotaRequest("t", 1.0, "a", 0, 60.0, 60.0)
     assert not one.add(SECOND, no_list, 2 * SECOND).is_accepted
-    assert owners_found(3 * SECOND, 2 * SECOND) == [False] * 3  # out of touch
+    assert accepted(3 * SECOND, 2 * SECOND) == [False] * 3  # out of touch
     one.update_members(3 * SECOND, MembershipUpdate(6, others))
-    assert owners_found(3 * SECOND, 9 * SECOND) == [False] * 3  # another owns it
+    assert accepted(3 * SECOND, 9 * SECOND) == [False] * 3  # another owns it
     assert one.counts.by_tenant == {}
     one.update_members(4 * SECOND, MembershipUpdate(7, live_proxies(names)))
-    assert owners_found(4 * SECOND, 9 * SECOND) == [False] * 3  # that one may add still
-    assert owners_found(4 * SECOND + OWNERSHIP_LEASE_US, 9 * SECOND) == [True] * 3
+    assert accepted(4 * SECOND, 9 * SECOND) == [False] * 3  # that one may add still
+    assert accepted(4 * SECOND + OWNERSHIP_LEASE_US, 9 * SECOND) == [True] * 3
 
 
 def test_an_owner_that_handed_over_grants_nothing_to_callers_on_its_list():
--- a/tests/gateway/routing/test_balancer.py
+++ b/tests/gateway/routing/test_balancer.py
@@ -14,6 +14,8 @@
 
 
 class FailingServers:
+    """Two servers of a cluster, of which attempts fail or succeed."""
+
     def __init__(self) -> None:
         self.cluster = UpstreamCluster(Random(1), "z", Subsets("l", "z"))
         for name in ("s1", "s2"):
--- a/tests/gateway/routing/test_idle_connections.py
+++ b/tests/gateway/routing/test_idle_connections.py
@@ -9,6 +9,8 @@
 
 
 class ReusedConnections:
+    """The record of how long idle connections may rest."""
+
     def __init__(self) -> None:
         self.idle_connections = IdleConnections()
 
--- a/tests/gateway/routing/test_request_attempts.py
+++ b/tests/gateway/routing/test_request_attempts.py
@@ -59,6 +59,8 @@
 
 
 class HedgingRouter:
+    """A router with three servers and a retry budget, on a clock that the test moves."""
+
     def __init__(self) -> None:
         self.clock = Clock(100 * SECOND)
         self.router = Router(self.clock, 1, Slo(), "z", "c")
--- a/tests/gateway/storage/test_log_store.py
+++ b/tests/gateway/storage/test_log_store.py
@@ -11,6 +11,8 @@
 
 
 class Folder:
+    """A folder for a log; `filled` writes a few records to it."""
+
     def __init__(self, tmp_path: Path) -> None:
         self.name = str(tmp_path)
 
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -64,6 +64,8 @@
 
 
 class Fleet:
+    """Members as processes, each behind a relay."""
+
     def __init__(self, folder, count: int, link: Link | None = None) -> None:
         self.nodes = {f"m{i}": Node(f"m{i}", folder) for i in range(count)}
         self.supervisor, self.link = Supervisor(), link or Link()
