--- a/lapisgrade/cli/lab_fleet.py
+++ b/lapisgrade/cli/lab_fleet.py
@@ -105,7 +105,7 @@
         folder: of the play; None for one of its own in `runs_folder`.
         runs_folder: holds a folder for each play.
     """
-    from lapisgrade.lab.fleet import checker, test_bed, history, process
+    from lapisgrade.lab.fleet import checker, history, process, test_bed
     from lapisgrade.lab.fleet import report as reports
 
     changes = {"seed": seed, "limiters": limiters}
--- a/lapisgrade/gateway/controller/version_activation.py
+++ b/lapisgrade/gateway/controller/version_activation.py
@@ -5,20 +5,21 @@
           accepted, in `staged_versions`        `Activate` committed, `active_version`
     unknown ------------------------------> staged ------------------------------------> active
        |                                    |    |
-       | no reply of the leader for         |    | made by merging drafts (`State.merged`)
+       | no reply of the leader for         |    | made by merging drafts (`merged_versions`)
        | MISSED_VERSION_AFTER_US            |    v
        +---------------> in doubt <---------+  fenced
 
-* staged: the proxy has the version, and still acts by the active one. It answers 503 (try again) to what the
-  active version refuses and the staged one allows.
+* staged: the proxy has the version, and still acts by the active one. It answers 503 (try again) to
+  every request that exactly one of the two versions accepts.
 * in doubt: the proxy may have missed a version. It answers 503 to everything that its active version refuses.
 * fenced: a staged version that was merged from both sides of a partition. The proxy answers 503 to requests
   that may run only once and that the staged version routes otherwise than the active one.
 
 Rules of activation, for the newest version that satisfies one of them:
 
-1. All live proxies have staged it, and, if it is merged, it was staged `MERGED_VERSION_DELAY_US` ago: a proxy
-   that was partitioned is not among the live ones, and learns of the fence with its first watch request.
+1. At least one proxy is alive, all live ones have staged it, and, if it is merged, it was staged
+   `MERGED_VERSION_DELAY_US` ago: a proxy that was partitioned is not among the live ones, and learns of the
+   fence with its first watch request.
 2. It was staged `ACTIVATION_TIMEOUT_US` ago: by then every proxy that has not staged it is in doubt.
 
 So no proxy refuses for good what another one allows already (guards a new tenant against a proxy that lacks
@@ -26,7 +27,8 @@
 """
 
 from collections.abc import Iterable
-from dataclasses import dataclass
+
+import msgspec
 
 from lapisgrade.gateway.controller.commands import Activate
 from lapisgrade.gateway.controller.state import State
@@ -36,8 +38,7 @@
 ACTIVATION_RETRY_US = 300_000  # after which an activation that did not commit is proposed again
 
 
-@dataclass(slots=True)
-class ProxyStatus:
+class ProxyStatus(msgspec.Struct):
     """What the leader knows of a live proxy.
 
     Attributes:
--- a/lapisgrade/gateway/rpc.py
+++ b/lapisgrade/gateway/rpc.py
@@ -7,9 +7,9 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
 from typing import Any
 
+import msgspec
 from returns.result import Result
 
 from lapisgrade.gateway.call_failure import CallFailure
@@ -21,8 +21,7 @@
 LISTEN_BACKLOG = 256
 
 
-@dataclass(slots=True)
-class RpcMetrics:
+class RpcMetrics(msgspec.Struct):
     """Counters of one endpoint since its start."""
 
     calls_sent: int = 0
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -6,6 +6,7 @@
 
 import msgspec
 import pytest
+from support.sample_configuration import CONF
 
 from lapisgrade.gateway.cli.disk_report import DiskReport
 from lapisgrade.gateway.consensus.messages import Entry
@@ -23,10 +24,11 @@
 from lapisgrade.gateway.local_cluster import SAMPLE
 from lapisgrade.gateway.merge.three_way import make_draft
 from lapisgrade.gateway.storage.log_store import LogStore
-from support.sample_configuration import CONF
 
 
 class StoredLog:
+    """A log on disk with a configuration and a merged draft; `name` is the draft's id."""
+
     def __init__(self, tmp_path: Path) -> None:
         self.folder = str(tmp_path)
         log_store = LogStore(self.folder)
@@ -37,8 +39,8 @@
         draft = make_draft(CONF, prio, "amel", "m1")
         entries = [Entry(1, 1, b"", {"first": "10.0.0.1:7660"}), Entry(2, 1, change),
                    Entry(3, 2, encode_command(MergeDraft(draft)))]  # fmt: skip
-        whole = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
-        log_store.renew(msgspec.msgpack.encode(whole))
+        snapshot = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
+        log_store.renew(msgspec.msgpack.encode(snapshot))
         records = (HardState(2, "first"), EntriesRecord(entries[1:]))
         log_store.append([msgspec.msgpack.encode(each) for each in records])
         log_store.close()
@@ -71,8 +73,8 @@
 def test_the_history_says_what_each_entry_did_and_each_version_changed(stored_log: StoredLog) -> None:
     log_store = LogStore(stored_log.folder)
     old = [msgspec.msgpack.decode(each, type=Record) for each in log_store.recover()]
-    gone = {"Del": {"Routes": ["r-stock"]}}
-    late, again = ({"Ver": 4, "Base": 1, **gone}, {"Ver": 5, "Base": 2, **gone})
+    deletion = {"Del": {"Routes": ["r-stock"]}}
+    late, again = ({"Ver": 4, "Base": 1, **deletion}, {"Ver": 5, "Base": 2, **deletion})
     items = [*(ConfigurationChange(False, msgspec.json.encode(each)) for each in (late, again)), Activate(5)]
     items += [ServerLeaving("i-1", False), ServerLeaving("i-1", True)]
     items += [LiveProxies({name: ("p", "1", "z") for name in ("m1", "m2")}), CloseDraft("nobody")]
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -11,8 +11,8 @@
 from lapisgrade.gateway.controller.draft_merging import MAX_DRAFTS
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.merge.fields import from_fields, to_fields, diff
-from lapisgrade.gateway.merge.three_way import Draft, make_draft, force_changes, merge_drafts, describe_draft
+from lapisgrade.gateway.merge.fields import diff, from_fields, to_fields
+from lapisgrade.gateway.merge.three_way import Draft, describe_draft, force_changes, make_draft, merge_drafts
 from lapisgrade.lab.explore.rejoin import ConfigurationRandom
 
 CLAIM, SCRIPT = "r-claim", "r-script"
@@ -131,7 +131,8 @@
     change = put(route(CLAIM, "/claim/", svc="b"))
     conf, (one, two) = outcome(acknowledged(change), draft(change), draft(change, "another"))
     assert found(conf, CLAIM)["Action"]["Svc"] == "b"
-    assert not (one.is_open or two.is_open)
+    assert not (one.is_open)
+    assert not (two.is_open)
 
 
 def test_an_edit_does_not_restore_a_deleted_route_or_service() -> None:
--- a/tests/lab/fleet/test_checker.py
+++ b/tests/lab/fleet/test_checker.py
@@ -45,11 +45,11 @@
     return h.RequestReceived(at=round(at * S), op=op, server=server, ran=ran)
 
 
-def life(what, at, limiter=0):
+def limiter_event(what, at, limiter=0):
     return h.LimiterProcessChanged(at=round(at * S), limiter=limiter, what=what)
 
 
-def told(state, at, server="s0", limiter=0):
+def notified(state, at, server="s0", limiter=0):
     return h.ServerStateNotified(at=round(at * S), limiter=limiter, server=server, state=state)
 
 
@@ -73,7 +73,8 @@
         came("c", 4.1),
         answered("c", 4.2, "given up"),
     )
-    assert got.ok and not got.breaches
+    assert got.ok
+    assert not got.breaches
     assert got.ends == {"finished": 1, "turned back": 1, "given up": 1, "broken": 0, "none": 0}
     assert got.share == {0: 3}
 
@@ -106,14 +107,31 @@
                 sent(category="ticket"),
                 came(),
                 answered(how="broken"),
-                life("killed", 2.01),
+                limiter_event("killed", 2.01),
                 sent("b", 9, "ticket", origin="a"),
                 came("b", 9.1),
                 answered("b", 9.2),
             ],
         ),
-        (3, [told("terminating", 2), sent(at=4), came(at=4.1, ran=False), answered(at=4.2, how="given up")]),
-        (3, [told("terminating", 2), told("terminated", 4), sent(at=4), came(at=4.1), answered(at=4.2)]),
+        (
+            3,
+            [
+                notified("terminating", 2),
+                sent(at=4),
+                came(at=4.1, ran=False),
+                answered(at=4.2, how="given up"),
+            ],
+        ),
+        (
+            3,
+            [
+                notified("terminating", 2),
+                notified("terminated", 4),
+                sent(at=4),
+                came(at=4.1),
+                answered(at=4.2),
+            ],
+        ),
         (
             5,
             [
@@ -130,25 +148,43 @@
 )
 def test_each_violation_is_detected(rule, events):
     broken = rules(*events)
-    assert rule in broken and set(broken) <= {rule, 1, 2}
+    assert rule in broken
+    assert set(broken) <= {rule, 1, 2}
 
 
 @pytest.mark.parametrize(
     "events",
     [
-        [sent(), came(), life("killed", 2.02), answered(how="broken")],  # a limiter that died owes nothing
-        [sent(), came(), life("paused", 2.02), life("resumed", 4.9), answered(at=3.6, how="none")],
-        [life("paused", 1.5), sent(), life("resumed", 4.9), answered(at=3.6, how="none"), came(at=5)],
+        [
+            sent(),
+            came(),
+            limiter_event("killed", 2.02),
+            answered(how="broken"),
+        ],  # a limiter that died owes nothing
+        [
+            sent(),
+            came(),
+            limiter_event("paused", 2.02),
+            limiter_event("resumed", 4.9),
+            answered(at=3.6, how="none"),
+        ],
+        [
+            limiter_event("paused", 1.5),
+            sent(),
+            limiter_event("resumed", 4.9),
+            answered(at=3.6, how="none"),
+            came(at=5),
+        ],
         [sent(category="ticket"), came(), came(server="s1"), answered()],  # servers drop its repeat
         [sent(), came(), came(server="s1"), answered()],  # may run again
         [sent(category="flash"), came(ran=False), came(server="s1"), answered()],  # the first was turned away
         [sent(category="flash"), came(ran=False), answered(how="turned back")],
-        [told("terminating", 2), sent(at=2.2), came(at=2.24), answered(at=2.3)],  # within the grace
-        [told("terminating", 2), told("in_service", 3), sent(at=4), came(at=4.1), answered(at=4.2)],
+        [notified("terminating", 2), sent(at=2.2), came(at=2.24), answered(at=2.3)],  # within the grace
+        [notified("terminating", 2), notified("in_service", 3), sent(at=4), came(at=4.1), answered(at=4.2)],
         [
-            told("terminating", 2),
-            life("killed", 3),
-            life("up", 3.5),
+            notified("terminating", 2),
+            limiter_event("killed", 3),
+            limiter_event("up", 3.5),
             sent(at=4),
             came(at=4.1),
             answered(at=4.2),
@@ -173,9 +209,11 @@
         event for i in range(30) for event in (sent(f"{i}", 2), came(f"{i}", 2.01), answered(f"{i}", 2.1))
     ]
     got = found(*events)
-    assert got.over["c"] == pytest.approx(10) and got.ok
+    assert got.over["c"] == pytest.approx(10)
+    assert got.ok
     assert got.quotas["basic"]["over_worst"] == pytest.approx(10)
-    assert rules(*events, over_bound=10.5) == [] and rules(*events, over_bound=9.5) == [0]
+    assert rules(*events, over_bound=10.5) == []
+    assert rules(*events, over_bound=9.5) == [0]
 
 
 def steady(until=11.0, but=lambda at: True):
@@ -196,7 +234,8 @@
 def test_recovery_time_is_measured_from_the_end_of_the_fault():
     fault = [h.FaultChanged(at=at * S, what="k", target="all", on=at == 4) for at in (4, 5)]
     got = found(*steady(but=lambda at: not 4 < at < 6.5), *fault)
-    assert got.faults[0].began_s == 3 and got.faults[0].ended_s == 4
+    assert got.faults[0].began_s == 3
+    assert got.faults[0].ended_s == 4
     assert got.faults[0].full_service_s == pytest.approx(1.5, abs=0.15)
     assert found(*steady(until=4.0), *fault).faults[0].full_service_s is None
     assert found(*steady(), *fault).faults[0].full_service_s == 0
@@ -247,10 +286,12 @@
     report.save(got, tmp_path / "findings.json")
     assert report.load(str(tmp_path / "findings.json")) == got
     text = "\n".join(report.lines(got))
-    assert "RULE 1 BROKEN" in text and "link_cut 0" in text
+    assert "RULE 1 BROKEN" in text
+    assert "link_cut 0" in text
     assert "| t | 2 | worst |" in report.table([got, got])
     page = report.page([got])
-    assert "data:image/png;base64," in page and "RULE 1 BROKEN" in page
+    assert "data:image/png;base64," in page
+    assert "RULE 1 BROKEN" in page
     (tmp_path / "findings.json").write_text("{")
     with pytest.raises(report.FindingsError):
         report.load(str(tmp_path / "findings.json"))
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -1,11 +1,12 @@
 """The choice among servers: slow start, bounds on what is in flight, subsets."""
 
 import pytest
+from support.limiter_settings import SECOND, SERVER_RULES
+from support.limiter_simulation import ALWAYS_OK, LimiterSimulation
 
 from lapisgrade.interface import AttemptOutcome, ServerEndpoint, ServerState
 from lapisgrade.policy.latency import LATENCY_DECAY_US
 from lapisgrade.policy.slow_start import SLOW_START_SHARE
-from support.limiter_simulation import ALWAYS_OK, SECOND, SERVER_RULES, LimiterSimulation
 
 READY, DRAINING, GONE = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
@@ -65,7 +66,8 @@
     served = [
         sum(1 for part in parts for each in part if each.address == name) for name in simulation.endpoints
     ]
-    assert {len(part) for part in parts} == {6} and set(served) == {10}
+    assert {len(part) for part in parts} == {6}
+    assert set(served) == {10}
     gone = parts[0][0].address
     simulation.set_states(**{gone: GONE})
     assert all(len(g.limiter.server_pool.subset) == 6 for g in simulation.limiters)
