--- a/tests/gateway/consensus/test_election.py
+++ b/tests/gateway/consensus/test_election.py
@@ -48,19 +48,21 @@
     assert sync_disk(node)[0][1].granted
 
 
-def test_refuses_a_candidate_whose_log_is_less_up_to_date(subtests: pytest.Subtests) -> None:
-    for last, granted in (
+@pytest.mark.parametrize(
+    ("last", "granted"),
+    [
         ((0, 0), False),
         ((1, 3), False),
         ((2, 2), False),
         ((2, 3), True),
         ((1, 4), True),
-    ):
-        with subtests.test(last=last):
-            node = new_node()
-            node.log.append([Entry(1, 3), Entry(2, 3)])
-            node.receive(NOW, ask(last_log_index=last[0], last_log_term=last[1]))
-            assert sync_disk(node)[-1][1].granted == granted
+    ],
+)
+def test_refuses_a_candidate_whose_log_is_less_up_to_date(last: tuple[int, int], granted: bool) -> None:
+    node = new_node()
+    node.log.append([Entry(1, 3), Entry(2, 3)])
+    node.receive(NOW, ask(last_log_index=last[0], last_log_term=last[1]))
+    assert sync_disk(node)[-1][1].granted == granted
 
 
 def test_refuses_votes_and_keeps_its_term_while_a_leader_sends_heartbeats() -> None:
--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -11,14 +11,13 @@
 from lapisgrade.gateway.quota.ownership import owner_of
 
 
-def test_a_tenant_inside_its_quota_is_not_refused(subtests: pytest.Subtests):
-    for proxies in (1, 3, 14):
-        with subtests.test(proxies=proxies):
-            simulation = QuotaSimulation(proxies)
-            simulation.run(3, 38)
-            simulation.rejected = 0
-            simulation.run(15, 38)
-            assert simulation.rejected <= 3
+@pytest.mark.parametrize("proxies", [1, 3, 14])
+def test_a_tenant_inside_its_quota_is_not_refused(proxies: int):
+    simulation = QuotaSimulation(proxies)
+    simulation.run(3, 38)
+    simulation.rejected = 0
+    simulation.run(15, 38)
+    assert simulation.rejected <= 3
 
 
 def test_a_small_tenant_of_many_limiters_is_not_refused():
@@ -39,27 +38,25 @@
     assert len(proxy.quota_client.pending) <= 1
 
 
-def test_the_bound_holds_at_eight_times_the_usual_and_the_quota_is_used(subtests: pytest.Subtests):
-    for proxies in (1, 14, 96):
-        with subtests.test(proxies=proxies):
-            simulation = QuotaSimulation(proxies)
-            simulation.run(12, 300)
-            assert simulation.max_admitted() <= simulation.bound
-            assert len(simulation.admitted_us) > 0.85 * 60 * 12
-
-
-def test_the_bound_holds_when_half_or_all_proxies_reach_no_owner(subtests: pytest.Subtests):
-    for isolated in (7, 14):
-        with subtests.test(dark=isolated):
-            simulation = QuotaSimulation(14)
-            simulation.run(6, 300)
-            for name in simulation.names[:isolated]:
-                simulation.proxies[name].is_isolated = True
-            simulation.run(8, 300)
-            for each in simulation.proxies.values():
-                each.is_isolated = False
-            simulation.run(6, 300)
-            assert simulation.max_admitted() <= simulation.bound
+@pytest.mark.parametrize("proxies", [1, 14, 96])
+def test_the_bound_holds_at_eight_times_the_usual_and_the_quota_is_used(proxies: int):
+    simulation = QuotaSimulation(proxies)
+    simulation.run(12, 300)
+    assert simulation.max_admitted() <= simulation.bound
+    assert len(simulation.admitted_us) > 0.85 * 60 * 12
+
+
+@pytest.mark.parametrize("isolated", [7, 14])
+def test_the_bound_holds_when_half_or_all_proxies_reach_no_owner(isolated: int):
+    simulation = QuotaSimulation(14)
+    simulation.run(6, 300)
+    for name in simulation.names[:isolated]:
+        simulation.proxies[name].is_isolated = True
+    simulation.run(8, 300)
+    for each in simulation.proxies.values():
+        each.is_isolated = False
+    simulation.run(6, 300)
+    assert simulation.max_admitted() <= simulation.bound
 
 
 def test_the_bound_holds_through_hand_overs_and_mass_restarts():
--- a/tests/lab/simulation/test_linearizability.py
+++ b/tests/lab/simulation/test_linearizability.py
@@ -13,27 +13,31 @@
     return Event("read", called, returned, ver)
 
 
-def test_histories_that_one_register_explains(subtests: pytest.Subtests) -> None:
-    for events in (
+@pytest.mark.parametrize(
+    "events",
+    [
         [change(0, 5, 1, 0), read(6, 7, 1)],
         [change(0, 9, 1, 0), read(1, 2, 0), read(3, 4, 1)],  # it took effect between the reads
         [change(0, 9, 1, 0), change(0, 9, 2, 0, False), read(10, 11, 1)],
         [change(0, UNANSWERED, 1, 0, None), read(5, 6, 0), read(7, 8, 1)],
         [change(0, UNANSWERED, 1, 0, None), change(1, 2, 3, 0), read(5, 6, 3)],  # never taken
-    ):
-        with subtests.test(events=events):
-            assert linearizable(events)
-            assert first_wrong(events) is None
+    ],
+)
+def test_histories_that_one_register_explains(events: list[Event]) -> None:
+    assert linearizable(events)
+    assert first_wrong(events) is None
 
 
-def test_histories_that_none_explains(subtests: pytest.Subtests) -> None:
-    for events, at in (
+@pytest.mark.parametrize(
+    ("events", "at"),
+    [
         ([change(0, 5, 1, 0), read(6, 7, 0)], 7),  # a stale read
         ([change(0, 9, 1, 0), read(1, 2, 1), read(3, 4, 0)], 4),  # reads that go back
         ([change(0, 5, 1, 0), change(0, 5, 2, 0)], 5),  # two on one base
         ([change(0, 5, 1, 0, False), read(6, 7, 0)], 5),  # refused though it was on the newest
         ([change(0, 5, 1, 0), change(6, 7, 2, 1), change(8, 9, 3, 1), read(20, 21, 3)], 9),
-    ):
-        with subtests.test(events=events):
-            assert not linearizable(events)
-            assert first_wrong(events) == at
+    ],
+)
+def test_histories_that_none_explains(events: list[Event], at: int) -> None:
+    assert not linearizable(events)
+    assert first_wrong(events) == at
