--- a/lapisgrade/cli/lab_comparisons.py
+++ b/lapisgrade/cli/lab_comparisons.py
@@ -68,11 +68,11 @@
 @click.option("--ways", default="", help="names with commas between them; default: all")
 def quota(limiters: str, rate: float, burst: float, seed: int, ways: str) -> None:
     """Compare ways to hold a tenant's quota among many limiters, calm and with its owner dark."""
-    from lapisgrade.lab import quota_ways
+    from lapisgrade.lab import quota_comparison
 
-    names = parse_names(ways, quota_ways.POLICIES, "way")
+    names = parse_names(ways, quota_comparison.POLICIES, "way")
     sizes = limiters.split(",")
     for size in sizes:
         if not size.isdecimal() or not 1 < int(size) <= MAX_QUOTA_LIMITERS:
             raise click.BadParameter(f"{size} is no number of limiters from 2 to {MAX_QUOTA_LIMITERS}")
-    quota_ways.table([int(size) for size in sizes], names, seed, rate, burst, click.echo)
+    quota_comparison.table([int(size) for size in sizes], names, seed, rate, burst, click.echo)
