--- a/lapisgrade/lab/fleet/checker.py
+++ b/lapisgrade/lab/fleet/checker.py
@@ -49,7 +49,7 @@
 
 
 class Findings(msgspec.Struct):
-    """All that was found in one play."""
+    """All that was found in one run."""
 
     name: str = ""
     seed: int = 0
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One try of an operation, while it can still go wrong."""
+    """One attempt of an operation, while it can still break a rule."""
 
     sent: h.AttemptSent
     answered: h.AttemptAnswered | None = None
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class ProcessStatus:
-    """A limiter's process: whether it is up, and whether it is stopped."""
+    """Whether a limiter's process is down, and whether it is paused."""
 
     is_down: bool = False
     is_paused: bool = False
@@ -95,7 +95,7 @@
 
 
 class Checker:
-    """`see` each event by time, then `end`."""
+    """Checks a history: `see` each event by time, then `end`."""
 
     def __init__(self) -> None:
         self.found = Findings()
@@ -133,6 +133,7 @@
         }
 
     def see(self, event: h.Event) -> None:
+        """Take the next event, by time."""
         while self._deadlines and self._deadlines[0][0] <= event.at:
             self._close_attempt(self._deadlines.popleft()[1])
         while self._effect_expiries and self._effect_expiries[0][0] <= event.at:
@@ -140,7 +141,7 @@
         self._see[type(event)](event)
 
     def end(self) -> Findings:
-        """Everything has been seen."""
+        """Return the findings, once every event has been seen."""
         while self._deadlines:
             self._close_attempt(self._deadlines.popleft()[1])
         found = self.found
@@ -261,7 +262,7 @@
             self._check_repeat(each, event)
 
     def _check_repeat(self, each: Attempt, event: h.RequestReceived) -> None:
-        """Rule 2, over all tries of one operation of a client."""
+        """Check rule 2, over all attempts of one operation of a client."""
         sent, category = each.sent, self._categories[each.sent.category]
         if category.repeat_safety is RepeatSafety.IDEMPOTENT:
             return
@@ -288,7 +289,7 @@
             )
 
     def _check_notified_state(self, each: Attempt, event: h.RequestReceived) -> None:
-        """Rule 3."""
+        """Check rule 3: nothing goes to a server long after the limiter was notified of its drain."""
         told = self._notified.get((each.sent.limiter, event.server))
         if told is None or told.state == "in_service":
             return
@@ -305,7 +306,7 @@
             )
 
     def _check_rate_limit(self, sent: h.AttemptSent, at: int) -> None:
-        """Rule 5: the first hop of each try takes its units."""
+        """Check rule 5: the first request of each attempt takes its units."""
         plan = self._plans[sent.plan]
         if plan.rate_limit_per_s <= 0:
             return
@@ -365,7 +366,7 @@
         self._ended_us = event.at
 
     def _close_attempt(self, op: str) -> None:
-        """Its time and all leeway are over: what can be said of it now is final."""
+        """Judge an attempt whose time and leeway are over."""
         each = self._attempts.pop(op, None)
         if each is None:
             return
@@ -391,7 +392,7 @@
 
 
 def check(events) -> Findings:
-    """The findings of a whole history, by time."""
+    """Return the findings of a complete history, by time."""
     checker = Checker()
     for event in events:
         checker.see(event)
--- a/lapisgrade/lab/fleet/faults.py
+++ b/lapisgrade/lab/fleet/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a play, each struck at its time and undone at its end."""
+"""The faults of a run, each injected at its time and undone at its end."""
 
 import asyncio
 import time
@@ -15,14 +15,14 @@
 from lapisgrade.lab.fleet.recorders import RecordingCounter
 from lapisgrade.lab.fleet.relay import BACK, THERE, Link, TcpRelay, UdpRelay
 
-DISCOVERY_DELAY_S = 2.0  # discovery tells of a server that vanished so long after, as in the emulator
-COUNTER_CONNECTIONS = 8  # the stand-in counter takes so many for each limiter, old ones and new ones
-HARD_STOP_MARGIN_S = 3.0  # past the longest hard stop, for a limiter that was told to end
+DISCOVERY_DELAY_S = 2.0  # until discovery notices a server that vanished, as in the emulator
+COUNTER_CONNECTIONS = 8  # that the fake counter accepts for each limiter, old ones and new ones
+HARD_STOP_MARGIN_S = 3.0  # past the longest time-out, for a limiter that shuts down
 SLOW_COUNTER_DELAY_S = 0.010  # the emulator's factor of ten on a counter's millisecond
 
 
 class FaultInjector:
-    """Strikes what a play consists of; `Ground` has it."""
+    """Injects faults into the parts of a run, which `TestBed` provides."""
 
     scenario: Scenario
     writer: h.Writer
@@ -38,11 +38,12 @@
     _running_faults: list[asyncio.Task]
 
     async def _inject_faults(self) -> None:
+        """Inject each fault at its time, and wait until all are undone."""
         for fault in sorted(self.scenario.faults, key=lambda each: each.at_us):
             wait = self._started_s + fault.at_us / h.SECOND - time.monotonic()
             if wait > 0:
                 await asyncio.sleep(wait)
-            # A surge is in the clients' schedule: here it is only marked.
+            # A surge is in the clients' schedule: here it is only recorded.
             work = self._surge(fault) if fault.kind == "surge" else self._inject(fault)
             self._running_faults.append(asyncio.create_task(work))
         if self._running_faults:
@@ -57,7 +58,7 @@
             self._record(fault, False)
 
     async def _inject(self, fault: Fault) -> None:
-        """One fault, from its beginning to its end."""
+        """Inject one fault, and undo it at its end."""
         self._record(fault, True)
         kind = fault.kind
         if kind.startswith("limiter_") or kind.startswith("disk_"):
@@ -77,7 +78,7 @@
         self._record(fault, False)
 
     async def _wait_duration(self, fault: Fault) -> bool:
-        """Wait for the fault's length; whether it has an end."""
+        """Wait for the fault's duration; return whether it has an end."""
         if fault.for_us:
             await asyncio.sleep(fault.for_us / h.SECOND)
         return bool(fault.for_us)
@@ -164,7 +165,7 @@
             self._change_server_state("in_service", i)
 
     def _change_server_state(self, state: str, number: int) -> None:
-        """A server's state changes; discovery's agents hear of it, unless discovery keeps its news back."""
+        """Change a server's state at the discovery agents, unless discovery is stale."""
         self.writer.put(h.ServerStateChanged(at=h.now_us(), server=f"s{number}", state=state))
         if self.pending_changes is not None:
             self.pending_changes.append((state, number))
@@ -196,7 +197,7 @@
             self._block_peers(fault, False)
 
     def _affected_relays(self, fault: Fault) -> list[TcpRelay]:
-        """The relays of the links that the fault concerns."""
+        """Return the relays of the links that the fault affects."""
         if fault.kind != "partition":
             kinds = (
                 ["counter"]
@@ -279,7 +280,7 @@
 
 
 def apply_to_link(link: Link, fault: Fault) -> None:
-    """A link takes on what the fault says."""
+    """Apply a fault to a link."""
     kind = fault.kind
     if kind in ("link_cut", "partition", "counter_cut"):
         link.cut = frozenset((THERE, BACK))
@@ -295,7 +296,7 @@
 
 
 def parse_range(text: str, count: int) -> list[int]:
-    """`N` or `N-M` (or nothing) as numbers below `count`."""
+    """Parse `N` or `N-M` (or nothing) as numbers below `count`."""
     if not text:
         return []
     low, _, high = text.partition("-")
--- a/lapisgrade/lab/fleet/history.py
+++ b/lapisgrade/lab/fleet/history.py
@@ -1,8 +1,8 @@
-"""What happened in one play, event by event: JSON lines, one event a line, encoded and checked by msgspec.
+"""The history of one run: events as JSON lines, encoded and validated by msgspec.
 
-Every process that sees something writes a file of its own, in the order it saw it; `merged` reads them as
-one, by time. Times are microseconds of the machine's monotonic clock, which all processes of one machine
-share. Nothing is kept in memory but the lines under way.
+Each process writes a file of its own, in the order of its observations; `merged` reads them as one, by time.
+Times are microseconds of the machine's monotonic clock, which all processes of one machine share. Nothing
+stays in memory but the lines being read.
 """
 
 import heapq
@@ -14,21 +14,21 @@
 import msgspec
 
 SECOND = 1_000_000
-MAX_LINE_BYTES = 1 << 20  # bytes; a longer line is no event of ours
+MAX_LINE_BYTES = 1 << 20  # a longer line is no event
 
 
 class HistoryError(ValueError):
-    """A history that can't be read; says where."""
+    """A history can't be read; the message says where."""
 
 
 class Event(msgspec.Struct, tag_field="kind", frozen=True, kw_only=True):
-    """Something seen at `at` (us)."""
+    """Something observed at `at` (us)."""
 
     at: int
 
 
 class RunStarted(Event, tag="begin"):
-    """The play starts. `settings` are the limiters' settings, as in their configuration."""
+    """The run starts; `settings` are the limiters' settings, as in their configuration."""
 
     name: str
     seed: int
@@ -71,7 +71,7 @@
 
 
 class CounterCalled(Event, tag="counted"):
-    """The counter was called; `amount` was added, unless it turned the call away."""
+    """The counter was called; `amount` was added, unless the call was rejected."""
 
     name: str
     amount: float
@@ -80,7 +80,7 @@
 
 
 class DiscoveryCalled(Event, tag="asked"):
-    """Discovery was asked by a limiter (its agent was)."""
+    """A limiter called its discovery agent."""
 
     limiter: int
 
@@ -99,7 +99,7 @@
 
 
 class ServerStateNotified(Event, tag="told"):
-    """A limiter's agent told it of a server's state."""
+    """A limiter was notified of a server's state by its agent."""
 
     limiter: int
     server: str
@@ -123,7 +123,7 @@
 
 
 class RunEnded(Event, tag="end"):
-    """The play is over; what comes later is the limiters' own ending."""
+    """The run is over; what comes later is the limiters' shutdown."""
 
 
 AnyEvent = (
@@ -144,6 +144,7 @@
 
 
 def now_us() -> int:
+    """Return the machine's monotonic time (us)."""
     return time.monotonic_ns() // 1000
 
 
@@ -155,9 +156,11 @@
         self._encoder = msgspec.json.Encoder()
 
     def put(self, event: Event) -> None:
+        """Append an event."""
         self._file.write(self._encoder.encode(event) + b"\n")
 
     def close(self) -> None:
+        """Write what is buffered, and close the file."""
         self._file.close()
 
     def __enter__(self) -> "Writer":
@@ -168,8 +171,11 @@
 
 
 def read(path: Path | str) -> Iterator[Event]:
-    """The events of one file; BadHistory names the line that is none. A last line cut short (its writer was
-    killed) is left out."""
+    """Read the events of one file, without a last line cut short (its writer was killed).
+
+    Raises:
+        HistoryError: A line is no event; the message names the line.
+    """
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
             if len(line) > MAX_LINE_BYTES:
@@ -178,8 +184,8 @@
                 return
             try:
                 yield _DECODER.decode(line)
-            except msgspec.MsgspecError as wrong:
-                raise HistoryError(f"{path}:{number}: {wrong}") from None
+            except msgspec.MsgspecError as error:
+                raise HistoryError(f"{path}:{number}: {error}") from None
 
 
 def merged(paths: Iterable[Path | str]) -> Iterator[Event]:
--- a/lapisgrade/lab/fleet/load.py
+++ b/lapisgrade/lab/fleet/load.py
@@ -1,4 +1,4 @@
-"""The clients of a play, in a process of their own: `python -m lapisgrade.lab.fleet.load`, told by commands.
+"""The clients of a run, in a process of their own: `python -m lapisgrade.lab.fleet.load`, run by commands.
 
 Open loop: each operation goes out when it is due, whatever became of those before. A customer's operations go
 to the limiters of its set alone (`spread` from number `first` on), drawn evenly; one turned back comes again
@@ -63,7 +63,7 @@
 
 
 class Clients(client.Client):
-    """The load tool, with customers that keep to their sets and a history of every try."""
+    """The load tool, with customers that keep to their sets and a history of every attempt."""
 
     def __init__(
         self, targets: list[tuple[str, int]], scenario: scenarios.Scenario, writer: h.Writer
--- a/lapisgrade/lab/fleet/servers.py
+++ b/lapisgrade/lab/fleet/servers.py
@@ -1,5 +1,6 @@
-"""The servers of a play, in a process of their own: `python -m lapisgrade.lab.fleet.servers`, told by
-commands.
+"""The servers of a run, in a process of their own: `python -m lapisgrade.lab.fleet.servers`.
+
+The test bed controls it by commands.
 
 The first command is `open`; then `mode`, `kill`, `restart` and `drain` name servers by their numbers. Each
 hop that reaches a server is written to the history, with whether it was taken to be run.
@@ -15,7 +16,7 @@
 
 
 class RecordingServer(servers.Server):
-    """A stand-in server that writes down what comes."""
+    """A fake server that records its connections and requests in the history."""
 
     writer: h.Writer
 
@@ -29,7 +30,7 @@
 
 
 class Servers:
-    """All servers of the play, and the commands that change them."""
+    """All servers of the run, and the commands that change them."""
 
     def __init__(self) -> None:
         self.all: list[RecordingServer] = []
@@ -68,7 +69,7 @@
         return {}
 
     async def do_restart(self, which: list[int]) -> dict[str, Any]:
-        """A new process at the same place: cold, and empty."""
+        """Start new processes at the same addresses, warming up and with empty queues."""
         for i in which:
             if self.all[i].is_running:
                 await self.all[i].kill()
