--- a/lapisgrade/lab/simulation/__init__.py
+++ b/lapisgrade/lab/simulation/__init__.py
@@ -1,5 +1,5 @@
-"""The control plane's real processes, shells and all, in simulated time: one event loop, a network, disks and
-machines that fail. A seed replays exactly.
+"""Real processes of the control plane and the data plane, shells and all, in simulated time.
 
-The way of Zhou et al., "FoundationDB: A Distributed Unbundled Transactional Key Value Store", 2021.
+One event loop, a network, disks and machines that fail; a seed replays exactly. The approach is that of Zhou
+et al., "FoundationDB: A Distributed Unbundled Transactional Key Value Store", 2021.
 """
--- a/lapisgrade/lab/simulation/control_plane.py
+++ b/lapisgrade/lab/simulation/control_plane.py
@@ -6,12 +6,13 @@
 
 from random import Random
 
-from lapisgrade.lab.simulation.clients import Operation, Operator, WatchClient
+from lapisgrade.lab.simulation.clients import Operation, Operator
 from lapisgrade.lab.simulation.cluster import Cluster
 from lapisgrade.lab.simulation.faults import RECOVERY_S, FaultInjector
 from lapisgrade.lab.simulation.history_check import check_history
 from lapisgrade.lab.simulation.log_limits import log_limits
 from lapisgrade.lab.simulation.virtual_loop import SECOND, VirtualLoop
+from lapisgrade.lab.simulation.watch_client import WatchClient
 
 START_TIMEOUT_S = 6.0
 COMMIT_S = 0.5  # in which an entry that is in flight at the end reaches all
--- a/lapisgrade/lab/simulation/linearizability.py
+++ b/lapisgrade/lab/simulation/linearizability.py
@@ -8,6 +8,7 @@
 value.
 """
 
+from collections.abc import Iterator
 from dataclasses import dataclass
 
 UNANSWERED = 1 << 62  # us; later than every reply
@@ -40,6 +41,24 @@
     return value if value != event.base else None
 
 
+def _next_states(events: list[Event], done: int, value: int) -> Iterator[tuple[int, int]]:
+    """Yield the states after each event that may be next: no other open one returned before its call."""
+    first_return_us = UNANSWERED
+    for i, event in enumerate(events):
+        if done >> i & 1:
+            continue
+        if event.called_us > first_return_us:
+            return
+        first_return_us = min(first_return_us, event.returned_us)
+        if event.kind == "change" and event.is_accepted is None:
+            if value == event.base:  # it may have been accepted here; or it never is
+                yield done | 1 << i, event.version
+            continue
+        following = apply_event(event, value)
+        if following is not None:
+            yield done | 1 << i, following
+
+
 def linearizable(events: list[Event], start: int = 0) -> bool:
     """Whether some order of the events, each between its call and its return, explains all replies."""
     events = sorted(events, key=lambda each: (each.called_us, each.returned_us))
@@ -56,21 +75,7 @@
         seen.add((done, value))
         if len(seen) > MAX_STATES:
             raise HistoryTooLargeError(f"{len(events)} events")
-        # An event may be next if no other that is open returned before it was called.
-        first_return = UNANSWERED
-        for i, event in enumerate(events):
-            if done >> i & 1:
-                continue
-            if event.called_us > first_return:
-                break
-            first_return = min(first_return, event.returned_us)
-            if event.kind == "change" and event.is_accepted is None:
-                if value == event.base:  # it may have been accepted here; or it never is
-                    stack.append((done | 1 << i, event.version))
-                continue
-            following = apply_event(event, value)
-            if following is not None:
-                stack.append((done | 1 << i, following))
+        stack.extend(_next_states(events, done, value))
     return False
 
 
--- /dev/null
+++ b/lapisgrade/lab/simulation/watch_client.py
@@ -0,0 +1,125 @@
+"""A client of the simulated control plane that watches the configuration as a proxy does."""
+
+import asyncio
+
+from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway.configuration_delta import EncodedVersion, decode
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.lab.simulation.clients import Client
+from lapisgrade.lab.simulation.cluster import Cluster
+from lapisgrade.lab.simulation.operator_call import RPC_PORT
+
+WATCH_TIMEOUT_S = 0.6
+WATCH_RETRY_DELAY_S = 0.05
+
+
+class WatchClient(Client):
+    """Watches the configuration as a proxy does, and checks that nothing goes back."""
+
+    def __init__(self, cluster: Cluster, number: int) -> None:
+        super().__init__(cluster, f"limiter {number}", f"10.2.0.{number}")
+        self.number = number
+        self.active_version = 0
+        self.registry_incarnation = ""
+        self.registry_revision = 0
+        self.fencing_token = 0
+        self.configurations: dict[int, bytes] = {}  # by version
+        self.leader_address = ""
+        self.term = 0
+        self.needs_full_version = False
+        self.last_contact_us = 0  # when the last watch request was sent that was answered
+
+    async def run(self) -> None:
+        """Send watch requests for ever."""
+        while True:
+            await self.poll()
+
+    async def poll(self) -> None:
+        """Send one watch request, to the leader where it is known, and apply the reply."""
+        address = self.leader_address or self._random_address()
+        host, _, port = address.rpartition(":")
+        sent_us = self.loop.now_us
+        result = await self.endpoint.call((host, int(port)), self._request(), WATCH_TIMEOUT_S)
+        reply = result.value_or(None)
+        if not isinstance(reply, rpc_messages.WatchReply) or not reply.is_leader:
+            is_reply = isinstance(reply, rpc_messages.WatchReply)
+            self.leader_address = reply.leader_address if is_reply else ""
+            await asyncio.sleep(WATCH_RETRY_DELAY_S)
+            return
+        self.leader_address = address
+        term = int(reply.registry_incarnation.rstrip("+"))
+        if term < self.term:
+            self.leader_address = ""
+            return
+        self.term = term
+        if self._apply(reply):
+            self.last_contact_us = sent_us
+            self.registry_incarnation = reply.registry_incarnation
+            self.registry_revision = reply.registry_revision
+            self.fencing_token = reply.fencing_token
+
+    def _random_address(self) -> str:
+        machines = [each for each in self.cluster.machines.values() if not each.is_removed]
+        return f"{self.random.choice(machines).ip}:{RPC_PORT}"
+
+    def _request(self) -> rpc_messages.WatchRequest:
+        return rpc_messages.WatchRequest(
+            f"limiter-{self.number}",
+            f"10.2.0.{self.number}:7600",
+            "life",
+            "z",
+            self.active_version,
+            self.registry_incarnation,
+            self.registry_revision,
+            self.fencing_token,
+            staged_version=max(self.configurations, default=self.active_version),
+            needs_full_version=self.needs_full_version,
+        )
+
+    def _apply(self, reply: rpc_messages.WatchReply) -> bool:
+        """Apply a leader's reply; return whether its configurations could be decoded."""
+        try:
+            self.on_reply(reply)
+        except InvalidInputError as error:
+            if self.needs_full_version:
+                self.cluster.invariants.report_violation(
+                    f"limiter {self.number} can't read a version: {error}"
+                )
+            self.needs_full_version = True
+            return False
+        self.needs_full_version = False
+        return True
+
+    def on_reply(self, reply: rpc_messages.WatchReply) -> None:
+        """Store the configurations of a leader's reply, and check that no version or token goes back."""
+        invariants = self.cluster.invariants
+        if reply.active_configuration is not None:
+            self.store_version(reply.active_configuration)
+        for encoded in reply.staged_versions.values():
+            if encoded.version not in self.configurations:
+                self.store_version(encoded)
+        version = reply.active_version
+        if version < self.active_version:
+            invariants.report_violation(
+                f"limiter {self.number} is told version {version} after {self.active_version}"
+            )
+        if reply.fencing_token < self.fencing_token:
+            invariants.report_violation(
+                f"limiter {self.number} is told fence {reply.fencing_token} after {self.fencing_token}"
+            )
+        if version > self.active_version:
+            if version in self.configurations:
+                self.active_version = version
+            self.configurations = {
+                each: text for each, text in self.configurations.items() if each >= self.active_version
+            }
+
+    def store_version(self, encoded: EncodedVersion) -> None:
+        """Decode a configuration, and check it against the log's."""
+        text = decode(encoded, self.configurations.get(encoded.base, b""))
+        self.configurations[encoded.version] = text
+        logged = self.cluster.invariants.versions.get(encoded.version)
+        if logged is None or logged[1] != text:
+            self.cluster.invariants.report_violation(
+                f"limiter {self.number} has another version {encoded.version}"
+            )
