--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -53,7 +53,7 @@
         self.controllers = list(self.ip)[: controllers or machines]
         self.cuts = os.path.join(folder, "cuts.json")
         self.cut()
-        self.is_running: dict[tuple[str, str], asyncio.subprocess.Process] = {}
+        self.running: dict[tuple[str, str], asyncio.subprocess.Process] = {}
         self.server = FakeServer("i-1", "garantie", (f"127.{net}.1.1", 8080), slots=64)
         self.ctl = [Address((self.ip[name], CTL)) for name in self.controllers]
         self.tasks: list[asyncio.Task] = []
@@ -70,14 +70,14 @@
         with open(path, "w") as file:
             json.dump(settings, file)
         with open(os.path.join(self.folder, f"{name}-{role}.log"), "ab") as log:
-            self.is_running[role, name] = await asyncio.create_subprocess_exec(
+            self.running[role, name] = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "lapisgrade.lab.partitions.cuts", self.cuts, role, f"--settings={path}",
                 cwd=ROOT, stderr=log, preexec_fn=prepare_child,
             )  # fmt: skip
 
     async def kill(self, role: str, name: str) -> None:
         self.send(role, name, signal.SIGKILL)
-        await self.is_running[role, name].wait()
+        await self.running[role, name].wait()
 
     def cut(self, *pairs: tuple[str, str]) -> None:
         """From now on nothing gets from the first of each pair to the second, and all else gets through."""
@@ -106,7 +106,7 @@
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        for each in self.is_running.values():
+        for each in self.running.values():
             if each.returncode is None:
                 each.kill()
                 await each.wait()
@@ -161,4 +161,4 @@
         return max(found)[1]
 
     def send(self, role: str, name: str, what: signal.Signals) -> None:
-        self.is_running[role, name].send_signal(what)
+        self.running[role, name].send_signal(what)
