--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -12,9 +12,9 @@
 from random import Random
 from typing import Any
 
+from lapisgrade.gateway.fake_server import FakeServer
 from lapisgrade.gateway.http_client import send_request
 from lapisgrade.gateway.http_server import encode_response
-from lapisgrade.gateway.fake_server import FakeServer
 from lapisgrade.gateway.local_cluster import SAMPLE, LocalCluster
 from lapisgrade.gateway.proxy.host import ProxyHost
 from lapisgrade.gateway.routing.upstream_protocol import UpstreamProtocol
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -14,8 +14,8 @@
 
 from lapisgrade.gateway import api, configuration, rpc_messages
 from lapisgrade.gateway.configuration_delta import decode
-from lapisgrade.gateway.controller.configuration_feed import ConfigurationFeed
 from lapisgrade.gateway.controller.commands import ConfigurationChange, ServerLeaving, encode_command
+from lapisgrade.gateway.controller.configuration_feed import ConfigurationFeed
 from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.routing.route_table import RouteTable
--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from lapisgrade.gateway.http_client import post_to_any, send_request
 from lapisgrade.gateway.fake_server import FakeServer
+from lapisgrade.gateway.http_client import post_to_any, send_request
 from lapisgrade.gateway.local_cluster import CTL, HTTP, INNER, READY, SAMPLE
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.fleet.process import ROOT, prepare_child
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -22,8 +22,8 @@
 from lapisgrade.gateway.cli.drafts import DraftClient
 from lapisgrade.gateway.cli.operator_client import OperatorClient, lagging_proxies
 from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.http_client import post_to_any, send_request
 from lapisgrade.gateway.fake_server import FakeServer
+from lapisgrade.gateway.http_client import post_to_any, send_request
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
 from lapisgrade.net.http import MalformedMessageError
--- a/lapisgrade/lab/quota_comparison.py
+++ b/lapisgrade/lab/quota_comparison.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from lapisgrade.gateway import SECOND, rpc_messages
-from lapisgrade.gateway.watch_timing import LONG_POLL_US
 from lapisgrade.gateway.configuration import Tenant
 from lapisgrade.gateway.quota.count import capacity
 from lapisgrade.gateway.quota.ownership import owner_of
+from lapisgrade.gateway.watch_timing import LONG_POLL_US
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.lab.explore import quota as explored
 from lapisgrade.lab.explore.watch_proxy import WatchCall
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -131,7 +131,7 @@
         )
         assert got == [0, 0]
         _, shown = await offices[0].call("conf.show")
-        assert [each["Name"] for each in shown["Tenants"][1:]].sort() == ["gabes", "lagos"].sort()
+        assert sorted(each["Name"] for each in shown["Tenants"][1:]) == ["gabes", "lagos"]
 
 
 async def test_a_tenant_is_onboarded_beside_a_change_of_350_routes() -> None:
