--- a/Makefile
+++ b/Makefile
@@ -17,9 +17,10 @@
 lint: build
 	.venv/bin/ruff check .
 	.venv/bin/ruff format --check .
+	.venv/bin/mypy
 
 test: build
-	$(PY) -m pytest
+	$(PY) -m pytest -n logical --maxprocesses 8 --dist worksteal
 
 check: lint test
 
--- /dev/null
+++ b/lapisgrade/bench_adapter/wire.py
@@ -0,0 +1,67 @@
+"""The bench's text: lines to fields, fields to values, values to lines."""
+
+from lapisgrade.interface import AttemptOutcome, CounterOutcome, ServerEndpoint, ServerState
+from lapisgrade.settings import Fields, MalformedInputError
+
+OUTCOMES = {
+    "200": AttemptOutcome.OK,
+    "500": AttemptOutcome.ERROR,
+    "503": AttemptOutcome.OVERLOADED,
+    "504": AttemptOutcome.TIMED_OUT,
+    "502": AttemptOutcome.CONNECT_FAILED,
+    "598": AttemptOutcome.CONNECTION_LOST,
+    "499": AttemptOutcome.CANCELLED,
+    "410": AttemptOutcome.NOT_SENT,
+}
+COUNTER_OUTCOMES = {
+    "200": CounterOutcome.ADDED,
+    "503": CounterOutcome.REJECTED,
+    "502": CounterOutcome.REJECTED,
+    "504": CounterOutcome.TIMED_OUT,
+}
+SERVER_STATES = {"IN": ServerState.READY, "LAME": ServerState.DRAINING, "OUT": ServerState.REMOVED}
+TOPOLOGY_FORMS = ("update", "replace", "restored", "unavailable")
+
+
+def parse_message(line: str) -> tuple[str, Fields]:
+    """Read a line as the message's name and its fields."""
+    name, _, rest = line.partition(" ")
+    fields = Fields()
+    if rest:
+        for part in rest.split(" "):
+            key, separator, value = part.partition("=")
+            if not separator or not key:
+                raise MalformedInputError(f"{part!r} is not name=value")
+            fields[key] = value
+    return name, fields
+
+
+def parse_server_load(text: str | None) -> dict[str, float] | None:
+    """Read a server's load report, `name:value,name:value`; None if there is none."""
+    if not text or text == "-":
+        return None
+    report = Fields()
+    for pair in text.split(","):
+        name, separator, value = pair.partition(":")
+        if not separator:
+            raise MalformedInputError(f"Stats holds {pair!r}, not name:value")
+        report[name] = value
+    return {name: report.number(name) for name in report}
+
+
+def read_endpoint(fields: Fields) -> ServerEndpoint:
+    """Read one row of an endpoint list."""
+    return ServerEndpoint(
+        address=fields.text("Server"),
+        state=fields.choice("Availability", SERVER_STATES, "IN"),
+        zone=fields.get("FailureDomain", ""),
+        cell=fields.integer("Bay", 0),
+        weight=fields.number("Heft", 1.0),
+        shape=fields.get("Shape", ""),
+        started_us=fields.duration_us("CameUp"),
+    )
+
+
+def format_ms(duration_us: int) -> str:
+    """Write a time as the bench's ms."""
+    return f"{duration_us / 1000:.3f}"
--- a/lapisgrade/engine.py
+++ b/lapisgrade/engine.py
@@ -1,156 +1,205 @@
-"""Runs the generators of one limiter: resumes them with results and keeps their timers.
+"""Drives the generators of one host: carries out their commands and resumes them with events.
 
-Mechanism only. It knows no protocol: a desk carries out what the generators ask for.
+Mechanism only, without any I/O of its own: what a generator asks of the outside goes to a `Host`. The
+protocol is in `lapisgrade.interface`. A task is in one of three states:
+
+    ready --resumed--> (runs until it waits or ends)
+    sleeping --timer, event, or Resume--> ready
+    waiting for the counter --counter_replied--> ready
+
+Whatever becomes ready is resumed in the order in which it did so, before the call that made it ready returns.
 """
 
 import heapq
 from collections import deque
-from collections.abc import Generator
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from lapisgrade.interface import (
-    Add,
-    Answer,
+    AddToCounter,
+    AttemptFinished,
+    AttemptResult,
     Cancel,
     Clock,
-    Launch,
+    Command,
+    CommandGenerator,
+    CounterReply,
+    LogMessage,
     Operation,
-    Pause,
-    Report,
-    Say,
+    Reject,
+    Resume,
     Send,
-    Total,
-    Wake,
-    Word,
+    Sleep,
+    Spawn,
+    WakeReason,
 )
 
 
 class Host(Protocol):
-    """Carries out what is asked for, on whatever wire there is."""
+    """Carries out commands, on whatever wire there is; calls the engine back when something happens."""
+
+    def send(self, attempt: Any) -> None:
+        """Start an attempt; its end comes back by `Engine.attempt_finished`."""
+
+    def cancel(self, attempt: Any) -> None:
+        """Cancel an attempt in flight."""
+
+    def reject(self, operation: Any, answer: Reject) -> None:
+        """Give an operation its final answer."""
+
+    def add_to_counter(self, task: "Task", add: AddToCounter) -> None:
+        """Call the counter; the reply comes back by `Engine.counter_replied`."""
+
+    def log(self, text: str) -> None:
+        """Write a line to the log."""
 
-    def send(self, hop: Any) -> None: ...
-    def cancel(self, hop: Any) -> None: ...
-    def answer(self, operation: Operation, answer: Answer) -> None: ...
-    def add(self, task: "Task", add: Add) -> None: ...
-    def say(self, text: str) -> None: ...
-    def wake_at(self, when_us: int) -> None: ...
+    def schedule_wakeup(self, when_us: int) -> None:
+        """Call `Engine.run_due_timers(ticked=True)` then; replaces what was asked for before."""
 
 
 class Task:
-    """A generator under way; `turn` tells a stale timer from a live one."""
+    """A generator under way."""
 
-    __slots__ = ("ended", "generator", "operation", "paused", "turn")
+    __slots__ = ("generator", "is_finished", "is_sleeping", "operation", "resumptions")
 
-    def __init__(self, generator: Generator, operation: Operation | None) -> None:
+    def __init__(self, generator: CommandGenerator[None], operation: Operation | None) -> None:
+        """Create the record of a generator; `operation` is None for one that was spawned."""
         self.generator = generator
         self.operation = operation
-        self.turn = 0
-        self.paused = False
-        self.ended = False
+        self.resumptions = 0  # tells a stale timer from a live one
+        self.is_sleeping = False
+        self.is_finished = False
+
+
+class Timer(NamedTuple):
+    """When a task is to be resumed, if it still sleeps by then; in order of time, then of start."""
+
+    due_us: int
+    number: int
+    task: Task
+    resumptions: int  # the task's when it began to sleep
+
+    def is_live(self) -> bool:
+        """Whether the task has not been resumed since."""
+        return self.task.is_sleeping and self.task.resumptions == self.resumptions
 
 
 class Engine:
-    """One limiter's generators and timers."""
+    """One host's tasks and timers."""
 
-    __slots__ = ("_armed", "_clock", "_host", "_order", "_ready", "_timers")
+    __slots__ = ("_clock", "_host", "_ready", "_timer_count", "_timers", "_wakeup_us")
 
     def __init__(self, host: Host, clock: Clock) -> None:
+        """Create an engine without tasks; `host` advances `clock`."""
         self._clock = clock
         self._host = host
-        self._ready: deque[tuple[Task, Any]] = deque()
-        self._timers: list[tuple[int, int, Task, int]] = []
-        self._order = 0
-        self._armed: int | None = None
+        self._ready: deque[tuple[Task, Any]] = deque()  # with what each is resumed with
+        self._timers: list[Timer] = []  # a heap
+        self._timer_count = 0
+        self._wakeup_us: int | None = None  # the one asked for last and still to come
+
+    # ---- what the host calls
 
-    def run(self, generator: Generator, operation: Operation | None = None) -> None:
-        """Start a generator and let it, and whatever it sets off, go as far as it can."""
+    def run(self, generator: CommandGenerator[None], operation: Operation | None = None) -> None:
+        """Start a generator and let it, and whatever it makes ready, go as far as it can."""
         task = Task(generator, operation)
         if operation is not None:
             operation.task = task
         self._ready.append((task, None))
         self._drain()
 
-    def landed(self, hop: Any, report: Report) -> None:
-        """A hop has ended; the bookkeeping of the module comes first, by the caller."""
-        self._give(hop.operation.task, (hop, report))
+    def attempt_finished(self, attempt: Any, result: AttemptResult) -> None:
+        """Tell the attempt's operation of its end; the caller has told the policy before."""
+        self._deliver(attempt.operation.task, AttemptFinished(attempt, result))
 
-    def told(self, operation: Operation, word: Word) -> None:
-        self._give(operation.task, word)
+    def wake(self, operation: Operation, reason: WakeReason) -> None:
+        """Resume an operation's generator, if it sleeps."""
+        self._deliver(operation.task, reason)
 
-    def added(self, task: Task, total: Total) -> None:
-        self._ready.append((task, total))
+    def counter_replied(self, task: Task, reply: CounterReply) -> None:
+        """Resume a task with the counter's reply."""
+        self._ready.append((task, reply))
         self._drain()
 
-    def time(self, ticked: bool = False) -> None:
-        """The clock has moved; run what fell due. `ticked`: the wake-up last asked for has come."""
+    def run_due_timers(self, ticked: bool = False) -> None:
+        """Resume what is due, as the clock has advanced; `ticked`: the wake-up last asked for has come."""
         now_us = self._clock.now_us
         if ticked:
-            self._armed = None
-        while self._timers and self._timers[0][0] <= now_us:
-            _, _, task, turn = heapq.heappop(self._timers)
-            if task.paused and task.turn == turn:
-                self._give(task, Word.TIME)
+            self._wakeup_us = None
+        while self._timers and self._timers[0].due_us <= now_us:
+            timer = heapq.heappop(self._timers)
+            if timer.is_live():
+                self._deliver(timer.task, WakeReason.TIMER)
         if ticked:
-            self._arm()
+            self._schedule_wakeup()
+
+    # ---- resuming tasks
 
-    def _give(self, task: Task, value: Any) -> None:
-        if task.paused and not task.ended:
-            task.paused = False
-            self._ready.append((task, value))
+    def _deliver(self, task: Task, event: Any) -> None:
+        if task.is_sleeping and not task.is_finished:
+            task.is_sleeping = False
+            self._ready.append((task, event))
             self._drain()
 
     def _drain(self) -> None:
         while self._ready:
             task, value = self._ready.popleft()
-            self._step(task, value)
+            self._resume(task, value)
 
-    def _step(self, task: Task, value: Any) -> None:
-        """Resume a generator until it waits, ends or answers."""
-        task.turn += 1
-        host = self._host
+    def _resume(self, task: Task, value: Any) -> None:
+        """Resume a task until it waits or ends."""
+        task.resumptions += 1
         while True:
             try:
-                asked = task.generator.send(value)
+                command = task.generator.send(value)
             except StopIteration:
-                task.ended = True
+                task.is_finished = True
                 return
             except Exception:
-                task.ended = True
+                task.is_finished = True
                 raise
             value = None
-            if isinstance(asked, Pause):
-                task.paused = True
-                self._order += 1
-                due = max(asked.until_us, self._clock.now_us + 1)
-                heapq.heappush(self._timers, (due, self._order, task, task.turn))
-                self._arm()
+            if isinstance(command, Sleep):
+                self._start_timer(task, command.until_us)
                 return
-            if isinstance(asked, Add):
-                host.add(task, asked)
+            if isinstance(command, AddToCounter):
+                self._host.add_to_counter(task, command)
                 return
-            if isinstance(asked, Send):
-                host.send(asked.hop)
-            elif isinstance(asked, Answer):
-                host.answer(task.operation, asked)
-            elif isinstance(asked, Cancel):
-                host.cancel(asked.hop)
-            elif isinstance(asked, Launch):
-                self._ready.append((Task(asked.work, None), None))
-            elif isinstance(asked, Wake):
-                other = asked.operation.task
-                if other.paused:
-                    other.paused = False
-                    self._ready.append((other, Word.WOKEN))
-            elif isinstance(asked, Say):
-                host.say(asked.text)
-            else:
-                raise TypeError(f"a generator asked for {asked!r}")
-
-    def _arm(self) -> None:
-        """Have the host wake us for the earliest timer, once."""
+            self._carry_out(task, command)
+
+    def _carry_out(self, task: Task, command: Command) -> None:
+        """Carry out a command that does not make its task wait."""
+        if isinstance(command, Send):
+            self._host.send(command.attempt)
+        elif isinstance(command, Reject):
+            self._host.reject(task.operation, command)
+        elif isinstance(command, Cancel):
+            self._host.cancel(command.attempt)
+        elif isinstance(command, Spawn):
+            self._ready.append((Task(command.generator, None), None))
+        elif isinstance(command, Resume):
+            other = command.operation.task
+            if other.is_sleeping:
+                other.is_sleeping = False
+                self._ready.append((other, WakeReason.RESUMED))
+        elif isinstance(command, LogMessage):
+            self._host.log(command.text)
+        else:
+            raise TypeError(f"a generator yielded {command!r}, which is no command")
+
+    # ---- timers
+
+    def _start_timer(self, task: Task, until_us: int) -> None:
+        task.is_sleeping = True
+        self._timer_count += 1
+        due_us = max(until_us, self._clock.now_us + 1)
+        heapq.heappush(self._timers, Timer(due_us, self._timer_count, task, task.resumptions))
+        self._schedule_wakeup()
+
+    def _schedule_wakeup(self) -> None:
+        """Ask the host for a wake-up at the earliest live timer, unless one as early is to come."""
         timers = self._timers
-        while timers and not (timers[0][2].paused and timers[0][2].turn == timers[0][3]):
+        while timers and not timers[0].is_live():
             heapq.heappop(timers)
-        if timers and (self._armed is None or timers[0][0] < self._armed):
-            self._armed = timers[0][0]
-            self._host.wake_at(self._armed)
+        if timers and (self._wakeup_us is None or timers[0].due_us < self._wakeup_us):
+            self._wakeup_us = timers[0].due_us
+            self._host.schedule_wakeup(self._wakeup_us)
--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -1,155 +1,66 @@
-"""A whole small system on loopback, for a first look and for tests: controllers, proxies, stand-in servers
-that beat and drain by the protocol, an operator and a few clients. Each machine has its own address in 127/8.
+"""A small gateway on loopback, in one process, for a first look and for tests.
+
+It has controllers, proxies and stand-in servers; each machine has its own address in 127/8. `LocalCluster`
+also plays the operator and the clients.
 """
 
 import asyncio
 import os
 import tempfile
-from collections import Counter
+from collections.abc import Callable
 from random import Random
+from typing import Any, cast
 
 import h11
 import msgspec
-from returns.result import Failure
+from returns.result import Failure, Result
 
-from lapisgrade.net.http import Garbled, Message, Parser
 from lapisgrade.gateway import SECOND
-from lapisgrade.gateway.http_client import ask, told
+from lapisgrade.gateway.call_failure import CallFailure
+from lapisgrade.gateway.controller.server import Controller
+from lapisgrade.gateway.fake_server import POLL_INTERVAL_S, FakeServer
+from lapisgrade.gateway.http_client import post_to_any, send_request
 from lapisgrade.gateway.proxy.process import Proxy
-from lapisgrade.gateway.http_server import framed
-from lapisgrade.gateway.settings import Address, Bind, Settings
-from lapisgrade.gateway.controller.process import Controller
-from lapisgrade.gateway.verdict import Verdict
 from lapisgrade.gateway.rpc import RpcEndpoint
+from lapisgrade.gateway.settings import Address, Bind, Settings, Span
+from lapisgrade.net.http import Message
 
 CTL, HTTP, READY, INNER = 8407, 8405, 8406, 7660  # ports, as of one deployment
-BEAT = 0.3  # s between a stand-in's beats
-LOOK = 0.01  # s between looks at what is waited for
-
-
-class Server:
-    """One stand-in server: answers by the protocol, and counts what it ran."""
-
-    def __init__(
-        self, name: str, svc: str, address: tuple[str, int], work: float = 0.01, slots: int = 4
-    ) -> None:
-        self.name, self.svc, self.address, self.work, self.slots = name, svc, address, work, slots
-        self.ran: Counter[str] = Counter()  # by Try-Id
-        self.tenants: Counter[str] = Counter()
-        self.seen: Counter[str] = Counter()  # what was reset unread, by Try-Id
-        self.deadlines: dict[str, int] = {}  # ms that it was handed, by Try-Id
-        self.dropped: dict[str, float] = {}  # s that it worked until its caller had gone, by Try-Id
-        self.state, self.seq, self.running = "up", 0, 0
-        self.manner = (
-            ""  # a fault to play: cut, mixed, unsealed, extra, full (resets what it can't take), failing
-        )
-        self._server: asyncio.Server | None = None
-        self._callers: dict[asyncio.StreamWriter, asyncio.StreamReader] = {}
-
-    async def start(self) -> None:
-        self._server = await asyncio.start_server(self._serve, *self.address)
-
-    def close(self) -> None:
-        self._server.close()
-        for writer in self._callers:
-            writer.transport.abort()
-
-    async def beat(self, controllers: list[tuple[str, int]]) -> int:
-        """Tell the first controller that answers; the status, 0 for none."""
-        self.seq += 1
-        body = {
-            "Svc": self.svc, "Addr": f"{self.address[0]}:{self.address[1]}", "Az": "local", "Ver": "v1",
-            "Slots": self.slots, "State": self.state, "Warmup_time": "0ms", "Seq": self.seq,
-        }  # fmt: skip
-        return await told(
-            controllers, f"/-/rpc?call=servers.heartbeat&of={self.name}", msgspec.json.encode(body)
-        )
-
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self._callers[writer] = reader
-        try:
-            rest, goes_on = b"", True
-            while goes_on:
-                parser, message = Parser(h11.SERVER), None
-                while message is None:
-                    chunk = rest or await reader.read(65_536)
-                    rest = b""
-                    if not chunk:
-                        return
-                    message = parser.feed(chunk)
-                rest = message.rest
-                goes_on = await self._one(message, writer)
-        except (OSError, Garbled, asyncio.CancelledError):
-            pass
-        finally:
-            self._callers.pop(writer, None)
-            writer.close()
-
-    async def _one(self, message: Message, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request; whether the connection goes on."""
-        if self.manner == "full":
-            self.seen[message.headers().get(b"try-id", b"").decode()] += 1
-            writer.transport.abort()
-            return False
-        writer.write(await self._answer(message, writer))
-        return self.manner != "cut"
-
-    async def _work_on(self, name: str, writer: asyncio.StreamWriter) -> None:
-        """The work that a request takes; dropped once its connection closes, as most servers do."""
-        loop = asyncio.get_running_loop()
-        began = loop.time()
-        while (worked := loop.time() - began) < self.work:
-            if writer.transport.is_closing() or self._callers[writer].at_eof():
-                self.dropped[name] = worked
-                return
-            await asyncio.sleep(min(LOOK, self.work - worked))
-
-    async def _answer(self, message: Message, writer: asyncio.StreamWriter) -> bytes:
-        fields = {name: value.decode() for name, value in message.headers().items()}
-        name = fields.get(b"try-id", "")
-        own = f"Try-Id: {name}\r\nInstance: {self.name}\r\nServer-Load: {self.running},0,{self.slots}\r\n"
-        if fields.get(b"want-instance", self.name) != self.name:
-            return framed(421, b"", own.encode())
-        if self.running >= self.slots or self.state != "up":
-            return framed(503, b"", (own + "Not-Run: 1\r\n").encode())
-        self.running += 1
-        self.ran[name] += 1
-        self.tenants[fields.get(b"tenant", "")] += 1
-        self.deadlines[name] = int(fields.get(b"deadline-ms", "0"))
-        try:
-            await self._work_on(name, writer)
-        finally:
-            self.running -= 1
-        body = f"{self.svc} {message.head.target.decode()}".encode()
-        whole = framed(200, body, (own + "Server-Seal: seal\r\n").encode())
-        match self.manner:
-            case "cut":
-                return whole[:-3]
-            case "mixed":
-                return framed(200, b"another's", b"Try-Id: another\r\nServer-Seal: seal\r\n") + whole
-            case "failing":
-                return framed(500, body, (own + "Server-Seal: seal\r\n").encode())
-            case "unsealed":
-                return framed(200, body, own.encode())
-            case "extra":
-                return whole + whole
-        return whole
+HEARTBEAT_INTERVAL_S = 0.3  # between a stand-in's heartbeats
 
 
 class LocalCluster:
-    """The system, its servers and its operator, in this process. `async with` starts and ends it."""
+    """A gateway, its servers and its operator, in this process. `async with` starts and ends it.
+
+    Attributes:
+        folder: Where each controller has a folder of its own.
+        names: The machines.
+        ip: Each machine's address.
+        voters: The machines that run a controller.
+        controllers: Running controllers by machine.
+        proxies: Running proxies by machine.
+        servers: Stand-in servers by name.
+    """
 
     def __init__(self, machines: int = 3, voters: int = 3, net: int = 77, folder: str | None = None) -> None:
-        self._folder = None if folder else tempfile.TemporaryDirectory()
-        self.folder = folder or self._folder.name
+        """Start nothing yet.
+
+        Args:
+            machines: How many there are.
+            voters: How many of them run a controller.
+            net: The second number of their addresses.
+            folder: Where controllers store their logs; by default a folder that goes with the cluster.
+        """
+        self._temporary_folder = None if folder else tempfile.TemporaryDirectory[str]()
+        self.folder = self._temporary_folder.name if self._temporary_folder else str(folder)
         self.names = [f"m{number}" for number in range(1, machines + 1)]
         self.ip = {name: f"127.{net}.0.{number}" for number, name in enumerate(self.names, 1)}
         self.voters = self.names[:voters]
         self.controllers: dict[str, Controller] = {}
         self.proxies: dict[str, Proxy] = {}
-        self.servers: dict[str, Server] = {}
+        self.servers: dict[str, FakeServer] = {}
         self.random = Random(1)
-        self._tasks: dict[object, asyncio.Task] = {}
+        self._tasks: dict[object, asyncio.Task[None]] = {}
         self._first = True
 
     async def __aenter__(self) -> "LocalCluster":
@@ -160,18 +71,21 @@
         self._first = False
         return self
 
-    async def __aexit__(self, *_) -> None:
-        for each in (*self.proxies.values(), *self.controllers.values()):
-            each.end()
-        for each in self.servers.values():
-            each.close()
+    async def __aexit__(self, *_: object) -> None:
+        for proxy in self.proxies.values():
+            proxy.end()
+        for controller in self.controllers.values():
+            controller.end()
+        for server in self.servers.values():
+            server.close()
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
-        if self._folder is not None:
-            self._folder.cleanup()
+        if self._temporary_folder is not None:
+            self._temporary_folder.cleanup()
 
     def settings(self, name: str) -> Settings:
+        """Return the settings of a machine."""
         ip = self.ip[name]
         peers = tuple(Address((self.ip[each], CTL)) for each in self.voters[:3])
         bind = Bind(Address((ip, HTTP)), Address((ip, READY)), Address((ip, CTL)))
@@ -186,43 +100,48 @@
             self._first,
             True,
             folder,
-            int(BEAT * SECOND),
+            Span(HEARTBEAT_INTERVAL_S * SECOND),
         )
 
     @property
     def ctl(self) -> list[tuple[str, int]]:
+        """Where controllers take calls."""
         return [(self.ip[name], CTL) for name in self.controllers]
 
     def http(self, name: str) -> tuple[str, int]:
+        """Return where a machine's proxy takes requests."""
         return (self.ip[name], HTTP)
 
-    async def served(self, conf: dict | None = None, **more) -> "LocalCluster":
-        """One server, a configuration (the sample), and proxies that know both."""
+    async def served(self, conf: dict[str, Any] | None = None, **more: Any) -> "LocalCluster":
+        """Start one server, put a configuration (the sample), and wait until all proxies know both."""
         await self.start_server("garantie", **more)
         while await self.put(conf or SAMPLE) != 200:
-            await asyncio.sleep(LOOK)
-        await self.until(lambda: all(each.ready and each.register for each in self.proxies.values()))
+            await asyncio.sleep(POLL_INTERVAL_S)
+        await self.until(lambda: all(each.ready and each.servers for each in self.proxies.values()))
         return self
 
     async def start_controller(self, name: str) -> None:
+        """Start a machine's controller, on the folder that it has."""
         controller = self.controllers[name] = Controller(self.settings(name))
         self._tasks[controller] = asyncio.get_running_loop().create_task(controller.run())
 
     async def start_proxy(self, name: str) -> None:
+        """Start a machine's proxy."""
         proxy = self.proxies[name] = Proxy(self.settings(name))
         self._tasks[proxy] = asyncio.get_running_loop().create_task(proxy.run())
 
     async def kill(self, part: Controller | Proxy) -> None:
-        """As a process that is killed: nothing is said to anybody."""
+        """End a role as a process that is killed: it notifies nobody."""
         self._tasks[part].cancel()
         await asyncio.gather(self._tasks.pop(part), return_exceptions=True)
         for table in (self.controllers, self.proxies):
             for name in [name for name, each in table.items() if each is part]:
                 del table[name]
 
-    async def start_server(self, svc: str, **more) -> Server:
+    async def start_server(self, svc: str, **more: Any) -> FakeServer:
+        """Start a stand-in server of a service, which sends heartbeats from then on."""
         number = len(self.servers) + 1
-        server = Server(
+        server = FakeServer(
             f"i-{number}", svc, (f"127.{self.ip[self.names[0]].split('.')[1]}.1.{number}", 8080), **more
         )
         await server.start()
@@ -230,18 +149,18 @@
         self._tasks[server] = asyncio.get_running_loop().create_task(self._beats(server))
         return server
 
-    async def _beats(self, server: Server) -> None:
+    async def _beats(self, server: FakeServer) -> None:
         while True:
-            await server.beat(self.random.sample(self.ctl, len(self.ctl)))
-            await asyncio.sleep(BEAT)
+            await server.send_heartbeat(self.random.sample(self.ctl, len(self.ctl)))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    def silence(self, server: Server) -> None:
+    def silence(self, server: FakeServer) -> None:
         """It beats no more, and answers on."""
         self._tasks.pop(server).cancel()
 
-    async def put(self, conf: dict, call: str = "conf.replace") -> int:
+    async def put(self, conf: dict[str, Any], call: str = "conf.replace") -> int:
         """The operator's call, at any controller until one answers."""
-        return await told(self.ctl, f"/-/rpc?call={call}", msgspec.json.encode(conf))
+        return await post_to_any(self.ctl, f"/-/rpc?call={call}", msgspec.json.encode(conf))
 
     async def get(
         self,
@@ -260,49 +179,64 @@
             fields["Authorization"] = f"Bearer {key}"
         while True:
             fields["Try-Id"] = id or f"{self.random.getrandbits(64):016x}"
-            got = await ask(self.http(name), method, path, fields=fields)
+            got = await send_request(self.http(name), method, path, fields=fields)
             back = got.headers().get(b"retry-after")
             tries -= 1
-            if got.head.status_code not in (429, 503) or not back or not tries:
+            status = cast(h11.Response, got.head).status_code
+            if status not in (429, 503) or not back or not tries:
                 return got
             await asyncio.sleep(float(back))
 
-    async def until(self, ready, within: float = 20.0) -> None:
-        """Wait until that holds; TimeoutError where it doesn't in time."""
+    async def until(self, ready: Callable[[], Any], within: float = 20.0) -> None:
+        """Wait until that holds, so many seconds at most.
+
+        Raises:
+            TimeoutError: It doesn't in time.
+        """
         async with asyncio.timeout(within):
             while not ready():
-                await asyncio.sleep(LOOK)
+                await asyncio.sleep(POLL_INTERVAL_S)
+
 
+class Partition:
+    """A network partition between the processes of a cluster: messages are lost, and calls time out.
 
-class Links:
-    """What the parts of a site say to each other, some of it cut: words are lost, calls fall silent."""
+    Attributes:
+        isolated: The addresses of the machines that reach no other machine.
+    """
 
-    def __init__(self, site: LocalCluster) -> None:
-        self.apart: set[str] = set()  # machines that reach nobody else
-        self.ip = site.ip
-        for part in (*site.controllers.values(), *site.proxies.values()):
-            self._wrap(part.rpc, part.settings.ip)
+    def __init__(self, cluster: LocalCluster) -> None:
+        """Take over the sending of all processes; no machine is isolated yet."""
+        self.isolated: set[str] = set()
+        self._ip = cluster.ip
+        for controller in cluster.controllers.values():
+            self._intercept(controller.rpc, controller.settings.ip)
+        for proxy in cluster.proxies.values():
+            self._intercept(proxy.rpc, proxy.settings.ip)
 
-    def part(self, name: str) -> None:
-        self.apart.add(self.ip[name])
+    def isolate(self, name: str) -> None:
+        """Cut a machine off from all others."""
+        self.isolated.add(self._ip[name])
 
-    def _wrap(self, rpc: RpcEndpoint, own: str) -> None:
+    def _intercept(self, rpc: RpcEndpoint, own_ip: str) -> None:
         call, post = rpc.call, rpc.post
 
-        def cut(other: str) -> bool:
-            return own != other and bool(self.apart & {own, other})
+        def is_cut(other_ip: str) -> bool:
+            return own_ip != other_ip and bool(self.isolated & {own_ip, other_ip})
 
-        async def called(address, message, within):
-            if cut(address[0]):
-                await asyncio.sleep(within)  # the caller's own time-out
-                return Failure(Verdict.MAY_HAVE_RUN)
-            return await call(address, message, within)
+        async def call_unless_cut(
+            address: tuple[str, int], message: Any, timeout_s: float
+        ) -> Result[Any, CallFailure]:
+            if is_cut(address[0]):
+                await asyncio.sleep(timeout_s)
+                return Failure(CallFailure.MAY_HAVE_RUN)
+            return await call(address, message, timeout_s)
 
-        def posted(address, message) -> None:
-            if not cut(address[0]):
+        def post_unless_cut(address: tuple[str, int], message: Any) -> None:
+            if not is_cut(address[0]):
                 post(address, message)
 
-        rpc.call, rpc.post = called, posted
+        rpc.call, rpc.post = call_unless_cut, post_unless_cut  # type: ignore[method-assign]
 
 
 SAMPLE = {
--- /dev/null
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -0,0 +1,45 @@
+"""The servers that the controllers know, passed on to the router and the pool of connections."""
+
+from lapisgrade.gateway import registry, rpc_messages
+from lapisgrade.gateway.proxy.server_pool import ServerPool
+from lapisgrade.gateway.registry import ServerState
+from lapisgrade.gateway.routing.router import Router
+from lapisgrade.gateway.routing.upstream_server import REMOVED_STATES
+from lapisgrade.gateway.settings import parse_address
+
+SERVING_STATES = (ServerState.UP, ServerState.DRAIN)  # a draining server finishes what it has begun
+MAX_SERVERS = 4096  # servers beyond which those that are gone are forgotten
+
+
+class ServerList:
+    """One proxy's copy of the registry; a new leader may ask for it."""
+
+    def __init__(self, router: Router, pool: ServerPool) -> None:
+        self._router = router
+        self._pool = pool
+        self.by_id: dict[str, registry.Server] = {}
+
+    def apply(self, reply: rpc_messages.WatchReply) -> None:
+        """Take in servers that came, went or changed; all there are, where the list is complete."""
+        is_complete = reply.is_full_update and reply.is_registry_complete
+        if is_complete:
+            self.by_id = {}
+        for server in reply.servers:
+            known = self.by_id.get(server.id)
+            if known is not None and not server.address:
+                server.address, server.service = known.address, known.service
+            self.by_id[server.id] = server
+        self._router.update_servers(reply.servers, is_complete)
+        self._pool.update_addresses(
+            {
+                server.id: tuple(parse_address(server.address)) if server.state in SERVING_STATES else None
+                for server in reply.servers
+                if server.address
+            }
+        )
+        self._forget_departed()
+
+    def _forget_departed(self) -> None:
+        for server in [each for each in self.by_id.values() if each.state in REMOVED_STATES]:
+            if server.state == ServerState.LOST or len(self.by_id) > MAX_SERVERS:
+                del self.by_id[server.id]
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -6,22 +6,23 @@
 """
 
 import asyncio
-from collections.abc import Callable
 from collections import Counter, deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from random import Random
 from typing import Any
 
-
-from lapisgrade.interface import Outcome
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.hops import Link
-from lapisgrade.net.http import Garbled, Message
-from lapisgrade.gateway.http_client import ask
+from lapisgrade.gateway.fake_server import FakeServer
+from lapisgrade.gateway.http_client import send_request
+from lapisgrade.gateway.http_server import encode_response
+from lapisgrade.gateway.local_cluster import SAMPLE, LocalCluster
 from lapisgrade.gateway.proxy.host import ProxyHost
-from lapisgrade.gateway.http_server import framed
-from lapisgrade.gateway.routing.upstream_protocol import Wording
-from lapisgrade.gateway.local_cluster import SAMPLE, Server, LocalCluster
+from lapisgrade.gateway.routing.upstream_protocol import UpstreamProtocol
+from lapisgrade.interface import AttemptOutcome
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.host import LocalResponse
+from lapisgrade.net.http import MalformedMessageError, Message
+from lapisgrade.net.upstream_connection import UpstreamConnection
 
 KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
 PROMISES = (408, 421, 429, 503)
@@ -37,7 +38,7 @@
 }  # fmt: skip
 
 
-class Unruly(Server):
+class Unruly(FakeServer):
     """A stand-in that answers each request in a manner drawn by chance."""
 
     def __init__(self, *args: Any, chance: Random, **more: Any) -> None:
@@ -46,7 +47,7 @@
         self.arrived: Counter[str] = Counter()  # by Try-Id, run or not
         self._lately: deque[str] = deque(maxlen=8)  # ids of others, whose answers come astray
 
-    async def _one(self, message: Message, writer: asyncio.StreamWriter) -> bool:
+    async def _answer_request(self, message: Message, writer: asyncio.StreamWriter) -> bool:
         """Answer one request in some manner; whether the connection goes on."""
         name = message.headers()[b"try-id"].decode()
         self.arrived[name] += 1
@@ -56,12 +57,12 @@
             return False
         own = f"Try-Id: {name}\r\nServer-Load: 0,0,{self.slots}\r\n"
         if manner == "not run":
-            writer.write(framed(503, b"", (own + "Not-Run: 1\r\n").encode()))
+            writer.write(encode_response(503, b"", (own + "Not-Run: 1\r\n").encode()))
             return True
         self.ran[name] += 1
         await asyncio.sleep(WORK)
         body = f"{message.head.target.decode()} {name}".encode()
-        whole = framed(200, body, (own + "Server-Seal: seal\r\n").encode())
+        whole = encode_response(200, body, (own + "Server-Seal: seal\r\n").encode())
         return self._say(manner, whole, body, own, writer, name)
 
     def _say(
@@ -77,7 +78,7 @@
             case "another's first":
                 astray = f"/astray {other}".encode()
                 writer.write(
-                    framed(200, astray, f"Try-Id: {other}\r\nServer-Seal: seal\r\n".encode()) + whole
+                    encode_response(200, astray, f"Try-Id: {other}\r\nServer-Seal: seal\r\n".encode()) + whole
                 )
             case "twice":
                 writer.write(whole + whole)
@@ -88,7 +89,7 @@
                 writer.write(whole[:-3])
                 writer.close()
             case "without its seal":
-                writer.write(framed(200, body, own.encode()))
+                writer.write(encode_response(200, body, own.encode()))
             case "without a length":
                 writer.write(f"HTTP/1.1 200 OK\r\n{own}\r\n".encode() + body)
                 writer.transport.abort()
@@ -140,13 +141,13 @@
         once, id = chance.random() < 0.5, f"{chance.getrandbits(64):016x}"
         one = found.tries[id] = Try(once)
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
-        sent = ask(
+        sent = send_request(
             site.http(name), "POST" if once else "GET", "/claim/1" if once else "/stock/1", fields=fields
         )
         try:
             async with asyncio.timeout(0.003 if chance.random() < LEAVES else 3.0):
                 got = await sent
-        except (OSError, TimeoutError, Garbled):
+        except (OSError, TimeoutError, MalformedMessageError):
             continue
         one.status, one.body = got.head.status_code, b"".join(got.body)
         one.sealed = b"server-seal" in got.headers()
@@ -170,7 +171,7 @@
         while await site.put({**SAMPLE, "Tenants": [unmetered]}) != 200:
             await asyncio.sleep(0.01)
         proxy = site.proxies["m1"]
-        await site.until(lambda: proxy.ready and len(proxy.register) == servers)
+        await site.until(lambda: proxy.ready and len(proxy.servers) == servers)
         loop = asyncio.get_running_loop()
         began = loop.time()
 
@@ -189,44 +190,46 @@
 
 # ---- wrong versions
 
-_told, _end, _worded = Wording.told, Link.end, ProxyHost.worded
+_classify = UpstreamProtocol.classify
+_close = UpstreamConnection.close
+_local_response = ProxyHost.local_response
 
 
-def _by_order(self: Wording, hop: Any, message: Message) -> bool:
+def _by_order(self: UpstreamProtocol, hop: Any, message: Message) -> bool:
     """Whatever comes next is the answer."""
     return False
 
 
-def _any_id(self: Wording, hop: Any, message: Message) -> Ending:
+def _any_id(self: UpstreamProtocol, hop: Any, message: Message) -> CloseReason:
     """An answer is taken whose id is another's."""
     asked = hop.operation.handle
     before, asked.request_id = asked.request_id, message.headers().get(b"try-id", asked.request_id)
     try:
-        return _told(self, hop, message)
+        return _classify(self, hop, message)
     finally:
         asked.request_id = before
 
 
-def _unsealed(self: Wording, hop: Any, message: Message) -> Ending:
+def _unsealed(self: UpstreamProtocol, hop: Any, message: Message) -> CloseReason:
     """A success counts without the server's seal."""
-    return Ending.ANSWERED if 200 <= message.head.status_code < 300 else _told(self, hop, message)
+    return CloseReason.ANSWERED if 200 <= message.head.status_code < 300 else _classify(self, hop, message)
 
 
-def _broken_is_unsent(self: Link, ending: Ending) -> None:
+def _broken_is_unsent(self: UpstreamConnection, reason: CloseReason) -> None:
     """A connection that breaks off is taken for one on which nothing was sent."""
-    _end(self, Ending.UNWRITTEN if ending is Ending.BROKEN else ending)
+    _close(self, CloseReason.INCOMPLETE_WRITE if reason is CloseReason.CONNECTION_LOST else reason)
 
 
-def _always_promises(self: ProxyHost, answer: Any) -> tuple[int, bytes]:
+def _always_promises(self: ProxyHost, answer: Any) -> LocalResponse:
     """What may have run is told to come back."""
-    status, more = _worded(self, answer)
-    return (503, b"Retry-After: 0.1\r\n") if status in (502, 504) else (status, more)
+    response = _local_response(self, answer)
+    return LocalResponse(503, b"Retry-After: 0.1\r\n") if response.status in (502, 504) else response
 
 
 MUTANTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "answer-by-order": [(Wording, "stray", _by_order), (Wording, "told", _any_id)],
-    "unsealed-success": [(Wording, "told", _unsealed)],
-    "broken-is-unsent": [(Link, "end", _broken_is_unsent)],
-    "always-promises": [(ProxyHost, "worded", _always_promises)],
-    "all-never-ran": [(Outcome, "never_ran", property(lambda self: True))],
+    "answer-by-order": [(UpstreamProtocol, "is_stray", _by_order), (UpstreamProtocol, "classify", _any_id)],
+    "unsealed-success": [(UpstreamProtocol, "classify", _unsealed)],
+    "broken-is-unsent": [(UpstreamConnection, "close", _broken_is_unsent)],
+    "always-promises": [(ProxyHost, "local_response", _always_promises)],
+    "all-never-ran": [(AttemptOutcome, "never_ran", property(lambda self: True))],
 }
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -12,12 +12,14 @@
 
 import msgspec
 
-from lapisgrade.gateway import api, rpc_messages, configuration
+from lapisgrade.gateway import api, configuration, rpc_messages
 from lapisgrade.gateway.configuration_delta import decode
+from lapisgrade.gateway.controller.commands import ConfigurationChange, ServerLeaving, encode_command
 from lapisgrade.gateway.controller.configuration_feed import ConfigurationFeed
-from lapisgrade.gateway.controller.state_machine import Change, StateMachine, ServerLeaving, encoded
+from lapisgrade.gateway.controller.state_machine import StateMachine
 from lapisgrade.gateway.controller.watch import Watch
-from lapisgrade.gateway.rpc import Codec
+from lapisgrade.gateway.routing.route_table import RouteTable
+from lapisgrade.gateway.rpc_connection import Codec
 
 REPEATS = 5
 SIZES = (500, 2_000, 8_000)  # routes; a tenant for each, and four and a half for each at the target
@@ -72,13 +74,13 @@
     return {"Ver": ver, "Tenants": people, "Ports": ports, "Pools": pools}
 
 
-def changed(base: int) -> Change:
+def changed(base: int) -> ConfigurationChange:
     rule = {
         "Name": "r-00001", "Match": {"Pfx": "/p00001/"},
         "Action": {"Svc": "svc1", "Timeout": f"{base}ms"},
     }  # fmt: skip
     body = {"Ver": base + 1, "Base": base, "Upsert": {"Ports": [{"Vhost": "v1.example", "Policy": [rule]}]}}
-    return Change(False, msgspec.json.encode(body))
+    return ConfigurationChange(False, msgspec.json.encode(body))
 
 
 def held_bytes(make: Callable[[], object]) -> int:
@@ -103,17 +105,20 @@
 
 def with_routes(size: int) -> Figures:
     state_machine, feed = StateMachine(), ConfigurationFeed()
-    state_machine.take(
-        1, encoded(Change(True, msgspec.json.encode({**sample_configuration(size, size), "Base": 0})))
+    state_machine.apply(
+        1,
+        encode_command(
+            ConfigurationChange(True, msgspec.json.encode({**sample_configuration(size, size), "Base": 0}))
+        ),
     )
-    text, change = state_machine.state.conf, changed(7)
-    _, version = state_machine.accepted(change)
-    entry = encoded(version)
+    text, change = state_machine.state.configuration, changed(7)
+    version = state_machine.prepare(change).command
+    entry = encode_command(version)
     whole, delta = feed.version(7, text, 0), feed.version(8, decode(version.encoded, text), 7)
     return {
         ("a version whole, as JSON", "bytes"): len(text),
         ("a version whole, on the wire", "bytes"): len(whole.data),
-        ("judging a change at the leader", "us"): best_us(lambda: state_machine.accepted(change)),
+        ("judging a change at the leader", "us"): best_us(lambda: state_machine.prepare(change)),
         ("a change in the log", "bytes"): len(entry),
         ("applying it at a member", "us"): best_us(lambda: applied(state_machine, entry)),
         ("a change to a proxy", "bytes"): len(delta.data),
@@ -124,11 +129,11 @@
     }
 
 
-def table(text: bytes) -> configuration.Table:
-    return configuration.Table(configuration.read(msgspec.json.decode(text)))
+def table(text: bytes) -> RouteTable:
+    return RouteTable(configuration.read(msgspec.json.decode(text)))
 
 
-def table_alone(text: bytes) -> configuration.Table:
+def table_alone(text: bytes) -> RouteTable:
     """With all that is remembered of it: nothing was read before."""
     configuration.converter.cache_clear()
     return table(text)
@@ -137,9 +142,9 @@
 def applied(state_machine: StateMachine, entry: bytes) -> None:
     """Take a version over, and forget it again."""
     state = state_machine.state
-    before = (state.conf, state.ver, dict(state.staged), dict(state.taken))
-    state_machine.take(2, entry)
-    state.conf, state.ver, state.staged, state.taken = before
+    before = (state.configuration, state.version, dict(state.staged_versions), dict(state.applied_changes))
+    state_machine.apply(2, entry)
+    state.configuration, state.version, state.staged_versions, state.applied_changes = before
 
 
 def of_servers(sizes: tuple[int, ...]) -> list[Row]:
@@ -151,17 +156,17 @@
     for size in sizes:
         watch = registered(size)
         memory.append(held_bytes(lambda size=size: registered(size)))
-        server, _ = api.beat("i-1", body)
+        server = api.parse_heartbeat("i-1", body)
 
         def beat(watch: Watch = watch, server=server) -> None:
-            made, _ = api.beat("i-1", body)
-            made.seq = server.seq = server.seq + 1
-            watch.beat(2_000_000, made)
+            made = api.parse_heartbeat("i-1", body)
+            made.sequence_number = server.sequence_number = server.sequence_number + 1
+            watch.on_heartbeat(2_000_000, made)
 
         beats.append(best_us(beat, 50))
-        watch._settled = True
-        lists.append(best_us(lambda watch=watch: watch.registry.since(2_000_000, 0)))
-        sizes_of.append(len(msgspec.msgpack.encode(watch.registry.since(2_000_000, 0))))
+        watch.is_registry_complete = True
+        lists.append(best_us(lambda watch=watch: watch.registry.changes_since(2_000_000, 0)))
+        sizes_of.append(len(msgspec.msgpack.encode(watch.registry.changes_since(2_000_000, 0))))
     return [
         Row("the register at the leader", "bytes of memory", sizes, tuple(memory)),
         Row("a beat at the leader", "us", sizes, tuple(beats)),
@@ -174,31 +179,34 @@
     watch = Watch(1_300_000, 0)
     for i in range(size):
         body = {"Svc": f"svc{i % 370}", "Addr": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:80", "Seq": 1}
-        server, _ = api.beat(f"i-{i:08x}", msgspec.json.encode(body))
-        watch.beat(1_000_000, server)
+        server = api.parse_heartbeat(f"i-{i:08x}", msgspec.json.encode(body))
+        watch.on_heartbeat(1_000_000, server)
     return watch
 
 
 def of_limiters(sizes: tuple[int, ...]) -> list[Row]:
     """By limiters: one ask without news at the leader, with its frames, and the list of who lives."""
     state_machine = StateMachine()
-    state_machine.take(
-        1, encoded(Change(True, msgspec.json.encode({**sample_configuration(50, 50), "Base": 0})))
+    state_machine.apply(
+        1,
+        encode_command(
+            ConfigurationChange(True, msgspec.json.encode({**sample_configuration(50, 50), "Base": 0}))
+        ),
     )
     codec = Codec(rpc_messages.Message)
     asks, lists = [], []
     for size in sizes:
         watch = registered(100)
         for i in range(size):
-            watch.news(1_000_000, ask(f"edge-{i}"), state_machine.state, [])
+            watch.reply_if_changed(1_000_000, ask(f"edge-{i}"), state_machine.state, [])
         live_proxies = watch.live_proxies(2_000_000, state_machine.state)
-        lists.append(len(encoded(live_proxies)))
-        frame = codec.frame(1, ask("edge-1"))
+        lists.append(len(encode_command(live_proxies)))
+        frame = codec.encode(1, ask("edge-1"))
 
         def answered(watch: Watch = watch, frame: bytes = frame) -> None:
-            ((number, asked),) = codec.read(bytearray(frame))
-            news = watch.news(1_100_000, asked, state_machine.state, [])
-            codec.frame(number, news or watch.quiet(asked, state_machine.state, []))
+            ((number, asked),) = codec.decode(bytearray(frame))
+            news = watch.reply_if_changed(1_100_000, asked, state_machine.state, [])
+            codec.encode(number, news or watch.unchanged_reply(asked, state_machine.state, []))
 
         asks.append(best_us(answered, 50))
     return [
@@ -209,16 +217,16 @@
 
 def ask(name: str) -> rpc_messages.WatchRequest:
     return rpc_messages.WatchRequest(
-        name, "10.0.0.1:7661", "0123456789abcdef", "zone", 7, "0+", 1 << 30, 0, held=7
+        name, "10.0.0.1:7661", "0123456789abcdef", "zone", 7, "0+", 1 << 30, 0, staged_version=7
     )
 
 
 def of_words() -> list[Row]:
     """A server's word that it leaves, in the log."""
-    state_machine, entry = StateMachine(), encoded(ServerLeaving("i-00000001", True))
+    state_machine, entry = StateMachine(), encode_command(ServerLeaving("i-00000001", True))
     return [
         Row("a leaving server in the log", "bytes", (1, 2), (len(entry), 2 * len(entry))),
-        Row("applying it", "us", (1, 2), (best_us(lambda: state_machine.take(1, entry), 50),) * 2),
+        Row("applying it", "us", (1, 2), (best_us(lambda: state_machine.apply(1, entry), 50),) * 2),
     ]
 
 
--- a/lapisgrade/lab/explore/control.py
+++ b/lapisgrade/lab/explore/control.py
@@ -1,33 +1,29 @@
-"""The control plane explored: all courses of `lab/simulation/courses.py` by seed, and wrong versions."""
+"""The control plane explored: all fault schedules of `lab/simulation` by seed, and known defects."""
 
-from collections.abc import Callable
+from collections.abc import Iterator
 
-from lapisgrade.lab.explore.defects import Defects, switched
-from lapisgrade.lab.simulation import mutants
-from lapisgrade.lab.simulation.courses import COURSES
-from lapisgrade.lab.simulation.plays import Play
+from lapisgrade.lab.explore.exploration import Exploration, ExplorationResult, Print, print_nothing
+from lapisgrade.lab.simulation.control_plane import ControlPlaneSimulation
+from lapisgrade.lab.simulation.defects import control_plane as control_plane_defects
+from lapisgrade.lab.simulation.fault_schedules import FAULT_SCHEDULES
 
 UNIT = "acknowledged changes"
-DEFECTS: Defects = mutants.MUTANTS
-MOST_SAID = 30  # lines that are told of what led to the first thing that was wrong
-
-
-def courses_for(name: str) -> list[str]:
-    """The courses that are played: the one that finds that wrong version, all for none."""
-    return [course for group, course in mutants.COURSES_OF if name in group] or list(COURSES)
-
-
-def explore(seeds: range, name: str = "", say: Callable[[str], None] = lambda line: None) -> tuple[int, int]:
-    """Play each seed; the changes that were acknowledged, and the first seed that went wrong, -1 for none."""
-    count = 0
-    with switched(DEFECTS, name):
-        for seed in seeds:
-            for course in courses_for(name):
-                play: Play = COURSES[course](seed)
-                count += play.acknowledged()
-                if play.wrong:
-                    say(f"seed {seed}, {course}:")
-                    for line in play.transcript(MOST_SAID):
-                        say(line)
-                    return count, seed
-    return count, -1
+DEFECTS = control_plane_defects.CONTROL_PLANE_DEFECTS
+
+
+def schedules_for(defect: str) -> list[str]:
+    """Return the schedules to run: the one that finds that defect, or all for none."""
+    return [
+        schedule for group, schedule in control_plane_defects.SCHEDULES_BY_DEFECTS if defect in group
+    ] or list(FAULT_SCHEDULES)
+
+
+def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
+    """Simulate each seed until one goes wrong; counts the changes that were acknowledged."""
+
+    def simulations(seed: int) -> Iterator[tuple[str, ControlPlaneSimulation]]:
+        for schedule in schedules_for(defect):
+            yield f"seed {seed}, {schedule}", FAULT_SCHEDULES[schedule](seed)
+
+    exploration = Exploration(DEFECTS, simulations, lambda simulation: simulation.acknowledged())
+    return exploration.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/data_plane.py
+++ b/lapisgrade/lab/explore/data_plane.py
@@ -1,28 +1,22 @@
-"""The data plane explored beside the control plane: `lab/simulation/data_plane.py` by seed, and wrong
-versions."""
+"""The data plane explored beside the control plane (`lab/simulation/data_plane.py`), and known defects."""
 
-from collections.abc import Callable
+from collections.abc import Iterator
 
-from lapisgrade.lab.explore.defects import Defects, switched
-from lapisgrade.lab.simulation import data_plane_mutants
-from lapisgrade.lab.simulation.data_plane import played
+from lapisgrade.lab.explore.exploration import Exploration, ExplorationResult, Print, print_nothing
+from lapisgrade.lab.simulation.data_plane import DataPlaneSimulation, simulate
+from lapisgrade.lab.simulation.defects import data_plane as data_plane_defects
 
 UNIT = "requests"
-DEFECTS: Defects = data_plane_mutants.DEFECTS
-MOST_SAID = 30  # lines that are told of what led to the first thing that was wrong
-
-
-def explore(seeds: range, name: str = "", say: Callable[[str], None] = lambda line: None) -> tuple[int, int]:
-    """Play each seed; the requests that were sent to servers, and the first seed that went wrong, -1 for
-    none."""
-    count = 0
-    with switched(DEFECTS, name):
-        for seed in seeds:
-            play = played(seed)
-            count += len(play.sent_us)
-            if play.wrong:
-                say(f"seed {seed}:")
-                for line in play.transcript(MOST_SAID):
-                    say(line)
-                return count, seed
-    return count, -1
+DEFECTS = data_plane_defects.DEFECTS
+
+
+def _simulations(seed: int) -> Iterator[tuple[str, DataPlaneSimulation]]:
+    yield f"seed {seed}", simulate(seed)
+
+
+EXPLORATION = Exploration(DEFECTS, _simulations, lambda simulation: len(simulation.sent_us))
+
+
+def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
+    """Simulate each seed until one goes wrong; counts the requests that were sent to servers."""
+    return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -7,54 +7,60 @@
 import sys
 from dataclasses import replace
 
-from lapisgrade import decide, start
-from lapisgrade.decide import limiter
-from lapisgrade.interface import Listed, Operation, Repeat
-from lapisgrade.net import discovery
+from lapisgrade import policy
+from lapisgrade.interface import Operation, RepeatSafety, ServerState
+from lapisgrade.net import discovery_client, service
+from lapisgrade.policy import operation_attempts
+from lapisgrade.settings import Fields
 
 
-def swallow() -> None:
+def drop_answers() -> None:
     """One operation in ten never gets an answer (rule 1)."""
-    honest = decide.Limiter.operation
+    original = policy.Limiter.handle
 
-    def operation(self: decide.Limiter, op: Operation):
+    def operation(self: policy.Limiter, op: Operation):
         if self.random.random() < 0.1:
             return
-        yield from honest(self, op)
+        yield from original(self, op)
 
-    decide.Limiter.operation = operation
+    policy.Limiter.handle = operation
 
 
-def twice() -> None:
+def repeat_non_idempotent() -> None:
     """What must not repeat is sent again before its answer can come (rule 2)."""
-    honest = decide.Limiter.operation
+    original = policy.Limiter.handle
 
-    def operation(self: decide.Limiter, op: Operation):
-        op.category = replace(op.category, repeat=Repeat.IDEMPOTENT)
-        yield from honest(self, op)
+    def operation(self: policy.Limiter, op: Operation):
+        op.category = replace(op.category, repeat_safety=RepeatSafety.IDEMPOTENT)
+        yield from original(self, op)
 
-    decide.Limiter.operation, limiter.PATIENCE = operation, -1000.0
+    policy.Limiter.handle, operation_attempts.OVERDUE_DEVIATIONS = operation, -1000.0
 
 
-def deaf() -> None:
+def ignore_drain() -> None:
     """News of servers that drain is not heard (rule 3)."""
-    discovery.STATES["terminating"] = Listed.READY
+    discovery_client.STATES["terminating"] = ServerState.READY
 
 
-def unmetered() -> None:
+def remove_quotas() -> None:
     """No plan has a quota or a ceiling (rule 5, and any stated bound)."""
-    honest = start.plans
+    original = service.read_plans
 
-    def plans(info: start.Fields) -> list:
-        made = honest(info)
+    def plans(info: Fields) -> list:
+        made = original(info)
         for plan in made:
-            plan.rate = plan.ceiling_rate = 0.0
+            plan.rate = plan.rate_limit_per_s = 0.0
         return made
 
-    start.plans = plans
+    service.read_plans = plans
 
 
-DEFECTS = {"swallow": (swallow, 1), "twice": (twice, 2), "deaf": (deaf, 3), "unmetered": (unmetered, 5)}
+DEFECTS = {
+    "swallow": (drop_answers, 1),
+    "twice": (repeat_non_idempotent, 2),
+    "deaf": (ignore_drain, 3),
+    "unmetered": (remove_quotas, 5),
+}
 
 
 def main() -> int:
--- a/lapisgrade/lab/fleet/history.py
+++ b/lapisgrade/lab/fleet/history.py
@@ -1,8 +1,8 @@
-"""What happened in one play, event by event: JSON lines, one event a line, encoded and checked by msgspec.
+"""The history of one run: events as JSON lines, encoded and validated by msgspec.
 
-Every process that sees something writes a file of its own, in the order it saw it; `merged` reads them as
-one, by time. Times are microseconds of the machine's monotonic clock, which all processes of one machine
-share. Nothing is kept in memory but the lines under way.
+Each process writes a file of its own, in the order of its observations; `merged` reads them as one, by time.
+Times are microseconds of the machine's monotonic clock, which all processes of one machine share. Nothing
+stays in memory but the lines being read.
 """
 
 import heapq
@@ -14,21 +14,21 @@
 import msgspec
 
 SECOND = 1_000_000
-MOST_LINE = 1 << 20  # bytes; a longer line is no event of ours
+MAX_LINE_BYTES = 1 << 20  # a longer line is no event
 
 
-class BadHistory(ValueError):
-    """A history that can't be read; says where."""
+class HistoryError(ValueError):
+    """A history can't be read; the message says where."""
 
 
 class Event(msgspec.Struct, tag_field="kind", frozen=True, kw_only=True):
-    """Something seen at `at` (us)."""
+    """Something observed at `at` (us)."""
 
     at: int
 
 
-class Begin(Event, tag="begin"):
-    """The play starts. `settings` are the limiters' settings, as in their configuration."""
+class RunStarted(Event, tag="begin"):
+    """The run starts; `settings` are the limiters' settings, as in their configuration."""
 
     name: str
     seed: int
@@ -39,7 +39,7 @@
     leeway_us: int = 0  # how far links that delay may move what is seen
 
 
-class Sent(Event, tag="sent"):
+class AttemptSent(Event, tag="sent"):
     """A client sent an operation (`op`, the id of this try) to a limiter; `origin` is its first try's id."""
 
     op: str
@@ -53,7 +53,7 @@
     ends: int  # when its client stops waiting
 
 
-class Answered(Event, tag="answered"):
+class AttemptAnswered(Event, tag="answered"):
     """How it ended for the client: `finished`, `turned back`, `given up`, `broken` (the connection failed
     or was refused) or `none` (no answer in its time and the grace)."""
 
@@ -62,7 +62,7 @@
     advice_ms: int = 0
 
 
-class Came(Event, tag="came"):
+class RequestReceived(Event, tag="came"):
     """A hop of an operation reached a server; `ran` says whether it was taken to be run."""
 
     op: str
@@ -70,8 +70,8 @@
     ran: bool
 
 
-class Counted(Event, tag="counted"):
-    """The counter was called; `amount` was added, unless it turned the call away."""
+class CounterCalled(Event, tag="counted"):
+    """The counter was called; `amount` was added, unless the call was rejected."""
 
     name: str
     amount: float
@@ -79,34 +79,34 @@
     added: bool = True
 
 
-class Asked(Event, tag="asked"):
-    """Discovery was asked by a limiter (its agent was)."""
+class DiscoveryCalled(Event, tag="asked"):
+    """A limiter called its discovery agent."""
 
     limiter: int
 
 
-class Opened(Event, tag="opened"):
+class ConnectionOpened(Event, tag="opened"):
     """A connection was opened to a server, the counter or an agent."""
 
     to: str
 
 
-class Fact(Event, tag="fact"):
+class ServerStateChanged(Event, tag="fact"):
     """A server's state changed at discovery."""
 
     server: str
     state: str
 
 
-class Told(Event, tag="told"):
-    """A limiter's agent told it of a server's state."""
+class ServerStateNotified(Event, tag="told"):
+    """A limiter was notified of a server's state by its agent."""
 
     limiter: int
     server: str
     state: str
 
 
-class Fault(Event, tag="fault"):
+class FaultChanged(Event, tag="fault"):
     """A fault began, or ended (`on` false)."""
 
     what: str
@@ -114,7 +114,7 @@
     on: bool
 
 
-class Life(Event, tag="life"):
+class LimiterProcessChanged(Event, tag="life"):
     """A limiter's process: `started`, `up`, `killed`, `ended`, `paused`, `resumed`, with its process id."""
 
     limiter: int
@@ -122,15 +122,29 @@
     pid: int = 0
 
 
-class End(Event, tag="end"):
-    """The play is over; what comes later is the limiters' own ending."""
-
-
-AnyEvent = Begin | Sent | Answered | Came | Counted | Asked | Opened | Fact | Told | Fault | Life | End
+class RunEnded(Event, tag="end"):
+    """The run is over; what comes later is the limiters' shutdown."""
+
+
+AnyEvent = (
+    RunStarted
+    | RunEnded
+    | AttemptSent
+    | AttemptAnswered
+    | RequestReceived
+    | CounterCalled
+    | DiscoveryCalled
+    | ConnectionOpened
+    | ServerStateChanged
+    | ServerStateNotified
+    | FaultChanged
+    | LimiterProcessChanged
+)
 _DECODER = msgspec.json.Decoder(AnyEvent)
 
 
 def now_us() -> int:
+    """Return the machine's monotonic time (us)."""
     return time.monotonic_ns() // 1000
 
 
@@ -142,9 +156,11 @@
         self._encoder = msgspec.json.Encoder()
 
     def put(self, event: Event) -> None:
+        """Append an event."""
         self._file.write(self._encoder.encode(event) + b"\n")
 
     def close(self) -> None:
+        """Write what is buffered, and close the file."""
         self._file.close()
 
     def __enter__(self) -> "Writer":
@@ -155,18 +171,21 @@
 
 
 def read(path: Path | str) -> Iterator[Event]:
-    """The events of one file; BadHistory names the line that is none. A last line cut short (its writer was
-    killed) is left out."""
+    """Read the events of one file, without a last line cut short (its writer was killed).
+
+    Raises:
+        HistoryError: A line is no event; the message names the line.
+    """
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
-            if len(line) > MOST_LINE:
-                raise BadHistory(f"{path}:{number}: longer than {MOST_LINE} bytes")
+            if len(line) > MAX_LINE_BYTES:
+                raise HistoryError(f"{path}:{number}: longer than {MAX_LINE_BYTES} bytes")
             if not line.endswith(b"\n"):
                 return
             try:
                 yield _DECODER.decode(line)
-            except msgspec.MsgspecError as wrong:
-                raise BadHistory(f"{path}:{number}: {wrong}") from None
+            except msgspec.MsgspecError as error:
+                raise HistoryError(f"{path}:{number}: {error}") from None
 
 
 def merged(paths: Iterable[Path | str]) -> Iterator[Event]:
@@ -179,10 +198,10 @@
 
 
 def _ordered(events: Iterator[Event], window: int = 4096) -> Iterator[Event]:
-    held: list[tuple[int, int, Event]] = []
+    window_heap: list[tuple[int, int, Event]] = []
     for number, event in enumerate(events):
-        heapq.heappush(held, (event.at, number, event))
-        if len(held) > window:
-            yield heapq.heappop(held)[2]
-    while held:
-        yield heapq.heappop(held)[2]
+        heapq.heappush(window_heap, (event.at, number, event))
+        if len(window_heap) > window:
+            yield heapq.heappop(window_heap)[2]
+    while window_heap:
+        yield heapq.heappop(window_heap)[2]
--- a/lapisgrade/lab/fleet/limiter_settings.py
+++ b/lapisgrade/lab/fleet/limiter_settings.py
@@ -1,65 +1,70 @@
 """A limiter's settings as the operators name them, made from a scenario."""
 
 from typing import Any
-from lapisgrade.interface import Group, Repeat
+
+from lapisgrade.interface import DeduplicationScope, RepeatSafety
 from lapisgrade.lab.emulator.scenario import Scenario
 
-REPEATS = {Repeat.IDEMPOTENT: "repeatable", Repeat.DEDUPLICATED: "by_key", Repeat.UNREPEATABLE: "once"}
-GROUPS = {Group.ALL: "all", Group.ZONE: "zone", Group.CELL: "cell"}
+REPEATS = {
+    RepeatSafety.IDEMPOTENT: "repeatable",
+    RepeatSafety.DEDUPLICATED: "by_key",
+    RepeatSafety.NON_IDEMPOTENT: "once",
+}
+GROUPS = {DeduplicationScope.ALL: "all", DeduplicationScope.ZONE: "zone", DeduplicationScope.CELL: "cell"}
 
 
-def settings(sc: Scenario, index: int) -> dict[str, Any]:
+def settings(scenario: Scenario, index: int) -> dict[str, Any]:
     """A limiter's settings as the operators name them, as the scenario has them."""
     return {
         "SelfIndex": index,
-        "NInstances": sc.limiters,
-        "Zone": sc.zone_of(index),
-        "Zones": [f"z{i}" for i in range(sc.zones)],
+        "NInstances": scenario.limiters,
+        "Zone": scenario.zone_of(index),
+        "Zones": [f"z{i}" for i in range(scenario.zones)],
         "RequestClasses": [
             {
                 "Name": each.name,
-                "Idempotency": REPEATS[each.repeat],
-                "Aim": each.quoted_us / 1000,
-                "Deadline": each.hard_stop_us / 1000,
-                "Worth": each.payoff,
-                "LateWorth": each.late_payoff,
-                "Group": GROUPS[each.group],
-                "KeyTtl": each.remembered_us / 1000,
+                "Idempotency": REPEATS[each.repeat_safety],
+                "Aim": each.latency_target_us / 1000,
+                "Deadline": each.timeout_us / 1000,
+                "Worth": each.value,
+                "LateWorth": each.late_value,
+                "Group": GROUPS[each.deduplication_scope],
+                "KeyTtl": each.deduplication_window_us / 1000,
             }
-            for each in sc.categories
+            for each in scenario.categories
         ],
         "TiersOfService": [
             {
                 "Name": each.name,
                 "UnitsPerS": each.rate,
                 "Burst": each.burst,
-                "BeyondEarns": each.beyond_earns,
-                "ExcessCost": each.beyond_costs,
-                "NeverOverRate": each.ceiling_rate,
-                "CeilingBurst": each.ceiling_burst,
-                "CapSlack": each.ceiling_slack,
+                "BeyondEarns": each.overage_value,
+                "ExcessCost": each.overage_cost,
+                "NeverOverRate": each.rate_limit_per_s,
+                "CeilingBurst": each.rate_limit_burst,
+                "CapSlack": each.rate_limit_slack,
             }
-            for each in sc.plans
+            for each in scenario.plans
         ],
         "Ceilings": {
-            "AttemptsCap": sc.leave.hops,
-            "Cancel": sc.leave.cancel,
-            "ParallelTries": sc.leave.second_copies,
-            "RetryAfter": sc.leave.longest_advice_us > 0,
-            "MaxRetryAfter": sc.leave.longest_advice_us / 1000,
+            "AttemptsCap": scenario.leave.max_attempts,
+            "Cancel": scenario.leave.may_cancel,
+            "ParallelTries": scenario.leave.may_hedge,
+            "RetryAfter": scenario.leave.max_retry_after_us > 0,
+            "MaxRetryAfter": scenario.leave.max_retry_after_us / 1000,
             "DialTimeout": 200.0,
             "Keepalive": 30000.0,
         },
         "Rules": {
-            "DrainGrace": sc.duties.drain_grace_us / 1000,
-            "Cold": sc.duties.cold_us / 1000,
-            "ColdFrom": sc.duties.cold_from,
-            "Fall": sc.duties.fall_us / 1000,
-            "FallMultiple": sc.duties.fall_multiple,
+            "DrainGrace": scenario.duties.drain_grace_us / 1000,
+            "Cold": scenario.duties.slow_start_us / 1000,
+            "ColdFrom": scenario.duties.slow_start_initial_weight,
+            "Fall": scenario.duties.overload_window_us / 1000,
+            "FallMultiple": scenario.duties.max_overload_factor,
         },
         "Specifics": {
-            "SharedCounter": sc.calls,
-            "CountLimit": sc.count_limit_us / 1000,
-            "UnitsTop": sc.most_units,
+            "SharedCounter": scenario.calls,
+            "CountLimit": scenario.count_limit_us / 1000,
+            "UnitsTop": scenario.most_units,
         },
     }
--- a/lapisgrade/lab/partitions/cuts.py
+++ b/lapisgrade/lab/partitions/cuts.py
@@ -21,10 +21,10 @@
 from pathlib import Path
 from typing import Any
 
-from lapisgrade.net import loop as loops
-from lapisgrade.gateway.rpc import SILENT_MS
+from lapisgrade.gateway.rpc_connection import ACKNOWLEDGEMENT_TIMEOUT_MS
+from lapisgrade.net import event_loop
 
-SILENT = SILENT_MS / 1000  # s; as the program's own sockets
+SILENT = ACKNOWLEDGEMENT_TIMEOUT_MS / 1000  # s; as the program's own sockets
 LOOK = 0.01  # s between looks at the file; a play's figures are good to that
 
 
@@ -215,12 +215,12 @@
     own = settings.read(path).ip
 
     def new() -> Loop:
-        made = Loop(loops.Selector())
+        made = Loop(event_loop.BatchingSelector())
         made.cuts = Cuts(cuts, own)
         made.cuts.watch(made)
         return made
 
-    loops.new = new
+    event_loop.new_event_loop = new
     return gateway_main.main()
 
 
--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -11,11 +11,12 @@
 
 import msgspec
 
-from lapisgrade.lab.fleet.process import ROOT, before_exec
-from lapisgrade.net.http import Garbled
-from lapisgrade.gateway.http_client import ask, told
+from lapisgrade.gateway.fake_server import FakeServer
+from lapisgrade.gateway.http_client import post_to_any, send_request
+from lapisgrade.gateway.local_cluster import CTL, HTTP, INNER, READY, SAMPLE
 from lapisgrade.gateway.settings import Address
-from lapisgrade.gateway.local_cluster import CTL, HTTP, INNER, READY, SAMPLE, Server
+from lapisgrade.lab.fleet.process import ROOT, prepare_child
+from lapisgrade.net.http import MalformedMessageError
 
 BEAT = 0.25  # s between a stand-in's beats
 PAUSE = 0.01  # s between a client's calls, and between looks at what is waited for
@@ -53,7 +54,7 @@
         self.cuts = os.path.join(folder, "cuts.json")
         self.cut()
         self.running: dict[tuple[str, str], asyncio.subprocess.Process] = {}
-        self.server = Server("i-1", "garantie", (f"127.{net}.1.1", 8080), slots=64)
+        self.server = FakeServer("i-1", "garantie", (f"127.{net}.1.1", 8080), slots=64)
         self.ctl = [Address((self.ip[name], CTL)) for name in self.controllers]
         self.tasks: list[asyncio.Task] = []
         self.number = 0
@@ -71,7 +72,7 @@
         with open(os.path.join(self.folder, f"{name}-{role}.log"), "ab") as log:
             self.running[role, name] = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "lapisgrade.lab.partitions.cuts", self.cuts, role, f"--settings={path}",
-                cwd=ROOT, stderr=log, preexec_fn=before_exec,
+                cwd=ROOT, stderr=log, preexec_fn=prepare_child,
             )  # fmt: skip
 
     async def kill(self, role: str, name: str) -> None:
@@ -112,12 +113,14 @@
         self.server.close()
 
     async def put(self) -> bool:
-        return await told(self.ctl, "/-/rpc?call=conf.replace", msgspec.json.encode(self.sample)) == 200
+        return (
+            await post_to_any(self.ctl, "/-/rpc?call=conf.replace", msgspec.json.encode(self.sample)) == 200
+        )
 
     async def ready(self) -> bool:
         for ip in self.ip.values():
             try:
-                if (await ask((ip, READY), "GET", "/-/readyz")).head.status_code != 200:
+                if (await send_request((ip, READY), "GET", "/-/readyz")).head.status_code != 200:
                     return False
             except OSError:
                 return False
@@ -128,11 +131,11 @@
             while not await holds():
                 await asyncio.sleep(PAUSE)
 
-    async def beats(self, server: Server) -> None:
+    async def beats(self, server: FakeServer) -> None:
         turn = 0
         while True:
             turn += 1
-            await server.beat(self.ctl[turn % len(self.ctl) :] + self.ctl)
+            await server.send_heartbeat(self.ctl[turn % len(self.ctl) :] + self.ctl)
             await asyncio.sleep(BEAT)
 
     async def call(self, name: str, host: str, path: str, key: str) -> int:
@@ -143,8 +146,8 @@
             "Authorization": f"Bearer {key}",
         }  # fmt: skip
         try:
-            return (await ask((self.ip[name], HTTP), "GET", path, fields=fields)).head.status_code
-        except (OSError, TimeoutError, Garbled):
+            return (await send_request((self.ip[name], HTTP), "GET", path, fields=fields)).head.status_code
+        except (OSError, TimeoutError, MalformedMessageError):
             return 0
 
     async def leader(self) -> str:
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -17,14 +17,14 @@
 from random import Random
 from statistics import median
 
-from lapisgrade.lab.partitions.fleet import Fleet, Stamped
-from lapisgrade.net.http import Garbled
 from lapisgrade.gateway import SECOND
-from lapisgrade.gateway.http_client import ask
-from lapisgrade.gateway.settings import Slo
+from lapisgrade.gateway.http_client import send_request
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
-from lapisgrade.gateway.quota.count import LEASE
+from lapisgrade.gateway.quota.count import LEASE_US
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
+from lapisgrade.gateway.settings import Slo
+from lapisgrade.lab.partitions.fleet import Fleet, Stamped
+from lapisgrade.net.http import MalformedMessageError
 
 MACHINES, CONTROLLERS = 6, 3  # counts are held away from controllers
 RATE = BURST = 60  # of both tenants
@@ -86,8 +86,8 @@
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900"}
         fields["Authorization"] = f"Bearer {tenant}"
         status, place = 0, (self.fleet.ip[name], HTTP)
-        with contextlib.suppress(OSError, TimeoutError, Garbled):
-            status = (await ask(place, "GET", "/stock/1", fields=fields)).head.status_code
+        with contextlib.suppress(OSError, TimeoutError, MalformedMessageError):
+            status = (await send_request(place, "GET", "/stock/1", fields=fields)).head.status_code
         if tenant == self.calm:
             self.calls[status] += 1
 
@@ -164,9 +164,9 @@
     """The owner is cut off, and while it is, all others are killed and come back."""
     one = play.holds[0]
     play.fleet.part({one}, set(play.fleet.ip) - {one})
-    await asyncio.sleep(LEASE / SECOND / 3)
+    await asyncio.sleep(LEASE_US / SECOND / 3)
     await play.again(*(set(play.fleet.ip) - {one}))
-    await asyncio.sleep(FAULT - LEASE / SECOND / 3)
+    await asyncio.sleep(FAULT - LEASE_US / SECOND / 3)
     play.fleet.cut()
 
 
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -19,13 +19,14 @@
 
 import msgspec
 
+from lapisgrade.gateway.cli.drafts import DraftClient
+from lapisgrade.gateway.cli.operator_client import OperatorClient, lagging_proxies
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway.fake_server import FakeServer
+from lapisgrade.gateway.http_client import post_to_any, send_request
+from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
-from lapisgrade.net.http import Garbled
-from lapisgrade.gateway.cli.onboarding import OperatorClient, behind
-from lapisgrade.gateway.http_client import ask, told
-from lapisgrade.gateway.cli.draft import DraftClient
-from lapisgrade.gateway.settings import Bad
-from lapisgrade.gateway.local_cluster import HTTP, SAMPLE, Server
+from lapisgrade.net.http import MalformedMessageError
 
 CALM = 1.5  # s of calls before the break, to compare with
 BROKEN = (0.5, 3.0)  # s that the break lasts once both sides are edited
@@ -111,9 +112,9 @@
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
         back = 0.0
         try:
-            got = await ask((self.fleet.ip[each.proxy], HTTP), "GET", path, fields=fields)
+            got = await send_request((self.fleet.ip[each.proxy], HTTP), "GET", path, fields=fields)
             each.status, back = got.head.status_code, float(got.headers().get(b"retry-after", b"0"))
-        except (OSError, TimeoutError, Garbled):
+        except (OSError, TimeoutError, MalformedMessageError):
             pass
         each.took = time.monotonic() - each.sent
         return back
@@ -173,7 +174,7 @@
         body = msgspec.json.encode({"Ver": ver, "Base": base, **change})
 
         async def taken() -> bool:
-            return await told(self.controllers(*names), "/-/rpc?call=conf.update", body) == 200
+            return await post_to_any(self.controllers(*names), "/-/rpc?call=conf.update", body) == 200
 
         await self.until(taken)
 
@@ -197,7 +198,7 @@
             said.clear()
             try:
                 done = await client.send(msgspec.json.encode(change), name) == 0
-            except Bad:
+            except InvalidInputError:
                 return False
             return done and (disks == 1 or f"kept on {disks} disks" in said[0])
 
@@ -226,13 +227,13 @@
 
         async def everywhere() -> bool:
             try:
-                conf, where = await client.show()
-            except Bad:
+                conf, where = await client.fetch_newest()
+            except InvalidInputError:
                 return False
             rule = next(each for each in conf["Ports"][0]["Policy"] if each["Name"] == "r-claim")
             both = (rule["Action"].get("Svc"), rule["Action"]["Timeout"]) == (NEW, timeout)
             names = {each["Name"] for each in where["Proxies"]}
-            return both and names == set(self.fleet.ip) and not behind(where, conf["Ver"])
+            return both and names == set(self.fleet.ip) and not lagging_proxies(where, conf["Ver"])
 
         await self.until(everywhere)
 
@@ -314,7 +315,7 @@
     """One case on machines of 127.`net`; TimeoutError where something never came to be."""
     tenants = [{**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}]
     async with Fleet(net, folder, MACHINES.get(case, 3), tenants=tenants) as fleet:
-        second = Server("i-2", NEW, (f"127.{net}.1.2", 8080), slots=64)
+        second = FakeServer("i-2", NEW, (f"127.{net}.1.2", 8080), slots=64)
         await second.start()
         fleet.tasks.append(asyncio.create_task(fleet.beats(second)))
         fleet.server.ran, second.ran = Stamped(), Stamped()
@@ -324,7 +325,7 @@
             await one.settled()
             pools = {"Upsert": {"Pools": [*SAMPLE["Pools"], {"Name": NEW}]}}
             await one.acknowledged(2, 1, pools)
-            await OperatorClient(fleet.ctl, lambda line: None).follow(2, WITHIN)
+            await OperatorClient(fleet.ctl, lambda line: None).wait_until_active(2, WITHIN)
             clients, began = Clients(fleet), time.monotonic()
             await asyncio.sleep(CALM)
             cut = time.monotonic()
--- /dev/null
+++ b/lapisgrade/lab/simulation/defects/data_plane.py
@@ -0,0 +1,62 @@
+"""Known defects of the data plane, each of which `simulation.data_plane` must find."""
+
+from typing import Any
+
+from lapisgrade.gateway import rpc_messages
+from lapisgrade.gateway.controller import watch
+from lapisgrade.gateway.controller.change_validation import ApplyResult
+from lapisgrade.gateway.controller.commands import LiveProxies, ServerLeaving
+from lapisgrade.gateway.controller.leader_calls import LeaderCalls
+from lapisgrade.gateway.controller.state_machine import StateMachine
+from lapisgrade.gateway.registry import Server
+from lapisgrade.gateway.routing.router import Router
+from lapisgrade.lab.explore import quota_defects
+from lapisgrade.lab.explore.defects import Defect, Defects
+
+_commit, _update_servers = LeaderCalls.commit, Router.update_servers
+
+
+def _apply_live_proxies_without_new_token(self: StateMachine, index: int, item: LiveProxies) -> None:
+    """A new list of live proxies has the fencing token of the previous one."""
+    state = self.state
+    state.fencing_token = state.fencing_token or index
+    state.live_proxies = item.members
+    state.proxies_with_controller, state.terminating_proxies = (
+        item.proxies_with_controller,
+        item.terminating_proxies,
+    )
+
+
+def _update_servers_ignoring_drain(self: Router, servers: list[Server], is_complete: bool) -> None:
+    """A draining server is sent requests like any other."""
+    for each in servers:
+        if each.state == "drain":
+            each.state = "up"
+    _update_servers(self, servers, is_complete)
+
+
+async def _commit_without_departures(self: LeaderCalls, item: Any) -> rpc_messages.ForwardCallReply:
+    """A server's departure is acknowledged though only the leader's memory has it."""
+    if not isinstance(item, ServerLeaving):
+        return await _commit(self, item)
+    self.watch_service.watch.registry.mark_left(self.clock(), item.server, item.is_gone)
+    self.watch_service.notify_watchers()
+    return rpc_messages.ForwardCallReply(ApplyResult(200).status)
+
+
+def _update_departed_servers_to_none(self: watch.Watch, now_us: int, departed: dict[str, bool]) -> None:
+    """A new leader goes by heartbeats alone."""
+    self.departed_servers = {}
+
+
+# The first seed, and how many from it on find each defect; 0 and 12 for all others.
+FIRST_SEED_AND_COUNT = {"asks-nobody": (24, 12), "forgets-leases": (24, 12)}
+QUOTA_DEFECTS = ("never-expires", "any-fence", "asks-nobody", "forgets-leases", "undivided")
+DEFECTS: Defects = {
+    **{name: quota_defects.DEFECTS[name] for name in QUOTA_DEFECTS},
+    "old-fence": Defect(StateMachine, "apply_live_proxies", _apply_live_proxies_without_new_token),
+    "counted-out-too-soon": Defect(watch, "PROXY_TIMEOUT_US", 400_000),
+    "sends-to-draining": Defect(Router, "update_servers", _update_servers_ignoring_drain),
+    "leaving-not-logged": Defect(LeaderCalls, "commit", _commit_without_departures),
+    "forgets-who-left": Defect(watch.Watch, "update_departed_servers", _update_departed_servers_to_none),
+}
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -1,205 +1,226 @@
-"""Proxies on simulated machines, the real shell each but for its sockets: the watch, activation, the register
-of servers, quota, and the module that routes.
+"""Proxies on simulated machines, each with its real shell but for the sockets.
 
-Clients come without sockets, and a request that is sent on is noted and answered after a while.
+Their watch, activation, server registry, quota and routing are the real ones. Clients' requests come without
+sockets, and a request that is forwarded is reported to the simulation and answered after a while.
 """
 
 import asyncio
-from collections.abc import Iterator
-from contextlib import contextmanager
 from types import SimpleNamespace
-from typing import TYPE_CHECKING, Any
-from unittest import mock
+from typing import Any, Protocol
 
 import h11
 from returns.result import Result
 
-from lapisgrade.decide.fleet import Hop
 from lapisgrade.gateway import rpc_messages
-from lapisgrade.gateway.http_server import framed
-from lapisgrade.gateway.proxy import process as proxy_process
-from lapisgrade.gateway.proxy import quota_transport
-from lapisgrade.gateway.routing.router import RoutedRequest
-from lapisgrade.gateway.routing.upstream_protocol import Passing
-from lapisgrade.gateway.settings import Address, Bind, Settings, Span
-from lapisgrade.gateway.verdict import Verdict
-from lapisgrade.lab.simulation.cluster import BEAT, CALLS_PORT, PORT
+from lapisgrade.gateway.call_failure import CallFailure
+from lapisgrade.gateway.http_server import encode_response
+from lapisgrade.gateway.proxy.process import Proxy
+from lapisgrade.gateway.routing.request import RoutedRequest
+from lapisgrade.gateway.routing.upstream_protocol import ForwardedRequest
+from lapisgrade.gateway.settings import Settings
+from lapisgrade.lab.simulation.cluster import Cluster
+from lapisgrade.lab.simulation.machine import process_settings
 from lapisgrade.lab.simulation.network import Endpoint
 from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process, VirtualLoop
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.events import Landed, Taken
-from lapisgrade.net.http import Parser
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.events import AttemptClosed, RequestReceived
+from lapisgrade.net.http import MessageParser
+from lapisgrade.policy.attempt import Attempt
+
+SERVICE_TIME_US = 30_000
+CLIENT_TIMEOUT_US = 2 * SECOND
+SHUTDOWN_GRACE_S = 2.6
+HOST = "a.example"
+RESPONSE_EVENTS = MessageParser(h11.CLIENT).feed(encode_response(200, b"done", b"Server-Seal: seal\r\n"))
 
-if TYPE_CHECKING:
-    from lapisgrade.lab.simulation.data_plane import DataPlane
 
-WORK = 30_000  # us that a server works on a request
-PATIENCE = 2 * SECOND  # us that a client waits
-GRACE = 2.6  # s that a proxy goes on once it was told to end
-HOST = "a.example"
-ANSWERED = Parser(h11.CLIENT).feed(framed(200, b"done", b"Server-Seal: seal\r\n"))
+class ProxyEnvironment(Protocol):
+    """What a proxy needs of its simulation, and what it reports to it."""
+
+    cluster: Cluster
+    clock: "SimulatedClock"
+    loop: VirtualLoop
+
+    def on_request_sent(self, proxy: "SimulatedProxy", attempt: Attempt) -> bool:
+        """Check a request that goes to a server; return whether that server still runs."""
+
+    def on_request_rejected(self, proxy: "SimulatedProxy", status: int) -> None:
+        """Check a request that the proxy does not allow."""
+
+    def on_version_activated(self, proxy: "SimulatedProxy", before: int) -> None:
+        """Check a configuration version that the proxy has activated."""
+
+    def observe_quota_owner(self, proxy: "SimulatedProxy") -> None:
+        """Check each add to a counter that this proxy owns."""
 
 
 class ProxyEndpoint(Endpoint):
-    """With what `rpc.RpcEndpoint.peer` says of the last call to an address."""
+    """An endpoint that knows, as `rpc.RpcEndpoint.peer`, whether the last call to an address was refused."""
 
-    def __init__(self, *told: Any) -> None:
-        super().__init__(*told)
+    def __init__(self, *arguments: Any) -> None:
+        super().__init__(*arguments)
         self._refused: set[tuple[str, int]] = set()
 
-    async def call(self, address: tuple[str, int], message: Any, within: float) -> Result[Any, Verdict]:
+    async def call(
+        self, address: tuple[str, int], message: Any, timeout_s: float
+    ) -> Result[Any, CallFailure]:
         """As `gateway.rpc.RpcEndpoint.call`."""
-        got = await super().call(address, message, within)
-        refused = got.value_or(None) is None and got.failure() is Verdict.NOT_RUN
-        (self._refused.add if refused else self._refused.discard)(tuple(address))
-        return got
+        result = await super().call(address, message, timeout_s)
+        if result.value_or(None) is None and result.failure() is CallFailure.NOT_RUN:
+            self._refused.add(tuple(address))
+        else:
+            self._refused.discard(tuple(address))
+        return result
 
     def peer(self, address: tuple[str, int]) -> SimpleNamespace:
-        """Whether nobody listened there."""
-        return SimpleNamespace(refused=tuple(address) in self._refused)
+        """Return whether that address refuses calls."""
+        return SimpleNamespace(is_refusing=tuple(address) in self._refused)
 
 
-class Caller:
-    """A client's connection: what it is answered is not read."""
+class DiscardingClient:
+    """A client's connection whose responses are discarded."""
 
-    def answer(self, status: int, body: list, size: int, more: bytes = b"") -> None:
-        """Take an answer."""
+    def respond(self, status: int, body: list, size: int, header_lines: bytes = b"") -> None:
+        """Discard a response."""
 
 
-class Servers:
-    """In place of the pool of connections: what is sent is noted, and answered unless its server is gone."""
+class SimulatedUpstreams:
+    """A pool of connections whose servers answer every request, unless they have ended."""
 
     def __init__(self, proxy: "SimulatedProxy") -> None:
         self._proxy = proxy
 
-    def known(self, addresses: dict) -> None:
-        """The register's word; nothing is kept of it."""
+    def update_addresses(self, addresses: dict) -> None:
+        """Ignore the servers' addresses."""
 
-    def send(self, hop: Hop) -> None:
-        """Have a server run the request."""
+    def send(self, attempt: Attempt) -> None:
+        """Have a server process the request."""
         proxy = self._proxy
-        there = proxy.plane.sent(proxy, hop)
-        landed = Landed(hop, Ending.ANSWERED, ANSWERED) if there else Landed(hop, Ending.REFUSED)
-        asyncio.get_running_loop().call_later(WORK / SECOND, proxy.host.put, landed)
+        if proxy.simulation.on_request_sent(proxy, attempt):
+            closed = AttemptClosed(attempt, CloseReason.ANSWERED, RESPONSE_EVENTS)
+        else:
+            closed = AttemptClosed(attempt, CloseReason.CONNECTION_REFUSED)
+        asyncio.get_running_loop().call_later(SERVICE_TIME_US / SECOND, proxy.host.enqueue, closed)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Ignore that nobody waits for an attempt."""
+
+    def cancel_operation(self, request: RoutedRequest) -> None:
+        """Ignore that a client has disconnected."""
 
-    def cancel(self, hop: Hop) -> None:
-        """A hop that nobody waits for."""
 
-    def left(self, operation: RoutedRequest) -> None:
-        """A client that has left."""
+class SimulatedProxy(Proxy):
+    """A proxy's shell, with the clock and the network of the simulation."""
 
+    def __init__(self, plane: ProxyEnvironment, settings: Settings, process: Process) -> None:
+        self.simulation, self.process = plane, process
+        super().__init__(settings, plane.clock.now_us)
+        self.context.random.seed(plane.loop.random.getrandbits(64))
+        self.context.incarnation = f"{self.context.random.getrandbits(64):016x}"
+        self.quota_owner.ownership.incarnation = self.context.incarnation
+        self.last_watch_us = 0  # when the last watch request was sent that a leader answered
+        self._request_count = 0
+        plane.observe_quota_owner(self)
 
-class SimulatedProxy(proxy_process.Proxy):
-    """A proxy's shell, with the network of the simulation."""
+    def make_rpc(self) -> ProxyEndpoint:
+        """Calls over the simulated network."""
+        network = self.simulation.cluster.network
+        return ProxyEndpoint(network, self.process, self.settings.ip, self.answer, self.on_message)
 
-    def __init__(self, plane: "DataPlane", settings: Settings, process: Process) -> None:
-        super().__init__(settings)
-        self.plane, self.process = plane, process
-        self.random.seed(plane.loop.random.getrandbits(64))
-        self.own = f"{self.random.getrandbits(64):016x}"
-        self.quota_owner.own = self.own
-        self.rpc = ProxyEndpoint(plane.cluster.network, process, settings.ip, self._answer, self._word)
-        self.host.pool = Servers(self)
-        self.asked_us = 0  # when the last ask was sent that was answered by who leads
-        self._numbers = 0
-        plane.watch_owner(self)
+    def make_pool(self, max_connections: int) -> SimulatedUpstreams:
+        """The simulated servers."""
+        return SimulatedUpstreams(self)
 
     async def work(self) -> None:
-        """The process, until it has been told to end and its grace is over."""
+        """Run the process until its graceful shutdown is complete."""
         loop = asyncio.get_running_loop()
         await self.rpc.listen(self.inner)
-        tasks = [loop.create_task(self.host.run()), loop.create_task(self._follow())]
-        await self._end.wait()
-        await asyncio.sleep(GRACE)
+        tasks = [loop.create_task(self.host.run()), loop.create_task(self.watch_client.run())]
+        await self._shutdown.wait()
+        await asyncio.sleep(SHUTDOWN_GRACE_S)
         self.rpc.close()
         for task in tasks:
             task.cancel()
-        self.process.alive = False
+        self.process.is_alive = False
 
-    def _take(self, news: rpc_messages.WatchReply, sent: int) -> None:
-        before = self.ver
-        super()._take(news, sent)
-        self.asked_us = max(self.asked_us, sent)
-        if self.ver != before:
-            self.plane.acts(self, before)
+    def apply_update(self, reply: rpc_messages.WatchReply, sent_us: int) -> None:
+        """Apply an update as a proxy does; report each version that it activates."""
+        before = self.active_version
+        super().apply_update(reply, sent_us)
+        self.last_watch_us = max(self.last_watch_us, sent_us)
+        if self.active_version != before:
+            self.simulation.on_version_activated(self, before)
 
     def request(self, path: str, key: str) -> None:
-        """One of a client's."""
-        now = proxy_process.now_us()
+        """Handle a client's request."""
+        now = self.context.now_us()
         self.host.clock.now_us = max(self.host.clock.now_us, now)
-        found = self.router.entry(now, HOST, path, key)
-        if isinstance(found, int):
-            return self.plane.refused(self, found)
-        rule, tenant = found
-        self._numbers += 1
-        name = f"{self.own}-{self._numbers}".encode()
-        client: Any = Caller()
-        handle = Passing(client, b"GET", path.encode(), HOST.encode(), name, None, [])
+        match = self.router.match(now, HOST, path, key)
+        if isinstance(match, int):
+            return self.simulation.on_request_rejected(self, match)
+        rule, tenant = match
+        self._request_count += 1
+        name = f"{self.context.incarnation}-{self._request_count}".encode()
+        client: Any = DiscardingClient()
+        handle = ForwardedRequest(client, b"GET", path.encode(), HOST.encode(), name, None, [])
         operation = RoutedRequest(
             customer=tenant.name if tenant else "",
-            plan=None,
-            category=None,
-            units=1.0,
             arrived_us=now,
-            ends_us=now + PATIENCE,
-            gateways=1,
+            deadline_us=now + CLIENT_TIMEOUT_US,
             rule=rule,
             tenant=tenant,
-            svc=self.router.split.choose(rule),
+            service=self.router.split.choose(rule),
             handle=handle,
         )
-        self.host.put(Taken(operation))
+        self.host.enqueue(RequestReceived(operation))
 
 
 class ProxyMachine:
-    """A place for one proxy process at a time."""
+    """A host for one proxy process at a time."""
 
-    def __init__(self, plane: "DataPlane", number: int) -> None:
-        self.plane, self.name, self.ip = plane, f"p{number}", f"10.3.0.{number}"
+    def __init__(self, plane: ProxyEnvironment, number: int) -> None:
+        self.simulation, self.name, self.ip = plane, f"p{number}", f"10.3.0.{number}"
         self.process: Process | None = None
         self.proxy: SimulatedProxy | None = None
 
     @property
-    def running(self) -> bool:
-        """Whether its process lives."""
-        return self.process is not None and self.process.alive
+    def is_running(self) -> bool:
+        """Whether its process is alive."""
+        return self.process is not None and self.process.is_alive
 
     def start(self, skew_us: int = 0) -> None:
-        """A new life, whose steady clock stands so far ahead of the loop's (us) for as long as it lives."""
-        if self.running:
+        """Start a process whose steady clock is ahead of the loop's by `skew_us`."""
+        if self.is_running:
             return
-        cluster = self.plane.cluster
+        cluster = self.simulation.cluster
         self.process = process = Process(self.name)
         process.skew_us = skew_us
         cluster.processes.append(process)
-        seeds = tuple(Address((ip, CALLS_PORT)) for ip in cluster.seeds)
-        settings = Settings(
-            self.name, self.ip, "z", Bind(), (PORT, PORT + 15), seeds, False, False, "", Span(BEAT)
-        )
+        settings = process_settings(self.name, self.ip, cluster.seeds, bootstrap=False, is_controller=False)
         token = CURRENT.set(process)
         try:
-            self.proxy = SimulatedProxy(self.plane, settings, process)
+            self.proxy = SimulatedProxy(self.simulation, settings, process)
             cluster.loop.create_task(self.proxy.work())
         finally:
             CURRENT.reset(token)
-        cluster.say(f"{self.name} starts")
+        cluster.note(f"{self.name} starts")
 
     def kill(self) -> None:
-        """SIGKILL."""
-        self.plane.cluster.say(f"{self.name} is killed")
+        """Kill the process, as SIGKILL does."""
+        self.simulation.cluster.note(f"{self.name} is killed")
         if self.process is not None:
-            self.process.alive = False
+            self.process.is_alive = False
 
     def stop(self) -> None:
-        """SIGTERM."""
-        if self.running:
-            self.plane.cluster.say(f"{self.name} is told to end")
-            self.plane.loop.after(0, self.process, self.proxy.end)
+        """Begin a graceful shutdown, as SIGTERM does."""
+        if self.is_running:
+            self.simulation.cluster.note(f"{self.name} is told to end")
+            self.simulation.loop.schedule(0, self.process, self.proxy.end)
 
     def freeze(self, seconds: float) -> None:
-        """It stands still, and goes on with all that it knew."""
-        self.plane.cluster.say(f"{self.name} stands still for {seconds:.1f} s")
-        self.process.frozen_until = self.plane.loop.now_us + round(seconds * SECOND)
+        """Have the process run nothing for so many seconds."""
+        self.simulation.cluster.note(f"{self.name} stands still for {seconds:.1f} s")
+        self.process.frozen_until_us = self.simulation.loop.now_us + round(seconds * SECOND)
 
 
 class SimulatedClock:
@@ -209,17 +230,6 @@
         self.loop: VirtualLoop | None = None
 
     def now_us(self) -> int:
-        """In the process whose callback runs."""
+        """Return the time in the process whose callback runs."""
         process = CURRENT.get()
         return self.loop.now_us + (process.skew_us if process is not None else 0)
-
-
-@contextmanager
-def simulated_clock() -> Iterator[SimulatedClock]:
-    """Proxies that are made meanwhile go by that clock, once it has its loop."""
-    clock = SimulatedClock()
-    with (
-        mock.patch.object(proxy_process, "now_us", clock.now_us),
-        mock.patch.object(quota_transport, "now_us", clock.now_us),
-    ):
-        yield clock
--- a/lapisgrade/net/events.py
+++ b/lapisgrade/net/events.py
@@ -1,11 +1,11 @@
-"""What socket code tells the host's task; its queue carries nothing else."""
+"""Events from sockets and timers to the host; its queue carries nothing else."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from lapisgrade.interface import Entry, Operation
-from lapisgrade.net.ending import Ending
-from lapisgrade.net.handle import Client
+from lapisgrade.interface import Operation, ServerEndpoint
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.response_writer import ResponseWriter
 
 if TYPE_CHECKING:
     from lapisgrade.engine import Task
@@ -13,10 +13,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
-    """What a client sent, as far as it passes on to a server; an operation's `handle`."""
+class ClientRequest:
+    """What a client sent, as far as it is forwarded to a server; an operation's `handle`."""
 
-    client: Client | None  # None once it has its answer or has left: nothing is owed any more
+    client: ResponseWriter | None  # None once it is answered or has disconnected: nothing is owed any more
     method: bytes
     target: bytes
     host: bytes
@@ -26,46 +26,55 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class RequestReceived:
+    """A client has sent a complete request that asks for an operation."""
+
     operation: Operation
 
 
 @dataclass(slots=True)
-class Left:
-    """The client has gone before its answer."""
+class ClientDisconnected:
+    """The client has gone before its response."""
 
     operation: Operation
 
 
 @dataclass(slots=True)
-class Landed:
-    """A hop has ended, with a whole answer or without one."""
+class AttemptClosed:
+    """A server's side of an attempt has ended, with a complete response or without one.
+
+    The host makes an `interface.AttemptFinished` of it, once it is clear what becomes of the client.
+    """
 
-    hop: Any
-    ending: Ending
+    attempt: Any
+    reason: CloseReason
     message: "Message | None" = None
 
 
 @dataclass(slots=True)
-class Counted:
+class CounterCallFinished:
+    """A call to the counter service has ended; `total` is the count where it was answered."""
+
     task: "Task"
-    ending: Ending
+    reason: CloseReason
     total: float = 0.0
 
 
 @dataclass(slots=True)
-class News:
-    """Discovery's word on the servers."""
+class ServersUpdated:
+    """The endpoint list has changed; a complete list names all servers there are."""
 
-    entries: list[Entry]
-    whole: bool
+    endpoints: list[ServerEndpoint]
+    is_complete: bool
 
 
 @dataclass(slots=True)
-class Tick:
-    """The wake-up asked for last has come."""
+class TimerFired:
+    """The wake-up requested for `due_us` has come."""
 
     due_us: int
 
 
-Event = Taken | Left | Landed | Counted | News | Tick
+Event = (
+    RequestReceived | ClientDisconnected | AttemptClosed | CounterCallFinished | ServersUpdated | TimerFired
+)
--- a/tests/test_drill.py
+++ b/tests/bench_adapter/test_process.py
@@ -18,22 +18,29 @@
 def drill(*batches):
     text = "".join(f"MARK SimTime={1000 + 2 * i}.0\n{batch}YOUR_TURN\n" for i, batch in enumerate(batches))
     return subprocess.run(
-        [sys.executable, "-m", "lapisgrade.drill"], input=text, capture_output=True, text=True, timeout=30
+        [sys.executable, "-m", "lapisgrade.bench_adapter"],
+        input=text,
+        capture_output=True,
+        text=True,
+        timeout=30,
     )
 
 
-def test_an_operation_goes_through():
+def test_an_operation_is_served():
     done = "COMPLETED LimiterId=0 Ticket=11 SendNo=0 StateCode=200 Duration=3 DoneFlag=1 Server=10.0.0.1:80\n"
     first = drill(START, ORDER)
     call = next(line for line in first.stdout.splitlines() if line.startswith("POST_AMOUNT"))
     name = dict(part.split("=") for part in call.split()[1:])["Counter"]
     tally = f"TALLY_BACK LimiterId=0 Counter={name} StateCode=200 ResultValue=1 Duration=1.5\n"
     run = drill(START, ORDER, tally, done + "EXPIRED LimiterId=0 Ticket=11\n")
-    assert run.returncode == 0 and not run.stderr and run.stdout.count("EOR\n") == 4
-    assert "PLACE LimiterId=0 Ticket=11 Server=10.0.0.1:80" in run.stdout and "BUG" not in run.stdout
+    assert run.returncode == 0
+    assert not run.stderr
+    assert run.stdout.count("EOR\n") == 4
+    assert "PLACE LimiterId=0 Ticket=11 Server=10.0.0.1:80" in run.stdout
+    assert "BUG" not in run.stdout
 
 
-def test_bad_lines_get_one_plain_message():
+def test_malformed_lines_get_one_message():
     for line, words in [
         ("NOVELTY LimiterId=0", "unknown message 'NOVELTY'"),
         ("ORDER LimiterId=0 Ticket=x Terms=small UserKey=ab Category=look", "Ticket is not a whole"),
@@ -44,5 +51,8 @@
         ("TICK_DUE LimiterId=0 Tag", "is not name=value"),
     ]:
         run = drill(START, line + "\n")
-        assert run.returncode != 0 and words in run.stderr and "line 8" not in run.stdout, line
-        assert run.stderr.count("\n") == 1 and run.stderr.startswith("line "), run.stderr
+        assert run.returncode != 0, line
+        assert words in run.stderr, line
+        assert "line 8" not in run.stdout, line
+        assert run.stderr.count("\n") == 1, run.stderr
+        assert run.stderr.startswith("line "), run.stderr
--- /dev/null
+++ b/tests/gateway/cli/test_check.py
@@ -0,0 +1,163 @@
+"""`check conf`, `plan` and `loss`: each mistake has its message, its place and its remedy."""
+
+import asyncio
+
+import msgspec
+import pytest
+from support.local_clusters import serving_cluster
+from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
+
+from lapisgrade.gateway import configuration
+from lapisgrade.gateway.cli import configuration_check
+from lapisgrade.gateway.cli.machine_loss import describe_loss
+from lapisgrade.gateway.cli.operator_client import OperatorClient
+from lapisgrade.gateway.configuration_change import apply_change
+from lapisgrade.gateway.errors import InvalidInputError
+from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster
+from lapisgrade.gateway.quota.ownership import owner_of
+from lapisgrade.gateway.routing.route_table import RouteTable
+from lapisgrade.gateway.settings import Address
+
+WRONG = [
+    (lambda c, r: action(r).update(Svc="nowhere"), "route r-claim: service 'nowhere' is not in Pools"),
+    (lambda c, r: action(r).pop("Timeout"), "required field missing"),
+    (lambda c, r: action(r).update(Timeout="0s"), "Timeout is 0, not above 0"),
+    (lambda c, r: action(r).update(Timeout="soon"), "'soon' is not a time"),
+    (lambda c, r: action(r).update(Timeout=2000), "2000 is not a time"),
+    (lambda c, r: split(r, garantie=-1), "Wt is -1, below 0"),
+    (lambda c, r: split(r, garantie=0), "add up to 0"),
+    (lambda c, r: action(r).update(Split=[{"Svc": "garantie", "Wt": 1}]), "not both and not none"),
+    (lambda c, r: action(r).pop("Svc"), "not both and not none"),
+    (lambda c, r: action(r).update(Tries=0), "Tries is 0, not above 0"),
+    (lambda c, r: r[CLAIM]["Match"].update(Pfx="claim/"), "'claim/' does not begin with a slash"),
+    (lambda c, r: r[CLAIM].pop("Match"), "required field missing"),
+    (lambda c, r: r[CLAIM].update(Mode="twice"), "'twice' is no mode"),
+    (lambda c, r: r[CLAIM].update(Name=""), "Name must have 1 to 256 characters"),
+    (lambda c, r: r[CLAIM].update(Name="r-stock"), "a route stands twice: 'r-stock'"),
+    (lambda c, r: r[CLAIM]["Match"].update(Pfx="/stock/"), "a prefix stands twice"),
+    (lambda c, r: r[CLAIM].update(Prio="high"), "'high' is not of the kind int"),
+    (lambda c, r: r[CLAIM].update(Public=1), "'1' is not of the kind bool"),
+    (lambda c, r: c["Pools"].append({"Name": "garantie"}), "a service stands twice"),
+    (lambda c, r: c["Pools"].append({"Name": "x", "Maxconn": 0}), "Maxconn is 0, not above 0"),
+    (lambda c, r: c["Tenants"].append({"Name": "sfax"}), "a tenant stands twice"),
+    (lambda c, r: c["Tenants"].append({"Name": "b", "Apikeys": ["key-of-sfax"]}), "a key stands twice"),
+    (lambda c, r: c["Tenants"][0].update(RateS=-2), "RateS is -2, below 0"),
+    (lambda c, r: c["Tenants"][0].update(Burst="many"), "'many' is not of the kind float"),
+    (lambda c, r: c.pop("Ver"), "$.Ver"),
+    (lambda c, r: c.update(Ver=0), "Ver is 0, not above 0"),
+    (lambda c, r: c["Caps"].update(Idle="0ms"), "Idle is 0, not above 0"),
+    (lambda c, r: c["Ports"][0].pop("Vhost"), "Ports[0].Vhost"),
+]
+
+
+MINDED = [
+    (lambda c, r: r[CLAIM]["Match"].update(Pfx="/claim"), "the prefix /claim has no slash at its end"),
+    (lambda c, r: action(r).update(Timeout="100ms"), "r-claim: is held 0.1 s at most, and aims at 0.5 s"),
+    (lambda c, r: split(r, garantie=1), "r-claim: a split of one service"),
+    (lambda c, r: (c["Pools"].append({"Name": "b"}), split(r, garantie=1, b=0)), "b has weight 0"),
+    (lambda c, r: action(r, STOCK).update(Tries=1), "r-stock: may be repeated, but is tried once"),
+    (lambda c, r: c["Pools"].append({"Name": "b"}), "service b: no route goes there"),
+    (lambda c, r: c["Tenants"].append({"Name": "b"}), "tenant b: has no key"),
+    (lambda c, r: c["Tenants"][0].update(RateS=0), "a Burst without RateS is no limit"),
+    (lambda c, r: c["Tenants"][0].update(Burst=0), "no Burst: a second's rate is taken for it"),
+    (lambda c, r: c.update(Tenants=[]), "every request but on public routes gets 401"),
+    (lambda c, r: (c.pop("Tenants"), r[CLAIM].update(Public=True)), "is public where no key is wanted"),
+    (lambda c, r: c["Ports"].append({"Vhost": "A.example", "Policy": []}), "host a.example stands 2 times"),
+]
+
+
+def test_every_kind_of_error_is_reported_with_its_place() -> None:
+    for edit, expected in WRONG:
+        wrong, minded = configuration_check.check_text(conf(edit))
+        assert expected in " ".join(wrong), (expected, wrong)
+        assert minded == []
+        assert "key-of-sfax" not in " ".join(wrong)
+
+
+def test_valid_but_suspicious_configurations_get_warnings() -> None:
+    assert configuration_check.check_text(msgspec.json.encode(CONF)) == ([], [])
+    for edit, expected in MINDED:
+        wrong, minded = configuration_check.check_text(conf(edit))
+        assert wrong == [], expected
+        assert expected in "\n".join(minded)
+
+
+def test_errors_carry_a_hint_how_to_correct_them() -> None:
+    wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).update(Svc="nowhere")))
+    hint = "(name the service under Pools, or send the route to one that is there)"
+    assert wrong == [f"route r-claim: service 'nowhere' is not in Pools {hint}"]
+    wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).pop("Timeout")))
+    place = "$.Ports[0].Policy[1].Action.Timeout"
+    assert wrong == [f"required field missing @ {place} (it can't be left out)"]
+    for edit, expected in WRONG[1:8]:
+        assert configuration_check.check_text(conf(edit))[0][0].endswith(")"), expected
+
+
+def test_a_host_listed_twice_has_the_routes_of_both() -> None:
+    def twice(c: dict, rules: list) -> None:
+        c["Ports"] = [{"Vhost": "a.example", "Policy": [each]} for each in rules]
+
+    edited = msgspec.json.decode(conf(twice))
+    table = RouteTable(configuration.read(edited))
+    assert [table.find_rule("a.example", f"/{each}/1").name for each in ("stock", "claim")] == [
+        "r-stock",
+        "r-claim",
+    ]
+    later = apply_change(edited, {"Ver": 2, "Del": {"Routes": ["r-none"]}})
+    assert len(later["Ports"][0]["Policy"]) == 2
+
+
+async def test_a_plan_matches_the_change_that_follows() -> None:
+    async with serving_cluster() as site:
+        current, where = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
+        rule = {**SAMPLE["Ports"][0]["Policy"][1]}
+        rule["Action"] = {**rule["Action"], "Svc": "reparation"}
+        ports = [{"Vhost": "a.example", "Policy": [rule]}]
+        change = {"Upsert": {"Ports": ports, "Pools": [{"Name": "reparation"}]}}
+        lines = ["+ Pools/reparation", '  Routes/r-claim/Action/Svc: "garantie" -> "reparation"']
+        assert configuration_check.check_change(current, change, where["Servers"]) == (
+            lines,
+            [],
+            ["service reparation: no server is up"],
+        )
+        assert await site.put({"Ver": 2, "Base": 1, **change}, "conf.update") == 200
+        later, _ = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
+        assert configuration_check.describe_changes(current, later) == lines
+        rule["Action"] = {"Svc": "nowhere", "Timeout": "1s"}
+        assert len(configuration_check.check_change(current, change, where["Servers"])[1]) == 1
+
+
+def client(site: LocalCluster) -> OperatorClient:
+    return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
+
+
+async def test_a_predicted_loss_matches_the_loss_that_follows() -> None:
+    async with serving_cluster() as site:
+        current, where = await client(site).fetch_newest()
+        conf = configuration.read(current)
+        keeper = owner_of("sfax", site.names)
+        other = next(each for each in site.names if each != keeper)
+        lines, goes_on = describe_loss(conf, where, [keeper])
+        assert [goes_on, lines[0], lines[-1], "zone local: 2 of 3 proxies left" in lines] == [
+            True,
+            "disks: 2 of 3 left: a majority, changes go on",
+            "counts that others take over, dark for some 2 s: sfax",
+            True,
+        ]
+        assert not [line for line in describe_loss(conf, where, [other])[0] if "counts" in line]
+        lines, goes_on = describe_loss(conf, where, [keeper, other])
+        assert not goes_on
+        assert "no majority, nothing is acknowledged until one is back" in lines[0]
+        with pytest.raises(InvalidInputError, match="no proxy of that name: m9"):
+            describe_loss(conf, where, ["m9"])
+        for part in (site.controllers[keeper], site.proxies[keeper]):
+            await site.kill(part)
+        change = {"Ver": 2, "Base": 1, "Upsert": {"Pools": [{"Name": "b"}]}}
+        while await site.put(change, "conf.update") != 200:
+            await asyncio.sleep(0.02)
+        await site.until(
+            lambda: all(keeper not in each.quota_owner.proxies for each in site.proxies.values())
+        )
+        assert owner_of("sfax", site.proxies[other].quota_owner.eligible_owners) != keeper
+        await site.kill(site.controllers[other])
+        assert await site.put({**change, "Ver": 3, "Base": 2}, "conf.update") == 0
--- /dev/null
+++ b/tests/gateway/cli/test_commands.py
@@ -0,0 +1,103 @@
+"""The program as an operator runs it: its output and exit code."""
+
+import asyncio
+import contextlib
+import io
+import json
+import os
+import sys
+from pathlib import Path
+from unittest import mock
+
+import msgspec
+import pytest
+from support.local_clusters import serving_cluster
+from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
+
+from lapisgrade.gateway import __main__ as main_module
+from lapisgrade.gateway.local_cluster import CTL
+
+
+class Program:
+    """The program as an operator runs it: words out, exit code."""
+
+    def __init__(self, tmp_path: Path) -> None:
+        self.folder = str(tmp_path)
+
+    def write(self, name: str, data: bytes) -> str:
+        path = os.path.join(self.folder, name)
+        with open(path, "wb") as file:
+            file.write(data)
+        return path
+
+    def run_command(self, *arguments: str) -> tuple[int, str, str]:
+        out, err = io.StringIO(), io.StringIO()
+        argv = mock.patch("sys.argv", ["lapisgrade-gateway", *arguments])
+        with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err), argv:
+            code = main_module.main()
+        return code, out.getvalue(), err.getvalue()
+
+
+@pytest.fixture
+def program(tmp_path: Path) -> Program:
+    return Program(tmp_path)
+
+
+def test_check_conf(program: Program) -> None:
+    good = program.write("good", msgspec.json.encode(CONF))
+    assert program.run_command("check", "conf", good) == (0, "it can be taken\n", "")
+    bad = program.write("bad", conf(lambda c, r: (action(r).update(Timeout="0s"), r[0].update(Mode="x"))))
+    code, out, _ = program.run_command("check", "conf", bad)
+    assert (code, out.count("\n")) == (1, 3), out
+    short = program.write("short", msgspec.json.encode(CONF)[:-9])
+    assert program.run_command("check", "conf", short)[0] == 1
+    code, out, err = program.run_command("check", "conf", "/nowhere")
+    assert (code, out, err.count("\n")) == (2, "", 1)
+
+
+def test_diff_of_two_files(program: Program) -> None:
+    def edit(c: dict, rules: list) -> None:
+        rules[CLAIM]["Prio"] = 4
+        split(rules, garantie=9, b=1)
+        rules[STOCK]["Name"] = "r-new"
+        c["Pools"].append({"Name": "b"})
+        c["Tenants"][0]["Apikeys"] = ["another"]
+
+    one, two = program.write("one", msgspec.json.encode(CONF)), program.write("two", conf(edit))
+    assert program.run_command("diff", two, one) == (
+        1,
+        """changes:
+  + Pools/b
+    Routes/r-claim/Action/Split: none -> []
+    Routes/r-claim/Action/Split/b: none -> {"Wt":1}
+    Routes/r-claim/Action/Split/garantie: none -> {"Wt":9}
+    Routes/r-claim/Action/Svc: "garantie" -> none
+    Routes/r-claim/Prio: 1 -> 4
+  + Routes/r-new
+  - Routes/r-stock
+    Tenants/sfax/Apikeys/(a key): none -> true
+    Tenants/sfax/Apikeys/(a key): true -> none
+""",
+        "",
+    )
+    assert program.run_command("diff", one, one) == (0, "", "")
+
+
+def test_an_unreachable_target_is_one_line_and_exit_code_2(program: Program) -> None:
+    one = program.write("one", msgspec.json.encode(CONF))
+    nobody = "--ctl=127.0.0.1:1"
+    calls = [("show",), ("status", "--json"), ("plan", one), ("diff", one), ("loss", "m1")]
+    for arguments in (*((*each, nobody) for each in calls), ("dump", "/nowhere"), ("dump", program.folder)):
+        code, out, err = program.run_command(*arguments)
+        assert (code, out, err.count("\n")) == (2, "", 1), err
+
+
+async def test_json_output_has_the_documented_keys() -> None:
+    async with serving_cluster() as site:
+        where = f"--ctl={site.ip['m1']}:{CTL}"
+        status = {"Newest", "InForce", "Proxies", "Servers", "Leader", "Term", "Voters"}
+        for word, names in (("status", status), ("drafts", {"Leader", "Newest", "Drafts"})):
+            arguments = (sys.executable, "-m", "lapisgrade.gateway", word, where, "--json")
+            child = await asyncio.create_subprocess_exec(*arguments, stdout=asyncio.subprocess.PIPE)
+            out, _ = await child.communicate()
+            assert (child.returncode, set(json.loads(out))) == (0, names)
--- /dev/null
+++ b/tests/gateway/cli/test_demo.py
@@ -0,0 +1,32 @@
+"""`system-demo`: it serves all that it asks for, and says what was not served."""
+
+import contextlib
+import functools
+import io
+
+import pytest
+from support.loopback_network import LoopbackNetwork
+
+from lapisgrade.gateway.cli import demo
+from lapisgrade.gateway.local_cluster import LocalCluster
+
+
+def test_unserved_requests_are_reported_with_reason_and_proxy() -> None:
+    load = demo.LoadResult()
+    load.add(0.25, "m2", TimeoutError())
+    load.add(0.5, "m1", TimeoutError())
+    assert load.failure_lines() == [
+        "  not served: 2 with TimeoutError (no whole answer), the first after 0.25 s at proxy m2"
+    ]
+
+
+async def test_the_demo_serves_every_request_in_five_runs(
+    loopback_network: LoopbackNetwork, monkeypatch: pytest.MonkeyPatch, silent_logging: None
+) -> None:
+    cluster = functools.partial(LocalCluster, net=loopback_network.number)
+    monkeypatch.setattr(demo, "LocalCluster", cluster)
+    for _ in range(5):
+        said: list[str] = []
+        with contextlib.redirect_stderr(io.StringIO()):
+            status = await demo.run_demo(1.0, said.append)
+        assert status == 0, "\n".join(said)
--- a/tests/test_lab.py
+++ b/tests/lab/emulator/test_emulator.py
@@ -6,7 +6,7 @@
 from click.testing import CliRunner
 
 from lapisgrade.cli.main import cli
-from lapisgrade.interface import Answer, Pause, Send, Verdict
+from lapisgrade.interface import Reject, RejectReason, Send, Sleep
 from lapisgrade.lab.baselines.common import Hop, Named, Plain
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.emulator.world import World
@@ -69,7 +69,7 @@
         ("discovery_stale", "all", 1.0, lambda r, w: not w.held_news),
     ],
 )
-def test_each_fault_is_felt_and_every_rule_holds(policy, kind, target, factor, seen):
+def test_each_fault_has_an_effect_and_every_rule_holds(policy, kind, target, factor, seen):
     world = World(scenario.parse(SMALL.format(policy=policy) + fault(kind, target, factor=factor), "t.toml"))
     result = world.run()
     # The module keeps every rule; a baseline knows no ceiling, and is held to the other four.
@@ -80,39 +80,42 @@
     assert sum(result.ends.values()) == result.operations
 
 
-def test_a_killed_server_drained_by_discovery_gets_nothing_past_the_grace_and_comes_back_cold():
+def test_a_killed_and_drained_server_gets_nothing_after_the_grace_and_returns_in_slow_start():
     text = SMALL.format(policy="module") + fault("server_kill", "0-2", for_s=1.0)
     text += fault("server_drain", "3", 2.5)
     world = World(scenario.parse(text, "t.toml"))
     result = world.run()
-    assert result.broken == 0 and world.servers["s0"].started_us > 1_000_000
+    assert result.broken == 0
+    assert world.servers["s0"].started_us > 1_000_000
     assert 0 < result.most_cold_share <= 1.0
 
 
 class Twice(Plain):
     """A careless policy: sends every operation to two servers at once, and answers the second time too."""
 
-    def operation(self, op):
+    def handle(self, op):
         for name in self.ready[:2]:
             yield Send(Hop(op, Named(name)))
-        yield Answer(Verdict.TURN_BACK, 0)
-        yield Answer(Verdict.TURN_BACK, 0)
+        yield Reject(RejectReason.RETRY_LATER, 0)
+        yield Reject(RejectReason.RETRY_LATER, 0)
 
 
 class Mute(Plain):
     """A careless policy: takes every operation, waits past its hard stop, and never answers."""
 
-    def operation(self, op):
-        yield Pause(op.ends_us + 1_000_000)
+    def handle(self, op):
+        yield Sleep(op.deadline_us + 1_000_000)
 
 
-def test_the_rules_catch_a_policy_that_breaks_them_and_name_the_operation_and_step():
+def test_the_checker_names_the_operation_and_step_of_a_violation():
     text = SMALL.format(policy="module")
     twice = play(text, lambda clock, index: Twice(clock, index))
     rules = {breach["rule"] for breach in twice.breaches}
-    assert {1, 2} <= rules and twice.broken > 0
+    assert {1, 2} <= rules
+    assert twice.broken > 0
     first = twice.breaches[0]
-    assert first["step"] > 0 and first["operation"].startswith("#")
+    assert first["step"] > 0
+    assert first["operation"].startswith("#")
     mute = play(text, lambda clock, index: Mute(clock, index))
     assert any("no final answer" in breach["what"] for breach in mute.breaches)
     assert mute.ends["lost"] > 0
@@ -121,11 +124,11 @@
 class Open(Plain):
     """A policy with no limit at all: it passes every ceiling."""
 
-    def operation(self, op):
+    def handle(self, op):
         yield from self.send(op)
 
 
-def test_the_rules_catch_a_ceiling_passed_by_all_limiters_together():
+def test_the_checker_detects_a_rate_limit_exceeded_by_all_limiters_together():
     text = SMALL.format(policy="module").replace("rate = 150", "rate = 600")
     result = play(text, lambda clock, index: Open(clock, index))
     assert any(breach["rule"] == 5 for breach in result.breaches)
@@ -142,10 +145,11 @@
         ("[run]\nrate = -5\n", "test.toml:2: run.rate: -5 is outside"),
     ],
 )
-def test_a_bad_scenario_gets_one_plain_line_naming_where(text, said):
+def test_an_invalid_scenario_is_one_line_with_its_place(text, said):
     with pytest.raises(scenario.ScenarioError) as caught:
         scenario.parse(text, "test.toml")
-    assert str(caught.value).startswith(said) and "\n" not in str(caught.value)
+    assert str(caught.value).startswith(said)
+    assert "\n" not in str(caught.value)
 
 
 def test_lab_run_and_report_on_the_command_line(tmp_path):
@@ -159,11 +163,13 @@
         cli,
         ["lab", "report", str(tmp_path / "r.json"), str(tmp_path / "r.json"), "--out", str(tmp_path / "rep")],
     )
-    assert shown.exit_code == 0 and (tmp_path / "rep.png").read_bytes()[:4] == b"\x89PNG"
+    assert shown.exit_code == 0
+    assert (tmp_path / "rep.png").read_bytes()[:4] == b"\x89PNG"
     assert "<table>" in (tmp_path / "rep.html").read_text()
     path.write_text("[run]\nlimiters = 'many'\n")
     bad = runner.invoke(cli, ["lab", "run", str(path)])
-    assert bad.exit_code == 2 and "s.toml:2: run.limiters: not a number" in bad.output
+    assert bad.exit_code == 2
+    assert "s.toml:2: run.limiters: not a number" in bad.output
     assert "Traceback" not in bad.output
     with pytest.raises(plots.BadRun):
         plots.load(str(path))
--- a/tests/fleet/test_checker.py
+++ b/tests/lab/fleet/test_checker.py
@@ -4,8 +4,8 @@
 
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.fleet import checker, report
-from lapisgrade.lab.fleet.limiter_settings import settings
 from lapisgrade.lab.fleet import history as h
+from lapisgrade.lab.fleet.limiter_settings import settings
 
 S = 1_000_000
 SETTINGS = settings(
@@ -18,12 +18,12 @@
 
 
 def begin(**more):
-    return h.Begin(at=S, name="t", seed=1, limiters=2, seconds=10, settings=SETTINGS, **more)
+    return h.RunStarted(at=S, name="t", seed=1, limiters=2, seconds=10, settings=SETTINGS, **more)
 
 
 def sent(op="a", at=2.0, category="read", units=1, limiter=0, origin=None, plan="basic", customer="c"):
     at = round(at * S)
-    return h.Sent(
+    return h.AttemptSent(
         at=at,
         op=op,
         origin=origin or op,
@@ -38,23 +38,23 @@
 
 
 def answered(op="a", at=2.1, how="finished"):
-    return h.Answered(at=round(at * S), op=op, how=how)
+    return h.AttemptAnswered(at=round(at * S), op=op, how=how)
 
 
 def came(op="a", at=2.05, server="s0", ran=True):
-    return h.Came(at=round(at * S), op=op, server=server, ran=ran)
+    return h.RequestReceived(at=round(at * S), op=op, server=server, ran=ran)
 
 
-def life(what, at, limiter=0):
-    return h.Life(at=round(at * S), limiter=limiter, what=what)
+def limiter_event(what, at, limiter=0):
+    return h.LimiterProcessChanged(at=round(at * S), limiter=limiter, what=what)
 
 
-def told(state, at, server="s0", limiter=0):
-    return h.Told(at=round(at * S), limiter=limiter, server=server, state=state)
+def notified(state, at, server="s0", limiter=0):
+    return h.ServerStateNotified(at=round(at * S), limiter=limiter, server=server, state=state)
 
 
 def found(*events, **more):
-    every = [begin(**more), *events, h.End(at=11 * S)]
+    every = [begin(**more), *events, h.RunEnded(at=11 * S)]
     return checker.check(sorted(every, key=lambda event: event.at))
 
 
@@ -62,7 +62,7 @@
     return [each.rule for each in found(*events, **more).breaches]
 
 
-def test_a_sound_history_breaks_nothing_and_counts_each_end_once():
+def test_a_correct_history_has_no_violation_and_counts_each_outcome_once():
     got = found(
         sent(),
         came(),
@@ -73,7 +73,8 @@
         came("c", 4.1),
         answered("c", 4.2, "given up"),
     )
-    assert got.ok and not got.breaches
+    assert got.ok
+    assert not got.breaches
     assert got.ends == {"finished": 1, "turned back": 1, "given up": 1, "broken": 0, "none": 0}
     assert got.share == {0: 3}
 
@@ -106,14 +107,31 @@
                 sent(category="ticket"),
                 came(),
                 answered(how="broken"),
-                life("killed", 2.01),
+                limiter_event("killed", 2.01),
                 sent("b", 9, "ticket", origin="a"),
                 came("b", 9.1),
                 answered("b", 9.2),
             ],
         ),
-        (3, [told("terminating", 2), sent(at=4), came(at=4.1, ran=False), answered(at=4.2, how="given up")]),
-        (3, [told("terminating", 2), told("terminated", 4), sent(at=4), came(at=4.1), answered(at=4.2)]),
+        (
+            3,
+            [
+                notified("terminating", 2),
+                sent(at=4),
+                came(at=4.1, ran=False),
+                answered(at=4.2, how="given up"),
+            ],
+        ),
+        (
+            3,
+            [
+                notified("terminating", 2),
+                notified("terminated", 4),
+                sent(at=4),
+                came(at=4.1),
+                answered(at=4.2),
+            ],
+        ),
         (
             5,
             [
@@ -128,27 +146,45 @@
         ),
     ],
 )
-def test_each_rule_is_seen_to_be_broken(rule, events):
+def test_each_violation_is_detected(rule, events):
     broken = rules(*events)
-    assert rule in broken and set(broken) <= {rule, 1, 2}
+    assert rule in broken
+    assert set(broken) <= {rule, 1, 2}
 
 
 @pytest.mark.parametrize(
     "events",
     [
-        [sent(), came(), life("killed", 2.02), answered(how="broken")],  # a limiter that died owes nothing
-        [sent(), came(), life("paused", 2.02), life("resumed", 4.9), answered(at=3.6, how="none")],
-        [life("paused", 1.5), sent(), life("resumed", 4.9), answered(at=3.6, how="none"), came(at=5)],
+        [
+            sent(),
+            came(),
+            limiter_event("killed", 2.02),
+            answered(how="broken"),
+        ],  # a limiter that died owes nothing
+        [
+            sent(),
+            came(),
+            limiter_event("paused", 2.02),
+            limiter_event("resumed", 4.9),
+            answered(at=3.6, how="none"),
+        ],
+        [
+            limiter_event("paused", 1.5),
+            sent(),
+            limiter_event("resumed", 4.9),
+            answered(at=3.6, how="none"),
+            came(at=5),
+        ],
         [sent(category="ticket"), came(), came(server="s1"), answered()],  # servers drop its repeat
         [sent(), came(), came(server="s1"), answered()],  # may run again
         [sent(category="flash"), came(ran=False), came(server="s1"), answered()],  # the first was turned away
         [sent(category="flash"), came(ran=False), answered(how="turned back")],
-        [told("terminating", 2), sent(at=2.2), came(at=2.24), answered(at=2.3)],  # within the grace
-        [told("terminating", 2), told("in_service", 3), sent(at=4), came(at=4.1), answered(at=4.2)],
+        [notified("terminating", 2), sent(at=2.2), came(at=2.24), answered(at=2.3)],  # within the grace
+        [notified("terminating", 2), notified("in_service", 3), sent(at=4), came(at=4.1), answered(at=4.2)],
         [
-            told("terminating", 2),
-            life("killed", 3),
-            life("up", 3.5),
+            notified("terminating", 2),
+            limiter_event("killed", 3),
+            limiter_event("up", 3.5),
             sent(at=4),
             came(at=4.1),
             answered(at=4.2),
@@ -164,18 +200,20 @@
         ],
     ],
 )
-def test_what_only_looks_like_it_is_not_held_against_anyone(events):
+def test_what_only_resembles_a_violation_is_none(events):
     assert rules(*events) == []
 
 
-def test_the_worst_window_of_any_customer_is_held_to_the_stated_bound():
+def test_the_worst_window_of_any_customer_is_checked_against_the_bound():
     events = [
         event for i in range(30) for event in (sent(f"{i}", 2), came(f"{i}", 2.01), answered(f"{i}", 2.1))
     ]
     got = found(*events)
-    assert got.over["c"] == pytest.approx(10) and got.ok
+    assert got.over["c"] == pytest.approx(10)
+    assert got.ok
     assert got.quotas["basic"]["over_worst"] == pytest.approx(10)
-    assert rules(*events, over_bound=10.5) == [] and rules(*events, over_bound=9.5) == [0]
+    assert rules(*events, over_bound=10.5) == []
+    assert rules(*events, over_bound=9.5) == [0]
 
 
 def steady(until=11.0, but=lambda at: True):
@@ -193,29 +231,30 @@
     return events
 
 
-def test_time_to_full_service_is_counted_from_the_faults_end():
-    fault = [h.Fault(at=at * S, what="k", target="all", on=at == 4) for at in (4, 5)]
+def test_recovery_time_is_measured_from_the_end_of_the_fault():
+    fault = [h.FaultChanged(at=at * S, what="k", target="all", on=at == 4) for at in (4, 5)]
     got = found(*steady(but=lambda at: not 4 < at < 6.5), *fault)
-    assert got.faults[0].began_s == 3 and got.faults[0].ended_s == 4
+    assert got.faults[0].began_s == 3
+    assert got.faults[0].ended_s == 4
     assert got.faults[0].full_service_s == pytest.approx(1.5, abs=0.15)
     assert found(*steady(until=4.0), *fault).faults[0].full_service_s is None
     assert found(*steady(), *fault).faults[0].full_service_s == 0
 
 
-def test_a_stampede_is_the_highest_bin_after_the_fault_over_the_mean_before():
-    calls = [h.Counted(at=round((1 + i / 10) * S), name="n", amount=1, total=1) for i in range(100)]
-    rush = [h.Counted(at=6 * S + 10 + i, name="n", amount=1, total=1) for i in range(19)]
-    got = found(*calls, *rush, h.Fault(at=5 * S, what="k", target="all", on=True))
+def test_a_stampede_is_the_peak_after_the_fault_over_the_mean_before():
+    calls = [h.CounterCalled(at=round((1 + i / 10) * S), name="n", amount=1, total=1) for i in range(100)]
+    rush = [h.CounterCalled(at=6 * S + 10 + i, name="n", amount=1, total=1) for i in range(19)]
+    got = found(*calls, *rush, h.FaultChanged(at=5 * S, what="k", target="all", on=True))
     assert got.stampede["counter"] == pytest.approx(20, rel=0.1)
 
 
-def test_staleness_is_how_long_after_a_server_left_a_hop_still_came():
+def test_staleness_is_how_long_a_departed_server_still_got_attempts():
     got = found(
-        h.Fact(at=2 * S, server="s0", state="terminating"),
+        h.ServerStateChanged(at=2 * S, server="s0", state="terminating"),
         sent(at=2.4),
         came(at=2.5),
         answered(at=2.6),
-        h.Fact(at=3 * S, server="s0", state="in_service"),
+        h.ServerStateChanged(at=3 * S, server="s0", state="in_service"),
         sent("b", 4),
         came("b", 4.1),
         answered("b", 4.2),
@@ -223,7 +262,7 @@
     assert got.staleness_s == pytest.approx(0.5)
 
 
-def test_a_history_is_read_back_in_order_and_a_bad_line_is_named(tmp_path):
+def test_a_history_is_read_in_order_and_a_malformed_line_is_named(tmp_path):
     one, two = tmp_path / "one.jsonl", tmp_path / "two.jsonl"
     with h.Writer(one) as writer:
         for event in (begin(), answered(), sent()):  # written a little out of order
@@ -231,21 +270,28 @@
     with h.Writer(two) as writer:
         writer.put(came())
     two.write_bytes(two.read_bytes() + b'{"kind":"came","at":1')  # its writer was killed
-    assert [type(each) for each in h.merged([one, two])] == [h.Begin, h.Sent, h.Came, h.Answered]
+    assert [type(each) for each in h.merged([one, two])] == [
+        h.RunStarted,
+        h.AttemptSent,
+        h.RequestReceived,
+        h.AttemptAnswered,
+    ]
     one.write_bytes(b'{"kind":"came","at":1,"op":"a","server":"s0","ran":true}\n{"kind":"went"}\n')
-    with pytest.raises(h.BadHistory, match=r"one.jsonl:2: "):
+    with pytest.raises(h.HistoryError, match=r"one.jsonl:2: "):
         list(h.read(one))
 
 
-def test_findings_are_kept_and_shown(tmp_path):
-    got = found(*steady(), sent("late", 5), h.Fault(at=4 * S, what="link_cut", target="0", on=True))
+def test_findings_are_stored_and_shown(tmp_path):
+    got = found(*steady(), sent("late", 5), h.FaultChanged(at=4 * S, what="link_cut", target="0", on=True))
     report.save(got, tmp_path / "findings.json")
     assert report.load(str(tmp_path / "findings.json")) == got
     text = "\n".join(report.lines(got))
-    assert "RULE 1 BROKEN" in text and "link_cut 0" in text
+    assert "RULE 1 BROKEN" in text
+    assert "link_cut 0" in text
     assert "| t | 2 | worst |" in report.table([got, got])
     page = report.page([got])
-    assert "data:image/png;base64," in page and "RULE 1 BROKEN" in page
+    assert "data:image/png;base64," in page
+    assert "RULE 1 BROKEN" in page
     (tmp_path / "findings.json").write_text("{")
-    with pytest.raises(report.BadFindings):
+    with pytest.raises(report.FindingsError):
         report.load(str(tmp_path / "findings.json"))
--- a/tests/counter_loss/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -8,11 +8,12 @@
 
 import pytest
 
-from lapisgrade.decide.account import KNOCK_EVERY, SLICE
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.emulator.world import World
-from lapisgrade.lab.fleet import checker, ground, history
+from lapisgrade.lab.fleet import checker, history, test_bed
 from lapisgrade.lab.quota import Bound
+from lapisgrade.policy.account import LOCAL_SHARE_FACTOR
+from lapisgrade.policy.counter_breaker import PROBE_INTERVAL_US
 
 BASE = """
 [run]
@@ -71,7 +72,7 @@
 
 
 def bound(rate: float, burst: float, limiters: int) -> Bound:
-    return Bound(rate, burst, limiters, UNITS, SLICE, KNOCK_EVERY / 1e6)
+    return Bound(rate, burst, limiters, UNITS, LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US / 1e6)
 
 
 def most(case: str, seconds: float, limiters: int, lasts: float) -> dict[str, float]:
@@ -104,20 +105,21 @@
 
 
 @pytest.mark.parametrize("case", list(PLAYS))
-def test_processes_keep_the_stated_bound_and_every_ceiling(case, tmp_path):
-    said = text(*PLAYS[case], seconds=5.5, limiters=4)
-    sc = scenario.parse(said, "loss.toml")
-    files = asyncio.run(ground.play(sc, said, "loss.toml", tmp_path))
+def test_processes_keep_the_bound_and_every_rate_limit(case, tmp_path):
+    scenario_text = text(*PLAYS[case], seconds=5.5, limiters=4)
+    parsed = scenario.parse(scenario_text, "loss.toml")
+    files = asyncio.run(test_bed.run(parsed, scenario_text, "loss.toml", tmp_path))
     got = checker.check(history.merged(files))
     assert got.ok, got.breaches[:5]
-    assert got.ends["finished"] > 200 and set(got.quotas) == {"basic", "pro"}
+    assert got.ends["finished"] > 200
+    assert set(got.quotas) == {"basic", "pro"}
     for plan, worst in most(case, 5.5, 4, LASTS[case]).items():
         assert got.quotas[plan]["over_worst"] <= worst, (plan, worst, got.quotas[plan])
 
 
 @pytest.mark.parametrize("case", ["lost", "half", "emptied", "split"])
 @pytest.mark.parametrize("limiters", [10, 100, 1000])
-def test_emulated_fleets_keep_it_at_size(case, limiters):
+def test_emulated_fleets_keep_the_bound_at_scale(case, limiters):
     faults = {
         "lost": fault(5, "counter_lost", 6),
         "half": fault(5, "counter_cut", 6, f"0-{limiters // 2 - 1}"),
@@ -125,8 +127,8 @@
         "split": fault(5, "counter_split", 6),
     }[case]
     spread = min(limiters, 20)
-    said = text(faults, seconds=14, limiters=limiters, spread=spread)
-    got = World(scenario.parse(said, "loss.toml")).run()
+    scenario_text = text(faults, seconds=14, limiters=limiters, spread=spread)
+    got = World(scenario.parse(scenario_text, "loss.toml")).run()
     assert not got.broken, got.breaches[:3]
     basic, pro = most(case, 14, spread, 6).values()
     assert got.quotas["over_worst"] <= max(basic, pro), got.quotas
--- a/tests/fleet/test_peers.py
+++ b/tests/lab/fleet/test_peers.py
@@ -9,10 +9,10 @@
 
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.emulator import scenario
-from lapisgrade.lab.fleet import checker, ground, history
+from lapisgrade.lab.fleet import checker, history, test_bed
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.members import site
-from lapisgrade.start import Malformed
+from lapisgrade.settings import MalformedInputError
 
 SCENE = """
 [run]
@@ -52,9 +52,9 @@
 @pytest.mark.parametrize(
     ("faults", "dead", "by"), [(KILLED, 3, (0, 1, 2)), (APART, 0, (1, 2, 3))], ids=["killed", "cut off"]
 )
-def test_limiters_know_who_died_and_who_is_back_and_keep_every_rule(faults, dead, by, tmp_path):
+def test_limiters_detect_failed_and_recovered_peers_and_keep_every_rule(faults, dead, by, tmp_path):
     said = SCENE + faults
-    files = asyncio.run(ground.play(scenario.parse(said, "peers.toml"), said, "peers.toml", tmp_path))
+    files = asyncio.run(test_bed.run(scenario.parse(said, "peers.toml"), said, "peers.toml", tmp_path))
     got = checker.check(history.merged(files))
     assert got.ok, got.breaches[:5]
     assert got.ends["finished"] > 200
@@ -62,19 +62,21 @@
         log = logs(tmp_path)[index]
         assert f"limiter lg-{dead} is dead" in log, log[-2000:]
         assert f"limiter lg-{dead} lives" in log.split(f"limiter lg-{dead} is dead")[-1]
-        assert "peer frames read" in log and "Traceback" not in log
+        assert "peer frames read" in log
+        assert "Traceback" not in log
 
 
-def test_the_program_without_an_operators_file_imports_none_of_it():
+def test_the_program_without_a_membership_file_imports_no_membership():
     code = (
-        "import sys, lapisgrade.__main__, lapisgrade.drill.host\n"
+        "import sys, lapisgrade.__main__, lapisgrade.bench_adapter.bench\n"
         "print([m for m in sys.modules if m.startswith(('lapisgrade.members', 'lapisgrade.peers', "
-        "'lapisgrade.lab', 'lapisgrade.standins', 'msgspec', 'click'))])"
+        "'lapisgrade.lab', 'lapisgrade.fakes', 'msgspec', 'click'))])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
     deploy = (ROOT / "deploy" / "balancer.toml").read_text()
-    assert "--site" not in deploy and "peers" not in deploy
+    assert "--site" not in deploy
+    assert "peers" not in deploy
 
 
 @pytest.mark.parametrize(
@@ -88,12 +90,13 @@
         ('[peers]\nlisten = "127.0.0.1:1"\nseeds = 3\n', "not a list"),
     ],
 )
-def test_an_operators_file_that_makes_no_sense_is_refused_in_one_line(text, what, tmp_path):
+def test_an_invalid_membership_file_is_rejected_in_one_line(text, what, tmp_path):
     path = tmp_path / "peers.toml"
     path.write_text(text)
-    with pytest.raises(Malformed, match=what):
-        site.read(str(path))
+    with pytest.raises(MalformedInputError, match=what):
+        site.read_settings(str(path))
     sample = str(ROOT / "deploy" / "sample.json")
     done = CliRunner().invoke(cli, ["serve", sample, "--site", str(path)])
-    assert done.exit_code == 2 and "Traceback" not in done.output
-    assert site.read(str(ROOT / "deploy" / "peers.toml")).listen == ("127.0.0.1", 7400)
+    assert done.exit_code == 2
+    assert "Traceback" not in done.output
+    assert site.read_settings(str(ROOT / "deploy" / "peers.toml")).listen == ("127.0.0.1", 7400)
--- /dev/null
+++ b/tests/lab/partitions/test_quota.py
@@ -0,0 +1,56 @@
+"""The bound on a quota with real processes that are cut off, frozen and killed."""
+
+import subprocess
+import sys
+
+import pytest
+from click.testing import CliRunner
+from support.loopback_network import LoopbackNetwork
+from support.quota_simulation import SLO
+
+from lapisgrade.cli.main import cli
+from lapisgrade.lab.fleet.process import ROOT
+from lapisgrade.lab.partitions import quota as partitioned
+
+# The command line, with the plays' machines on the network that its first argument names.
+CLI_ON_NETWORK = """
+import sys
+from unittest import mock
+from lapisgrade.cli.main import main
+from lapisgrade.lab.partitions import quota
+with mock.patch.multiple(quota, NET=int(sys.argv.pop(1)), NETS=1):
+    main()
+"""
+
+
+@pytest.mark.parametrize(("seed", "case"), [(0, "owner-cut"), (1, "cut-and-killed"), (2, "owner-frozen")])
+def test_the_bound_holds_over_cuts_and_kills_of_processes(
+    seed: int, case: str, loopback_network: LoopbackNetwork
+) -> None:
+    """An owner behind a cut grants until its lease has run out, while all others start anew."""
+    command = [
+        sys.executable,
+        "-c",
+        CLI_ON_NETWORK,
+        str(loopback_network.number),
+        "lab",
+        "partitions",
+        "quota",
+    ]
+    options = ["--plays", "1", "--first", str(seed), "--cases", case]
+    done = subprocess.run([*command, *options], cwd=ROOT, stdout=subprocess.PIPE, text=True)
+    assert done.returncode == 0, done.stdout
+    row = [each.strip() for each in done.stdout.splitlines()[-1].split("|")]
+    assert float(row[4]) <= 1.0
+    assert float(row[5]) > 0.5, "the load was not carried"
+
+
+def test_the_worst_window_is_found():
+    assert partitioned.most([0.0, 1.0, 5.0, 5.1, 9.0], 5.0) == 3
+    assert (partitioned.most([], 5.0), round(partitioned.allowed(SLO, 60, 60))) == (0, 416)
+
+
+def test_the_command_names_its_cases():
+    done = CliRunner().invoke(cli, ["lab", "partitions", "quota", "--cases", "nobody"])
+    assert done.exit_code == 2
+    assert "no such case: nobody; known: none, owner-cut" in done.output
--- /dev/null
+++ b/tests/lab/simulation/test_data_plane.py
@@ -0,0 +1,48 @@
+"""Proxies beside controllers, their real shells in simulated time, and wrong versions that must be found."""
+
+import pytest
+
+from lapisgrade.lab.explore import data_plane as explored
+from lapisgrade.lab.explore.defects import injected
+from lapisgrade.lab.simulation.data_plane import simulate
+from lapisgrade.lab.simulation.defects import data_plane as data_plane_defects
+
+SEEDS = 10
+
+pytestmark = pytest.mark.usefixtures("silent_logging")
+
+
+def test_versions_counts_quotas_and_departures_survive_faults(
+    subtests: pytest.Subtests,
+) -> None:
+    sent = grants = 0
+    for seed in range(SEEDS):
+        with subtests.test(seed=seed):
+            simulation = simulate(seed)
+            assert simulation.violations == [], "\n".join(simulation.transcript())
+            sent, grants = sent + len(simulation.sent_us), grants + simulation.counter_adds
+    assert sent > 200 * SEEDS
+    assert grants > 500 * SEEDS
+
+
+def test_a_seed_replays_exactly() -> None:
+    first, second = simulate(3), simulate(3)
+    assert (first.cluster.transcript_lines, first.sent_us) == (
+        second.cluster.transcript_lines,
+        second.sent_us,
+    )
+
+
+@pytest.mark.parametrize("name", explored.DEFECTS)
+def test_each_wrong_version_is_found(name: str) -> None:
+    begin, many = data_plane_defects.FIRST_SEED_AND_COUNT.get(name, (0, 12))
+    with injected(explored.DEFECTS, name):
+        found = next((seed for seed in range(begin, begin + many) if simulate(seed).violations), None)
+        assert found is not None, f"{name} survived {many} seeds from {begin} on"
+
+
+def test_the_exploration_reports_what_led_to_a_violation() -> None:
+    lines: list[str] = []
+    _, seed = explored.explore(range(2), "old-fence", lines.append)
+    assert seed >= 0
+    assert "WRONG" in lines[-1]
--- /dev/null
+++ b/tests/net/test_client_listener.py
@@ -0,0 +1,237 @@
+"""Clients' connections: what passes on, what is refused, who makes room."""
+
+import asyncio
+import contextlib
+import socket
+
+import pytest
+from support.event_loop import on_limiter_loop, wait_until
+from support.fake_peers import Behavior, read_message
+from support.limiter_site import LimiterSite
+
+from lapisgrade.net import client_listener
+from lapisgrade.net.close_reason import CloseReason
+
+
+@on_limiter_loop
+async def test_requests_and_responses_are_forwarded_unchanged():
+    async with LimiterSite(servers=1) as site:
+        on = await site.connect()
+        body = bytes(range(256)) * 200
+        for number, behavior in enumerate(
+            [Behavior.NORMAL, Behavior.CHUNKED, Behavior.EARLY_HINTS, Behavior.UNTIL_CLOSE, Behavior.NORMAL]
+        ):
+            site.servers[0].behavior = behavior
+            status, _, answer = await site.request("file", str(number), body, on=on, path="/api/a?b=c%20d")
+            assert (status, answer) == (200, b"for " + body), behavior
+            first, headers, came, *_ = site.servers[0].received[-1]
+            assert first == "POST /api/a?b=c%20d HTTP/1.1"
+            assert came == body
+            assert headers["x-request-id"] == str(number)
+            assert headers["idempotency-key"] == f"k{number}"
+            assert 0.5 < float(headers["x-timeout"]) <= 0.8
+        assert len(site.servers[0].writers) == 2  # UNTIL_CLOSE closed one; the others were used again
+
+
+@on_limiter_loop
+async def test_a_request_may_arrive_in_fragments_and_chunked():
+    async with LimiterSite() as site:
+        reader, writer = await site.connect()
+        for byte in site.encode_request("burn", "7", b"abc"):
+            writer.write(bytes([byte]))
+            await asyncio.sleep(0)
+        assert (await read_message(reader))[2] == b"for abc"
+        how = {"Content_Length": None, "Transfer_Encoding": "chunked", "Expect": "100-continue"}
+        writer.write(site.encode_request("burn", "8", **how))
+        assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
+        writer.write(b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
+        assert (await read_message(reader))[2] == b"for abc"
+
+
+@on_limiter_loop
+async def test_a_pipelined_request_waits_for_the_one_before_it():
+    async with LimiterSite() as site:
+        reader, writer = await site.connect()
+        writer.write(site.encode_request("burn", "1", b"one") + site.encode_request("burn", "2", b"two"))
+        assert [(await read_message(reader))[2] for _ in range(2)] == [b"for one", b"for two"]
+
+
+@on_limiter_loop
+async def test_bad_requests_get_400_and_no_traceback(capfd):
+    async with LimiterSite() as site:
+        for bad in [
+            {"X_Plan": "other"},
+            {"X_Plan": None},
+            {"X_Customer": "zz"},
+            {"X_Timeout": "soon"},
+            {"X_Timeout": "-1"},
+            {"X_Timeout": "1e400"},
+            {"X_Quota": "units=0"},
+            {"X_Quota": "units=x"},
+            {"X_Quota": "spread=1e9"},
+            {"X_Quota": "units=7,spread=1,first=0"},
+            {"X_Timeout": "1e300"},
+            {"X_Quota": "units=1,spread=2,first=0"},
+            {"X_Quota": "units=1,spread=1,first=1"},
+            {"X_Quota": "units=1,spread=0,first=0"},
+            {"X_Customer": "00000002b4d65521"},
+            {"kind": "look", "body": b"x"},
+            {"X_Quota": "units=nan,spread=1,first=0"},
+            {"X_Request_ID": "a b"},
+            {"X_Priority_Class": "look"},
+            {"X_Priority_Class": "none"},
+            {"X_Request_ID": None},
+            {"X_Customer": "\xff" * 8},
+            {"Content_Length": "many"},
+            {"Host": None},
+            {"bad header": "1"},
+            {"kind": "file", "Idempotency_Key": None},
+        ]:
+            status, headers, _ = await site.request(**{"kind": "burn", **bad})
+            assert status == 400, bad
+            assert headers["connection"] == "close", bad
+        assert (await site.request("burn", body=bytes(70_000)))[0] == 413
+        assert (await site.request(timeout="900000.0"))[0] == 200  # no longer than the hard stop
+        hidden = site.encode_request("burn", "hidden", b"x")
+        for bad in [
+            {"Transfer_Encoding": "chunked", "Content_Length": str(len(hidden) + 5)},
+            {"Content_Length": "60000000"},
+            {"Content_Length": "-5"},
+        ]:
+            reader, writer = await site.connect()
+            writer.write(site.encode_request("burn", "outer", **bad) + b"0\r\n\r\n" + hidden)
+            assert (await reader.readuntil(b"\r\n"))[9:12] in (b"400", b"413"), bad
+            await reader.read()
+        assert not site.attempts("outer")
+        assert not site.attempts("hidden")
+        reader, writer = await site.connect()
+        writer.write(b"\x16\x03\x01\x02\r\n\r\n")
+        assert (await read_message(reader))[0].startswith("HTTP/1.1 400")
+        assert len(site.attempts("1")) == 1
+        assert not site.service.metrics.handler_failures
+    assert "Traceback" not in capfd.readouterr().err
+
+
+@on_limiter_loop
+async def test_rejections_carry_retry_after():
+    async with LimiterSite() as site:
+        answers = [await site.request(number=str(i), X_Plan="none") for i in range(3)]
+        status, headers, _ = answers[-1]
+        assert status == 429
+        assert 0 < float(headers["retry-after"]) <= 0.5
+        assert not site.attempts("2")
+
+
+@on_limiter_loop
+async def test_a_disconnected_client_cancels_its_attempts():
+    async with LimiterSite(servers=1) as site:
+        site.servers[0].behavior = Behavior.SILENT
+        _, writer = await site.connect()
+        writer.write(site.encode_request("burn", "5"))
+        await wait_until(lambda: site.attempts("5"))
+        writer.close()
+        await wait_until(lambda: site.service.metrics.requests_abandoned == 1)
+        await wait_until(lambda: site.service.metrics.attempts_finished[CloseReason.CANCELLED] == 1)
+        assert not site.service.host.unanswered
+
+
+@on_limiter_loop
+async def test_idle_client_connections_are_evicted_and_busy_ones_kept():
+    async with LimiterSite(sockets=16) as site:
+        kept = [await site.connect() for _ in range(8)]
+        await site.request(path="/up", on=kept[0])  # the one used last is the last to go
+        await asyncio.sleep(client_listener.GRACE_S)
+        more = [await site.connect() for _ in range(4)]
+        assert [await reader.read(1) for reader, _ in kept[1:5]] == [b""] * 4
+        left = [kept[0], *kept[5:], *more]
+        for each in site.servers:
+            each.behavior = 0.3
+        site.service.host.policy.server_pool.concurrency.value = 99.0
+        site.service.host.pool.max_connections = 8
+        for i, (_, writer) in enumerate(left):
+            writer.write(site.encode_request("burn", f"{i}"))
+        await wait_until(lambda: len(site.service.host.unanswered) == 8)
+        assert (await site.request("burn", "over"))[0] == 503
+        assert not site.attempts("over")
+        for reader, _ in left:
+            assert (await read_message(reader))[0].startswith("HTTP/1.1 200")
+
+
+@on_limiter_loop
+async def test_connections_without_a_request_time_out_and_others_stay():
+    async with LimiterSite() as site:
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(client_listener.ClientListener, "request_timeout_s", 0.4)
+            patch.setattr(client_listener.ClientListener, "idle_timeout_s", 1.0)
+            silent, half, slow, asked = [await site.connect() for _ in range(4)]
+            half[1].write(site.encode_request()[:40])
+            for each in site.servers:
+                each.behavior = 0.5
+            busy = asyncio.create_task(site.request("burn", "1", on=slow))
+            assert (await site.request(path="/up", on=asked))[0] == 200
+            assert await silent[0].read() == b""
+            assert (await read_message(half[0]))[0].startswith("HTTP/1.1 408")
+            assert (await busy)[0] == 200  # longer than either, but something is owed
+            assert (await site.request(path="/up", on=asked))[0] == 200
+            assert await asked[0].read() == b""
+            assert not site.service.listener.clients
+
+
+@on_limiter_loop
+async def test_idle_connections_leave_capacity_for_active_ones():
+    """Found in an incident: clients that asked once and stayed held all that clients may hold."""
+    async with LimiterSite(sockets=64) as site:  # 32 for clients, a quarter of them at rest
+        kept = [await site.connect() for _ in range(24)]
+        for on in kept:
+            assert (await site.request(path="/up", on=on))[0] == 200
+        await asyncio.sleep(client_listener.GRACE_S + 2 * client_listener.CHECK_INTERVAL_S + 0.1)
+        assert len(site.service.listener.idle) == 8
+        assert [await reader.read(1) for reader, _ in kept[:16]] == [b""] * 16
+        assert [(await site.request(path="/up", on=on))[0] for on in kept[16:]] == [200] * 8
+
+
+@on_limiter_loop
+async def test_a_request_id_in_flight_is_not_sent_twice():
+    async with LimiterSite() as site:
+        for each in site.servers:
+            each.behavior = 0.2
+        first = asyncio.create_task(site.request("burn", "same"))
+        await wait_until(lambda: site.attempts("same"))
+        assert (await site.request("burn", "same"))[0] == 409
+        assert (await first)[0] == 200
+        assert len(site.attempts("same")) == 1
+        assert (await site.request("burn", "same"))[0] == 200
+
+
+@on_limiter_loop
+async def test_a_bad_request_is_not_retried_and_does_not_count_against_the_server():
+    async with LimiterSite() as site:
+        for each in site.servers:
+            each.behavior = Behavior.BAD_REQUEST
+        assert [(await site.request(kind, kind))[0] for kind in ("look", "file", "burn")] == [400] * 3
+        assert [len(site.attempts(kind)) for kind in ("look", "file", "burn")] == [1] * 3
+        fleet = site.service.host.policy.server_pool
+        assert not fleet.concurrency.in_flight
+        assert all(each.health(0, 1.0) == 1.0 for each in fleet.servers.values())
+
+
+@on_limiter_loop
+async def test_hundreds_of_pipelined_requests_and_a_client_that_does_not_read():
+    async with LimiterSite() as site:
+        reader, writer = await site.connect()
+        writer.write(site.encode_request(path="/up") * 400)
+        for _ in range(400):
+            assert (await read_message(reader))[0].startswith("HTTP/1.1 200")
+        closed = site.service.metrics.client_connections_closed
+        with socket.socket() as deaf:
+            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            deaf.connect(("127.0.0.1", site.port))
+            deaf.setblocking(False)
+            with contextlib.suppress(ConnectionError):
+                for i in range(200):
+                    asked = site.encode_request("burn", f"{i}", bytes(60_000))
+                    await asyncio.get_running_loop().sock_sendall(deaf, asked)
+                    await wait_until(lambda i=i: site.attempts(f"{i}") or closed[CloseReason.TIMED_OUT])
+                    await wait_until(lambda: not site.service.host.unanswered)
+        assert closed[CloseReason.TIMED_OUT] == 1
+        assert not site.attempts("199")
--- /dev/null
+++ b/tests/net/test_connection_pool.py
@@ -0,0 +1,241 @@
+"""Connections to servers: how each attempt ends, and which connections are reused."""
+
+import asyncio
+from types import SimpleNamespace
+
+import pytest
+from support.event_loop import on_limiter_loop, wait_until
+from support.fake_peers import Behavior, FakeServer
+from support.limiter_site import LimiterSite
+
+from lapisgrade.interface import AddToCounter, AttemptOutcome, ConnectionSettings
+from lapisgrade.net.clock import wall_clock
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.net.connection_pool import ConnectionPool
+from lapisgrade.net.counter_client import CounterClient
+from lapisgrade.net.events import AttemptClosed, ClientRequest
+from lapisgrade.net.metrics import NetMetrics
+from lapisgrade.net.server_protocol import parse_load_report
+
+SECOND = 1_000_000
+
+
+class FakeAttempt:
+    """An attempt as the pool needs it."""
+
+    def __init__(self, now, body=b"x", server="s", lasts=0.5):
+        request = ClientRequest(object(), b"POST", b"/api", b"h", b"1", None, [body])
+        self.operation = SimpleNamespace(handle=request, deadline_us=now() + int(lasts * SECOND))
+        self.server, self.sent_us = SimpleNamespace(address=server), now()
+
+
+def new_pool(port, dial=1.0, idle=30.0):
+    finished, now = asyncio.Queue(), wall_clock()
+    settings = ConnectionSettings(int(dial * SECOND), int(idle * SECOND))
+    pool = ConnectionPool(finished.put_nowait, now, lambda text: None, NetMetrics(), settings, 4)
+    pool.update_addresses({"s": ("127.0.0.1", port)})
+    return pool, finished, now
+
+
+@on_limiter_loop
+async def test_each_close_reason_of_an_attempt_is_reported():
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port)
+    for behavior, reason, outcome in [
+        (Behavior.NORMAL, CloseReason.ANSWERED, AttemptOutcome.OK),
+        (Behavior.ERROR, CloseReason.ERROR_RESPONSE, AttemptOutcome.ERROR),
+        (Behavior.OVERLOADED, CloseReason.REJECTED, AttemptOutcome.OVERLOADED),
+        (Behavior.BAD_REQUEST, CloseReason.CLIENT_ERROR, AttemptOutcome.INVALID_REQUEST),
+        (Behavior.UNAVAILABLE, CloseReason.ERROR_RESPONSE, AttemptOutcome.ERROR),
+        (Behavior.MALFORMED, CloseReason.MALFORMED, AttemptOutcome.ERROR),
+        (Behavior.TRUNCATED, CloseReason.CONNECTION_LOST, AttemptOutcome.CONNECTION_LOST),
+        (Behavior.CLOSE, CloseReason.CONNECTION_LOST, AttemptOutcome.CONNECTION_LOST),
+        (Behavior.SILENT, CloseReason.TIMED_OUT, AttemptOutcome.TIMED_OUT),
+    ]:
+        server.behavior = behavior
+        pool.send(FakeAttempt(now))
+        event: AttemptClosed = await finished.get()
+        assert (event.reason, event.reason.outcome) == (reason, outcome), behavior
+        assert not outcome.never_ran or behavior == Behavior.OVERLOADED
+    server.behavior = Behavior.LOAD_REPORT
+    pool.send(FakeAttempt(now))
+    assert parse_load_report((await finished.get()).message) == {"inflight": 7.0, "util": 0.5}
+    server.behavior = Behavior.SILENT
+    attempt = FakeAttempt(now)
+    pool.send(attempt)
+    await asyncio.sleep(0.05)
+    pool.cancel(attempt)
+    assert (await finished.get()).reason is CloseReason.CANCELLED
+    server.close()
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason.outcome is AttemptOutcome.CONNECT_FAILED
+    pool.send(FakeAttempt(now, server="unknown"))
+    assert (await finished.get()).reason.outcome is AttemptOutcome.NOT_SENT
+
+
+@on_limiter_loop
+async def test_a_connection_that_is_never_established_has_run_nothing():
+    async def nobody():
+        await asyncio.sleep(30)
+
+    pool, finished, now = new_pool(1, dial=0.1)
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr("lapisgrade.net.upstream_connection.connect", lambda *_: nobody())
+        pool.send(FakeAttempt(now))
+        assert (await finished.get()).reason is CloseReason.CONNECT_TIMEOUT
+        attempt = FakeAttempt(now)
+        pool.send(attempt)
+        pool.cancel(attempt)
+        assert (await finished.get()).reason is CloseReason.NOT_SENT
+
+
+@on_limiter_loop
+async def test_nothing_is_sent_for_answered_operations_or_to_departing_servers():
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port)
+    over, leaving = FakeAttempt(now), FakeAttempt(now)
+    pool.send(over)
+    over.operation.handle.client = None
+    assert (await finished.get()).reason is CloseReason.NOT_SENT
+    pool.send(leaving)
+    pool.update_addresses({"s": None})
+    assert (await finished.get()).reason is CloseReason.NOT_SENT
+    assert not server.received
+    server.close()
+
+
+@on_limiter_loop
+async def test_idle_connections_are_closed_before_the_server_closes_them():
+    """What is written to a connection that the server has closed may have run, for all that we know."""
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port, idle=1.6)
+    for wait, connections in [(0.0, 1), (0.0, 1), (0.65, 2)]:
+        await asyncio.sleep(wait)
+        pool.send(FakeAttempt(now))
+        assert (await finished.get()).reason is CloseReason.ANSWERED
+        assert pool.metrics.upstream_connections_opened == connections
+    await wait_until(server.writers[0].is_closing)  # by us, with nothing more to send
+    server.abort_connections()
+    await asyncio.sleep(0)  # it is closed, and its end is not yet read
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    assert pool.metrics.upstream_connections_opened == 3
+    server.close()
+
+
+@on_limiter_loop
+async def test_a_second_response_on_a_connection_belongs_to_no_request():
+    """It lies read by asyncio, but not by us, when the connection is wanted for the next attempt."""
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port)
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    server.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfor ")
+    connection = pool._idle["s"][0]
+    for _ in range(1000):
+        if connection.has_unread_data() or not pool._idle["s"]:
+            break
+        await asyncio.sleep(0)
+    pool.send(FakeAttempt(now, body=b"two"))
+    event = await finished.get()
+    assert event.reason is CloseReason.ANSWERED
+    assert b"".join(event.message.body) == b"for two"
+    assert pool.metrics.upstream_connections_opened == 2
+    server.close()
+
+
+@on_limiter_loop
+async def test_a_reassigned_address_belongs_to_the_new_server_alone():
+    server = await FakeServer().open()
+    pool, finished, now = new_pool(server.port)
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    pool.update_addresses({"new": ("127.0.0.1", server.port)})  # before the old one is told to be gone
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.NOT_SENT
+    pool.send(FakeAttempt(now, server="new"))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    assert pool.metrics.upstream_connections_opened == 2
+    assert list(pool.addresses) == list(pool.last_received_us) == list(pool._idle) == ["new"]
+    server.close()
+
+
+@on_limiter_loop
+async def test_an_unresponsive_server_must_accept_a_new_connection_first():
+    server = await FakeServer(0.1).open()
+    pool, finished, now = new_pool(server.port, dial=0.15)
+    for _ in range(2):
+        pool.send(FakeAttempt(now))
+    assert {(await finished.get()).reason for _ in range(2)} == {CloseReason.ANSWERED}
+    server.behavior = Behavior.SILENT
+    pool.send(FakeAttempt(now, lasts=0.2))
+    assert (await finished.get()).reason is CloseReason.TIMED_OUT
+    server.behavior = Behavior.NORMAL
+    pool.send(FakeAttempt(now))
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    assert pool.metrics.upstream_connections_opened == 3
+    server.close()
+
+
+@on_limiter_loop
+async def test_a_response_received_while_the_process_was_suspended_is_not_timed_out():
+    async with LimiterSite() as site:
+        got, finished = asyncio.Queue(), asyncio.Queue()
+        address = ("127.0.0.1", site.counter.port)
+        calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 100_000, 100_000)
+        pool, finished, now = new_pool(site.servers[0].port)
+        for _ in range(2):  # the first ones open the connections
+            calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
+            pool.send(FakeAttempt(now, lasts=0.2))
+            assert (await got.get()).reason is CloseReason.ANSWERED
+            assert (await finished.get()).reason is CloseReason.ANSWERED
+        site.counter.block_once_s = site.servers[0].block_once_s = (
+            0.4  # each answers, and we do not look for so long
+        )
+        calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
+        assert (await got.get()).reason is CloseReason.ANSWERED
+        pool.send(FakeAttempt(now, lasts=0.2))
+        assert (await finished.get()).reason is CloseReason.ANSWERED
+
+
+@on_limiter_loop
+async def test_a_partially_written_request_has_not_run():
+    """A server that stops reading and dies: the last byte never left this machine."""
+
+    async def deaf(reader, writer):
+        reader._transport.pause_reading()
+        await asyncio.sleep(0.2)
+        writer.transport.abort()
+
+    server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
+    pool, finished, now = new_pool(server.sockets[0].getsockname()[1])
+    pool.send(FakeAttempt(now, body=bytes(30_000_000)))
+    event = await finished.get()
+    assert event.reason is CloseReason.INCOMPLETE_WRITE
+    assert event.reason.outcome.never_ran
+    server.close()
+
+
+@on_limiter_loop
+async def test_the_pool_keeps_to_its_connection_limit():
+    peers = [await FakeServer(0.1).open() for _ in range(5)]
+    pool, finished, now = new_pool(1)
+    pool.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(peers)})
+    for i in range(5):
+        pool.send(FakeAttempt(now, server=f"s{i}"))
+    reasons = [(await finished.get()).reason for _ in range(5)]
+    assert reasons.count(CloseReason.NOT_SENT) == 1
+    assert reasons.count(CloseReason.ANSWERED) == 4
+    pool.send(FakeAttempt(now, server="s4"))  # the one idle for longest makes room
+    assert (await finished.get()).reason is CloseReason.ANSWERED
+    for each in peers:
+        each.close()
+
+
+@on_limiter_loop
+async def test_an_operation_that_may_have_run_is_not_retried():
+    async with LimiterSite() as site:
+        for each in site.servers:
+            each.behavior = Behavior.CLOSE
+        assert (await site.request("burn", "9"))[0] == 502
+        assert len(site.attempts("9")) == 1
--- /dev/null
+++ b/tests/net/test_service.py
@@ -0,0 +1,145 @@
+"""The end of a limiter, and a new configuration under open work."""
+
+import asyncio
+import contextlib
+import json
+import os
+import signal
+import subprocess
+import sys
+from random import Random
+from types import SimpleNamespace
+
+import pytest
+from support.event_loop import on_limiter_loop, wait_until
+from support.fake_peers import FakeCounter, FakeDiscovery, read_message
+from support.limiter_site import LimiterSite
+
+from lapisgrade.net.close_reason import CloseReason
+from lapisgrade.settings import MalformedInputError
+
+
+@on_limiter_loop
+async def test_open_operations_are_answered_at_shutdown():
+    async with LimiterSite() as site:
+        for each in site.servers:
+            each.behavior = 0.6
+        idle, busy = await site.connect(), await site.connect()
+        asked = asyncio.create_task(site.request("burn", "1", on=busy))
+        await asyncio.sleep(0.05)
+        site.service.shut_down()
+        await asyncio.sleep(0.1)
+        late = asyncio.create_task(site.request("burn", "2"))  # still comes, on a new connection
+        silent = await site.connect()  # and asks nothing: it is not waited for
+
+        async def insist():  # one that never stops to ask whether it is up, on a new connection each time
+            seen = set()
+            with contextlib.suppress(OSError, asyncio.IncompleteReadError):
+                while True:
+                    reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
+                    writer.write(site.encode_request(path="/up"))
+                    seen.add((await read_message(reader))[0].split(" ")[1])
+            return seen
+
+        insisting = asyncio.create_task(insist())
+        assert (await site.request("look", "3", on=idle, timeout="0.1"))[0] == 502  # or on one that was kept
+        assert (await asked)[0] == 200
+        assert (await late)[0] == 200
+        assert (await late)[1]["connection"] == "close"
+        assert await idle[0].read() == b""
+        await asyncio.wait_for(site.running, 1)
+        assert await insisting == {"503"}
+        assert await silent[0].read() == b""
+        closed = site.service.metrics.client_connections_closed
+        # The others by their answers, or as idle.
+        assert closed[CloseReason.ANSWERED] >= 2
+        assert closed[CloseReason.IDLE] >= 2
+
+
+def test_the_process_reports_errors_and_prints_its_counters(tmp_path):
+    configuration_file = tmp_path / "config.json"
+
+    def run():
+        return subprocess.Popen(
+            [sys.executable, "-m", "lapisgrade"],
+            stderr=subprocess.PIPE,
+            text=True,
+            env={**os.environ, "ROUTER_CONFIG": str(configuration_file)},
+        )
+
+    for text, expected in [("{", "the configuration: "), ('{"name": 3}', "name is"), ("[]", "not an object")]:
+        configuration_file.write_text(text)
+        process = run()
+        _, errors = process.communicate(timeout=20)
+        assert process.returncode == 2
+        assert expected in errors
+        assert errors.count("\n") == 1
+    site = LimiterSite()
+    site.discovery = SimpleNamespace(
+        port=1, endpoint_list=lambda: {"generation": 1, "reset": True, "instances": []}
+    )
+    site.counter.port = 1
+    site.port = Random(os.getpid()).randrange(20_000, 30_000)
+    configuration_file.write_text(json.dumps(site.configuration()))
+    process = run()
+
+    async def ask():
+        return (await site.request(path="/up"))[0], (await site.request())[0]
+
+    assert asyncio.run(asyncio.wait_for(ask(), 10)) == (200, 429)  # no server is known
+    for text in [
+        "{",
+        json.dumps({**site.configuration(), "counter": "nowhere"}),
+        json.dumps(site.configuration()),
+    ]:
+        configuration_file.write_text(text)
+        process.send_signal(signal.SIGHUP)
+        assert asyncio.run(asyncio.wait_for(ask(), 10)) == (200, 429)
+    process.send_signal(signal.SIGTERM)
+    _, errors = process.communicate(timeout=5)
+    assert process.returncode == 0
+    assert "requests 4" in errors
+    assert "responses_429 4" in errors
+    assert errors.count("goes on as before: ") == 2
+    assert "reloads 1" in errors
+    assert "told to end by SIGTERM" in errors
+
+
+@on_limiter_loop
+async def test_a_reload_moves_discovery_and_counter_under_open_operations():
+    # also a busy machine answers the open call in time
+    async with LimiterSite(counter_timeout_ms=5000.0) as site:
+        pool, rows = site.service.host.pool, site.discovery.rows
+        discovery, counter = await FakeDiscovery(rows).open(), await FakeCounter().open()
+        with pytest.raises(MalformedInputError):
+            site.service.reload({**site.configuration(), "counter": 7})
+        site.service.reload({**site.configuration(), "discovery": "127.0.0.1:1"})  # nobody listens there yet
+        site.discovery.change(s0="terminating")
+        await wait_until(lambda: list(pool.addresses) == ["s1"])  # so the one before is still followed
+        site.counter.behavior = site.servers[1].behavior = 0.02
+        early = [asyncio.create_task(site.request("burn", f"early-{i}")) for i in range(4)]
+        await wait_until(lambda: site.counter.received)
+        site.service.reload(
+            {
+                **site.configuration(),
+                "discovery": f"127.0.0.1:{discovery.port}",
+                "counter": f"127.0.0.1:{counter.port}",
+            }
+        )
+        for each in (site.discovery, site.counter):
+            each.server.close()  # takes no new connections; open ones stay
+        assert [(await each)[0] for each in early] == [200] * 4
+        assert site.service.metrics.counter_calls_finished[CloseReason.ANSWERED] >= 1
+        await wait_until(lambda: discovery.calls)
+        assert discovery.calls[0][0] == "/discovery/hosts"
+        discovery.change(s0="in_service", s1="terminated")
+        await wait_until(lambda: list(pool.addresses) == ["s0"])
+        before = len(site.counter.received)
+        site.discovery.abort_connections()
+        site.counter.abort_connections()
+        assert (await site.request("burn", "after", X_Customer="0" * 16))[0] == 200
+        assert len(site.counter.received) == before
+        assert counter.received
+        assert len(site.attempts("after")) == 1
+        discovery.close()
+        counter.close()
