--- a/lapisgrade/lab/partitions/control.py
+++ b/lapisgrade/lab/partitions/control.py
@@ -150,9 +150,9 @@
                 if each.marks[ver] not in names
             ]
         events = [event for each in operators for event in each.events]
-        found.acknowledged = sum(bool(each.taken) for each in events)
+        found.acknowledged = sum(bool(each.is_accepted) for each in events)
         found.refused = sum(each.refused for each in operators)
-        found.unclear = sum(each.kind == "change" and each.taken is None for each in events)
+        found.unclear = sum(each.kind == "change" and each.is_accepted is None for each in events)
         found.reads = sum(each.kind == "read" for each in events)
         found.longest_wait = max(each.longest for each in operators if not each.only)
         if (at := first_violation(events, 1)) is not None:
@@ -187,9 +187,9 @@
     alone = Operator(fleet, "alone", leader)
     play.begin(alone)
     await asyncio.sleep(2.0)
-    before = len([each for each in alone.events if each.taken])
+    before = len([each for each in alone.events if each.is_accepted])
     await asyncio.sleep(max(0.0, seconds - 2.0))
-    confirmed = len([each for each in alone.events if each.taken]) - before
+    confirmed = len([each for each in alone.events if each.is_accepted]) - before
     if confirmed and not one_way:
         play.found.wrong.append(f"a leader that was cut off confirmed {confirmed} orders")
     fleet.cut()
