--- a/lapisgrade/bench_adapter/instance.py
+++ b/lapisgrade/bench_adapter/instance.py
@@ -181,7 +181,7 @@
         operation = self._pending_operations.pop(fields.integer("Ticket"), None)
         if operation is not None:
             operation.is_abandoned = True
-            self.engine.wake(operation, WakeReason.CLIENT_GONE)
+            self.engine.wake(operation, WakeReason.CLIENT_DISCONNECTED)
 
     def on_counter_reply(self, fields: Fields) -> None:
         """The oldest call of a counter has ended."""
@@ -215,7 +215,7 @@
 
     def on_wakeup(self, fields: Fields) -> None:
         """A wake-up that was asked for has come."""
-        self.engine.run_due_timers(ticked=fields.integer("Tag") == self._wakeup_tag)
+        self.engine.run_due_timers(is_wakeup=fields.integer("Tag") == self._wakeup_tag)
 
 
 HANDLERS: dict[str, Callable[[LimiterInstance, Fields], None]] = {
--- a/lapisgrade/engine.py
+++ b/lapisgrade/engine.py
@@ -55,7 +55,7 @@
         """Write a line to the log."""
 
     def schedule_wakeup(self, when_us: int) -> None:
-        """Call `Engine.run_due_timers(ticked=True)` then; replaces what was asked for before."""
+        """Call `Engine.run_due_timers(is_wakeup=True)` then; replaces what was asked for before."""
 
 
 class Caller(Protocol):
@@ -135,16 +135,16 @@
         self._ready.append((task, result))
         self._drain()
 
-    def run_due_timers(self, ticked: bool = False) -> None:
-        """Resume what is due, as the clock has advanced; `ticked`: the wake-up last asked for has come."""
+    def run_due_timers(self, is_wakeup: bool = False) -> None:
+        """Resume what is due, as the clock has advanced; `is_wakeup`: the wake-up last asked for has come."""
         now_us = self._clock.now_us
-        if ticked:
+        if is_wakeup:
             self._wakeup_us = None
         while self._timers and self._timers[0].due_us <= now_us:
             timer = heapq.heappop(self._timers)
             if timer.is_live():
                 self._deliver(timer.task, WakeReason.TIMER)
-        if ticked:
+        if is_wakeup:
             self._schedule_wakeup()
 
     # ---- resuming tasks
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -131,7 +131,7 @@
                 break
 
             event = yield Sleep(self._next_timer_us(now_us))
-            if event is WakeReason.CLIENT_GONE and not self._goes_on_without_client():
+            if event is WakeReason.CLIENT_DISCONNECTED and not self._goes_on_without_client():
                 return
             if self._state is State.SELECTING:
                 continue  # still queued: search for a server again
--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -218,7 +218,7 @@
     TIMER = auto()  # the time asked for has come
     RESUMED = auto()  # another generator yielded `Resume`
     RESPONSE_STARTED = auto()  # the client has received the first part of a streamed response
-    CLIENT_GONE = auto()  # the client has disconnected or timed out
+    CLIENT_DISCONNECTED = auto()  # the client has disconnected or timed out
 
 
 class CounterOutcome(Enum):
--- a/lapisgrade/lab/emulator/gate.py
+++ b/lapisgrade/lab/emulator/gate.py
@@ -69,12 +69,12 @@
             record.op.is_abandoned = True
             self.world.left(record)
             self.now()
-            self.engine.wake(record.op, WakeReason.CLIENT_GONE)
+            self.engine.wake(record.op, WakeReason.CLIENT_DISCONNECTED)
 
     def tick(self) -> None:
         if self.alive:
             self.now()
-            self.engine.run_due_timers(ticked=True)
+            self.engine.run_due_timers(is_wakeup=True)
 
     def counted(self, task: Any, total: CounterReply) -> None:
         if self.alive:
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -129,7 +129,7 @@
         operation.is_abandoned = True
         if self.unanswered.pop(operation.handle, None) is not None:
             self._metrics.requests_abandoned += 1
-            self.engine.wake(operation, WakeReason.CLIENT_GONE)
+            self.engine.wake(operation, WakeReason.CLIENT_DISCONNECTED)
 
     def _on_attempt_closed(self, event: AttemptClosed) -> None:
         attempt, reason, message = event.attempt, event.reason, event.message
@@ -155,7 +155,7 @@
         self.policy.update_servers(event.endpoints, event.is_complete)
 
     def _on_timer_fired(self, event: TimerFired) -> None:
-        self.engine.run_due_timers(ticked=event.due_us == self._wake_at_us)
+        self.engine.run_due_timers(is_wakeup=event.due_us == self._wake_at_us)
 
     # ---- responses
 
--- a/lapisgrade/policy/operation_attempts.py
+++ b/lapisgrade/policy/operation_attempts.py
@@ -121,7 +121,7 @@
                     return
 
     def _on_event(self, event: Event) -> State:
-        if event is WakeReason.CLIENT_GONE:
+        if event is WakeReason.CLIENT_DISCONNECTED:
             return State.FINISHED
         if event is WakeReason.RESPONSE_STARTED:
             self._deadline_us = self._overdue_at_us = self._clock.now_us + STREAM_TIMEOUT_US
--- a/tests/gateway/routing/test_keyed_request.py
+++ b/tests/gateway/routing/test_keyed_request.py
@@ -117,7 +117,7 @@
         """Its client disconnects."""
         self.request.is_abandoned = True
         if isinstance(self.yielded, Sleep):
-            self.resume(WakeReason.CLIENT_GONE)
+            self.resume(WakeReason.CLIENT_DISCONNECTED)
 
     @property
     def status(self) -> int:
--- a/tests/policy/test_operation_attempts.py
+++ b/tests/policy/test_operation_attempts.py
@@ -218,7 +218,7 @@
 
 def test_a_client_that_is_gone_ends_its_attempts_without_an_answer() -> None:
     driver = Driver()
-    driver.resume(WakeReason.CLIENT_GONE)
+    driver.resume(WakeReason.CLIENT_DISCONNECTED)
     assert driver.is_finished
     assert driver.cancelled == driver.sent
     assert driver.rejected is None
--- a/tests/support/limiter_host.py
+++ b/tests/support/limiter_host.py
@@ -139,7 +139,7 @@
         """The client disconnects before its answer."""
         if self.pending.pop(id(operation), None) is not None:
             operation.is_abandoned = True
-            self.engine.wake(operation, WakeReason.CLIENT_GONE)
+            self.engine.wake(operation, WakeReason.CLIENT_DISCONNECTED)
 
     def check_answered(self, operation: Operation) -> None:
         """The operation must have its final answer by now."""
@@ -192,4 +192,4 @@
         self.engine.counter_replied(task, reply)
 
     def _on_timer(self) -> None:
-        self.engine.run_due_timers(ticked=True)
+        self.engine.run_due_timers(is_wakeup=True)
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -86,7 +86,7 @@
 
         def wake() -> None:
             self.clock.now_us = self.simulation.now
-            self.engine.run_due_timers(ticked=True)
+            self.engine.run_due_timers(is_wakeup=True)
 
         self.simulation.schedule(max(0, when_us - self.simulation.now), wake)
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -73,7 +73,7 @@
 
     def advance(self, now_us: int) -> None:
         self.clock.now_us = now_us
-        self.engine.run_due_timers(ticked=True)
+        self.engine.run_due_timers(is_wakeup=True)
 
 
 @pytest.fixture
@@ -103,7 +103,7 @@
     operation = setup.operation()
     engine = Engine(setup.host, setup.clock, RecordingCaller())
     engine.run(calling(), operation)
-    engine.wake(operation, WakeReason.CLIENT_GONE)
+    engine.wake(operation, WakeReason.CLIENT_DISCONNECTED)
     assert (len(calls), setup.events) == (1, [])
     engine.call_finished(calls[0][0], "result")
     assert setup.events == ["result"]
@@ -149,7 +149,7 @@
 
     operation = setup.operation()
     setup.engine.run(caller(), operation)
-    setup.engine.wake(operation, WakeReason.CLIENT_GONE)
+    setup.engine.wake(operation, WakeReason.CLIENT_DISCONNECTED)
     assert setup.events == []
     reply = CounterReply(CounterOutcome.ADDED, 1.0)
     setup.engine.counter_replied(setup.host.tasks[0], reply)
