--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -16,11 +16,11 @@
 
 from lapisgrade.gateway import SECOND
 
-MAX_VIEW = 16  # neighbours in a view; twice the logarithm of some thousands
+MAX_VIEW_SIZE = 16  # neighbours in a view; twice the logarithm of some thousands
 SHUFFLE_ENTRIES = 6  # in one shuffle, one's own among them; a datagram holds them
 SHUFFLE_INTERVAL_US = SECOND
 FAST_SHUFFLE_INTERVAL_US = SECOND // 5  # while the view is small, as after a start
-MIN_VIEW = MAX_VIEW // 2  # neighbours below which a view is small
+MIN_VIEW_SIZE = MAX_VIEW_SIZE // 2  # neighbours below which a view is small
 MAX_CONTROLLERS = 16  # addresses of controllers that a hint may name
 MAX_ZONE_LENGTH = 64  # characters
 _ADDRESS_PATTERN = re.compile(r"\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}")
@@ -76,7 +76,9 @@
         self.view: dict[str, Neighbour] = {}  # by address
         self.control_hint = ControlHint()
         self.next_shuffle_us = now_us + random.randrange(FAST_SHUFFLE_INTERVAL_US)
-        self._sent: list[str] = []  # in the shuffle in progress: these make room for what comes back
+        self._sent_addresses: list[
+            str
+        ] = []  # in the shuffle in progress: these make room for what comes back
 
     def add_addresses(self, addresses: list[str]) -> None:
         """Add some that likely live, as settings or controllers name them; partitions meet again by it."""
@@ -108,7 +110,7 @@
         """Begin a shuffle with the oldest neighbour, where it is time."""
         if now_us < self.next_shuffle_us:
             return []
-        interval_us = SHUFFLE_INTERVAL_US if len(self.view) >= MIN_VIEW else FAST_SHUFFLE_INTERVAL_US
+        interval_us = SHUFFLE_INTERVAL_US if len(self.view) >= MIN_VIEW_SIZE else FAST_SHUFFLE_INTERVAL_US
         self.next_shuffle_us = now_us + interval_us * 3 // 4 + self._random.randrange(interval_us // 2)
         if not self.view:
             return []
@@ -116,14 +118,14 @@
         oldest = max(self.view.values(), key=lambda neighbour: neighbour.age)
         del self.view[oldest.address]
         sample = self._sample(SHUFFLE_ENTRIES - 1, oldest.address)
-        self._sent = [neighbour.address for neighbour in sample]
+        self._sent_addresses = [neighbour.address for neighbour in sample]
         own_entry = Neighbour(self.address, self.zone)
         return [SendShuffle(oldest.address, Shuffle(False, self.control_hint, [own_entry, *sample]))]
 
     def on_shuffle(self, source: str, shuffle: Shuffle) -> list[SendShuffle]:
         """Take in a neighbour's entries, and answer with ours; entries out of bounds are ignored."""
         self.on_control_hint(shuffle.control_hint)
-        answer, sent = [], self._sent
+        answer, sent = [], self._sent_addresses
         if not shuffle.is_reply:
             sample = self._sample(SHUFFLE_ENTRIES, source)
             answer = [SendShuffle(source, Shuffle(True, self.control_hint, sample))]
@@ -145,8 +147,8 @@
             if neighbour.age < known.age:
                 self.view[neighbour.address] = neighbour
             return
-        if len(self.view) >= MAX_VIEW:
-            replaced = self._replaceable(neighbour, sent)
+        if len(self.view) >= MAX_VIEW_SIZE:
+            replaced = self._address_to_evict(neighbour, sent)
             if replaced is None:
                 return
             del self.view[replaced]
@@ -157,7 +159,7 @@
             return False
         return len(neighbour.zone) <= MAX_ZONE_LENGTH and neighbour.age >= 0
 
-    def _replaceable(self, neighbour: Neighbour, sent: list[str]) -> str | None:
+    def _address_to_evict(self, neighbour: Neighbour, sent: list[str]) -> str | None:
         """The address that makes room for a neighbour in a full view; None where all are younger."""
         exchanged = next((address for address in sent if address in self.view), None)
         if exchanged is not None:
--- a/lapisgrade/gateway/operations/claim_batches.py
+++ b/lapisgrade/gateway/operations/claim_batches.py
@@ -45,20 +45,20 @@
     def __init__(self) -> None:
         """Nothing was measured yet."""
         self._term = 0
-        self._batch_us = 0  # when the last batch of that term was made
+        self._last_batch_us = 0  # when the last batch of that term was made
 
     def elapsed_us(self, now_us: int, term: int) -> int:
         """Return the time since the last batch in the same term of leadership; 0 before the first.
 
         A node leads a term at most once, so time under another leader is never counted.
         """
-        return max(0, now_us - self._batch_us) if term == self._term else 0
+        return max(0, now_us - self._last_batch_us) if term == self._term else 0
 
     def start_batch(self, now_us: int, term: int) -> int:
         """Return the time that the next batch counts; what is measured from now on is the one's after it."""
         elapsed_us = self.elapsed_us(now_us, term)
         self._term = term
-        self._batch_us = now_us
+        self._last_batch_us = now_us
         return elapsed_us
 
 
--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -70,9 +70,9 @@
         # One call a lease, at the most; what is crowded is the owner's machine, not a service of all.
         self.call_budget = TokenBucket(0, MAX_CALLS_PER_S, MAX_CALLS_PER_S, MAX_CALLS_PER_S)
 
-    def record_reply(self, now: int, tally: CounterOutcome, sent: int) -> None:
+    def record_reply(self, now: int, outcome: CounterOutcome, sent_us: int) -> None:
         """Count the calls in a row that the owner did not answer."""
-        if tally is CounterOutcome.ADDED:
+        if outcome is CounterOutcome.ADDED:
             self.consecutive_timeouts = 0
         else:
             self.consecutive_timeouts += 1
@@ -83,8 +83,10 @@
 
     lease_duration_us = LEASE_US
 
-    def __init__(self, clock: Clock, tenant: Tenant, slo: Slo, limiters: int, began_us: int) -> None:
-        """Begin for a tenant that is new here; `began_us` is when this process began."""
+    def __init__(
+        self, clock: Clock, tenant: Tenant, slo: Slo, limiters: int, process_started_us: int
+    ) -> None:
+        """Begin for a tenant that is new here; `process_started_us` is when this process began."""
         now_us = clock.now_us
         self.gateway_count = 1
         self.tenant = tenant
@@ -98,9 +100,9 @@
         self.unreported.decay_us = NEVER_DECAYS_US
         self._slo = slo
         # What an earlier process of this machine admitted unreported must be out of the window first.
-        self._may_go_unreported_us = began_us + slo.quota_win
+        self._unreported_allowed_from_us = process_started_us + slo.quota_win
         self.local_bucket = TokenBucket(now_us, 0.0, 0.0, 0.0)
-        self._calls = 0
+        self._call_number = 0
         self._last_counted_call = 0  # the number of the last call that the owner may have counted
         self.taken_units = 0.0  # by the call in progress
         self.returned_units = 0.0  # by the call in progress
@@ -154,7 +156,7 @@
         Returns:
             None where it is admitted, else the us until it may retry.
         """
-        is_allowed = self.last_read_us and now_us >= self._may_go_unreported_us
+        is_allowed = self.last_read_us and now_us >= self._unreported_allowed_from_us
         if is_allowed and self.local_bucket.read(now_us) >= units:
             self.local_bucket.set_level(now_us, self.local_bucket.read(now_us) - units)
             if not is_counted:
@@ -199,7 +201,7 @@
         if reply.outcome is CounterOutcome.REJECTED:
             self.unreported.value += added - units
             return reply.outcome
-        self._last_counted_call = self._calls
+        self._last_counted_call = self._call_number
         if reply.outcome is CounterOutcome.ADDED:
             self._record_total(now_us, reply.total)
         else:
@@ -208,7 +210,7 @@
 
     def _begin_call(self, units: float, unreported: float) -> None:
         """Tell apart what the call takes and what it gives back: its owner may know of one of them only."""
-        self._calls += 1
+        self._call_number += 1
         if units > 0:
             self.taken_units = max(0.0, units + max(0.0, unreported))
             self.returned_units = max(0.0, -unreported)
@@ -240,6 +242,6 @@
             float(self.tenant.rate_s),
             float(self.tenant.burst),
             self.returned_units,
-            self._calls,
+            self._call_number,
             self._last_counted_call,
         )
--- a/lapisgrade/gateway/quota/count.py
+++ b/lapisgrade/gateway/quota/count.py
@@ -38,13 +38,13 @@
 class Count:
     """A token bucket with the leases on it. A new one is empty, and reserves half of its capacity."""
 
-    __slots__ = ("bucket", "first_request_us", "leases", "since_us")
+    __slots__ = ("bucket", "exclusive_since_us", "first_request_us", "leases")
 
-    def __init__(self, since_us: int, rate: float, burst: float) -> None:
-        """Begin anew at `since_us`, from when on nobody else can have granted units of this count."""
-        self.bucket = TokenBucket(since_us, rate, capacity(burst, rate), 0.0)
-        self.since_us = since_us
-        self.first_request_us = since_us
+    def __init__(self, exclusive_since_us: int, rate: float, burst: float) -> None:
+        """Begin anew at `exclusive_since_us`, the time since which no other proxy can grant units."""
+        self.bucket = TokenBucket(exclusive_since_us, rate, capacity(burst, rate), 0.0)
+        self.exclusive_since_us = exclusive_since_us
+        self.first_request_us = exclusive_since_us
         self.leases: dict[str, Lease] = {}  # by the quota client's name
 
     @classmethod
@@ -70,8 +70,8 @@
 
     def to_hand_over(self, now_us: int) -> rpc_messages.HandedCount:
         """Return what the next owner continues with."""
-        reserved_us = max(0, LEASE_US - (now_us - self.since_us))
-        return rpc_messages.HandedCount(self.bucket.read(now_us), self._leased(now_us), reserved_us)
+        reserved_us = max(0, LEASE_US - (now_us - self.exclusive_since_us))
+        return rpc_messages.HandedCount(self.bucket.read(now_us), self._leased_units(now_us), reserved_us)
 
     def set_limit(self, now_us: int, rate: float, burst: float) -> None:
         """Apply a newer limit: the level stays as it is, in the new capacity."""
@@ -85,19 +85,19 @@
         """Take units, and put back what was granted before and not spent."""
         previous = self.leases.pop(request.requester, NO_LEASE)
         units = max(0.0, request.units)
-        returned = self._returned(request, previous)
+        returned = self._returned_units(request, previous)
         lease = self._next_lease(now_us, request.sequence_number, units, returned, previous)
         self.leases[request.requester] = lease
         self._drop_expired(now_us)
-        reserved = self._leased(now_us) - lease.unspent
-        if now_us - self.since_us < LEASE_US:
+        reserved = self._leased_units(now_us) - lease.unspent
+        if now_us - self.exclusive_since_us < LEASE_US:
             # Leases of the last owner's may still be spent.
             reserved = max(reserved, MAX_LEASED_FRACTION * self.bucket.burst)
         available = min(max(0.0, self.bucket.burst - reserved), self.bucket.read(now_us))
         self.bucket.set_level(now_us, available - units + returned)
 
     @staticmethod
-    def _returned(request: rpc_messages.QuotaRequest, previous: Lease) -> float:
+    def _returned_units(request: rpc_messages.QuotaRequest, previous: Lease) -> float:
         """Return the units that are put back.
 
         Only what this very count granted with the call before, and no more of it, comes back (guards against
@@ -127,7 +127,7 @@
             name: lease for name, lease in self.leases.items() if now_us - lease.granted_us < LESSEE_EXPIRY_US
         }
 
-    def _leased(self, now_us: int) -> float:
+    def _leased_units(self, now_us: int) -> float:
         """Return the units of all leases that have not ended and may not be spent yet."""
         return sum(each.unspent for each in self.leases.values() if now_us - each.granted_us < LEASE_US)
 
--- a/lapisgrade/gateway/quota/hand_over.py
+++ b/lapisgrade/gateway/quota/hand_over.py
@@ -23,7 +23,7 @@
 class Release(msgspec.Struct, frozen=True):
     """A count was handed over to its owner by a membership that is not known here yet."""
 
-    until_us: int  # nothing is granted of it here until then
+    expires_us: int  # nothing is granted of it here until then
     fencing_token: int  # of that membership
 
 
@@ -33,13 +33,13 @@
     def __init__(self, ownership: OwnershipHistory, counts: OwnedCounts) -> None:
         self._ownership = ownership
         self._counts = counts
-        self._departed: dict[str, Count] = {}  # counts that others own under the newest epoch
+        self._departed_counts: dict[str, Count] = {}  # counts that others own under the newest epoch
         self._released: dict[str, Release] = {}  # by tenant
         self._recipients: dict[str, str] = {}  # tenants handed over, and to which incarnation of their owner
 
     def on_new_epoch(self) -> None:
         """Take over from the epoch before: counts that others own now wait to be handed over."""
-        self._departed = self._counts.remove_departed()
+        self._departed_counts = self._counts.remove_not_owned()
         # Handed over by a membership that is newer still: that one's owner goes on.
         newest = self._ownership.fencing_token
         self._released = {
@@ -78,7 +78,7 @@
     def is_released(self, now_us: int, tenant: str) -> bool:
         """Return whether the count was handed over by a membership that is not known here yet."""
         release = self._released.get(tenant)
-        return release is not None and now_us < release.until_us
+        return release is not None and now_us < release.expires_us
 
     def answer(self, now_us: int, request: HandOverRequest) -> HandOverReply:
         """Leave a count to its owner under an epoch that is as new as the newest here, or newer.
@@ -103,8 +103,8 @@
             return WAIT
         self._released[tenant] = Release(now_us + OWNERSHIP_LEASE_US, request.fencing_token)
         if tenant not in self._counts.by_tenant:
-            self._counts.keep(now_us, tenant, self._counts.begin(now_us, request, ownership.epochs))
-        return self._give(now_us, request, self._counts.by_tenant[tenant])
+            self._counts.store(now_us, tenant, self._counts.create(now_us, request, ownership.epochs))
+        return self._give_count(now_us, request, self._counts.by_tenant[tenant])
 
     def _give_departed(self, now_us: int, request: HandOverRequest) -> HandOverReply:
         """Give a count that the asker owns under the newest epoch, which both know."""
@@ -113,26 +113,28 @@
             return WAIT
         if not earlier:
             return NO_COUNT  # the process that owned it has ended
-        if request.tenant not in self._departed:
-            refusal = self._why_not_begin(now_us, request.tenant, earlier)
+        if request.tenant not in self._departed_counts:
+            refusal = self._refusal(now_us, request.tenant, earlier)
             if refusal is not None:
                 return refusal
-            self._departed[request.tenant] = self._counts.begin(now_us, request, earlier)
-        return self._give(now_us, request, self._departed[request.tenant])
+            self._departed_counts[request.tenant] = self._counts.create(now_us, request, earlier)
+        return self._give_count(now_us, request, self._departed_counts[request.tenant])
 
-    def _why_not_begin(
-        self, now_us: int, tenant: str, earlier: Sequence[OwnershipEpoch]
-    ) -> HandOverReply | None:
+    def _refusal(self, now_us: int, tenant: str, earlier: Sequence[OwnershipEpoch]) -> HandOverReply | None:
         """Return the reply where this proxy can't begin a count to give; None where it can."""
         ownership = self._ownership
-        owned = ownership.last_owned(tenant, earlier)
-        if not owned or ownership.acting_owner(now_us, tenant, owned) or len(self._departed) >= MAX_COUNTS:
+        owned = ownership.epochs_until_last_owned(tenant, earlier)
+        if (
+            not owned
+            or ownership.acting_owner(now_us, tenant, owned)
+            or len(self._departed_counts) >= MAX_COUNTS
+        ):
             return WAIT
         if len(owned) < len(earlier):
             return NO_COUNT  # somebody else has owned it since, and nobody acts by those epochs here
         return None
 
-    def _give(self, now_us: int, request: HandOverRequest, count: Count) -> HandOverReply:
+    def _give_count(self, now_us: int, request: HandOverRequest, count: Count) -> HandOverReply:
         """Give the count to the first incarnation of its owner that asks; it may have granted units of it."""
         if self._recipients.setdefault(request.tenant, request.incarnation) != request.incarnation:
             return NO_COUNT
--- a/lapisgrade/gateway/quota/owned_counts.py
+++ b/lapisgrade/gateway/quota/owned_counts.py
@@ -18,28 +18,28 @@
 
     def __init__(self, ownership: OwnershipHistory) -> None:
         self.by_tenant: dict[str, Count] = {}
-        self.evicted_us: int | None = None  # when a count was last evicted
+        self.last_eviction_us: int | None = None  # when a count was last evicted
         self._ownership = ownership
 
     def clear(self) -> None:
         """Drop all counts."""
         self.by_tenant = {}
 
-    def keep(self, now_us: int, tenant: str, count: Count) -> None:
+    def store(self, now_us: int, tenant: str, count: Count) -> None:
         """Keep the tenant's count as the one used last; evict the one unused for longest if too many."""
         self.by_tenant[tenant] = count
         if len(self.by_tenant) > MAX_COUNTS:
             del self.by_tenant[next(iter(self.by_tenant))]
-            self.evicted_us = now_us
+            self.last_eviction_us = now_us
 
-    def begin(
+    def create(
         self,
         now_us: int,
         request: rpc_messages.QuotaRequest | rpc_messages.HandOverRequest,
         epochs: Sequence[OwnershipEpoch],
     ) -> Count:
         """Return a count that nobody has taken of since this proxy owns it, by those epochs."""
-        since_us = self._ownership.exclusive_since(request.tenant, epochs, self.evicted_us)
+        since_us = self._ownership.exclusive_since(request.tenant, epochs, self.last_eviction_us)
         if since_us is None:
             return Count.full(now_us, request.rate, request.burst)
         return Count(since_us, request.rate, request.burst)
@@ -58,9 +58,9 @@
             count = Count(now_us, request.rate, request.burst)
         else:
             count = Count.from_hand_over(now_us, handed, request.rate, request.burst)
-        self.keep(now_us, request.tenant, count)
+        self.store(now_us, request.tenant, count)
 
-    def remove_departed(self) -> dict[str, Count]:
+    def remove_not_owned(self) -> dict[str, Count]:
         """Remove the counts that others own under the newest epoch, and return them by tenant."""
         owns = self._ownership.owns
         departed = {tenant: each for tenant, each in self.by_tenant.items() if not owns(tenant)}
--- a/lapisgrade/gateway/quota/owner.py
+++ b/lapisgrade/gateway/quota/owner.py
@@ -23,9 +23,9 @@
 class QuotaOwner:
     """All counts that this proxy owns, under the newest membership of live proxies."""
 
-    def __init__(self, name: str, incarnation: str = "", began_us: int = 0) -> None:
-        """Begin without a membership; `incarnation` is this process's, `began_us` when it began."""
-        self.ownership = OwnershipHistory(name, incarnation, began_us)
+    def __init__(self, name: str, incarnation: str = "", process_started_us: int = 0) -> None:
+        """Begin without a membership; `incarnation` identifies this process."""
+        self.ownership = OwnershipHistory(name, incarnation, process_started_us)
         self.counts = OwnedCounts(self.ownership)
         self._hand_over = HandOver(self.ownership, self.counts)
 
@@ -145,7 +145,7 @@
         """Return the tenant's count, as the one used last."""
         count = self.counts.by_tenant.pop(request.tenant, None)
         if count is None:
-            count = self.counts.begin(now_us, request, self.ownership.epochs)
+            count = self.counts.create(now_us, request, self.ownership.epochs)
             count.first_request_us = now_us
-        self.counts.keep(now_us, request.tenant, count)
+        self.counts.store(now_us, request.tenant, count)
         return count
--- a/lapisgrade/gateway/quota/ownership_history.py
+++ b/lapisgrade/gateway/quota/ownership_history.py
@@ -16,13 +16,13 @@
 class OwnershipHistory:
     """The newest epoch and those before it, as far back as they say who may act as an owner."""
 
-    def __init__(self, name: str, incarnation: str, began_us: int) -> None:
+    def __init__(self, name: str, incarnation: str, process_started_us: int) -> None:
         """Begin without a membership.
 
         Args:
             name: this proxy's.
             incarnation: of this process, as the membership names it.
-            began_us: when this process began.
+            process_started_us: when this process began.
         """
         self.name = name
         self.incarnation = incarnation
@@ -30,7 +30,7 @@
         self.proxies: ProxiesByName = {}
         self.eligible_owners: ProxiesByName = {}
         self.epochs: list[OwnershipEpoch] = []  # the newest last
-        self._began_us = began_us
+        self._process_started_us = process_started_us
         self._owner_table = OwnerTable()
         self.origin = Origin.UNKNOWN
 
@@ -42,7 +42,7 @@
         follows = self.follows(update)
         previous_owners = tuple(self.eligible_owners) if follows else tuple(update.previous_owners)
         if is_first:
-            self.origin = self._origin_by(update)
+            self.origin = self._determine_origin(update)
         elif not follows:
             self.origin = Origin.UNKNOWN
         if not follows:
@@ -68,7 +68,7 @@
         """Return whether the membership before that one is the newest here."""
         return bool(self.epochs) and update.previous_fencing_token in (None, self.fencing_token)
 
-    def _origin_by(self, update: MembershipUpdate) -> Origin:
+    def _determine_origin(self, update: MembershipUpdate) -> Origin:
         if self.name not in update.proxies:
             return Origin.UNKNOWN
         _, incarnation, _ = update.proxies[self.name]
@@ -127,7 +127,7 @@
             if owner_of(tenant, epoch.previous_owners) == owner:
                 epoch.mark_predecessor_inactive(tenant)
 
-    def last_owned(self, tenant: str, epochs: Sequence[OwnershipEpoch]) -> list[OwnershipEpoch]:
+    def epochs_until_last_owned(self, tenant: str, epochs: Sequence[OwnershipEpoch]) -> list[OwnershipEpoch]:
         """Return `epochs` up to the last under which the count was this proxy's; none where it never was."""
         owned = list(epochs)
         while owned and owner_of(tenant, owned[-1].owners) != self.name:
@@ -135,7 +135,7 @@
         return owned
 
     def exclusive_since(
-        self, tenant: str, epochs: Sequence[OwnershipEpoch], evicted_us: int | None
+        self, tenant: str, epochs: Sequence[OwnershipEpoch], last_eviction_us: int | None
     ) -> int | None:
         """Return from when on nobody else can have granted units of this tenant's count.
 
@@ -146,12 +146,12 @@
         Args:
             tenant: whose count.
             epochs: by which epochs; the last of them is one under which this proxy owns the count.
-            evicted_us: when a count was last evicted here; None for never.
+            last_eviction_us: when a count was last evicted here; None for never.
 
         Returns:
             A time in us; None where nobody ever has granted any.
         """
-        not_before_us = -1 if evicted_us is None else evicted_us
+        not_before_us = -1 if last_eviction_us is None else last_eviction_us
         since_us = epochs[-1].began_us
         for epoch in reversed(epochs):
             if owner_of(tenant, epoch.owners) != self.name:
@@ -161,10 +161,10 @@
             if previous != self.name and previous in epoch.members:
                 since_us += OWNERSHIP_LEASE_US  # it handed nothing over, and may have granted until then
         if len(epochs) <= MAX_EARLIER_EPOCHS:
-            if self.origin is Origin.FIRST_MEMBERSHIP and evicted_us is None:
+            if self.origin is Origin.FIRST_MEMBERSHIP and last_eviction_us is None:
                 return None
             if self.origin is Origin.PREVIOUS_INCARNATION:
-                since_us = min(since_us, self._began_us)
+                since_us = min(since_us, self._process_started_us)
         return max(since_us, not_before_us)
 
 
--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -20,9 +20,9 @@
 class Full(Count):
     """A count that begins anew is full, and keeps nothing back."""
 
-    def __init__(self, since_us: int, rate: float, burst: float) -> None:
-        super().__init__(since_us, rate, burst)
-        self.bucket.level, self.since_us = self.bucket.burst, since_us - count.LEASE_US
+    def __init__(self, exclusive_since_us: int, rate: float, burst: float) -> None:
+        super().__init__(exclusive_since_us, rate, burst)
+        self.bucket.level, self.exclusive_since_us = self.bucket.burst, exclusive_since_us - count.LEASE_US
 
 
 def _any_fence(
--- a/tests/gateway/membership/test_partial_view.py
+++ b/tests/gateway/membership/test_partial_view.py
@@ -7,7 +7,7 @@
 from lapisgrade.gateway.membership.gossip import CODEC
 from lapisgrade.gateway.membership.partial_view import (
     MAX_CONTROLLERS,
-    MAX_VIEW,
+    MAX_VIEW_SIZE,
     ControlHint,
     Neighbour,
     PartialView,
@@ -80,7 +80,7 @@
             sum(name in each.view for each in world.partial_view.values()) for name in world.partial_view
         ]
         assert min(known) > 0
-        assert max(known) < 3 * MAX_VIEW  # nobody is everybody's neighbour
+        assert max(known) < 3 * MAX_VIEW_SIZE  # nobody is everybody's neighbour
     assert costs[1] < 1.2 * costs[0]
 
 
