--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -20,9 +20,9 @@
 class Full(Count):
     """A count that begins anew is full, and keeps nothing back."""
 
-    def __init__(self, since_us: int, rate: float, burst: float) -> None:
-        super().__init__(since_us, rate, burst)
-        self.bucket.level, self.since_us = self.bucket.burst, since_us - count.LEASE_US
+    def __init__(self, exclusive_since_us: int, rate: float, burst: float) -> None:
+        super().__init__(exclusive_since_us, rate, burst)
+        self.bucket.level, self.exclusive_since_us = self.bucket.burst, exclusive_since_us - count.LEASE_US
 
 
 def _any_fence(
@@ -46,7 +46,7 @@
     if self.owns(ask.tenant) and self.predecessor(now_us, ask.tenant):
         empty = rpc_messages.HandedCount(0.0, 0.0, count.LEASE_US)
         wants = rpc_messages.HandOverRequest(ask.tenant, self.name, self.fencing_token, ask.rate, ask.burst)
-        self.on_hand_over(now_us, wants, rpc_messages.HandOverReply(False, empty), "")
+        self.on_hand_over_reply(now_us, wants, rpc_messages.HandOverReply(False, empty), "")
     return _add(self, now_us, ask, acts_until_us)
 
 
--- a/tests/gateway/membership/test_partial_view.py
+++ b/tests/gateway/membership/test_partial_view.py
@@ -7,7 +7,7 @@
 from lapisgrade.gateway.membership.gossip import CODEC
 from lapisgrade.gateway.membership.partial_view import (
     MAX_CONTROLLERS,
-    MAX_VIEW,
+    MAX_VIEW_SIZE,
     ControlHint,
     Neighbour,
     PartialView,
@@ -31,7 +31,7 @@
         partial_view = self.partial_view[name] = PartialView(
             name, "z", Random(self.random.random()), self.now
         )
-        partial_view.introduce(seeds)
+        partial_view.add_addresses(seeds)
         self.side.setdefault(name, 0)
         self.at(0, name, None, "")
 
@@ -80,7 +80,7 @@
             sum(name in each.view for each in world.partial_view.values()) for name in world.partial_view
         ]
         assert min(known) > 0
-        assert max(known) < 3 * MAX_VIEW  # nobody is everybody's neighbour
+        assert max(known) < 3 * MAX_VIEW_SIZE  # nobody is everybody's neighbour
     assert costs[1] < 1.2 * costs[0]
 
 
@@ -105,7 +105,7 @@
     world.run(40)
     assert world.reached(names[0]) & set(names[20:]) == set()
     world.side = dict.fromkeys(names, 0)
-    world.partial_view[names[0]].introduce([names[30]])
+    world.partial_view[names[0]].add_addresses([names[30]])
     world.run(10)
     assert len(world.reached(names[0])) == 40
 
