--- a/lapisgrade/gateway/controller/log_writer.py
+++ b/lapisgrade/gateway/controller/log_writer.py
@@ -31,7 +31,7 @@
 class Store(Protocol):
     """The log's file; its calls block, and raise OSError where the records may not be on disk."""
 
-    def renew(self, first_record: bytes) -> None:
+    def start_generation(self, first_record: bytes) -> None:
         """Begin the next generation with that record."""
 
     def append(self, records: list[bytes]) -> None:
@@ -110,7 +110,7 @@
         """Begin a generation with all that the node knows now."""
         node_log = self._node.log
         last_entry = node_log.last_index, node_log.last_term
-        await self._call(self._store.renew, msgspec.msgpack.encode(self._node.snapshot_record()))
+        await self._call(self._store.start_generation, msgspec.msgpack.encode(self._node.snapshot_record()))
         self._must_renew = False
         return last_entry
 
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -50,7 +50,7 @@
     changes: list[FieldChange]
 
     @property
-    def rank(self) -> tuple[int, str]:
+    def sort_key(self) -> tuple[int, str]:
         """Its place in the order in which drafts are merged."""
         return (-self.base_version, self.id)
 
@@ -120,7 +120,7 @@
     merged, fields = acknowledged, merge_fields.to_fields(acknowledged)
     changed_by: dict[Path, str] = {}  # fields that were changed since that, and by which draft
     outcomes: dict[str, MergeOutcome] = {}
-    for draft in sorted(drafts, key=lambda each: each.rank):
+    for draft in sorted(drafts, key=lambda each: each.sort_key):
         new_fields, outcome = _merge_draft(fields, draft, changed_by)
         if outcome.applied:
             candidate = merge_fields.from_fields(new_fields, merged)
--- a/lapisgrade/gateway/storage/draft_store.py
+++ b/lapisgrade/gateway/storage/draft_store.py
@@ -79,7 +79,7 @@
 
     def _renew(self, data: bytes) -> None:
         os.makedirs(self._folder, exist_ok=True)
-        self._log_store.renew(data)
+        self._log_store.start_generation(data)
 
     def _read(self) -> dict[str, Draft]:
         try:
--- a/lapisgrade/gateway/storage/log_store.py
+++ b/lapisgrade/gateway/storage/log_store.py
@@ -67,7 +67,7 @@
                 return contents.records
         return []
 
-    def renew(self, first_record: bytes) -> None:
+    def start_generation(self, first_record: bytes) -> None:
         """Begin the next generation with a record that says everything, and remove the older ones.
 
         After an OSError here or in `append` nothing may be appended until this has succeeded: what failed
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -199,7 +199,7 @@
 
 DEFECTS: Defects = {
     "drops-early": Defect(DraftHolders, "DROPS_EARLY", True),
-    "order-of-arrival": Defect(Draft, "rank", property(_no_rank)),
+    "order-of-arrival": Defect(Draft, "sort_key", property(_no_rank)),
 }
 
 
--- a/lapisgrade/lab/simulation/disk.py
+++ b/lapisgrade/lab/simulation/disk.py
@@ -42,7 +42,7 @@
         """Return the records on disk."""
         return list(self.records)
 
-    def renew(self, beginning: bytes) -> None:
+    def start_generation(self, beginning: bytes) -> None:
         """Begin a new generation with that record."""
         self._check_space()
         if self.synced_count:
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -40,7 +40,7 @@
         entries = [Entry(1, 1, b"", {"first": "10.0.0.1:7660"}), Entry(2, 1, change),
                    Entry(3, 2, encode_command(MergeDraft(draft)))]  # fmt: skip
         snapshot = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
-        log_store.renew(msgspec.msgpack.encode(snapshot))
+        log_store.start_generation(msgspec.msgpack.encode(snapshot))
         records = (HardState(2, "first"), EntriesRecord(entries[1:]))
         log_store.append([msgspec.msgpack.encode(each) for each in records])
         log_store.close()
@@ -80,7 +80,7 @@
     items += [LiveProxies({name: ("p", "1", "z") for name in ("m1", "m2")}), CloseDraft("nobody")]
     entries = [*old[0].entries, *old[2].entries]
     entries += [Entry(4 + number, 2, encode_command(each)) for number, each in enumerate(items)]
-    log_store.renew(msgspec.msgpack.encode(msgspec.structs.replace(old[0], entries=entries)))
+    log_store.start_generation(msgspec.msgpack.encode(msgspec.structs.replace(old[0], entries=entries)))
     log_store.close()
     told = "\n".join(DiskReport(stored_log.folder).history)
     assert told[told.index("entry 3") :] == (
--- a/tests/gateway/storage/test_log_store.py
+++ b/tests/gateway/storage/test_log_store.py
@@ -22,7 +22,7 @@
     def filled(self) -> LogStore:
         log_store = LogStore(self.name)
         assert log_store.recover() == []
-        log_store.renew(b"begin")
+        log_store.start_generation(b"begin")
         log_store.append([b"a" * 700, b"b"])
         return log_store
 
@@ -71,10 +71,10 @@
 def test_a_new_generation_counts_only_once_it_is_complete(folder: Folder):
     log_store = folder.filled()
     with mock.patch("os.fsync", side_effect=OSError("no space")), pytest.raises(OSError, match="no space"):
-        log_store.renew(b"begin again")
+        log_store.start_generation(b"begin again")
     with open(folder.path(2), "r+b") as file:
         file.truncate(20)
     assert LogStore(folder.name).recover() == [b"begin", b"a" * 700, b"b"]
-    log_store.renew(b"third")
+    log_store.start_generation(b"third")
     assert LogStore(folder.name).recover() == [b"third"]
     assert not os.path.exists(folder.path(1))
