--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -135,7 +135,7 @@
     """Describe what an item of the log did; the versions are the newest ones before and after it."""
     match item:
         case ConfigurationChange() | NewVersion() if answer.status != 200:
-            return f"a change was refused: {answer.status} {answer.wrong}".rstrip()
+            return f"a change was refused: {answer.status} {answer.reason}".rstrip()
         case ConfigurationChange():
             return f"version {version} on {version_before} was {'put' if item.replaces_all else 'updated'}"
         case NewVersion():
--- a/lapisgrade/gateway/controller/change_validation.py
+++ b/lapisgrade/gateway/controller/change_validation.py
@@ -23,12 +23,12 @@
 
     Attributes:
         status: An HTTP status.
-        wrong: What is wrong where that is no success.
+        reason: Why the command failed; empty on success.
         claim_results: Of `ClaimOperations`, for each of its claims in order; None for all other commands.
     """
 
     status: int
-    wrong: str = ""
+    reason: str = ""
     claim_results: list[ClaimResult] | None = None
 
     @property
--- a/lapisgrade/gateway/controller/refused_changes.py
+++ b/lapisgrade/gateway/controller/refused_changes.py
@@ -51,7 +51,7 @@
 
     def record(self, call: str, result: ApplyResult, now_us: int) -> None:
         """Take in the refusal of a change that came by that call."""
-        reason = " ".join(result.wrong.split())[:MAX_REASON_LENGTH]
+        reason = " ".join(result.reason.split())[:MAX_REASON_LENGTH]
         self.last = RefusedChange(call, result.status, reason, now_us)
         self._metrics.changes_refused[f"{call} {int(result.status)}"] += 1
         self._write_line(f"{call} refused with {int(result.status)}: {reason}")
--- a/lapisgrade/gateway/controller/replies.py
+++ b/lapisgrade/gateway/controller/replies.py
@@ -22,7 +22,7 @@
 
 def encode_result(result: ApplyResult) -> ForwardCallReply:
     """Return the state machine's result as the caller gets it."""
-    body = msgspec.json.encode({"Err": result.wrong}) if result.wrong else b"{}"
+    body = msgspec.json.encode({"Err": result.reason}) if result.reason else b"{}"
     return ForwardCallReply(result.status, body)
 
 
--- a/lapisgrade/gateway/controller/server.py
+++ b/lapisgrade/gateway/controller/server.py
@@ -87,7 +87,7 @@
     observer: ConsensusObserver
 
 
-def control_connections(descriptors: int) -> int:
+def max_control_connections(descriptors: int) -> int:
     """Return how many connections of servers and operators a process with so many descriptors keeps."""
     return min(MAX_CONNECTIONS, max(MIN_CONTROL_CONNECTIONS, descriptors - RESERVED_FILES))
 
@@ -157,7 +157,9 @@
         self.drafts = self._make_draft_service()
         self.control_api = ControlApi(self.forwarder, self.drafts, self.metrics)
         self.control_server = HttpServer(
-            self.control_api.handle_call, configuration.MAX_BYTES, control_connections(settings.caps.nofile)
+            self.control_api.handle_call,
+            configuration.MAX_BYTES,
+            max_control_connections(settings.caps.nofile),
         )
         self.readiness_server = HttpServer(
             self._handle_readiness, MAX_READINESS_BODY_BYTES, MAX_READINESS_CONNECTIONS
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -5,7 +5,14 @@
 import msgspec
 import pytest
 from support.local_clusters import serving_cluster
-from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
+from support.sample_configuration import (
+    CLAIM_ROUTE,
+    SAMPLE_CONFIGURATION,
+    STOCK_ROUTE,
+    action_of,
+    edited_configuration,
+    set_split,
+)
 
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.cli import configuration_check
@@ -19,24 +26,24 @@
 from lapisgrade.gateway.settings import Address
 
 WRONG = [
-    (lambda c, r: action(r).update(Svc="nowhere"), "route r-claim: service 'nowhere' is not in Pools"),
-    (lambda c, r: action(r).pop("Timeout"), "required field missing"),
-    (lambda c, r: action(r).update(Timeout="0s"), "Timeout is 0, not above 0"),
-    (lambda c, r: action(r).update(Timeout="soon"), "'soon' is not a time"),
-    (lambda c, r: action(r).update(Timeout=2000), "2000 is not a time"),
-    (lambda c, r: split(r, garantie=-1), "Wt is -1, below 0"),
-    (lambda c, r: split(r, garantie=0), "add up to 0"),
-    (lambda c, r: action(r).update(Split=[{"Svc": "garantie", "Wt": 1}]), "not both and not none"),
-    (lambda c, r: action(r).pop("Svc"), "not both and not none"),
-    (lambda c, r: action(r).update(Tries=0), "Tries is 0, not above 0"),
-    (lambda c, r: r[CLAIM]["Match"].update(Pfx="claim/"), "'claim/' does not begin with a slash"),
-    (lambda c, r: r[CLAIM].pop("Match"), "required field missing"),
-    (lambda c, r: r[CLAIM].update(Mode="twice"), "'twice' is no mode"),
-    (lambda c, r: r[CLAIM].update(Name=""), "Name must have 1 to 256 characters"),
-    (lambda c, r: r[CLAIM].update(Name="r-stock"), "a route stands twice: 'r-stock'"),
-    (lambda c, r: r[CLAIM]["Match"].update(Pfx="/stock/"), "a prefix stands twice"),
-    (lambda c, r: r[CLAIM].update(Prio="high"), "'high' is not of the kind int"),
-    (lambda c, r: r[CLAIM].update(Public=1), "'1' is not of the kind bool"),
+    (lambda c, r: action_of(r).update(Svc="nowhere"), "route r-claim: service 'nowhere' is not in Pools"),
+    (lambda c, r: action_of(r).pop("Timeout"), "required field missing"),
+    (lambda c, r: action_of(r).update(Timeout="0s"), "Timeout is 0, not above 0"),
+    (lambda c, r: action_of(r).update(Timeout="soon"), "'soon' is not a time"),
+    (lambda c, r: action_of(r).update(Timeout=2000), "2000 is not a time"),
+    (lambda c, r: set_split(r, garantie=-1), "Wt is -1, below 0"),
+    (lambda c, r: set_split(r, garantie=0), "add up to 0"),
+    (lambda c, r: action_of(r).update(Split=[{"Svc": "garantie", "Wt": 1}]), "not both and not none"),
+    (lambda c, r: action_of(r).pop("Svc"), "not both and not none"),
+    (lambda c, r: action_of(r).update(Tries=0), "Tries is 0, not above 0"),
+    (lambda c, r: r[CLAIM_ROUTE]["Match"].update(Pfx="claim/"), "'claim/' does not begin with a slash"),
+    (lambda c, r: r[CLAIM_ROUTE].pop("Match"), "required field missing"),
+    (lambda c, r: r[CLAIM_ROUTE].update(Mode="twice"), "'twice' is no mode"),
+    (lambda c, r: r[CLAIM_ROUTE].update(Name=""), "Name must have 1 to 256 characters"),
+    (lambda c, r: r[CLAIM_ROUTE].update(Name="r-stock"), "a route stands twice: 'r-stock'"),
+    (lambda c, r: r[CLAIM_ROUTE]["Match"].update(Pfx="/stock/"), "a prefix stands twice"),
+    (lambda c, r: r[CLAIM_ROUTE].update(Prio="high"), "'high' is not of the kind int"),
+    (lambda c, r: r[CLAIM_ROUTE].update(Public=1), "'1' is not of the kind bool"),
     (lambda c, r: c["Pools"].append({"Name": "garantie"}), "a service stands twice"),
     (lambda c, r: c["Pools"].append({"Name": "x", "Maxconn": 0}), "Maxconn is 0, not above 0"),
     (lambda c, r: c["Tenants"].append({"Name": "sfax"}), "a tenant stands twice"),
@@ -51,53 +58,55 @@
 
 
 MINDED = [
-    (lambda c, r: r[CLAIM]["Match"].update(Pfx="/claim"), "the prefix /claim has no slash at its end"),
-    (lambda c, r: action(r).update(Timeout="100ms"), "r-claim: is held 0.1 s at most, and aims at 0.5 s"),
-    (lambda c, r: split(r, garantie=1), "r-claim: a split of one service"),
-    (lambda c, r: (c["Pools"].append({"Name": "b"}), split(r, garantie=1, b=0)), "b has weight 0"),
-    (lambda c, r: action(r, STOCK).update(Tries=1), "r-stock: may be repeated, but is tried once"),
+    (lambda c, r: r[CLAIM_ROUTE]["Match"].update(Pfx="/claim"), "the prefix /claim has no slash at its end"),
+    (lambda c, r: action_of(r).update(Timeout="100ms"), "r-claim: is held 0.1 s at most, and aims at 0.5 s"),
+    (lambda c, r: set_split(r, garantie=1), "r-claim: a split of one service"),
+    (lambda c, r: (c["Pools"].append({"Name": "b"}), set_split(r, garantie=1, b=0)), "b has weight 0"),
+    (lambda c, r: action_of(r, STOCK_ROUTE).update(Tries=1), "r-stock: may be repeated, but is tried once"),
     (lambda c, r: c["Pools"].append({"Name": "b"}), "service b: no route goes there"),
     (lambda c, r: c["Tenants"].append({"Name": "b"}), "tenant b: has no key"),
     (lambda c, r: c["Tenants"][0].update(RateS=0), "a Burst without RateS is no limit"),
     (lambda c, r: c["Tenants"][0].update(Burst=0), "no Burst: a second's rate is taken for it"),
     (lambda c, r: c.update(Tenants=[]), "every request but on public routes gets 401"),
-    (lambda c, r: (c.pop("Tenants"), r[CLAIM].update(Public=True)), "is public where no key is wanted"),
+    (lambda c, r: (c.pop("Tenants"), r[CLAIM_ROUTE].update(Public=True)), "is public where no key is wanted"),
     (lambda c, r: c["Ports"].append({"Vhost": "A.example", "Policy": []}), "host a.example stands 2 times"),
 ]
 
 
 def test_every_kind_of_error_is_reported_with_its_place() -> None:
     for edit, expected in WRONG:
-        wrong, minded = configuration_check.check_text(conf(edit))
+        wrong, minded = configuration_check.check_text(edited_configuration(edit))
         assert expected in " ".join(wrong), (expected, wrong)
         assert minded == []
         assert "key-of-sfax" not in " ".join(wrong)
 
 
 def test_valid_but_suspicious_configurations_get_warnings() -> None:
-    assert configuration_check.check_text(msgspec.json.encode(CONF)) == ([], [])
+    assert configuration_check.check_text(msgspec.json.encode(SAMPLE_CONFIGURATION)) == ([], [])
     for edit, expected in MINDED:
-        wrong, minded = configuration_check.check_text(conf(edit))
+        wrong, minded = configuration_check.check_text(edited_configuration(edit))
         assert wrong == [], expected
         assert expected in "\n".join(minded)
 
 
 def test_errors_carry_a_hint_how_to_correct_them() -> None:
-    wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).update(Svc="nowhere")))
+    wrong, _ = configuration_check.check_text(
+        edited_configuration(lambda c, r: action_of(r).update(Svc="nowhere"))
+    )
     hint = "(name the service under Pools, or send the route to one that is there)"
     assert wrong == [f"route r-claim: service 'nowhere' is not in Pools {hint}"]
-    wrong, _ = configuration_check.check_text(conf(lambda c, r: action(r).pop("Timeout")))
+    wrong, _ = configuration_check.check_text(edited_configuration(lambda c, r: action_of(r).pop("Timeout")))
     place = "$.Ports[0].Policy[1].Action.Timeout"
     assert wrong == [f"required field missing @ {place} (it can't be left out)"]
     for edit, expected in WRONG[1:8]:
-        assert configuration_check.check_text(conf(edit))[0][0].endswith(")"), expected
+        assert configuration_check.check_text(edited_configuration(edit))[0][0].endswith(")"), expected
 
 
 def test_a_host_listed_twice_has_the_routes_of_both() -> None:
     def twice(c: dict, rules: list) -> None:
         c["Ports"] = [{"Vhost": "a.example", "Policy": [each]} for each in rules]
 
-    edited = msgspec.json.decode(conf(twice))
+    edited = msgspec.json.decode(edited_configuration(twice))
     table = RouteTable(configuration.read(edited))
     assert [table.find_rule("a.example", f"/{each}/1").name for each in ("stock", "claim")] == [
         "r-stock",
--- a/tests/gateway/cli/test_commands.py
+++ b/tests/gateway/cli/test_commands.py
@@ -12,7 +12,14 @@
 import msgspec
 import pytest
 from support.local_clusters import serving_cluster
-from support.sample_configuration import CLAIM, CONF, STOCK, action, conf, split
+from support.sample_configuration import (
+    CLAIM_ROUTE,
+    SAMPLE_CONFIGURATION,
+    STOCK_ROUTE,
+    action_of,
+    edited_configuration,
+    set_split,
+)
 
 from lapisgrade.gateway import __main__ as main_module
 from lapisgrade.gateway.local_cluster import CTL
@@ -44,12 +51,14 @@
 
 
 def test_check_conf(program: Program) -> None:
-    good = program.write("good", msgspec.json.encode(CONF))
+    good = program.write("good", msgspec.json.encode(SAMPLE_CONFIGURATION))
     assert program.run_command("check", "conf", good) == (0, "it can be taken\n", "")
-    bad = program.write("bad", conf(lambda c, r: (action(r).update(Timeout="0s"), r[0].update(Mode="x"))))
+    bad = program.write(
+        "bad", edited_configuration(lambda c, r: (action_of(r).update(Timeout="0s"), r[0].update(Mode="x")))
+    )
     code, out, _ = program.run_command("check", "conf", bad)
     assert (code, out.count("\n")) == (1, 3), out
-    short = program.write("short", msgspec.json.encode(CONF)[:-9])
+    short = program.write("short", msgspec.json.encode(SAMPLE_CONFIGURATION)[:-9])
     assert program.run_command("check", "conf", short)[0] == 1
     code, out, err = program.run_command("check", "conf", "/nowhere")
     assert (code, out, err.count("\n")) == (2, "", 1)
@@ -57,13 +66,16 @@
 
 def test_diff_of_two_files(program: Program) -> None:
     def edit(c: dict, rules: list) -> None:
-        rules[CLAIM]["Prio"] = 4
-        split(rules, garantie=9, b=1)
-        rules[STOCK]["Name"] = "r-new"
+        rules[CLAIM_ROUTE]["Prio"] = 4
+        set_split(rules, garantie=9, b=1)
+        rules[STOCK_ROUTE]["Name"] = "r-new"
         c["Pools"].append({"Name": "b"})
         c["Tenants"][0]["Apikeys"] = ["another"]
 
-    one, two = program.write("one", msgspec.json.encode(CONF)), program.write("two", conf(edit))
+    one, two = (
+        program.write("one", msgspec.json.encode(SAMPLE_CONFIGURATION)),
+        program.write("two", edited_configuration(edit)),
+    )
     assert program.run_command("diff", two, one) == (
         1,
         """changes:
@@ -84,7 +96,7 @@
 
 
 def test_an_unreachable_target_is_one_line_and_exit_code_2(program: Program) -> None:
-    one = program.write("one", msgspec.json.encode(CONF))
+    one = program.write("one", msgspec.json.encode(SAMPLE_CONFIGURATION))
     nobody = "--ctl=127.0.0.1:1"
     calls = [("show",), ("status", "--json"), ("plan", one), ("diff", one), ("loss", "m1")]
     for arguments in (*((*each, nobody) for each in calls), ("dump", "/nowhere"), ("dump", program.folder)):
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from support.sample_configuration import CONF
+from support.sample_configuration import SAMPLE_CONFIGURATION
 
 from lapisgrade.gateway.cli.disk_report import DiskReport
 from lapisgrade.gateway.consensus.messages import Entry
@@ -36,7 +36,7 @@
         change = encode_command(ConfigurationChange(True, msgspec.json.encode(SAMPLE)))
         rule = {**SAMPLE["Ports"][0]["Policy"][1], "Prio": 9}
         prio = {"Upsert": {"Ports": [{"Vhost": "a.example", "Policy": [rule]}]}}
-        draft = make_draft(CONF, prio, "amel", "m1")
+        draft = make_draft(SAMPLE_CONFIGURATION, prio, "amel", "m1")
         entries = [Entry(1, 1, b"", {"first": "10.0.0.1:7660"}), Entry(2, 1, change),
                    Entry(3, 2, encode_command(MergeDraft(draft)))]  # fmt: skip
         snapshot = SnapshotRecord("first", 1, "first", 0, 0, {"first": "10.0.0.1:7660"}, b"", entries[:1])
--- a/tests/gateway/controller/test_refused_changes.py
+++ b/tests/gateway/controller/test_refused_changes.py
@@ -5,7 +5,7 @@
 
 import msgspec
 import pytest
-from support.configurations import WHOLE, changed, with_rule
+from support.configurations import VALID_CONFIGURATION, with_fields, with_rule
 from support.local_clusters import local_cluster
 
 from lapisgrade.gateway import configuration
@@ -48,7 +48,7 @@
         assert len(logged) == 1
         counted = [each.metrics.changes_refused for each in site.controllers.values()]
         assert [dict(each) for each in counted if each] == [{"conf.replace 400": 1}]
-        await put_until(site, WHOLE, 200)
+        await put_until(site, VALID_CONFIGURATION, 200)
         assert await site.put({"Ver": 9, "Base": 3}, "conf.update") == 412
         lines = await printed_status(site)
         assert "conf.update, 412, 0 s ago: version 7 is in force, not 3" in "".join(lines)
@@ -57,8 +57,8 @@
 
 async def test_a_change_that_was_taken_before_is_no_refusal():
     async with local_cluster() as site:
-        await put_until(site, WHOLE, 200)
-        assert await site.put(WHOLE) == 200
+        await put_until(site, VALID_CONFIGURATION, 200)
+        assert await site.put(VALID_CONFIGURATION) == 200
         assert not any(each.metrics.changes_refused for each in site.controllers.values())
 
 
@@ -86,7 +86,7 @@
 )
 def test_no_reason_shows_an_api_key(tenants):
     with pytest.raises(ConfigurationError) as caught:
-        configuration.read(changed(Tenants=tenants))
+        configuration.read(with_fields(Tenants=tenants))
     assert "9183475610293" not in str(caught.value)
 
 
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from support.configurations import RULE, WHOLE, changed, with_action, with_rule
+from support.configurations import STOCK_RULE, VALID_CONFIGURATION, with_action, with_fields, with_rule
 
 from lapisgrade.gateway.controller.commands import (
     ConfigurationChange,
@@ -24,7 +24,7 @@
         self.index += 1
         data = body if isinstance(body, bytes) else msgspec.json.encode(body)
         answer = self.state_machine.apply(self.index, encode_command(ConfigurationChange(is_complete, data)))
-        return answer.status, answer.wrong
+        return answer.status, answer.reason
 
     def shown(self) -> dict:
         return msgspec.json.decode(self.state_machine.state.configuration)
@@ -32,34 +32,34 @@
 
 def test_a_configuration_is_read_back_as_it_was_stored():
     operator = Operator()
-    assert operator.send(WHOLE) == (200, "")
-    assert operator.shown() == {name: each for name, each in WHOLE.items() if name != "Base"}
+    assert operator.send(VALID_CONFIGURATION) == (200, "")
+    assert operator.shown() == {name: each for name, each in VALID_CONFIGURATION.items() if name != "Base"}
 
 
 def test_of_two_operators_on_one_base_the_second_is_rejected():
     operator = Operator()
-    operator.send(WHOLE)
+    operator.send(VALID_CONFIGURATION)
     transcript = [
-        operator.send(changed(Ver=9, Base=7)),
-        operator.send(changed(Ver=11, Base=7)),
-        operator.send(changed(Ver=9, Base=7)),  # the winner, unsure, sends the same again
-        operator.send(changed(Ver=11, Base=9)),
+        operator.send(with_fields(Ver=9, Base=7)),
+        operator.send(with_fields(Ver=11, Base=7)),
+        operator.send(with_fields(Ver=9, Base=7)),  # the winner, unsure, sends the same again
+        operator.send(with_fields(Ver=11, Base=9)),
     ]
     assert transcript == [(200, ""), (412, "version 9 is in force, not 7"), (200, ""), (200, "")]
 
 
 def test_a_reformatted_change_is_the_same_change():
     operator = Operator()
-    operator.send(WHOLE)
-    again = dict(reversed(WHOLE.items()))
+    operator.send(VALID_CONFIGURATION)
+    again = dict(reversed(VALID_CONFIGURATION.items()))
     assert operator.send(again) == (200, "")
-    assert operator.send(changed(Tenants=None)) == (412, "version 7 is not above 7, which is in force")
+    assert operator.send(with_fields(Tenants=None)) == (412, "version 7 is not above 7, which is in force")
 
 
 def test_each_kind_of_invalid_configuration_is_rejected_with_the_reason(subtests: pytest.Subtests):
     operator = Operator()
-    operator.send(changed(Ver=3))
-    truncated = msgspec.json.encode(WHOLE)[:-9]
+    operator.send(with_fields(Ver=3))
+    truncated = msgspec.json.encode(VALID_CONFIGURATION)[:-9]
     split = [{"Svc": "garantie", "Wt": 0}, {"Svc": "reports", "Wt": 0}]
     cases = {
         "cut short": (truncated, "the body is not whole JSON"),
@@ -71,9 +71,9 @@
         ),
         "no weight": (with_action(Svc="", Split=split), "the weights of Split add up to 0"),
         "bare prefix": (with_rule(Match={"Pfx": "stock/"}), "'stock/' does not begin with a slash"),
-        "old version": (changed(Ver=3, Base=3, Tenants=[]), "version 3 is not above 3"),
+        "old version": (with_fields(Ver=3, Base=3, Tenants=[]), "version 3 is not above 3"),
         "a name twice": (with_rule(Name="r-claim"), "a route stands twice: 'r-claim'"),
-        "a number as text": (changed(Ver="7"), "Ver and Base are whole numbers"),
+        "a number as text": (with_fields(Ver="7"), "Ver and Base are whole numbers"),
     }
     for name, (body, expected) in cases.items():
         with subtests.test(name):
@@ -87,33 +87,33 @@
 
 def test_a_key_is_never_shown():
     twice = [{"Name": "a", "Apikeys": ["secret"]}, {"Name": "b", "Apikeys": ["secret"]}]
-    assert Operator().send(changed(Tenants=twice)) == (400, "a key stands twice")
+    assert Operator().send(with_fields(Tenants=twice)) == (400, "a key stands twice")
 
 
 def test_named_items_are_changed_and_removed_and_the_rest_stays():
     operator = Operator()
-    operator.send(WHOLE)
-    new = {**RULE, "Name": "r-new", "Match": {"Pfx": "/new/"}}
+    operator.send(VALID_CONFIGURATION)
+    new = {**STOCK_RULE, "Name": "r-new", "Match": {"Pfx": "/new/"}}
     change = {
         "Ver": 9,
         "Base": 7,
         "Del": {"Routes": ["r-claim"]},
         "Upsert": {
-            "Ports": [{"Vhost": "a.example", "Policy": [{**RULE, "Prio": 0}, new]}],
+            "Ports": [{"Vhost": "a.example", "Policy": [{**STOCK_RULE, "Prio": 0}, new]}],
             "Tenants": [{"Name": "port", "Apikeys": ["k3"]}],
         },
     }
     assert operator.send(change, is_complete=False) == (200, "")
     shown = operator.shown()
-    assert shown["Ports"] == [{"Vhost": "a.example", "Policy": [{**RULE, "Prio": 0}, new]}]
+    assert shown["Ports"] == [{"Vhost": "a.example", "Policy": [{**STOCK_RULE, "Prio": 0}, new]}]
     assert [each["Name"] for each in shown["Tenants"]] == ["sfax", "port"]
-    assert (shown["Ver"], shown["Pools"]) == (9, WHOLE["Pools"])
+    assert (shown["Ver"], shown["Pools"]) == (9, VALID_CONFIGURATION["Pools"])
     assert operator.send(change, is_complete=False) == (200, "")
 
 
 def test_a_state_survives_a_snapshot():
     operator, other = Operator(), StateMachine()
-    operator.send(WHOLE)
+    operator.send(VALID_CONFIGURATION)
     operator.state_machine.apply(2, encode_command(ServerLeaving("i-1", False)))
     operator.state_machine.apply(
         3, encode_command(ServerSnapshot([Server("i-2", "garantie", "10.0.0.1:80", "z", 2, "up", 4)]))
--- a/tests/gateway/routing/test_route_table.py
+++ b/tests/gateway/routing/test_route_table.py
@@ -3,7 +3,7 @@
 from http import HTTPStatus
 
 import pytest
-from support.configurations import WHOLE
+from support.configurations import VALID_CONFIGURATION
 
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.routing.route_table import RouteTable
@@ -11,7 +11,9 @@
 
 @pytest.fixture
 def table() -> RouteTable:
-    return RouteTable(configuration.read({name: each for name, each in WHOLE.items() if name != "Base"}))
+    return RouteTable(
+        configuration.read({name: each for name, each in VALID_CONFIGURATION.items() if name != "Base"})
+    )
 
 
 def test_a_route_is_the_longest_matching_prefix_of_the_host(table: RouteTable):
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -1,7 +1,7 @@
 """Reading a configuration."""
 
 import pytest
-from support.configurations import changed, with_rule
+from support.configurations import with_fields, with_rule
 
 from lapisgrade.gateway import configuration
 from lapisgrade.gateway.configuration import Mode
@@ -19,7 +19,7 @@
         "/stock/",
     )
     assert (rule.action.timeout, rule.action.tries, rule.action.svc) == (2_500_000, 2, "garantie")
-    read = configuration.read(changed())
+    read = configuration.read(with_fields())
     assert (read.caps.hdr_bytes, read.caps.body_bytes, read.caps.hdr, read.caps.idle) == (
         16384,
         65536,
@@ -44,10 +44,10 @@
 @pytest.mark.parametrize("value", ["yes", 1, None])
 def test_whether_a_service_keeps_keys_is_true_or_false_and_nothing_else(value):
     with pytest.raises(ConfigurationError) as caught:
-        configuration.read(changed(Pools=[{"Name": "garantie", "Dedup": value}, {"Name": "reports"}]))
+        configuration.read(with_fields(Pools=[{"Name": "garantie", "Dedup": value}, {"Name": "reports"}]))
     assert "is not of the kind bool" in str(caught.value)
 
 
 def test_a_service_keeps_no_keys_unless_it_says_so():
     pools = [{"Name": "garantie", "Dedup": True}, {"Name": "reports"}]
-    assert [pool.dedup for pool in configuration.read(changed(Pools=pools)).pools] == [True, False]
+    assert [pool.dedup for pool in configuration.read(with_fields(Pools=pools)).pools] == [True, False]
--- a/tests/gateway/test_http_server.py
+++ b/tests/gateway/test_http_server.py
@@ -5,7 +5,7 @@
 from support.loopback_network import LoopbackNetwork
 
 from lapisgrade.fakes.site import free_port
-from lapisgrade.gateway.controller.server import RESERVED_FILES, control_connections
+from lapisgrade.gateway.controller.server import RESERVED_FILES, max_control_connections
 from lapisgrade.gateway.http_client import send_request
 from lapisgrade.gateway.http_server import HttpReply, HttpServer
 from lapisgrade.net.http import Message
@@ -39,8 +39,8 @@
 
 def test_a_controller_keeps_descriptors_for_its_own_calls_and_files() -> None:
     for descriptors in (300, 475, 750, 1024):
-        assert control_connections(descriptors) <= descriptors - RESERVED_FILES
-    assert control_connections(100) > 0
+        assert max_control_connections(descriptors) <= descriptors - RESERVED_FILES
+    assert max_control_connections(100) > 0
 
 
 async def test_a_connection_whose_request_is_arriving_is_not_closed_as_the_longest_idle() -> None:
--- a/tests/gateway/test_known_words.py
+++ b/tests/gateway/test_known_words.py
@@ -124,7 +124,7 @@
 def send(machine: StateMachine, body: dict, is_whole: bool) -> tuple[int, str]:
     change = ConfigurationChange(is_whole, msgspec.json.encode(body))
     result = machine.apply(machine.state.version + 1, encode_command(change))
-    return result.status, result.wrong
+    return result.status, result.reason
 
 
 def read_settings(folder: Path, raw: dict) -> settings.Settings:
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -1,6 +1,6 @@
 """Configurations that tests edit."""
 
-RULE = {
+STOCK_RULE = {
     "Name": "r-stock",
     "Mode": "idem",
     "Target_time": "400ms",
@@ -11,7 +11,7 @@
 }
 
 
-CLAIM = {
+CLAIM_RULE = {
     "Name": "r-claim",
     "Mode": "mutate",
     "Match": {"Pfx": "/stock/claim/"},
@@ -19,23 +19,23 @@
 }
 
 
-WHOLE = {
+VALID_CONFIGURATION = {
     "Ver": 7,
     "Base": 0,
     "Caps": {"HdrBytes": 16384, "BodyBytes": 65536, "Hdr": "3000ms", "Idle": "15000ms"},
     "Tenants": [{"Name": "sfax", "Apikeys": ["k1", "k2"], "Prio": 1, "RateS": 81, "Burst": 81}],
-    "Ports": [{"Vhost": "a.example", "Policy": [RULE, CLAIM]}],
+    "Ports": [{"Vhost": "a.example", "Policy": [STOCK_RULE, CLAIM_RULE]}],
     "Pools": [{"Name": "garantie", "Hcheck": "/healthz", "Maxconn": 130}, {"Name": "reports"}],
 }
 
 
-def changed(**over) -> dict:
-    return {**WHOLE, **over}
+def with_fields(**over) -> dict:
+    return {**VALID_CONFIGURATION, **over}
 
 
 def with_rule(**over) -> dict:
-    return changed(Ports=[{"Vhost": "a.example", "Policy": [{**RULE, **over}, CLAIM]}])
+    return with_fields(Ports=[{"Vhost": "a.example", "Policy": [{**STOCK_RULE, **over}, CLAIM_RULE]}])
 
 
 def with_action(**over) -> dict:
-    return with_rule(Action={**RULE["Action"], **over})
+    return with_rule(Action={**STOCK_RULE["Action"], **over})
--- a/tests/support/sample_configuration.py
+++ b/tests/support/sample_configuration.py
@@ -6,23 +6,23 @@
 
 from lapisgrade.gateway.local_cluster import SAMPLE
 
-CONF = {name: each for name, each in SAMPLE.items() if name != "Base"}
+SAMPLE_CONFIGURATION = {name: each for name, each in SAMPLE.items() if name != "Base"}
 
 
-STOCK, CLAIM = 0, 1
+STOCK_ROUTE, CLAIM_ROUTE = 0, 1
 
 
-def conf(edit) -> bytes:
+def edited_configuration(edit) -> bytes:
     """The sample, edited."""
-    made = copy.deepcopy(CONF)
+    made = copy.deepcopy(SAMPLE_CONFIGURATION)
     edit(made, made["Ports"][0]["Policy"])
     return msgspec.json.encode(made)
 
 
-def action(rules: list, which: int = CLAIM) -> dict:
+def action_of(rules: list, which: int = CLAIM_ROUTE) -> dict:
     return rules[which]["Action"]
 
 
-def split(rules: list, **wt) -> None:
-    del action(rules)["Svc"]
-    action(rules)["Split"] = [{"Svc": name, "Wt": each} for name, each in wt.items()]
+def set_split(rules: list, **wt) -> None:
+    del action_of(rules)["Svc"]
+    action_of(rules)["Split"] = [{"Svc": name, "Wt": each} for name, each in wt.items()]
