--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -53,7 +53,7 @@
         if event.reason is CloseReason.ERROR_RESPONSE:
             request.handle.failure = event.message
         elif request.operation_key and event.message is not None and event.reason in COMPLETE_RESPONSES:
-            request.response = upstream_protocol.kept_response(event.message)
+            request.response = upstream_protocol.outcome_from_response(event.message)
         super()._on_attempt_closed(event)
         self.on_load_change()
 
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -60,7 +60,7 @@
         random = Random(int.from_bytes(os.urandom(8), "big"))
         incarnation = f"{random.getrandbits(64):016x}"
         self.context = ProxyContext(settings, random, now_us, incarnation)
-        self.inner = settings.internal_address(1)  # where other proxies and the controllers reach this one
+        self.rpc_address = settings.internal_address(1)  # where proxies and controllers reach this one
         self._shutdown = asyncio.Event()
         self._build_routing(settings)
         self._build_control(settings)
@@ -75,7 +75,7 @@
                 settings.slo,
                 settings.az,
                 settings.hostname,
-                str(self.inner),
+                str(self.rpc_address),
                 context.incarnation,
             ),
             context.now_us,
@@ -95,7 +95,7 @@
         context = self.context
         self.rpc = self.make_rpc()
         self.quota_owner = QuotaOwner(settings.hostname, context.incarnation, context.now_us())
-        self.partial_view = PartialView(str(self.inner), settings.az, context.random, context.now_us())
+        self.partial_view = PartialView(str(self.rpc_address), settings.az, context.random, context.now_us())
         self.gossip = Gossip(
             settings.hostname[:MAX_NAME_LENGTH], self.partial_view, context.now_us, context.log_diagnostic
         )
@@ -127,7 +127,7 @@
         )
         self.watch_client = WatchClient(
             context,
-            str(self.inner),
+            str(self.rpc_address),
             self.rpc,
             self.watch_target,
             self.quota_owner,
@@ -162,7 +162,7 @@
         settings = self.settings
         controller_port, hosts = settings.portrange[0], [each[0] for each in settings.peers]
         self.watch_target.seeds = [f"{host}:{controller_port}" for host in hosts]
-        self.partial_view.introduce([f"{host}:{self.inner[1]}" for host in hosts])
+        self.partial_view.introduce([f"{host}:{self.rpc_address[1]}" for host in hosts])
 
     # ---- start and shutdown
 
@@ -188,8 +188,8 @@
 
     async def _listen(self) -> None:
         bind = self.settings.bind
-        await self.rpc.listen(self.inner)
-        await self.gossip.open(*self.inner)
+        await self.rpc.listen(self.rpc_address)
+        await self.gossip.open(*self.rpc_address)
         await self.readiness.listen(bind.readyz)
         await self.client_front.listen(bind.http)
 
--- a/lapisgrade/gateway/routing/upstream_protocol.py
+++ b/lapisgrade/gateway/routing/upstream_protocol.py
@@ -81,7 +81,7 @@
     )
 
 
-def kept_response(message: Message) -> Outcome:
+def outcome_from_response(message: Message) -> Outcome:
     """A server's response as it is kept for the repeats of its operation: without the first request's id.
 
     UNKNOWN for one that is too long to be kept.
--- a/lapisgrade/lab/simulation/defects/operations.py
+++ b/lapisgrade/lab/simulation/defects/operations.py
@@ -111,7 +111,7 @@
     return Outcome(OutcomeState.ANSWERED, message.head.status_code, lines, b"".join(message.body))
 
 
-_kept_response = upstream_protocol.kept_response
+_kept_response = upstream_protocol.outcome_from_response
 
 
 def _kept_response_cut_short(message: Message) -> Outcome:
@@ -155,8 +155,10 @@
             "unknown-counts-as-not-run": Defect(
                 OperationTransport, "_fetch_outcome", _fetch_unknown_as_not_run
             ),
-            "first-try-id-kept": Defect(upstream_protocol, "kept_response", _kept_response_with_request_id),
-            "body-cut-short": Defect(upstream_protocol, "kept_response", _kept_response_cut_short),
+            "first-try-id-kept": Defect(
+                upstream_protocol, "outcome_from_response", _kept_response_with_request_id
+            ),
+            "body-cut-short": Defect(upstream_protocol, "outcome_from_response", _kept_response_cut_short),
             "refused-after-send": Defect(RequestAttempts, "_failure_response", _refuse_always),
         },
         "owner-lost",
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -134,7 +134,7 @@
     async def work(self) -> None:
         """Run the process until its graceful shutdown is complete."""
         loop = asyncio.get_running_loop()
-        await self.rpc.listen(self.inner)
+        await self.rpc.listen(self.rpc_address)
         tasks = [loop.create_task(self.host.run()), loop.create_task(self.watch_client.run())]
         await self._shutdown.wait()
         await asyncio.sleep(SHUTDOWN_GRACE_S)
--- a/tests/gateway/operations/test_outcomes.py
+++ b/tests/gateway/operations/test_outcomes.py
@@ -15,7 +15,7 @@
     OutcomeState,
     OutcomeStore,
 )
-from lapisgrade.gateway.routing.upstream_protocol import kept_response
+from lapisgrade.gateway.routing.upstream_protocol import outcome_from_response
 
 
 def answer(size: int) -> Outcome:
@@ -68,4 +68,4 @@
 def test_a_response_that_is_too_long_to_be_kept_is_not_copied():
     body = [memoryview(bytes(outcomes.MAX_RESPONSE_BYTES + 1))]
     head = SimpleNamespace(status_code=200, headers=h11.Response(status_code=200, headers=[]).headers)
-    assert kept_response(SimpleNamespace(head=head, body=body, size=len(body[0]))) == UNKNOWN
+    assert outcome_from_response(SimpleNamespace(head=head, body=body, size=len(body[0]))) == UNKNOWN
