--- a/lapisgrade/policy/__init__.py
+++ b/lapisgrade/policy/__init__.py
@@ -1,9 +1,9 @@
-"""Every decision of a limiter, and every tuned constant that one rests on; docs/design.md says why.
+"""All decisions of a limiter and their tuned constants; docs/design.md gives the reasons.
 
-A host makes one `Limiter` per process and advances its clock. For each operation it runs the generator
-`limiter.handle(operation)`, which yields commands and is resumed with events (`lapisgrade.interface`). The
-end of every attempt goes to `limiter.on_attempt_finished(attempt, result)` first, then to the operation;
-changes of the endpoint list go to `limiter.update_servers`.
+A host creates one `Limiter` per process and advances its clock. For each operation it runs the generator
+`limiter.handle(operation)`, which yields commands and is resumed with events (`lapisgrade.interface`). It
+passes the result of every attempt to `limiter.on_attempt_finished(attempt, result)` first and then to the
+operation, and changes of the endpoint list to `limiter.update_servers`.
 """
 
 from lapisgrade.policy.limiter import Limiter
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -1,12 +1,12 @@
-"""One customer's quota at one limiter: the shared count, the lease, the local share, the rate limit.
+"""One customer's quota at one limiter: shared count, lease, local share and rate limit.
 
-The customer's use is a decaying count on the counter service, which all limiters add to. A limiter leases
-some operations at a time from it, so that most are admitted without a call; it caches a refusal until the
-refill that it computed; and without an answer it admits by its local share of the quota.
+A customer's use is a decaying count on the counter service, to which all limiters add. A limiter leases units
+for several operations at once, so that it admits most operations without a call. It caches a rejection until
+the bucket has refilled, and falls back to its local share of the quota when the counter does not reply.
 
-An operation's way through `Account.admit`:
+`Account.admit` checks an operation in this order:
 
-    rate limit -> lease -> cached refusal -> counter call (shared with all that wait) -> local share
+    rate limit -> lease -> cached rejection -> counter call (shared by all pending operations) -> local share
 """
 
 import math
@@ -28,78 +28,78 @@
 from lapisgrade.policy.counter_epoch import MAX_EPOCH_DECAYS, CounterEpoch
 from lapisgrade.rate import SECOND, DecayingSum, TokenBucket
 
-COUNTER_TTL_US = 45 * SECOND  # outlives its epoch, so that a limiter that is late still finds the count
-RESPONSE_MARGIN_US = 6_000  # before an operation's deadline; a few rounds of the host's clock
-MAX_LEASE_OPERATIONS = 50  # operations whose units one lease may hold, at most
-LEASE_DURATION_US = SECOND  # how long a lease may be used
-LOCAL_SHARE_FACTOR = 1.5  # even shares of a quota admitted without the counter (docs/design.md)
-IN_FLIGHT_MARGIN = (
-    0.8  # attempts under a cap; the others' are known in the mean only, and a wait costs little
-)
-EXPIRED_USE_RATIO = 0.01  # of the burst; a count below it is forgotten
-RESET_COUNT_RATIO = 0.99  # of our own use; a count below it, less the following, was reset
+COUNTER_TTL_US = 45 * SECOND  # longer than an epoch, so that a late limiter still finds the count
+RESPONSE_MARGIN_US = 6_000  # time kept before the deadline for the answer; a few ticks of the host's clock
+MAX_LEASE_OPERATIONS = 50  # maximum number of operations per lease
+LEASE_DURATION_US = SECOND
+LOCAL_SHARE_FACTOR = 1.5  # local share, in even shares of the quota (docs/design.md)
+# Attempts kept free below a cap: other limiters' are known only on average, and waiting costs little.
+IN_FLIGHT_MARGIN = 0.8
+EXPIRED_USE_RATIO = 0.01  # fraction of the burst below which an idle account's use may be discarded
+# A total below this fraction of our own use, minus RESET_COUNT_UNITS, means that the counter was reset.
+RESET_COUNT_RATIO = 0.99
 RESET_COUNT_UNITS = 0.1
 
 
 class PendingOperation:
-    """An operation that waits for its account's call of the counter."""
+    """An operation that waits for its account's counter call."""
 
     __slots__ = ("is_admitted", "is_counted", "is_resolved", "operation")
 
     def __init__(self, operation: Operation) -> None:
-        """Create the record of an operation that begins to wait."""
+        """Create the record of an operation that starts to wait."""
         self.operation = operation
         self.is_resolved = False
-        self.is_admitted: bool | None = None  # None once resolved: the counter did not answer
-        self.is_counted = False  # it may have been counted by a call that was not answered
+        self.is_admitted: bool | None = None  # None after resolution: the counter did not reply
+        self.is_counted = False  # a call that timed out probably counted it
 
 
 class Account:
-    """One customer at this limiter: its count, lease, local share, rate limit and attempts in flight."""
+    """One customer's count, lease, local share, rate limit and attempts in flight at this limiter."""
 
     lease_duration_us = LEASE_DURATION_US
 
     def __init__(
-        self, clock: Clock, counter_breaker: CounterBreaker, first: Operation, started_us: int
+        self, clock: Clock, counter_breaker: CounterBreaker, first_operation: Operation, started_us: int
     ) -> None:
-        """Create the account of a customer's first operation here.
+        """Create an account for the customer of an operation.
 
         Args:
-            clock: The limiter's.
-            counter_breaker: The limiter's.
-            first: Says who the customer is, its plan, and over how many limiters it is spread.
+            clock: The limiter's clock.
+            counter_breaker: The limiter's circuit breaker for the counter.
+            first_operation: States the customer, its plan and its number of limiters.
             started_us: When this limiter started.
         """
-        plan = first.plan
-        self.gateway_count = first.gateway_count
+        plan = first_operation.plan
+        self.gateway_count = first_operation.gateway_count
         self.clock = clock
         self.counter_breaker = counter_breaker
         self.plan = plan
-        self.customer = first.customer
-        # Use counts 1/e after the time that the bucket takes to fill, on the counter too.
+        self.customer = first_operation.customer
+        # Use decays to 1/e in the time in which the bucket fills, here and on the counter.
         self.decay_us = max(SECOND, int(plan.burst / plan.rate * SECOND)) if plan.rate > 0 else SECOND
         self._reset(clock.now_us, plan)
         share = LOCAL_SHARE_FACTOR / self.gateway_count
         local_burst = plan.burst * share
         self.local_bucket = TokenBucket(clock.now_us, plan.rate * share, local_burst, local_burst)
-        # Split evenly, and empty at start (guards against a second burst after a restart).
+        # Divided evenly among limiters, and empty at start so that a restart grants no second burst.
         rate = plan.rate_limit_per_s / self.gateway_count
         if rate > 0:
             burst = plan.rate_limit_burst / self.gateway_count
             self.rate_limit_bucket = TokenBucket(started_us, rate, burst, 0.0)
 
     def _reset(self, now_us: int, plan: Plan) -> None:
-        """Begin with nothing known of the count."""
-        self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)  # the quota's, by the totals
+        """Discard all knowledge of the count."""
+        self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)  # from the totals
         self.counter_epoch = CounterEpoch(self.customer, self.decay_us)
-        self.is_level_known = False  # whether the bucket says more than the plan, as a call was made
-        self.last_read_us = 0  # when the last total arrived; 0: never
+        self.is_level_known = False  # whether a counter call was made
+        self.last_read_us = 0  # arrival time of the last total; 0: none yet
         self.leased_units = 0.0
         self.lease_expires_us = 0
-        self.total_use = DecayingSum(self.decay_us)  # the last total, with what we added since
-        self.own_use = DecayingSum(self.decay_us)  # our part of it
-        self.unreported = DecayingSum(self.decay_us)  # what is to be added to it
-        self.to_restore = DecayingSum(self.decay_us)  # what of our part a new count has not got yet
+        self.total_use = DecayingSum(self.decay_us)  # the last total plus our additions since
+        self.own_use = DecayingSum(self.decay_us)  # this limiter's part of the total
+        self.unreported = DecayingSum(self.decay_us)  # use to be added to the count with the next call
+        self.to_restore = DecayingSum(self.decay_us)  # own use that is missing from a new count
         self.rate_limit_bucket = TokenBucket(0, 0.0, math.inf, math.inf)
         self.in_flight = 0
         self.is_calling = False
@@ -107,9 +107,9 @@
         self.pending: list[PendingOperation] = []
 
     def has_capacity(self, units: float, latency_us: float) -> bool:
-        """Whether the plan's cap on attempts in flight leaves room for one of so many units.
+        """Whether the plan's cap on attempts in flight allows another attempt.
 
-        What other limiters have in flight is estimated from their use.
+        The attempts in flight at other limiters are estimated from their use.
         """
         now_us = self.clock.now_us
         others_use = max(0.0, self.total_use.read(now_us) - self.own_use.read(now_us))
@@ -118,7 +118,7 @@
         return not cap or self.in_flight + others < cap - IN_FLIGHT_MARGIN
 
     def is_expired(self, now_us: int) -> bool:
-        """Whether nothing is lost with it, as the counter has forgotten it too (guards memory)."""
+        """Whether the account may be deleted to save memory, as the counter has dropped its use too."""
         if self.in_flight or self.pending or self.is_calling:
             return False
         if self.rate_limit_bucket.read(now_us) < self.rate_limit_bucket.burst:
@@ -130,10 +130,10 @@
     # ---- admission
 
     def admit(self, operation: Operation) -> CommandGenerator[int | None]:
-        """Admit an operation, or say when it may be.
+        """Admit or reject an operation.
 
         Returns:
-            None if it is admitted; else the us until there may be capacity for it.
+            None if it is admitted; else the time in us until there may be capacity for it.
         """
         now_us, units = self.clock.now_us, operation.units
         if self.rate_limit_bucket.read(now_us) < units:
@@ -142,7 +142,7 @@
             self.consume(now_us, units)
             return None
         if self.bucket.read(now_us) < units:
-            return self.bucket.wait_us(now_us, units)  # a cached refusal
+            return self.bucket.wait_us(now_us, units)  # a cached rejection
         if not self.may_wait_for_counter(now_us):
             return self.admit_locally(now_us, units)
         pending = PendingOperation(operation)
@@ -154,12 +154,12 @@
             reason = yield Sleep(operation.deadline_us - RESPONSE_MARGIN_US)
             if reason is not WakeReason.RESUMED and not pending.is_resolved:
                 self.pending.remove(pending)
-                return 0  # the client has gone, or the deadline is near: refused without the counter's answer
+                return 0  # client disconnected or deadline near: reject without the counter's reply
         return self._admit_by_reply(pending)
 
     def _take_from_lease(self, now_us: int, units: float) -> bool:
         if self.lease_expires_us <= now_us and self.leased_units:
-            self.unreported.add(now_us, -self.leased_units)  # the next call gives the rest back
+            self.unreported.add(now_us, -self.leased_units)  # the next call returns the rest
             self.leased_units = 0.0
         if self.leased_units < units:
             return False
@@ -167,11 +167,11 @@
         return True
 
     def _admit_by_reply(self, pending: PendingOperation) -> int | None:
-        """Admit or refuse an operation that waited for the counter, by the counter's answer."""
+        """Admit or reject a pending operation according to the counter's reply."""
         now_us, units = self.clock.now_us, pending.operation.units
         if pending.is_admitted is None:
-            # A call that timed out was mostly counted: the operation is admitted, or its units are given
-            # back (guards against counting twice).
+            # A call that timed out was probably counted. So the operation is either admitted or its units are
+            # returned, to avoid counting it twice.
             return self.admit_locally(now_us, units, pending.is_counted)
         if not pending.is_admitted:
             return self.bucket.wait_us(now_us, units)
@@ -182,30 +182,31 @@
         return None
 
     def may_wait_for_counter(self, now_us: int) -> bool:
-        """Whether an operation waits for the counter: a call is in flight, or may be made now."""
+        """Whether an operation may wait for the counter: a call is in flight or allowed now."""
         return self.is_calling or self.counter_breaker.try_acquire_call(now_us)
 
     def consume(self, now_us: int, units: float, is_local: bool = False) -> None:
-        """Take an admitted operation's units; `is_local`: admitted without the counter."""
+        """Deduct the units of an admitted operation; `is_local`: it was admitted without the counter."""
         level = self.local_bucket.read(now_us) - units
         self.local_bucket.set_level(now_us, level if is_local else max(0.0, level))
         self.rate_limit_bucket.set_level(now_us, self.rate_limit_bucket.read(now_us) - units)
 
     def admit_locally(self, now_us: int, units: float, is_counted: bool = False) -> int | None:
-        """Admit or refuse by the local share, without the counter; the units are reported to it later.
+        """Admit or reject an operation by the local share and report its units to the counter later.
 
         Args:
-            now_us: The present time.
-            units: What the operation takes.
-            is_counted: Whether the counter has likely counted it already.
+            now_us: The current time.
+            units: The operation's units.
+            is_counted: Whether the counter has probably counted the operation already.
 
         Returns:
-            None if it is admitted; else the us until there may be capacity for it.
+            None if it is admitted; else the time in us until there may be capacity for it.
         """
         if self.last_read_us and not self.counter_breaker.is_open:
             required, available, rate = self._share_of_last_total(now_us, units)
         else:
-            # A full share admits any one, and owes the rest (guards calm customers of very many limiters).
+            # A full share admits an operation of any size and goes into debt: with very many limiters a
+            # share may be less than one operation, which would lock out customers with little traffic.
             required = min(units, self.local_bucket.burst)
             available = self.local_bucket.read(now_us)
             rate = self.local_bucket.rate_per_s
@@ -218,10 +219,10 @@
         return math.ceil((required - available) / rate * SECOND)
 
     def _share_of_last_total(self, now_us: int, units: float) -> tuple[float, float, float]:
-        """What is required, what is available and its rate, by the last total.
+        """Required units, available units and refill rate, estimated from the last total.
 
-        The counter is overloaded, not gone: its last total, with the others' use as it was, says more than
-        an even share.
+        The counter is overloaded but reachable. Its last total, with the other limiters' use extrapolated, is
+        a better estimate than an even share.
         """
         total, own = max(self.total_use.read(now_us), 1e-9), self.own_use.read(now_us)
         share = min(1.0, LOCAL_SHARE_FACTOR * max(1 / self.gateway_count, own / total))
@@ -231,19 +232,19 @@
         return required, available, self.plan.rate * share
 
     def unclamped_level(self, now_us: int) -> float:
-        """The bucket's level, as if it had no burst."""
+        """The bucket's level, not limited by its burst."""
         return self.bucket.level + self.plan.rate * (now_us - self.bucket.updated_us) / SECOND
 
     def estimated_use_of_others(self, now_us: int) -> float:
-        """Estimated use by other limiters since the last total, at the rate seen until then."""
+        """Estimated use by other limiters since the last total, at their rate until then."""
         decays = (now_us - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
         others = max(0.0, self.total_use.read(now_us) - self.own_use.read(now_us))
         return others * math.exp(min(MAX_EPOCH_DECAYS, decays)) * decays
 
-    # ---- calls of the counter
+    # ---- counter calls
 
     def run_counter_calls(self) -> CommandGenerator[None]:
-        """Call the counter, one call at a time, until no operation waits; all that wait share a call."""
+        """Call the counter, one call at a time, until no operation is pending; they share each call."""
         while self.pending:
             first_units = self.pending[0].operation.units
             requested = self._units_to_request(first_units)
@@ -255,13 +256,13 @@
         self.is_calling = False
 
     def _units_to_request(self, units: float) -> float:
-        """A lease on a part of what is left, in operations of so many units; at least one."""
+        """Units to request: a lease on part of the remaining quota, for at least one operation."""
         level = self.bucket.read(self.clock.now_us) if self.is_level_known else 0.0
         operations = max(1, int(level / (2 * self.gateway_count * units)))
         return min(MAX_LEASE_OPERATIONS, operations) * units
 
     def _resolve_without_counter(self, correction: float, outcome: CounterOutcome) -> CommandGenerator[None]:
-        """Let all that wait be admitted locally; `correction`: of what a call that timed out likely added."""
+        """Resolve pending operations locally; after a time-out, `correction` adjusts the unreported use."""
         is_timeout = outcome is CounterOutcome.TIMED_OUT
         if is_timeout:
             self.unreported.add(self.clock.now_us, correction)
@@ -272,7 +273,7 @@
         self.pending.clear()
 
     def _resolve_by_total(self, requested: float) -> CommandGenerator[None]:
-        """Grant what the total leaves of the request; lease the rest, or give it back."""
+        """Admit pending operations within the granted units; lease the rest or return it."""
         now_us = self.clock.now_us
         missing = min(requested, max(0.0, -self.bucket.level))
         granted = requested - missing
@@ -297,17 +298,13 @@
         return Resume(pending.operation)
 
     def add_to_counter(self, units: float) -> CommandGenerator[CounterOutcome]:
-        """Add to the count, with what is unreported, and bring the bucket up to date from the total.
-
-        Returns:
-            The `CounterOutcome`.
-        """
+        """Add units and all unreported use to the count, and update the bucket from the new total."""
         sent_us = self.clock.now_us
         self.is_level_known = True
         epoch = self.counter_epoch
-        if epoch.enter(sent_us):  # every limiter restores its own part of the count there
+        if epoch.enter(sent_us):  # every limiter restores its own use in a new epoch
             self.to_restore.add(sent_us, self.own_use.read(sent_us) - self.to_restore.read(sent_us))
-        # What is restored was used before, and is no new use; what is unreported is new to all.
+        # Unreported use is new to all limiters. Restored use is not: it was counted before.
         added = units + self.unreported.read(sent_us)
         restored = self.to_restore.read(sent_us)
         self.unreported.value = 0.0
@@ -324,7 +321,7 @@
         decay = math.exp((sent_us - now_us) / self.decay_us)
         added *= decay
         restored *= decay
-        # A call that timed out was mostly counted: what it carried is taken, and what was known holds.
+        # A call that timed out was probably counted: its units are used up, on top of the last known total.
         use, level = self.total_use.read(now_us), self.unclamped_level(now_us)
         if reply.outcome is CounterOutcome.ADDED:
             use = reply.total * math.exp((epoch_start_us - now_us) / self.decay_us) - added
@@ -335,33 +332,33 @@
         return reply.outcome
 
     def _apply_total(
-        self, now_us: int, use: float, level: float, restored: float, counting_since_us: int
+        self, now_us: int, use: float, level: float, restored: float, count_started_us: int
     ) -> tuple[float, float]:
         """Compute use and bucket level from a total.
 
         Args:
-            now_us: The present time.
-            use: The use by the total, without what the call added.
-            level: The bucket's level by what was known before.
-            restored: What the call restored of our part.
-            counting_since_us: The start of the count's epoch.
+            now_us: The current time.
+            use: Use according to the total, without the units added by this call.
+            level: The bucket's level as known before the call.
+            restored: Own use that the call restored.
+            count_started_us: The start of the count's epoch.
 
         Returns:
-            The use of all limiters and the bucket's level, both without what the call added.
+            The use of all limiters and the bucket's level, both without the units added by this call.
         """
         known = self.total_use.read(now_us)
         if use < RESET_COUNT_RATIO * self.own_use.read(now_us) - RESET_COUNT_UNITS:
-            counting_since_us = now_us  # the count was reset, but for this call
+            count_started_us = now_us  # the count was reset and holds only this call
             self.to_restore.add(now_us, self.own_use.read(now_us) - restored)
-        # Of the others' use since the last total a part has decayed: as if it was even, it was so much more
-        # (guards against a leak that grows with the limiters). A count that was reset, or is not restored
-        # yet, says less than is known: then the others went on as before. The bucket surely holds what the
-        # count leaves.
+        # Part of the others' use since the last total has decayed already. At a constant rate, their use is
+        # higher by the factor `decayed`; ignoring this would leak quota, more so with more limiters. A total
+        # that was reset or is not yet restored is too low, so the others are assumed to continue at their
+        # previous rate. The bucket holds at least what the total leaves of the burst.
         decays = (now_us - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
         decayed = decays / -math.expm1(-decays) if decays > 0 else 1.0
         others = (use - known) * decayed
         if use < known:
-            has_lost_use = self.last_read_us < counting_since_us
+            has_lost_use = self.last_read_us < count_started_us
             others = self.estimated_use_of_others(now_us) if has_lost_use else 0.0
             use = known + others / decayed
         self.last_read_us = now_us
--- a/lapisgrade/policy/admission_queue.py
+++ b/lapisgrade/policy/admission_queue.py
@@ -1,8 +1,8 @@
-"""Where operations wait, before their first attempt, for capacity: load shedding by value.
+"""Queue in which operations wait for capacity before their first attempt: load shedding by value.
 
-The more of the concurrency limit is in flight, the more valuable an operation must be to be admitted. One
-that is not admitted at once waits a while, as most that wait are admitted soon; more than can be admitted in
-that time are rejected at once.
+The higher the utilization of the concurrency limit, the more valuable an operation must be to be admitted.
+One that is not admitted immediately waits for a short time, as most queued operations are admitted soon. It
+is rejected immediately if the queue is too long to be served in that time.
 """
 
 from collections.abc import Callable
@@ -14,23 +14,23 @@
 from lapisgrade.policy.server_pool import ServerPool
 from lapisgrade.rate import DecayingSum
 
-MAX_QUEUE_RATIO = 0.25  # of the latency target, that an operation may wait for capacity
-QUEUE_POLL_US = 10_000  # between looks for capacity
+MAX_QUEUE_RATIO = 0.25  # maximum wait for capacity, as a fraction of the latency target
+QUEUE_POLL_US = 10_000  # interval between checks for capacity
 
 
 class AdmissionQueue:
-    """The operations of one limiter that wait for capacity."""
+    """Operations of one limiter that wait for capacity."""
 
     def __init__(self, clock: Clock, server_pool: ServerPool) -> None:
-        """Create an empty queue before the servers of `server_pool`."""
+        """Create an empty queue for the servers of `server_pool`."""
         self._clock = clock
         self._server_pool = server_pool
         self.length = 0
-        self._values = DecayingSum(LATENCY_DECAY_US)  # of operations, for each us of a server's work
+        self._values = DecayingSum(LATENCY_DECAY_US)  # values of operations per us of server work
         self._operations = DecayingSum(LATENCY_DECAY_US)
 
     def wait_for_servers(self, operation: Operation, account: Account) -> CommandGenerator[bool]:
-        """Wait until servers and the account's cap have capacity; returns whether they do."""
+        """Wait for capacity of the servers and the account; returns whether there is any."""
         threshold = self._shedding_threshold(operation)
 
         def has_capacity() -> bool:
@@ -40,7 +40,7 @@
         return (yield from self._wait_until(operation, has_capacity))
 
     def wait_for_account(self, operation: Operation, account: Account) -> CommandGenerator[bool]:
-        """Wait until the account's cap on attempts in flight has capacity; returns whether it does."""
+        """Wait for room under the account's cap on attempts in flight; returns whether there is any."""
 
         def has_capacity() -> bool:
             return self._has_account_capacity(operation, account)
@@ -48,11 +48,11 @@
         return (yield from self._wait_until(operation, has_capacity))
 
     def _has_account_capacity(self, operation: Operation, account: Account) -> bool:
-        usual_us = self._server_pool.usual_latency_us(operation.category)
-        return account.has_capacity(operation.units, usual_us)
+        mean_us = self._server_pool.mean_latency_us(operation.category)
+        return account.has_capacity(operation.units, mean_us)
 
     def _shedding_threshold(self, operation: Operation) -> float:
-        """The utilization from which the operation is not admitted, by its value among others of late."""
+        """Utilization at which the operation is rejected, by its value relative to recent operations."""
         now_us, category = self._clock.now_us, operation.category
         expected_us = self._server_pool.expected_latency_us(operation)
         value = category.value * operation.plan.value_factor * operation.units / expected_us
@@ -62,17 +62,17 @@
         return LOAD_SHEDDING_THRESHOLD + (1 - LOAD_SHEDDING_THRESHOLD) * relative_value
 
     def _wait_until(self, operation: Operation, has_capacity: Callable[[], bool]) -> CommandGenerator[bool]:
-        """Wait until there is capacity, or it is too late, or too many wait already."""
-        longest_us = int(MAX_QUEUE_RATIO * operation.category.latency_target_us)
-        latest_us = min(self._clock.now_us + longest_us, operation.deadline_us - RESPONSE_MARGIN_US)
-        usual_us = self._server_pool.usual_latency_us(operation.category)
+        """Wait until there is capacity; give up at the time limit, or immediately if the queue is full."""
+        max_wait_us = int(MAX_QUEUE_RATIO * operation.category.latency_target_us)
+        latest_us = min(self._clock.now_us + max_wait_us, operation.deadline_us - RESPONSE_MARGIN_US)
+        mean_us = self._server_pool.mean_latency_us(operation.category)
         is_queued, is_ready = False, False
         while not operation.is_abandoned:
             now_us = self._clock.now_us
             is_ready = has_capacity()
             if is_ready or now_us >= latest_us:
                 break
-            if not is_queued and self._is_full(usual_us, latest_us - now_us):
+            if not is_queued and self._is_full(mean_us, latest_us - now_us):
                 break
             self.length += not is_queued
             is_queued = True
@@ -80,6 +80,6 @@
         self.length -= is_queued
         return is_ready
 
-    def _is_full(self, usual_us: float, left_us: int) -> bool:
-        """Whether those that wait, leaving one by one, take all the time that is left."""
-        return self.length * usual_us >= self._server_pool.concurrency.value * left_us
+    def _is_full(self, mean_us: float, left_us: int) -> bool:
+        """Whether serving the queued operations would take all of the remaining time."""
+        return self.length * mean_us >= self._server_pool.concurrency.value * left_us
--- a/lapisgrade/policy/attempt.py
+++ b/lapisgrade/policy/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of an operation to one server."""
+"""An attempt: an operation sent once to one server."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Attempt:
-    """One sending of an operation to one server; handed to the host with `Send`."""
+    """An operation sent once to one server; passed to the host with `Send`."""
 
     __slots__ = ("is_in_flight", "number", "operation", "sent_us", "server")
 
@@ -16,10 +16,10 @@
         """Create an attempt that starts now.
 
         Args:
-            operation: What is sent.
-            server: The policy's own record of the server; it has an `address`.
-            number: Counts the operation's attempts, from 0.
-            sent_us: The present time.
+            operation: The operation to send.
+            server: The policy's record of the server; has an `address`.
+            number: The attempt's index within the operation, from 0.
+            sent_us: The current time.
         """
         self.operation = operation
         self.server = server
--- a/lapisgrade/policy/counter_breaker.py
+++ b/lapisgrade/policy/counter_breaker.py
@@ -1,42 +1,42 @@
-"""When the counter service may be called: a circuit breaker and an adaptive rate of calls."""
+"""Circuit breaker and adaptive call rate for the counter service."""
 
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.rate import SECOND, TokenBucket
 
-MAX_CONSECUTIVE_TIMEOUTS = 3  # that open the breaker; the design's
-PROBE_INTERVAL_US = SECOND  # between calls while the breaker is open; the design's
-MAX_CALL_RATE = 200.0  # calls a second that one limiter starts with and never passes: one for each operation
-CALL_RATE_FACTOR = 0.03  # of the rate, that a counted call adds to it
-CALL_RATE_STEP = 0.5  # calls a second that a counted call adds beside that
-CALL_RATE_BACKOFF = 0.7  # of the rate that time-outs leave: one call in five or so times out in a crowd
-CALL_BURST_S = 0.05  # of the rate, that may be called together; a counter's time-out or two
+MAX_CONSECUTIVE_TIMEOUTS = 3  # open the breaker; given by the design
+PROBE_INTERVAL_US = SECOND  # while the breaker is open; given by the design
+MAX_CALL_RATE = 200.0  # calls per second, initially and at most: one per operation
+CALL_RATE_FACTOR = 0.03  # relative increase of the call rate per successful call
+CALL_RATE_STEP = 0.5  # absolute increase per successful call, in calls per second
+CALL_RATE_BACKOFF = 0.7  # factor per time-out; under overload about one call in five times out
+CALL_BURST_S = 0.05  # burst of calls, in seconds of the call rate; one or two counter time-outs
 
 
 class CounterBreaker:
-    """The counter as this limiter sees it.
+    """Circuit breaker and call rate of one limiter.
 
-    The breaker opens on a counter that does not answer, and lets a probe through now and then. The rate of
-    calls backs off from one that is overloaded: asked for more than it can count, it would answer nobody
-    (additive increase, multiplicative decrease). Guards also against a counter that loses answers.
+    The breaker opens when the counter does not reply, and then admits periodic probes. The call rate backs
+    off from an overloaded counter, which would otherwise reply in time to no call at all (additive increase,
+    multiplicative decrease). This also covers a counter whose replies are lost.
     """
 
     probe_interval_us = PROBE_INTERVAL_US
 
     def __init__(self, is_available: bool) -> None:
-        """Create a closed breaker; with no counter `is_available`, no call is ever allowed."""
+        """Create a closed breaker; if no counter `is_available`, it allows no calls."""
         self.is_available = is_available
         self.consecutive_timeouts = 0
         self.next_probe_us = 0
-        self.backed_off_us = 0  # when the rate was last reduced
+        self.last_backoff_us = 0  # when the rate was last reduced
         self.call_budget = TokenBucket(0, MAX_CALL_RATE, MAX_CALL_RATE * CALL_BURST_S, 1.0)
 
     @property
     def is_open(self) -> bool:
-        """Whether the counter is taken to be unreachable."""
+        """Whether the counter is considered unreachable."""
         return self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS
 
     def try_acquire_call(self, now_us: int) -> bool:
-        """Take the right to one call, if there is one now."""
+        """Reserve one call; returns whether it is allowed now."""
         calls = self.call_budget.read(now_us)
         if not self.is_available:
             return False
@@ -48,15 +48,15 @@
         return True
 
     def record_reply(self, now_us: int, outcome: CounterOutcome, sent_us: int) -> None:
-        """Take in how a call that was sent at `sent_us` ended."""
+        """Record the outcome of a call that was sent at `sent_us`."""
         calls = self.call_budget
         calls.set_level(now_us, calls.read(now_us))
         if outcome is CounterOutcome.ADDED:
             self.consecutive_timeouts = 0
-            faster = calls.rate_per_s * (1 + CALL_RATE_FACTOR) + CALL_RATE_STEP
-            calls.rate_per_s = min(MAX_CALL_RATE, faster)
-        elif sent_us > self.backed_off_us:  # calls in flight together tell one thing
+            increased_rate = calls.rate_per_s * (1 + CALL_RATE_FACTOR) + CALL_RATE_STEP
+            calls.rate_per_s = min(MAX_CALL_RATE, increased_rate)
+        elif sent_us > self.last_backoff_us:  # calls in flight together count as one time-out
             self.consecutive_timeouts += 1
-            self.backed_off_us = now_us
+            self.last_backoff_us = now_us
             calls.rate_per_s *= CALL_RATE_BACKOFF
         calls.burst = max(1.0, calls.rate_per_s * CALL_BURST_S)
--- a/lapisgrade/policy/counter_epoch.py
+++ b/lapisgrade/policy/counter_epoch.py
@@ -1,8 +1,8 @@
-"""Which counter a customer's use is added to, and how much an amount weighs there.
+"""The counter id that holds a customer's use, and the weight of an amount that is added to it.
 
-Use decays with time, which a counter that only adds can't do. So amounts grow with time in place of it, and
-whoever reads a total scales it back (Cormode et al., "Forward Decay", 2009). Another counter is used in each
-epoch, so that what is added stays within the counter's range.
+Use decays with time, but the counter can only add. So the amounts added grow with time instead, and readers
+scale the total back (Cormode et al., "Forward Decay", 2009). Each epoch uses another counter id, which keeps
+the amounts within the counter's range.
 """
 
 import math
@@ -10,17 +10,17 @@
 
 from lapisgrade.rate import SECOND
 
-MAX_EPOCH_US = 30 * SECOND  # that one counter id is used; short of the counter's longest TTL, seldom renewed
-MAX_EPOCH_DECAYS = 15  # of `decay_us` in an epoch; amounts grow e-fold in each, and the counter takes 1e9
+MAX_EPOCH_US = 30 * SECOND  # below the counter's maximum TTL, yet epochs change rarely
+MAX_EPOCH_DECAYS = 15  # `decay_us` per epoch; amounts grow e-fold in each, and the counter is limited to 1e9
 
 
 class CounterEpoch:
-    """One customer's present epoch; the same at all limiters, by the clock."""
+    """One customer's current epoch; the clock makes it the same at all limiters."""
 
     __slots__ = ("_customer", "_decay_us", "_length_us", "_number", "counter_id")
 
     def __init__(self, customer: str, decay_us: int) -> None:
-        """Create a customer's; in no epoch until `enter`."""
+        """Create the epoch of a customer; none is current until `enter`."""
         self._customer = customer
         self._decay_us = decay_us
         self._length_us = min(MAX_EPOCH_US, MAX_EPOCH_DECAYS * decay_us)
@@ -28,7 +28,7 @@
         self.counter_id = 0
 
     def enter(self, now_us: int) -> bool:
-        """Enter the epoch of the present time; returns whether it is another than before."""
+        """Switch to the epoch of `now_us`; returns whether it has changed."""
         number = now_us // self._length_us
         if number == self._number:
             return False
@@ -39,9 +39,9 @@
 
     @property
     def start_us(self) -> int:
-        """When the present epoch began."""
+        """The start of the current epoch."""
         return self._number * self._length_us
 
     def growth(self, now_us: int) -> float:
-        """What an amount that is added now is multiplied by."""
+        """The factor by which an amount that is added now is multiplied."""
         return math.exp((now_us - self.start_us) / self._decay_us)
--- a/lapisgrade/policy/latency.py
+++ b/lapisgrade/policy/latency.py
@@ -1,23 +1,23 @@
-"""How long attempts of one kind take, by those of late."""
+"""Latency estimates from recent attempts of one kind."""
 
 import math
 
 from lapisgrade.rate import SECOND, DecayingSum
 
-LATENCY_DECAY_US = 12 * SECOND  # how long a latency is remembered, some dozens of attempts a server
-LATENCY_PRIOR_WEIGHT = 4  # attempts; weight of what is assumed before any was seen
-PRIOR_DEVIATION_SQUARED = 2  # the assumed mean square of latencies, in squares of their mean
-MIN_DEVIATION_SQUARED = 4  # the variance is at least the square of the mean by this
-UNITS_LATENCY_SHARE = 0.5  # the part of an attempt's latency that is taken to grow with its units
+LATENCY_DECAY_US = 12 * SECOND  # decay time of a latency; some dozens of attempts per server
+LATENCY_PRIOR_WEIGHT = 4  # weight of the initial estimate, in attempts
+PRIOR_MEAN_SQUARE_RATIO = 2  # assumed mean of the squared latencies, in squared means
+MIN_VARIANCE_DIVISOR = 4  # the variance is at least the squared mean divided by this
+UNITS_LATENCY_SHARE = 0.5  # fraction of the latency that is proportional to an operation's units
 
 
 class LatencyEstimate:
-    """Mean and deviation of the latencies of one category or route, in us."""
+    """Mean and standard deviation of the latencies of one category or route, in us."""
 
     __slots__ = ("_attempts", "_initial_us", "_latencies", "_squares", "_units")
 
     def __init__(self, initial_us: float) -> None:
-        """Create an estimate that is taken to be `initial_us` until attempts tell more."""
+        """Create an estimate whose mean is `initial_us` until attempts are recorded."""
         self._initial_us = initial_us
         self._latencies = DecayingSum(LATENCY_DECAY_US)
         self._squares = DecayingSum(LATENCY_DECAY_US)
@@ -25,7 +25,7 @@
         self._units = DecayingSum(LATENCY_DECAY_US)
 
     def add(self, now_us: int, latency_us: int, units: float) -> None:
-        """Record an attempt that succeeded."""
+        """Record a successful attempt."""
         self._latencies.add(now_us, latency_us)
         self._squares.add(now_us, latency_us * latency_us)
         self._attempts.add(now_us, 1)
@@ -39,12 +39,12 @@
     def deviation(self, now_us: int) -> float:
         """The standard deviation in us, at least half of the mean."""
         mean = self.mean(now_us)
-        prior = LATENCY_PRIOR_WEIGHT * PRIOR_DEVIATION_SQUARED * mean * mean
+        prior = LATENCY_PRIOR_WEIGHT * PRIOR_MEAN_SQUARE_RATIO * mean * mean
         square = (self._squares.read(now_us) + prior) / (self._attempts.read(now_us) + LATENCY_PRIOR_WEIGHT)
-        return math.sqrt(max(square - mean * mean, mean * mean / MIN_DEVIATION_SQUARED))
+        return math.sqrt(max(square - mean * mean, mean * mean / MIN_VARIANCE_DIVISOR))
 
     def expected(self, now_us: int, units: float) -> float:
-        """The expected latency in us of an attempt that takes so many units."""
+        """The expected latency in us of an attempt with `units`."""
         typical_units = (self._units.read(now_us) + units) / (self._attempts.read(now_us) + 1)
         if typical_units <= 0:
             return self.mean(now_us)
--- a/lapisgrade/policy/limiter.py
+++ b/lapisgrade/policy/limiter.py
@@ -1,4 +1,4 @@
-"""One limiter's decisions on an operation, from its arrival to its one final answer."""
+"""One limiter's decisions on an operation, from its arrival to its final answer."""
 
 from random import Random
 
@@ -22,11 +22,11 @@
 from lapisgrade.policy.operation_attempts import OperationAttempts, reject_for_retry
 from lapisgrade.policy.server_pool import ServerPool
 
-MAX_OVERAGE_UTILIZATION = LOAD_SHEDDING_THRESHOLD / 2  # up to which use beyond a quota is admitted
+MAX_OVERAGE_UTILIZATION = LOAD_SHEDDING_THRESHOLD / 2  # maximum utilization for use beyond a quota
 
 
 class Limiter:
-    """The policy of one limiter; a host drives it as `lapisgrade.interface` says."""
+    """The policy of one limiter; a host drives it as described in `lapisgrade.interface`."""
 
     def __init__(
         self,
@@ -38,32 +38,32 @@
         rules: ServerRules,
         permissions: Permissions,
     ) -> None:
-        """Create a limiter that knows no server yet.
+        """Create a limiter without servers.
 
         Args:
             clock: Advanced by the host.
-            seed: Of all random choices, the host's too.
-            placement: Where it stands among its peers.
-            counter_settings: How the counter is reached.
+            seed: Seed of all random choices, including the host's.
+            placement: The limiter's index, the number of limiters, and the zone.
+            counter_settings: Availability of the counter.
             categories: All categories of operations.
-            rules: The service's rules about servers.
-            permissions: What it may do with operations.
+            rules: The service's rules on draining and slow start.
+            permissions: What the limiter may do with operations.
         """
         self.clock = clock
         self.permissions = permissions
         self.started_us = clock.now_us
         self.random = Random(seed)
         self.counter_breaker = CounterBreaker(counter_settings.is_available)
-        self.accounts: dict[str, Account] = {}  # by customer, the one unused for longest first
+        self.accounts: dict[str, Account] = {}  # by customer, least recently used first
         self.server_pool = ServerPool(clock, self.random, placement, rules, categories)
         self.queue = AdmissionQueue(clock, self.server_pool)
 
     def update_servers(self, endpoints: list[ServerEndpoint], is_complete: bool) -> None:
-        """Take in changes of the endpoint list, or all of it."""
+        """Apply changes of the endpoint list, or a complete list."""
         self.server_pool.update(endpoints, is_complete)
 
     def on_attempt_finished(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Learn from how an attempt ended; the host calls it before the operation hears of it."""
+        """Record the result of an attempt; the host calls this before it resumes the operation."""
         operation = attempt.operation
         account = self.account(operation)
         account.in_flight -= 1
@@ -80,12 +80,12 @@
         self.accounts[operation.customer] = account
         account.last_used_us = now_us
         oldest = next(iter(self.accounts.values()))
-        if oldest.is_expired(now_us):  # each new one may push one out
+        if oldest.is_expired(now_us):  # at most one account is deleted per call
             del self.accounts[oldest.customer]
         return account
 
     def handle(self, operation: Operation) -> CommandGenerator[None]:
-        """Decide on an operation: admit it, run its attempts, or reject it."""
+        """Handle an operation: admit it and run its attempts, or reject it."""
         account = self.account(operation)
         if not (yield from self.queue.wait_for_servers(operation, account)):
             yield from self._reject_overloaded(operation)
@@ -96,7 +96,7 @@
         if wait_us is not None and not self._admit_overage(operation, account):
             yield from reject_for_retry(operation, self.permissions, wait_us)
             return
-        # The counter has just told what others use: under a cap on attempts in flight, look again.
+        # The counter's reply may have raised the estimate of other limiters' attempts: check the cap again.
         if not (yield from self.queue.wait_for_account(operation, account)):
             account.unreported.add(self.clock.now_us, -operation.units)
             yield from self._reject_overloaded(operation)
@@ -105,7 +105,7 @@
         yield from attempts.run()
 
     def _admit_overage(self, operation: Operation, account: Account) -> bool:
-        """Admit beyond the quota where that earns more than it costs and servers have capacity."""
+        """Admit use beyond the quota if it earns more than it costs and servers have capacity."""
         plan, now_us = operation.plan, self.clock.now_us
         if plan.overage_value <= plan.overage_cost:
             return False
@@ -117,5 +117,5 @@
         return True
 
     def _reject_overloaded(self, operation: Operation) -> CommandGenerator[None]:
-        wait_us = self.server_pool.usual_latency_us(operation.category)
+        wait_us = self.server_pool.mean_latency_us(operation.category)
         yield from reject_for_retry(operation, self.permissions, wait_us)
--- a/lapisgrade/policy/operation_attempts.py
+++ b/lapisgrade/policy/operation_attempts.py
@@ -4,14 +4,14 @@
 
 | state | on | next |
 | --- | --- | --- |
-| SELECTING | an attempt starts, or none may beside those in flight | WAITING |
-| SELECTING | none may start and none is in flight | the operation is rejected |
-| WAITING | an attempt ends without an answer, and none is left in flight | SELECTING (a retry) |
+| SELECTING | an attempt starts, or none may start but others are in flight | WAITING |
+| SELECTING | no attempt may start and none is in flight | the operation is rejected |
+| WAITING | the last attempt in flight ends without a final answer | SELECTING (a retry) |
 | WAITING | attempts are overdue and a hedge is allowed | SELECTING (a hedge) |
 | WAITING | attempts are overdue and must be cancelled before a retry | CANCELLING |
-| CANCELLING | all are told to end | WAITING |
-| WAITING | the deadline | TIMED_OUT: the operation fails, attempts in flight are cancelled |
-| WAITING | the client is gone or has its answer | FINISHED: attempts in flight are cancelled |
+| CANCELLING | all attempts in flight are cancelled | WAITING |
+| WAITING | the deadline expires | TIMED_OUT: the operation fails, attempts in flight are cancelled |
+| WAITING | the client disconnects or has its answer | FINISHED: attempts in flight are cancelled |
 """
 
 from enum import Enum, auto
@@ -39,12 +39,12 @@
 from lapisgrade.policy.server_pool import ServerPool
 from lapisgrade.rate import SECOND
 
-OVERDUE_DEVIATIONS = 3.0  # above the expected latency, from which another attempt is considered
-STREAM_TIMEOUT_US = 3600 * SECOND  # for a response that has begun to reach its client
+OVERDUE_DEVIATIONS = 3.0  # standard deviations above the expected latency at which an attempt is overdue
+STREAM_TIMEOUT_US = 3600 * SECOND  # time-out of a streamed response that has started
 
 
 class State(Enum):
-    """Where an operation's attempts stand; see the table above."""
+    """State of an operation's attempts; see the table above."""
 
     SELECTING = auto()
     WAITING = auto()
@@ -56,7 +56,7 @@
 def reject_for_retry(
     operation: Operation, permissions: Permissions, wait_us: float
 ) -> CommandGenerator[None]:
-    """Reject an operation that its client may send again, advising it to wait so long."""
+    """Reject an operation and advise its client to retry after `wait_us`."""
     if not operation.is_abandoned:
         yield Reject(RejectReason.RETRY_LATER, min(permissions.max_retry_after_us, int(wait_us)))
 
@@ -86,21 +86,21 @@
         account: Account,
         operation: Operation,
     ) -> None:
-        """Create the record of an operation that was admitted now."""
+        """Create the attempts of an operation that has just been admitted."""
         self._clock = clock
         self._server_pool = server_pool
         self._permissions = permissions
         self._account = account
         self._operation = operation
         self._attempts: list[Attempt] = []
-        self._may_have_run: list[Attempt] = []  # those that may have been executed, or may still be
+        self._may_have_run: list[Attempt] = []  # attempts that were or may be executed
         self._deadline_us = operation.deadline_us - RESPONSE_MARGIN_US
         self._target_us = operation.arrived_us + operation.category.latency_target_us
-        self._overdue_after_us = 0  # from an attempt's start
-        self._overdue_at_us = 0  # when to decide what to do about the attempts in flight
+        self._overdue_after_us = 0  # since an attempt's start
+        self._overdue_at_us = 0  # when to decide on the attempts in flight
 
     def run(self) -> CommandGenerator[None]:
-        """Yield commands until an attempt finishes the operation or no further one may follow."""
+        """Yield commands until an attempt finishes the operation or no further attempt is allowed."""
         while True:
             server = self._select_server()
             if server is None and not self._in_flight():
@@ -129,7 +129,7 @@
         if event is WakeReason.TIMER:
             is_timed_out = self._clock.now_us >= self._deadline_us
             return State.TIMED_OUT if is_timed_out else self._on_overdue()
-        assert isinstance(event, AttemptFinished)  # RESUMED is for operations that wait for the counter
+        assert isinstance(event, AttemptFinished)  # RESUMED only occurs while waiting for the counter
         return self._on_attempt_finished(event)
 
     # ---- the next attempt
@@ -138,7 +138,7 @@
         return [attempt for attempt in self._attempts if attempt.is_in_flight]
 
     def _may_attempt(self) -> bool:
-        """Whether permissions and time leave room for another attempt."""
+        """Whether permissions and time allow another attempt."""
         if len(self._attempts) >= self._permissions.max_attempts:
             return False
         if self._in_flight() and not self._permissions.may_hedge:
@@ -160,8 +160,8 @@
         if category.repeat_safety is RepeatSafety.NON_IDEMPOTENT:
             return False
         first = self._may_have_run[0]
-        forgotten_us = first.sent_us + category.deduplication_window_us
-        if self._clock.now_us + RESPONSE_MARGIN_US >= forgotten_us:
+        deduplication_ends_us = first.sent_us + category.deduplication_window_us
+        if self._clock.now_us + RESPONSE_MARGIN_US >= deduplication_ends_us:
             return False
         if category.deduplication_scope is DeduplicationScope.ALL:
             return True
@@ -183,7 +183,7 @@
     # ---- overdue attempts
 
     def _schedule_overdue(self, has_started: bool) -> None:
-        """Decide when the attempts in flight are overdue; never, where no further one is allowed."""
+        """Set when the attempts in flight are overdue; the deadline if no further attempt is allowed."""
         now_us, category = self._clock.now_us, self._operation.category
         expected_us = self._server_pool.expected_latency_us(self._operation)
         deviation_us = self._server_pool.latencies[category.name].deviation(now_us)
@@ -194,21 +194,21 @@
             self._overdue_at_us = self._deadline_us
 
     def _on_overdue(self) -> State:
-        """Decide what to do about overdue attempts, and when to look again."""
+        """Decide on overdue attempts, and when to check them again."""
         now_us = self._clock.now_us
         is_non_idempotent = self._operation.category.repeat_safety is RepeatSafety.NON_IDEMPOTENT
         if is_non_idempotent or now_us >= self._target_us or not self._permissions.may_cancel:
             self._overdue_at_us = self._deadline_us
             return State.WAITING
         if self._server_pool.concurrency.utilization() > LOAD_SHEDDING_THRESHOLD:
-            self._overdue_at_us = now_us + self._overdue_after_us  # a hedge would only lengthen the queues
+            self._overdue_at_us = now_us + self._overdue_after_us  # a hedge would lengthen the queues
             return State.WAITING
         if self._permissions.may_hedge:
             return State.SELECTING
         self._overdue_at_us = self._deadline_us
         return State.CANCELLING
 
-    # ---- the end of an attempt, and of the operation
+    # ---- end of an attempt or the operation
 
     def _on_attempt_finished(self, event: AttemptFinished) -> State:
         if event.result.is_final:
@@ -223,7 +223,7 @@
                 yield Cancel(attempt)
 
     def _is_safe_to_repeat(self) -> bool:
-        """Whether the client may send the operation again, as it has not run or its repeat does no harm."""
+        """Whether the client may retry: the operation was not executed, or a repeat is safe."""
         category = self._operation.category
         if not self._may_have_run or category.repeat_safety is RepeatSafety.IDEMPOTENT:
             return True
@@ -231,9 +231,9 @@
         return is_deduplicated and category.deduplication_scope is DeduplicationScope.ALL
 
     def _reject(self) -> CommandGenerator[None]:
-        """Give the final answer, as no attempt gave it and none may follow."""
+        """Reject the operation after attempts without a final answer."""
         if self._is_safe_to_repeat():
-            wait_us = self._server_pool.usual_latency_us(self._operation.category)
+            wait_us = self._server_pool.mean_latency_us(self._operation.category)
             yield from reject_for_retry(self._operation, self._permissions, wait_us)
         else:
             yield Reject(RejectReason.FAILED)
--- a/lapisgrade/policy/subset.py
+++ b/lapisgrade/policy/subset.py
@@ -1,8 +1,8 @@
-"""Which servers of a large fleet one limiter sends to (deterministic subsetting).
+"""Deterministic subsetting: the servers of a large fleet that one limiter sends to.
 
-Limiters are taken in rounds; each round shuffles the servers by a hash and shares them out, so that every
-server has nearly as many limiters as any other (Google's "Site Reliability Engineering", chapter 20). Small
-enough a subset is known well by its limiter, and connections stay few.
+Limiters are grouped into rounds. Each round shuffles the servers by a hash and divides them among its
+limiters, so that all servers have nearly the same number of limiters (Google's "Site Reliability
+Engineering", chapter 20). A small subset lets a limiter observe each server often, over few connections.
 """
 
 from collections.abc import Collection
@@ -11,8 +11,8 @@
 from lapisgrade.interface import Placement
 from lapisgrade.policy.observed_server import ObservedServer
 
-SUBSET_SIZE = 6  # servers that one limiter of many sends to; few enough to know each, enough to lose some
-MIN_LIMITERS_PER_SUBSET = 3.0  # limiters that share each subset; fewer are too uneven a load on its servers
+SUBSET_SIZE = 6  # servers per limiter; few enough to observe each often, enough to tolerate failures
+MIN_LIMITERS_PER_SUBSET = 3.0  # with fewer limiters per subset, the load on its servers is too uneven
 
 
 def choose_subset(servers: Collection[ObservedServer], placement: Placement) -> list[ObservedServer]:
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker before the counter service, and its rate of calls."""
+"""Tests of the counter's circuit breaker and call rate."""
 
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.policy.counter_breaker import (
@@ -11,8 +11,8 @@
 SECOND = 1_000_000
 
 
-def opened(now_us: int) -> CounterBreaker:
-    """A breaker whose calls have all timed out."""
+def open_breaker(now_us: int) -> CounterBreaker:
+    """A breaker that opened because all calls timed out."""
     breaker = CounterBreaker(True)
     for i in range(MAX_CONSECUTIVE_TIMEOUTS):
         breaker.record_reply(now_us + i, CounterOutcome.TIMED_OUT, now_us + i)
@@ -23,16 +23,16 @@
     assert not CounterBreaker(False).try_acquire_call(SECOND)
 
 
-def test_it_opens_after_timeouts_in_a_row_and_lets_a_probe_through_at_intervals() -> None:
-    breaker = opened(SECOND)
+def test_the_breaker_opens_after_consecutive_timeouts_and_admits_periodic_probes() -> None:
+    breaker = open_breaker(SECOND)
     assert breaker.is_open
     assert breaker.try_acquire_call(2 * SECOND)
     assert not breaker.try_acquire_call(2 * SECOND + PROBE_INTERVAL_US - 1)
     assert breaker.try_acquire_call(2 * SECOND + PROBE_INTERVAL_US)
 
 
-def test_an_answer_closes_it() -> None:
-    breaker = opened(SECOND)
+def test_a_reply_closes_the_breaker() -> None:
+    breaker = open_breaker(SECOND)
     breaker.record_reply(2 * SECOND, CounterOutcome.ADDED, 2 * SECOND - 1_000)
     assert not breaker.is_open
 
@@ -44,8 +44,8 @@
     assert breaker.consecutive_timeouts == 1
 
 
-def test_the_rate_of_calls_backs_off_and_recovers_up_to_its_maximum() -> None:
-    breaker = opened(SECOND)
+def test_the_call_rate_backs_off_and_recovers_up_to_its_maximum() -> None:
+    breaker = open_breaker(SECOND)
     assert breaker.call_budget.rate_per_s < 0.5 * MAX_CALL_RATE
     for i in range(200):
         breaker.record_reply(2 * SECOND + i, CounterOutcome.ADDED, 2 * SECOND)
--- a/tests/policy/test_operation_attempts.py
+++ b/tests/policy/test_operation_attempts.py
@@ -1,4 +1,4 @@
-"""Each decision on an operation's attempts, with the generator driven by hand."""
+"""Tests of the decisions on an operation's attempts; each test drives the generator directly."""
 
 from random import Random
 
@@ -40,7 +40,7 @@
 
 
 class Driver:
-    """One operation's attempts, driven as the engine would, up to each sleep."""
+    """Drives one operation's attempts as the engine does."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         self.resume(None)
 
     def resume(self, event: WakeReason | AttemptFinished | None) -> None:
-        """Resume with an event, and carry out commands up to the next sleep or the end."""
+        """Resume with an event and carry out commands until the generator sleeps or returns."""
         try:
             command = self.generator.send(event)
             while not isinstance(command, Sleep):
@@ -87,12 +87,12 @@
             self.is_finished = True
 
     def time_out(self) -> None:
-        """Advance to the time that is slept for."""
+        """Advance the clock to the end of the sleep."""
         self.clock.now_us = self.wakes_us
         self.resume(WakeReason.TIMER)
 
     def finish(self, number: int, outcome: AttemptOutcome) -> None:
-        """End an attempt."""
+        """Finish an attempt with an outcome."""
         attempt = self.sent[number]
         is_final = outcome is AttemptOutcome.OK
         result = AttemptResult(outcome, self.clock.now_us - attempt.sent_us + 1, is_final)
@@ -100,7 +100,7 @@
         self.resume(AttemptFinished(attempt, result))
 
 
-def test_the_first_answer_finishes_the_operation() -> None:
+def test_a_successful_attempt_finishes_the_operation() -> None:
     driver = Driver()
     driver.finish(0, AttemptOutcome.OK)
     assert driver.is_finished
@@ -115,7 +115,7 @@
     assert not driver.cancelled
 
 
-def test_the_answer_of_a_hedge_cancels_the_first_attempt() -> None:
+def test_a_successful_hedge_cancels_the_first_attempt() -> None:
     driver = Driver()
     driver.time_out()
     driver.finish(1, AttemptOutcome.OK)
@@ -132,7 +132,7 @@
     assert len(driver.sent) == 2
 
 
-def test_no_hedge_adds_to_the_load_where_capacity_is_short() -> None:
+def test_no_hedge_starts_when_utilization_is_high() -> None:
     driver = Driver()
     driver.pool.concurrency.value = 1.0
     driver.time_out()
@@ -159,7 +159,7 @@
         (AttemptOutcome.CONNECTION_LOST, 1),
     ],
 )
-def test_a_non_idempotent_operation_is_retried_only_where_it_has_not_run(
+def test_a_non_idempotent_operation_is_retried_only_if_it_was_not_executed(
     outcome: AttemptOutcome, attempts: int
 ) -> None:
     driver = Driver(RepeatSafety.NON_IDEMPOTENT)
@@ -168,7 +168,7 @@
     assert driver.is_finished == (attempts == 1)
 
 
-def test_a_deduplicated_operation_is_repeated_in_the_zone_that_knows_its_key() -> None:
+def test_a_deduplicated_operation_is_retried_only_in_the_zone_of_its_first_attempt() -> None:
     for _ in range(8):
         driver = Driver(RepeatSafety.DEDUPLICATED)
         driver.finish(0, AttemptOutcome.ERROR)
@@ -176,14 +176,14 @@
         assert first == second
 
 
-def test_a_deduplicated_operation_that_may_have_run_and_has_no_server_left_fails() -> None:
+def test_a_deduplicated_operation_that_may_have_run_fails_if_no_server_is_left() -> None:
     driver = Driver(RepeatSafety.DEDUPLICATED, zones=("z0",))
     driver.pool.update([ServerEndpoint("s0", ServerState.REMOVED, "z0")], False)
     driver.finish(0, AttemptOutcome.ERROR)
     assert driver.rejected == Reject(RejectReason.FAILED)
 
 
-def test_after_the_last_allowed_attempt_the_client_may_retry() -> None:
+def test_after_the_last_allowed_attempt_the_client_is_advised_to_retry() -> None:
     driver = Driver()
     for number in range(ALL_ALLOWED.max_attempts):
         driver.finish(number, AttemptOutcome.OVERLOADED)
@@ -193,7 +193,7 @@
     assert 0 < driver.rejected.retry_after_us <= ALL_ALLOWED.max_retry_after_us
 
 
-def test_no_attempt_starts_beyond_the_latency_target() -> None:
+def test_no_retry_starts_after_the_latency_target() -> None:
     driver = Driver()
     driver.clock.now_us += LATENCY_TARGET_US
     driver.finish(0, AttemptOutcome.OVERLOADED)
@@ -209,14 +209,14 @@
     assert driver.cancelled == driver.sent
 
 
-def test_a_response_that_has_begun_is_not_cut_off_at_the_deadline() -> None:
+def test_a_response_that_has_started_is_not_cancelled_at_the_deadline() -> None:
     driver = Driver()
     driver.resume(WakeReason.RESPONSE_STARTED)
     assert driver.wakes_us > driver.operation.deadline_us
     assert not driver.is_finished
 
 
-def test_a_client_that_is_gone_ends_its_attempts_without_an_answer() -> None:
+def test_a_client_disconnect_cancels_the_attempts_without_an_answer() -> None:
     driver = Driver()
     driver.resume(WakeReason.CLIENT_DISCONNECTED)
     assert driver.is_finished
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas and ceilings of customers, with a counter that is there, emptied, silent or crowded."""
+"""Quotas and rate limits of customers with an available, reset, unresponsive or overloaded counter."""
 
 import pytest
 from support.limiter_settings import PLANS, SECOND
@@ -10,7 +10,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_the_rate_limit_holds_whatever_the_counter_replies(seed):
-    """Counter silent or emptied, limiters restarted, all traffic gathered on one: never past the ceiling."""
+    """The counter does not reply or loses its data, limiters restart, one limiter gets all traffic."""
     simulation = LimiterSimulation(seed, limiters=2 + seed % 2, outcome_weights=ALWAYS_OK)
     random = simulation.random
     for step in range(600):
@@ -19,15 +19,19 @@
             simulation.counts.clear()
         if random.random() < 0.02:
             simulation.start_limiter(random.randrange(simulation.limiter_count))
-        gathered = step // 150 % 2 == 0
+        is_gathered = step // 150 % 2 == 0
         simulation.submit(
-            0 if gathered else random.randrange(simulation.limiter_count), 0, 1, "hot", random.randrange(1, 5)
+            0 if is_gathered else random.randrange(simulation.limiter_count),
+            0,
+            1,
+            "hot",
+            random.randrange(1, 5),
         )
         simulation.run(simulation.now + 15_000)
     assert len(simulation.attempts) > 40
 
 
-def test_a_quota_is_one_bucket_over_all_limiters():
+def test_all_limiters_together_admit_one_quota():
     simulation = LimiterSimulation(1, outcome_weights=ALWAYS_OK)
     for step in range(300):
         simulation.submit(step % 3)
@@ -64,13 +68,13 @@
     for _ in range(20):
         simulation.submit(0)
         simulation.run(simulation.now + 5_000)
-    back = [how for _, how, _ in simulation.replies if how is not AttemptOutcome.OK]
-    assert back
-    assert all(0 < how.retry_after_us <= 500_000 for how in back)
+    rejections = [answer for _, answer, _ in simulation.replies if answer is not AttemptOutcome.OK]
+    assert rejections
+    assert all(0 < answer.retry_after_us <= 500_000 for answer in rejections)
 
 
 def test_timed_out_calls_that_were_counted_are_returned():
-    """Found in an incident with a crowded counter: what was never sent was counted, and quotas shrank."""
+    """Guards against shrinking quotas: an overloaded counter had counted operations that were never sent."""
     simulation = LimiterSimulation(10, limiters=1, outcome_weights=ALWAYS_OK)
     simulation.counter_loss = 0.5
     for _ in range(400):
@@ -81,7 +85,7 @@
 
 
 def test_a_small_share_still_admits_one_operation():
-    """Found in an incident: with many gateways a slice of a small burst never held one operation."""
+    """With many limiters, the local share of a small burst was always below one operation."""
     simulation = LimiterSimulation(11, limiters=12, outcome_weights=ALWAYS_OK)
     simulation.is_counter_silent = True
     simulation.submit(0, units=4)
@@ -91,7 +95,7 @@
 
 def test_units_reported_afterwards_are_corrected():
     simulation = LimiterSimulation(14, limiters=1)
-    host, store = simulation.limiters[0], PLANS[0]
+    host, plan = simulation.limiters[0], PLANS[0]
     simulation.draw_outcome = lambda: (AttemptOutcome.OK, 5_000)
     for _ in range(2):
         op = simulation.submit(0)
@@ -103,13 +107,13 @@
             )
             del host.pending[id(op)]
         simulation.run(simulation.now + 10_000)
-    lease = 3  # a half of the seven units that were left after the first
+    lease = 3  # half of the seven units left after the first operation
     left = host.limiter.accounts["c0"].bucket.level
-    assert left == pytest.approx(store.burst - 4 - lease, abs=0.1)
+    assert left == pytest.approx(plan.burst - 4 - lease, abs=0.1)
 
 
-def test_one_call_of_the_counter_shows_recent_use():
-    """Found at size: a limiter that seldom looks could not tell from a total when it was used up."""
+def test_a_limiter_that_rarely_calls_the_counter_sees_recent_use():
+    """A limiter that rarely reads the total could not tell when the quota was used up."""
     simulation = LimiterSimulation(15, limiters=12, outcome_weights=ALWAYS_OK)
     simulation.run(simulation.now + 20 * SECOND)
     for _ in range(2):
@@ -121,8 +125,8 @@
         simulation.run(simulation.now + 25 * SECOND)
 
 
-def test_the_share_of_a_rate_limit_fills_from_the_start():
-    """Found at size: each limiter turned back a customer's first operations under a ceiling."""
+def test_the_share_of_a_rate_limit_fills_from_the_limiters_start():
+    """Each limiter of many rejected the first operations of a customer with a rate limit."""
     simulation = LimiterSimulation(17, limiters=1, outcome_weights=ALWAYS_OK)
     simulation.run(simulation.now + 2 * SECOND)
     simulation.submit(0, plan=1, units=4)
@@ -130,8 +134,8 @@
     assert len(simulation.attempts) == 1
 
 
-def test_amounts_stay_within_what_the_counter_accepts():
-    """A store that fills within two seconds makes what is added grow fast; it must not pass 1e9."""
+def test_amounts_stay_within_the_counters_range():
+    """A bucket that fills in two seconds makes the amounts grow fast; they must not exceed 1e9."""
     simulation = LimiterSimulation(5, outcome_weights=ALWAYS_OK)
     for _ in range(400):
         simulation.submit(simulation.random.randrange(3), 0, 3, units=2)
@@ -140,34 +144,34 @@
 
 
 def test_an_overloaded_counter_is_called_at_the_rate_it_can_serve():
-    """Four limiters want 400 calls a second of one that takes 150: no flood and then nothing."""
-    now, free, answered, silent, due = SECOND, 0, 0, 0, []
+    """Four limiters want 400 calls/s of a counter that serves 150/s; they must not overload it to a halt."""
+    now, counter_free_us, answered, timed_out, pending_replies = SECOND, 0, 0, 0, []
     counters = [CounterBreaker(True) for _ in range(4)]
     while now < 20 * SECOND:
         now += 2_500
-        for when, counter, *heard in [each for each in due if each[0] <= now]:
-            counter.record_reply(when, *heard)
-        due = [each for each in due if each[0] > now]
+        for replied_us, counter, *result in [each for each in pending_replies if each[0] <= now]:
+            counter.record_reply(replied_us, *result)
+        pending_replies = [each for each in pending_replies if each[0] > now]
         counter = counters[now // 2_500 % 4]
         if counter.try_acquire_call(now):
-            free = max(now, free) + SECOND // 150
-            in_time = free - now <= 30_000
+            counter_free_us = max(now, counter_free_us) + SECOND // 150
+            in_time = counter_free_us - now <= 30_000
             answered += in_time
-            silent += not in_time
-            due.append(
+            timed_out += not in_time
+            pending_replies.append(
                 (
-                    min(free, now + 30_000),
+                    min(counter_free_us, now + 30_000),
                     counter,
                     CounterOutcome.ADDED if in_time else CounterOutcome.TIMED_OUT,
                     now,
                 )
             )
     assert answered > 55 * 20
-    assert silent < 0.4 * answered
+    assert timed_out < 0.4 * answered
 
 
-def test_a_skipped_call_goes_by_the_last_known_capacity():
-    """A customer gathered on one limiter, whose slice is half its quota, gets all of it in a crowd."""
+def test_without_a_counter_call_the_last_total_decides():
+    """A customer with all traffic on one limiter gets its full quota while the counter is overloaded."""
     simulation = LimiterSimulation(1, limiters=3, outcome_weights=ALWAYS_OK)
     simulation.submit(0, plan=3)
     simulation.run(simulation.now + SECOND)
@@ -179,8 +183,8 @@
     for _ in range(12):
         simulation.submit(0, plan=3)
     simulation.run(simulation.now + 2 * SECOND)
-    finished = [answer for _, answer, _ in simulation.replies if answer is AttemptOutcome.OK]
-    assert len(finished) == 13
+    succeeded = [answer for _, answer, _ in simulation.replies if answer is AttemptOutcome.OK]
+    assert len(succeeded) == 13
     for _ in range(20):
         simulation.submit(0, plan=3)
     simulation.run(simulation.now + SECOND)
--- a/tests/policy/test_server_parts.py
+++ b/tests/policy/test_server_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the server pool by themselves: latency, concurrency limit, slow start, subsets."""
+"""Unit tests of the server pool's parts: latency, concurrency limit, slow start, subsets."""
 
 import pytest
 
@@ -12,14 +12,14 @@
 SECOND = 1_000_000
 
 
-def server(number: int, started_us: int = 0, state: ServerState = ServerState.READY) -> ObservedServer:
-    """A listed server."""
+def listed_server(number: int, started_us: int = 0, state: ServerState = ServerState.READY) -> ObservedServer:
+    """A server in the endpoint list."""
     observed = ObservedServer(f"s{number}")
     observed.endpoint = ServerEndpoint(f"s{number}", state, started_us=started_us)
     return observed
 
 
-def test_a_latency_estimate_follows_what_is_seen_and_forgets_it() -> None:
+def test_a_latency_estimate_follows_recent_attempts_and_returns_to_its_initial_value() -> None:
     estimate = LatencyEstimate(100_000.0)
     assert estimate.mean(SECOND) == 100_000
     for _ in range(100):
@@ -35,9 +35,9 @@
     assert estimate.expected(SECOND, 1.0) < estimate.expected(SECOND, 2.0) < estimate.expected(SECOND, 4.0)
 
 
-def test_the_concurrency_limit_falls_when_latency_is_beyond_its_target_down_to_its_floor() -> None:
+def test_the_concurrency_limit_falls_to_its_minimum_when_latency_exceeds_the_target() -> None:
     limit = ConcurrencyLimit(limiter_count=1)
-    limit.on_servers_changed(listed=4, ready=4, warm=4.0)
+    limit.on_servers_changed(endpoint_count=4, ready_count=4, warm_weight=4.0)
     assert limit.value == 4 * MIN_IN_FLIGHT_PER_SERVER
     limit.value = 40.0
     for i in range(1000):
@@ -45,9 +45,9 @@
     assert limit.value == 4 * MIN_IN_FLIGHT_PER_SERVER
 
 
-def test_the_concurrency_limit_rises_only_where_it_is_used() -> None:
+def test_the_concurrency_limit_rises_only_when_it_is_in_use() -> None:
     limit = ConcurrencyLimit(limiter_count=1)
-    limit.on_servers_changed(listed=4, ready=4, warm=4.0)
+    limit.on_servers_changed(endpoint_count=4, ready_count=4, warm_weight=4.0)
     limit.on_latency(SECOND, latency_ratio=0.01, weight=1.0)
     assert limit.value == 4 * MIN_IN_FLIGHT_PER_SERVER
     limit.in_flight = 8
@@ -58,23 +58,29 @@
 def test_a_servers_weight_grows_while_it_warms_up() -> None:
     slow_start = SlowStart(ServerRules(0, 10 * SECOND, 0.2, SECOND, 3.0), Placement(0, 1, ""))
     started_us = 100 * SECOND
-    weights = [slow_start.weight(server(0, started_us), started_us + i * SECOND) for i in (0, 5, 10, 20)]
+    weights = [
+        slow_start.weight(listed_server(0, started_us), started_us + i * SECOND) for i in (0, 5, 10, 20)
+    ]
     assert weights == pytest.approx([0.2, 0.6, 1.0, 1.0])
 
 
 def test_a_warm_server_needs_no_budget() -> None:
     slow_start = SlowStart(ServerRules(0, 10 * SECOND, 0.2, SECOND, 3.0), Placement(0, 1, ""))
-    assert slow_start.has_budget(server(0), 100 * SECOND, [])
+    assert slow_start.has_budget(listed_server(0), 100 * SECOND, [])
 
 
 def test_subsets_cover_all_servers_evenly() -> None:
-    servers = [server(i) for i in range(4 * SUBSET_SIZE)]
-    chosen = [choose_subset(servers, Placement(i, 12, "")) for i in range(12)]
-    assert {len(subset) for subset in chosen} == {SUBSET_SIZE}
-    counts = [sum(each in subset for subset in chosen) for each in servers]
+    servers = [listed_server(i) for i in range(4 * SUBSET_SIZE)]
+    subsets = [choose_subset(servers, Placement(i, 12, "")) for i in range(12)]
+    assert {len(subset) for subset in subsets} == {SUBSET_SIZE}
+    counts = [sum(each in subset for subset in subsets) for each in servers]
     assert set(counts) == {3}
 
 
-def test_a_subset_leaves_out_what_is_not_ready() -> None:
-    servers = [server(0), server(1, state=ServerState.DRAINING), server(2, state=ServerState.REMOVED)]
+def test_a_subset_excludes_servers_that_are_not_ready() -> None:
+    servers = [
+        listed_server(0),
+        listed_server(1, state=ServerState.DRAINING),
+        listed_server(2, state=ServerState.REMOVED),
+    ]
     assert choose_subset(servers, Placement(0, 1, "")) == [servers[0]]
