--- a/lapisgrade/__main__.py
+++ b/lapisgrade/__main__.py
@@ -1,4 +1,4 @@
-"""python -m lapisgrade: one limiter on sockets, configured by the file that $ROUTER_CONFIG names."""
+"""`python -m lapisgrade`: runs one limiter, configured by the file that $ROUTER_CONFIG names."""
 
 import asyncio
 import contextlib
@@ -15,15 +15,15 @@
 EXIT_BAD_CONFIGURATION = 2
 
 
-def main(beside: Callable[[Service], contextlib.AbstractAsyncContextManager[None]] | None = None) -> int:
+def main(companion: Callable[[Service], contextlib.AbstractAsyncContextManager[None]] | None = None) -> int:
     """Run the limiter until it has shut down; returns the exit code.
 
-    `beside` is entered around the service, where the command line asked for something beside it.
+    `companion` is an optional context manager that is entered while the service runs.
     """
     try:
         gc.freeze()
         with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
-            runner.run(serve(os.environ.get("ROUTER_CONFIG", ""), beside))
+            runner.run(serve(os.environ.get("ROUTER_CONFIG", ""), companion))
     except MalformedInputError as error:
         print(f"the configuration: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
--- a/lapisgrade/bench_adapter/__init__.py
+++ b/lapisgrade/bench_adapter/__init__.py
@@ -1,5 +1,5 @@
-"""Runs limiters on the bench's simulator: its messages on standard input, the limiters' on standard output.
+"""Runs limiters on the bench's simulator: messages arrive on standard input, replies go to standard output.
 
-The names of the bench's messages and fields are the operators' and end in this package: `wire` reads and
-writes them, `instance` is one limiter, `bench` all of a process, `__main__` reads the batches.
+The operators define the names of the bench's messages and fields, which only this package uses: `wire` parses
+and formats them, `instance` is one limiter, `bench` all limiters of a process, and `__main__` reads batches.
 """
--- a/lapisgrade/bench_adapter/__main__.py
+++ b/lapisgrade/bench_adapter/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m lapisgrade.bench_adapter`: the bench's batches on standard input, replies on standard output.
+"""`python -m lapisgrade.bench_adapter`: reads batches from standard input, replies on standard output.
 
-A batch is a MARK with the time, messages, and YOUR_TURN, which asks for the reply: the limiters' messages,
-then EOR. POOL announces an endpoint list, whose ROWs follow. Exit codes: 0 at the end of the input, 1 where
-the output was closed, 2 for malformed input, which is named in one line on standard error.
+A batch consists of MARK with the time, messages, and YOUR_TURN, which requests the reply: the limiters'
+messages and EOR. POOL announces an endpoint list, whose ROWs follow. Exit codes: 0 at the end of the input, 1
+if the output was closed, 2 for malformed input, with one line on standard error.
 """
 
 import gc
@@ -15,23 +15,23 @@
 from lapisgrade.interface import ServerEndpoint
 from lapisgrade.settings import Fields, MalformedInputError
 
-MAX_QUOTED = 200  # characters of a malformed line that an error shows
+MAX_QUOTED_CHARACTERS = 200  # maximum length of a malformed line in an error message
 
 
 class BatchReader:
-    """Reads batches line by line, and writes a reply to each."""
+    """Reads batches line by line and writes a reply to each."""
 
     def __init__(self, sink: TextIO) -> None:
         """Create a reader whose replies go to `sink`."""
         self._bench = Bench()
         self._sink = sink
         self.is_in_batch = False
-        self._endpoints: list[ServerEndpoint] = []  # of the list that is being read
-        self._endpoints_number = 0
+        self._endpoints: list[ServerEndpoint] = []  # of the list being read
+        self._endpoint_list_number = 0
         self._rows_left = 0
 
     def read_line(self, line: str) -> None:
-        """Read one line, without its end."""
+        """Process one line, without its line end."""
         name, fields = parse_message(line)
         if self._rows_left:
             self._read_row(name, fields)
@@ -51,33 +51,33 @@
             self._bench.handle(name, fields)
 
     def _start_endpoints(self, fields: Fields) -> None:
-        self._endpoints_number = fields.integer("Buffer")
+        self._endpoint_list_number = fields.integer("Buffer")
         self._rows_left = fields.integer("Entries")
         self._endpoints = []
         if not self._rows_left:
-            self._bench.set_endpoints(self._endpoints_number, self._endpoints)
+            self._bench.set_endpoints(self._endpoint_list_number, self._endpoints)
 
     def _read_row(self, name: str, fields: Fields) -> None:
         if name != "ROW":
-            raise MalformedInputError(f"{self._rows_left} more ROW lines were due")
+            raise MalformedInputError(f"{self._rows_left} more ROW lines expected")
         self._endpoints.append(read_endpoint(fields))
         self._rows_left -= 1
         if not self._rows_left:
-            self._bench.set_endpoints(self._endpoints_number, self._endpoints)
+            self._bench.set_endpoints(self._endpoint_list_number, self._endpoints)
 
     def _reply(self) -> None:
-        lines = self._bench.lines
-        lines.append("EOR\n")
-        self._sink.write("\n".join(lines))
+        output_lines = self._bench.output_lines
+        output_lines.append("EOR\n")
+        self._sink.write("\n".join(output_lines))
         self._sink.flush()
-        lines.clear()
+        output_lines.clear()
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Read batches and write a reply to each, until the input ends.
+    """Read batches and write a reply to each until the input ends.
 
     Raises:
-        MalformedInputError: Names the line and what is wrong with it.
+        MalformedInputError: A line is malformed; the message states its number and the reason.
     """
     reader = BatchReader(sink)
     number = 0
@@ -88,9 +88,9 @@
         try:
             reader.read_line(line)
         except MalformedInputError as error:
-            raise MalformedInputError(f"line {number}: {error}: {line[:MAX_QUOTED]!r}") from None
+            raise MalformedInputError(f"line {number}: {error}: {line[:MAX_QUOTED_CHARACTERS]!r}") from None
     if reader.is_in_batch:
-        raise MalformedInputError(f"line {number}: the input ends inside a batch")
+        raise MalformedInputError(f"line {number}: input ends inside a batch")
 
 
 def main() -> int:
@@ -105,7 +105,7 @@
         print(error, file=sys.stderr)
         return 2
     except UnicodeDecodeError as error:
-        print(f"the input is not UTF-8: {error}", file=sys.stderr)
+        print(f"input is not UTF-8: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/lapisgrade/bench_adapter/bench.py
+++ b/lapisgrade/bench_adapter/bench.py
@@ -1,4 +1,4 @@
-"""All limiters of one process on the bench, and the endpoint lists that they are given."""
+"""All limiters of one process on the bench, and their endpoint lists."""
 
 from collections.abc import Callable
 from functools import partial
@@ -17,23 +17,23 @@
         self._instances: dict[int, LimiterInstance] = {}
         self._endpoint_lists: dict[int, list[ServerEndpoint]] = {}
         self._now_us = 0
-        self.lines: list[str] = []  # what the limiters say to the bench
+        self.output_lines: list[str] = []  # messages to the bench
 
     def advance(self, fields: Fields) -> None:
-        """Take the time of a batch."""
+        """Set the clock to the time of a batch."""
         if "SimTime" not in fields:
             raise MalformedInputError("SimTime is missing")
         self._now_us = fields.duration_us("SimTime")
 
     def set_endpoints(self, number: int, endpoints: list[ServerEndpoint]) -> None:
-        """Keep an endpoint list, for TOPOLOGY messages that refer to it by its number."""
+        """Store an endpoint list, which TOPOLOGY messages refer to by number."""
         self._endpoint_lists[number] = endpoints
 
     def handle(self, name: str, fields: Fields) -> None:
         """Handle a message to one limiter."""
         number = fields.integer("LimiterId")
         if name == "CONFIGURE":
-            self._instances[number] = LimiterInstance(number, fields, Clock(self._now_us), self.lines)
+            self._instances[number] = LimiterInstance(number, fields, Clock(self._now_us), self.output_lines)
         elif name == "DOWN":
             self._instances.pop(number, None)
         elif name == "TOPOLOGY":
@@ -48,16 +48,16 @@
 
     def _topology_endpoints(self, form: str, fields: Fields) -> list[ServerEndpoint]:
         if form not in wire.TOPOLOGY_FORMS:
-            raise MalformedInputError(f"Form is unknown: {form!r}")
+            raise MalformedInputError(f"Form has the unknown value {form!r}")
         if form == "unavailable":
             return []
         number = fields.integer("Buffer")
         if number not in self._endpoint_lists:
-            raise MalformedInputError(f"Buffer names no list: {number}")
+            raise MalformedInputError(f"Buffer refers to an unknown endpoint list: {number}")
         return self._endpoint_lists[number]
 
     def _run(self, number: int, name: str, handler: Callable[[LimiterInstance], None]) -> None:
-        """Bring a limiter up to date and let it handle a message; a fault of it is told to the bench."""
+        """Advance a limiter's clock and handle a message; reports exceptions to the bench."""
         instance = self._instances.get(number)
         if instance is None:
             raise MalformedInputError(f"LimiterId {number} has not been configured")
@@ -68,14 +68,16 @@
             handler(instance)
         except MalformedInputError:
             raise
-        except Exception as fault:
-            self.lines.append(f"BUG LimiterId={number} Words={_describe(fault, name)}")
+        except Exception as error:
+            self.output_lines.append(f"BUG LimiterId={number} Words={_describe(error, name)}")
 
 
-def _describe(fault: Exception, message: str) -> str:
-    """Say in one line what was raised, where, and on which message."""
-    where = fault.__traceback__
-    while where is not None and where.tb_next is not None:
-        where = where.tb_next
-    place = f"{where.tb_frame.f_code.co_name} line {where.tb_lineno}" if where is not None else "?"
-    return " ".join(f"{type(fault).__name__} in {place} on {message}: {fault}".split())
+def _describe(error: Exception, message: str) -> str:
+    """Format an exception, its place and the message as one line."""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    location = (
+        f"{traceback.tb_frame.f_code.co_name} line {traceback.tb_lineno}" if traceback is not None else "?"
+    )
+    return " ".join(f"{type(error).__name__} in {location} on {message}: {error}".split())
--- a/lapisgrade/bench_adapter/instance.py
+++ b/lapisgrade/bench_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One limiter on the bench: its policy, its engine, and what the bench's ids stand for."""
+"""One limiter on the bench: its policy, its engine and the objects behind the bench's ids."""
 
 from collections.abc import Callable
 from typing import Any
@@ -46,25 +46,25 @@
         "_wakeup_tag",
         "clock",
         "engine",
-        "lines",
+        "output_lines",
         "policy",
     )
 
-    def __init__(self, number: int, fields: Fields, clock: Clock, lines: list[str]) -> None:
-        """Create the limiter that a CONFIGURE message asks for.
+    def __init__(self, number: int, fields: Fields, clock: Clock, output_lines: list[str]) -> None:
+        """Create the limiter of a CONFIGURE message.
 
         Args:
-            number: Its id on the bench.
-            fields: The message's, its settings among them.
-            clock: Advanced by the caller.
-            lines: Where its messages to the bench are appended.
+            number: The limiter's id on the bench.
+            fields: The fields of the message, including the settings.
+            clock: The clock; advanced by the caller.
+            output_lines: Receives the limiter's messages to the bench.
         """
         self._prefix = f" LimiterId={number}"
-        self._wakeup_tag = 0  # of the wake-up asked for last
-        self.lines = lines
-        self._pending_operations: dict[int, Operation] = {}  # without their final answer, by ticket
+        self._wakeup_tag = 0  # of the last requested wake-up
+        self.output_lines = output_lines
+        self._pending_operations: dict[int, Operation] = {}  # without a final answer, by ticket
         self._attempts: dict[tuple[int, int], Any] = {}  # in flight, by ticket and number
-        self._pending_calls: dict[int, list[Task]] = {}  # of the counter, by counter id, oldest first
+        self._pending_calls: dict[int, list[Task]] = {}  # calls to the counter, by counter id, oldest first
         categories = read_categories(fields)
         self._categories = {category.name: category for category in categories}
         self._plans = {plan.name: plan for plan in read_plans(fields)}
@@ -81,19 +81,19 @@
             read_permissions(fields),
         )
 
-    # ---- commands, carried out for the engine
+    # ---- commands, executed for the engine
 
     def send(self, attempt: Any) -> None:
         """See `lapisgrade.engine.Host`."""
         ticket = attempt.operation.handle
         self._attempts[ticket, attempt.number] = attempt
-        self.lines.append(f"PLACE{self._prefix} Ticket={ticket} Server={attempt.server.address}")
+        self.output_lines.append(f"PLACE{self._prefix} Ticket={ticket} Server={attempt.server.address}")
 
     def cancel(self, attempt: Any) -> None:
         """See `lapisgrade.engine.Host`."""
         ticket = attempt.operation.handle
         if (ticket, attempt.number) in self._attempts:
-            self.lines.append(f"WITHDRAW{self._prefix} Ticket={ticket} SendNo={attempt.number}")
+            self.output_lines.append(f"WITHDRAW{self._prefix} Ticket={ticket} SendNo={attempt.number}")
 
     def reject(self, operation: Operation, answer: Reject) -> None:
         """See `lapisgrade.engine.Host`."""
@@ -101,35 +101,35 @@
         if self._pending_operations.pop(ticket, None) is None:
             raise RuntimeError("a second final answer for one operation")
         if answer.reason is RejectReason.FAILED:
-            self.lines.append(f"RESPOND_ERROR{self._prefix} Ticket={ticket}")
+            self.output_lines.append(f"RESPOND_ERROR{self._prefix} Ticket={ticket}")
         else:
-            advice = f" StayAway={format_ms(answer.retry_after_us)}" if answer.retry_after_us > 0 else ""
-            self.lines.append(f"OVERLOAD_REPLY{self._prefix} Ticket={ticket}{advice}")
+            retry_after = f" StayAway={format_ms(answer.retry_after_us)}" if answer.retry_after_us > 0 else ""
+            self.output_lines.append(f"OVERLOAD_REPLY{self._prefix} Ticket={ticket}{retry_after}")
 
     def add_to_counter(self, task: Task, add: AddToCounter) -> None:
         """See `lapisgrade.engine.Host`."""
         self._pending_calls.setdefault(add.counter_id, []).append(task)
-        self.lines.append(
+        self.output_lines.append(
             f"POST_AMOUNT{self._prefix} Lives={format_ms(add.ttl_us)} Counter={add.counter_id} "
             f"Step={add.amount:.6g}"
         )
 
     def log(self, text: str) -> None:
         """See `lapisgrade.engine.Host`."""
-        self.lines.append(f"RECORD{self._prefix} Words={text}")
+        self.output_lines.append(f"RECORD{self._prefix} Words={text}")
 
     def schedule_wakeup(self, when_us: int) -> None:
         """See `lapisgrade.engine.Host`."""
         self._wakeup_tag += 1
-        self.lines.append(f"DEFER{self._prefix} Time={format_ms(when_us)} Tag={self._wakeup_tag}")
+        self.output_lines.append(f"DEFER{self._prefix} Time={format_ms(when_us)} Tag={self._wakeup_tag}")
 
     def _subscribe_to_changes(self) -> None:
-        self.lines.append(f"STREAM_CHANGES{self._prefix} Want=1")
+        self.output_lines.append(f"STREAM_CHANGES{self._prefix} Want=1")
 
-    # ---- messages of the bench
+    # ---- messages from the bench
 
     def on_order(self, fields: Fields) -> None:
-        """A client's operation arrives."""
+        """Handle an operation that arrives from a client."""
         now_us = self.clock.now_us
         ticket = fields.integer("Ticket")
         plan = fields.choice("Terms", self._plans)
@@ -149,7 +149,7 @@
         self.engine.run(self.policy.handle(operation), operation)
 
     def on_completed(self, fields: Fields) -> None:
-        """An attempt has ended."""
+        """Handle the end of an attempt."""
         ticket, number = fields.integer("Ticket"), fields.integer("SendNo", 0)
         outcome = fields.choice("StateCode", wire.OUTCOMES)
         attempt = self._attempts.pop((ticket, number), None)
@@ -171,50 +171,50 @@
             self.engine.attempt_finished(attempt, result)
 
     def on_opened(self, fields: Fields) -> None:
-        """A streamed response has begun to reach its client."""
+        """Handle the start of a streamed response."""
         operation = self._pending_operations.get(fields.integer("Ticket"))
         if operation is not None:
             self.engine.wake(operation, WakeReason.RESPONSE_STARTED)
 
     def on_expired(self, fields: Fields) -> None:
-        """A client has stopped waiting."""
+        """Handle a client that stopped waiting."""
         operation = self._pending_operations.pop(fields.integer("Ticket"), None)
         if operation is not None:
             operation.is_abandoned = True
             self.engine.wake(operation, WakeReason.CLIENT_DISCONNECTED)
 
     def on_counter_reply(self, fields: Fields) -> None:
-        """The oldest call of a counter has ended."""
-        waiting = self._pending_calls.get(fields.integer("Counter"))
-        if not waiting:
+        """Handle the end of the oldest call to a counter."""
+        waiting_tasks = self._pending_calls.get(fields.integer("Counter"))
+        if not waiting_tasks:
             return
         outcome = fields.choice("StateCode", wire.COUNTER_OUTCOMES)
         if outcome is CounterOutcome.ADDED and "ResultValue" not in fields:
             raise MalformedInputError("ResultValue is missing")
         counter_id = fields.integer("Counter")
-        task = waiting.pop(0)
-        if not waiting:
+        task = waiting_tasks.pop(0)
+        if not waiting_tasks:
             del self._pending_calls[counter_id]
         self.engine.counter_replied(task, CounterReply(outcome, fields.number("ResultValue")))
 
     def on_topology(self, form: str, endpoints: list[ServerEndpoint]) -> None:
-        """The endpoint list, or changes of it, or that there is none for now."""
+        """Handle an endpoint list, a change of it, or its unavailability."""
         if form != "unavailable":
             self.policy.update_servers(endpoints, form != "update")
         if self._must_subscribe and form in ("restored", "unavailable"):
-            # The bench sends changes only to those that asked, and stops after a failure.
+            # The bench sends changes only to subscribers, and stops after a failure.
             self._subscribe_to_changes()
 
     def on_status(self, fields: Fields) -> None:
-        """The result of a health check; only its form is looked at."""
+        """Validate the result of a health check, which is otherwise ignored."""
         fields.text("Server")
 
     def on_peer(self, fields: Fields) -> None:
-        """A message of a peer; only its form is looked at."""
+        """Validate a message from a peer, which is otherwise ignored."""
         fields.integer("Neighbour")
 
     def on_wakeup(self, fields: Fields) -> None:
-        """A wake-up that was asked for has come."""
+        """Handle a requested wake-up."""
         self.engine.run_due_timers(is_wakeup=fields.integer("Tag") == self._wakeup_tag)
 
 
--- a/lapisgrade/bench_adapter/wire.py
+++ b/lapisgrade/bench_adapter/wire.py
@@ -1,4 +1,4 @@
-"""The bench's text: lines to fields, fields to values, values to lines."""
+"""The bench's text format: parses lines to fields and fields to values, and formats values."""
 
 from lapisgrade.interface import AttemptOutcome, CounterOutcome, ServerEndpoint, ServerState
 from lapisgrade.settings import Fields, MalformedInputError
@@ -24,7 +24,7 @@
 
 
 def parse_message(line: str) -> tuple[str, Fields]:
-    """Read a line as the message's name and its fields."""
+    """Parse a line to the message's name and fields."""
     name, _, rest = line.partition(" ")
     fields = Fields()
     if rest:
@@ -37,20 +37,20 @@
 
 
 def parse_server_load(text: str | None) -> dict[str, float] | None:
-    """Read a server's load report, `name:value,name:value`; None if there is none."""
+    """Parse a server's load report, `name:value,name:value`; returns None if there is none."""
     if not text or text == "-":
         return None
     report = Fields()
     for pair in text.split(","):
         name, separator, value = pair.partition(":")
         if not separator:
-            raise MalformedInputError(f"Stats holds {pair!r}, not name:value")
+            raise MalformedInputError(f"Stats entry {pair!r} is not name:value")
         report[name] = value
     return {name: report.number(name) for name in report}
 
 
 def read_endpoint(fields: Fields) -> ServerEndpoint:
-    """Read one row of an endpoint list."""
+    """Parse one row of an endpoint list."""
     return ServerEndpoint(
         address=fields.text("Server"),
         state=fields.choice("Availability", SERVER_STATES, "IN"),
@@ -63,5 +63,5 @@
 
 
 def format_ms(duration_us: int) -> str:
-    """Write a time as the bench's ms."""
+    """Format a time in ms, as the bench expects."""
     return f"{duration_us / 1000:.3f}"
--- a/lapisgrade/engine.py
+++ b/lapisgrade/engine.py
@@ -1,14 +1,14 @@
-"""Drives the generators of one host: carries out their commands and resumes them with events.
+"""Drives the generators of one host: executes their commands and resumes them with events.
 
-Mechanism only, without any I/O of its own: what a generator asks of the outside goes to a `Host`. The
-protocol is in `lapisgrade.interface`. A task is in one of three states:
+The engine contains no policy and performs no I/O: a `Host` executes the commands that need it. The protocol
+is described in `lapisgrade.interface`. A task is in one of these states:
 
-    ready --resumed--> (runs until it waits or ends)
-    sleeping --timer, event, or Resume--> ready
+    ready --resumed--> (runs until it waits or finishes)
+    sleeping --timer, event or Resume--> ready
     waiting for the counter --counter_replied--> ready
     waiting for a call --call_finished--> ready
 
-Whatever becomes ready is resumed in the order in which it did so, before the call that made it ready returns.
+Tasks are resumed in the order in which they become ready, before the call that made them ready returns.
 """
 
 import heapq
@@ -37,10 +37,10 @@
 
 
 class Host(Protocol):
-    """Carries out commands, on whatever wire there is; calls the engine back when something happens."""
+    """Executes commands over some transport and reports results to the engine."""
 
     def send(self, attempt: Any) -> None:
-        """Start an attempt; its end comes back by `Engine.attempt_finished`."""
+        """Start an attempt; its result is reported to `Engine.attempt_finished`."""
 
     def cancel(self, attempt: Any) -> None:
         """Cancel an attempt in flight."""
@@ -49,68 +49,68 @@
         """Give an operation its final answer."""
 
     def add_to_counter(self, task: "Task", add: AddToCounter) -> None:
-        """Call the counter; the reply comes back by `Engine.counter_replied`."""
+        """Call the counter; the reply is reported to `Engine.counter_replied`."""
 
     def log(self, text: str) -> None:
         """Write a line to the log."""
 
     def schedule_wakeup(self, when_us: int) -> None:
-        """Call `Engine.run_due_timers(is_wakeup=True)` then; replaces what was asked for before."""
+        """Call `Engine.run_due_timers(is_wakeup=True)` at that time; replaces the previous request."""
 
 
 class Caller(Protocol):
-    """Carries out calls of other processes, for engines whose generators yield `Call`."""
+    """Calls other processes, for engines whose generators yield `Call`."""
 
     def call(self, task: "Task", call: Call) -> None:
-        """Start a call; its result comes back by `Engine.call_finished`."""
+        """Start a call; its result is reported to `Engine.call_finished`."""
 
 
 class Task:
-    """A generator under way."""
+    """A generator that has been started."""
 
-    __slots__ = ("generator", "is_finished", "is_sleeping", "operation", "resumptions")
+    __slots__ = ("generator", "is_finished", "is_sleeping", "operation", "resume_count")
 
     def __init__(self, generator: CommandGenerator[None], operation: Operation | None) -> None:
-        """Create the record of a generator; `operation` is None for one that was spawned."""
+        """Create the task of a generator; `operation` is None for a spawned one."""
         self.generator = generator
         self.operation = operation
-        self.resumptions = 0  # tells a stale timer from a live one
+        self.resume_count = 0  # identifies stale timers
         self.is_sleeping = False
         self.is_finished = False
 
 
 class Timer(NamedTuple):
-    """When a task is to be resumed, if it still sleeps by then; in order of time, then of start."""
+    """When to resume a task that is still sleeping; ordered by time, then by creation."""
 
     due_us: int
-    number: int
+    sequence: int
     task: Task
-    resumptions: int  # the task's when it began to sleep
+    resume_count: int  # of the task when it started to sleep
 
-    def is_live(self) -> bool:
-        """Whether the task has not been resumed since."""
-        return self.task.is_sleeping and self.task.resumptions == self.resumptions
+    def is_active(self) -> bool:
+        """Whether the task is still in the sleep that created this timer."""
+        return self.task.is_sleeping and self.task.resume_count == self.resume_count
 
 
 class Engine:
-    """One host's tasks and timers."""
+    """Tasks and timers of one host."""
 
     __slots__ = ("_caller", "_clock", "_host", "_ready", "_timer_count", "_timers", "_wakeup_us")
 
     def __init__(self, host: Host, clock: Clock, caller: Caller | None = None) -> None:
-        """Create an engine without tasks; `host` advances `clock`, and `caller` carries out each `Call`."""
+        """Create an engine without tasks; `host` advances `clock`, and `caller` executes each `Call`."""
         self._clock = clock
         self._host = host
         self._caller = caller
-        self._ready: deque[tuple[Task, Any]] = deque()  # with what each is resumed with
+        self._ready: deque[tuple[Task, Any]] = deque()  # each with its result or event
         self._timers: list[Timer] = []  # a heap
         self._timer_count = 0
-        self._wakeup_us: int | None = None  # the one asked for last and still to come
+        self._wakeup_us: int | None = None  # the pending wake-up
 
-    # ---- what the host calls
+    # ---- called by the host
 
     def run(self, generator: CommandGenerator[None], operation: Operation | None = None) -> None:
-        """Start a generator and let it, and whatever it makes ready, go as far as it can."""
+        """Start a generator; run it and all tasks that it makes ready until they wait."""
         task = Task(generator, operation)
         if operation is not None:
             operation.task = task
@@ -118,11 +118,11 @@
         self._drain()
 
     def attempt_finished(self, attempt: Any, result: AttemptResult) -> None:
-        """Tell the attempt's operation of its end; the caller has told the policy before."""
+        """Deliver an attempt's result to its operation; the caller has already passed it to the policy."""
         self._deliver(attempt.operation.task, AttemptFinished(attempt, result))
 
     def wake(self, operation: Operation, reason: WakeReason) -> None:
-        """Resume an operation's generator, if it sleeps."""
+        """Resume an operation's generator if it is sleeping."""
         self._deliver(operation.task, reason)
 
     def counter_replied(self, task: Task, reply: CounterReply) -> None:
@@ -136,13 +136,13 @@
         self._drain()
 
     def run_due_timers(self, is_wakeup: bool = False) -> None:
-        """Resume what is due, as the clock has advanced; `is_wakeup`: the wake-up last asked for has come."""
+        """Resume tasks with due timers; `is_wakeup`: the pending wake-up has occurred."""
         now_us = self._clock.now_us
         if is_wakeup:
             self._wakeup_us = None
         while self._timers and self._timers[0].due_us <= now_us:
             timer = heapq.heappop(self._timers)
-            if timer.is_live():
+            if timer.is_active():
                 self._deliver(timer.task, WakeReason.TIMER)
         if is_wakeup:
             self._schedule_wakeup()
@@ -162,7 +162,7 @@
 
     def _resume(self, task: Task, value: Any) -> None:
         """Resume a task until it waits or ends."""
-        task.resumptions += 1
+        task.resume_count += 1
         while True:
             try:
                 command = task.generator.send(value)
@@ -185,7 +185,7 @@
             self._carry_out(task, command)
 
     def _carry_out(self, task: Task, command: Command) -> None:
-        """Carry out a command that does not make its task wait."""
+        """Execute a command that does not make its task wait."""
         if isinstance(command, Send):
             self._host.send(command.attempt)
         elif isinstance(command, Reject):
@@ -210,13 +210,13 @@
         task.is_sleeping = True
         self._timer_count += 1
         due_us = max(until_us, self._clock.now_us + 1)
-        heapq.heappush(self._timers, Timer(due_us, self._timer_count, task, task.resumptions))
+        heapq.heappush(self._timers, Timer(due_us, self._timer_count, task, task.resume_count))
         self._schedule_wakeup()
 
     def _schedule_wakeup(self) -> None:
-        """Ask the host for a wake-up at the earliest live timer, unless one as early is to come."""
+        """Request a wake-up at the earliest active timer unless one is pending by then."""
         timers = self._timers
-        while timers and not timers[0].is_live():
+        while timers and not timers[0].is_active():
             heapq.heappop(timers)
         if timers and (self._wakeup_us is None or timers[0].due_us < self._wakeup_us):
             self._wakeup_us = timers[0].due_us
--- a/lapisgrade/errors.py
+++ b/lapisgrade/errors.py
@@ -1,9 +1,9 @@
-"""The root of this project's exceptions.
+"""The base class of this project's exceptions.
 
-Each package defines its own errors below `LapisgradeError`, beside the code that raises them. The message
-of an error is one plain line that says what went wrong and where; it can be shown to an operator as it is.
+Each package derives its own errors from `LapisgradeError` in the module that raises them. An error message is
+one line that states what failed and where, and can be shown to an operator unchanged.
 """
 
 
 class LapisgradeError(Exception):
-    """Base class of every error that this project raises on purpose."""
+    """Base class of all errors that this project raises intentionally."""
--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -1,25 +1,25 @@
-"""The generator protocol between decisions and their host, and the typed settings that decisions read.
+"""The generator protocol between a policy and its host, and the typed settings that a policy reads.
 
-What decides performs no I/O and reads no clock. A host starts one generator for each operation, the engine
+A policy performs no I/O and reads no clock. A host starts one generator per operation, and the engine
 (`lapisgrade.engine`) drives it: the generator yields a *command* and is resumed with that command's result.
 
-| command | carried out by | resumed with |
+| command | executed by | resumed with |
 | --- | --- | --- |
-| `Send`, `Cancel` | the host's connections | `None`, at once; the end comes as `AttemptFinished` |
+| `Send`, `Cancel` | the host's connections | `None`, at once; an attempt's end is an `AttemptFinished` |
 | `Reject`, `LogMessage` | the host | `None`, at once |
 | `Spawn`, `Resume` | the engine | `None`, at once |
 | `Sleep` | the engine's timers | an *event*: a `WakeReason`, or an `AttemptFinished` |
 | `AddToCounter` | the host's counter client | a `CounterReply` |
-| `Call` | the engine's caller, where it has one | the result of the call |
+| `Call` | the engine's caller, if it has one | the result of the call |
 
-Events reach a generator only while it sleeps; an event that comes while it waits for a `CounterReply` or the
-result of a `Call` is dropped, so whoever resumes reads the operation's state again. A generator that returns
-has finished its operation: a final answer was delivered by the host (`AttemptResult.is_final`) or by
-`Reject`.
+Events reach a generator only while it sleeps. An event that occurs while it waits for a `CounterReply` or the
+result of a `Call` is dropped, so the generator must check the operation's state again when it is resumed.
+When a generator returns, its operation is finished: the host (`AttemptResult.is_final`) or `Reject` has
+delivered the final answer.
 
-This module holds types only and decides nothing. All times are whole microseconds on the host's one clock;
-`now_us`, `started_us`, `arrived_us`, `deadline_us` and `until_us` are points in time, all other `_us` fields
-are durations.
+This module contains types only. All times are integers in microseconds on the host's clock. `now_us`,
+`started_us`, `arrived_us`, `deadline_us` and `until_us` are points in time; all other `_us` fields are
+durations.
 """
 
 from collections.abc import Generator
@@ -39,7 +39,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which servers recognize and drop the repeats of a deduplicated operation."""
+    """Which servers recognize and discard repeats of a deduplicated operation."""
 
     ALL = auto()
     ZONE = auto()
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True)
 class Category:
-    """A class of operations: how urgent, how valuable, and how safe to repeat."""
+    """A class of operations: its urgency, value and safety of repetition."""
 
     name: str
     repeat_safety: RepeatSafety
     latency_target_us: int
-    timeout_us: int  # a response after this is worth nothing
-    value: float  # of a unit that is answered within the latency target
-    late_value: float = 0.0  # of a unit that is answered after it
+    timeout_us: int  # a later response has no value
+    value: float  # of a unit answered within the latency target
+    late_value: float = 0.0  # of a unit answered after the latency target
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_us: int = 0  # how long a server remembers an idempotency key
     is_streaming: bool = False
@@ -63,29 +63,29 @@
 
 @dataclass(slots=True)
 class Plan:
-    """What a customer has booked."""
+    """The limits and prices of a customer's contract."""
 
     name: str
-    rate: float  # the quota, in units a second; 0: no such quota
+    rate: float  # quota in units per second; 0: no quota
     burst: float  # units
     value_factor: float = 1.0  # multiplies the category's value
-    overage_value: float = 0.0  # earned by a unit beyond the quota
-    overage_cost: float = 0.0  # lost by it
-    max_in_flight: int = 0  # concurrent attempts; 0: not limited
-    rate_limit_per_s: float = 0.0  # units a second that may never be passed; 0: not limited
+    overage_value: float = 0.0  # revenue per unit beyond the quota
+    overage_cost: float = 0.0  # cost per unit beyond the quota
+    max_in_flight: int = 0  # concurrent attempts; 0: unlimited
+    rate_limit_per_s: float = 0.0  # hard limit in units per second; 0: unlimited
     rate_limit_burst: float = 0.0
     rate_limit_slack: float = 0.0
 
 
 @dataclass(slots=True)
 class ServerRules:
-    """What the service's rules allow toward draining and newly started servers."""
+    """The service's rules on draining and newly started servers."""
 
-    drain_grace_us: int  # after the notification that a server drains, attempts may still reach it
-    slow_start_us: int  # how long a server takes to warm up
-    slow_start_initial_weight: float  # its share of full capacity when it starts
+    drain_grace_us: int  # how long attempts may still arrive after a server starts draining
+    slow_start_us: int  # duration of a server's warm-up
+    slow_start_initial_weight: float  # fraction of full capacity at its start
     overload_window_us: int
-    max_overload_factor: float  # of what a warming server can do; more within the window makes it fail
+    max_overload_factor: float  # load in a window, relative to capacity, above which a warming server fails
 
 
 @dataclass(slots=True)
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class Placement:
-    """Where this limiter stands among its peers."""
+    """The limiter's position among all limiters of the service."""
 
     limiter_index: int
     limiter_count: int
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class CounterSettings:
-    """How the shared counter service is reached."""
+    """Availability and time-out of the shared counter service."""
 
     is_available: bool
     timeout_us: int
@@ -118,15 +118,15 @@
 
 @dataclass(slots=True)
 class ConnectionSettings:
-    """How connections to servers behave."""
+    """Time-outs of connections to servers."""
 
     connect_timeout_us: int
-    idle_timeout_us: int  # the other side closes an idle connection after this, at the latest
+    idle_timeout_us: int  # the server closes an idle connection after this time at the latest
 
 
 @dataclass(slots=True)
 class Clock:
-    """The limiter's one source of time; whoever hosts the limiter advances it."""
+    """The limiter's only source of time; its host advances it."""
 
     now_us: int = 0
 
@@ -157,20 +157,20 @@
 
 @dataclass(slots=True)
 class Operation:
-    """One request of a client, from its arrival to its one final answer."""
+    """One request of a client, from its arrival to its final answer."""
 
     customer: str
     plan: Plan
     category: Category
-    units: float  # what it takes from the quota
+    units: float  # units charged to the quota
     arrived_us: int
-    deadline_us: int  # when its client stops waiting
-    gateway_count: int  # limiters that this customer's operations are spread over
+    deadline_us: int  # when the client stops waiting
+    gateway_count: int  # number of limiters that share this customer's operations
     first_gateway_index: int = 0
     is_client_retry: bool = False
-    is_abandoned: bool = False  # its client has gone or timed out; no answer is due any more
-    handle: Any = None  # the host's own record
-    task: Any = None  # the engine's own record
+    is_abandoned: bool = False  # the client disconnected or timed out; no answer is needed
+    handle: Any = None  # record of the host
+    task: Any = None  # record of the engine
 
 
 class AttemptOutcome(Enum):
@@ -178,8 +178,8 @@
 
     OK = auto()
     ERROR = auto()
-    INVALID_REQUEST = auto()  # the operation is at fault, not the server
-    OVERLOADED = auto()  # the server refused it unexecuted
+    INVALID_REQUEST = auto()  # the operation is invalid; the server is healthy
+    OVERLOADED = auto()  # the server rejected it without executing it
     TIMED_OUT = auto()
     CONNECT_FAILED = auto()
     CONNECTION_LOST = auto()
@@ -194,35 +194,35 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """The result of one attempt, as the host saw it."""
+    """The result of one attempt, as observed by the host."""
 
     outcome: AttemptOutcome
     duration_us: int
-    is_final: bool = False  # the client has its answer, or needs none: the operation is over
+    is_final: bool = False  # the client has its answer or needs none
     server_load: dict[str, float] | None = None
-    settled_units: float = 0.0  # the actual cost, where units are settled afterwards; 0: as estimated
-    metered_use: int = 0  # the customer's use as the meter has it
+    settled_units: float = 0.0  # actual cost if it is known only afterwards; 0: as estimated
+    metered_use: int = 0  # the customer's use according to the meter
 
 
 @dataclass(slots=True)
 class AttemptFinished:
     """Event: an attempt of a sleeping operation has ended."""
 
-    attempt: Any  # what was handed out with `Send`
+    attempt: Any  # the attempt of the `Send` command
     result: AttemptResult
 
 
 class WakeReason(Enum):
-    """Event: why a sleeping generator is resumed, other than by the end of an attempt."""
+    """Event: why a sleeping generator is resumed, other than an attempt that ended."""
 
-    TIMER = auto()  # the time asked for has come
+    TIMER = auto()  # the requested time was reached
     RESUMED = auto()  # another generator yielded `Resume`
-    RESPONSE_STARTED = auto()  # the client has received the first part of a streamed response
-    CLIENT_DISCONNECTED = auto()  # the client has disconnected or timed out
+    RESPONSE_STARTED = auto()  # the client received the first part of a streamed response
+    CLIENT_DISCONNECTED = auto()  # the client disconnected or timed out
 
 
 class CounterOutcome(Enum):
-    """How a call of the counter service ended."""
+    """How a call to the counter service ended."""
 
     ADDED = auto()
     REJECTED = auto()  # nothing was added
@@ -242,14 +242,14 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; `attempt` is the caller's own record and comes back in `AttemptFinished`."""
+    """Start an attempt; `attempt` is the policy's record and is returned in `AttemptFinished`."""
 
     attempt: Any
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt in flight, which then ends as any other."""
+    """Cancel an attempt in flight; `AttemptFinished` follows as for any other attempt."""
 
     attempt: Any
 
@@ -267,7 +267,7 @@
 class Call:
     """Call another process; resumed with the result.
 
-    Each kind of call is a class of its own, which says what the result is, also where nobody answers.
+    Each kind of call is a subclass that defines the result, including the one without a reply.
     """
 
 
@@ -279,23 +279,23 @@
 
 
 class RejectReason(Enum):
-    """What a client is told of an operation that no server answered."""
+    """The answer to the client for an operation that no server answered."""
 
     RETRY_LATER = auto()  # not executed, or safe to repeat: the client may try again
-    FAILED = auto()  # may have been executed: the client must not assume either
+    FAILED = auto()  # may or may not have been executed
 
 
 @dataclass(slots=True)
 class Reject:
-    """Give the final answer where no server's response is one."""
+    """Give the final answer if no server's response is one."""
 
     reason: RejectReason
-    retry_after_us: int = 0  # 0: none is advised
+    retry_after_us: int = 0  # 0: no advice
 
 
 @dataclass(slots=True)
 class Spawn:
-    """Run another generator beside this one."""
+    """Run another generator concurrently."""
 
     generator: Generator[Any, Any, None]
 
@@ -314,10 +314,10 @@
     text: str
 
 
-# ---- what a generator is
+# ---- generator types
 
 Result = TypeVar("Result")
 Command = Send | Cancel | Reject | LogMessage | Spawn | Resume | Sleep | AddToCounter | Call
 Event = WakeReason | AttemptFinished
-# Yields commands; what each is resumed with is in the table above.
+# Yields commands; the table above lists the result of each.
 CommandGenerator = Generator[Command, Any, Result]
--- a/lapisgrade/settings.py
+++ b/lapisgrade/settings.py
@@ -1,10 +1,10 @@
-"""Reads a limiter's settings, on the bench and in service, into the types of `lapisgrade.interface`.
+"""Reads a limiter's settings, from the bench or a service configuration, into `lapisgrade.interface` types.
 
-The names in settings are the operators'; here alone they are mapped to those of the code. Values come as the
-text of a line (the bench) or from a parsed JSON tree that `flatten` has brought into the same form: one path
-for each value, such as `RequestClasses.0.Deadline`. Times in settings are in ms, here in us.
+The operators define the names in settings; only this module maps them to names in the code. Values are the
+text of a line (the bench) or come from a parsed JSON tree, which `flatten` converts to the same form: one
+path per value, such as `RequestClasses.0.Deadline`. Times are in ms in the settings and in us in the code.
 
-Every reader raises `MalformedInputError` for a value that it can't read.
+Every reader raises `MalformedInputError` for a value that it can't parse.
 """
 
 import math
@@ -39,25 +39,25 @@
 
 
 class MalformedInputError(LapisgradeError):
-    """What was handed in can't be read; the message names the value and what is wrong with it."""
+    """Input that can't be parsed; the message states the name of the value and the problem."""
 
 
 class Fields(dict[str, Any]):
-    """Named values, read with the defaults that the operators state."""
+    """Named values, read with the operators' defaults."""
 
     __slots__ = ()
 
     def text(self, name: str) -> str:
-        """Read a text that must be there and not be empty."""
+        """Read a required, non-empty string."""
         value = self.get(name)
         if value is None or value == "":
             raise MalformedInputError(f"{name} is missing")
         if not isinstance(value, str):
-            raise MalformedInputError(f"{name} is not text: {value!r}")
+            raise MalformedInputError(f"{name} is not a string: {value!r}")
         return value
 
     def integer(self, name: str, default: int | None = None) -> int:
-        """Read a whole number; without a default it must be there."""
+        """Read an integer; it is required if there is no default."""
         value = self.get(name)
         if value is None:
             if default is not None:
@@ -66,7 +66,7 @@
         try:
             return int(value)
         except (ValueError, TypeError, OverflowError):
-            raise MalformedInputError(f"{name} is not a whole number: {value!r}") from None
+            raise MalformedInputError(f"{name} is not an integer: {value!r}") from None
 
     def number(self, name: str, default: float = 0.0) -> float:
         """Read a finite number."""
@@ -82,11 +82,11 @@
         return number
 
     def duration_us(self, name: str, default_ms: float = 0.0) -> int:
-        """Read a time that is stated in ms, in whole us."""
+        """Read a time in ms and return it in us, rounded."""
         return round(self.number(name, default_ms) * 1000)
 
     def boolean(self, name: str, default: bool = False) -> bool:
-        """Read a truth value, stated as `1`, `0`, `true` or `false`."""
+        """Read a Boolean value, one of `1`, `0`, `true` and `false`."""
         value = self.get(name)
         if value is None:
             return default
@@ -94,20 +94,20 @@
             return True
         if value in ("0", "false", False):
             return False
-        raise MalformedInputError(f"{name} is neither true nor false: {value!r}")
+        raise MalformedInputError(f"{name} is not 1, 0, true or false: {value!r}")
 
     def choice(self, name: str, table: Mapping[str, Value], default: str | None = None) -> Value:
-        """Read a word as what it stands for in a table."""
+        """Read a key of a table and return the value in the table."""
         value = self.get(name, default)
         if value is None:
             raise MalformedInputError(f"{name} is missing")
         if not isinstance(value, str) or value not in table:
-            raise MalformedInputError(f"{name} is unknown: {value!r}")
+            raise MalformedInputError(f"{name} has the unknown value {value!r}")
         return table[value]
 
 
 def parse_address(text: Any, name: str) -> tuple[str, int]:
-    """Read `host:port`; `name` says in an error whose it is."""
+    """Parse `host:port`; `name` identifies the setting in error messages."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
         raise MalformedInputError(f"{name} is not a host and a port: {str(text)[:80]!r}")
@@ -115,7 +115,7 @@
 
 
 def flatten(tree: dict[str, Any], prefix: str = "") -> Fields:
-    """Bring a JSON tree into the form of one line: a path for each value, `.count` for a list of objects."""
+    """Flatten a JSON tree to one path per value, with a `.count` for each list of objects."""
     fields = Fields()
     for name, value in tree.items():
         path = prefix + name
@@ -151,7 +151,7 @@
 
 
 def read_plans(fields: Fields) -> list[Plan]:
-    """Read all plans that customers may have."""
+    """Read all customer plans."""
     count = fields.integer("TiersOfService.count", 0)
     return [_read_plan(fields, f"TiersOfService.{i}.") for i in range(count)]
 
@@ -172,7 +172,7 @@
 
 
 def read_server_rules(fields: Fields) -> ServerRules:
-    """Read the rules about draining and newly started servers."""
+    """Read the rules on draining and newly started servers."""
     return ServerRules(
         drain_grace_us=fields.duration_us("Rules.DrainGrace"),
         slow_start_us=fields.duration_us("Rules.Cold"),
@@ -197,7 +197,7 @@
 
 
 def read_placement(fields: Fields) -> Placement:
-    """Read where the limiter stands among its peers."""
+    """Read the limiter's position among all limiters of the service."""
     return Placement(
         limiter_index=fields.integer("SelfIndex", 0),
         limiter_count=max(1, fields.integer("NInstances", 1)),
@@ -206,12 +206,12 @@
 
 
 def read_max_units(fields: Fields) -> float:
-    """Read the most units that one operation may take from a quota."""
+    """Read the maximum number of units per operation."""
     return fields.number("Specifics.UnitsTop") or math.inf
 
 
 def read_counter_settings(fields: Fields) -> CounterSettings:
-    """Read whether there is a counter service, and how long it may take."""
+    """Read whether there is a counter service, and its time-out."""
     return CounterSettings(
         is_available=fields.boolean("Specifics.SharedCounter"),
         timeout_us=fields.duration_us("Specifics.CountLimit"),
@@ -219,7 +219,7 @@
 
 
 def read_connection_settings(fields: Fields) -> ConnectionSettings:
-    """Read how connections to servers behave."""
+    """Read the time-outs of connections to servers."""
     return ConnectionSettings(
         connect_timeout_us=fields.duration_us("Ceilings.DialTimeout", 1000.0),
         idle_timeout_us=fields.duration_us("Ceilings.Keepalive", 10_000.0),
--- a/tests/bench_adapter/test_process.py
+++ b/tests/bench_adapter/test_process.py
@@ -1,4 +1,4 @@
-"""The adapter on good and bad input, as a process."""
+"""The adapter as a process, with valid and malformed input."""
 
 import subprocess
 import sys
@@ -15,7 +15,7 @@
 ORDER = "ORDER TimeBudget=900.0 LimiterId=0 Ticket=11 Terms=small CostUnits=1 UserKey=ab Category=look\n"
 
 
-def drill(*batches):
+def run_adapter(*batches):
     text = "".join(f"MARK SimTime={1000 + 2 * i}.0\n{batch}YOUR_TURN\n" for i, batch in enumerate(batches))
     return subprocess.run(
         [sys.executable, "-m", "lapisgrade.bench_adapter"],
@@ -28,11 +28,11 @@
 
 def test_an_operation_is_served():
     done = "COMPLETED LimiterId=0 Ticket=11 SendNo=0 StateCode=200 Duration=3 DoneFlag=1 Server=10.0.0.1:80\n"
-    first = drill(START, ORDER)
+    first = run_adapter(START, ORDER)
     call = next(line for line in first.stdout.splitlines() if line.startswith("POST_AMOUNT"))
     name = dict(part.split("=") for part in call.split()[1:])["Counter"]
     tally = f"TALLY_BACK LimiterId=0 Counter={name} StateCode=200 ResultValue=1 Duration=1.5\n"
-    run = drill(START, ORDER, tally, done + "EXPIRED LimiterId=0 Ticket=11\n")
+    run = run_adapter(START, ORDER, tally, done + "EXPIRED LimiterId=0 Ticket=11\n")
     assert run.returncode == 0
     assert not run.stderr
     assert run.stdout.count("EOR\n") == 4
@@ -40,17 +40,20 @@
     assert "BUG" not in run.stdout
 
 
-def test_malformed_lines_get_one_message():
+def test_each_malformed_line_gets_one_error_message():
     for line, words in [
         ("NOVELTY LimiterId=0", "unknown message 'NOVELTY'"),
-        ("ORDER LimiterId=0 Ticket=x Terms=small UserKey=ab Category=look", "Ticket is not a whole"),
-        ("ORDER LimiterId=0 Ticket=1 Terms=other UserKey=ab Category=look TimeBudget=1", "Terms is unknown"),
+        ("ORDER LimiterId=0 Ticket=x Terms=small UserKey=ab Category=look", "Ticket is not an integer: 'x'"),
+        (
+            "ORDER LimiterId=0 Ticket=1 Terms=other UserKey=ab Category=look TimeBudget=1",
+            "Terms has the unknown value 'other'",
+        ),
         ("ORDER LimiterId=9 Ticket=1", "LimiterId 9 has not been configured"),
-        ("TOPOLOGY LimiterId=0 Form=update Epoch=1 Buffer=5", "Buffer names no list: 5"),
-        ("POOL Buffer=1 Entries=2", "more ROW lines were due"),
+        ("TOPOLOGY LimiterId=0 Form=update Epoch=1 Buffer=5", "Buffer refers to an unknown endpoint list: 5"),
+        ("POOL Buffer=1 Entries=2", "2 more ROW lines expected"),
         ("TICK_DUE LimiterId=0 Tag", "is not name=value"),
     ]:
-        run = drill(START, line + "\n")
+        run = run_adapter(START, line + "\n")
         assert run.returncode != 0, line
         assert words in run.stderr, line
         assert "line 8" not in run.stdout, line
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine: which event resumes a generator, in which order, and when it asks for a wake-up."""
+"""The engine: events that resume a generator, their order, and requests for wake-ups."""
 
 from typing import Any
 
@@ -28,7 +28,7 @@
 
 
 class RecordingHost:
-    """Keeps the commands that reach it."""
+    """Records the commands that it receives."""
 
     def __init__(self) -> None:
         self.commands: list[Any] = []
@@ -55,7 +55,7 @@
 
 
 class Setup:
-    """An engine at time 1000 us, its host, and what its generators were resumed with."""
+    """An engine at time 1000 us, its host, and the events that its generators were resumed with."""
 
     def __init__(self) -> None:
         self.host = RecordingHost()
@@ -89,7 +89,7 @@
     assert setup.events == [WakeReason.TIMER]
 
 
-def test_a_task_that_calls_waits_for_the_result_and_drops_events_meanwhile() -> None:
+def test_a_task_waits_for_the_result_of_its_call_and_drops_events() -> None:
     setup = Setup()
     calls: list[Any] = []
 
@@ -111,12 +111,12 @@
         setup.engine.run(calling())  # an engine without a caller
 
 
-def test_a_sleep_until_the_past_lasts_one_us(setup: Setup) -> None:
+def test_a_sleep_until_the_past_ends_after_one_us(setup: Setup) -> None:
     setup.engine.run(setup.sleeper(0))
     assert setup.host.wakeups_us == [1_001]
 
 
-def test_only_the_earliest_timer_asks_for_a_wakeup(setup: Setup) -> None:
+def test_only_the_earliest_timer_requests_a_wakeup(setup: Setup) -> None:
     for until_us in (5_000, 7_000, 3_000):
         setup.engine.run(setup.sleeper(until_us))
     assert setup.host.wakeups_us == [5_000, 3_000]
@@ -132,7 +132,7 @@
     assert setup.events == [WakeReason.RESPONSE_STARTED, WakeReason.TIMER]
 
 
-def test_the_end_of_an_attempt_is_an_event_with_both(setup: Setup) -> None:
+def test_a_finished_attempt_is_delivered_with_its_result(setup: Setup) -> None:
     class AttemptStub:
         operation = setup.operation()
 
@@ -143,7 +143,7 @@
     assert setup.events[0].result is result
 
 
-def test_an_event_while_the_counter_is_waited_for_is_dropped(setup: Setup) -> None:
+def test_an_event_is_dropped_while_the_task_waits_for_the_counter(setup: Setup) -> None:
     def caller():
         setup.events.append((yield AddToCounter(1, 1.0, 1)))
 
@@ -156,7 +156,7 @@
     assert setup.events == [reply]
 
 
-def test_spawned_and_resumed_generators_run_once_the_present_one_waits(setup: Setup) -> None:
+def test_spawned_and_resumed_generators_run_after_the_current_one_waits(setup: Setup) -> None:
     other = setup.operation()
 
     def spawned():
@@ -173,7 +173,7 @@
     assert setup.events == [WakeReason.RESUMED]
 
 
-def test_a_rejection_reaches_the_host_with_its_operation(setup: Setup) -> None:
+def test_a_rejection_is_passed_to_the_host_with_its_operation(setup: Setup) -> None:
     operation = setup.operation()
 
     def rejecting():
@@ -184,7 +184,7 @@
     assert operation.task.is_finished
 
 
-def test_a_generator_that_raises_is_finished_and_its_error_is_the_callers(setup: Setup) -> None:
+def test_an_exception_finishes_its_generator_and_reaches_the_caller(setup: Setup) -> None:
     def failing():
         yield LogMessage("about to fail")
         raise ZeroDivisionError
@@ -195,7 +195,7 @@
     assert operation.task.is_finished
 
 
-def test_what_is_no_command_is_refused(setup: Setup) -> None:
+def test_a_yielded_value_that_is_not_a_command_is_rejected(setup: Setup) -> None:
     def wrong():
         yield "sleep"
 
