--- a/lapisgrade/bench_adapter/__main__.py
+++ b/lapisgrade/bench_adapter/__main__.py
@@ -26,7 +26,7 @@
         self._bench = Bench()
         self._sink = sink
         self.is_in_batch = False
-        self._endpoints: list[ServerEndpoint] = []  # of the list being read
+        self._endpoints: list[ServerEndpoint] = []  # rows of the list being read
         self._endpoint_list_number = 0
         self._rows_left = 0
 
--- a/lapisgrade/bench_adapter/instance.py
+++ b/lapisgrade/bench_adapter/instance.py
@@ -60,7 +60,7 @@
             output_lines: Receives the limiter's messages to the bench.
         """
         self._prefix = f" LimiterId={number}"
-        self._wakeup_tag = 0  # of the last requested wake-up
+        self._wakeup_tag = 0  # tag of the last requested wake-up
         self.output_lines = output_lines
         self._pending_operations: dict[int, Operation] = {}  # without a final answer, by ticket
         self._attempts: dict[tuple[int, int], Any] = {}  # in flight, by ticket and number
--- a/lapisgrade/engine.py
+++ b/lapisgrade/engine.py
@@ -85,7 +85,7 @@
     due_us: int
     sequence: int
     task: Task
-    resume_count: int  # of the task when it started to sleep
+    resume_count: int  # the task's `resume_count` when it started to sleep
 
     def is_active(self) -> bool:
         """Whether the task is still in the sleep that created this timer."""
@@ -102,7 +102,7 @@
         self._clock = clock
         self._host = host
         self._caller = caller
-        self._ready: deque[tuple[Task, Any]] = deque()  # each with its result or event
+        self._ready: deque[tuple[Task, Any]] = deque()  # each with the result or event to resume it with
         self._timers: list[Timer] = []  # a heap
         self._timer_count = 0
         self._wakeup_us: int | None = None  # the pending wake-up
--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -54,8 +54,8 @@
     repeat_safety: RepeatSafety
     latency_target_us: int
     timeout_us: int  # a later response has no value
-    value: float  # of a unit answered within the latency target
-    late_value: float = 0.0  # of a unit answered after the latency target
+    value: float  # per unit answered within the latency target
+    late_value: float = 0.0  # per unit answered after the latency target
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_us: int = 0  # how long a server remembers an idempotency key
     is_streaming: bool = False
@@ -178,7 +178,7 @@
 
     OK = auto()
     ERROR = auto()
-    INVALID_REQUEST = auto()  # the operation is invalid; the server is healthy
+    INVALID_REQUEST = auto()  # the operation is at fault, not the server
     OVERLOADED = auto()  # the server rejected it without executing it
     TIMED_OUT = auto()
     CONNECT_FAILED = auto()
@@ -198,7 +198,7 @@
 
     outcome: AttemptOutcome
     duration_us: int
-    is_final: bool = False  # the client has its answer or needs none
+    is_final: bool = False  # the operation is finished: the client has its answer or needs none
     server_load: dict[str, float] | None = None
     settled_units: float = 0.0  # actual cost if it is known only afterwards; 0: as estimated
     metered_use: int = 0  # the customer's use according to the meter
@@ -213,7 +213,7 @@
 
 
 class WakeReason(Enum):
-    """Event: why a sleeping generator is resumed, other than an attempt that ended."""
+    """Event: why a sleeping generator is resumed, unless an attempt ended."""
 
     TIMER = auto()  # the requested time was reached
     RESUMED = auto()  # another generator yielded `Resume`
@@ -282,7 +282,7 @@
     """The answer to the client for an operation that no server answered."""
 
     RETRY_LATER = auto()  # not executed, or safe to repeat: the client may try again
-    FAILED = auto()  # may or may not have been executed
+    FAILED = auto()  # may have been executed: the client must not assume either
 
 
 @dataclass(slots=True)
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -90,7 +90,7 @@
 
     def _reset(self, now_us: int, plan: Plan) -> None:
         """Discard all knowledge of the count."""
-        self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)  # from the totals
+        self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)  # the shared quota
         self.counter_epoch = CounterEpoch(self.customer, self.decay_us)
         self.is_level_known = False  # whether a counter call was made
         self.last_read_us = 0  # arrival time of the last total; 0: none yet
--- a/lapisgrade/policy/counter_breaker.py
+++ b/lapisgrade/policy/counter_breaker.py
@@ -3,8 +3,8 @@
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.rate import SECOND, TokenBucket
 
-MAX_CONSECUTIVE_TIMEOUTS = 3  # open the breaker; given by the design
-PROBE_INTERVAL_US = SECOND  # while the breaker is open; given by the design
+MAX_CONSECUTIVE_TIMEOUTS = 3  # number of time-outs that opens the breaker; given by the design
+PROBE_INTERVAL_US = SECOND  # interval between calls while the breaker is open; given by the design
 MAX_CALL_RATE = 200.0  # calls per second, initially and at most: one per operation
 CALL_RATE_FACTOR = 0.03  # relative increase of the call rate per successful call
 CALL_RATE_STEP = 0.5  # absolute increase per successful call, in calls per second
--- a/lapisgrade/policy/counter_epoch.py
+++ b/lapisgrade/policy/counter_epoch.py
@@ -10,7 +10,7 @@
 
 from lapisgrade.rate import SECOND
 
-MAX_EPOCH_US = 30 * SECOND  # below the counter's maximum TTL, yet epochs change rarely
+MAX_EPOCH_US = 30 * SECOND  # maximum epoch length: below the counter's maximum TTL, and epochs change rarely
 MAX_EPOCH_DECAYS = 15  # `decay_us` per epoch; amounts grow e-fold in each, and the counter is limited to 1e9
 
 
--- a/lapisgrade/policy/latency.py
+++ b/lapisgrade/policy/latency.py
@@ -8,7 +8,7 @@
 LATENCY_PRIOR_WEIGHT = 4  # weight of the initial estimate, in attempts
 PRIOR_MEAN_SQUARE_RATIO = 2  # assumed mean of the squared latencies, in squared means
 MIN_VARIANCE_DIVISOR = 4  # the variance is at least the squared mean divided by this
-UNITS_LATENCY_SHARE = 0.5  # fraction of the latency that is proportional to an operation's units
+UNITS_LATENCY_SHARE = 0.5  # assumed fraction of the latency that is proportional to the units
 
 
 class LatencyEstimate:
--- a/lapisgrade/policy/observed_server.py
+++ b/lapisgrade/policy/observed_server.py
@@ -25,7 +25,7 @@
         self.latency_samples = DecayingSum(LATENCY_DECAY_US)
         self.successes = DecayingSum(HEALTH_DECAY_US)
         self.failures = DecayingSum(HEALTH_DECAY_US)
-        self.rejections: dict[str, DecayingSum] = {}  # as overloaded, by plan and category
+        self.rejections: dict[str, DecayingSum] = {}  # overload responses, by plan and category
         self.slow_start_budget: TokenBucket | None = None  # work in us that it may be sent while it warms up
 
     def is_ready(self) -> bool:
--- a/lapisgrade/policy/server_pool.py
+++ b/lapisgrade/policy/server_pool.py
@@ -23,7 +23,7 @@
 from lapisgrade.rate import SECOND, DecayingSum, TokenBucket
 
 INITIAL_LATENCY_RATIO = 0.12  # assumed latency before the first attempt, as a fraction of the target
-REMOVED_SERVER_RETENTION_US = 45 * SECOND  # since the last attempt at a removed server
+REMOVED_SERVER_RETENTION_US = 45 * SECOND  # retention of a removed server after its last attempt
 TRIED_SERVER_WEIGHT = 0.05  # factor on the odds of a server that already had an attempt of the operation
 MAX_LATENCY_RATIO = 10.0  # upper bound on one attempt's latency, in expected latencies
 
--- a/tests/policy/test_operation_attempts.py
+++ b/tests/policy/test_operation_attempts.py
@@ -65,7 +65,7 @@
         self.sent: list = []
         self.cancelled: list = []
         self.rejected: Reject | None = None
-        self.wakes_us = 0
+        self.wakeup_us = 0
         self.is_finished = False
         self.resume(None)
 
@@ -82,13 +82,13 @@
                     assert isinstance(command, Reject)
                     self.rejected = command
                 command = self.generator.send(None)
-            self.wakes_us = command.until_us
+            self.wakeup_us = command.until_us
         except StopIteration:
             self.is_finished = True
 
     def time_out(self) -> None:
         """Advance the clock to the end of the sleep."""
-        self.clock.now_us = self.wakes_us
+        self.clock.now_us = self.wakeup_us
         self.resume(WakeReason.TIMER)
 
     def finish(self, number: int, outcome: AttemptOutcome) -> None:
@@ -137,7 +137,7 @@
     driver.pool.concurrency.value = 1.0
     driver.time_out()
     assert len(driver.sent) == 1
-    assert driver.clock.now_us < driver.wakes_us < driver.operation.deadline_us - RESPONSE_MARGIN_US
+    assert driver.clock.now_us < driver.wakeup_us < driver.operation.deadline_us - RESPONSE_MARGIN_US
 
 
 def test_a_non_idempotent_operation_is_never_hedged() -> None:
@@ -212,7 +212,7 @@
 def test_a_response_that_has_started_is_not_cancelled_at_the_deadline() -> None:
     driver = Driver()
     driver.resume(WakeReason.RESPONSE_STARTED)
-    assert driver.wakes_us > driver.operation.deadline_us
+    assert driver.wakeup_us > driver.operation.deadline_us
     assert not driver.is_finished
 
 
