--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -139,7 +139,7 @@
     simulation.run(simulation.now + 2 * SECOND)
     assert simulation.limiters[0].limiter.server_pool.concurrency.value < 2.5
     assert succeeded(simulation) >= 15
-    assert immediate_answers > 4  # the others could not be served in time and are rejected at once
+    assert immediate_answers > 4  # operations that could not be served in time are rejected at once
 
 
 def test_the_slow_start_budget_follows_the_load_of_warm_servers():
