--- a/lapisgrade/gateway/consensus/__init__.py
+++ b/lapisgrade/gateway/consensus/__init__.py
@@ -1,8 +1,7 @@
 """Raft consensus for the control plane.
 
-Pure: a node does no input or output. It is given messages, completed writes and the time, and says what is
-to be sent, written and applied. `node.Node` is the way in; each of its concerns is an object in a module of
-its own.
+A node does no I/O. It receives messages, completed writes and the time, and returns what to send, write and
+apply. `node.Node` is the entry point; each of its concerns is an object in a separate module.
 
 Sources, cited as "thesis, section":
 
@@ -10,5 +9,5 @@
   (3.5), leadership transfer (3.10), changes of one server at a time (4.1), snapshots (5.1), check-quorum
   (6.2), leases for reads (6.4.1), pre-vote (9.6).
 - D. Ongaro, "bug in single-server membership changes", raft-dev, 2015: a leader changes the voters only after
-  an entry of its own term is committed.
+  an entry of its own term is committed (cited as "note of 2015").
 """
--- a/lapisgrade/gateway/consensus/compaction.py
+++ b/lapisgrade/gateway/consensus/compaction.py
@@ -1,36 +1,36 @@
-"""When a snapshot takes the place of the log's entries (thesis, 5.1)."""
+"""Log compaction: replacing log entries by a snapshot (thesis, 5.1)."""
 
 from lapisgrade.gateway.consensus.replication import Replication
 from lapisgrade.gateway.consensus.state import NodeState
 
 MAX_LOG_ENTRIES = 128
-"""Committed entries in the log after which a snapshot takes their place."""
+"""Number of committed entries in the log above which it is compacted."""
 
 LIGHT_ENTRIES_PER_ENTRY = 8
-"""So many light entries count as one: what is bounded is the time that a start takes to apply them."""
+"""Number of light entries that count as one: the limit bounds the time to apply the log at a start."""
 
 MAX_LOG_BYTES = 2 * 1024 * 1024
-"""Bytes in the log after which a snapshot takes its place."""
+"""Size of the log in bytes above which it is compacted."""
 
 TRANSFER_LOG_FACTOR = 4
-"""So many times as much is kept while a follower is being sent a snapshot (it needs what comes after)."""
+"""Multiplier of both limits during a snapshot transfer: the follower needs the entries after the snapshot."""
 
 
 class Compaction:
-    """Says when to compact the log, and does it; has no state of its own."""
+    """Decides when to compact the log, and compacts it; stateless."""
 
     def __init__(self, state: NodeState, replication: Replication) -> None:
-        """Make the compacting part of a node.
+        """Create the compacting part of a node.
 
         Args:
             state: the node's state.
-            replication: knows whether a follower is being sent a snapshot.
+            replication: tells whether a snapshot transfer is in progress.
         """
         self.state = state
         self.replication = replication
 
     def is_due(self, light_entries: int) -> bool:
-        """Whether the log has grown enough for a snapshot; `light_entries` of those committed are light."""
+        """Whether the log exceeds a limit; `light_entries` of its committed entries are light."""
         log = self.state.log
         committed = self.state.commit_index - log.snapshot_index
         if committed == 0:
@@ -41,6 +41,6 @@
         return weight > MAX_LOG_ENTRIES * factor or log.data_bytes > MAX_LOG_BYTES * factor
 
     def compact(self, snapshot: bytes) -> None:
-        """Take the state machine's state after all entries up to the commit index in their place."""
+        """Replace the entries up to the commit index by `snapshot`, the state machine's state after them."""
         self.state.log.compact(self.state.commit_index, snapshot)
         self.state.write([self.state.snapshot_record()])
--- a/lapisgrade/gateway/consensus/election.py
+++ b/lapisgrade/gateway/consensus/election.py
@@ -1,7 +1,8 @@
-"""Elections as the candidate sees them: pre-vote, vote, and the count of the replies (thesis, 3.4 and 9.6).
+"""Elections from the candidate's side: pre-vote, vote, and counting of replies (thesis, 3.4 and 9.6).
 
-A pre-vote asks first whether a vote would be granted, so that a node that was cut off raises no term. When
-all voters grant it and say that they hold no lease, the vote itself need not wait for leases to run out.
+A pre-vote first checks whether a vote would be granted, so that a partitioned node doesn't raise the term. If
+all voters grant the pre-vote and report that they hold no lease, the vote itself need not wait for leases to
+expire.
 """
 
 import msgspec
@@ -14,28 +15,32 @@
 
 
 class VoteTally(msgspec.Struct):
-    """Identities of those that granted the current pre-vote or vote."""
+    """Replies to the current pre-vote or vote.
+
+    Attributes:
+        granted: Identities of the voters that granted it.
+        lease_free: The subset of `granted` that reported no lease.
+        unanimous_only: The subset of `granted` whose votes count only if every voter grants.
+    """
 
     granted: set[str] = msgspec.field(default_factory=set)
-    lease_free: set[str] = msgspec.field(default_factory=set)  # of `granted`: those that hold no lease
-    unanimous_only: set[str] = msgspec.field(
-        default_factory=set
-    )  # of `granted`: those that count if all grant
+    lease_free: set[str] = msgspec.field(default_factory=set)
+    unanimous_only: set[str] = msgspec.field(default_factory=set)
 
 
 class Election:
-    """Starts elections and counts votes; owns the tally and the number of the pre-vote."""
+    """Starts elections and counts votes; owns the tally and the pre-vote round."""
 
     def __init__(
         self, state: NodeState, timer: ElectionTimer, voter: Voter, transitions: RoleTransitions
     ) -> None:
-        """Make the candidate's part of a node.
+        """Create the candidate's part of a node.
 
         Args:
             state: the node's state.
-            timer: says when the next election is due.
-            voter: this node as a voter, whose own vote counts too.
-            transitions: used when an election is won, or a later term is seen.
+            timer: the deadline of the next election.
+            voter: this node's voting part; the candidate's own vote counts too.
+            transitions: called when an election is won or a later term is seen.
         """
         self.state = state
         self._timer = timer
@@ -45,11 +50,11 @@
         self.pre_vote_round = 0
 
     def on_timeout(self) -> None:
-        """The timer is due: no leader was heard from, or an election came to nothing."""
+        """Start an election after a time-out without a leader's message or with an inconclusive election."""
         state = self.state
         self._timer.restart(state.now_us)
         if self._voter.in_restart_guard():
-            # All that were killed together are soon back together.
+            # Nodes that were killed together usually restart together, so their votes arrive soon.
             self._timer.retry_soon(state.now_us)
         if state.identity in state.voters and not state.is_stopping:
             self._start_pre_vote()
@@ -57,14 +62,14 @@
             state.forget_leader()
 
     def on_timeout_now(self, message: TimeoutNow) -> None:
-        """Stand at once: the leader of this term has stepped down for good, so nobody holds a lease."""
+        """Start a vote without a pre-vote: the leader of this term has stepped down, so no lease is held."""
         state = self.state
-        is_meant = message.successor == state.identity and message.term == state.term
-        if is_meant and not (state.is_stopping or state.is_leader):
+        is_addressee = message.successor == state.identity and message.term == state.term
+        if is_addressee and not (state.is_stopping or state.is_leader):
             self._start_vote(lease_free=True)
 
     def on_vote_reply(self, reply: RequestVoteReply) -> None:
-        """Count a reply, if it is one to the current pre-vote or vote."""
+        """Count a reply to the current pre-vote or vote; ignore any other."""
         if not reply.granted:
             if reply.term > self.state.term:
                 self._transitions.become_follower(reply.term)
@@ -82,8 +87,8 @@
         state = self.state
         if not reply.pre_vote:
             return state.role is Role.CANDIDATE and reply.term == state.term
-        is_this_round = reply.pre_vote_round == self.pre_vote_round and reply.term == state.term + 1
-        return state.role is Role.PRE_CANDIDATE and is_this_round
+        is_current_round = reply.pre_vote_round == self.pre_vote_round and reply.term == state.term + 1
+        return state.role is Role.PRE_CANDIDATE and is_current_round
 
     def _start_pre_vote(self) -> None:
         state = self.state
@@ -97,7 +102,7 @@
         self._count_votes()
 
     def _start_vote(self, lease_free: bool) -> None:
-        """Ask for votes in the next term; requests and the own vote go out once that is on disk."""
+        """Request votes in the next term; the requests and the own vote are sent once the vote is durable."""
         state = self.state
         state.role = Role.CANDIDATE
         self._tally = VoteTally()
--- a/lapisgrade/gateway/consensus/election_timer.py
+++ b/lapisgrade/gateway/consensus/election_timer.py
@@ -1,4 +1,4 @@
-"""When a node that is not the leader starts its next election (thesis, 3.4)."""
+"""The election timer of a node that is not the leader (thesis, 3.4)."""
 
 from random import Random
 
@@ -11,10 +11,10 @@
 
 
 class ElectionTimer:
-    """A deadline, drawn anew at each message of a leader and at each vote."""
+    """Deadline of the next election, randomized again at each leader message and each granted vote."""
 
     def __init__(self, random: Random, now_us: int) -> None:
-        """Set the first deadline, sooner than an election time-out: a new system has no leader yet."""
+        """Set the first deadline to less than a full election time-out: a new system has no leader yet."""
         self._random = random
         self.deadline_us = now_us + ELECTION_TIMEOUT_US // 2 + random.randrange(ELECTION_JITTER_US)
 
@@ -23,15 +23,15 @@
         return now_us >= self.deadline_us
 
     def restart(self, now_us: int) -> None:
-        """Wait a full election time-out from now."""
+        """Set the deadline to a full election time-out from now."""
         self.deadline_us = now_us + ELECTION_TIMEOUT_US + self._random.randrange(ELECTION_JITTER_US)
 
     def retry_soon(self, now_us: int) -> None:
-        """Wait for a few round trips only: other nodes are about to come back, or to reply differently."""
+        """Set the deadline to a few round trips from now: other nodes may soon restart or change replies."""
         self.deadline_us = self._retry_us(now_us)
 
     def retry_soon_at_the_latest(self, now_us: int) -> None:
-        """Like `retry_soon`, but never later than the deadline that is set."""
+        """Like `retry_soon`, but never postpone the current deadline."""
         self.deadline_us = min(self.deadline_us, self._retry_us(now_us))
 
     def _retry_us(self, now_us: int) -> int:
--- a/lapisgrade/gateway/consensus/follower.py
+++ b/lapisgrade/gateway/consensus/follower.py
@@ -1,7 +1,7 @@
 """The follower's part of replication: entries and snapshots from the leader (thesis, 3.5 and 5.3).
 
-What is acknowledged is on this disk and agrees with the leader's log; the rest is acknowledged once it is
-written.
+A follower acknowledges only entries that are durable on its disk and match the leader's log; it acknowledges
+the others once they are written.
 """
 
 from lapisgrade.gateway.consensus.election_timer import ElectionTimer
@@ -18,37 +18,37 @@
 
 
 class Follower:
-    """Takes the leader's entries and snapshots.
+    """Appends the leader's entries and installs its snapshots.
 
-    Owns how far the logs agree, what isn't acknowledged yet, and the chunks of a snapshot.
+    Owns the index up to which the logs agree, the pending acknowledgment, and the chunks of a snapshot.
     """
 
     def __init__(
         self, state: NodeState, timer: ElectionTimer, voter: Voter, transitions: RoleTransitions
     ) -> None:
-        """Make the following part of a node.
+        """Create the follower's part of a node.
 
         Args:
             state: the node's state.
-            timer: restarted at each message of the leader.
-            voter: grants no vote while it has contact with the leader.
-            transitions: used when a leader of a later term is heard from.
+            timer: restarted at each message from the leader.
+            voter: notified of leader contact, during which it grants no vote.
+            transitions: called when a message from a new leader arrives.
         """
         self.state = state
         self._timer = timer
         self._voter = voter
         self._transitions = transitions
-        self.agreed_index = 0  # of the last entry that is known to be in the leader's log too
-        self._unacknowledged: AppendEntries | None = None  # to be acknowledged once more is on disk
+        self.agreed_index = 0  # index of the last entry known to match the leader's log
+        self._unacknowledged: AppendEntries | None = None  # acknowledged again once more is durable
         self._assembly = SnapshotAssembly()
 
     def on_new_leader(self) -> None:
-        """Nothing is known of the log of another leader."""
+        """Reset the agreed index: nothing is known about a new leader's log."""
         self.agreed_index = 0
         self._unacknowledged = None
 
     def on_write_durable(self) -> None:
-        """Acknowledge what waited for the disk."""
+        """Acknowledge entries that have become durable."""
         message = self._unacknowledged
         if self.state.durable_index >= self.agreed_index:
             self._unacknowledged = None
@@ -56,17 +56,17 @@
             self.acknowledge(message)
 
     def on_append_entries(self, message: AppendEntries) -> None:
-        """Append the leader's entries in place of those that disagree, and commit what it has committed."""
+        """Append the leader's entries, replacing conflicting ones, and advance the commit index."""
         state, log = self.state, self.state.log
         if not self._accepts_leader(message):
             if message.follower == state.identity:
-                self._reject(message, log.last_index)  # the reply has the newer term
+                self._reject(message, log.last_index)  # the reply carries the newer term
             return
         previous = message.prev_log_index
         if not self._is_consecutive(message):
             return
         if previous >= log.snapshot_index and log.term_at(previous) != message.prev_log_term:
-            # Up to the commit index all logs agree; the leader tries again from there.
+            # All logs agree up to the commit index, so the leader can retry from there.
             self._reject(message, log.last_index if previous > log.last_index else state.commit_index)
             return
         self._append_missing(message)
@@ -77,12 +77,12 @@
             self._unacknowledged = message
 
     def on_install_snapshot(self, message: InstallSnapshot) -> None:
-        """Take one chunk of the leader's snapshot, and install the snapshot with the last one."""
+        """Store a chunk of the leader's snapshot; install the snapshot once it is complete."""
         if not self._accepts_leader(message):
             return
         state = self.state
         if message.last_index <= state.commit_index:
-            # The log has all of that; the reply lets the leader go on with entries.
+            # The log already contains these entries; the reply lets the leader continue with later ones.
             self.agreed_index = max(self.agreed_index, state.commit_index)
             self._acknowledge_snapshot(message)
             return
@@ -95,13 +95,13 @@
         self._acknowledge_snapshot(message)
 
     def on_leader_hint(self, hint: LeaderHint) -> None:
-        """Remember where a leader may be found, while none is known."""
+        """Store the address of a possible leader while none is known."""
         state = self.state
         if hint.term >= state.term and not state.leader:
             state.leader_address = hint.address
 
     def acknowledge(self, message: AppendEntries) -> None:
-        """Reply how much of the leader's log is on this disk, if it still is the leader."""
+        """Reply how far this durable log matches the leader's, if the sender is still the leader."""
         state = self.state
         if message.term != state.term or message.leader != state.leader:
             return
@@ -109,7 +109,7 @@
         self._reply(message, True, match_index)
 
     def _accepts_leader(self, message: AppendEntries | InstallSnapshot) -> bool:
-        """Follow the message's leader; False where it is of an earlier term or for another node."""
+        """Follow the message's leader; returns False for an earlier term or another addressee."""
         state = self.state
         if message.follower != state.identity or message.term < state.term:
             return False
@@ -123,13 +123,13 @@
 
     @staticmethod
     def _is_consecutive(message: AppendEntries) -> bool:
-        """Whether the entries follow one another, as a leader's do."""
+        """Whether the entries are contiguous, as any leader's are."""
         first = message.prev_log_index + 1
         expected = list(range(first, first + len(message.entries)))
         return [each.index for each in message.entries] == expected
 
     def _append_missing(self, message: AppendEntries) -> None:
-        """Append what the log lacks or has of another term (a late message takes nothing away)."""
+        """Append the entries that are missing or have another term; a late message removes nothing."""
         state, log = self.state, self.state.log
         missing = [
             each
@@ -153,7 +153,7 @@
         state.write([state.snapshot_record()])
 
     def _reject(self, message: AppendEntries, index: int) -> None:
-        """Reply that the logs disagree; the leader tries from the entry after `index`."""
+        """Reply that the logs don't match; the leader retries from the entry after `index`."""
         self._reply(message, False, index)
 
     def _reply(self, message: AppendEntries, success: bool, match_index: int) -> None:
@@ -176,7 +176,7 @@
         state.send(message.address, reply)
 
     def _acknowledge_snapshot(self, message: InstallSnapshot) -> None:
-        """Acknowledge the entries that the snapshot stands for, now or once they are on disk."""
+        """Acknowledge the entries that the snapshot covers, now or once they are durable."""
         heartbeat = AppendEntries(
             message.term,
             message.leader,
--- a/lapisgrade/gateway/consensus/log.py
+++ b/lapisgrade/gateway/consensus/log.py
@@ -3,25 +3,25 @@
 from lapisgrade.gateway.consensus.messages import Entry
 
 NO_TERM = -1
-"""The term of an entry that the log doesn't have."""
+"""Returned as the term of an entry that isn't in the log."""
 
 
 class ReplicatedLog:
-    """A snapshot of all up to `snapshot_index`, and `entries`, which follow it without a gap."""
+    """A snapshot up to `snapshot_index`, and the contiguous `entries` after it."""
 
     def __init__(self, voters: dict[str, str]) -> None:
-        """Begin an empty log.
+        """Create an empty log.
 
         Args:
-            voters: identity to address of the first voters of all.
+            voters: the initial voters, identity to address.
         """
         self.snapshot_index = 0
         self.snapshot_term = 0
         self.snapshot_voters = voters
         self.snapshot_state = b""
         self.entries: list[Entry] = []
-        self._voter_changes: list[Entry] = []  # those of `entries` that change the voters
-        self.data_bytes = 0  # in `entries`
+        self._voter_changes: list[Entry] = []  # the subset of `entries` that changes the voters
+        self.data_bytes = 0  # total size of the data in `entries`
 
     @property
     def last_index(self) -> int:
@@ -35,7 +35,7 @@
 
     @property
     def voters(self) -> dict[str, str]:
-        """The newest voters, in force as soon as they are in the log, committed or not (thesis, 4.1)."""
+        """The newest voters; they take effect once in the log, committed or not (thesis, 4.1)."""
         newest = self._voter_changes[-1].voters if self._voter_changes else None
         return self.snapshot_voters if newest is None else newest
 
@@ -44,40 +44,40 @@
         return bool(self._voter_changes) and self._voter_changes[-1].index > index
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at `index`; NO_TERM where the log lacks it or a snapshot took its place."""
+        """The term of the entry at `index`; NO_TERM if it is missing or was replaced by a snapshot."""
         if index == self.snapshot_index:
             return self.snapshot_term
         position = index - self.snapshot_index - 1
         return self.entries[position].term if 0 <= position < len(self.entries) else NO_TERM
 
     def entries_after(self, index: int) -> list[Entry]:
-        """All entries after `index`."""
+        """The entries after `index`."""
         return self.entries[max(0, index - self.snapshot_index) :]
 
     def entries_between(self, index: int, last: int) -> list[Entry]:
-        """The entries after `index` up to and with `last`."""
+        """The entries after `index`, up to and including `last`."""
         return self.entries[max(0, index - self.snapshot_index) : last - self.snapshot_index]
 
     def append(self, entries: list[Entry]) -> None:
-        """Add entries in place of those at the same index and after; pass over those the snapshot covers."""
-        fresh = [each for each in entries if each.index > self.snapshot_index]
-        if not fresh:
+        """Append entries, replacing all from the first one's index on; skip those covered by the snapshot."""
+        uncovered = [each for each in entries if each.index > self.snapshot_index]
+        if not uncovered:
             return
-        self.truncate(fresh[0].index - 1)
-        self.entries += fresh
-        self.data_bytes += _data_bytes(fresh)
-        self._voter_changes += [each for each in fresh if each.voters is not None]
+        self.truncate(uncovered[0].index - 1)
+        self.entries += uncovered
+        self.data_bytes += _data_bytes(uncovered)
+        self._voter_changes += [each for each in uncovered if each.voters is not None]
 
     def truncate(self, last: int) -> None:
-        """Drop every entry after `last`."""
-        kept = max(0, last - self.snapshot_index)
-        self.data_bytes -= _data_bytes(self.entries[kept:])
-        del self.entries[kept:]
+        """Remove all entries after `last`."""
+        kept_count = max(0, last - self.snapshot_index)
+        self.data_bytes -= _data_bytes(self.entries[kept_count:])
+        del self.entries[kept_count:]
         while self._voter_changes and self._voter_changes[-1].index > last:
             self._voter_changes.pop()
 
     def compact(self, index: int, state: bytes) -> None:
-        """Replace the entries up to `index` by a snapshot of the state after them."""
+        """Replace the entries up to `index` by a snapshot of the state machine after them."""
         term = self.term_at(index)
         covered = self.entries_between(self.snapshot_index, index)
         for entry in covered:
@@ -91,7 +91,7 @@
         self.snapshot_state = state
 
     def install(self, index: int, term: int, voters: dict[str, str], state: bytes) -> None:
-        """Adopt another node's snapshot; entries after it stay where the log agrees with it."""
+        """Install another node's snapshot; keep the entries after it if the log matches it at `index`."""
         following = self.entries_after(index) if self.term_at(index) == term else []
         self.snapshot_index = index
         self.snapshot_term = term
--- a/lapisgrade/gateway/consensus/membership.py
+++ b/lapisgrade/gateway/consensus/membership.py
@@ -1,7 +1,7 @@
-"""Which change of voters a leader makes next: pure, one voter at a time (thesis, 4.1).
+"""Selection of the leader's next voter change: pure, one voter at a time (thesis, 4.1).
 
-A change is made only if the nodes that are live and caught up are a majority of the voters after it: no
-change can leave a group that must wait for a machine that is gone, or that lacks what was committed.
+A change is made only if live and caught-up nodes form a majority of the voters after it, so that the group
+never depends on a lost machine or on one that lacks committed entries.
 """
 
 from collections.abc import Mapping
@@ -11,29 +11,29 @@
 from lapisgrade.gateway.consensus.progress import PeerStatus
 
 UNRESPONSIVE_AFTER_US = 1_500_000
-"""Time without a message from a voter after which it may be replaced."""
+"""Time without a message after which a node is considered unresponsive and a voter may be replaced."""
 
 DISPLACED_AFTER_US = 150_000
-"""How much longer than the voter another disk must have been heard from at the voter's address."""
+"""Time without a voter's message, while another disk sends from its address, after which it is displaced."""
 
 MIN_VOTERS = 3
-"""A group isn't shrunk below it, except where a disk is known to be lost."""
+"""A group of this size or less loses a voter only if its disk is lost, or if a learner replaces it."""
 
 
 class ClusterView(msgspec.Struct):
-    """The group as its leader sees it."""
+    """The leader's view of the group."""
 
     now_us: int
-    identity: str  # the leader's own
-    address: str
+    identity: str  # the leader's identity
+    address: str  # the leader's address
     voters: dict[str, str]  # identity to address
-    peers: Mapping[str, PeerStatus]  # all others that talk to the leader, voters and learners
-    leaving: set[str]  # identities of those that shut down in order
+    peers: Mapping[str, PeerStatus]  # all other nodes in contact with the leader, voters and learners
+    leaving: set[str]  # identities of nodes that are shutting down gracefully
     commit_index: int
-    earlier_commit_index: int  # the commit index an election time-out ago
+    earlier_commit_index: int  # the commit index one election time-out ago
 
     def live(self) -> set[str]:
-        """The leader and all that it has heard from lately."""
+        """The leader and all nodes with a message in the last `UNRESPONSIVE_AFTER_US`."""
         return {self.identity} | {
             name
             for name, peer in self.peers.items()
@@ -41,7 +41,7 @@
         }
 
     def caught_up(self) -> set[str]:
-        """Those of the live nodes that have all committed entries on disk."""
+        """The live nodes with all committed entries on disk."""
         live = self.live()
         return {self.identity} | {
             name
@@ -52,9 +52,9 @@
     def learners(self) -> list[str]:
         """The nodes that may become voters: live, and less than an election time-out behind.
 
-        While entries come all the time, a node that is a round trip away never has all that is committed;
-        what counts is that it keeps up (thesis, 4.2.1). That a majority after the change has what was
-        committed is another matter, see `next_voters`.
+        Under a constant stream of entries, a node one round trip away never has every committed entry, so it
+        only has to keep up (thesis, 4.2.1). `next_voters` checks separately that a majority after the change
+        has all committed entries.
         """
         live = self.live()
         return [
@@ -68,7 +68,7 @@
 
 
 def next_voters(view: ClusterView) -> dict[str, str] | None:
-    """The voters after the next change, None where none is needed or safe."""
+    """The voters after the next change; None if no change is needed or safe."""
     voters = desired_voters(view)
     if voters is None:
         return None
@@ -77,7 +77,7 @@
 
 
 def desired_voters(view: ClusterView) -> dict[str, str] | None:
-    """The voters after the next change that is needed, whether it is safe now or not; None for no need."""
+    """The voters after the next needed change, even if it isn't safe yet; None if no change is needed."""
     voters = _voters_after_departure_or_join(view)
     return voters if voters is not None else _voters_at_current_addresses(view)
 
@@ -101,9 +101,9 @@
 
 
 def _is_displaced(view: ClusterView, voter: str) -> bool:
-    """Whether another disk has taken the voter's address: its own disk was emptied.
+    """Whether another disk has taken over the voter's address, because the voter's disk was wiped.
 
-    One message is not enough: it may be a late one, of a disk that was at that address before.
+    A single message isn't enough: it may be a late one from a disk that had the address before.
     """
     status = view.peers.get(voter)
     if status is None:
@@ -118,7 +118,7 @@
 
 
 def _voters_at_current_addresses(view: ClusterView) -> dict[str, str] | None:
-    """The same voters at the addresses that they send from now, None where none has moved."""
+    """The same voters with their current addresses; None if no address has changed."""
     live = view.live()
     voters = {
         name: view.peers[name].address if name in live and name in view.peers else address
--- a/lapisgrade/gateway/consensus/messages.py
+++ b/lapisgrade/gateway/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the nodes of the consensus group, as in the thesis, figures 3.1 and 5.3.
+"""Messages between the nodes of the consensus group (thesis, figures 3.1 and 5.3).
 
-Encoded as msgpack arrays by tag and position: names may change, tags, order and types may not. Indexes count
-log entries from 1. Times are microseconds on the sender's steady clock.
+Encoded as msgpack arrays by tag and position: names may change; tags, order and types may not. Log indexes
+start at 1. Times are microseconds on the sender's steady clock.
 """
 
 from typing import NamedTuple
@@ -12,7 +12,8 @@
 class Entry(msgspec.Struct, array_like=True, frozen=True):
     """One entry of the replicated log.
 
-    `voters` is set for a change of voters (node identity to address); an empty `data` only marks a new term.
+    `voters` (node identity to address) is set for a voter change. `data` is empty for an entry that only
+    starts a new term.
     """
 
     index: int
@@ -22,7 +23,7 @@
 
 
 class RequestVote(msgspec.Struct, array_like=True, tag="v", frozen=True):
-    """A candidate asks for a vote, or with `pre_vote` whether one would be granted (thesis, 3.4 and 9.6)."""
+    """A candidate's vote request; with `pre_vote`, whether a vote would be granted (thesis, 3.4 and 9.6)."""
 
     term: int
     candidate: str
@@ -30,32 +31,32 @@
     last_log_index: int
     last_log_term: int
     pre_vote: bool
-    lease_free: bool = False  # no leader can hold a lease: every voter said so, or the leader stepped down
-    pre_vote_round: int = 0  # number of this pre-vote, echoed in the reply (guards against late replies)
+    lease_free: bool = False  # no leader holds a lease: every voter reported so, or the leader stepped down
+    pre_vote_round: int = 0  # number of this pre-vote, echoed in the reply to detect late replies
 
 
 class RequestVoteReply(msgspec.Struct, array_like=True, tag="V", frozen=True):
-    """A voter's reply, to a vote once it is on its disk.
+    """A voter's reply; a granted vote is sent once it is durable.
 
-    A granted pre-vote has the candidate's term, any other reply the voter's own.
+    A reply to a granted pre-vote has the candidate's term, any other the voter's.
     """
 
     term: int
     voter: str
     granted: bool
     pre_vote: bool
-    unanimous_only: bool = False  # counts only if every voter grants: a lease may rest on its earlier replies
-    lease_free: bool = False  # it isn't leader or candidate, and can't be in a term up to the candidate's
+    unanimous_only: bool = False  # counts only if all voters grant: a lease may rest on its earlier replies
+    lease_free: bool = False  # not leader or candidate, and can't become leader up to the candidate's term
     pre_vote_round: int = 0
 
 
 class AppendEntries(msgspec.Struct, array_like=True, tag="a", frozen=True):
-    """A leader's entries for a follower; a heartbeat without any (thesis, 3.5)."""
+    """A leader's entries for a follower; a heartbeat if empty (thesis, 3.5)."""
 
     term: int
     leader: str
     address: str
-    follower: str  # identity of the node that is meant: another one may be at its address by now
+    follower: str  # identity of the addressee; another node may have taken over its address
     prev_log_index: int
     prev_log_term: int
     leader_commit: int
@@ -64,25 +65,25 @@
 
 
 class AppendEntriesReply(msgspec.Struct, array_like=True, tag="A", frozen=True):
-    """A follower's reply: what it has on disk, or where to try from."""
+    """A follower's reply: how far its durable log matches, or the index to retry from."""
 
     term: int
     follower: str
     address: str
     success: bool  # the logs agree up to prev_log_index
-    match_index: int  # on disk and known to agree; without success, the index to try from
+    match_index: int  # last durable entry known to match; without success, the index to retry from
     sent_us: int
 
 
 class InstallSnapshot(msgspec.Struct, array_like=True, tag="i", frozen=True):
-    """One chunk of a snapshot, from byte `offset` of `total` (thesis, 5.3)."""
+    """One chunk of a snapshot of `total` bytes, starting at byte `offset` (thesis, 5.3)."""
 
     term: int
     leader: str
     address: str
     follower: str
-    last_index: int  # of the last entry that the snapshot covers
-    last_term: int
+    last_index: int  # last entry covered by the snapshot
+    last_term: int  # its term
     voters: dict[str, str]
     data: bytes
     sent_us: int
@@ -91,7 +92,7 @@
 
 
 class InstallSnapshotReply(msgspec.Struct, array_like=True, tag="I", frozen=True):
-    """Which byte of the snapshot up to `last_index` the follower needs next."""
+    """The byte offset that the follower needs next, of the snapshot up to `last_index`."""
 
     term: int
     follower: str
@@ -102,14 +103,14 @@
 
 
 class JoinRequest(msgspec.Struct, array_like=True, tag="j", frozen=True):
-    """A node with a disk of its own asks the leader to be taken in."""
+    """A node's request to join the group."""
 
     node: str
     address: str
 
 
 class LeaderHint(msgspec.Struct, array_like=True, tag="l", frozen=True):
-    """Who the leader is, for a node that asked a follower."""
+    """A follower's reply to a JoinRequest: the identity and address of the leader."""
 
     term: int
     leader: str
@@ -117,13 +118,13 @@
 
 
 class LeaveRequest(msgspec.Struct, array_like=True, tag="x", frozen=True):
-    """A node shuts down in order and should be no voter any more."""
+    """A node's request to be removed from the voters because it shuts down gracefully."""
 
     node: str
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """Leadership transfer: the leader of `term` has stepped down, `successor` has all of its log (3.10)."""
+    """Leadership transfer: the leader of `term` has stepped down; `successor` has its complete log (3.10)."""
 
     term: int
     successor: str
@@ -144,7 +145,7 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and the address of the node that it is for."""
+    """A message and its destination address."""
 
     address: str
     message: Message
--- a/lapisgrade/gateway/consensus/node.py
+++ b/lapisgrade/gateway/consensus/node.py
@@ -1,8 +1,8 @@
-"""One node of the consensus group: the roles, their transitions, and what the shell around it calls.
+"""One node of the consensus group: its roles, their transitions, and the interface for its driver.
 
-Idea: a node is a state machine that does no input or output. The shell calls `tick` at `next_tick_us`, hands
-it messages (`receive`) and completed writes (`on_write_durable`), and carries out `take_effects()` after
-every call. Times are whole microseconds on the steady clock.
+A node is a state machine that does no I/O. Its driver (controller/consensus_driver) calls `tick` at
+`next_tick_us`, passes in messages (`receive`) and completed writes (`on_write_durable`), and carries out
+`take_effects()` after every call. Times are integer microseconds on the steady clock.
 
                  election time-out               majority of pre-votes
     FOLLOWER ----------------------> PRE-CANDIDATE ----------------------> CANDIDATE
@@ -15,24 +15,25 @@
      +----------------------------------------------------------------------------+
        a later term; no contact with a majority; its own removal is committed; step_down
 
-Besides, TimeoutNow takes any role but the leader's straight to CANDIDATE (leadership transfer), and a further
-time-out takes a pre-candidate to its next pre-vote. A node that is no voter by its own log, or that is
-stopping, starts no election.
+In addition, TimeoutNow turns any node but a leader directly into a CANDIDATE (leadership transfer), and a
+further time-out makes a pre-candidate start its next pre-vote. A node that is not a voter in its own log, or
+that is stopping, starts no election.
 
-Who owns what:
+Ownership of state:
 
     state.NodeState           term, vote, log, commit index, role, leader, and the effects to carry out
-    election_timer            when the next election is due, and its random part
-    voter.Voter               where a vote is granted; last contact with a leader; the guard after a restart
-    election.Election         pre-vote and vote as a candidate; the tally
+    election_timer            the deadline of the next election, with its random jitter
+    voter.Voter               granting of votes; last contact with a leader; the restart guard
+    election.Election         pre-votes and votes as a candidate; the tally
     follower.Follower         entries and snapshots from the leader; how far the logs agree
-    replication.Replication   the followers' progress, commits and the lease of a leader
-    compaction.Compaction     when a snapshot takes the place of the log's entries
-    reconfiguration           changes of voters by a leader; who is leaving
+    replication.Replication   the followers' progress, commits and the leader's lease
+    compaction.Compaction     when a snapshot replaces log entries
+    reconfiguration           voter changes by the leader; the nodes that are leaving
     node.Node                 the transitions between roles
 
-A node with an empty disk has no voters in its log, so it starts no election, and an identity of its own, so
-its vote counts for nobody until a leader has taken it in. What a voter replies waits until it is on its disk.
+A node with an empty disk has no voters in its log, so it starts no election. It has a new identity, so no
+candidate counts its vote until a leader has added it as a voter. A granted vote is sent only once it is
+durable.
 """
 
 from collections.abc import Sequence
@@ -57,7 +58,7 @@
 
 
 class Node:
-    """One node of the consensus group; see the module."""
+    """One node of the consensus group; see the module docstring."""
 
     def __init__(
         self,
@@ -67,15 +68,15 @@
         now_us: int,
         voters: dict[str, str] | None = None,
     ) -> None:
-        """Make a node with an empty disk.
+        """Create a node with an empty disk.
 
         Args:
             identity: the name of its disk.
-            address: where other nodes send their messages to.
-            random: for the random part of election time-outs.
+            address: address at which other nodes reach this one.
+            random: source of the jitter of election time-outs.
             now_us: the time on the steady clock.
-            voters: identity to address of the first voters of all, where the whole system starts for the
-                first time; a node that joins a running system has none.
+            voters: the initial voters (identity to address) when the system is bootstrapped; None for a node
+                that joins a running system.
         """
         self.state = NodeState(identity, address, now_us, voters or {})
         self.timer = ElectionTimer(random, now_us)
@@ -85,7 +86,7 @@
         self.voter = Voter(self.state, self.timer, self, self.replication.quorum_contact_us)
         self.election = Election(self.state, self.timer, self.voter, self)
         self.follower = Follower(self.state, self.timer, self.voter, self)
-        self._transfer_ends_us = 0  # when a leader that shuts down waits for a successor no longer
+        self._transfer_deadline_us = 0  # when a stopping leader gives up waiting for a successor
 
     @classmethod
     def recover(
@@ -96,14 +97,14 @@
         now_us: int,
         started_us: int | None = None,
     ) -> Self:
-        """Make a node of what is on its disk.
+        """Restore a node from the records on its disk.
 
         Args:
-            records: a generation of the log's file, which begins with a SnapshotRecord.
-            address: as for a node with an empty disk, like the next two.
-            random: for the random part of election time-outs.
+            records: one generation of the log; the first record is a SnapshotRecord.
+            address: address at which other nodes reach this one.
+            random: source of the jitter of election time-outs.
             now_us: the time on the steady clock.
-            started_us: when this process began, and the one before it had ended; now, where that isn't known.
+            started_us: when this process started (the previous one had ended by then); None means `now_us`.
         """
         first = records[0]
         assert isinstance(first, SnapshotRecord)
@@ -113,7 +114,7 @@
         replay(node.state, first, records[1:])
         return node
 
-    # ---- what the shell reads
+    # ---- state for the driver
 
     @property
     def identity(self) -> str:
@@ -122,7 +123,7 @@
 
     @property
     def address(self) -> str:
-        """Where other nodes send their messages to."""
+        """Address at which other nodes reach this one."""
         return self.state.address
 
     @property
@@ -132,120 +133,124 @@
 
     @property
     def log(self) -> ReplicatedLog:
-        """The replicated log, to be read only."""
+        """The replicated log; read-only for callers."""
         return self.state.log
 
     @property
     def commit_index(self) -> int:
-        """The index of the last entry that is known to be committed."""
+        """The index of the last entry known to be committed."""
         return self.state.commit_index
 
     @property
     def voters(self) -> dict[str, str]:
-        """Identity to address of the voters in force."""
+        """The current voters, identity to address."""
         return self.state.voters
 
     @property
     def followers(self) -> dict[str, FollowerProgress]:
-        """The progress of the followers by identity; empty unless this node is the leader."""
+        """The followers' progress by identity; empty unless this node is the leader."""
         return self.replication.followers
 
     @property
     def is_leader(self) -> bool:
-        """Whether the node is the leader of its term; it may not know of a later one."""
+        """Whether the node is the leader of its term; a later term may already exist."""
         return self.state.is_leader
 
     @property
     def leader(self) -> str:
-        """The identity of the leader, empty where none is known."""
+        """The identity of the leader; empty if unknown."""
         return self.state.leader
 
     @property
     def leader_address(self) -> str:
-        """The address of the leader, or of a node that may know it; empty for none."""
+        """The address of the leader, or of a node that may know it; empty if unknown."""
         return self.state.leader_address
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the node shuts down in order."""
+        """Whether the node is shutting down gracefully."""
         return self.state.is_stopping
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether it is the leader, and all that was committed before is known here."""
+        """Whether this leader has committed an entry of its term, and so knows all earlier commits."""
         return self.replication.has_committed_in_term
 
     def has_lease(self) -> bool:
-        """Whether no other leader can have been elected yet, and all that was committed before is known."""
+        """Whether no other leader can have been elected, and all earlier commits are known."""
         return self.replication.has_lease()
 
     def needs_compaction(self, light_entries: int = 0) -> bool:
-        """Whether it is time for a snapshot.
+        """Whether a snapshot is due.
 
         Args:
-            light_entries: how many of the committed entries after the last snapshot are applied much faster
-                than a change of the configuration; the shell knows what they mean.
+            light_entries: number of committed entries since the last snapshot that are applied much faster
+                than a configuration change; only the driver knows their content.
         """
         return self.compaction.is_due(light_entries)
 
     @property
     def next_tick_us(self) -> int:
-        """When `tick` is to be called next."""
+        """When the driver calls `tick` next."""
         return self.replication.heartbeat_due_us if self.state.is_leader else self.timer.deadline_us
 
     def snapshot_record(self) -> SnapshotRecord:
-        """All that the node has to remember, as the first record of a new generation."""
+        """The node's complete persistent state, as the first record of a new log generation."""
         return self.state.snapshot_record()
 
-    # ---- what the shell calls
+    # ---- calls of the driver
 
     def take_effects(self) -> Effects:
-        """Return what is to be carried out since the last call."""
+        """Return the effects collected since the last call, and clear them."""
         effects, self.state.effects = self.state.effects, Effects()
         return effects
 
     def advance_clock(self, now_us: int) -> None:
-        """Bring the node's clock up to the shell's; it never runs backwards."""
+        """Advance the node's clock to `now_us`; it never runs backwards."""
         self.state.advance_clock(now_us)
 
     def propose(self, data: bytes, announces_commit: bool = True) -> tuple[int, int] | None:
-        """Put a command into the log; returns its index and term.
+        """Append a command to the log.
 
-        Returns None where this isn't the leader, or is one that shuts down. Followers are told at once that
-        it is committed if it `announces_commit`, else with the next message.
+        Args:
+            data: the encoded command.
+            announces_commit: whether followers learn of its commit immediately, not with the next message.
+
+        Returns:
+            The index and term of the entry, or None if this node isn't the leader or is stopping.
         """
         if self.state.is_stopping:
             return None
         return self.replication.propose(data, announces_commit)
 
     def compact(self, snapshot: bytes) -> None:
-        """Take the state machine's state after all entries up to `commit_index` in their place."""
+        """Replace the entries up to `commit_index` by `snapshot`, the state machine's state after them."""
         self.compaction.compact(snapshot)
 
     def step_down(self) -> None:
-        """Shut down in order: transfer leadership to a voter that has all of the log (thesis, 3.10).
+        """Shut down gracefully: transfer leadership to a voter that has the complete log (thesis, 3.10).
 
-        Entries in flight are waited for; nothing more is proposed meanwhile.
+        The node waits for entries in flight and accepts no further proposals.
         """
         state = self.state
         state.is_stopping = True
-        self._transfer_ends_us = state.now_us + LEADERSHIP_TRANSFER_US
+        self._transfer_deadline_us = state.now_us + LEADERSHIP_TRANSFER_US
         self._transfer_leadership()
 
     def _transfer_leadership(self) -> None:
-        """Step down once a voter has all of the log, or when the time for it is over."""
+        """Step down once a voter has the complete log, or when the transfer times out."""
         state = self.state
         if not (state.is_leader and state.is_stopping):
             return
         successors = self.replication.successors()
-        if not successors and state.now_us < self._transfer_ends_us:
+        if not successors and state.now_us < self._transfer_deadline_us:
             return
         self.become_follower(state.term)
         for name, address in successors[:1]:
             state.send(address, TimeoutNow(state.term, name))
 
     def tick(self, now_us: int) -> None:
-        """Do what is due: a leader's heartbeat, or an election."""
+        """Send a leader's heartbeat or start an election, if due."""
         state = self.state
         state.advance_clock(now_us)
         if not state.is_leader:
@@ -264,7 +269,7 @@
         self.replication.send_to_all(heartbeat=True)
 
     def on_write_durable(self, now_us: int, last_index: int, last_term: int) -> None:
-        """Everything up to that entry is on this disk."""
+        """Handle a completed write: the log up to that entry is durable on this disk."""
         state = self.state
         state.advance_clock(now_us)
         if last_index <= state.log.snapshot_index or state.log.term_at(last_index) == last_term:
@@ -275,7 +280,7 @@
             self.follower.on_write_durable()
 
     def receive(self, now_us: int, message: Message) -> None:
-        """Take in a message of another node, or of the node to itself."""
+        """Handle a message from another node, or from this node to itself."""
         self.state.advance_clock(now_us)
         match message:
             case messages.RequestVote():
@@ -311,7 +316,7 @@
     # ---- transitions
 
     def become_follower(self, term: int, leader: str = "", leader_address: str = "") -> None:
-        """Follow in that term, with a leader where one is known."""
+        """Become a follower in `term`; `leader` is empty if unknown."""
         state = self.state
         state.raise_term(term)
         if state.role is not Role.FOLLOWER:
@@ -324,7 +329,7 @@
         self.replication.stop()
 
     def become_leader(self) -> None:
-        """Lead in the current term."""
+        """Become the leader of the current term."""
         state = self.state
         state.role = Role.LEADER
         state.leader = state.identity
--- a/lapisgrade/gateway/consensus/progress.py
+++ b/lapisgrade/gateway/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of the other nodes."""
+"""A leader's view of the other nodes."""
 
 import msgspec
 
@@ -6,18 +6,18 @@
 
 
 class PeerStatus(msgspec.Struct):
-    """Another node, voter or learner, as far as a change of voters asks."""
+    """The state of another node, voter or learner, that voter changes depend on."""
 
     address: str
-    match_index: int  # of the last entry that is known to be on its disk
-    last_contact_us: int  # when its last message of this term came
+    match_index: int  # index of the last entry known to be durable on the node's disk
+    last_contact_us: int  # arrival time of its last message in this term
 
 
 class FollowerProgress(PeerStatus):
-    """How far replication to one follower has come (thesis, figure 3.1: nextIndex, matchIndex)."""
+    """Progress of replication to one follower (thesis, figure 3.1: nextIndex, matchIndex)."""
 
-    next_index: int = 1  # of the entry to send next
-    sent_index: int = 0  # of the last entry that was sent
-    sent_us: int = 0  # when entries were sent
-    acked_us: int = 0  # when the newest message that it has replied to was sent, on the leader's clock
-    transfer: SnapshotTransfer | None = None  # a snapshot that is being sent to it
+    next_index: int = 1  # index of the next entry to send
+    sent_index: int = 0  # index of the last entry sent
+    sent_us: int = 0  # when entries were last sent
+    acked_us: int = 0  # when the newest acknowledged message was sent, by the leader's clock
+    transfer: SnapshotTransfer | None = None  # snapshot transfer in progress
--- a/lapisgrade/gateway/consensus/reconfiguration.py
+++ b/lapisgrade/gateway/consensus/reconfiguration.py
@@ -1,4 +1,4 @@
-"""The leader's part in changes of voters: who joins, who leaves, and the next change (thesis, chapter 4)."""
+"""The leader's part of voter changes: joining nodes, leaving nodes, the next change (thesis, chapter 4)."""
 
 from collections import deque
 
@@ -12,38 +12,39 @@
 from lapisgrade.gateway.consensus.timing import ELECTION_TIMEOUT_US, HEARTBEAT_INTERVAL_US
 
 MAX_FOLLOWERS = 64
-"""Nodes that a leader replicates to; a flood of join requests takes no more of its memory."""
+"""Maximum number of nodes that a leader replicates to; bounds its memory under a flood of join requests."""
 
 
 class PastCommit(msgspec.Struct, frozen=True):
-    """The commit index at some time."""
+    """The commit index at an earlier time."""
 
     time_us: int
     commit_index: int
 
 
 class Reconfiguration:
-    """Makes changes of voters while the node is the leader; owns who is leaving, and past commit indices."""
+    """Changes the voters while the node is the leader; owns the leaving nodes and past commit indexes."""
 
     def __init__(self, state: NodeState, replication: Replication) -> None:
-        """Make the part of a node that changes the voters.
+        """Create the part of a node that changes the voters.
 
         Args:
             state: the node's state.
-            replication: knows the followers, and takes in those that join.
+            replication: holds the followers; joining nodes are added to them.
         """
         self.state = state
         self._replication = replication
-        self._leaving: set[str] = set()  # identities of nodes that shut down in order
-        self._past_commits: deque[PastCommit] = deque()  # the first is an election time-out old, if any is
+        self._leaving: set[str] = set()  # identities of nodes that are shutting down gracefully
+        # Oldest first; the first is at least an election time-out old, if any is.
+        self._past_commits: deque[PastCommit] = deque()
 
     def start(self) -> None:
-        """Begin to lead."""
+        """Start leading."""
         self._leaving = set()
         self._past_commits.clear()
 
     def on_join(self, request: JoinRequest) -> None:
-        """Replicate to a node that wants to join; a follower says who the leader is."""
+        """Start replicating to a joining node; if this isn't the leader, reply with the leader's address."""
         state, followers = self.state, self._replication.followers
         if not state.is_leader:
             if state.leader_address and state.leader_address != request.address:
@@ -60,15 +61,15 @@
             self._replication.send_to(request.node, heartbeat=True)
 
     def on_leave(self, request: LeaveRequest) -> None:
-        """Make a node that shuts down no voter any more, where enough others stay."""
+        """Remove a node that shuts down from the voters, if enough voters remain."""
         if self.state.is_leader:
             self._leaving.add(request.node)
             self.change_voters()
 
     def change_voters(self) -> None:
-        """Make the next change of voters, if one is needed and safe; none while leadership is transferred."""
+        """Make the next voter change if one is needed and safe; none during a leadership transfer."""
         state, replication = self.state, self._replication
-        self._note_commit_index()
+        self._record_commit_index()
         if state.is_stopping or not state.is_leader or self.is_change_pending():
             return
         voters = next_voters(self._view())
@@ -81,22 +82,23 @@
         replication.advance_commit()
 
     def is_change_pending(self) -> bool:
-        """Whether the next change must wait for the one before, or an entry of this term (note of 2015)."""
+        """Whether the last change, or an entry of this term, is still uncommitted (note of 2015)."""
         state = self.state
         return (
             state.log.has_voter_change_after(state.commit_index)
             or state.commit_index < self._replication.first_index
         )
 
-    def _note_commit_index(self) -> None:
-        state, past = self.state, self._past_commits
-        if not past or state.now_us - past[-1].time_us >= HEARTBEAT_INTERVAL_US:  # bounds how many are kept
-            past.append(PastCommit(state.now_us, state.commit_index))
-        while len(past) > 1 and state.now_us - past[1].time_us >= ELECTION_TIMEOUT_US:
-            past.popleft()
+    def _record_commit_index(self) -> None:
+        state, commits = self.state, self._past_commits
+        # One per heartbeat interval at most, to bound their number.
+        if not commits or state.now_us - commits[-1].time_us >= HEARTBEAT_INTERVAL_US:
+            commits.append(PastCommit(state.now_us, state.commit_index))
+        while len(commits) > 1 and state.now_us - commits[1].time_us >= ELECTION_TIMEOUT_US:
+            commits.popleft()
 
     def _earlier_commit_index(self) -> int:
-        """Return the commit index an election time-out ago; that of now where nothing is as old."""
+        """Return the commit index one election time-out ago, or the current one if none is that old."""
         past = self._past_commits
         is_old = bool(past) and self.state.now_us - past[0].time_us >= ELECTION_TIMEOUT_US
         return past[0].commit_index if is_old else self.state.commit_index
@@ -115,7 +117,7 @@
         )
 
     def _update_followers(self, voters: dict[str, str]) -> None:
-        """Replicate to all voters, and to those of the others that are live."""
+        """Make all voters and all live learners followers, and drop the others."""
         state, replication = self.state, self._replication
         live = self._view().live()
         for name, address in voters.items():
--- a/lapisgrade/gateway/consensus/recovery.py
+++ b/lapisgrade/gateway/consensus/recovery.py
@@ -1,6 +1,6 @@
-"""What a node's disk says, brought back into its state after a restart.
+"""Restores a node's state from its disk after a restart.
 
-What was read may not be synced: nothing of it counts as durable before the shell has written it anew.
+Records that were read may not have been synced: none counts as durable until the driver has rewritten it.
 """
 
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 
 
 def replay(state: NodeState, first: SnapshotRecord, later: Sequence[Record]) -> None:
-    """Bring the records of one generation of the log's file into the state of a new node."""
+    """Apply the records of one log generation to the state of a new node."""
     state.term = first.term
     state.voted_for = first.voted_for
     state.commit_index = first.snapshot_index
--- a/lapisgrade/gateway/consensus/replication.py
+++ b/lapisgrade/gateway/consensus/replication.py
@@ -1,4 +1,4 @@
-"""The leader's part of replication: entries and snapshots to the followers, commits, the lease.
+"""The leader's part of replication: sending entries and snapshots, commits, and the lease.
 
 Sources: thesis, 3.5 and 3.6.2 (commit), 5.3 (snapshots), 6.2 (check-quorum), 6.4.1 (lease).
 """
@@ -17,35 +17,34 @@
 from lapisgrade.gateway.consensus.timing import ELECTION_TIMEOUT_US, HEARTBEAT_INTERVAL_US, LEASE_US
 
 MAX_APPEND_BYTES = 256 * 1024
-"""Bytes of entries in one message; the entry that exceeds it is the last one."""
+"""Size limit of the entries in one message; the entry that exceeds it is still included, as the last one."""
 
 RETRANSMIT_AFTER_US = 300_000
-"""Time after which what was sent and not acknowledged is sent again."""
+"""Time after which unacknowledged entries or chunks are sent again."""
 
 
 class Replication:
-    """Brings the leader's log to the followers; owns their progress, and the leader's first entry."""
+    """Replicates the leader's log; owns the followers' progress and the index of the leader's first entry."""
 
     def __init__(self, state: NodeState, transitions: RoleTransitions) -> None:
-        """Make the leading part of a node.
+        """Create the leader's part of a node.
 
         Args:
             state: the node's state.
-            transitions: used when a later term is seen, or the leader has committed its own removal.
+            transitions: called when a later term is seen, or when the leader has committed its own removal.
         """
         self.state = state
         self._transitions = transitions
-        self.followers: dict[
-            str, FollowerProgress
-        ] = {}  # by identity, voters and learners; empty unless leader
-        self.first_index = 0  # of this leader's entries
-        self._announced_index = 0  # of the newest entry whose commit the followers are told at once
+        # Voters and learners by identity; empty unless this node is the leader.
+        self.followers: dict[str, FollowerProgress] = {}
+        self.first_index = 0  # index of the leader's first entry in its term
+        self._announced_index = 0  # newest entry whose commit is announced to followers immediately
         self.heartbeat_due_us = 0
 
-    # ---- beginning and end of leadership
+    # ---- start and end of leadership
 
     def start(self) -> None:
-        """Begin to lead, with an entry of this term, by which earlier ones are committed (thesis, 3.6.2)."""
+        """Start leading: append an entry of this term, which also commits earlier ones (thesis, 3.6.2)."""
         state = self.state
         self.followers = {
             name: FollowerProgress(
@@ -54,7 +53,7 @@
             for name, address in state.voters.items()
             if name != state.identity
         }
-        # With the voters, as a node that joins learns them from the log alone.
+        # The entry contains the voters because a joining node learns them only from the log.
         state.append([Entry(state.log.last_index + 1, state.term, b"", dict(state.voters))])
         self.first_index = state.log.last_index
         self._announced_index = state.log.last_index
@@ -63,11 +62,11 @@
         self.advance_commit()
 
     def stop(self) -> None:
-        """Lead no more."""
+        """Stop leading."""
         self.followers = {}
 
     def successors(self) -> list[tuple[str, str]]:
-        """Identity and address of the voters that have all of the log and answer, for a transfer (3.10)."""
+        """Identity and address of responsive voters with the complete log, for a transfer (thesis, 3.10)."""
         state = self.state
         return [
             (name, follower.address)
@@ -80,7 +79,7 @@
     # ---- lease
 
     def quorum_contact_us(self) -> int:
-        """When the newest message was sent that a majority of the voters has replied to, on the own clock."""
+        """When the newest message acknowledged by a majority of the voters was sent, by this node's clock."""
         state = self.state
         times = [self.followers[name].acked_us for name in state.voters if name in self.followers]
         if state.identity in state.voters:
@@ -91,26 +90,29 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether an entry of this leader is committed: all that was committed before is known then."""
+        """Whether an entry of this leader's term is committed; all earlier commits are known from then on."""
         return self.state.is_leader and self.state.commit_index >= self.first_index
 
     def has_lease(self) -> bool:
-        """Whether no other leader can have been elected yet, and all that was committed before is known."""
+        """Whether no other leader can have been elected, and all earlier commits are known."""
         return self.has_committed_in_term and self.state.now_us - self.quorum_contact_us() <= LEASE_US
 
     def has_lost_quorum(self) -> bool:
-        """Whether the leader has had no contact with a majority for an election time-out (thesis, 6.2)."""
+        """Whether the leader has lost contact with a majority for an election time-out (thesis, 6.2)."""
         state = self.state
         return len(state.voters) > 1 and state.now_us - self.quorum_contact_us() > ELECTION_TIMEOUT_US
 
     # ---- messages to followers
 
     def propose(self, data: bytes, announces_commit: bool = True) -> tuple[int, int] | None:
-        """Append a command and replicate it; returns its index and term, or None if this isn't the leader.
+        """Append a command and replicate it.
 
         Args:
             data: the encoded command.
-            announces_commit: whether the followers are told of its commit at once, not with the next message.
+            announces_commit: whether followers learn of its commit immediately, not with the next message.
+
+        Returns:
+            The index and term of the entry, or None if this node isn't the leader.
         """
         state = self.state
         if not state.is_leader:
@@ -124,24 +126,24 @@
         return entry.index, entry.term
 
     def announce_commit_of(self, index: int) -> None:
-        """Have the followers told at once when that entry is committed."""
+        """Announce the commit of that entry to the followers immediately when it happens."""
         self._announced_index = max(self._announced_index, index)
 
     def send_to_all(self, heartbeat: bool = False) -> None:
-        """Send each follower what it lacks."""
+        """Send each follower the entries or the snapshot chunk that it is missing."""
         for name in self.followers:
             self.send_to(name, heartbeat)
 
     def send_to(self, name: str, heartbeat: bool = False) -> None:
-        """Send a follower what it lacks, up to one message; with `heartbeat` at least an empty one."""
+        """Send a follower one message with what it is missing; with `heartbeat`, at least an empty one."""
         state, follower = self.state, self.followers[name]
         is_unacknowledged = follower.sent_index > follower.match_index
         if is_unacknowledged and state.now_us - follower.sent_us > RETRANSMIT_AFTER_US:
-            follower.next_index = follower.match_index + 1  # what was sent may be lost
+            follower.next_index = follower.match_index + 1  # the entries sent may be lost
         if follower.next_index <= state.log.snapshot_index or follower.transfer is not None:
             self._send_chunk(name, follower)
             if heartbeat:
-                # Its reply upholds the lease while a snapshot is being sent.
+                # The reply renews the lease while a snapshot is being sent.
                 self._send_entries(name, follower, state.log.last_index, [])
             return
         entries = self._next_entries(follower)
@@ -179,7 +181,7 @@
         state.send(follower.address, message)
 
     def _send_chunk(self, name: str, follower: FollowerProgress) -> None:
-        """Send the next chunk of a snapshot, of the newest one where none is being sent yet."""
+        """Send the next chunk of the transfer in progress, or start one with the newest snapshot."""
         state, log = self.state, self.state.log
         if follower.transfer is None:
             newest = Snapshot(log.snapshot_index, log.snapshot_term, log.snapshot_voters, log.snapshot_state)
@@ -205,7 +207,7 @@
         state.send(follower.address, message)
 
     def has_transfer(self) -> bool:
-        """Whether a live follower is being sent a snapshot."""
+        """Whether a snapshot transfer to a live follower is in progress."""
         return any(
             follower.transfer is not None
             and self.state.now_us - follower.last_contact_us < UNRESPONSIVE_AFTER_US
@@ -215,7 +217,7 @@
     # ---- replies
 
     def on_contact(self, name: str, address: str, term: int) -> FollowerProgress | None:
-        """Take note of a follower's message; None where this node doesn't lead it in that term."""
+        """Record a follower's message; return its progress, or None if this node doesn't lead it."""
         state = self.state
         if term > state.term:
             self._transitions.become_follower(term)
@@ -228,7 +230,7 @@
         return follower
 
     def on_append_reply(self, reply: AppendEntriesReply) -> None:
-        """Take note of what a follower has on disk, commit by it, and send it what it lacks."""
+        """Record a follower's match index, advance the commit index, and send missing entries."""
         state = self.state
         follower = self.on_contact(reply.follower, reply.address, reply.term)
         if follower is None:
@@ -242,12 +244,12 @@
                 1, min(reply.match_index + 1, follower.next_index, state.log.last_index + 1)
             )
             follower.sent_index = follower.match_index
-        is_led = state.is_leader and reply.follower in self.followers
-        if is_led and follower.next_index <= state.log.last_index:
+        is_still_follower = state.is_leader and reply.follower in self.followers
+        if is_still_follower and follower.next_index <= state.log.last_index:
             self.send_to(reply.follower)
 
     def on_snapshot_reply(self, reply: InstallSnapshotReply) -> None:
-        """Send a follower the next chunk of its snapshot."""
+        """Send a follower the next chunk of its snapshot transfer."""
         follower = self.on_contact(reply.follower, reply.address, reply.term)
         if follower is None or follower.transfer is None:
             return
@@ -256,7 +258,7 @@
         self._send_chunk(reply.follower, follower)
 
     def _on_acknowledged(self, follower: FollowerProgress, sent_us: int) -> None:
-        """The lease runs from when the message was sent, not from when its reply came."""
+        """Record an acknowledgment; the lease runs from when the message was sent, not from the reply."""
         follower.acked_us = max(follower.acked_us, min(sent_us, self.state.now_us))
 
     def _on_match(self, follower: FollowerProgress, match_index: int) -> None:
@@ -268,7 +270,7 @@
             follower.next_index = follower.match_index + 1
 
     def advance_commit(self) -> None:
-        """Commit what a majority of the voters has on disk, by entries of this term alone (thesis, 3.6.2)."""
+        """Commit entries durable on a majority, only through an entry of this term (thesis, 3.6.2)."""
         state = self.state
         voters = state.voters
         durable = [self.followers[name].match_index if name in self.followers else 0 for name in voters]
@@ -282,4 +284,4 @@
             if is_announced:
                 self.send_to_all(heartbeat=True)
         if state.identity not in voters and state.commit_index >= state.log.last_index:
-            self._transitions.become_follower(state.term)  # its own removal is committed (thesis, 4.2.2)
+            self._transitions.become_follower(state.term)  # the leader's removal is committed (thesis, 4.2.2)
--- a/lapisgrade/gateway/consensus/state.py
+++ b/lapisgrade/gateway/consensus/state.py
@@ -1,8 +1,9 @@
-"""The state of one node that all of its concerns read: term, vote, log, role, and the effects they collect.
+"""The state that all concerns of a node share: term, vote, log, role, and the effects to carry out.
 
-Who writes what: `term` and `voted_for` change here and in `voter` and `election`; `commit_index` here alone;
-`durable_index` in `node` and `follower`; `role` and `leader` in `node` and `election`. What only one concern
-needs is that concern's own.
+Writers: `term` changes here and in `election`; `voted_for` here, in `voter` and in `election`; `commit_index`
+here and in `follower`; `durable_index` in `node` and `follower`; `role` in `node` and `election`; `leader` in
+`node` and here. `recovery` sets term, vote and commit index at a restart. State that only one concern uses
+belongs to that concern.
 """
 
 from collections.abc import Iterable
@@ -31,53 +32,53 @@
 
 
 class RoleTransitions(Protocol):
-    """Changes of role, which concern all parts of a node."""
+    """Changes of role; they affect all concerns of a node."""
 
     def become_follower(self, term: int, leader: str = "", leader_address: str = "") -> None:
-        """Follow in that term, with a leader where one is known."""
+        """Become a follower in `term`; `leader` is empty if unknown."""
 
     def become_leader(self) -> None:
-        """Lead in the current term."""
+        """Become the leader of the current term."""
 
 
 class NodeState:
     """The state that a node's concerns share."""
 
     def __init__(self, identity: str, address: str, now_us: int, voters: dict[str, str]) -> None:
-        """Begin as a follower with an empty log.
+        """Start as a follower with an empty log.
 
         Args:
             identity: the name of this node's disk.
-            address: where other nodes send their messages to.
+            address: address at which other nodes reach this one.
             now_us: the time on the node's steady clock.
-            voters: the first voters of all, where the whole system starts for the first time; else empty.
+            voters: the initial voters when the system is bootstrapped; otherwise empty.
         """
         self.identity = identity
         self.address = address
         self.now_us = now_us
         self.term = 0
-        self.voted_for = ""  # in `term`; empty for none
+        self.voted_for = ""  # candidate voted for in `term`; empty if none
         self.log = ReplicatedLog(voters)
-        self.commit_index = 0  # of the last entry that is known to be committed
-        self.durable_index = 0  # of the last entry that is surely on this disk
+        self.commit_index = 0  # index of the last entry known to be committed
+        self.durable_index = 0  # index of the last entry known to be synced to this disk
         self.role = Role.FOLLOWER
-        self.leader = ""  # identity of the leader of `term`, empty where none is known
+        self.leader = ""  # identity of the leader of `term`; empty if unknown
         self.leader_address = ""
-        self.is_stopping = False  # shuts down in order: starts no election any more
+        self.is_stopping = False  # graceful shutdown: the node starts no further elections
         self.effects = Effects()
 
     @property
     def voters(self) -> dict[str, str]:
-        """Identity to address of the voters in force."""
+        """The current voters, identity to address."""
         return self.log.voters
 
     @property
     def is_leader(self) -> bool:
-        """Whether the node is the leader of its term; it may not know of a later one."""
+        """Whether the node is the leader of its term; a later term may already exist."""
         return self.role is Role.LEADER
 
     def snapshot_record(self) -> SnapshotRecord:
-        """All that the node has to remember, as the first record of a new generation."""
+        """The node's complete persistent state, as the first record of a new log generation."""
         log = self.log
         return SnapshotRecord(
             self.identity,
@@ -92,15 +93,15 @@
         )
 
     def advance_clock(self, now_us: int) -> None:
-        """Bring the node's clock up to the shell's; it never runs backwards."""
+        """Advance the node's clock to `now_us`; it never runs backwards."""
         self.now_us = max(self.now_us, now_us)
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message now."""
+        """Queue a message to be sent immediately."""
         self.effects.sends.append(OutgoingMessage(address, message))
 
     def write(self, records: list[Record], sends_when_durable: Iterable[OutgoingMessage] = ()) -> None:
-        """Bring records onto the disk, and send messages once they are there."""
+        """Queue records to be written, and messages to be sent once the records are durable."""
         write = DurableWrite(records, list(sends_when_durable), self.log.last_index, self.log.last_term)
         self.effects.writes.append(write)
 
@@ -110,19 +111,19 @@
         self.write([EntriesRecord(entries, self.commit_index)])
 
     def raise_term(self, term: int) -> None:
-        """Move on to a later term, without a vote in it yet; an earlier one changes nothing."""
+        """Advance to a later term without a vote; an earlier or equal term has no effect."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
             self.write([HardState(term, "")])
 
     def forget_leader(self) -> None:
-        """Know of no leader, so that it is looked for anew."""
+        """Clear the known leader, so that the node discovers it again."""
         self.leader = ""
         self.leader_address = ""
 
     def commit_up_to(self, index: int) -> None:
-        """Commit all entries up to `index` that the log has."""
+        """Commit the entries in the log up to `index`."""
         index = min(index, self.log.last_index)
         if index > self.commit_index:
             self.effects.committed += self.log.entries_between(self.commit_index, index)
--- a/lapisgrade/gateway/consensus/timing.py
+++ b/lapisgrade/gateway/consensus/timing.py
@@ -1,28 +1,28 @@
 """Time-outs of the consensus group, in microseconds.
 
-What bounds what: HEARTBEAT_INTERVAL_US < LEASE_US < RESTART_GUARD_US < ELECTION_TIMEOUT_US.
+Required order: HEARTBEAT_INTERVAL_US < LEASE_US < RESTART_GUARD_US < ELECTION_TIMEOUT_US.
 """
 
 HEARTBEAT_INTERVAL_US = 100_000
-"""Between two messages of a leader to each follower; some round trips between zones."""
+"""Interval between a leader's heartbeats to each follower; several round trips between zones."""
 
 ELECTION_TIMEOUT_US = 400_000
-"""The least time without a leader's message before a node starts an election; several heartbeats."""
+"""Minimum time without a leader's message before a node starts an election; several heartbeats."""
 
 ELECTION_JITTER_US = 300_000
-"""At random up to so much more (split votes are rare then; thesis, 3.4)."""
+"""Maximum random addition to ELECTION_TIMEOUT_US; makes split votes rare (thesis, 3.4)."""
 
 LEASE_US = 300_000
-"""How long a majority's replies let a leader answer reads; below ELECTION_TIMEOUT_US (thesis, 6.4.1)."""
+"""Time for which a majority's replies let a leader serve reads; below ELECTION_TIMEOUT_US (thesis, 6.4.1)."""
 
 RESTART_GUARD_US = 330_000
-"""How long after a restart a lease may rest on what a node replied before; LEASE_US and clock drift."""
+"""Time after a restart during which a lease may rest on earlier replies; LEASE_US plus clock drift."""
 
 RETRY_DELAY_US = 10_000
-"""The least time between the elections of a node that has just started; a few round trips."""
+"""Minimum delay between the elections of a node that has just restarted; a few round trips."""
 
 RETRY_JITTER_US = 50_000
-"""At random up to so much more."""
+"""Maximum random addition to RETRY_DELAY_US."""
 
 LEADERSHIP_TRANSFER_US = ELECTION_TIMEOUT_US
-"""How long a leader that shuts down waits for a voter that has all of the log (thesis, 3.10)."""
+"""Maximum time that a stopping leader waits for a voter with the complete log (thesis, 3.10)."""
--- a/lapisgrade/gateway/consensus/voter.py
+++ b/lapisgrade/gateway/consensus/voter.py
@@ -1,9 +1,9 @@
-"""Where a vote is granted: `Voter._grants_vote`, and for a pre-vote `Voter._grants_pre_vote`.
+"""Granting of votes (`Voter._grants_vote`) and pre-votes (`Voter._grants_pre_vote`).
 
-A voter grants one vote a term, to a candidate whose log lacks nothing that may be committed (thesis, 3.4,
-3.6.1), and none while a leader's lease may rest on what it has replied (thesis, 6.4.1). Whether this node is
-a voter is the candidate's to know: the change that made it one may be in the candidate's log alone (thesis,
-4.2.2). A node whose disk was emptied has another identity, whose votes no candidate counts.
+A voter grants one vote per term, to a candidate whose log has all entries that may be committed (thesis, 3.4
+and 3.6.1), and none while a leader's lease may rest on this voter's replies (thesis, 6.4.1). A node doesn't
+check whether it is a voter: the change that added it may be in the candidate's log alone (thesis, 4.2.2). A
+node whose disk was wiped has a new identity, and no candidate counts its votes.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class Voter:
-    """Replies to RequestVote; owns when a leader was last heard from, and the guard after a restart."""
+    """Replies to RequestVote; owns the time of the last leader contact and the restart guard."""
 
     def __init__(
         self,
@@ -25,35 +25,36 @@
         transitions: RoleTransitions,
         quorum_contact_us: Callable[[], int],
     ) -> None:
-        """Make the voting part of a node.
+        """Create the voting part of a node.
 
         Args:
             state: the node's state.
             timer: restarted when a vote is granted.
-            transitions: used when a candidate has a later term.
-            quorum_contact_us: where this node is the leader, when it last had contact with a majority.
+            transitions: called when a candidate has a later term.
+            quorum_contact_us: returns when this node, as the leader, last had contact with a majority.
         """
         self.state = state
         self._timer = timer
         self._transitions = transitions
         self._quorum_contact_us = quorum_contact_us
         self._last_leader_contact_us = -ELECTION_TIMEOUT_US
-        self.restart_guard_until_us = state.now_us  # until then a lease may rest on replies before a restart
+        # Until then a lease may rest on replies that this node sent before its restart.
+        self.restart_guard_until_us = state.now_us
 
     def guard_after_restart(self, started_us: int) -> None:
-        """Honour leases that may rest on replies of an earlier process, which ended before `started_us`."""
+        """Respect leases that may rest on replies of an earlier process, which ended before `started_us`."""
         self.restart_guard_until_us = started_us + RESTART_GUARD_US
 
     def in_restart_guard(self) -> bool:
-        """Whether a lease may rest on what this node replied before its restart."""
+        """Whether a lease may rest on replies that this node sent before its restart."""
         return self.state.now_us < self.restart_guard_until_us
 
     def on_leader_contact(self) -> None:
-        """Take note of a message of the current leader."""
+        """Record the arrival of a message from the current leader."""
         self._last_leader_contact_us = self.state.now_us
 
     def has_leader_contact(self) -> bool:
-        """Whether a lease may rest on what this node has replied, or on replies to it as leader."""
+        """Whether a lease may rest on this node's replies or, if it is the leader, on replies to it."""
         state = self.state
         if state.is_leader:
             return state.now_us - self._quorum_contact_us() <= ELECTION_TIMEOUT_US
@@ -65,7 +66,7 @@
         return (request.last_log_term, request.last_log_index) >= (log.last_term, log.last_index)
 
     def on_request_vote(self, request: RequestVote) -> None:
-        """Reply to a vote, or a pre-vote."""
+        """Reply to a vote or pre-vote request."""
         if request.pre_vote:
             self.on_pre_vote(request)
         else:
@@ -74,7 +75,7 @@
     def _on_vote(self, request: RequestVote) -> None:
         state = self.state
         if request.term < state.term or self._lease_forbids_vote(request):
-            # The term stays: a candidate that was cut off can't depose the leader by it (thesis, 4.2.3).
+            # The term isn't adopted, so that a partitioned candidate can't depose the leader (thesis, 4.2.3).
             state.send(request.address, RequestVoteReply(state.term, state.identity, False, False))
             return
         if request.term > state.term:
@@ -93,16 +94,16 @@
         return lease_possible and not request.lease_free
 
     def _grants_vote(self, request: RequestVote) -> bool:
-        """One vote a term, for a log that lacks nothing; `request` is of the current term."""
+        """Whether the log is current and no other candidate got the vote; `request` has the current term."""
         return self.log_is_current(request) and self.state.voted_for in ("", request.candidate)
 
     def on_pre_vote(self, request: RequestVote) -> None:
-        """Reply whether a vote would be granted; nothing of it is on disk but a later term."""
+        """Reply whether a vote would be granted; only a raised term is written to disk."""
         state = self.state
         granted = self._grants_pre_vote(request)
         lease_free = granted and state.role is not Role.CANDIDATE
         if lease_free:
-            # So it can't become leader in a term up to the candidate's, which would not know of it.
+            # Keeps this node from becoming leader, unknown to the candidate, in a term up to the candidate's.
             state.raise_term(request.term - 1)
         reply = RequestVoteReply(
             request.term if granted else state.term,
@@ -118,7 +119,7 @@
     def _grants_pre_vote(self, request: RequestVote) -> bool:
         """Whether the candidate could win a vote of this node (thesis, 9.6)."""
         return (
-            not self.state.is_leader  # a leader can't say that no lease is held: it may regain its followers
+            not self.state.is_leader  # a leader can't rule out a lease: it may regain contact with followers
             and not self.has_leader_contact()
             and request.term > self.state.term
             and self.log_is_current(request)
--- a/tests/gateway/consensus/test_entry_stream.py
+++ b/tests/gateway/consensus/test_entry_stream.py
@@ -1,4 +1,4 @@
-"""Voters change, and snapshots arrive, while entries come all the time, as batches of claims do."""
+"""Voter changes and snapshot transfers under a constant stream of entries, as from batches of claims."""
 
 from unittest import mock
 
@@ -9,22 +9,23 @@
 from lapisgrade.lab.explore.cluster import Cluster
 
 BATCH_INTERVAL_S = 0.025
-SLOW_US = 40_000  # one way, beyond the usual: more than a batch's interval there and back
+# Additional one-way delay to the distant node; a round trip takes longer than a batch interval.
+EXTRA_DELAY_US = 40_000
 
 
 class StreamCluster(Cluster):
-    """A cluster with a proposal every `BATCH_INTERVAL_S`, and one node far away."""
+    """A cluster with a proposal every `BATCH_INTERVAL_S`, and one distant node."""
 
-    def __init__(self, seed: int, far: str) -> None:
-        self.far = far
+    def __init__(self, seed: int, distant: str) -> None:
+        self.distant = distant
         self.proposals = 0
         super().__init__(seed)
 
     def send(self, source: str, destination: str, message: Message) -> None:
-        if source != destination and self.far in (source, destination):
-            self.now_us += SLOW_US
+        if source != destination and self.distant in (source, destination):
+            self.now_us += EXTRA_DELAY_US
             super().send(source, destination, message)
-            self.now_us -= SLOW_US
+            self.now_us -= EXTRA_DELAY_US
         else:
             super().send(source, destination, message)
 
@@ -36,21 +37,21 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-@pytest.mark.parametrize("far", ["", "d"])
-def test_lost_voter_is_replaced_under_a_constant_stream_by_a_node_that_needs_a_snapshot(seed: int, far: str):
+@pytest.mark.parametrize("distant", ["", "d"])
+def test_a_lost_voter_is_replaced_by_a_node_that_needs_a_snapshot_under_load(seed: int, distant: str):
     with (
         mock.patch.object(compaction, "MAX_LOG_ENTRIES", 24),
         mock.patch.object(snapshots, "CHUNK_BYTES", 64),
     ):
-        cluster = StreamCluster(seed, far)
+        cluster = StreamCluster(seed, distant)
         cluster.stream(3)
         assert cluster.leader_node().log.snapshot_index > 0
-        gone = next(name for name in "abc" if name != cluster.leader())
-        cluster.kill(gone)
+        lost = next(name for name in "abc" if name != cluster.leader())
+        cluster.kill(lost)
         cluster.start("d", identity="d")
         cluster.stream(4)
         leader = cluster.leader_node()
-        assert sorted(leader.voters) == sorted({*"abcd"} - {gone})
+        assert sorted(leader.voters) == sorted({*"abcd"} - {lost})
         assert cluster.nodes["d"].log.snapshot_index > 0
         cluster.run(0.5)
         assert cluster.nodes["d"].commit_index == leader.commit_index
--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -1,4 +1,4 @@
-"""A leader's commit, lease and changes of voters, on a single node that is fed by hand."""
+"""Commits, lease and voter changes of a single leader."""
 
 import pytest
 from support.consensus_nodes import VOTERS, append_reply, elected_leader, new_node, sync_disk, take_effects
@@ -18,8 +18,10 @@
     node.log.append([Entry(1, 1, b"x")])
     node.state.term = 1
     node.tick(node.next_tick_us)
-    asked = take_effects(node).sends[0][1]
-    node.receive(node.state.now_us, RequestVoteReply(2, "b", True, True, False, False, asked.pre_vote_round))
+    request = take_effects(node).sends[0][1]
+    node.receive(
+        node.state.now_us, RequestVoteReply(2, "b", True, True, False, False, request.pre_vote_round)
+    )
     sync_disk(node)
     node.receive(node.state.now_us, RequestVoteReply(2, "b", True, False))
     sync_disk(node)
@@ -29,7 +31,7 @@
     assert (node.commit_index, node.has_committed_in_term) == (2, True)
 
 
-def test_counts_its_own_disk_once_the_entry_is_durable() -> None:
+def test_counts_itself_towards_the_majority_only_once_the_entry_is_durable() -> None:
     node = elected_leader()
     append_reply(node, "b", node.log.last_index)
     node.propose(b"x")
@@ -39,7 +41,7 @@
     assert node.commit_index == node.log.last_index
 
 
-def test_its_lease_runs_from_when_the_request_was_sent() -> None:
+def test_the_lease_starts_when_the_request_was_sent() -> None:
     node = elected_leader()
     sent = node.state.now_us
     node.state.now_us += 200_000
@@ -49,7 +51,7 @@
     assert not node.has_lease()
 
 
-def test_a_learner_extends_neither_lease_nor_commit_index() -> None:
+def test_a_learner_advances_neither_the_lease_nor_the_commit_index() -> None:
     node = elected_leader()
     node.receive(node.state.now_us, JoinRequest("z", "10.0.0.9:1"))
     append_reply(node, "z", node.log.last_index)
@@ -59,7 +61,7 @@
     assert not node.has_lease()
 
 
-def test_no_membership_change_before_an_entry_of_its_own_term_is_committed() -> None:
+def test_changes_no_voters_before_an_entry_of_its_own_term_is_committed() -> None:
     node = elected_leader()
     node.receive(node.state.now_us, JoinRequest("z", "10.0.0.9:1"))
     append_reply(node, "z", node.log.last_index)
@@ -78,6 +80,6 @@
     assert not node.is_leader
 
 
-def test_a_membership_change_before_that_entry_is_detected() -> None:
+def test_a_defect_that_changes_voters_too_early_is_detected() -> None:
     with injected(FOUND_BY_UNIT_TESTS, "change-before-own-entry"), pytest.raises(AssertionError):
-        test_no_membership_change_before_an_entry_of_its_own_term_is_committed()
+        test_changes_no_voters_before_an_entry_of_its_own_term_is_committed()
--- a/tests/gateway/consensus/test_snapshots.py
+++ b/tests/gateway/consensus/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: their transfer in chunks and what a log keeps meanwhile."""
+"""Snapshots: transfer in chunks, compaction during a transfer, and voters in snapshots."""
 
 from support.consensus_nodes import VOTERS, append_reply, elected_leader, sync_disk, take_effects
 
@@ -10,7 +10,7 @@
 from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, Snapshot, SnapshotAssembly, SnapshotTransfer
 
 
-def transferred(lose=lambda attempt: False, again=lambda attempt: False) -> tuple[bytes, int]:
+def transfer_snapshot(lose=lambda attempt: False, duplicate=lambda attempt: False) -> tuple[bytes, int]:
     state = bytes(range(256)) * (3 * CHUNK_BYTES // 256) + b"end"
     transfer = SnapshotTransfer(Snapshot(9, 2, VOTERS, state))
     assembly, attempts = SnapshotAssembly(), 0
@@ -23,7 +23,7 @@
         if lose(attempts):
             continue
         complete = assembly.add(chunk)
-        if again(attempts):
+        if duplicate(attempts):
             complete = assembly.add(chunk) or complete
         if complete is not None:
             assert complete == state
@@ -31,10 +31,10 @@
         transfer.on_reply(9, len(assembly.data))
 
 
-def test_lost_and_repeated_chunks_still_make_a_complete_snapshot() -> None:
-    assert transferred()[1] == 4
-    assert transferred(lose=lambda attempt: attempt in (2, 3))[1] == 6
-    transferred(again=lambda attempt: True)
+def test_a_snapshot_is_complete_despite_lost_and_duplicate_chunks() -> None:
+    assert transfer_snapshot()[1] == 4
+    assert transfer_snapshot(lose=lambda attempt: attempt in (2, 3))[1] == 6
+    transfer_snapshot(duplicate=lambda attempt: True)
 
 
 def test_one_chunk_is_in_flight_and_a_later_compaction_does_not_change_the_snapshot() -> None:
@@ -50,7 +50,7 @@
     node.propose(b"x")
     sync_disk(node)
     append_reply(node, "b", node.log.last_index)
-    node.compact(b"t")  # the reader goes on with what it began
+    node.compact(b"t")  # the transfer continues with the earlier snapshot
     take_effects(node)
     node.receive(
         node.state.now_us,
@@ -74,7 +74,7 @@
     assert node.replication.has_transfer()
 
 
-def test_a_snapshot_keeps_the_voters() -> None:
+def test_a_snapshot_contains_the_voters() -> None:
     node = elected_leader()
     append_reply(node, "b", node.log.last_index)
     node.receive(node.state.now_us, JoinRequest("z", "10.0.0.9:1"))
--- a/tests/support/consensus_nodes.py
+++ b/tests/support/consensus_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes of a consensus group that a test drives by hand: it delivers messages, syncs disks and moves time."""
+"""Nodes of a consensus group for tests that deliver messages, sync disks and advance time themselves."""
 
 from random import Random
 
@@ -12,21 +12,21 @@
 from lapisgrade.gateway.consensus.records import Effects
 
 VOTERS = {name: f"10.0.0.{i}:1" for i, name in enumerate("abc", 1)}
-NOW = 10_000_000
+NOW_US = 10_000_000
 
 
 def new_node(identity: str = "a", voters: dict[str, str] = VOTERS) -> Node:
-    """A follower that has just started with an empty log."""
-    return Node(identity, VOTERS.get(identity, "10.0.0.9:1"), Random(1), NOW, dict(voters))
+    """Return a follower that has just started with an empty log."""
+    return Node(identity, VOTERS.get(identity, "10.0.0.9:1"), Random(1), NOW_US, dict(voters))
 
 
 def take_effects(node: Node) -> Effects:
-    """What the node wants done since the last call."""
+    """Return the node's effects since the last call."""
     return node.take_effects()
 
 
 def sync_disk(node: Node) -> list[tuple[str, object]]:
-    """Make all pending writes durable; the messages to others that may be sent then, with their addresses."""
+    """Make all pending writes durable; return the messages to other nodes, with their addresses."""
     sent = []
     while node.state.effects.writes:
         effects = take_effects(node)
@@ -42,12 +42,12 @@
 
 
 def elected_leader(term: int = 2) -> Node:
-    """`a`, elected by `b`, whose own first entry is not committed yet."""
+    """Return node `a` as leader, elected by `b`; its first entry isn't committed yet."""
     node = new_node()
     node.state.term = term - 1
     node.tick(node.next_tick_us)
-    ask = take_effects(node).sends[0][1]
-    pre_vote = RequestVoteReply(term, "b", True, True, False, False, ask.pre_vote_round)
+    request = take_effects(node).sends[0][1]
+    pre_vote = RequestVoteReply(term, "b", True, True, False, False, request.pre_vote_round)
     node.receive(node.state.now_us, pre_vote)
     sync_disk(node)
     node.receive(node.state.now_us, RequestVoteReply(term, "b", True, False))
@@ -58,7 +58,7 @@
 
 
 def append_reply(node: Node, name: str, match: int, success: bool = True, sent_us: int | None = None) -> None:
-    """Deliver a follower's reply to what the leader sent at `sent_us` (now, if None)."""
+    """Deliver a follower's reply to a message that the leader sent at `sent_us` (None means now)."""
     sent = node.state.now_us if sent_us is None else sent_us
     address = VOTERS.get(name, f"10.0.1.{ord(name) % 250}:1")
     node.receive(node.state.now_us, AppendEntriesReply(node.term, name, address, success, match, sent))
@@ -67,5 +67,5 @@
 def append_entries(
     term: int, previous: tuple[int, int], entries: list[Entry], commit: int = 0
 ) -> AppendEntries:
-    """A request of `b` as leader to `a`; `previous` is the index and term before the entries."""
+    """Return a request from leader `b` to `a`; `previous` is the index and term before the entries."""
     return AppendEntries(term, "b", VOTERS["b"], "a", *previous, commit, 77, entries)
