--- a/lapisgrade/gateway/storage/__init__.py
+++ b/lapisgrade/gateway/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept on disk: the log of a consensus node, and drafts that are not merged yet."""
+"""Storage on disk: the log of a consensus node, and drafts that are not in the replicated log yet."""
--- a/lapisgrade/gateway/storage/draft_store.py
+++ b/lapisgrade/gateway/storage/draft_store.py
@@ -1,8 +1,8 @@
-"""The drafts on one controller's disk, its own and copies of its peers', until the log has them.
+"""Drafts on one controller's disk, its own and copies from its peers, until they are in the replicated log.
 
-All of them are one record of a `LogStore` in the subfolder `drafts`, which every change writes anew as the
-next generation: they are few, and the log's own files are never touched for them. Nothing is made on disk
-before the first draft comes. When `add` or `remove` has returned, the drafts on disk are those of `drafts`.
+All drafts are stored in one record of a `LogStore` in the subfolder `drafts`. Every change writes them all as
+a new generation: they are few, and the files of the replicated log stay untouched. Nothing is created on disk
+before the first draft. Once `add` or `remove` has returned, `drafts` equals the drafts on disk.
 """
 
 import asyncio
@@ -19,21 +19,25 @@
 
 log = logging.getLogger("controller")
 
-FOLDER = "drafts"  # in the data folder, beside the log's own files
-MAX_DRAFTS = 64  # at their largest an eighth of a machine's disk
+FOLDER = "drafts"  # subfolder of the data folder, beside the files of the replicated log
+MAX_DRAFTS = 64  # at maximum size they take an eighth of a machine's disk
 
 _DRAFTS_DECODER = msgspec.msgpack.Decoder(list[Draft])
 
 
 class DraftStoreFullError(LapisgradeError):
-    """No draft can be added until some were merged."""
+    """The store is full; no draft can be added until others have been delivered."""
 
 
 class DraftStore:
-    """Drafts by id in `drafts`; await `load` before anything else."""
+    """Stores drafts; await `load` before any other call.
+
+    Attributes:
+        drafts: The stored drafts by id.
+    """
 
     def __init__(self, data_folder: str, executor: Executor) -> None:
-        """`executor` makes the blocking calls, one at a time."""
+        """Create the store; `executor` runs its blocking calls, one at a time."""
         self.drafts: dict[str, Draft] = {}
         self._folder = os.path.join(data_folder, FOLDER)
         self._executor = executor
@@ -41,28 +45,32 @@
         self._lock = asyncio.Lock()
 
     async def load(self) -> None:
-        """Read what is on disk; what can't be read counts as nothing."""
+        """Read the drafts from disk; if they can't be read, start without drafts."""
         loop = asyncio.get_running_loop()
         self.drafts = await loop.run_in_executor(self._executor, self._read)
         if self.drafts:
-            log.info("%d drafts are on this disk", len(self.drafts))
+            log.info("recovered %d undelivered drafts from disk", len(self.drafts))
 
     async def add(self, draft: Draft) -> None:
-        """Write a draft, unless it is there.
+        """Store a draft; does nothing if it is already stored.
 
         Raises:
-            DraftStoreFullError: There are `MAX_DRAFTS` already.
-            OSError: It may not be on disk.
+            DraftStoreFullError: `MAX_DRAFTS` drafts are stored.
+            OSError: The draft may not be on disk.
         """
         async with self._lock:
             if draft.id in self.drafts:
                 return
             if len(self.drafts) >= MAX_DRAFTS:
-                raise DraftStoreFullError(f"{MAX_DRAFTS} drafts are on this disk already")
+                raise DraftStoreFullError(f"{MAX_DRAFTS} drafts, the maximum, are already on this disk")
             await self._write({**self.drafts, draft.id: draft})
 
     async def remove(self, draft_id: str) -> None:
-        """Remove a draft, if it is there; OSError where it may still be on disk."""
+        """Remove a draft if it is stored.
+
+        Raises:
+            OSError: The draft may still be on disk.
+        """
         async with self._lock:
             if draft_id in self.drafts:
                 remaining = {each: draft for each, draft in self.drafts.items() if each != draft_id}
@@ -74,10 +82,10 @@
 
     async def _write(self, drafts: dict[str, Draft]) -> None:
         data = msgspec.msgpack.encode(list(drafts.values()))
-        await asyncio.get_running_loop().run_in_executor(self._executor, self._renew, data)
+        await asyncio.get_running_loop().run_in_executor(self._executor, self._write_generation, data)
         self.drafts = drafts
 
-    def _renew(self, data: bytes) -> None:
+    def _write_generation(self, data: bytes) -> None:
         os.makedirs(self._folder, exist_ok=True)
         self._log_store.start_generation(data)
 
@@ -85,15 +93,15 @@
         try:
             return _read_drafts(self._folder, self._log_store)
         except (CorruptLogError, OSError, msgspec.MsgspecError) as error:
-            log.warning("drafts on the disk can't be read: %s", error)
+            log.warning("cannot read the drafts in %s, starting without them: %s", self._folder, error)
             return {}
 
 
 def read_drafts(data_folder: str) -> dict[str, Draft]:
-    """Return the drafts on a controller's disk by id, while it is down.
+    """Return the drafts on the disk of a stopped controller, by id.
 
     Raises:
-        InvalidInputError: They can't be read.
+        InvalidInputError: The drafts can't be read.
     """
     folder = os.path.join(data_folder, FOLDER)
     try:
@@ -103,7 +111,7 @@
 
 
 def _read_drafts(folder: str, log_store: LogStore) -> dict[str, Draft]:
-    """Return the drafts in that folder; raises CorruptLogError, OSError or MsgspecError."""
+    """Return the drafts in a folder by id; raises CorruptLogError, OSError or MsgspecError."""
     records = log_store.recover() if os.path.isdir(folder) else []
     if not records:
         return {}
--- a/lapisgrade/gateway/storage/log_format.py
+++ b/lapisgrade/gateway/storage/log_format.py
@@ -1,6 +1,7 @@
-"""The data file of a log: how records are laid out, and which of them can be trusted. Pure.
+"""The data file of a log: layout of its records, and detection of torn and corrupt ones. Pure.
 
-A file is a row of records; each begins at a multiple of `BLOCK_BYTES` (dbm.dumb's block), gaps are zeros:
+A file is a sequence of records; each starts at a multiple of `BLOCK_BYTES` (dbm.dumb's block size), and gaps
+are filled with zeros:
 
     0       4        8          16         24      28                     512 * n
     +-------+--------+----------+----------+-------+-----------+----------+----------
@@ -8,13 +9,13 @@
     +-------+--------+----------+----------+-------+-----------+----------+----------
        4s      u32       u64        u64       u32    length bytes        all big-endian
 
-* sequence: 1 for the first record of the file, then one more each.
-* durable: the sequence of the last record that was synced before this one was written.
-* CRC32: of sequence, durable and data.
+* sequence: number of the record in the file, starting at 1.
+* durable: sequence of the last record that had been synced when this one was written.
+* CRC32: checksum of sequence, durable and data.
 
-A crash may leave the end of the file torn: the first record that is unreadable, or out of sequence, ends the
-log. Records behind it are read only for their `durable`: where it says that the missing record was synced,
-the file is not torn but corrupt.
+A crash may leave a torn tail: the log ends before the first record that is unreadable or out of sequence. Of
+later records only `durable` is read: if it shows that the missing record was synced, the file is corrupt, not
+torn.
 """
 
 import struct
@@ -25,28 +26,28 @@
 BLOCK_BYTES = 512
 
 _HEADER = struct.Struct(">4sIQQI")  # magic, length, sequence, durable, CRC32
-_CHECKED_HEADER = struct.Struct(">QQ")  # the part of the header that the CRC32 covers
+_CHECKED_HEADER = struct.Struct(">QQ")  # sequence, durable: the part of the header covered by the CRC32
 _MAGIC = b"LGD1"
 
 
 class LogFileContents(msgspec.Struct, frozen=True):
-    """What a data file holds.
+    """The contents of a data file.
 
     Attributes:
         records: The records before the first gap, in sequence.
-        durable_count: How many records were surely on disk, by what any readable record says.
+        durable_count: Number of records that were synced, according to all readable records.
     """
 
     records: list[bytes]
     durable_count: int
 
     def is_corrupt(self) -> bool:
-        """Return whether a record that was surely on disk is missing."""
+        """Return whether a synced record is missing."""
         return self.durable_count > len(self.records)
 
 
 def encode_record(sequence: int, durable: int, data: bytes) -> bytes:
-    """Return a record with its header, without padding."""
+    """Return a record with its header, unpadded."""
     return _HEADER.pack(_MAGIC, len(data), sequence, durable, _checksum(sequence, durable, data)) + data
 
 
--- a/lapisgrade/gateway/storage/log_store.py
+++ b/lapisgrade/gateway/storage/log_store.py
@@ -1,19 +1,20 @@
-"""A log of records on disk, in generations: one data file each, written through dbm.dumb.
+"""A log of records on disk, in generations with one data file each, written through dbm.dumb.
 
-dbm.dumb appends the value of a new key at the next block of its data file, and never syncs. So no key is
-written twice, a value carries its own sequence, length and checksum (`log_format`), the data file alone is
-synced, and recovery reads that file alone; the index that dbm.dumb keeps beside it may be torn or lost.
+dbm.dumb appends the value of a new key at the next block of its data file and never syncs. So each key is
+written only once, each value contains its sequence, length and checksum (`log_format`), and only the data
+file is synced and read by recovery; the index that dbm.dumb keeps beside it may be torn or lost.
 
-What is on disk after each call has returned:
+On disk after each call has returned:
 
-    call                 log-N.dat                       log-(N+1).dat
-    renew(first)         removed, or left without use    first, synced; the folder synced too
-    append(records)                                      first ... records, synced in this order
-    (append fails)                                       first ... and any part of the records
+    call                        log-N.dat              log-(N+1).dat
+    start_generation(first)     removed, or unused     first, synced; the folder is synced too
+    append(records)                                    first ... records, synced in this order
+    (append fails)                                     first ... and any part of the records
 
-After a failed sync a file is not written on: its last records may be on disk or not. Everything is written
-anew as the next generation, which counts once its first record is readable. Until then the one before counts.
-A generation whose synced records are unreadable is reported as corrupt, and never passed over.
+After a failed sync the caller must not append to the file, as its last records may or may not be on disk.
+Instead it writes the complete state as the next generation, which is valid once its first record is readable;
+until then the previous generation is valid. A generation with unreadable synced records is reported as
+corrupt and never skipped.
 
 Sources: Pillai et al., "All File Systems Are Not Created Equal", 2014; Rebello et al., "Can Applications
 Recover from fsync Failures?", 2020.
@@ -32,25 +33,25 @@
 
 
 class CorruptLogError(LapisgradeError):
-    """Records that were surely on disk can't be read any more."""
+    """Records that were synced can no longer be read."""
 
 
 class LogStore:
-    """The log in one folder. Calls block; one thread of the process makes them."""
+    """The log in one folder. Calls block, and must come from one thread at a time."""
 
     def __init__(self, folder: str) -> None:
-        """Nothing is read or made yet."""
+        """Create a log store without reading or writing the folder."""
         self.generation = 0
         self._folder = folder
         self._database: Any = None
-        self._sequence = 0  # of the last record written to this generation
-        self._durable = 0  # of the last record synced
+        self._sequence = 0  # sequence of the last record written to this generation
+        self._durable = 0  # sequence of the last record synced
 
     def recover(self) -> list[bytes]:
         """Return the records of the newest generation with a readable first record; none on an empty disk.
 
         Raises:
-            CorruptLogError: A record that was synced can't be read.
+            CorruptLogError: A synced record can't be read.
             OSError: The folder or a file can't be read.
         """
         os.makedirs(self._folder, exist_ok=True)
@@ -59,8 +60,8 @@
                 contents = decode_records(file.read())
             if contents.is_corrupt():
                 raise CorruptLogError(
-                    f"generation {generation}: {len(contents.records)} records of "
-                    f"{contents.durable_count} can be read"
+                    f"generation {generation} is corrupt: only the first {len(contents.records)} of "
+                    f"{contents.durable_count} synced records can be read"
                 )
             if contents.records:
                 self.generation = generation
@@ -68,10 +69,11 @@
         return []
 
     def start_generation(self, first_record: bytes) -> None:
-        """Begin the next generation with a record that says everything, and remove the older ones.
+        """Start the next generation with a record of the complete state, and remove older generations.
 
-        After an OSError here or in `append` nothing may be appended until this has succeeded: what failed
-        may be complete on disk after a loss of power, and must then say no less than the generation before.
+        After an OSError here or in `append`, do not append until this call has succeeded. The record must be
+        complete because a failed write may still be on disk after a power loss and then replaces the previous
+        generation.
         """
         generation = self.generation + 1
         while os.path.exists(self._data_path(generation)):
@@ -88,13 +90,17 @@
         self._remove_before(generation)
 
     def append(self, records: list[bytes]) -> None:
-        """Write records, which are on disk in order when this returns; OSError where they may not be."""
+        """Write and sync records in order.
+
+        Raises:
+            OSError: The records may not be on disk.
+        """
         self._put(records)
         self._sync_data(self.generation)
         self._durable = self._sequence
 
     def close(self) -> None:
-        """Close the file; what dbm.dumb writes of its index then is never read, and may fail."""
+        """Close the file; ignore errors, as dbm.dumb only writes its index here, which is never read."""
         with contextlib.suppress(OSError):
             if self._database is not None:
                 self._database.close()
@@ -112,7 +118,7 @@
         _sync(self._folder, os.O_RDONLY)
 
     def _data_files(self) -> list[int]:
-        """Return the generations that have a data file, the newest first."""
+        """Return the generations that have a data file, newest first."""
         numbers = [
             name.removeprefix(_PREFIX).removesuffix(_DATA_SUFFIX)
             for name in os.listdir(self._folder)
@@ -124,7 +130,7 @@
         return os.path.join(self._folder, f"{_PREFIX}{generation}{_DATA_SUFFIX}")
 
     def _remove_before(self, generation: int) -> None:
-        """Remove all files of older generations, as far as that can be done."""
+        """Remove all files of older generations; ignore files that can't be removed."""
         for name in os.listdir(self._folder):
             number = name.removeprefix(_PREFIX).partition(".")[0]
             if name.startswith(_PREFIX) and number.isdigit() and int(number) < generation:
--- a/tests/gateway/storage/test_log_store.py
+++ b/tests/gateway/storage/test_log_store.py
@@ -1,4 +1,4 @@
-"""The log on disk: what is recovered after a torn write, damage or a lost index."""
+"""Recovery of the log on disk after a torn write, corruption or loss of the index."""
 
 import os
 from pathlib import Path
@@ -10,16 +10,17 @@
 from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
 
-class Folder:
-    """A folder for a log; `filled` writes a few records to it."""
+class LogFolder:
+    """A folder for a log."""
 
     def __init__(self, tmp_path: Path) -> None:
         self.name = str(tmp_path)
 
-    def path(self, number: int) -> str:
-        return os.path.join(self.name, f"log-{number}.dat")
+    def path(self, generation: int) -> str:
+        return os.path.join(self.name, f"log-{generation}.dat")
 
-    def filled(self) -> LogStore:
+    def create_log(self) -> LogStore:
+        """Write a generation of three records."""
         log_store = LogStore(self.name)
         assert log_store.recover() == []
         log_store.start_generation(b"begin")
@@ -28,29 +29,29 @@
 
 
 @pytest.fixture
-def folder(tmp_path: Path) -> Folder:
-    return Folder(tmp_path)
+def folder(tmp_path: Path) -> LogFolder:
+    return LogFolder(tmp_path)
 
 
-def test_what_was_appended_is_recovered_without_the_index(folder: Folder):
-    folder.filled()
+def test_appended_records_are_recovered_without_the_index(folder: LogFolder):
+    folder.create_log()
     for name in os.listdir(folder.name):
         if not name.endswith(".dat"):
             os.remove(os.path.join(folder.name, name))
     assert LogStore(folder.name).recover() == [b"begin", b"a" * 700, b"b"]
 
 
-def test_every_torn_tail_is_cut_to_a_prefix(folder: Folder):
-    folder.filled()
+def test_a_truncated_file_is_recovered_as_a_prefix_of_its_records(folder: LogFolder):
+    folder.create_log()
     with open(folder.path(1), "rb") as file:
-        whole = file.read()
-    for size in range(0, len(whole), 37):
-        records = decode_records(whole[:size]).records
+        blob = file.read()
+    for size in range(0, len(blob), 37):
+        records = decode_records(blob[:size]).records
         assert records == [b"begin", b"a" * 700, b"b"][: len(records)]
 
 
-def test_a_gap_below_the_synced_length_is_corruption_and_above_it_a_torn_tail(folder: Folder):
-    log_store = folder.filled()
+def test_an_unreadable_synced_record_is_corruption_and_an_unsynced_one_a_torn_tail(folder: LogFolder):
+    log_store = folder.create_log()
     log_store.append([b"c"])
     with open(folder.path(1), "r+b") as file:
         file.seek(512 + 40)
@@ -68,8 +69,8 @@
     assert decode_records(bytes(torn)) == LogFileContents([b"x"], 1)
 
 
-def test_a_new_generation_counts_only_once_it_is_complete(folder: Folder):
-    log_store = folder.filled()
+def test_a_new_generation_is_used_only_once_its_first_record_is_readable(folder: LogFolder):
+    log_store = folder.create_log()
     with mock.patch("os.fsync", side_effect=OSError("no space")), pytest.raises(OSError, match="no space"):
         log_store.start_generation(b"begin again")
     with open(folder.path(2), "r+b") as file:
