--- a/lapisgrade/gateway/merge/__init__.py
+++ b/lapisgrade/gateway/merge/__init__.py
@@ -1,1 +1,1 @@
-"""Edits made on both sides of a partition, and what they come to together. Pure."""
+"""Merging of configuration edits that were made on both sides of a partition. Pure."""
--- a/lapisgrade/gateway/merge/conflicts.py
+++ b/lapisgrade/gateway/merge/conflicts.py
@@ -1,8 +1,8 @@
-"""Which changes of a draft conflict with a configuration, and why. Pure.
+"""Detection of conflicts between a draft's changes and a configuration. Pure.
 
-A field conflicts where it has not the value any more that the draft was made on, and not the wanted one
-either; further, where its item is gone, where something of an item to be removed was changed, and where a
-route's destination is changed in two ways.
+A change conflicts if its field has neither the draft's base value nor its new value, if the field's item was
+removed, if it removes an item of which a field was changed, or if a route's destination is changed in two
+incompatible ways.
 """
 
 from lapisgrade.gateway.merge import fields as merge_fields
@@ -12,12 +12,12 @@
 def find_conflicts(
     fields: Fields, changes: list[FieldChange], changed_by: dict[Path, str]
 ) -> dict[Path, str]:
-    """Return the changes of a draft that can't be applied by path, with the reason of each.
+    """Return the paths of a draft's changes that can't be applied, each with the reason.
 
     Args:
-        fields: The configuration, with the drafts that come before.
-        changes: What the draft changes, by path.
-        changed_by: Fields that drafts before it changed, and the label of each such draft.
+        fields: The configuration with all earlier drafts applied.
+        changes: The draft's changes, sorted by path.
+        changed_by: Fields changed by earlier drafts, each with the label of its draft.
     """
     reasons = _find_field_conflicts(fields, changes, changed_by)
     reasons.update(_find_destination_conflicts(fields, changes, reasons))
@@ -28,13 +28,13 @@
     fields: Fields, changes: list[FieldChange], changed_by: dict[Path, str]
 ) -> dict[Path, str]:
     reasons: dict[Path, str] = {}
-    own_paths = {change.path for change in changes}
-    added_items: set[Path] = set()  # by this draft
-    for change in changes:  # an item's own path comes before those of its fields
+    draft_paths = {change.path for change in changes}
+    added_items: set[Path] = set()  # items added by this draft
+    for change in changes:  # the path of an item precedes those of its fields
         if change.removes_item:
             reason = _conflict_of_removal(fields, change, changed_by)
         else:
-            reason = _conflict_of_field(fields, change, changed_by, own_paths, added_items)
+            reason = _conflict_of_field(fields, change, changed_by, draft_paths, added_items)
             if not reason and merge_fields.is_item(change.path):
                 added_items.add(change.path)
         if reason:
@@ -43,16 +43,16 @@
 
 
 def _changer(path: Path, changed_by: dict[Path, str]) -> str:
-    """Return who changed a field since a draft's base, for people."""
+    """Return a description of what changed a field since the draft's base version."""
     return changed_by.get(path, "acknowledged since")
 
 
 def _conflict_of_removal(fields: Fields, change: FieldChange, changed_by: dict[Path, str]) -> str:
-    """Return why an item can't be removed: something of it was changed; empty where it can be."""
+    """Return which changed field prevents the removal of an item; empty if the item can be removed."""
     base = {tuple(path): value for path, value in change.base_value}
     current = {path: value for path, value in fields.items() if is_at_or_below(path, change.path)}
     changed = [path for path in base.keys() | current.keys() if base.get(path) != current.get(path)]
-    # One that an earlier draft put back is as it was, and was changed all the same.
+    # A field that an earlier draft changed back to its base value counts as changed too.
     changed += [path for path in current if path in changed_by]
     if not current or not changed:
         return ""
@@ -63,21 +63,21 @@
     fields: Fields,
     change: FieldChange,
     changed_by: dict[Path, str],
-    own_paths: set[Path],
+    draft_paths: set[Path],
     added_items: set[Path],
 ) -> str:
-    """Return why a field can't be changed; empty where it can be."""
+    """Return why a field can't be changed; empty if it can."""
     path, item = change.path, change.path[:2]
     if merge_fields.is_in_item(path) and item not in fields and item not in added_items:
         return f"{format_path(item)} is gone: {_changer(item, changed_by)}"
     if not change.is_present and merge_fields.is_list(path):
-        others = [each for each in fields if is_at_or_below(each, path) and each not in own_paths]
+        others = [each for each in fields if is_at_or_below(each, path) and each not in draft_paths]
         if others:
             return f"{format_path(min(others))}: {_changer(min(others), changed_by)}"
     is_present = path in fields
-    is_as_wanted = is_present == change.is_present and fields.get(path) == change.new_value
-    is_as_it_was = is_present == change.was_present and fields.get(path) == change.base_value
-    if not is_as_wanted and (not is_as_it_was or path in changed_by):
+    has_new_value = is_present == change.is_present and fields.get(path) == change.new_value
+    has_base_value = is_present == change.was_present and fields.get(path) == change.base_value
+    if not has_new_value and (not has_base_value or path in changed_by):
         return _changer(path, changed_by)
     return ""
 
@@ -85,33 +85,34 @@
 def _find_destination_conflicts(
     fields: Fields, changes: list[FieldChange], reasons: dict[Path, str]
 ) -> dict[Path, str]:
-    """Return conflicts about where routes go.
+    """Return conflicts about the destinations of routes.
 
-    A split is merged service by service. Where a route's destination is no split before or after, it is one
-    choice, and conflicts as a whole where a part does (guards against a route with both, or with half of
-    each).
+    A split is merged service by service. If a route's destination is a single service before or after the
+    draft, all changes to it conflict if one does; otherwise the route could end up with both a service and a
+    split, or with parts of two splits.
     """
-    found: dict[Path, str] = {}
+    conflicts: dict[Path, str] = {}
     changes_by_action: dict[Path, list[FieldChange]] = {}
     for change in changes:
         if merge_fields.is_destination(change.path):
             changes_by_action.setdefault(change.path[:3], []).append(change)
-    for action, own_changes in changes_by_action.items():
-        own_paths = {change.path for change in own_changes}
+    for action, action_changes in changes_by_action.items():
+        draft_paths = {change.path for change in action_changes}
         service_path = (*action, "Svc")
-        is_choice = service_path in own_paths
-        reason = next((reasons[each.path] for each in own_changes if each.path in reasons), "")
-        if service_path in fields and not is_choice:
+        changes_service = service_path in draft_paths
+        reason = next((reasons[each.path] for each in action_changes if each.path in reasons), "")
+        if service_path in fields and not changes_service:
             reason = reason or f"it goes to {fields[service_path]} alone"
-        if is_choice and _has_other_destination(fields, action, own_paths):
+        if changes_service and _has_other_destination(fields, action, draft_paths):
             reason = reason or "it is split another way"
-        if reason and (is_choice or service_path in fields):
-            found.update(dict.fromkeys(own_paths, reason))
-    return found
+        if reason and (changes_service or service_path in fields):
+            conflicts.update(dict.fromkeys(draft_paths, reason))
+    return conflicts
 
 
-def _has_other_destination(fields: Fields, action: Path, own_paths: set[Path]) -> bool:
-    """Whether a route goes somewhere that a draft does not mention."""
+def _has_other_destination(fields: Fields, action: Path, draft_paths: set[Path]) -> bool:
+    """Whether a route has a destination that the draft doesn't change."""
     return any(
-        merge_fields.is_destination(path) and path[:3] == action and path not in own_paths for path in fields
+        merge_fields.is_destination(path) and path[:3] == action and path not in draft_paths
+        for path in fields
     )
--- a/lapisgrade/gateway/merge/fields.py
+++ b/lapisgrade/gateway/merge/fields.py
@@ -1,7 +1,7 @@
-"""A configuration as fields with paths, what an edit changes of them, and the way back. Pure.
+"""Conversion of a configuration to and from fields with paths, and the changes between two versions. Pure.
 
-Named items (routes, services, tenants) are told apart by their names, splits by service, keys one by one; all
-else is compared as a whole, field by field. What an item has that is not known here is carried along.
+Named items (routes, services, tenants) are identified by name, the shares of a split by service, and API keys
+by value; every other field is compared as a whole. Unknown fields of an item are preserved.
 """
 
 from typing import Any
@@ -14,21 +14,21 @@
 
 ROUTES, SERVICES, TENANTS = "Routes", "Pools", "Tenants"
 SPLIT, KEYS = "Split", "Apikeys"
-OBJECTS = ("Match", "Action", "Caps")  # whose parts are fields of their own; others are compared as a whole
+OBJECTS = ("Match", "Action", "Caps")  # objects with a path per member; others are compared as a whole
 TOP_KEYS = ("Ver", "Base", "Ports", SERVICES, TENANTS)
 
 
 class FieldChange(msgspec.Struct, array_like=True, frozen=True):
-    """One field as it was and as it is wanted.
+    """A change of one field.
 
-    The end of a whole item is one change on the item's path, whose `base_value` is a list of its fields.
+    The removal of an item is one change at the item's path, whose `base_value` is the list of its fields.
 
     Attributes:
-        path: Where the field is.
-        was_present: Whether it was there; tells an absent field from one that is null.
-        base_value: What it was.
-        is_present: Whether it is to be there.
-        new_value: What it is to be.
+        path: The path of the field.
+        was_present: Whether the field existed before; distinguishes an absent field from a null one.
+        base_value: The value before the change.
+        is_present: Whether the field exists after the change.
+        new_value: The value after the change.
     """
 
     path: Path
@@ -39,45 +39,45 @@
 
     @property
     def removes_item(self) -> bool:
-        """Whether a whole item ends."""
+        """Whether the change removes an item."""
         return not self.is_present and is_item(self.path)
 
 
 def is_item(path: Path) -> bool:
-    """Whether that is a named item, or the list of tenants as such."""
+    """Whether the path is that of a named item or of the list of tenants."""
     return (len(path) == 2 and path[0] in (ROUTES, SERVICES, TENANTS)) or path == (TENANTS,)
 
 
 def is_list(path: Path) -> bool:
-    """Whether that is a list whose parts have paths below it."""
+    """Whether the path is that of a list whose elements have paths below it."""
     return path[-1] in (SPLIT, KEYS) and path[0] in (ROUTES, TENANTS)
 
 
 def is_in_item(path: Path) -> bool:
-    """Whether that is a field of a named item."""
+    """Whether the path is that of a field of a named item."""
     return len(path) > 2 and path[0] in (ROUTES, SERVICES, TENANTS)
 
 
 def is_destination(path: Path) -> bool:
-    """Whether that says where a route's requests go: to one service, or to a split."""
+    """Whether the field is part of a route's destination: a single service or a split."""
     return path[0] == ROUTES and path[2:4] in (("Action", "Svc"), ("Action", SPLIT))
 
 
 def is_at_or_below(path: Path, ancestor: Path) -> bool:
-    """Whether a path is another one, or lies below it."""
+    """Whether a path equals `ancestor` or lies below it."""
     return path[: len(ancestor)] == ancestor
 
 
 def format_path(path: Path) -> str:
-    """Return a path for people; a key is a secret and is never repeated to anybody."""
+    """Return a human-readable path; API keys are secret and are never shown."""
     return "/".join("(a key)" if path[i - 1 : i] == (KEYS,) else part for i, part in enumerate(path))
 
 
-# ---- to fields
+# ---- configuration to fields
 
 
 def to_fields(configuration: Json) -> Fields:
-    """Return a configuration that was checked (`configuration.read`) as fields."""
+    """Return the fields of a valid configuration (checked by `configuration.read`)."""
     fields: Fields = {}
     for port in configuration.get("Ports") or []:
         for rule in port.get("Policy") or []:
@@ -87,7 +87,7 @@
             _add_item(fields, path, rule)
     for key in (SERVICES, TENANTS):
         if key in configuration and key == TENANTS:
-            fields[(TENANTS,)] = True  # whether keys are wanted at all
+            fields[(TENANTS,)] = True  # the list's presence, even if empty, makes API keys mandatory
         for item in configuration.get(key) or []:
             fields[key, item["Name"]] = True
             _add_item(fields, (key, item["Name"]), item)
@@ -123,11 +123,11 @@
     return len({share["Svc"] for share in split}) == len(split)
 
 
-# ---- and back
+# ---- fields to configuration
 
 
 def from_fields(fields: Fields, layout: Json) -> Json:
-    """Return the configuration of those fields, laid out in the order of `layout`, what is new at the end."""
+    """Return the configuration with those fields; items keep the order of `layout`, new ones come last."""
     configuration: Json = {key: layout[key] for key in ("Ver",) if key in layout}
     items, top_level = _collect_items(fields)
     configuration.update(top_level)
@@ -141,7 +141,7 @@
 
 
 def _collect_items(fields: Fields) -> tuple[dict[Path, Json], Json]:
-    """Return the named items by path, and the values beside them by key."""
+    """Return the named items by path, and the other top-level values by key."""
     items: dict[Path, Json] = {}
     top_level: Json = {}
     for path, value in fields.items():
@@ -176,33 +176,33 @@
     return [path for path in order if path in present] + sorted(present - set(order))
 
 
-def _put(item: Json, path: Path, value: Any, whole_path: Path) -> None:
-    """Put a field into an item; `path` is below the item, `whole_path` is the field's own."""
+def _put(item: Json, path: Path, value: Any, full_path: Path) -> None:
+    """Set a field of an item; `path` is relative to the item, `full_path` is absolute."""
     for i, name in enumerate(path[:-1]):
-        is_list_above = i == len(path) - 2
-        if is_list_above and name == SPLIT and whole_path[0] == ROUTES:
+        is_parent = i == len(path) - 2
+        if is_parent and name == SPLIT and full_path[0] == ROUTES:
             item.setdefault(SPLIT, []).append({"Svc": path[-1], **value})
             return
-        if is_list_above and name == KEYS and whole_path[0] == TENANTS:
+        if is_parent and name == KEYS and full_path[0] == TENANTS:
             item.setdefault(KEYS, []).append(path[-1])
             return
         item = item.setdefault(name, {})
     if value != [] or path[-1] not in item:
-        item[path[-1]] = [] if value == [] else value  # a list of its own for what comes into it
+        item[path[-1]] = [] if value == [] else value  # a new list, since elements are appended to it
 
 
-# ---- what an edit changes
+# ---- changes between two versions
 
 
 def diff(base: Fields, new: Fields) -> list[FieldChange]:
-    """Return the changes from one to the other by path; an item that ends is one change."""
+    """Return the changes from `base` to `new`, sorted by path; the removal of an item is one change."""
     changes: list[FieldChange] = []
     removed = [path for path in base if is_item(path) and path not in new]
     for path in removed:
         if any(path != other and is_at_or_below(path, other) for other in removed):
-            continue  # all tenants end, and each of them
-        lost = [[list(each), value] for each, value in base.items() if is_at_or_below(each, path)]
-        changes.append(FieldChange(path, True, sorted(lost, key=lambda pair: pair[0]), False, None))
+            continue  # the removal of the tenant list covers its tenants
+        removed_fields = [[list(each), value] for each, value in base.items() if is_at_or_below(each, path)]
+        changes.append(FieldChange(path, True, sorted(removed_fields, key=lambda pair: pair[0]), False, None))
     for path in base.keys() | new.keys():
         if any(is_at_or_below(path, each) for each in removed):
             continue
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -1,17 +1,16 @@
-"""Drafts, and what they come to beside each other and beside what was acknowledged. Pure.
+"""Three-way merge of drafts with each other and with the acknowledged configuration. Pure.
 
-A draft holds each field that it changes with the value that it was made on, so no history is needed to merge
-it (three-way merge; Khanna, Kunal, Pierce, "A Formal Investigation of Diff3", 2007). The rule:
+A draft contains each changed field with its base value, so merging needs no history (Khanna, Kunal, Pierce,
+"A Formal Investigation of Diff3", 2007). Rules:
 
-1. What was acknowledged since stands: a draft changes a field only where that still has the value it was
-   made on.
-2. Of two drafts, the one made on the newer version comes first; of those on one, the one with the lower id.
-3. Fields that nobody else changed are all applied; one that can't be is reported as a conflict, never lost.
-4. A draft whose remaining fields would make an invalid configuration stays a draft as a whole, with the
-   error.
+1. Acknowledged changes take precedence: a draft changes a field only if it still has its base value.
+2. Drafts on a newer base version are merged first; of those on the same version, the one with the lower id.
+3. All fields without a conflict are applied; every other field is reported as a conflict, never dropped.
+4. If the fields without a conflict would make the configuration invalid, none of the draft is applied, and it
+   stays a draft with the error.
 
-`merge_drafts` works all drafts since the last acknowledged change out anew from that change, in the rule's
-order: so the order in which they came does not matter, nor whether one came twice.
+`merge_drafts` starts from the last acknowledged change and merges all later drafts again in the order of
+these rules, so neither their order of arrival nor duplicates affect the result.
 """
 
 from hashlib import blake2b
@@ -26,21 +25,21 @@
 from lapisgrade.gateway.merge.conflicts import find_conflicts
 from lapisgrade.gateway.merge.fields import FieldChange, Fields, Json, Path, format_path, is_at_or_below
 
-MAX_CHANGES = 4096  # fields of one draft; a configuration of several hundred routes
+MAX_CHANGES = 4096  # maximum number of changed fields in a draft; a configuration of several hundred routes
 MAX_AUTHOR_LENGTH = 200  # characters
 ID_BYTES = 6
-REMOVED, ABSENT = "(gone)", "(none)"  # how a value that is not there is shown
+REMOVED, ABSENT = "(gone)", "(none)"  # shown in place of a missing value
 
 
 class Draft(msgspec.Struct, array_like=True, frozen=True):
-    """An edit that was made where no majority could be asked. Never in force by itself.
+    """An edit made without contact to a majority. It takes effect only once it is merged.
 
     Attributes:
-        id: A digest of the rest.
-        author: Who made it, as they say.
-        controller: The controller that took it.
-        base_version: The version that it was made on.
-        changes: What it changes, by path.
+        id: Digest of the other fields.
+        author: Name of the author, as given by the author.
+        controller: The controller that accepted the draft.
+        base_version: The configuration version that the draft is based on.
+        changes: The changes, sorted by path.
     """
 
     id: str
@@ -51,23 +50,23 @@
 
     @property
     def sort_key(self) -> tuple[int, str]:
-        """Its place in the order in which drafts are merged."""
+        """Sort key of the order in which drafts are merged."""
         return (-self.base_version, self.id)
 
     @property
     def label(self) -> str:
-        """The draft in a conflict's reason, for people."""
+        """Description of the draft in the reason of a conflict."""
         return f"draft {self.id} of {self.author} on version {self.base_version}"
 
 
 class MergeConflict(msgspec.Struct, array_like=True, frozen=True):
-    """A field that a draft wants otherwise than it stands.
+    """A field for which a draft's change was not applied.
 
     Attributes:
-        path: Where the field is.
-        current_value: What it is.
-        wanted_value: What the draft wants it to be.
-        reason: Why it stands, for people.
+        path: The path of the field.
+        current_value: Its current value.
+        wanted_value: Its value in the draft.
+        reason: Why the change was not applied, for operators.
     """
 
     path: Path
@@ -77,12 +76,12 @@
 
 
 class MergeOutcome(msgspec.Struct, array_like=True, frozen=True):
-    """What came of one draft.
+    """The result of merging one draft.
 
     Attributes:
-        applied: The fields that are as the draft wants them.
-        conflicts: The fields that are not.
-        error: Why nothing of the draft could be applied; empty where that is not so.
+        applied: Paths of the fields that have the draft's values.
+        conflicts: The fields that don't.
+        error: Why the draft would make the configuration invalid, so that none of it is applied; or empty.
     """
 
     applied: list[Path] = []
@@ -91,15 +90,15 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether an operator has to settle something."""
+        """Whether an operator has to settle the draft."""
         return bool(self.conflicts or self.error)
 
 
 def make_draft(current: Json, change: Json, author: str, controller: str) -> Draft:
-    """Return a change of named items on top of `current` as a draft.
+    """Return a draft of a change to named items of `current`.
 
     Raises:
-        ConfigurationError: The change can't be read, or changes nothing.
+        ConfigurationError: The change is invalid, has no effect, or changes more than `MAX_CHANGES` fields.
     """
     base_version = current.get("Ver", 0)
     changed = apply_change(current, {**change, "Ver": base_version})
@@ -116,9 +115,9 @@
 
 
 def merge_drafts(acknowledged: Json, drafts: list[Draft]) -> tuple[Json, dict[str, MergeOutcome]]:
-    """Return the configuration that the drafts make of the last acknowledged one, and each one's outcome."""
+    """Return the last acknowledged configuration with the drafts merged into it, and each draft's outcome."""
     merged, fields = acknowledged, merge_fields.to_fields(acknowledged)
-    changed_by: dict[Path, str] = {}  # fields that were changed since that, and by which draft
+    changed_by: dict[Path, str] = {}  # fields changed by the drafts merged so far, and each draft's label
     outcomes: dict[str, MergeOutcome] = {}
     for draft in sorted(drafts, key=lambda each: each.sort_key):
         new_fields, outcome = _merge_draft(fields, draft, changed_by)
@@ -136,7 +135,7 @@
 
 
 def _merge_draft(fields: Fields, draft: Draft, changed_by: dict[Path, str]) -> tuple[Fields, MergeOutcome]:
-    """Return the fields with a draft's changes, as far as nothing conflicts with them."""
+    """Return the fields with a draft's changes without conflicts applied, and the outcome."""
     reasons = find_conflicts(fields, draft.changes, changed_by)
     merged = dict(fields)
     applied: list[Path] = []
@@ -167,16 +166,16 @@
 
 
 def force_changes(current: Json, changes: list[FieldChange]) -> Json:
-    """Return the configuration with those fields as wanted, whatever they are now.
+    """Return the configuration with the changes applied regardless of the current values.
 
-    This is how an operator settles the conflicts of a draft.
+    Operators settle the conflicts of a draft this way.
 
     Raises:
-        ConfigurationError: That makes no configuration.
+        ConfigurationError: The result is not a valid configuration.
     """
     fields = merge_fields.to_fields(current)
     for change in changes:
-        for path in [path for path in fields if _gives_way(path, change)]:
+        for path in [path for path in fields if _is_replaced(path, change)]:
             del fields[path]
         if change.is_present:
             fields[change.path] = change.new_value
@@ -188,11 +187,11 @@
     return forced
 
 
-def _gives_way(path: Path, change: FieldChange) -> bool:
-    """Whether a field has to go for a change."""
+def _is_replaced(path: Path, change: FieldChange) -> bool:
+    """Whether applying a change removes a field."""
     if is_at_or_below(path, change.path):
         return not change.is_present
-    # A route goes to one service or to a split, not to both.
+    # A route has either a single service or a split.
     is_of_same_route = (
         merge_fields.is_destination(path)
         and merge_fields.is_destination(change.path)
@@ -202,7 +201,7 @@
 
 
 def describe_draft(draft: Draft, outcome: MergeOutcome | None) -> Json:
-    """Return a draft for people, without an outcome one that was not merged yet; keys are not shown."""
+    """Return a draft as JSON for operators, without API keys; `outcome` is None if it isn't merged yet."""
     described: Json = {
         "Id": draft.id,
         "By": draft.author,
