--- a/lapisgrade/gateway/consensus/compaction.py
+++ b/lapisgrade/gateway/consensus/compaction.py
@@ -24,7 +24,7 @@
 
         Args:
             state: the node's state.
-            replication: tells whether a snapshot transfer is in progress.
+            replication: reports whether a snapshot transfer is in progress.
         """
         self.state = state
         self.replication = replication
--- a/lapisgrade/gateway/consensus/election.py
+++ b/lapisgrade/gateway/consensus/election.py
@@ -102,7 +102,7 @@
         self._count_votes()
 
     def _start_vote(self, lease_free: bool) -> None:
-        """Request votes in the next term; the requests and the own vote are sent once the vote is durable."""
+        """Request votes in the next term; requests and this node's vote are sent once its vote is durable."""
         state = self.state
         state.role = Role.CANDIDATE
         self._tally = VoteTally()
--- a/lapisgrade/gateway/consensus/follower.py
+++ b/lapisgrade/gateway/consensus/follower.py
@@ -39,7 +39,7 @@
         self._voter = voter
         self._transitions = transitions
         self.agreed_index = 0  # index of the last entry known to match the leader's log
-        self._unacknowledged: AppendEntries | None = None  # acknowledged again once more is durable
+        self._unacknowledged: AppendEntries | None = None  # message to acknowledge once more is durable
         self._assembly = SnapshotAssembly()
 
     def on_new_leader(self) -> None:
--- a/lapisgrade/gateway/consensus/reconfiguration.py
+++ b/lapisgrade/gateway/consensus/reconfiguration.py
@@ -44,7 +44,7 @@
         self._past_commits.clear()
 
     def on_join(self, request: JoinRequest) -> None:
-        """Start replicating to a joining node; if this isn't the leader, reply with the leader's address."""
+        """Start replicating to a joining node; a follower replies with the leader's address, if known."""
         state, followers = self.state, self._replication.followers
         if not state.is_leader:
             if state.leader_address and state.leader_address != request.address:
@@ -82,7 +82,7 @@
         replication.advance_commit()
 
     def is_change_pending(self) -> bool:
-        """Whether the last change, or an entry of this term, is still uncommitted (note of 2015)."""
+        """Whether the last change is uncommitted, or no entry of this term is committed (note of 2015)."""
         state = self.state
         return (
             state.log.has_voter_change_after(state.commit_index)
--- a/lapisgrade/gateway/merge/conflicts.py
+++ b/lapisgrade/gateway/merge/conflicts.py
@@ -6,12 +6,12 @@
 """
 
 from lapisgrade.gateway.merge import fields as merge_fields
-from lapisgrade.gateway.merge.fields import FieldChange, Fields, Path, format_path, is_at_or_below
+from lapisgrade.gateway.merge.fields import FieldChange, FieldPath, Fields, format_path, is_at_or_below
 
 
 def find_conflicts(
-    fields: Fields, changes: list[FieldChange], changed_by: dict[Path, str]
-) -> dict[Path, str]:
+    fields: Fields, changes: list[FieldChange], changed_by: dict[FieldPath, str]
+) -> dict[FieldPath, str]:
     """Return the paths of a draft's changes that can't be applied, each with the reason.
 
     Args:
@@ -25,11 +25,11 @@
 
 
 def _find_field_conflicts(
-    fields: Fields, changes: list[FieldChange], changed_by: dict[Path, str]
-) -> dict[Path, str]:
-    reasons: dict[Path, str] = {}
+    fields: Fields, changes: list[FieldChange], changed_by: dict[FieldPath, str]
+) -> dict[FieldPath, str]:
+    reasons: dict[FieldPath, str] = {}
     draft_paths = {change.path for change in changes}
-    added_items: set[Path] = set()  # items added by this draft
+    added_items: set[FieldPath] = set()  # items added by this draft
     for change in changes:  # the path of an item precedes those of its fields
         if change.removes_item:
             reason = _conflict_of_removal(fields, change, changed_by)
@@ -42,12 +42,12 @@
     return reasons
 
 
-def _changer(path: Path, changed_by: dict[Path, str]) -> str:
+def _changer(path: FieldPath, changed_by: dict[FieldPath, str]) -> str:
     """Return a description of what changed a field since the draft's base version."""
     return changed_by.get(path, "acknowledged since")
 
 
-def _conflict_of_removal(fields: Fields, change: FieldChange, changed_by: dict[Path, str]) -> str:
+def _conflict_of_removal(fields: Fields, change: FieldChange, changed_by: dict[FieldPath, str]) -> str:
     """Return which changed field prevents the removal of an item; empty if the item can be removed."""
     base = {tuple(path): value for path, value in change.base_value}
     current = {path: value for path, value in fields.items() if is_at_or_below(path, change.path)}
@@ -62,9 +62,9 @@
 def _conflict_of_field(
     fields: Fields,
     change: FieldChange,
-    changed_by: dict[Path, str],
-    draft_paths: set[Path],
-    added_items: set[Path],
+    changed_by: dict[FieldPath, str],
+    draft_paths: set[FieldPath],
+    added_items: set[FieldPath],
 ) -> str:
     """Return why a field can't be changed; empty if it can."""
     path, item = change.path, change.path[:2]
@@ -83,16 +83,16 @@
 
 
 def _find_destination_conflicts(
-    fields: Fields, changes: list[FieldChange], reasons: dict[Path, str]
-) -> dict[Path, str]:
+    fields: Fields, changes: list[FieldChange], reasons: dict[FieldPath, str]
+) -> dict[FieldPath, str]:
     """Return conflicts about the destinations of routes.
 
     A split is merged service by service. If a route's destination is a single service before or after the
     draft, all changes to it conflict if one does; otherwise the route could end up with both a service and a
     split, or with parts of two splits.
     """
-    conflicts: dict[Path, str] = {}
-    changes_by_action: dict[Path, list[FieldChange]] = {}
+    conflicts: dict[FieldPath, str] = {}
+    changes_by_action: dict[FieldPath, list[FieldChange]] = {}
     for change in changes:
         if merge_fields.is_destination(change.path):
             changes_by_action.setdefault(change.path[:3], []).append(change)
@@ -110,7 +110,7 @@
     return conflicts
 
 
-def _has_other_destination(fields: Fields, action: Path, draft_paths: set[Path]) -> bool:
+def _has_other_destination(fields: Fields, action: FieldPath, draft_paths: set[FieldPath]) -> bool:
     """Whether a route has a destination that the draft doesn't change."""
     return any(
         merge_fields.is_destination(path) and path[:3] == action and path not in draft_paths
--- a/lapisgrade/gateway/merge/fields.py
+++ b/lapisgrade/gateway/merge/fields.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-Path = tuple[str, ...]
-Fields = dict[Path, Any]
+FieldPath = tuple[str, ...]
+Fields = dict[FieldPath, Any]
 Json = dict[str, Any]
 
 ROUTES, SERVICES, TENANTS = "Routes", "Pools", "Tenants"
@@ -31,7 +31,7 @@
         new_value: The value after the change.
     """
 
-    path: Path
+    path: FieldPath
     was_present: bool
     base_value: Any
     is_present: bool
@@ -43,32 +43,32 @@
         return not self.is_present and is_item(self.path)
 
 
-def is_item(path: Path) -> bool:
+def is_item(path: FieldPath) -> bool:
     """Whether the path is that of a named item or of the list of tenants."""
     return (len(path) == 2 and path[0] in (ROUTES, SERVICES, TENANTS)) or path == (TENANTS,)
 
 
-def is_list(path: Path) -> bool:
+def is_list(path: FieldPath) -> bool:
     """Whether the path is that of a list whose elements have paths below it."""
     return path[-1] in (SPLIT, KEYS) and path[0] in (ROUTES, TENANTS)
 
 
-def is_in_item(path: Path) -> bool:
+def is_in_item(path: FieldPath) -> bool:
     """Whether the path is that of a field of a named item."""
     return len(path) > 2 and path[0] in (ROUTES, SERVICES, TENANTS)
 
 
-def is_destination(path: Path) -> bool:
+def is_destination(path: FieldPath) -> bool:
     """Whether the field is part of a route's destination: a single service or a split."""
     return path[0] == ROUTES and path[2:4] in (("Action", "Svc"), ("Action", SPLIT))
 
 
-def is_at_or_below(path: Path, ancestor: Path) -> bool:
+def is_at_or_below(path: FieldPath, ancestor: FieldPath) -> bool:
     """Whether a path equals `ancestor` or lies below it."""
     return path[: len(ancestor)] == ancestor
 
 
-def format_path(path: Path) -> str:
+def format_path(path: FieldPath) -> str:
     """Return a human-readable path; API keys are secret and are never shown."""
     return "/".join("(a key)" if path[i - 1 : i] == (KEYS,) else part for i, part in enumerate(path))
 
@@ -97,13 +97,13 @@
     return fields
 
 
-def _add_item(fields: Fields, path: Path, item: Json) -> None:
+def _add_item(fields: Fields, path: FieldPath, item: Json) -> None:
     for key, value in item.items():
         if key != "Name":
             _add_value(fields, (*path, key), value)
 
 
-def _add_value(fields: Fields, path: Path, value: Any) -> None:
+def _add_value(fields: Fields, path: FieldPath, value: Any) -> None:
     if isinstance(value, dict) and path[-1] in OBJECTS:
         for key, part in value.items():
             _add_value(fields, (*path, key), part)
@@ -127,22 +127,22 @@
 
 
 def from_fields(fields: Fields, layout: Json) -> Json:
-    """Return the configuration with those fields; items keep the order of `layout`, new ones come last."""
+    """Return the configuration with those fields; items keep the order of `layout`, new ones are last."""
     configuration: Json = {key: layout[key] for key in ("Ver",) if key in layout}
     items, top_level = _collect_items(fields)
     configuration.update(top_level)
     configuration["Ports"] = _build_ports(items, layout)
     for key in (SERVICES, TENANTS):
-        order: list[Path] = [(key, item["Name"]) for item in layout.get(key) or []]
+        order: list[FieldPath] = [(key, item["Name"]) for item in layout.get(key) or []]
         listed = [{"Name": path[1], **items[path]} for path in _ordered(items, key, order)]
         if listed or (key,) in fields or (key in layout and key == SERVICES):
             configuration[key] = listed
     return configuration
 
 
-def _collect_items(fields: Fields) -> tuple[dict[Path, Json], Json]:
+def _collect_items(fields: Fields) -> tuple[dict[FieldPath, Json], Json]:
     """Return the named items by path, and the other top-level values by key."""
-    items: dict[Path, Json] = {}
+    items: dict[FieldPath, Json] = {}
     top_level: Json = {}
     for path, value in fields.items():
         if is_item(path):
@@ -155,9 +155,11 @@
     return items, top_level
 
 
-def _build_ports(items: dict[Path, Json], layout: Json) -> list[Json]:
+def _build_ports(items: dict[FieldPath, Json], layout: Json) -> list[Json]:
     layout_ports = layout.get("Ports") or []
-    order: list[Path] = [(ROUTES, rule["Name"]) for port in layout_ports for rule in port.get("Policy") or []]
+    order: list[FieldPath] = [
+        (ROUTES, rule["Name"]) for port in layout_ports for rule in port.get("Policy") or []
+    ]
     port_by_host = {port["Vhost"]: port for port in layout_ports}
     rules_by_host: dict[str, list[Json]] = {}
     for path in _ordered(items, ROUTES, order):
@@ -171,12 +173,12 @@
     ]
 
 
-def _ordered(items: dict[Path, Json], key: str, order: list[Path]) -> list[Path]:
+def _ordered(items: dict[FieldPath, Json], key: str, order: list[FieldPath]) -> list[FieldPath]:
     present = {path for path in items if path[0] == key}
     return [path for path in order if path in present] + sorted(present - set(order))
 
 
-def _put(item: Json, path: Path, value: Any, full_path: Path) -> None:
+def _put(item: Json, path: FieldPath, value: Any, full_path: FieldPath) -> None:
     """Set a field of an item; `path` is relative to the item, `full_path` is absolute."""
     for i, name in enumerate(path[:-1]):
         is_parent = i == len(path) - 2
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -23,7 +23,7 @@
 from lapisgrade.gateway.errors import ConfigurationError, InvalidInputError
 from lapisgrade.gateway.merge import fields as merge_fields
 from lapisgrade.gateway.merge.conflicts import find_conflicts
-from lapisgrade.gateway.merge.fields import FieldChange, Fields, Json, Path, format_path, is_at_or_below
+from lapisgrade.gateway.merge.fields import FieldChange, FieldPath, Fields, Json, format_path, is_at_or_below
 
 MAX_CHANGES = 4096  # maximum number of changed fields in a draft; a configuration of several hundred routes
 MAX_AUTHOR_LENGTH = 200  # characters
@@ -69,7 +69,7 @@
         reason: Why the change was not applied, for operators.
     """
 
-    path: Path
+    path: FieldPath
     current_value: Any
     wanted_value: Any
     reason: str
@@ -84,7 +84,7 @@
         error: Why the draft would make the configuration invalid, so that none of it is applied; or empty.
     """
 
-    applied: list[Path] = []
+    applied: list[FieldPath] = []
     conflicts: list[MergeConflict] = []
     error: str = ""
 
@@ -117,7 +117,7 @@
 def merge_drafts(acknowledged: Json, drafts: list[Draft]) -> tuple[Json, dict[str, MergeOutcome]]:
     """Return the last acknowledged configuration with the drafts merged into it, and each draft's outcome."""
     merged, fields = acknowledged, merge_fields.to_fields(acknowledged)
-    changed_by: dict[Path, str] = {}  # fields changed by the drafts merged so far, and each draft's label
+    changed_by: dict[FieldPath, str] = {}  # label of the draft that changed a field, of those merged so far
     outcomes: dict[str, MergeOutcome] = {}
     for draft in sorted(drafts, key=lambda each: each.sort_key):
         new_fields, outcome = _merge_draft(fields, draft, changed_by)
@@ -134,11 +134,13 @@
     return merged, outcomes
 
 
-def _merge_draft(fields: Fields, draft: Draft, changed_by: dict[Path, str]) -> tuple[Fields, MergeOutcome]:
+def _merge_draft(
+    fields: Fields, draft: Draft, changed_by: dict[FieldPath, str]
+) -> tuple[Fields, MergeOutcome]:
     """Return the fields with a draft's changes without conflicts applied, and the outcome."""
     reasons = find_conflicts(fields, draft.changes, changed_by)
     merged = dict(fields)
-    applied: list[Path] = []
+    applied: list[FieldPath] = []
     conflicts: list[MergeConflict] = []
     for change in draft.changes:
         if change.path in reasons:
@@ -187,7 +189,7 @@
     return forced
 
 
-def _is_replaced(path: Path, change: FieldChange) -> bool:
+def _is_replaced(path: FieldPath, change: FieldChange) -> bool:
     """Whether applying a change removes a field."""
     if is_at_or_below(path, change.path):
         return not change.is_present
--- a/lapisgrade/gateway/storage/log_store.py
+++ b/lapisgrade/gateway/storage/log_store.py
@@ -37,7 +37,7 @@
 
 
 class LogStore:
-    """The log in one folder. Calls block, and must come from one thread at a time."""
+    """The log in one folder. Calls block; a single thread of the process makes them."""
 
     def __init__(self, folder: str) -> None:
         """Create a log store without reading or writing the folder."""
