--- a/lapisgrade/gateway/quota/__init__.py
+++ b/lapisgrade/gateway/quota/__init__.py
@@ -1,7 +1,13 @@
-"""Tenants' quotas: each tenant has one count, which one of the proxies owns.
+"""Tenant quotas: each tenant has one count, a token bucket that exactly one proxy owns.
 
-`client` is the side that leases units from a count, once a proxy and tenant. The owner's side is `owner`
-(serving calls), with `count` (one count's arithmetic), `owned_counts` (the counts kept here), `epochs` (the
-states of a claim to a count), `ownership_history` (who owned counts, and may still act), `hand_over` (how a
-count changes hands) and `ownership` (which proxy owns which tenant's count).
+`client` leases units from a count; there is one client per proxy and tenant. The other modules are the
+owner's side:
+
+- `owner`: serves the clients' requests.
+- `count`: the arithmetic of one count.
+- `owned_counts`: the counts that this proxy stores.
+- `ownership`: maps each tenant to the proxy that owns its count.
+- `epochs`: ownership epochs and the states of a claim to a count.
+- `ownership_history`: which proxies owned a count and may still act as its owner.
+- `hand_over`: transfers a count from one owner to the next.
 """
--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -1,11 +1,11 @@
-"""A proxy's side of one tenant's quota: it leases units of the tenant's count, which one proxy owns.
+"""The client's side of a tenant's quota at one proxy: it leases units from the owner of the tenant's count.
 
-Pure. Leases, cached refusals and the breaker are those of `lapisgrade.policy.account`. What differs is the
-count: its owner reports the units taken, not a sum that decays, and without the owner nothing is admitted
-but what `unreported_allowance` states.
+Pure. Leases, cached rejections and the circuit breaker are those of `lapisgrade.policy.account`. The count
+differs: its owner reports the units in use instead of a decaying sum. While the owner does not answer, at
+most `unreported_allowance` is admitted.
 
 The bound (QUOTA): in any window of `quota_win`, all proxies together admit at most (rate x window + burst) x
-(1 + excess) + extra units of a tenant. Units are requests; times are microseconds, where no other unit is
+(1 + excess) + extra units of a tenant. Units are requests; times are in microseconds unless another unit is
 named.
 """
 
@@ -21,33 +21,33 @@
 from lapisgrade.policy.counter_breaker import MAX_CONSECUTIVE_TIMEOUTS, CounterBreaker
 from lapisgrade.rate import TokenBucket
 
-# s between a unit's grant and its arrival at a server, at most, beside the time that a lease lasts.
+# Maximum delay between the grant of a unit and its arrival at a server, in addition to a lease's duration.
 MAX_GRANT_DELAY_S = 0.25
-# Of the unreported allowance, what may be used at once; most spans without the owner are short.
+# Fraction of the unreported allowance that may be used at once; most outages of an owner are short.
 UNREPORTED_BURST_FRACTION = 0.8
-# s after which a client rejected without the owner may retry: another proxy may reach the owner.
+# Retry delay for a client rejected while the owner does not answer: another proxy may reach the owner.
 UNREPORTED_RETRY_S = 0.3
-# The longest Retry-After; beyond the time that the deployments' clients have.
+# Maximum Retry-After; longer than the deadlines of the deployments' clients.
 MAX_RETRY_AFTER_US = 5 * SECOND
-# us between calls to an owner that does not answer; a new one is there within a second.
+# Interval between calls to an owner that does not answer; a new owner is available within a second.
 PROBE_INTERVAL_US = 80_000
-MAX_CALLS_PER_S = 200.0  # for one tenant
-COUNT_TTL_US = 60 * SECOND  # what the interface wants stated of a named count
+MAX_CALLS_PER_S = 200.0  # per tenant
+COUNT_TTL_US = 60 * SECOND  # required by the `AddToCounter` interface
 NEVER_DECAYS_US = 1 << 60
 
 
 def unreported_allowance(slo: Slo, rate: float, burst: float, limiters: int) -> float:
-    """Return the units that one limiter of so many may admit, in any window, without the count's owner.
+    """Return the units that one proxy may admit in any window while the count's owner does not answer.
 
-    In a window, QUOTA allows (rate x window + burst) x (1 + excess) + extra. What the owner grants in it,
-    and what was leased before, is capacity + rate x window at most; what is late adds to it. The rest is
-    shared out.
+    In a window, QUOTA allows (rate x window + burst) x (1 + excess) + extra. The units that the owner grants
+    in it, or leased before it, are at most capacity + rate x window, plus the grants that arrive late. The
+    remainder is divided among the proxies.
 
     Args:
-        slo: the window, and the excess that the operators allow.
-        rate: the tenant's, in units a second.
-        burst: the tenant's, in units.
-        limiters: how many proxies may be without the owner at once.
+        slo: The window and the excess that operators allow.
+        rate: The tenant's limit, in units per second.
+        burst: The tenant's burst, in units.
+        limiters: Number of proxies that may be without the owner at once.
     """
     window_s = slo.quota_win / SECOND
     allowed = (rate * window_s + burst) * (1 + slo.quota_excess) + slo.quota_extra
@@ -61,17 +61,21 @@
 
 
 class OwnerBreaker(CounterBreaker):
-    """The breaker of one tenant's count: its owner may be away while others' are there, and soon be back."""
+    """Circuit breaker for the owner of one tenant's count.
+
+    One owner may be unreachable while the owners of other counts answer, and it is replaced soon.
+    """
 
     probe_interval_us = PROBE_INTERVAL_US
 
     def __init__(self) -> None:
         super().__init__(True)
-        # One call a lease, at the most; what is crowded is the owner's machine, not a service of all.
+        # The rate does not back off: there is at most one call per lease, and an overloaded owner is a single
+        # machine, not a service that all tenants share.
         self.call_budget = TokenBucket(0, MAX_CALLS_PER_S, MAX_CALLS_PER_S, MAX_CALLS_PER_S)
 
-    def record_reply(self, now: int, outcome: CounterOutcome, sent_us: int) -> None:
-        """Count the calls in a row that the owner did not answer."""
+    def record_reply(self, now_us: int, outcome: CounterOutcome, sent_us: int) -> None:
+        """Count consecutive calls that the owner did not answer."""
         if outcome is CounterOutcome.ADDED:
             self.consecutive_timeouts = 0
         else:
@@ -86,7 +90,7 @@
     def __init__(
         self, clock: Clock, tenant: Tenant, slo: Slo, limiters: int, process_started_us: int
     ) -> None:
-        """Begin for a tenant that is new here; `process_started_us` is when this process began."""
+        """Create the client of a tenant that is new at this proxy."""
         now_us = clock.now_us
         self.gateway_count = 1
         self.tenant = tenant
@@ -96,26 +100,26 @@
         self.customer = tenant.name
         self.decay_us = SECOND
         self._reset(now_us, self.plan)
-        # What is to be reported stays whole; it does not fade as a decaying count's does.
+        # Unreported units must not decay, unlike those of a decaying counter.
         self.unreported.decay_us = NEVER_DECAYS_US
         self._slo = slo
-        # What an earlier process of this machine admitted unreported must be out of the window first.
+        # Units that an earlier process of this machine admitted unreported must first leave the window.
         self._unreported_allowed_from_us = process_started_us + slo.quota_win
         self.local_bucket = TokenBucket(now_us, 0.0, 0.0, 0.0)
         self._call_number = 0
-        self._last_counted_call = 0  # the number of the last call that the owner may have counted
-        self.taken_units = 0.0  # by the call in progress
-        self.returned_units = 0.0  # by the call in progress
-        self._next_retry_us = now_us  # when the last one that was rejected may find a unit
+        self._last_counted_call = 0  # number of the last call that the owner may have counted
+        self.taken_units = 0.0  # units that the call in progress takes
+        self.returned_units = 0.0  # units that the call in progress returns
+        self._next_retry_us = now_us  # retry time given to the last rejected request
         self.set_limiter_count(limiters)
 
     # ---- limits
 
     def set_limiter_count(self, limiters: int) -> None:
-        """Share the unreported allowance among so many limiters: they may be without the owner at once."""
+        """Set the number of proxies that may be without the owner at once and share the allowance."""
         now_us = self.clock.now_us
         window_s = self._slo.quota_win / SECOND
-        # Most as a burst, the rest as its refill: no window sees more than the whole.
+        # The burst and its refill over one window add up to the allowance.
         units = unreported_allowance(self._slo, self.plan.rate, self.tenant.burst, limiters)
         level = self.local_bucket.read(now_us)
         burst = max(UNREPORTED_BURST_FRACTION * units, min(1.0, units))
@@ -135,7 +139,7 @@
     def may_wait_for_counter(self, now_us: int) -> bool:
         """Return whether a request waits for the owner.
 
-        While that does not answer, only the probing one does.
+        While the owner does not answer, only the probing request waits.
         """
         breaker = self.counter_breaker
         if self.is_calling:
@@ -143,18 +147,18 @@
         return breaker.try_acquire_call(now_us)
 
     def consume(self, now_us: int, units: float, is_local: bool = False) -> None:
-        """Do nothing: what the owner granted is no part of the unreported allowance, which is beside it."""
+        """Do nothing: granted units are not charged to the unreported allowance."""
 
     def admit_locally(self, now_us: int, units: float, is_counted: bool = False) -> int | None:
-        """Admit by the unreported allowance, as the owner does not answer.
+        """Admit a request from the unreported allowance because the owner does not answer.
 
         Args:
-            now_us: the time.
-            units: what the request takes.
-            is_counted: whether the call that timed out may have been counted with these units.
+            now_us: The current time.
+            units: Units of the request.
+            is_counted: Whether the owner may have counted these units in the call that timed out.
 
         Returns:
-            None where it is admitted, else the us until it may retry.
+            None if the request is admitted, else the delay in us before a retry.
         """
         is_allowed = self.last_read_us and now_us >= self._unreported_allowed_from_us
         if is_allowed and self.local_bucket.read(now_us) >= units:
@@ -167,15 +171,15 @@
         return min(math.ceil(UNREPORTED_RETRY_S * SECOND), self.local_bucket.wait_us(now_us, units))
 
     def retry_after_us(self, now_us: int, wait_us: int) -> int:
-        """Return when one that is rejected may retry, in us from now_us.
+        """Return the delay in us after which a rejected request may retry.
 
-        Where the count has no units left, each retries after the other, at this limiter's part of the refill
-        (guards against all of them coming back for the same unit, to be rejected once more). Where the owner
-        does not answer, as soon as it may: another limiter may reach it.
+        If the count is exhausted, retries are spaced at this proxy's share of the refill; otherwise they
+        would all return for the same unit and be rejected again. If the owner does not answer, the delay is
+        the minimum, because another proxy may reach the owner.
 
         Args:
-            now_us: the time.
-            wait_us: the least that it must wait.
+            now_us: The current time.
+            wait_us: Minimum delay.
         """
         has_units = self.bucket.read(now_us) >= 1.0
         if self.counter_breaker.consecutive_timeouts or has_units or not self.plan.rate:
@@ -188,13 +192,13 @@
     # ---- calls to the owner
 
     def add_to_counter(self, units: float) -> Generator[AddToCounter, CounterReply, CounterOutcome]:
-        """Add units to the count, with what is to be reported; negative units are given back."""
+        """Add units and the unreported ones to the count; negative units are returned to it."""
         unreported = self.unreported.value
         added = units + unreported
         self.unreported.value = 0.0
         self._begin_call(units, unreported)
         sent_us = self.clock.now_us
-        # The tenant's name stands for the counter's id: the shell finds the owner by it.
+        # The tenant's name takes the place of the counter's id; the I/O layer finds the owner by it.
         reply = yield AddToCounter(self.customer, added, COUNT_TTL_US)  # type: ignore[arg-type]
         now_us = self.clock.now_us
         self.counter_breaker.record_reply(now_us, reply.outcome, sent_us)
@@ -209,7 +213,7 @@
         return reply.outcome
 
     def _begin_call(self, units: float, unreported: float) -> None:
-        """Tell apart what the call takes and what it gives back: its owner may know of one of them only."""
+        """Split the call into taken and returned units; the owner may accept only the taken ones."""
         self._call_number += 1
         if units > 0:
             self.taken_units = max(0.0, units + max(0.0, unreported))
@@ -219,20 +223,20 @@
             self.returned_units = max(0.0, -(units + unreported))
 
     def _record_total(self, now_us: int, total: float) -> None:
-        """Note how many units the owner says are taken of the count."""
+        """Record the units in use that the owner reports."""
         if not self.last_read_us:
-            # Nothing was admitted before the owner was first reached.
+            # Nothing was admitted before the first reply of the owner.
             self.local_bucket.set_level(now_us, self.local_bucket.burst)
             self.is_level_known = True
         self.last_read_us = now_us
         self.bucket.set_level(now_us, self.plan.burst - total)
 
     def quota_request(self, proxy: str, fencing_token: int) -> rpc_messages.QuotaRequest:
-        """Return the message of the call in progress, to the count's owner.
+        """Return the message of the call in progress for the count's owner.
 
         Args:
-            proxy: this proxy's name.
-            fencing_token: of the membership that names the owner.
+            proxy: Name of this proxy.
+            fencing_token: Fencing token of the membership under which the owner was found.
         """
         return rpc_messages.QuotaRequest(
             self.customer,
--- a/lapisgrade/gateway/quota/owned_counts.py
+++ b/lapisgrade/gateway/quota/owned_counts.py
@@ -1,6 +1,6 @@
-"""The counts that a proxy owns, a bounded number of them.
+"""A bounded store of the counts that a proxy owns.
 
-Pure. A count begins here when its tenant is first asked for, as full as it may be by who owned it before.
+Pure. A count is created at its tenant's first request, with the level that its ownership history allows.
 """
 
 from collections.abc import Sequence
@@ -10,11 +10,12 @@
 from lapisgrade.gateway.quota.epochs import OwnershipEpoch
 from lapisgrade.gateway.quota.ownership_history import OwnershipHistory
 
-MAX_COUNTS = 4096  # counts kept; those unused for longest are evicted, and begin empty if they come back
+# Maximum number of stored counts. The least recently used one is evicted; if needed again, it starts empty.
+MAX_COUNTS = 4096
 
 
 class OwnedCounts:
-    """Counts by tenant, the one used last at the end."""
+    """Counts by tenant, in order of last use."""
 
     def __init__(self, ownership: OwnershipHistory) -> None:
         self.by_tenant: dict[str, Count] = {}
@@ -26,7 +27,7 @@
         self.by_tenant = {}
 
     def store(self, now_us: int, tenant: str, count: Count) -> None:
-        """Keep the tenant's count as the one used last; evict the one unused for longest if too many."""
+        """Store the tenant's count as the most recently used; evict the least recently used if full."""
         self.by_tenant[tenant] = count
         if len(self.by_tenant) > MAX_COUNTS:
             del self.by_tenant[next(iter(self.by_tenant))]
@@ -38,7 +39,7 @@
         request: rpc_messages.QuotaRequest | rpc_messages.HandOverRequest,
         epochs: Sequence[OwnershipEpoch],
     ) -> Count:
-        """Return a count that nobody has taken of since this proxy owns it, by those epochs."""
+        """Return a new count that this proxy owns under `epochs` and has granted no units of."""
         since_us = self._ownership.exclusive_since(request.tenant, epochs, self.last_eviction_us)
         if since_us is None:
             return Count.full(now_us, request.rate, request.burst)
@@ -50,9 +51,9 @@
         request: rpc_messages.HandOverRequest,
         handed: rpc_messages.HandedCount | None,
     ) -> None:
-        """Keep a count that the owner before has left, as its answer to `request` says.
+        """Store the count from the previous owner's reply to `request`.
 
-        Without one it begins anew and empty: the owner before may have granted units until now.
+        If it has none, the new count starts empty: the previous owner may have granted units until now.
         """
         if handed is None:
             count = Count(now_us, request.rate, request.burst)
@@ -61,7 +62,7 @@
         self.store(now_us, request.tenant, count)
 
     def remove_not_owned(self) -> dict[str, Count]:
-        """Remove the counts that others own under the newest epoch, and return them by tenant."""
+        """Remove the counts that other proxies own under the newest epoch and return them by tenant."""
         owns = self._ownership.owns
         departed = {tenant: each for tenant, each in self.by_tenant.items() if not owns(tenant)}
         self.by_tenant = {tenant: each for tenant, each in self.by_tenant.items() if owns(tenant)}
--- a/lapisgrade/gateway/quota/ownership.py
+++ b/lapisgrade/gateway/quota/ownership.py
@@ -1,4 +1,4 @@
-"""Which proxy owns the count of a tenant: rendezvous hashing over the membership.
+"""Maps each tenant to the proxy that owns its count: rendezvous hashing over the membership.
 
 Pure. Every proxy and controller computes the same owner from the same membership.
 """
@@ -7,20 +7,20 @@
 from hashlib import blake2b
 from typing import TypeVar
 
-# us that a proxy may act as an owner under a membership, from its last answered watch request on.
+# Duration for which a proxy may act as an owner after it sends a watch request that is answered.
 OWNERSHIP_LEASE_US = 1_800_000
 
-MAX_CACHED_OWNERS = 8192  # tenants whose owners are cached
-MAX_JOINED = 24  # proxies that may join at once before the cache is rather emptied
+MAX_CACHED_OWNERS = 8192  # maximum number of tenants in the cache
+MAX_JOINED = 24  # an update in which more proxies join clears the cache instead of updating it
 
 Member = TypeVar("Member")
 
 
 def owner_of(tenant: str, proxies: Iterable[str]) -> str:
-    """Return the name of the proxy that owns this tenant's count; empty where there is none.
+    """Return the name of the proxy that owns this tenant's count; empty if there are no proxies.
 
-    Drawn by the tenant's key (rendezvous hashing: Thaler and Ravishankar, 1998): where a proxy joins or
-    leaves, only the counts that it gains or had change hands.
+    Uses rendezvous hashing of the tenant's name (Thaler and Ravishankar, 1998): when a proxy joins or leaves,
+    only the counts that it gains or loses change owners.
     """
     return max(proxies, default="", key=lambda name: _weight(tenant, name))
 
@@ -30,19 +30,19 @@
 
 
 class OwnerTable:
-    """Owners by tenant under the newest membership, as `owner_of` finds them, cached across updates.
+    """Cache of the results of `owner_of` under the newest membership, kept across updates.
 
-    A proxy that joins is weighed against each cached owner alone, and one that leaves evicts only the tenants
-    that it owned: an update costs by its changes, not by all proxies (guards proxies of hundreds, each of
-    which would weigh all for each tenant anew as ten others restart).
+    A joining proxy is compared with each cached owner only, and a leaving proxy evicts only the tenants that
+    it owned, so the cost of an update depends on the change and not on the number of proxies. Otherwise, in a
+    fleet of hundreds, each proxy would hash all proxies again for every tenant whenever ten of them restart.
     """
 
     def __init__(self) -> None:
         self.names: frozenset[str] = frozenset()
-        self._owners: dict[str, tuple[bytes, str]] = {}  # by tenant: the owner's weight and name
+        self._owners: dict[str, tuple[bytes, str]] = {}  # weight and name of the owner, by tenant
 
     def update(self, names: Iterable[str]) -> None:
-        """Make these proxies the ones that own counts."""
+        """Replace the set of proxies that own counts."""
         before = self.names
         self.names = frozenset(names)
         left = before - self.names
@@ -57,7 +57,7 @@
                 self._owners[tenant] = max(owner, *((_weight(tenant, name), name) for name in joined))
 
     def owner(self, tenant: str) -> str:
-        """Return the owner of this tenant's count; empty where there is none."""
+        """Return the owner of this tenant's count; empty if there are no proxies."""
         owner = self._owners.get(tenant)
         if owner is None:
             if not self.names:
@@ -74,16 +74,16 @@
     proxies_with_controller: Iterable[str],
     terminating_proxies: Iterable[str] = (),
 ) -> dict[str, Member]:
-    """Return those of the proxies that own counts.
+    """Return the proxies that may own counts.
 
-    One that is about to end owns none where there are others, so that its counts are handed over while it
-    lives. Nor does one beside a controller: a machine whose loss may cost the leader must not cost counts
-    beside it.
+    If others remain, a terminating proxy owns none, so that its counts are handed over before it exits. If
+    others remain, neither does a proxy on the same machine as a controller, so that the loss of one machine
+    does not take both the leader and counts.
 
     Args:
-        proxies: the live proxies, by name.
-        proxies_with_controller: names of the proxies beside which a controller runs.
-        terminating_proxies: names of the proxies that are shutting down.
+        proxies: Live proxies by name.
+        proxies_with_controller: Names of the proxies that share their machine with a controller.
+        terminating_proxies: Names of the proxies that are shutting down.
     """
     staying = {name: each for name, each in proxies.items() if name not in terminating_proxies} or proxies
     return {name: each for name, each in staying.items() if name not in proxies_with_controller} or staying
--- a/lapisgrade/gateway/quota/ownership_history.py
+++ b/lapisgrade/gateway/quota/ownership_history.py
@@ -1,6 +1,6 @@
-"""The ownership epochs of one proxy: who owns a count, who may still act as its owner, and since when.
+"""The ownership epochs of one proxy: which proxies own a count or may still act as its owner, and since when.
 
-Pure; times are microseconds of the proxy's clock. `epochs` has the idea and the states of a claim.
+Pure; times are microseconds of the proxy's clock. See `epochs` for the protocol and the states of a claim.
 """
 
 from collections.abc import Iterable, Sequence
@@ -10,26 +10,26 @@
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US, OwnerTable, eligible_owners, owner_of
 from lapisgrade.gateway.rpc_messages import ProxiesByName
 
-MAX_EARLIER_EPOCHS = 16  # epochs kept beside the newest, to know since when a count is owned here
+MAX_EARLIER_EPOCHS = 16  # epochs kept besides the newest, to find since when this proxy owns a count
 
 
 class OwnershipHistory:
-    """The newest epoch and those before it, as far back as they say who may act as an owner."""
+    """The newest epoch and the earlier ones that determine which proxies may still act as owners."""
 
     def __init__(self, name: str, incarnation: str, process_started_us: int) -> None:
-        """Begin without a membership.
+        """Create a history without a membership.
 
         Args:
-            name: this proxy's.
-            incarnation: of this process, as the membership names it.
-            process_started_us: when this process began.
+            name: Name of this proxy.
+            incarnation: Incarnation of this process, as listed in the membership.
+            process_started_us: When this process started.
         """
         self.name = name
         self.incarnation = incarnation
         self.fencing_token = 0
         self.proxies: ProxiesByName = {}
         self.eligible_owners: ProxiesByName = {}
-        self.epochs: list[OwnershipEpoch] = []  # the newest last
+        self.epochs: list[OwnershipEpoch] = []  # oldest first
         self._process_started_us = process_started_us
         self._owner_table = OwnerTable()
         self.origin = Origin.UNKNOWN
@@ -37,7 +37,7 @@
     # ---- epochs
 
     def advance(self, now_us: int, update: MembershipUpdate) -> None:
-        """Begin the epoch of a newer membership."""
+        """Start the epoch of a newer membership."""
         is_first = not self.epochs
         follows = self.follows(update)
         previous_owners = tuple(self.eligible_owners) if follows else tuple(update.previous_owners)
@@ -65,7 +65,7 @@
         self.epochs = [*self.epochs[-MAX_EARLIER_EPOCHS:], epoch]
 
     def follows(self, update: MembershipUpdate) -> bool:
-        """Return whether the membership before that one is the newest here."""
+        """Return whether the update directly follows the newest membership here."""
         return bool(self.epochs) and update.previous_fencing_token in (None, self.fencing_token)
 
     def _determine_origin(self, update: MembershipUpdate) -> Origin:
@@ -73,15 +73,15 @@
             return Origin.UNKNOWN
         _, incarnation, _ = update.proxies[self.name]
         if self.incarnation and incarnation != self.incarnation:
-            # A membership that names an earlier process of this machine may be the first, but that process
-            # may have granted units.
+            # Even if this is the cluster's first membership, the earlier process of this machine that it
+            # lists may have granted units.
             return Origin.PREVIOUS_INCARNATION
         return Origin.FIRST_MEMBERSHIP if update.previous_fencing_token == 0 else Origin.UNKNOWN
 
-    # ---- who owns a count
+    # ---- owners
 
     def owner(self, tenant: str) -> str:
-        """Return who owns this tenant's count under the newest epoch; empty where nobody does."""
+        """Return the owner of this tenant's count under the newest epoch; empty if there is none."""
         return self._owner_table.owner(tenant)
 
     def owns(self, tenant: str) -> bool:
@@ -89,11 +89,11 @@
         return self._owner_table.owner(tenant) == self.name
 
     def predecessor(self, now_us: int, tenant: str) -> str:
-        """Return who has to hand this tenant's count over first.
+        """Return the proxy that must hand over this tenant's count before this proxy grants units.
 
         Returns:
-            A proxy's name; empty where nobody else can act any more, and this proxy's own name where only
-            time can tell.
+            A proxy's name; empty if no other proxy can act as owner; this proxy's own name if that is unknown
+            and it must wait for OWNERSHIP_LEASE_US to pass.
         """
         acting = self.acting_owner(now_us, tenant, self.epochs)
         if not acting and self.epochs:
@@ -103,11 +103,11 @@
         return acting
 
     def acting_owner(self, now_us: int, tenant: str, epochs: Sequence[OwnershipEpoch]) -> str:
-        """Return who else may still act as the owner under an epoch before the newest of `epochs`.
+        """Return the other proxy that may still act as owner under an epoch before the newest of `epochs`.
 
-        An owner that the newest membership of all does not name has ended, maybe before it was handed the
-        count: so who owned it before that one is looked at too (guards against one that does not know of any
-        of this, and adds on).
+        An owner that is missing from the newest membership has terminated, possibly before the count was
+        handed over to it. The owner before it is therefore checked as well: that one may not have received
+        the newer memberships and may still grant units.
         """
         for epoch in reversed(epochs):
             claim = epoch.claim(tenant)
@@ -122,13 +122,13 @@
         return ""
 
     def mark_inactive(self, tenant: str, owner: str) -> None:
-        """Note, in each epoch before which `owner` had this tenant's count, that it does not act for it."""
+        """Record that `owner` does not act for this tenant, in each epoch that it was the predecessor of."""
         for epoch in self.epochs:
             if owner_of(tenant, epoch.previous_owners) == owner:
                 epoch.mark_predecessor_inactive(tenant)
 
     def epochs_until_last_owned(self, tenant: str, epochs: Sequence[OwnershipEpoch]) -> list[OwnershipEpoch]:
-        """Return `epochs` up to the last under which the count was this proxy's; none where it never was."""
+        """Return `epochs` up to the last one under which this proxy owned the count; maybe none."""
         owned = list(epochs)
         while owned and owner_of(tenant, owned[-1].owners) != self.name:
             owned.pop()
@@ -137,19 +137,19 @@
     def exclusive_since(
         self, tenant: str, epochs: Sequence[OwnershipEpoch], last_eviction_us: int | None
     ) -> int | None:
-        """Return from when on nobody else can have granted units of this tenant's count.
+        """Return the time since which no other proxy can have granted units of this tenant's count.
 
-        Where the first membership that was learned of still named an earlier process of this machine, that
-        one owned the count and had ended when this process began: from then on its refill is nobody else's
-        (guards the requests that come back after all processes were killed).
+        If the first membership that arrived here still listed an earlier process of this machine, that one
+        owned the count and had terminated when this process started. All refill since the start is then
+        available here, which serves clients at once when they return after all processes were killed.
 
         Args:
-            tenant: whose count.
-            epochs: by which epochs; the last of them is one under which this proxy owns the count.
-            last_eviction_us: when a count was last evicted here; None for never.
+            tenant: Name of the tenant.
+            epochs: The epochs to consider; this proxy owns the count under the last of them.
+            last_eviction_us: When a count was last evicted here; None for never.
 
         Returns:
-            A time in us; None where nobody ever has granted any.
+            A time in us; None if no proxy has ever granted units of this count.
         """
         not_before_us = -1 if last_eviction_us is None else last_eviction_us
         since_us = epochs[-1].began_us
@@ -159,7 +159,7 @@
             since_us = epoch.began_us
             previous = owner_of(tenant, epoch.previous_owners)
             if previous != self.name and previous in epoch.members:
-                since_us += OWNERSHIP_LEASE_US  # it handed nothing over, and may have granted until then
+                since_us += OWNERSHIP_LEASE_US  # it handed nothing over and may have granted units until then
         if len(epochs) <= MAX_EARLIER_EPOCHS:
             if self.origin is Origin.FIRST_MEMBERSHIP and last_eviction_us is None:
                 return None
@@ -177,10 +177,11 @@
 def _restore_epochs(
     now_us: int, previous_owners: tuple[str, ...], earlier_owners: Iterable[Iterable[str]]
 ) -> list[OwnershipEpoch]:
-    """Return the epochs before, whose memberships did not arrive here, as if they had arrived just now.
+    """Return the earlier epochs whose memberships did not arrive here, as if they had arrived now.
 
-    So whoever owned a count under one of them is asked, or its lease waited for (guards a process that starts
-    anew between an owner that does not know yet that it is none any more, and its own last incarnation).
+    Each owner under one of them is then asked for the count, or its lease is waited out. Otherwise a
+    restarted process would not ask an owner that precedes its own last incarnation and does not know yet that
+    it has been replaced.
     """
     owners_by_epoch = [previous_owners, *map(tuple, earlier_owners)]
     epochs = [
