--- a/lapisgrade/gateway/quota/epochs.py
+++ b/lapisgrade/gateway/quota/epochs.py
@@ -82,7 +82,7 @@
         fencing_token: Fencing token of this membership.
         proxies: The live proxies by name.
         proxies_with_controller: The proxies that share their machine with a controller.
-        previous_fencing_token: Fencing token of the previous membership; None if that is the last one received.
+        previous_fencing_token: Fencing token of the previous membership; None for the newest membership here.
         terminating_proxies: The proxies that are shutting down.
         previous_owners: The eligible owners under the previous membership, if sent.
         earlier_owners: The eligible owners under each membership before that, newest first, as far back as
