--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -1,4 +1,4 @@
-"""What all proxies together admit, against the stated bound, in simulated time."""
+"""The bound on the units that all proxies together admit, in simulated time."""
 
 from random import Random
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("proxies", [1, 3, 14])
-def test_a_tenant_inside_its_quota_is_not_refused(proxies: int):
+def test_a_tenant_within_its_quota_is_not_rejected(proxies: int):
     simulation = QuotaSimulation(proxies)
     simulation.run(3, 38)
     simulation.rejected = 0
@@ -20,7 +20,7 @@
     assert simulation.rejected <= 3
 
 
-def test_a_small_tenant_of_many_limiters_is_not_refused():
+def test_a_small_tenant_at_many_proxies_is_not_rejected():
     simulation = QuotaSimulation(96, 8.0, 8.0)
     simulation.run(6, 5)
     simulation.rejected = 0
@@ -28,7 +28,7 @@
     assert simulation.rejected <= 3
 
 
-def test_only_the_probing_request_waits_for_an_unresponsive_count():
+def test_only_the_probing_request_waits_for_an_unresponsive_owner():
     simulation = QuotaSimulation(3)
     simulation.run(8, 30)
     proxy = next(each for each in simulation.proxies.values() if not each.quota_owner.owns("t"))
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("proxies", [1, 14, 96])
-def test_the_bound_holds_at_eight_times_the_usual_and_the_quota_is_used(proxies: int):
+def test_the_bound_holds_and_the_quota_is_used_under_overload(proxies: int):
     simulation = QuotaSimulation(proxies)
     simulation.run(12, 300)
     assert simulation.max_admitted() <= simulation.bound
@@ -63,64 +63,70 @@
     simulation = QuotaSimulation(14)
     for turn in range(6):
         simulation.run(1.5, 300)
-        gone = {owner_of("t", live_proxies(simulation.names)), simulation.names[turn]}
-        for name in gone:
+        killed = {owner_of("t", live_proxies(simulation.names)), simulation.names[turn]}
+        for name in killed:
             simulation.proxies.pop(name, None)
         simulation.update_members([name for name in simulation.names if name in simulation.proxies])
         simulation.run(1.0, 300)
-        for name in gone:
+        for name in killed:
             simulation.proxies[name] = SimulatedProxy(simulation, name)
         simulation.update_members(simulation.names)
     assert simulation.max_admitted() <= simulation.bound
 
 
-def all_killed(simulation: QuotaSimulation, down: float, until_told: float, heirs: bool = True) -> None:
-    """Every process dies, is started again, and is told the old list of live proxies first, then the new
-    one."""
-    old = dict(simulation.incarnations)
+def restart_all_proxies(
+    simulation: QuotaSimulation, down_s: float, until_update_s: float, lists_old_incarnations: bool = True
+) -> None:
+    """Kill and restart all processes; each receives the old membership first and the new one later."""
+    old_incarnations = dict(simulation.incarnations)
     simulation.proxies.clear()
     simulation.events.clear()
-    simulation.now += int(down * SECOND)
-    simulation.incarnations = {name: old.get(name, 0) + 1 for name in simulation.names}
+    simulation.now += int(down_s * SECOND)
+    simulation.incarnations = {name: old_incarnations.get(name, 0) + 1 for name in simulation.names}
     simulation.proxies = {name: SimulatedProxy(simulation, name) for name in simulation.names}
-    simulation.run(until_told, 300)
+    simulation.run(until_update_s, 300)
     for each in simulation.proxies.values():
         each.quota_owner.update_members(
             simulation.now,
             MembershipUpdate(
                 simulation.fencing_token,
-                live_proxies(simulation.names, old if heirs else simulation.incarnations),
+                live_proxies(
+                    simulation.names, old_incarnations if lists_old_incarnations else simulation.incarnations
+                ),
             ),
         )
     simulation.run(0.15, 300)
     simulation.update_members(simulation.names)
 
 
-def test_the_bound_holds_when_all_are_killed_repeatedly():
+def test_the_bound_holds_when_all_proxies_are_killed_repeatedly():
     for seed in range(8):
         simulation = QuotaSimulation(14, seed=seed)
-        chance = Random(seed)
+        random = Random(seed)
         for _ in range(4):
-            simulation.run(chance.random() * 3, 300)
-            all_killed(simulation, chance.random(), chance.random())
+            simulation.run(random.random() * 3, 300)
+            restart_all_proxies(simulation, random.random(), random.random())
         simulation.run(6, 300)
         assert simulation.max_admitted() <= simulation.bound, f"seed {seed}"
 
 
-def test_after_all_were_killed_the_refill_since_the_start_is_available_at_once():
-    """Guards those who come back: their requests of a second meet a count that was nobody else's."""
+def test_after_all_proxies_were_killed_the_refill_since_the_start_is_available_at_once():
+    """Guards against rejecting clients that return at once after a restart of all proxies.
+
+    If the first membership lists the earlier incarnations, no other proxy can have used the refill.
+    """
     served = []
-    for heirs in (True, False):
+    for lists_old_incarnations in (True, False):
         simulation = QuotaSimulation(14, 96.0, 96.0)
         simulation.run(4, 60)
         before = len(simulation.admitted_us)
-        all_killed(simulation, 0.5, 0.8, heirs)
+        restart_all_proxies(simulation, 0.5, 0.8, lists_old_incarnations)
         simulation.run(0.5, 300)
         served.append(len(simulation.admitted_us) - before)
     assert served[0] > 1.5 * served[1]
 
 
-def test_a_proxy_that_never_reached_the_count_admits_nothing():
+def test_a_proxy_that_never_reached_the_owner_admits_nothing():
     simulation = QuotaSimulation(2)
     for each in simulation.proxies.values():
         each.is_isolated = True
--- a/tests/gateway/quota/test_ownership.py
+++ b/tests/gateway/quota/test_ownership.py
@@ -1,11 +1,11 @@
-"""Owners of counts, remembered from one list of live proxies to the next."""
+"""Cached owners of counts across memberships."""
 
 from random import Random
 
 from lapisgrade.gateway.quota.ownership import OwnerTable, owner_of
 
 
-def test_the_cached_table_finds_the_same_owners_over_changing_lists() -> None:
+def test_cached_owners_match_owner_of_across_memberships() -> None:
     tenants = [f"tenant-{i}" for i in range(60)]
     for seed in range(20):
         random, table = Random(seed), OwnerTable()
@@ -19,5 +19,5 @@
             names = names.difference(leaving) | {f"edge-{i}" for i in joining}
 
 
-def test_nobody_owns_a_count_without_live_proxies() -> None:
+def test_no_proxy_owns_a_count_without_live_proxies() -> None:
     assert OwnerTable().owner("t") == ""
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -15,22 +15,22 @@
 
 SECOND = 1_000_000
 SLO = Slo()
-CALL_US = 2_000  # that a call of an owner takes
+CALL_US = 2_000  # duration of a call to an owner
 CALL_TIMEOUT_US = 250_000
 
 
 def live_proxies(
     names: Iterable[str], incarnations: dict[str, int] | None = None
 ) -> dict[str, tuple[str, str, str]]:
-    """The member list of those proxies: address, incarnation and zone by name."""
-    known = incarnations or {}
-    return {name: (f"10.0.0.{number}:1", str(known.get(name, 0)), "z") for number, name in enumerate(names)}
+    """Return a membership of these proxies: address, incarnation and zone by name."""
+    listed = incarnations or {}
+    return {name: (f"10.0.0.{number}:1", str(listed.get(name, 0)), "z") for number, name in enumerate(names)}
 
 
 class SimulatedProxy:
-    """The tenant's quota client at one proxy, and its owner of counts.
+    """The tenant's quota client and the quota owner of one proxy.
 
-    It is the host of the client's engine: calls of an owner go to the other proxies of the simulation.
+    It is the host of the client's engine and sends calls to the owners at the simulation's other proxies.
     """
 
     def __init__(self, simulation: "QuotaSimulation", name: str) -> None:
@@ -39,10 +39,10 @@
         self.engine = Engine(self, self.clock)
         self.quota_owner = QuotaOwner(name, str(simulation.incarnations.get(name, 0)), now)
         self.quota_client = QuotaClient(self.clock, simulation.tenant, SLO, len(simulation.names), now)
-        self.is_isolated = False  # reaches no owner, and nobody reaches it
+        self.is_isolated = False  # partitioned: calls to and from other proxies time out
 
     def request(self) -> None:
-        """A request of the tenant arrives."""
+        """Serve a new request of the tenant."""
         simulation = self.simulation
         self.clock.now_us = simulation.now
         deadline_us = simulation.now + 2 * SECOND
@@ -58,7 +58,7 @@
         self.engine.run(admit(), operation)
 
     def add_to_counter(self, task: Any, add: AddToCounter) -> None:
-        """Call the count's owner, which replies later, or not at all."""
+        """Call the count's owner; the reply or the time-out follows later."""
         reply = self._call_owner()
         is_timed_out = reply.outcome is CounterOutcome.TIMED_OUT
         delay_us = CALL_TIMEOUT_US if is_timed_out else CALL_US
@@ -77,12 +77,12 @@
         return CounterReply(CounterOutcome.ADDED, reply.total)
 
     def _on_reply(self, task: Any, reply: CounterReply) -> None:
-        if self.simulation.proxies.get(self.name) is self:  # not killed meanwhile
+        if self.simulation.proxies.get(self.name) is self:  # not killed since
             self.clock.now_us = self.simulation.now
             self.engine.counter_replied(task, reply)
 
     def schedule_wakeup(self, when_us: int) -> None:
-        """Run the engine's timers then."""
+        """Run the engine's due timers at `when_us`."""
 
         def wake() -> None:
             self.clock.now_us = self.simulation.now
@@ -90,7 +90,7 @@
 
         self.simulation.schedule(max(0, when_us - self.simulation.now), wake)
 
-    # The rest of what an engine asks of its host: no attempts are sent here.
+    # The other methods of an engine's host; this simulation sends no attempts.
     def reject(self, operation: Operation, answer: Reject) -> None: ...
     def send(self, attempt: Any) -> None: ...
     def cancel(self, attempt: Any) -> None: ...
@@ -98,12 +98,12 @@
 
 
 class QuotaSimulation:
-    """Simulated time, and proxies that serve one tenant.
+    """Simulated time and the proxies that serve one tenant.
 
     Attributes:
-        admitted_us: When each request was admitted.
-        rejected: How many were not.
-        incarnations: How often each proxy was started anew, by name.
+        admitted_us: Times of the admitted requests.
+        rejected: Number of rejected requests.
+        incarnations: Number of restarts of each proxy, by name.
     """
 
     def __init__(self, proxies: int, rate: float = 60.0, burst: float = 60.0, seed: int = 1) -> None:
@@ -120,7 +120,7 @@
         self.update_members(self.names)
 
     def update_members(self, names: Iterable[str], to: Iterable[str] | None = None) -> None:
-        """Give every proxy, or those in `to`, a new member list."""
+        """Send a new membership to all proxies, or to those in `to`."""
         self.fencing_token += 1
         members = live_proxies(names, self.incarnations)
         for proxy in self.proxies.values():
@@ -129,37 +129,37 @@
                 proxy.quota_owner.update_members(self.now, update)
 
     def schedule(self, delay_us: int, call: Callable[[], None]) -> None:
-        """Call it after that time; calls of one moment come in the order that they were scheduled in."""
+        """Schedule a call; calls at the same time run in the order in which they were scheduled."""
         self._scheduled += 1
         self.events.append((self.now + delay_us, self._scheduled, call))
 
     def run(self, seconds: float, requests_per_s: float, to: list[str] | None = None) -> None:
-        """Move the clock, with requests at random proxies, or at those in `to`."""
-        ends = self.now + int(seconds * SECOND)
-        next_request = self.now
-        while self.now < ends:
+        """Advance the clock and send requests to random proxies, or to random ones of those in `to`."""
+        end_us = self.now + int(seconds * SECOND)
+        next_request_us = self.now
+        while self.now < end_us:
             self.events.sort(key=lambda event: event[:2])
-            next_event = self.events[0][0] if self.events else ends
-            if next_request <= next_event:
-                self.now = max(self.now, next_request)
-                next_request += int(self.random.expovariate(requests_per_s) * SECOND) + 1
+            next_event_us = self.events[0][0] if self.events else end_us
+            if next_request_us <= next_event_us:
+                self.now = max(self.now, next_request_us)
+                next_request_us += int(self.random.expovariate(requests_per_s) * SECOND) + 1
                 names = [name for name in to or self.proxies if name in self.proxies]
                 self.proxies[self.random.choice(names)].request()
             else:
-                self.now = max(self.now, next_event)
+                self.now = max(self.now, next_event_us)
                 self.events.pop(0)[2]()
 
     def max_admitted(self) -> int:
-        """The most that was admitted within any quota window."""
-        most, first = 0, 0
-        for last, at in enumerate(self.admitted_us):
-            while self.admitted_us[first] <= at - SLO.quota_win:
-                first += 1
-            most = max(most, last - first + 1)
-        return most
+        """Return the maximum number of requests admitted within any quota window."""
+        max_count, first_index = 0, 0
+        for last_index, at_us in enumerate(self.admitted_us):
+            while self.admitted_us[first_index] <= at_us - SLO.quota_win:
+                first_index += 1
+            max_count = max(max_count, last_index - first_index + 1)
+        return max_count
 
     @property
     def bound(self) -> float:
-        """What may be admitted within a quota window."""
+        """The maximum number of requests that may be admitted within a quota window."""
         tenant = self.tenant
         return (tenant.rate_s * 5 + tenant.burst) * (1 + SLO.quota_excess) + SLO.quota_extra
