--- a/lapisgrade/gateway/operations/claim_batches.py
+++ b/lapisgrade/gateway/operations/claim_batches.py
@@ -1,7 +1,7 @@
-"""How the leader gathers claims into log entries: which are refused or answered at once, and time. Pure.
+"""Batches claims into log entries at the leader: validation, immediate replies, and elapsed time. Pure.
 
-A claim that is malformed is refused; one whose key is held already is answered from the table; all others
-wait for the next batch, and beyond `MAX_WAITING_CLAIMS` they are told that nothing is known.
+A malformed claim is rejected. A claim to a key that is already held is answered from the table. All others
+wait for the next batch; if `MAX_WAITING_CLAIMS` already wait, the reply is that the holder is unknown.
 """
 
 from lapisgrade.gateway.operations.table import (
@@ -13,13 +13,13 @@
 )
 from lapisgrade.gateway.settings import parse_address
 
-MAX_BATCH_CLAIMS = 256  # in one log entry; 128 KB at the most, so that one message carries it
-MAX_WAITING_CLAIMS = 1024  # some seconds' worth; beyond it a claim is told at once that nothing is known
-MAX_NAME_BYTES = 64  # of an attempt and of an owner's address
+MAX_BATCH_CLAIMS = 256  # maximum claims in one log entry; at most 128 KB, which fits into one message
+MAX_WAITING_CLAIMS = 1024  # a few seconds of claims; for further ones the holder is unknown
+MAX_NAME_BYTES = 64  # maximum size of an attempt's name and of an owner's address
 
 
 def is_valid(claim: Claim) -> bool:
-    """Return whether a claim may be recorded: all is bounded, and its owner can be asked."""
+    """Return whether a claim may be recorded: its sizes are in bounds and its owner has a valid address."""
     names = (claim.attempt, claim.owner)
     has_names = all(0 < _size(name) <= MAX_NAME_BYTES for name in names)
     has_key = 0 < _size(claim.key) <= MAX_KEY_BYTES
@@ -28,10 +28,10 @@
 
 
 def known_holder(table: OperationTable, claim: Claim, oldest_us: int) -> OperationRecord | None:
-    """Return who holds the claim's key whatever the log would say of the claim, so that it needs no entry.
+    """Return the record that holds the claim's key if the claim cannot change it; it then needs no log entry.
 
-    That may be the claim's own attempt, recorded earlier. A record that was claimed before `oldest_us` may be
-    beyond its retention: the log decides.
+    The holder may be the claim's own attempt, recorded earlier. A record claimed before `oldest_us` may have
+    outlived its retention, which only the log can decide; None is returned then.
     """
     record = table.find(claim.tenant, claim.key)
     if record is None or record.attempt == claim.replaces or record.claimed_us < oldest_us:
@@ -40,22 +40,22 @@
 
 
 class LeadershipClock:
-    """Measures the time between the batches of one leadership; never more than passed under that leader."""
+    """Measures the time between batches within one term; never more than has passed under that leader."""
 
     def __init__(self) -> None:
-        """Nothing was measured yet."""
+        """Create a clock without a measurement."""
         self._term = 0
-        self._last_batch_us = 0  # when the last batch of that term was made
+        self._last_batch_us = 0  # time of the last batch in that term
 
     def elapsed_us(self, now_us: int, term: int) -> int:
-        """Return the time since the last batch in the same term of leadership; 0 before the first.
+        """Return the time since the last batch in the same term; 0 before the first batch.
 
         A node leads a term at most once, so time under another leader is never counted.
         """
         return max(0, now_us - self._last_batch_us) if term == self._term else 0
 
     def start_batch(self, now_us: int, term: int) -> int:
-        """Return the time that the next batch counts; what is measured from now on is the one's after it."""
+        """Return the elapsed time that the next batch records, and restart the measurement."""
         elapsed_us = self.elapsed_us(now_us, term)
         self._term = term
         self._last_batch_us = now_us
--- a/lapisgrade/gateway/operations/outcomes.py
+++ b/lapisgrade/gateway/operations/outcomes.py
@@ -1,11 +1,11 @@
-"""What came of the attempts that one proxy has made at keyed operations. Pure.
+"""Outcomes of one proxy's attempts at keyed operations. Pure.
 
-    RUNNING --the attempt ended without having run--> NOT_RUN
+    RUNNING --attempt ended and has not run--> NOT_RUN
        |
-       +--a server's complete response--> ANSWERED
-       +--no response, and it may have run--> UNKNOWN
+       +--complete response from a server--> ANSWERED
+       +--no response, but it may have run--> UNKNOWN
 
-An attempt that isn't known here (any more) is UNKNOWN: the process may have been restarted since.
+An attempt that is not stored here is UNKNOWN: the process may have been restarted since it began.
 """
 
 from collections.abc import Callable
@@ -13,28 +13,28 @@
 
 import msgspec
 
-MAX_STORED_BYTES = 8 * 1024 * 1024  # of responses; the oldest are dropped beyond it
-MAX_RESPONSE_BYTES = 256 * 1024  # of one that is kept; a longer one's attempt is UNKNOWN
-MAX_ATTEMPTS = 65_536  # that are kept; the oldest are dropped beyond it
+MAX_STORED_BYTES = 8 * 1024 * 1024  # maximum total size of responses; beyond it the oldest are dropped
+MAX_RESPONSE_BYTES = 256 * 1024  # maximum size of a stored response; the outcome of a larger one is UNKNOWN
+MAX_ATTEMPTS = 65_536  # maximum number of stored attempts; beyond it the oldest are dropped
 
 
 class OutcomeState(IntEnum):
-    """What is known of an attempt."""
+    """State of an attempt."""
 
     UNKNOWN = 0
     RUNNING = 1
-    NOT_RUN = 2  # and it never will
+    NOT_RUN = 2  # it has not run and never will
     ANSWERED = 3
 
 
 class Outcome(msgspec.Struct, array_like=True, frozen=True):
-    """What came of an attempt.
+    """The outcome of an attempt.
 
     Attributes:
-        state: What is known of it.
-        status: Of the server's response, where there is one, as the next two.
-        header_lines: Those to be forwarded to the client.
-        body: The whole body.
+        state: State of the attempt.
+        status: Status of the server's response; this and the fields below are set only if it is ANSWERED.
+        header_lines: Header lines to forward to the client.
+        body: The complete body.
     """
 
     state: OutcomeState
@@ -44,7 +44,7 @@
 
     @property
     def size(self) -> int:
-        """How much memory it takes, about, in bytes."""
+        """Approximate memory use in bytes."""
         return len(self.header_lines) + len(self.body)
 
 
@@ -54,25 +54,25 @@
 
 
 class StoredOutcome(msgspec.Struct):
-    """An outcome, and until when it is kept."""
+    """An outcome and the time until which it is kept."""
 
     outcome: Outcome
     expires_us: int
 
 
 class OutcomeStore:
-    """The outcomes of this proxy's own attempts, for as long as their operation may be repeated."""
+    """The outcomes of this proxy's own attempts, kept while clients may repeat their operations."""
 
     def __init__(self, retention_us: int) -> None:
-        """Keep each outcome for so long."""
-        self.on_finished: Callable[[str], None] = _ignore  # called with each attempt that has ended
-        self.running_count = 0  # attempts that are RUNNING
+        """Create an empty store that keeps each outcome for `retention_us`."""
+        self.on_finished: Callable[[str], None] = _ignore  # called with the name of each finished attempt
+        self.running_count = 0  # number of RUNNING attempts
         self._retention_us = retention_us
-        self._stored: dict[str, StoredOutcome] = {}  # by attempt, in the order in which they began
+        self._stored: dict[str, StoredOutcome] = {}  # by attempt, oldest first
         self._bytes = 0
 
     def begin(self, now_us: int, attempt: str) -> None:
-        """Note an attempt that may run from now on."""
+        """Record a new attempt as running."""
         self._drop_expired(now_us)
         if len(self._stored) >= MAX_ATTEMPTS:
             self._drop(next(iter(self._stored)))
@@ -80,7 +80,7 @@
         self.running_count += 1
 
     def finish(self, now_us: int, attempt: str, outcome: Outcome) -> None:
-        """Note what came of an attempt; the first outcome of one that has begun counts."""
+        """Record the outcome of a running attempt; an attempt that is unknown or finished is ignored."""
         stored = self._stored.get(attempt)
         if stored is None or stored.outcome.state is not OutcomeState.RUNNING:
             return
@@ -93,7 +93,7 @@
         self.on_finished(attempt)
 
     def find(self, attempt: str) -> Outcome:
-        """Return what is known of an attempt."""
+        """Return the outcome of an attempt."""
         stored = self._stored.get(attempt)
         return stored.outcome if stored is not None else UNKNOWN
 
@@ -117,4 +117,4 @@
 
 
 def _ignore(attempt: str) -> None:
-    """Do nothing: nobody waits for the end of attempts."""
+    """Ignore the end of an attempt; the default callback."""
--- a/lapisgrade/gateway/operations/table.py
+++ b/lapisgrade/gateway/operations/table.py
@@ -1,10 +1,10 @@
-"""Which attempt holds which operation key: the replicated part of keyed operations. Pure.
+"""Maps operation keys to the attempts that hold them: the replicated state of keyed operations. Pure.
 
-Every controller applies the same claims in the order of the log, so all tables are alike. Time is counted by
-the log as well: each batch of claims says how much time its leader has measured since its last one. The time
-without a leader is not counted, so a record is kept too long rather than too short.
+Every controller applies the same claims in log order, so all tables are identical. The log also provides the
+clock: each batch of claims contains the time that its leader measured since its previous batch. Time without
+a leader is not counted, so a record is kept too long rather than too short.
 
-    unclaimed --Claim--> held by an attempt --its retention has passed--> unclaimed
+    unclaimed --Claim--> held by an attempt --retention expires--> unclaimed
                             |         ^
                             +---------+ Claim that replaces exactly this attempt, which never ran
 """
@@ -14,26 +14,26 @@
 import msgspec
 
 MAX_RECORDS = 32_768
-"""Operations in their window: 436 a second for 75 s. A snapshot is 3 MB then, with the longest names 16 MB,
-and stands twice on a disk while it is written."""
-
-MAX_TENANT_RECORDS = MAX_RECORDS // 2  # of one tenant, so that it can't take all the room
-MAX_KEY_BYTES = 256  # of an operation key, as HTTP brought it
-MAX_TENANT_BYTES = 128  # of a tenant in a claim; a configuration may have longer names
-# Beyond the window that a claim and its outcome are kept: for the time until an attempt's claim is made, some
-# seconds at most, and for clocks that differ in pace.
+"""Maximum number of records: 436 operations per second for 75 s. A snapshot of a full table has 3 MB, or
+16 MB with the longest names, and takes twice that on disk while it is written."""
+
+MAX_TENANT_RECORDS = MAX_RECORDS // 2  # maximum per tenant, so that one tenant cannot fill the table
+MAX_KEY_BYTES = 256  # maximum size of an operation key as received over HTTP
+MAX_TENANT_BYTES = 128  # maximum size of a tenant name in a claim; a configuration may have longer names
+# Time for which a claim and its outcome are kept beyond the repeat window. It covers the delay until an
+# attempt's claim is recorded, a few seconds at most, and clock drift.
 RETENTION_MARGIN_US = 15_000_000
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True):
-    """An attempt wants to run an operation.
+    """A request to run an operation in an attempt.
 
     Attributes:
-        tenant: Whose operation it is; keys of different tenants have nothing to do with one another.
+        tenant: Tenant of the operation; each tenant has its own key space.
         key: The operation key.
-        attempt: Identifies the attempt among all of all proxies.
-        owner: Where the proxy of the attempt answers other proxies.
-        replaces: The attempt that held the key and is known never to run; empty for a first claim.
+        attempt: Name of the attempt, unique across all proxies.
+        owner: Address at which the attempt's proxy answers other proxies.
+        replaces: The attempt that held the key and will never run; empty for a first claim.
     """
 
     tenant: str
@@ -47,9 +47,9 @@
     """The attempt that holds a key.
 
     Attributes:
-        attempt: As its claim named it.
-        owner: Where its proxy answers other proxies.
-        claimed_us: When it was claimed, by the table's clock.
+        attempt: Name of the attempt, as in its claim.
+        owner: Address at which its proxy answers other proxies.
+        claimed_us: Time of the claim on the table's clock.
     """
 
     attempt: str
@@ -58,11 +58,11 @@
 
 
 class ClaimResult(msgspec.Struct, array_like=True, frozen=True):
-    """What became of a claim.
+    """The result of a claim.
 
     Attributes:
-        attempt: The attempt that holds the key now; empty where there is no room and nothing was recorded.
-        owner: Where its proxy answers other proxies.
+        attempt: The attempt that holds the key now; empty if the table is full and nothing was recorded.
+        owner: Address at which its proxy answers other proxies.
     """
 
     attempt: str = ""
@@ -73,9 +73,9 @@
     """The records, in the order in which they were claimed.
 
     Attributes:
-        clock_us: The time that leaders have counted.
-        records: By `record_id`.
-        tenant_records: How many of them each tenant has, where it has any.
+        clock_us: The sum of the time that leaders have measured.
+        records: Records by `record_id`.
+        tenant_records: Number of records per tenant; tenants without records are omitted.
     """
 
     clock_us: int = 0
@@ -83,11 +83,11 @@
     tenant_records: dict[str, int] = {}
 
     def find(self, tenant: str, key: str) -> OperationRecord | None:
-        """Return who holds a key; a record that is beyond its retention may still be there."""
+        """Return the record that holds a key; a record past its retention may still be present."""
         return self.records.get(record_id(tenant, key))
 
     def advance(self, elapsed_us: int, retention_us: int) -> None:
-        """Count time, and drop the records that are older than their retention."""
+        """Advance the clock and drop the records that are older than their retention."""
         self.clock_us += max(0, elapsed_us)
         oldest_us = self.clock_us - retention_us
         expired = []
@@ -99,13 +99,13 @@
             self._remove(name)
 
     def claim(self, claim: Claim) -> ClaimResult:
-        """Record a claim where nobody else holds its key, and return who holds it now."""
+        """Record a claim unless another attempt holds its key, and return the holder."""
         name = record_id(claim.tenant, claim.key)
         record = self.records.get(name)
         if record is not None and record.attempt != claim.replaces:
             return ClaimResult(record.attempt, record.owner)
         if record is not None:
-            self._remove(name)  # the newest stands last
+            self._remove(name)  # the new record is appended last
         elif not self._has_room(claim.tenant):
             return ClaimResult()
         self.records[name] = OperationRecord(claim.attempt, claim.owner, self.clock_us)
@@ -125,13 +125,13 @@
 
 
 def tenant_in_claim(tenant: str) -> str:
-    """Return how claims name a tenant: by a digest of its name where that is too long for a claim."""
+    """Return the tenant's name for a claim: a digest of the name if that is too long."""
     name = tenant.encode()
     return tenant if len(name) <= MAX_TENANT_BYTES else f"sha256:{hashlib.sha256(name).hexdigest()}"
 
 
 def record_id(tenant: str, key: str) -> str:
-    """Return the name of an operation's record; different for any two pairs."""
+    """Return the name of an operation's record, unique per pair of tenant and key."""
     return f"{len(tenant)}:{tenant}{key}"
 
 
--- a/tests/gateway/operations/test_outcomes.py
+++ b/tests/gateway/operations/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What a proxy remembers of its attempts, and what it forgets."""
+"""Stored outcomes of a proxy's attempts: retention and memory bounds."""
 
 from types import SimpleNamespace
 from unittest import mock
@@ -18,7 +18,7 @@
 from lapisgrade.gateway.routing.upstream_protocol import kept_response
 
 
-def answer(size: int) -> Outcome:
+def answered_outcome(size: int) -> Outcome:
     return Outcome(OutcomeState.ANSWERED, 200, b"", b"x" * size)
 
 
@@ -27,24 +27,24 @@
     return OutcomeStore(retention_us=100)
 
 
-def test_the_first_outcome_counts_and_is_told_once(store: OutcomeStore) -> None:
-    ended: list[str] = []
-    store.on_finished = ended.append
+def test_the_first_outcome_is_stored_and_notified_once(store: OutcomeStore) -> None:
+    finished: list[str] = []
+    store.on_finished = finished.append
     store.begin(0, "a")
     assert (store.find("a"), store.running_count) == (RUNNING, 1)
     store.finish(1, "a", NOT_RUN)
-    store.finish(2, "a", answer(1))
-    store.finish(3, "never begun", answer(1))
+    store.finish(2, "a", answered_outcome(1))
+    store.finish(3, "never begun", answered_outcome(1))
     assert (store.find("a"), store.find("never begun"), store.running_count) == (NOT_RUN, UNKNOWN, 0)
-    assert ended == ["a"]
+    assert finished == ["a"]
 
 
-def test_an_outcome_is_forgotten_after_its_retention(store: OutcomeStore) -> None:
+def test_an_outcome_is_dropped_after_its_retention(store: OutcomeStore) -> None:
     store.begin(0, "answered")
-    store.finish(1, "answered", answer(1))
+    store.finish(1, "answered", answered_outcome(1))
     store.begin(5, "running")
     store.begin(99, "late")
-    assert store.find("answered") == answer(1)
+    assert store.find("answered") == answered_outcome(1)
     store.begin(105, "another")
     assert [store.find(name) for name in ("answered", "running", "late")] == [UNKNOWN, UNKNOWN, RUNNING]
     assert store.running_count == 2
@@ -58,14 +58,14 @@
     ):
         for name, size in (("a", 6), ("b", 4), ("c", 9)):
             store.begin(0, name)
-            store.finish(0, name, answer(size))
+            store.finish(0, name, answered_outcome(size))
         assert [store.find(name).state for name in "abc"] == [3, 3, OutcomeState.UNKNOWN]
-        store.begin(1, "d")  # the oldest goes
-        store.finish(1, "d", answer(7))  # and the oldest answer
+        store.begin(1, "d")  # drops the oldest attempt
+        store.finish(1, "d", answered_outcome(7))  # drops the oldest response
         assert [store.find(name).state for name in "abd"] == [0, 0, OutcomeState.ANSWERED]
 
 
-def test_a_response_that_is_too_long_to_be_kept_is_not_copied():
+def test_a_response_over_the_size_limit_is_not_copied():
     body = [memoryview(bytes(outcomes.MAX_RESPONSE_BYTES + 1))]
     head = SimpleNamespace(status_code=200, headers=h11.Response(status_code=200, headers=[]).headers)
     assert kept_response(SimpleNamespace(head=head, body=body, size=len(body[0]))) == UNKNOWN
--- a/tests/gateway/operations/test_table.py
+++ b/tests/gateway/operations/test_table.py
@@ -1,4 +1,4 @@
-"""Which attempt holds an operation key: claims, take-overs, expiry by the log's clock, and the bounds."""
+"""The table of operation keys: claims, take-overs, expiry by the log's clock, and bounds."""
 
 from unittest import mock
 
@@ -30,24 +30,24 @@
     return [table.claim(each) for each in claims][-1].attempt
 
 
-def test_first_claim_holds_the_key_and_each_later_one_is_told_so():
+def test_the_first_claim_holds_the_key_and_later_claims_return_its_holder():
     table = OperationTable()
     assert table.claim(claim("a")) == ClaimResult("a", OWNER)
     assert table.claim(msgspec.structs.replace(claim("b"), owner="10.0.0.2:7661")) == ClaimResult("a", OWNER)
-    assert holder_after(table, claim("a")) == "a"  # sent again
+    assert holder_after(table, claim("a")) == "a"  # repeated claim
 
 
-def test_key_is_taken_over_from_exactly_the_attempt_that_is_named():
+def test_a_take_over_must_name_the_attempt_that_holds_the_key():
     table = OperationTable()
     assert holder_after(table, claim("a"), claim("b", "x")) == "a"
     assert holder_after(table, claim("b", "a")) == "b"
-    assert holder_after(table, claim("c", "a")) == "b"  # it comes second
-    assert holder_after(table, claim("a")) == "b"  # the attempt that was replaced tries again
-    assert holder_after(table, claim("b", "a")) == "b"  # the take-over is sent again
+    assert holder_after(table, claim("c", "a")) == "b"  # the second take-over of "a"
+    assert holder_after(table, claim("a")) == "b"  # the replaced attempt claims again
+    assert holder_after(table, claim("b", "a")) == "b"  # repeated take-over
     assert table.tenant_records == {"sfax": 1}
 
 
-def test_keys_of_different_tenants_are_different_operations():
+def test_equal_keys_of_different_tenants_are_different_operations():
     table = OperationTable()
     assert holder_after(table, claim("a"), claim("b", tenant="siege")) == "b"
     assert record_id("1:a", "b") != record_id("1", ":ab")
@@ -63,7 +63,7 @@
     assert table.tenant_records == {"sfax": 1}
 
 
-def test_take_over_begins_the_retention_anew():
+def test_a_take_over_restarts_the_retention():
     table = OperationTable()
     table.claim(claim("a"))
     table.claim(claim("z", key="k-2"))
@@ -73,47 +73,48 @@
     assert [holder_after(table, claim("c", key=key)) for key in ("k-1", "k-2")] == ["b", "c"]
 
 
-def test_clock_counts_only_time_under_one_leader_and_never_runs_backwards():
+def test_the_clock_counts_only_time_within_a_term_and_never_runs_backwards():
     clock, table = LeadershipClock(), OperationTable()
     counted = [
         clock.start_batch(now_us, term)
         for now_us, term in ((9_000_000, 3), (9_500_000, 3), (60_000_000, 5), (59_000_000, 5))
     ]
     assert counted == [0, 500_000, 0, 0]
-    assert LeadershipClock().start_batch(9_000_000, 1) == 0  # a process that was restarted leads at once
+    assert LeadershipClock().start_batch(9_000_000, 1) == 0  # a restarted process becomes the leader at once
     table.advance(-5, RETENTION_US)
     assert table.clock_us == 0
 
 
-def test_full_table_records_nothing_more_and_gives_room_back():
+def test_a_full_table_records_no_new_claims_until_records_expire():
     with (
         mock.patch.object(table_module, "MAX_RECORDS", 4),
         mock.patch.object(table_module, "MAX_TENANT_RECORDS", 3),
     ):
         table = OperationTable()
-        granted = [table.claim(claim(f"a{number}", key=f"k-{number}")).attempt for number in range(4)]
-        assert granted == ["a0", "a1", "a2", ""]  # one tenant has its part
-        others = [table.claim(claim(key, tenant="siege", key=key)).attempt for key in ("b", "c")]
-        assert others == ["b", ""]
-        assert holder_after(table, claim("d", "a1", key="k-1")) == "d"  # a take-over needs no room
+        holders = [table.claim(claim(f"a{number}", key=f"k-{number}")).attempt for number in range(4)]
+        assert holders == ["a0", "a1", "a2", ""]  # the limit per tenant
+        other_holders = [table.claim(claim(key, tenant="siege", key=key)).attempt for key in ("b", "c")]
+        assert other_holders == ["b", ""]
+        # A take-over is possible in a full table.
+        assert holder_after(table, claim("d", "a1", key="k-1")) == "d"
         table.advance(RETENTION_US + 1, RETENTION_US)
         assert (table.records, table.tenant_records) == ({}, {})
 
 
-def test_what_is_held_is_known_without_a_log_entry_but_for_its_take_over_and_its_expiry():
+def test_a_held_key_needs_no_log_entry_except_for_a_take_over_or_possible_expiry():
     table = OperationTable()
     assert known_holder(table, claim("a"), 0) is None
     table.claim(claim("a"))
-    asked = [claim("a"), claim("b"), claim("b", "x")]
-    assert [known_holder(table, each, 0).attempt for each in asked] == ["a"] * 3
+    claims = [claim("a"), claim("b"), claim("b", "x")]
+    assert [known_holder(table, each, 0).attempt for each in claims] == ["a"] * 3
     assert known_holder(table, claim("b", "a"), 0) is None
     assert known_holder(table, claim("b"), 1) is None
 
 
-def test_malformed_claims_are_told_apart():
-    good = claim("a")
-    assert is_valid(good)
-    faults = [
+def test_malformed_claims_are_invalid():
+    valid_claim = claim("a")
+    assert is_valid(valid_claim)
+    invalid_fields = [
         {"key": ""},
         {"key": "é" * (MAX_KEY_BYTES // 2 + 1)},
         {"attempt": ""},
@@ -123,11 +124,11 @@
         {"owner": "nowhere"},
         {"owner": "h" * 64 + ":1"},
     ]
-    assert not any(is_valid(msgspec.structs.replace(good, **fault)) for fault in faults)
+    assert not any(is_valid(msgspec.structs.replace(valid_claim, **fields)) for fields in invalid_fields)
 
 
 def test_every_tenant_of_a_valid_configuration_may_claim():
-    names = [last * configuration.MAX_NAME_LENGTH for last in ("a", "\U0001f511")]
+    names = [character * configuration.MAX_NAME_LENGTH for character in ("a", "\U0001f511")]
     for name in names:
         configuration.Tenant(name)
         assert is_valid(claim("a", tenant=tenant_in_claim(name)))
