--- a/lapisgrade/gateway/membership/gossip.py
+++ b/lapisgrade/gateway/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Sends and receives the shuffles of a proxy's partial view: one socket for datagrams, one timer."""
+"""Sends and receives the shuffles of a proxy's partial view, with one UDP socket and one timer."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class Gossip:
-    """Drives one proxy's partial view from `open` to `close`."""
+    """Runs one proxy's partial view between `open` and `close`."""
 
     def __init__(
         self, name: str, partial_view: PartialView, now: Callable[[], int], log_line: Callable[[str], None]
@@ -25,12 +25,12 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def open(self, host: str, port: int) -> None:
-        """Receive datagrams there, and begin to send."""
+        """Bind the socket and start to send shuffles."""
         await self.udp.open(host, port)
         self._on_timer()
 
     def close(self) -> None:
-        """Stop."""
+        """Stop the timer and close the socket."""
         if self._timer is not None:
             self._timer.cancel()
         self.udp.close()
--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -1,12 +1,12 @@
-"""The proxies that a proxy knows without the controllers: a partial view, shuffled between neighbours. Pure.
+"""A partial view: the proxies that a proxy knows without the controllers. Pure.
 
-Cyclon (Voulgaris, Gavidia, van Steen, 2005): in each round the neighbour heard of longest ago is asked to
-exchange a few entries; it leaves the view as it is asked, so one that has terminated is forgotten, and comes
-back as somebody younger names it. The graph stays connected and like a random one, and a round costs each
-proxy the same however many they are.
+Cyclon (Voulgaris, Gavidia, van Steen, 2005): in each round, a proxy exchanges a few entries with its oldest
+neighbour and removes that one from its view. A terminated neighbour is thus dropped, and a live one returns
+with a newer entry from another proxy. The graph stays connected and close to random, and the cost of a round
+per proxy does not depend on the number of proxies.
 
-Each shuffle also carries the newest hint of who leads the controllers and where they are: where to ask, which
-the reply there proves or not, so that a lie costs one request. Times are in us.
+Each shuffle also carries the newest hint of the controllers' leader and addresses. A hint is only a place to
+send a request to: the reply confirms it, so a false hint costs one request. Times are in us.
 """
 
 import re
@@ -16,31 +16,40 @@
 
 from lapisgrade.gateway import SECOND
 
-MAX_VIEW_SIZE = 16  # neighbours in a view; twice the logarithm of some thousands
-SHUFFLE_ENTRIES = 6  # in one shuffle, one's own among them; a datagram holds them
+MAX_VIEW_SIZE = 16  # maximum neighbours in a view; twice the logarithm of a few thousand proxies
+SHUFFLE_ENTRIES = 6  # entries per shuffle, including the sender's own; they fit into one datagram
 SHUFFLE_INTERVAL_US = SECOND
-FAST_SHUFFLE_INTERVAL_US = SECOND // 5  # while the view is small, as after a start
-MIN_VIEW_SIZE = MAX_VIEW_SIZE // 2  # neighbours below which a view is small
-MAX_CONTROLLERS = 16  # addresses of controllers that a hint may name
-MAX_ZONE_LENGTH = 64  # characters
+FAST_SHUFFLE_INTERVAL_US = SECOND // 5  # interval while the view is small, as after a start
+MIN_VIEW_SIZE = MAX_VIEW_SIZE // 2  # a view with fewer neighbours is small
+MAX_CONTROLLERS = 16  # maximum controller addresses in a hint
+MAX_ZONE_LENGTH = 64  # maximum characters in a zone name
 _ADDRESS_PATTERN = re.compile(r"\d{1,3}(?:\.\d{1,3}){3}:\d{1,5}")
 
 
 def is_address(text: str) -> bool:
-    """Whether that is an IPv4 address and a port: requests are sent to what others name."""
+    """Return whether `text` is an IPv4 address and port.
+
+    Addresses come from other proxies, and requests are sent to them.
+    """
     return _ADDRESS_PATTERN.fullmatch(text) is not None and int(text.rpartition(":")[2]) < 65_536
 
 
 class Neighbour(msgspec.Struct, array_like=True, frozen=True):
-    """One entry of a view."""
+    """One entry of a view.
 
-    address: str  # where it receives other proxies' messages, datagrams as well
+    Attributes:
+        address: Address at which the neighbour receives messages and datagrams of other proxies.
+        zone: Zone of the neighbour.
+        age: Number of rounds since the neighbour itself sent the entry.
+    """
+
+    address: str
     zone: str
-    age: int = 0  # rounds since it said so itself
+    age: int = 0
 
 
 class ControlHint(msgspec.Struct, array_like=True, frozen=True):
-    """Who leads the controllers in which term, and where the controllers are."""
+    """The leader of the controllers in a term, and the addresses of the controllers."""
 
     term: int = 0
     leader: str = ""
@@ -48,7 +57,7 @@
 
 
 class Shuffle(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """Some neighbours of the sender, which wants some of the receiver's unless this is the reply already."""
+    """Some neighbours of the sender; unless it is a reply, the receiver replies with some of its own."""
 
     is_reply: bool
     control_hint: ControlHint
@@ -56,7 +65,7 @@
 
 
 class SendShuffle(msgspec.Struct, frozen=True):
-    """Send a shuffle to a neighbour."""
+    """Command to send a shuffle to a neighbour."""
 
     to: str
     message: Shuffle
@@ -65,8 +74,8 @@
 class PartialView:
     """One proxy's view.
 
-    It is driven by `on_timer` at `next_shuffle_us` or later and by `on_shuffle` for each shuffle received;
-    both return what is to be sent.
+    The caller calls `on_timer` at `next_shuffle_us` or later and `on_shuffle` for each received shuffle, and
+    sends the messages that they return.
     """
 
     def __init__(self, address: str, zone: str, random: Random, now_us: int) -> None:
@@ -76,23 +85,25 @@
         self.view: dict[str, Neighbour] = {}  # by address
         self.control_hint = ControlHint()
         self.next_shuffle_us = now_us + random.randrange(FAST_SHUFFLE_INTERVAL_US)
-        self._sent_addresses: list[
-            str
-        ] = []  # in the shuffle in progress: these make room for what comes back
+        # Entries sent in the current shuffle; those in the reply may replace them.
+        self._sent_addresses: list[str] = []
 
     def add_addresses(self, addresses: list[str]) -> None:
-        """Add some that likely live, as settings or controllers name them; partitions meet again by it."""
+        """Add addresses of proxies that are likely live, from the settings or the controllers.
+
+        After a network partition, this connects the views of the two sides again.
+        """
         for address in addresses:
             self._add(Neighbour(address, "", 1), [])
 
     def neighbours(self) -> list[str]:
-        """The addresses in the view."""
+        """Return the addresses in the view."""
         return list(self.view)
 
-    # ---- the hint of the controllers
+    # ---- hints of the controllers
 
     def on_control_hint(self, hint: ControlHint) -> None:
-        """Take in a hint, our own or a neighbour's; the newest term's is kept."""
+        """Process a hint from this proxy or a neighbour; the one with the newest term is kept."""
         is_older = hint.term < self.control_hint.term
         if is_older or not is_address(hint.leader) or len(hint.controllers) > MAX_CONTROLLERS:
             return
@@ -100,14 +111,14 @@
             self.control_hint = hint
 
     def discard_leader(self, address: str) -> None:
-        """Nobody leads there: the hint was old, or a lie, and the next one of any term counts again."""
+        """Drop a hint whose address is not the leader: it was outdated or false. Accept any term next."""
         if address == self.control_hint.leader:
             self.control_hint = ControlHint(0, "", self.control_hint.controllers)
 
     # ---- shuffles
 
     def on_timer(self, now_us: int) -> list[SendShuffle]:
-        """Begin a shuffle with the oldest neighbour, where it is time."""
+        """Start a shuffle with the oldest neighbour if it is due."""
         if now_us < self.next_shuffle_us:
             return []
         interval_us = SHUFFLE_INTERVAL_US if len(self.view) >= MIN_VIEW_SIZE else FAST_SHUFFLE_INTERVAL_US
@@ -123,23 +134,23 @@
         return [SendShuffle(oldest.address, Shuffle(False, self.control_hint, [own_entry, *sample]))]
 
     def on_shuffle(self, source: str, shuffle: Shuffle) -> list[SendShuffle]:
-        """Take in a neighbour's entries, and answer with ours; entries out of bounds are ignored."""
+        """Process a neighbour's entries and reply with ours; entries out of bounds are ignored."""
         self.on_control_hint(shuffle.control_hint)
-        answer, sent = [], self._sent_addresses
+        replies, sent = [], self._sent_addresses
         if not shuffle.is_reply:
             sample = self._sample(SHUFFLE_ENTRIES, source)
-            answer = [SendShuffle(source, Shuffle(True, self.control_hint, sample))]
+            replies = [SendShuffle(source, Shuffle(True, self.control_hint, sample))]
             sent = [neighbour.address for neighbour in sample]
         for neighbour in shuffle.updates[:SHUFFLE_ENTRIES]:
             self._add(neighbour, sent)
-        return answer
+        return replies
 
     def _sample(self, count: int, excluded: str) -> list[Neighbour]:
         others = [neighbour for neighbour in self.view.values() if neighbour.address != excluded]
         return self._random.sample(others, min(count, len(others)))
 
     def _add(self, neighbour: Neighbour, sent: list[str]) -> None:
-        """Add an entry to the view; those that were `sent` away, then older ones, make room for it."""
+        """Add an entry to the view; if it is full, evict an entry in `sent`, else an older one."""
         if not self._is_acceptable(neighbour):
             return
         known = self.view.get(neighbour.address)
@@ -148,10 +159,10 @@
                 self.view[neighbour.address] = neighbour
             return
         if len(self.view) >= MAX_VIEW_SIZE:
-            replaced = self._address_to_evict(neighbour, sent)
-            if replaced is None:
+            evicted = self._address_to_evict(neighbour, sent)
+            if evicted is None:
                 return
-            del self.view[replaced]
+            del self.view[evicted]
         self.view[neighbour.address] = neighbour
 
     def _is_acceptable(self, neighbour: Neighbour) -> bool:
@@ -160,9 +171,9 @@
         return len(neighbour.zone) <= MAX_ZONE_LENGTH and neighbour.age >= 0
 
     def _address_to_evict(self, neighbour: Neighbour, sent: list[str]) -> str | None:
-        """The address that makes room for a neighbour in a full view; None where all are younger."""
-        exchanged = next((address for address in sent if address in self.view), None)
-        if exchanged is not None:
-            return exchanged
+        """Return the address to evict from a full view for a neighbour; None if no entry is older."""
+        exchanged_address = next((address for address in sent if address in self.view), None)
+        if exchanged_address is not None:
+            return exchanged_address
         oldest = max(self.view.values(), key=lambda other: other.age)
         return oldest.address if oldest.age > neighbour.age else None
--- a/lapisgrade/gateway/membership/subsets.py
+++ b/lapisgrade/gateway/membership/subsets.py
@@ -1,11 +1,11 @@
-"""Which proxies report their load to each other, and which servers they prefer (subsetting). Pure.
+"""Subsetting: groups of proxies that report their load to each other and prefer the same servers. Pure.
 
-The proxies of one zone are divided into subsets of a few, the zone's servers are shared out among the
-subsets, and the proxies of a subset tell each other how many requests each has in flight at each server.
+The proxies of one zone are divided into small subsets, and the zone's servers are divided among the subsets.
+The proxies of a subset report to each other how many requests each has in flight at each server.
 
-So each proxy sees nearly all requests at the servers that it prefers, and the reports stay in the zone and do
-not grow with the fleet. All proxies divide the same list of live proxies in the same way (by hash), so no
-subset need be announced.
+Each proxy thus knows of nearly all requests at the servers that it prefers, while the reports stay within the
+zone and do not grow with the fleet. All proxies divide the same membership in the same way (by hash), so
+subsets need not be announced.
 """
 
 import functools
@@ -14,35 +14,35 @@
 
 import msgspec
 
-MAX_SUBSET_PROXIES = 6  # proxies that report to each other
-REPORT_TTL_US = 1_500_000  # that a neighbour's report holds
-REPORT_INTERVAL_US = 700_000  # after which an unchanged report is sent again
-MAX_UNHEALTHY_SERVERS = 64  # that one neighbour's report may name
-MAX_REPORTED_SERVERS = 4096  # whose load one neighbour's report may name
-MIN_UNHEALTHY_REPORTS = 2  # neighbours that must report a server; a lone one says nothing
+MAX_SUBSET_PROXIES = 6  # maximum number of proxies in a subset
+REPORT_TTL_US = 1_500_000  # validity of a neighbour's report
+REPORT_INTERVAL_US = 700_000  # interval at which an unchanged report is sent again
+MAX_UNHEALTHY_SERVERS = 64  # maximum unhealthy servers in one report
+MAX_REPORTED_SERVERS = 4096  # maximum servers with load in one report
+MIN_UNHEALTHY_REPORTS = 2  # neighbours that must report a server as unhealthy; fewer are ignored
 
 
 def rank(name: str) -> bytes:
-    """A name's place in an order that is the same at all proxies and says nothing of the name."""
+    """Return a sort key that is the same at all proxies and independent of the name's spelling."""
     return blake2b(name.encode(), digest_size=8).digest()
 
 
 @functools.lru_cache(maxsize=4096)
 def preferences(name: str, count: int) -> tuple[int, ...]:
-    """The subsets 0 to `count` - 1, the one that this name prefers first."""
+    """Return the subsets 0 to `count` - 1 in the order in which this name prefers them."""
     return tuple(sorted(range(count), key=lambda index: rank(f"{name} {index}")))
 
 
 def assign(names: list[str], count: int) -> list[list[str]]:
-    """Share names out evenly among `count` subsets.
+    """Assign names evenly to `count` subsets.
 
-    The result is the same at all proxies, and one name more or fewer moves few of the others: each goes to
-    the subset that it prefers and that has room (consistent hashing with bounded loads: Mirrokni, Thorup,
-    Zadimoghaddam, 2018). Guards the connections that proxies keep: with shares cut anew at each server's
-    coming or going, nearly all of them were others' after it.
+    The result is the same at all proxies, and one name more or fewer moves few of the others: each name goes
+    to the first subset in its preferences that has capacity (consistent hashing with bounded loads: Mirrokni,
+    Thorup, Zadimoghaddam, 2018). This preserves the proxies' connections: when the shares were computed from
+    scratch at each change of servers, nearly all servers moved to other subsets.
     """
     subsets: list[list[str]] = [[] for _ in range(count)]
-    capacity, larger = divmod(len(names), count)  # so many subsets may hold one name more
+    capacity, larger = divmod(len(names), count)  # `larger` subsets may have one more name
     for name in sorted(names, key=rank):
         for index in preferences(name, count):
             size = len(subsets[index])
@@ -54,62 +54,68 @@
 
 
 def divide(names: list[str]) -> list[list[str]]:
-    """Divide proxies evenly into as few subsets as have `MAX_SUBSET_PROXIES` at most."""
+    """Divide proxies evenly into the fewest subsets with at most `MAX_SUBSET_PROXIES` each."""
     return assign(names, -(-len(names) // MAX_SUBSET_PROXIES)) if names else []
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """What one neighbour has reported."""
+    """The last report of one neighbour.
+
+    Attributes:
+        received_us: When the report arrived.
+        in_flight: Requests in flight by server.
+        unhealthy: Servers that are unhealthy for the neighbour.
+    """
 
     received_us: int
-    in_flight: dict[str, int]  # requests by server
-    unhealthy: frozenset[str]  # servers that answer it badly
+    in_flight: dict[str, int]
+    unhealthy: frozenset[str]
 
 
 class Subsets:
-    """One proxy's subset, and what its neighbours in it report."""
+    """One proxy's subset and the reports of its neighbours in it."""
 
     def __init__(self, name: str, zone: str) -> None:
         self.name = name
         self.zone = zone
         self.neighbours: dict[str, str] = {}  # address by name
-        self.index = 0  # which subset of the zone's is this proxy's
-        self.count = 1  # subsets of the zone
-        self.revision = 0  # of the membership that the subsets were divided by
+        self.index = 0  # index of this proxy's subset in its zone
+        self.count = 1  # number of subsets in the zone
+        self.revision = 0  # incremented at each update of the membership
         self._reports: dict[str, LoadReport] = {}  # by neighbour
 
     def update_members(self, live_proxies: dict[str, tuple[str, str, str]]) -> None:
-        """Divide a newer list of live proxies."""
+        """Divide a newer membership of live proxies into subsets."""
         self.revision += 1
         subsets = divide([name for name, member in live_proxies.items() if member[2] == self.zone])
         self.index, self.count = 0, max(1, len(subsets))
-        own: list[str] = []
+        own_subset: list[str] = []
         for index, names in enumerate(subsets):
             if self.name in names:
-                self.index, own = index, names
-        self.neighbours = {name: live_proxies[name][0] for name in own if name != self.name}
+                self.index, own_subset = index, names
+        self.neighbours = {name: live_proxies[name][0] for name in own_subset if name != self.name}
         self._reports = {name: report for name, report in self._reports.items() if name in self.neighbours}
 
     def on_load_report(
         self, now_us: int, sender: str, in_flight: dict[str, int], unhealthy: Sequence[str] = ()
     ) -> None:
-        """Take in a neighbour's report; anybody else's is not kept."""
+        """Store a neighbour's report; reports of other proxies are ignored."""
         if sender in self.neighbours and len(in_flight) <= MAX_REPORTED_SERVERS:
             unhealthy_servers = frozenset(unhealthy[:MAX_UNHEALTHY_SERVERS])
             self._reports[sender] = LoadReport(now_us, in_flight, unhealthy_servers)
 
     def assigned_servers(self, servers: list[str]) -> set[str]:
-        """Those of the zone's servers that are this subset's."""
+        """Return the servers of the zone that are assigned to this subset."""
         return set(assign(servers, self.count)[self.index])
 
     def is_load_known(self, now_us: int) -> bool:
-        """Whether all neighbours have reported of late: what is not reported is not there."""
+        """Return whether all neighbours have valid reports, so that a server that none lists is idle."""
         if not self.neighbours or not self._reports.keys() >= self.neighbours.keys():
             return False
         return all(now_us - report.received_us < REPORT_TTL_US for report in self._reports.values())
 
     def in_flight(self, now_us: int, server: str) -> int:
-        """Requests that the neighbours have in flight at a server."""
+        """Return the number of requests that the neighbours have in flight at a server."""
         return sum(
             report.in_flight.get(server, 0)
             for report in self._reports.values()
@@ -117,9 +123,9 @@
         )
 
     def unhealthy_reports(self, now_us: int, server: str) -> int:
-        """How many neighbours report that a server answers them badly.
+        """Return the number of neighbours that report a server as unhealthy.
 
-        One alone counts as none (guards against a lie, and against a server that is bad for one caller only).
+        A single report counts as none: it may be false, or the server may be unhealthy for one caller only.
         """
         count = sum(
             server in report.unhealthy
