--- a/lapisgrade/gateway/membership/subsets.py
+++ b/lapisgrade/gateway/membership/subsets.py
@@ -109,7 +109,10 @@
         return set(assign(servers, self.count)[self.index])
 
     def is_load_known(self, now_us: int) -> bool:
-        """Return whether all neighbours have valid reports, so that a server that none lists is idle."""
+        """Return whether all neighbours have valid reports.
+
+        A server that is missing from a valid report has no requests in flight from that neighbour.
+        """
         if not self.neighbours or not self._reports.keys() >= self.neighbours.keys():
             return False
         return all(now_us - report.received_us < REPORT_TTL_US for report in self._reports.values())
--- a/lapisgrade/gateway/quota/count.py
+++ b/lapisgrade/gateway/quota/count.py
@@ -14,7 +14,7 @@
 
 # Duration of a lease; long enough for an election of the controllers' leader.
 LEASE_US = 3 * SECOND
-# Maximum fraction of the capacity that all leases together hold, whatever their age; set by the design.
+# Maximum fraction of the capacity that all leases together hold, however long they last; set by the design.
 MAX_LEASED_FRACTION = 0.5
 # A quota client counts as a lessee of the tenant until this time after its last lease.
 LESSEE_EXPIRY_US = LEASE_US + SECOND
@@ -59,7 +59,7 @@
 
     @classmethod
     def full(cls, now_us: int, rate: float, burst: float) -> "Count":
-        """Return a full count with nothing reserved, for a tenant that has never leased units."""
+        """Return a full count with nothing reserved; no units of it have ever been leased."""
         count = cls(now_us - LEASE_US, rate, burst)
         count.bucket.set_level(now_us, count.bucket.burst)
         count.first_request_us = now_us
--- a/lapisgrade/gateway/quota/owner.py
+++ b/lapisgrade/gateway/quota/owner.py
@@ -63,8 +63,8 @@
         if update.fencing_token <= ownership.fencing_token:
             return
         if ownership.epochs and not ownership.follows(update):
-            # Under a missed membership, another proxy may have owned a count that is stored here. Otherwise a
-            # proxy that was partitioned off would grant units that its count accumulated in that time.
+            # Under a missed membership, another proxy may have owned a count that is stored here. If kept, it
+            # would have refilled during a partition while that proxy granted the same units.
             self.counts.clear()
         ownership.advance(now_us, update)
         self._hand_over.on_new_epoch()
