--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -26,28 +26,28 @@
 
 
 def _any_fence(
-    self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
+    self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, lease_expires_us: int
 ) -> rpc_messages.QuotaReply:
     """What was asked for under another list counts as well, and an owner that was cut off grants on."""
     return _add(self, now_us, msgspec.structs.replace(ask, fencing_token=self.fencing_token), FOREVER)
 
 
 def _never_expires(
-    self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
+    self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, lease_expires_us: int
 ) -> rpc_messages.QuotaReply:
     """An owner that was cut off grants on."""
     return _add(self, now_us, ask, FOREVER)
 
 
 def _asks_nobody(
-    self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, acts_until_us: int
+    self: QuotaOwner, now_us: int, ask: rpc_messages.QuotaRequest, lease_expires_us: int
 ) -> rpc_messages.QuotaReply:
     """A new owner waits for nobody's word."""
     if self.owns(ask.tenant) and self.predecessor(now_us, ask.tenant):
         empty = rpc_messages.HandedCount(0.0, 0.0, count.LEASE_US)
         wants = rpc_messages.HandOverRequest(ask.tenant, self.name, self.fencing_token, ask.rate, ask.burst)
         self.on_hand_over_reply(now_us, wants, rpc_messages.HandOverReply(False, empty), "")
-    return _add(self, now_us, ask, acts_until_us)
+    return _add(self, now_us, ask, lease_expires_us)
 
 
 def _forgets_last_incarnation(self: QuotaOwner, now_us: int, update: MembershipUpdate) -> None:
--- a/lapisgrade/lab/explore/quota_limiter.py
+++ b/lapisgrade/lab/explore/quota_limiter.py
@@ -50,7 +50,7 @@
         """Begin a new incarnation, which owns nothing."""
         now = self.world.sim.now
         self.clock = Clock(now)
-        self.acts_until_us = 0  # as an owner
+        self.lease_expires_us = 0  # as an owner
         self.engine = Engine(self, self.clock)
         super().start()
         self.quota_owner = QuotaOwner(self.name, str(self.incarnation), now)
@@ -64,7 +64,7 @@
             return
         self.quota_owner.on_watch_reply(self.world.sim.now, reply)
         if reply.fencing_token == self.quota_owner.fencing_token:
-            self.acts_until_us = call.sent_us + OWNERSHIP_LEASE_US
+            self.lease_expires_us = call.sent_us + OWNERSHIP_LEASE_US
             self.clock.now_us = self.world.sim.now
             self.quota_client.set_limiter_count(len(self.quota_owner.proxies))
 
@@ -184,7 +184,7 @@
 
     def add(self, request: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
         """Add to the count that this limiter owns."""
-        reply = self.quota_owner.add(self.world.sim.now, request, self.acts_until_us)
+        reply = self.quota_owner.add(self.world.sim.now, request, self.lease_expires_us)
         if reply.is_accepted:
             self.world.on_granted(self.name, self.quota_owner.fencing_token)
         return reply
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -144,9 +144,9 @@
         add = owner.add
 
         def checked_add(
-            now_us: int, request: rpc_messages.QuotaRequest, acts_until_us: int
+            now_us: int, request: rpc_messages.QuotaRequest, lease_expires_us: int
         ) -> rpc_messages.QuotaReply:
-            reply = add(now_us, request, acts_until_us)
+            reply = add(now_us, request, lease_expires_us)
             if reply.is_accepted:
                 self._on_counter_added(owner)
             return reply
