--- a/tests/gateway/proxy/test_host.py
+++ b/tests/gateway/proxy/test_host.py
@@ -1,4 +1,4 @@
-"""What the proxy's host makes of how attempts end."""
+"""Conversion of closed attempts into outcomes by the proxy's host."""
 
 from types import SimpleNamespace
 
@@ -14,11 +14,11 @@
     ("is_idempotent", "outcome"),
     [(True, AttemptOutcome.CONNECT_FAILED), (False, AttemptOutcome.CONNECTION_LOST)],
 )
-def test_a_partly_written_request_that_may_run_once_may_have_run(
+def test_an_incomplete_write_counts_as_connection_lost_for_a_non_idempotent_request(
     is_idempotent: bool, outcome: AttemptOutcome
 ) -> None:
-    ended: list[AttemptOutcome] = []
-    policy = SimpleNamespace(on_attempt_finished=lambda _, result: ended.append(result.outcome))
+    outcomes: list[AttemptOutcome] = []
+    policy = SimpleNamespace(on_attempt_finished=lambda _, result: outcomes.append(result.outcome))
     host = ProxyHost(lambda clock: policy, lambda: 0, print, SimpleNamespace())
     host.on_load_change = lambda: None
     host.engine = SimpleNamespace(attempt_finished=lambda attempt, result: None)
@@ -27,4 +27,4 @@
     )
     attempt = SimpleNamespace(operation=request, sent_us=0)
     host._on_attempt_closed(AttemptClosed(attempt, CloseReason.INCOMPLETE_WRITE, None))
-    assert ended == [outcome]
+    assert outcomes == [outcome]
--- a/tests/gateway/proxy/test_keyed_operations.py
+++ b/tests/gateway/proxy/test_keyed_operations.py
@@ -1,4 +1,4 @@
-"""One run for each operation key, on sockets: three machines, and repeats through any of them."""
+"""Each operation key runs once, on sockets: a cluster of three machines with repeats through any of them."""
 
 import asyncio
 import contextlib
@@ -18,27 +18,27 @@
 KEYED = copy.deepcopy(SAMPLE)
 KEYED["Ports"][0]["Policy"][1]["Mode"] = "keyed"
 KEYED["Ports"][0]["Policy"][1]["Action"]["Timeout"] = "6000ms"
-PATIENT = {"Deadline-Ms": "6000"}
-HASTY = {"Deadline-Ms": "2000"}
+LONG_DEADLINE = {"Deadline-Ms": "6000"}
+SHORT_DEADLINE = {"Deadline-Ms": "2000"}
 
 
 @contextlib.asynccontextmanager
-async def keyed_cluster(work: float = 0.01) -> AsyncIterator[LocalCluster]:
-    """A cluster whose route /claim/ is keyed, and one server that works so many seconds on each request."""
-    async with serving_cluster(KEYED, work=work) as site:
+async def keyed_cluster(work_s: float = 0.01) -> AsyncIterator[LocalCluster]:
+    """A cluster with a keyed route /claim/ and one server that takes `work_s` seconds per request."""
+    async with serving_cluster(KEYED, work=work_s) as site:
         yield site
 
 
-async def claim(site: LocalCluster, machine: str, key: str, **more: str) -> Message:
-    """The answer to a request that bears the key, at the proxy of that machine."""
-    return await site.get(machine, "/claim/1", KEY, method="POST", **{"Op-Key": key, **more})
+async def claim(site: LocalCluster, machine: str, key: str, **options: str) -> Message:
+    """Return the response of a machine's proxy to a request with the operation key."""
+    return await site.get(machine, "/claim/1", KEY, method="POST", **{"Op-Key": key, **options})
 
 
 def status(message: Message) -> int:
     return message.head.status_code
 
 
-def runs(site: LocalCluster) -> int:
+def run_count(site: LocalCluster) -> int:
     return sum(each.ran.total() for each in site.servers.values())
 
 
@@ -50,35 +50,35 @@
             assert (status(repeat), b"".join(repeat.body)) == (200, b"".join(first.body))
             assert repeat.headers()[b"server-seal"] == first.headers()[b"server-seal"]
             assert repeat.headers()[b"try-id"] == f"repeat-{number}".encode()
-        assert runs(site) == 1
+        assert run_count(site) == 1
         await claim(site, "m2", "k2")
-        assert runs(site) == 2
+        assert run_count(site) == 2
 
 
 async def test_repeats_meanwhile_wait_for_the_first_or_are_told_that_it_runs() -> None:
-    async with keyed_cluster(work=4.0) as site:
-        first = asyncio.create_task(claim(site, "m1", "k", **PATIENT))
+    async with keyed_cluster(work_s=4.0) as site:
+        first = asyncio.create_task(claim(site, "m1", "k", **LONG_DEADLINE))
         await site.until(lambda: site.servers["i-1"].running)
-        hasty = [claim(site, machine, "k", **HASTY) for machine in site.names]
-        patient = [claim(site, machine, "k", **PATIENT) for machine in site.names * 2]
-        found = [status(each) for each in await asyncio.gather(*hasty, first, *patient)]
-        assert (found, runs(site)) == ([409] * 3 + [200] * 7, 1)
+        short_requests = [claim(site, machine, "k", **SHORT_DEADLINE) for machine in site.names]
+        long_requests = [claim(site, machine, "k", **LONG_DEADLINE) for machine in site.names * 2]
+        statuses = [status(each) for each in await asyncio.gather(*short_requests, first, *long_requests)]
+        assert (statuses, run_count(site)) == ([409] * 3 + [200] * 7, 1)
 
 
-async def test_a_servers_failure_is_the_operations_answer_and_a_lost_connection_is_unknown() -> None:
+async def test_repeats_get_a_servers_error_response_and_502_after_a_lost_connection() -> None:
     async with keyed_cluster() as site:
         server = site.servers["i-1"]
         for manner, expected in (("failing", 500), ("cut", 502)):
             server.manner = manner
             assert status(await claim(site, "m1", manner)) == expected
             server.manner = ""
-            found = [status(await claim(site, machine, manner)) for machine in site.names]
-            assert found == [expected] * 3
-        assert runs(site) == 2
+            statuses = [status(await claim(site, machine, manner)) for machine in site.names]
+            assert statuses == [expected] * 3
+        assert run_count(site) == 2
 
 
-async def test_a_run_ends_without_its_client_and_a_shutdown_waits_for_it() -> None:
-    async with keyed_cluster(work=0.8) as site:
+async def test_a_run_completes_after_its_client_disconnects_and_shutdown_waits_for_it() -> None:
+    async with keyed_cluster(work_s=0.8) as site:
         proxy, server = site.proxies["m1"], site.servers["i-1"]
         first = asyncio.create_task(claim(site, "m1", "k"))
         await site.until(lambda: server.running)
@@ -91,35 +91,35 @@
         ):
             proxy.end()
             repeat = await claim(site, "m2", "k")
-        assert (status(repeat), runs(site), server.dropped) == (200, 1, {})
+        assert (status(repeat), run_count(site), server.dropped) == (200, 1, {})
 
 
-async def test_a_key_whose_proxy_was_restarted_is_not_run_again() -> None:
+async def test_a_key_is_not_run_again_after_its_proxy_was_restarted() -> None:
     async with keyed_cluster() as site:
         await claim(site, "m1", "k")
         await site.kill(site.proxies["m1"])
         await site.start_proxy("m1")
         await site.until(lambda: site.proxies["m1"].ready)
         assert [status(await claim(site, machine, "k")) for machine in site.names] == [502] * 3
-        assert runs(site) == 1
+        assert run_count(site) == 1
 
 
-async def test_a_claim_is_recorded_by_the_next_leader() -> None:
+async def test_a_claim_after_the_loss_of_a_leader_is_recorded_by_the_next_one() -> None:
     async with keyed_cluster() as site:
         await claim(site, "m1", "before")
         await site.kill(next(each for each in site.controllers.values() if each.node.is_leader))
         during = await claim(site, "m1", "during")
         assert status(during) == 200
         assert [status(await claim(site, "m2", key)) for key in ("before", "during")] == [200, 200]
-        assert runs(site) == 2
+        assert run_count(site) == 2
 
 
-async def test_without_a_leader_nothing_runs() -> None:
+async def test_without_a_leader_a_keyed_request_is_answered_503_and_does_not_run() -> None:
     async with keyed_cluster() as site:
         for each in list(site.controllers.values())[:2]:
             await site.kill(each)
         refused = await claim(site, "m1", "k", tries=1)
-        assert (status(refused), b"retry-after" in refused.headers(), runs(site)) == (503, True, 0)
+        assert (status(refused), b"retry-after" in refused.headers(), run_count(site)) == (503, True, 0)
 
 
 @pytest.mark.parametrize("keys", [[], [""], ["a", "b"], ["x" * (MAX_KEY_BYTES + 1)]])
@@ -133,14 +133,14 @@
         )
         assert (await reader.readline()).startswith(b"HTTP/1.1 400 ")
         writer.close()
-        assert runs(site) == 0
+        assert run_count(site) == 0
 
 
-async def test_a_key_names_one_operation_also_where_the_route_is_not_keyed_yet() -> None:
-    async with serving_cluster(SAMPLE, work=0.01) as site:  # its /claim/ is of mode mutate
+async def test_a_mutate_request_with_a_valid_key_runs_once() -> None:
+    async with serving_cluster(SAMPLE, work=0.01) as site:  # its route /claim/ has mode mutate
         first = await claim(site, "m1", "k", id="first")
         repeat = await claim(site, "m2", "k", id="repeat")
         assert repeat.headers()[b"server-seal"] == first.headers()[b"server-seal"]
-        assert runs(site) == 1
-        long = await claim(site, "m1", "k" * (MAX_KEY_BYTES + 1))
-        assert status(long) == 200  # as a request without a key
+        assert run_count(site) == 1
+        oversized = await claim(site, "m1", "k" * (MAX_KEY_BYTES + 1))
+        assert status(oversized) == 200  # treated as a request without a key
--- a/tests/gateway/proxy/test_operation_transport.py
+++ b/tests/gateway/proxy/test_operation_transport.py
@@ -1,4 +1,4 @@
-"""Claims while leaders come and go, and what proxies ask each other, with a network made up by the test."""
+"""Claims during leader changes and outcome queries between proxies, on a simulated network."""
 
 import asyncio
 from collections.abc import Iterator
@@ -22,31 +22,31 @@
 from lapisgrade.gateway.proxy.operation_transport import OperationTransport
 from lapisgrade.gateway.routing.keyed_request import ClaimKey, FetchOutcome
 
-ME, OTHER = "10.0.0.9:1", "10.0.0.8:1"
+OWN_ADDRESS, OTHER_ADDRESS = "10.0.0.9:1", "10.0.0.8:1"
 A, B, C = (f"10.0.0.{number}:1" for number in (1, 2, 3))
-CLAIM = Claim("t", "k", "mine-1", ME)
-GRANTED = rpc_messages.ClaimReply(True, "mine-1", ME)
+CLAIM = Claim("t", "k", "mine-1", OWN_ADDRESS)
+GRANTED = rpc_messages.ClaimReply(True, "mine-1", OWN_ADDRESS)
 ANSWER = Outcome(OutcomeState.ANSWERED, 200, b"", b"x")
 
 
 class Network:
-    """A proxy's transport, and what each address replies: a message, or None for silence."""
+    """A proxy's transport with the reply of each address: a message, or None for no reply."""
 
     def __init__(self) -> None:
         self.context = ProxyContext(SimpleNamespace(), Random(1), now_us)
         self.replies: dict[str, object] = {}
-        self.called: list[str] = []
-        self.failure = CallFailure.MAY_HAVE_RUN  # of calls to addresses that have no reply
+        self.called_addresses: list[str] = []
+        self.failure = CallFailure.MAY_HAVE_RUN  # result of calls to addresses without a reply
         watch_target = SimpleNamespace(leader=A, seeds=[A, B, C], controllers=[])
         claims = ClaimClient(self.context, self, ClaimTarget(Random(1), watch_target))
-        self.attempts = OperationAttempts(ME, "mine", 60 * SECOND)
+        self.attempts = OperationAttempts(OWN_ADDRESS, "mine", 60 * SECOND)
         self.results: list[object] = []
         host = SimpleNamespace(enqueue=lambda event: self.results.append(event.result))
         self.transport = OperationTransport(self.context, host, self, claims, self.attempts)
 
     async def call(self, to, message, timeout_s):
         address = f"{to[0]}:{to[1]}"
-        self.called.append(address)
+        self.called_addresses.append(address)
         if address not in self.replies:
             await asyncio.sleep(0)
             return Failure(self.failure)
@@ -55,79 +55,85 @@
         return Success(reply) if reply is not None else Failure(self.failure)
 
     async def result_of(self, call) -> object:
-        """What the host is told of a call."""
+        """Return the result of a call that is enqueued at the host."""
         self.results.clear()
         self.transport.call(None, call)
         while not self.results:
             await asyncio.sleep(0.001)
         return self.results[0]
 
-    async def claim(self, within_s: float = 1.0) -> object:
-        return await self.result_of(ClaimKey(CLAIM, now_us() + int(within_s * SECOND)))
+    async def claim(self, timeout_s: float = 1.0) -> object:
+        return await self.result_of(ClaimKey(CLAIM, now_us() + int(timeout_s * SECOND)))
 
-    async def fetch(self, attempt: str, owner: str, within_s: float = 0.5) -> object:
-        return await self.result_of(FetchOutcome(attempt, owner, now_us() + int(within_s * SECOND)))
+    async def fetch(self, attempt: str, owner: str, timeout_s: float = 0.5) -> object:
+        return await self.result_of(FetchOutcome(attempt, owner, now_us() + int(timeout_s * SECOND)))
 
 
 @pytest.fixture
 def network() -> Iterator[Network]:
-    made = Network()
-    yield made
-    made.transport.close()
+    instance = Network()
+    yield instance
+    instance.transport.close()
 
 
 async def test_a_claim_follows_the_leader_that_a_controller_names(network: Network) -> None:
     network.replies = {A: rpc_messages.ClaimReply(False, leader_address=B), B: GRANTED}
-    assert await network.claim() == ClaimResult("mine-1", ME)
-    assert await network.claim() == ClaimResult("mine-1", ME)
-    assert network.called == [A, B, B]
+    assert await network.claim() == ClaimResult("mine-1", OWN_ADDRESS)
+    assert await network.claim() == ClaimResult("mine-1", OWN_ADDRESS)
+    assert network.called_addresses == [A, B, B]
 
 
-async def test_a_claim_is_answered_by_another_controller_while_the_first_is_silent(network: Network) -> None:
+async def test_a_claim_is_answered_by_another_controller_while_the_first_does_not_reply(
+    network: Network,
+) -> None:
     network.replies = {A: None, B: GRANTED, C: rpc_messages.ClaimReply(False, leader_address=B)}
-    began_us = now_us()
-    assert await network.claim() == ClaimResult("mine-1", ME)
-    assert now_us() - began_us < 2.5 * HEDGE_DELAY_S * SECOND
-    assert network.called.count(A) == 1
-
-
-async def test_a_claim_that_no_controller_answers_ends_in_time_with_few_calls(network: Network) -> None:
-    for network.replies, most in (({A: None, B: None, C: None}, 3), ({}, 20)):
-        network.called.clear()
-        began_us = now_us()
-        assert await network.claim(within_s=0.3) is None
-        assert 0.25 < (now_us() - began_us) / SECOND < 0.6
-        assert 0 < len(network.called) <= most
+    started_us = now_us()
+    assert await network.claim() == ClaimResult("mine-1", OWN_ADDRESS)
+    assert now_us() - started_us < 2.5 * HEDGE_DELAY_S * SECOND
+    assert network.called_addresses.count(A) == 1
+
+
+async def test_an_unanswered_claim_times_out_after_a_bounded_number_of_calls(network: Network) -> None:
+    for network.replies, max_calls in (({A: None, B: None, C: None}, 3), ({}, 20)):
+        network.called_addresses.clear()
+        started_us = now_us()
+        assert await network.claim(timeout_s=0.3) is None
+        assert 0.25 < (now_us() - started_us) / SECOND < 0.6
+        assert 0 < len(network.called_addresses) <= max_calls
     assert network.context.metrics.claims_unanswered == 2
 
 
-async def test_an_outcome_is_fetched_again_where_a_connection_fails(network: Network) -> None:
-    network.replies = {OTHER: rpc_messages.OutcomeReply(ANSWER)}
-    assert await network.fetch("its-1", OTHER) == ANSWER
-    network.replies, network.called[:] = {}, []
-    assert await network.fetch("its-1", OTHER) == UNKNOWN
-    assert 1 < len(network.called) <= operation_transport.FETCH_ATTEMPTS
+async def test_an_outcome_query_is_retried_a_bounded_number_of_times_after_connection_failures(
+    network: Network,
+) -> None:
+    network.replies = {OTHER_ADDRESS: rpc_messages.OutcomeReply(ANSWER)}
+    assert await network.fetch("its-1", OTHER_ADDRESS) == ANSWER
+    network.replies, network.called_addresses[:] = {}, []
+    assert await network.fetch("its-1", OTHER_ADDRESS) == UNKNOWN
+    assert 1 < len(network.called_addresses) <= operation_transport.FETCH_ATTEMPTS
     assert await network.fetch("its-1", "no address") == UNKNOWN
 
 
 @pytest.mark.parametrize("is_remote", [False, True])
-async def test_the_end_of_a_running_attempt_is_waited_for(network: Network, is_remote: bool) -> None:
-    async def ask(attempt: str, within_s: float) -> object:
+async def test_an_outcome_query_waits_for_a_running_attempt_to_finish(
+    network: Network, is_remote: bool
+) -> None:
+    async def query(attempt: str, timeout_s: float) -> object:
         if not is_remote:
-            return await network.fetch(attempt, ME, within_s)
-        request = rpc_messages.OutcomeRequest(attempt, int(within_s * SECOND))
+            return await network.fetch(attempt, OWN_ADDRESS, timeout_s)
+        request = rpc_messages.OutcomeRequest(attempt, int(timeout_s * SECOND))
         return (await network.transport.answer_outcome(request)).outcome
 
     for outcome in (ANSWER, NOT_RUN):
         attempt = network.attempts.begin(now_us())
-        assert await ask(attempt, 0.05) == RUNNING
+        assert await query(attempt, 0.05) == RUNNING
         asyncio.get_running_loop().call_later(0.05, network.attempts.finish, now_us(), attempt, outcome)
-        assert await ask(attempt, 5.0) == outcome
-    assert await ask("of an earlier process", 5.0) == UNKNOWN
+        assert await query(attempt, 5.0) == outcome
+    assert await query("of an earlier process", 5.0) == UNKNOWN
     assert network.transport._waiters == {}
 
 
-async def test_what_others_may_make_a_proxy_hold_is_bounded(network: Network) -> None:
+async def test_the_number_of_waiting_outcome_queries_is_bounded(network: Network) -> None:
     attempt = network.attempts.begin(now_us())
     request = rpc_messages.OutcomeRequest(attempt, 1 << 62)
     with mock.patch.object(operation_transport, "MAX_WAITING_REPLIES", 2):
@@ -138,19 +144,19 @@
     assert [reply.outcome for reply in await asyncio.gather(*waiting)] == [ANSWER, ANSWER]
 
 
-async def test_too_many_calls_at_once_are_refused(network: Network) -> None:
+async def test_calls_beyond_the_limit_are_rejected(network: Network) -> None:
     network.replies = {A: None, B: None, C: None}
     with mock.patch.object(operation_transport, "MAX_CALLS", 1):
         network.transport.call(None, ClaimKey(CLAIM, now_us() + SECOND))
         assert await network.claim() == ClaimResult()
         attempt = network.attempts.begin(now_us())
         network.transport.call(None, FetchOutcome(attempt, network.attempts.address, now_us() + SECOND))
-        assert await network.fetch("its-1", OTHER) is None
+        assert await network.fetch("its-1", OTHER_ADDRESS) is None
 
 
-async def test_repeats_that_wait_keep_no_claim_out(network: Network) -> None:
+async def test_waiting_outcome_queries_do_not_block_claims(network: Network) -> None:
     network.replies = {A: GRANTED}
     with mock.patch.object(operation_transport, "MAX_CALLS", 1):
         attempt = network.attempts.begin(now_us())
         network.transport.call(None, FetchOutcome(attempt, network.attempts.address, now_us() + SECOND))
-        assert await network.claim() == ClaimResult("mine-1", ME)
+        assert await network.claim() == ClaimResult("mine-1", OWN_ADDRESS)
--- a/tests/gateway/proxy/test_peer_reachability.py
+++ b/tests/gateway/proxy/test_peer_reachability.py
@@ -1,4 +1,4 @@
-"""Which other machines a proxy reaches."""
+"""Isolation of a proxy, and detection of terminated proxies."""
 
 from random import Random
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
 
 
 class ReachablePeers:
-    """The record of reachable peers, on a clock that the test moves."""
+    """The record of reachable peers, on a clock that the test advances."""
 
     def __init__(self) -> None:
         self.now_us = 10 * ISOLATED_AFTER_US
@@ -23,7 +23,7 @@
     return ReachablePeers()
 
 
-def test_a_proxy_that_no_other_machine_replies_to_is_isolated_where_others_live(
+def test_a_proxy_is_isolated_if_no_other_machine_replies_and_other_proxies_are_live(
     peers: ReachablePeers,
 ) -> None:
     assert peers.reachability.is_isolated(2)
@@ -34,14 +34,16 @@
     assert peers.reachability.is_isolated(2)
 
 
-def test_on_its_own_machine_only_a_leaders_reply_counts(peers: ReachablePeers) -> None:
+def test_from_its_own_machine_only_a_leaders_reply_counts(peers: ReachablePeers) -> None:
     peers.reachability.on_reply(("10.0.0.1", 1))
     assert peers.reachability.is_isolated(2)
     peers.reachability.on_reply(("10.0.0.1", 1), is_leader=True)
     assert not peers.reachability.is_isolated(2)
 
 
-def test_a_proxy_whose_machine_refuses_is_terminated_until_it_is_reached(peers: ReachablePeers) -> None:
+def test_a_proxy_counts_as_terminated_from_a_refused_connection_until_the_next_successful_call(
+    peers: ReachablePeers,
+) -> None:
     peers.reachability.on_call_finished("p2", is_refused=True)
     assert peers.reachability.terminated_proxies == {"p2"}
     peers.reachability.on_call_finished("p2", is_refused=False)
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -1,4 +1,4 @@
-"""Calls to a count while the list of live proxies changes: asked again where a list is on its way."""
+"""Calls to a count while the membership changes: they are retried until both proxies have the same one."""
 
 import asyncio
 import time
@@ -20,34 +20,39 @@
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.net.close_reason import CloseReason
 
-ME, OLD, NEW = "me", "old", "new"
+OWN_NAME, OLD_OWNER, NEW_OWNER = "me", "old", "new"
 
 
-def listed(*names: str) -> dict[str, tuple[str, str, str]]:
+def members(*names: str) -> dict[str, tuple[str, str, str]]:
     return {
-        name: (f"10.0.0.{turn}:1", "1", "z") for turn, name in enumerate((ME, OLD, NEW), 1) if name in names
+        name: (f"10.0.0.{index}:1", "1", "z")
+        for index, name in enumerate((OWN_NAME, OLD_OWNER, NEW_OWNER), 1)
+        if name in names
     }
 
 
 class Peers:
-    """What a proxy that asks others for their counts has beside its transport; `answers` by name."""
+    """The environment of a proxy's quota transport; `replies` has the other proxies' replies by name."""
 
     def __init__(self) -> None:
         self.tenant = next(
             name for name in map(str, range(999))
-            if owner_of(name, [ME, OLD]) == OLD and owner_of(name, [ME, OLD, NEW]) == NEW
+            if owner_of(name, [OWN_NAME, OLD_OWNER]) == OLD_OWNER
+            and owner_of(name, [OWN_NAME, OLD_OWNER, NEW_OWNER]) == NEW_OWNER
         )  # fmt: skip
-        settings = SimpleNamespace(hostname=ME, ip="10.0.0.1")
+        settings = SimpleNamespace(hostname=OWN_NAME, ip="10.0.0.1")
         self.context = ProxyContext(settings, Random(1), now_us)
-        self.quota_owner = QuotaOwner(ME, "1", 0)
-        self.quota_owner.update_members(0, MembershipUpdate(5, listed(ME, OLD), previous_fencing_token=0))
+        self.quota_owner = QuotaOwner(OWN_NAME, "1", 0)
+        self.quota_owner.update_members(
+            0, MembershipUpdate(5, members(OWN_NAME, OLD_OWNER), previous_fencing_token=0)
+        )
         self.updates = SimpleNamespace(ownership_ends_us=1 << 60)
-        self.asked, self.ended = [], []
-        client = SimpleNamespace(quota_request=self._ask, gateways=1)
+        self.calls, self.results = [], []
+        client = SimpleNamespace(quota_request=self._make_request, gateways=1)
         self.router = SimpleNamespace(quota_clients={self.tenant: client})
-        self.host = SimpleNamespace(enqueue=self.ended.append)
-        self.answers = {}
-        self.is_refusing = False  # whether nobody listens at the other proxies
+        self.host = SimpleNamespace(enqueue=self.results.append)
+        self.replies = {}
+        self.is_refusing = False  # whether the other proxies' machines refuse connections
 
     def transport(self) -> QuotaTransport:
         return QuotaTransport(
@@ -60,17 +65,17 @@
             PeerReachability(self.context),
         )
 
-    def _ask(self, by: str, fence: int) -> rpc_messages.QuotaRequest:
-        return rpc_messages.QuotaRequest(self.tenant, 1.0, by, fence, 10.0, 10.0)
+    def _make_request(self, requester: str, fencing_token: int) -> rpc_messages.QuotaRequest:
+        return rpc_messages.QuotaRequest(self.tenant, 1.0, requester, fencing_token, 10.0, 10.0)
 
-    def peer(self, place) -> SimpleNamespace:
+    def peer(self, address) -> SimpleNamespace:
         return SimpleNamespace(is_refusing=self.is_refusing)
 
-    async def call(self, place, ask: rpc_messages.QuotaRequest, within: float):
-        name = (ME, OLD, NEW)[int(place[0].rpartition(".")[2]) - 1]
-        self.asked.append((name, ask.fencing_token))
+    async def call(self, address, request: rpc_messages.QuotaRequest, timeout_s: float):
+        name = (OWN_NAME, OLD_OWNER, NEW_OWNER)[int(address[0].rpartition(".")[2]) - 1]
+        self.calls.append((name, request.fencing_token))
         await asyncio.sleep(0)
-        reply = self.answers.get(name)
+        reply = self.replies.get(name)
         return Success(reply) if reply is not None else Failure(CallFailure.MAY_HAVE_RUN)
 
 
@@ -82,12 +87,12 @@
         self.transport = self.peers.transport()
 
     async def add(self) -> CloseReason:
-        began = time.monotonic()
+        started = time.monotonic()
         self.transport.add(None, SimpleNamespace(counter_id=self.peers.tenant))
-        while not self.peers.ended:
+        while not self.peers.results:
             await asyncio.sleep(0.005)
-        assert time.monotonic() - began < 3 * ADD_TIMEOUT_S
-        return self.peers.ended[0].reason
+        assert time.monotonic() - started < 3 * ADD_TIMEOUT_S
+        return self.peers.results[0].reason
 
 
 @pytest.fixture
@@ -97,56 +102,62 @@
     proxy.transport.close()
 
 
-async def test_a_rejection_by_an_owner_with_a_later_list_is_retried_after_the_update(
+async def test_a_rejection_by_an_owner_with_a_newer_membership_is_retried_after_the_update(
     caller: CallingProxy,
 ) -> None:
     peers = caller.peers
-    peers.answers = {
-        OLD: rpc_messages.QuotaReply(False, fencing_token=9),
-        NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9),
+    peers.replies = {
+        OLD_OWNER: rpc_messages.QuotaReply(False, fencing_token=9),
+        NEW_OWNER: rpc_messages.QuotaReply(True, 3.0, 2, 9),
     }
-    update = MembershipUpdate(9, listed(ME, OLD, NEW), (), 5)
+    update = MembershipUpdate(9, members(OWN_NAME, OLD_OWNER, NEW_OWNER), (), 5)
     asyncio.get_running_loop().call_later(0.03, peers.quota_owner.update_members, 1, update)
     assert await caller.add() is CloseReason.ANSWERED
-    assert (peers.asked[0], peers.asked[-1]) == ((OLD, 5), (NEW, 9))
+    assert (peers.calls[0], peers.calls[-1]) == ((OLD_OWNER, 5), (NEW_OWNER, 9))
 
 
-async def test_an_owner_with_an_earlier_list_is_asked_until_it_is_updated(caller: CallingProxy) -> None:
+async def test_an_add_is_retried_until_an_owner_with_an_older_membership_is_updated(
+    caller: CallingProxy,
+) -> None:
     peers = caller.peers
-    update = MembershipUpdate(9, listed(ME, OLD, NEW), previous_fencing_token=5)
+    update = MembershipUpdate(9, members(OWN_NAME, OLD_OWNER, NEW_OWNER), previous_fencing_token=5)
     peers.quota_owner.update_members(1, update)
-    peers.answers = {NEW: rpc_messages.QuotaReply(False, fencing_token=5)}
+    peers.replies = {NEW_OWNER: rpc_messages.QuotaReply(False, fencing_token=5)}
     asyncio.get_running_loop().call_later(
-        0.04, peers.answers.update, {NEW: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
+        0.04, peers.replies.update, {NEW_OWNER: rpc_messages.QuotaReply(True, 3.0, 2, 9)}
     )
     assert await caller.add() is CloseReason.ANSWERED
 
 
-async def test_a_call_ends_in_time_where_the_lists_never_agree(caller: CallingProxy) -> None:
-    caller.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=9)}
+async def test_an_add_is_rejected_in_time_if_the_memberships_never_agree(caller: CallingProxy) -> None:
+    caller.peers.replies = {OLD_OWNER: rpc_messages.QuotaReply(False, fencing_token=9)}
     assert await caller.add() is CloseReason.REJECTED
-    assert len(caller.peers.asked) < 12
+    assert len(caller.peers.calls) < 12
 
 
-async def test_a_rejection_under_the_same_list_is_final_and_silence_is_a_time_out(
+async def test_a_rejection_under_the_same_membership_is_final_and_a_missing_reply_is_a_time_out(
     caller: CallingProxy,
 ) -> None:
-    caller.peers.answers = {OLD: rpc_messages.QuotaReply(False, fencing_token=5)}
+    caller.peers.replies = {OLD_OWNER: rpc_messages.QuotaReply(False, fencing_token=5)}
     assert await caller.add() is CloseReason.REJECTED
-    assert len(caller.peers.asked) == 1
-    caller.peers.answers, caller.peers.ended[:] = {}, []
+    assert len(caller.peers.calls) == 1
+    caller.peers.replies, caller.peers.results[:] = {}, []
     assert await caller.add() is CloseReason.TIMED_OUT
 
 
 class NewOwner:
-    """This proxy has joined, and owns a count that `OLD` owned before."""
+    """A proxy that has just joined and owns a count that `OLD_OWNER` owned before."""
 
     def __init__(self) -> None:
         self.peers = Peers()
-        owner = self.peers.quota_owner = QuotaOwner(ME, "1", 0)
-        owner.update_members(now_us(), MembershipUpdate(5, listed(OLD), previous_fencing_token=0))
-        owner.update_members(now_us(), MembershipUpdate(9, listed(ME, OLD), previous_fencing_token=5))
-        self.tenant = next(name for name in map(str, range(999)) if owner_of(name, [ME, OLD]) == ME)
+        owner = self.peers.quota_owner = QuotaOwner(OWN_NAME, "1", 0)
+        owner.update_members(now_us(), MembershipUpdate(5, members(OLD_OWNER), previous_fencing_token=0))
+        owner.update_members(
+            now_us(), MembershipUpdate(9, members(OWN_NAME, OLD_OWNER), previous_fencing_token=5)
+        )
+        self.tenant = next(
+            name for name in map(str, range(999)) if owner_of(name, [OWN_NAME, OLD_OWNER]) == OWN_NAME
+        )
         self.transport = self.peers.transport()
 
     async def add(self) -> rpc_messages.QuotaReply:
@@ -162,22 +173,26 @@
     proxy.transport.close()
 
 
-async def test_it_continues_with_the_count_that_the_last_owner_hands_over(new_owner: NewOwner) -> None:
-    handed = rpc_messages.HandedCount(7.0, 0.0, 0)
-    new_owner.peers.answers = {OLD: rpc_messages.HandOverReply(False, handed)}
+async def test_a_new_owner_continues_the_count_that_the_previous_owner_hands_over(
+    new_owner: NewOwner,
+) -> None:
+    count = rpc_messages.HandedCount(7.0, 0.0, 0)
+    new_owner.peers.replies = {OLD_OWNER: rpc_messages.HandOverReply(False, count)}
     reply = await new_owner.add()
     assert reply.is_accepted
     assert reply.total == pytest.approx(10.0 - 6.0, abs=0.5)
-    assert new_owner.peers.asked == [(OLD, 9)]
+    assert new_owner.peers.calls == [(OLD_OWNER, 9)]
 
 
-async def test_it_begins_an_empty_count_where_the_last_owner_has_terminated(new_owner: NewOwner) -> None:
+async def test_a_new_owner_starts_an_empty_count_if_the_previous_owner_has_terminated(
+    new_owner: NewOwner,
+) -> None:
     new_owner.peers.is_refusing = True
     reply = await new_owner.add()
     assert reply.is_accepted
     assert reply.total == pytest.approx(10.0 + 1.0, abs=0.5)
 
 
-async def test_it_adds_nothing_where_the_last_owner_may_still_act(new_owner: NewOwner) -> None:
-    new_owner.peers.answers = {OLD: rpc_messages.HandOverReply(True)}
+async def test_a_new_owner_rejects_adds_while_the_previous_owner_may_still_act(new_owner: NewOwner) -> None:
+    new_owner.peers.replies = {OLD_OWNER: rpc_messages.HandOverReply(True)}
     assert not (await new_owner.add()).is_accepted
--- a/tests/gateway/proxy/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -1,4 +1,4 @@
-"""What the operators' pages ask of a request and of a read: docs/design/rules.md names each test."""
+"""Operators' requirements for requests and configuration reads; docs/design/rules.md names each test."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 def with_timeout(timeout: str) -> dict:
-    """The sample, with that time-out on each of its routes."""
+    """Return the sample configuration with this time-out on each route."""
     conf = msgspec.json.decode(msgspec.json.encode(SAMPLE))
     for rule in conf["Ports"][0]["Policy"]:
         rule["Action"]["Timeout"] = timeout
@@ -27,10 +27,10 @@
     async with serving_cluster(work=2.0) as site:
         server = site.servers["i-1"]
         for path, method in (("/stock/1", "GET"), ("/claim/1", "POST")):
-            asked = asyncio.create_task(site.get("m1", path, KEY, method=method, id=path))
+            request_task = asyncio.create_task(site.get("m1", path, KEY, method=method, id=path))
             await site.until(lambda path=path: server.ran[path] == 1)
-            asked.cancel()
-            await asyncio.gather(asked, return_exceptions=True)
+            request_task.cancel()
+            await asyncio.gather(request_task, return_exceptions=True)
             await site.until(lambda path=path: path in server.dropped)
             assert server.dropped[path] < 0.5
 
@@ -38,10 +38,10 @@
 async def test_config_a_request_is_answered_at_its_routes_timeout() -> None:
     async with serving_cluster(with_timeout("400ms"), work=3.0) as site:
         for path, method in (("/stock/1", "GET"), ("/claim/1", "POST")):
-            began = asyncio.get_running_loop().time()
-            got = await site.get("m1", path, KEY, method=method)
-            assert status(got) in (502, 504)
-            assert asyncio.get_running_loop().time() - began < 0.65
+            started = asyncio.get_running_loop().time()
+            response = await site.get("m1", path, KEY, method=method)
+            assert status(response) in (502, 504)
+            assert asyncio.get_running_loop().time() - started < 0.65
 
 
 async def test_budget_a_server_is_given_no_more_than_the_remaining_time() -> None:
@@ -50,7 +50,7 @@
         await site.get("m1", "/stock/1", KEY, id="short", **{"Deadline-Ms": "300"})
         await site.get("m1", "/stock/1", KEY, id="long", **{"Deadline-Ms": "60000"})
         assert 0 < server.deadlines["short"] <= 300, server.deadlines
-        assert 0 < server.deadlines["long"] <= 2000, server.deadlines  # the route's own
+        assert 0 < server.deadlines["long"] <= 2000, server.deadlines  # the route's time-out
 
 
 async def test_budget_no_more_servers_run_a_request_than_its_routes_tries() -> None:
@@ -67,7 +67,7 @@
 
 
 async def test_denied_no_request_whose_head_is_within_the_configured_size() -> None:
-    """However its bytes arrive; one beyond that size is refused."""
+    """The result does not depend on how the bytes are split; a larger head is rejected."""
     conf = {**SAMPLE, "Caps": {**SAMPLE["Caps"], "HdrBytes": 40_000}}
     async with serving_cluster(conf) as site:
         for size, expected in ((30_000, b"HTTP/1.1 200"), (50_000, b"HTTP/1.1 431")):
@@ -76,7 +76,7 @@
             writer.write(f"{head}Authorization: Bearer {KEY}\r\nX-Long: ".encode())
             for _ in range(size // 10_000):
                 writer.write(b"x" * 10_000)
-                await asyncio.sleep(0.05)  # so that it is read in parts
+                await asyncio.sleep(0.05)  # splits the head into several reads
             writer.write(b"\r\n\r\n")
             assert (await reader.read(100)).startswith(expected)
             writer.close()
@@ -86,8 +86,8 @@
     async with serving_cluster() as site:
         server = site.servers["i-1"]
         server.manner = "unavailable"
-        got = await site.get("m1", "/claim/1", KEY, method="POST", id="once", tries=1)
-        assert (status(got), got.headers().get(b"server-seal")) == (502, None)
+        response = await site.get("m1", "/claim/1", KEY, method="POST", id="once", tries=1)
+        assert (status(response), response.headers().get(b"server-seal")) == (502, None)
         assert server.ran["once"] == 1
 
 
@@ -96,41 +96,41 @@
         await site.start_server("garantie")
         await site.until(lambda: all(len(each.servers) == 2 for each in site.proxies.values()))
         leaving = site.servers["i-1"]
-        site.silence(leaving)  # it never says drain, and its last beat is late
-        got = await send_request(site.ctl[0], "POST", "/-/rpc?call=servers.deregister&of=i-1")
-        assert status(got) == 200
+        site.silence(leaving)  # it never reports draining, and its last heartbeat is late
+        response = await send_request(site.ctl[0], "POST", "/-/rpc?call=servers.deregister&of=i-1")
+        assert status(response) == 200
         await leaving.send_heartbeat(site.ctl)
         await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
-        before = leaving.ran.total()
-        answers = [status(await site.get(name, "/stock/1", KEY)) for name in site.names for _ in range(4)]
-        assert (answers, leaving.ran.total() - before) == ([200] * 12, 0)
+        runs_before = leaving.ran.total()
+        statuses = [status(await site.get(name, "/stock/1", KEY)) for name in site.names for _ in range(4)]
+        assert (statuses, leaving.ran.total() - runs_before) == ([200] * 12, 0)
 
 
 async def test_denied_a_proxy_without_a_configuration_answers_503_and_denies_nobody() -> None:
     async with local_cluster() as site:
         await site.until(lambda: site.proxies["m1"].client_front.is_listening())
-        got = await site.get("m1", "/stock/1", KEY, tries=1)
-        assert status(got) == 503
-        assert b"retry-after" in got.headers()
+        response = await site.get("m1", "/stock/1", KEY, tries=1)
+        assert status(response) == 503
+        assert b"retry-after" in response.headers()
 
 
 async def test_config_a_read_is_no_older_than_the_last_acknowledgement_or_gets_503() -> None:
-    """Also at a machine that is cut off: it knows of no majority, and answers no older version."""
+    """A machine partitioned from the majority answers 503 instead of an older version."""
     async with serving_cluster() as site:
         partition = Partition(site)
         partition.isolate("m3")
         change = {"Ver": 5, "Base": 1, "Upsert": {"Tenants": []}, "Del": {}}
-        places = [(site.ip[name], 8407) for name in ("m1", "m2")]
-        taken = 0
-        while taken != 200:
-            got = await send_request(
-                places[0], "POST", "/-/rpc?call=conf.update", msgspec.json.encode(change)
+        addresses = [(site.ip[name], 8407) for name in ("m1", "m2")]
+        last_status = 0
+        while last_status != 200:
+            response = await send_request(
+                addresses[0], "POST", "/-/rpc?call=conf.update", msgspec.json.encode(change)
             )
-            taken = status(got)
-            places.reverse()
+            last_status = status(response)
+            addresses.reverse()
         reads = []
         for name in site.names:
-            got = await send_request((site.ip[name], 8407), "POST", "/-/rpc?call=conf.show")
-            whole = msgspec.json.decode(b"".join(got.body)) if status(got) == 200 else {}
-            reads.append((status(got), whole.get("Ver")))
+            response = await send_request((site.ip[name], 8407), "POST", "/-/rpc?call=conf.show")
+            shown = msgspec.json.decode(b"".join(response.body)) if status(response) == 200 else {}
+            reads.append((status(response), shown.get("Ver")))
         assert reads == [(200, 5), (200, 5), (503, None)]
--- a/tests/gateway/proxy/test_server_list.py
+++ b/tests/gateway/proxy/test_server_list.py
@@ -1,4 +1,4 @@
-"""The servers that the controllers know, as a proxy takes them in."""
+"""A proxy's copy of the server registry."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 class Pool:
-    """Notes what the pool of connections is told."""
+    """Records the addresses that the connection pool receives."""
 
     def __init__(self) -> None:
         self.addresses: dict = {}
@@ -37,14 +37,14 @@
     return ProxyServers()
 
 
-def test_changes_reach_the_router_and_the_pool(proxy: ProxyServers) -> None:
+def test_server_changes_are_applied_to_the_router_and_the_pool(proxy: ProxyServers) -> None:
     proxy.servers.apply(WatchReply(True, servers=[server("s1"), server("s2", "drain")]))
     assert sorted(proxy.servers.by_id) == ["s1", "s2"]
     assert sorted(proxy.router.cluster("a").servers) == ["s1", "s2"]
     assert proxy.pool.addresses == {"s1": ("10.0.0.1", 80), "s2": ("10.0.0.1", 80)}
 
 
-def test_a_lost_server_is_forgotten_and_one_that_is_gone_is_kept_without_an_address_for_the_pool(
+def test_a_lost_server_is_removed_and_a_gone_server_is_kept_without_a_pool_address(
     proxy: ProxyServers,
 ) -> None:
     proxy.servers.apply(WatchReply(True, servers=[server("s1"), server("s2")]))
@@ -55,7 +55,7 @@
     assert proxy.pool.addresses == {"s1": None, "s2": None}
 
 
-def test_a_complete_list_replaces_all_and_one_of_an_unsettled_registry_does_not(proxy: ProxyServers) -> None:
+def test_a_complete_list_replaces_all_servers_and_an_incomplete_one_does_not(proxy: ProxyServers) -> None:
     proxy.servers.apply(WatchReply(True, servers=[server("s1")]))
     proxy.servers.apply(
         WatchReply(True, is_full_update=True, is_registry_complete=False, servers=[server("s2")])
--- a/tests/gateway/proxy/test_unreadable_version.py
+++ b/tests/gateway/proxy/test_unreadable_version.py
@@ -1,4 +1,4 @@
-"""A proxy that is told of a version that it can't read, as one of a release before a new mode."""
+"""A proxy receives a version that it can't decode, for example with a mode that its release does not have."""
 
 from support.local_clusters import serving_cluster
 
@@ -8,14 +8,14 @@
 KEY = "key-of-sfax"
 
 
-def refuse(_) -> None:
+def raise_configuration_error(_) -> None:
     raise ConfigurationError("'later' is no mode")
 
 
-async def test_a_version_that_a_proxy_cannot_read_does_not_keep_servers_and_members_from_it(silent_logging):
+async def test_servers_and_members_are_updated_despite_an_invalid_version(silent_logging):
     async with serving_cluster() as site:
         proxy = site.proxies["m3"]
-        proxy.updates.versions._read = refuse
+        proxy.updates.versions._read = raise_configuration_error
         assert await site.put({**SAMPLE, "Ver": 2, "Base": 1}) == 200
         await site.until(lambda: proxy.updates.versions.requests_full_version)
         await site.start_server("garantie")
--- a/tests/gateway/proxy/test_version_rollout.py
+++ b/tests/gateway/proxy/test_version_rollout.py
@@ -1,4 +1,4 @@
-"""The versions of the configuration at one proxy: staged, activated, and read as deltas."""
+"""Versions of the configuration at one proxy: decoding of deltas, staging and activation."""
 
 from types import SimpleNamespace
 
@@ -28,7 +28,7 @@
 
 
 class StagedVersions:
-    """A proxy that stages and activates versions; `limits` are those that it applied."""
+    """A proxy that stages and activates versions; `limits` records the limits that it applied."""
 
     def __init__(self) -> None:
         self.limits: list = []
@@ -36,7 +36,7 @@
         self.rollout = VersionRollout(self.router, SimpleNamespace(apply_limits=self.limits.append))
 
     def state(self) -> tuple[int, list[int]]:
-        """The active version, and the staged ones."""
+        """Return the active version and the staged versions."""
         return self.rollout.active_version, sorted(self.router.tables.staged)
 
 
@@ -45,7 +45,7 @@
     return StagedVersions()
 
 
-def test_a_version_is_staged_and_activated_when_the_leader_orders_it(versions: StagedVersions) -> None:
+def test_a_version_is_staged_and_activated_when_the_leader_activates_it(versions: StagedVersions) -> None:
     versions.rollout.apply(WatchReply(True, active_version=1, active_configuration=complete(1)))
     versions.rollout.apply(
         WatchReply(True, active_version=1, staged_versions={2: delta(2, 1), 3: delta(3, 2)})
@@ -64,7 +64,7 @@
     assert (versions.state(), len(versions.limits)) == ((3, []), 1)
 
 
-def test_an_active_version_that_was_never_staged_here_is_asked_for(versions: StagedVersions) -> None:
+def test_an_active_version_that_was_never_staged_is_requested(versions: StagedVersions) -> None:
     versions.rollout.apply(
         WatchReply(True, active_version=1, active_configuration=complete(1), staged_versions={2: delta(2, 1)})
     )
@@ -87,7 +87,9 @@
     assert versions.router.tables.merged_versions == set()
 
 
-def test_a_delta_on_an_unknown_base_is_refused_and_a_complete_version_helps(versions: StagedVersions) -> None:
+def test_a_delta_on_an_unknown_base_is_rejected_and_a_complete_version_is_accepted(
+    versions: StagedVersions,
+) -> None:
     versions.rollout.apply(WatchReply(True, active_version=1, active_configuration=complete(1)))
     with pytest.raises(ConfigurationError):
         versions.rollout.apply(WatchReply(True, active_version=1, staged_versions={3: delta(3, 2)}))
@@ -96,6 +98,6 @@
     assert (versions.state(), versions.rollout.requests_full_version) == ((1, [3]), False)
 
 
-def test_a_version_that_calls_itself_another_is_refused(versions: StagedVersions) -> None:
+def test_a_version_with_another_number_in_its_ver_field_is_rejected(versions: StagedVersions) -> None:
     with pytest.raises(ConfigurationError):
         versions.rollout.apply(WatchReply(True, active_version=2, active_configuration=encode(2, text(1))))
--- a/tests/gateway/proxy/test_watch_target.py
+++ b/tests/gateway/proxy/test_watch_target.py
@@ -1,4 +1,4 @@
-"""Whom a proxy asks for updates next."""
+"""Choice of the recipient of a proxy's watch requests."""
 
 from random import Random
 
@@ -10,14 +10,14 @@
 
 
 class WatchedControllers:
-    """A proxy that looks for the leader among two seeds and its neighbours."""
+    """A proxy that searches for the leader among two seeds and its neighbours."""
 
     def __init__(self) -> None:
         self.partial_view = PartialView("10.0.0.1:2", "z", Random(1), 0)
         self.watch_target = WatchTarget(Random(2), self.partial_view, ["10.0.0.7:1", "10.0.0.8:1"])
 
-    def news(self, leads: bool, **more) -> rpc_messages.WatchReply:
-        return rpc_messages.WatchReply(leads, registry_incarnation="4+", **more)
+    def reply(self, is_leader: bool, **fields) -> rpc_messages.WatchReply:
+        return rpc_messages.WatchReply(is_leader, registry_incarnation="4+", **fields)
 
 
 @pytest.fixture
@@ -25,18 +25,18 @@
     return WatchedControllers()
 
 
-def test_a_controller_that_knows_who_leads_is_believed_once_and_the_way_is_told_on(
+def test_a_leader_named_by_a_controller_is_tried_next_and_becomes_the_control_hint(
     watched: WatchedControllers,
 ) -> None:
     watched.watch_target.next(0)
-    assert not watched.watch_target.on_reply(0, watched.news(False, leader_address="10.0.0.9:1"))
+    assert not watched.watch_target.on_reply(0, watched.reply(False, leader_address="10.0.0.9:1"))
     assert watched.watch_target.next(0) == "10.0.0.9:1"
-    assert watched.watch_target.on_reply(0, watched.news(True, controllers=["10.0.0.9:1", "10.0.0.5:1"]))
+    assert watched.watch_target.on_reply(0, watched.reply(True, controllers=["10.0.0.9:1", "10.0.0.5:1"]))
     assert watched.partial_view.control_hint == ControlHint(4, "10.0.0.9:1", ["10.0.0.9:1", "10.0.0.5:1"])
     assert watched.watch_target.next(1) == "10.0.0.9:1"
 
 
-def test_where_no_controller_answers_neighbours_are_asked_by_turns_and_controllers_again_after_a_while(
+def test_without_a_controller_a_neighbour_relays_until_the_controllers_are_tried_again(
     watched: WatchedControllers,
 ) -> None:
     watched.partial_view.introduce(["10.0.0.2:2"])
@@ -44,25 +44,25 @@
     assert first in watched.watch_target.seeds
     watched.watch_target.on_reply(0, None)
     assert watched.watch_target.next(0) == "10.0.0.2:2"
-    assert watched.watch_target.on_reply(0, watched.news(True))
+    assert watched.watch_target.on_reply(0, watched.reply(True))
     assert watched.watch_target.next(RELAY_PERIOD_US) == "10.0.0.2:2"
-    watched.watch_target.on_reply(RELAY_PERIOD_US + 1, watched.news(True))
+    watched.watch_target.on_reply(RELAY_PERIOD_US + 1, watched.reply(True))
     assert watched.watch_target.next(RELAY_PERIOD_US + 1) in watched.watch_target.seeds
-    # one that answers through others passes nothing on itself
+    # A proxy with relayed updates knows no leader, so it relays for no other proxy.
     assert watched.watch_target.leader == ""
 
 
-def test_all_seeds_gone_the_neighbours_word_leads_to_the_controllers_that_took_their_place(
+def test_a_neighbours_hint_leads_to_new_controllers_when_all_seeds_are_unreachable(
     watched: WatchedControllers,
 ) -> None:
-    word = ControlHint(7, "10.0.3.3:1", ["10.0.3.3:1", "10.0.3.4:1"])
-    watched.partial_view.on_shuffle("10.0.0.2:2", Shuffle(True, word))
+    hint = ControlHint(7, "10.0.3.3:1", ["10.0.3.3:1", "10.0.3.4:1"])
+    watched.partial_view.on_shuffle("10.0.0.2:2", Shuffle(True, hint))
     assert watched.watch_target.next(0) == "10.0.3.3:1"
-    # An old word, or a lie, costs one question.
+    # An outdated or wrong hint costs one request.
     watched.watch_target.on_reply(0, None)
     assert watched.partial_view.control_hint.leader == ""
-    asked = set()
+    addresses = set()
     for _ in range(40):
-        asked.add(watched.watch_target.next(0))
+        addresses.add(watched.watch_target.next(0))
         watched.watch_target.on_reply(0, None)
-    assert asked == {"10.0.0.7:1", "10.0.0.8:1", "10.0.3.3:1", "10.0.3.4:1"}
+    assert addresses == {"10.0.0.7:1", "10.0.0.8:1", "10.0.3.3:1", "10.0.3.4:1"}
--- a/tests/gateway/routing/test_balancer.py
+++ b/tests/gateway/routing/test_balancer.py
@@ -1,4 +1,4 @@
-"""Servers that fail, or that neighbours report as unhealthy."""
+"""Load balancing with servers that fail or that neighbours report as unhealthy."""
 
 from random import Random
 
@@ -14,7 +14,7 @@
 
 
 class FailingServers:
-    """Two servers of a cluster, of which attempts fail or succeed."""
+    """A cluster of two servers at which attempts fail or succeed."""
 
     def __init__(self) -> None:
         self.cluster = UpstreamCluster(Random(1), "z", Subsets("l", "z"))
@@ -22,12 +22,12 @@
             self.cluster.update(0, registry.Server(name, "a", "10.0.0.1:1", "z", 2, "up", 1))
         self.latency = self.cluster.latency("r", 400 * MS)
 
-    def end(self, now: int, name: str, outcome: AttemptOutcome, blame: float = 1.0) -> None:
+    def finish_attempt(self, now: int, name: str, outcome: AttemptOutcome, blame: float = 1.0) -> None:
         attempt = Attempt(None, self.cluster.servers[name], 0, now - 50 * MS)
         self.cluster.on_attempt_started(now - 50 * MS, attempt)
         self.cluster.on_attempt_finished(now, attempt, AttemptResult(outcome, 50 * MS), self.latency, blame)
 
-    def taken(self, now: int) -> float:
+    def share_of_s1(self, now: int) -> float:
         names = [self.cluster.choose(now, 50 * MS, []).address for _ in range(200)]
         return names.count("s1") / 200
 
@@ -39,19 +39,19 @@
 
 def test_a_server_that_fails_is_ejected_for_a_second_and_tried_again(failing: FailingServers) -> None:
     for _ in range(8):
-        failing.end(SECOND, "s1", AttemptOutcome.ERROR)
-        failing.end(SECOND, "s2", AttemptOutcome.OK)
-    assert failing.taken(SECOND) == 0.0
-    assert failing.taken(SECOND + 900 * MS) == 0.0
-    # Well again, it is used as soon as the other's slots are taken.
+        failing.finish_attempt(SECOND, "s1", AttemptOutcome.ERROR)
+        failing.finish_attempt(SECOND, "s2", AttemptOutcome.OK)
+    assert failing.share_of_s1(SECOND) == 0.0
+    assert failing.share_of_s1(SECOND + 900 * MS) == 0.0
+    # After the ejection, it is used when the other server's slots are full.
     for _ in range(2):
         failing.cluster.on_attempt_started(
             20 * SECOND, Attempt(None, failing.cluster.servers["s2"], 0, 20 * SECOND)
         )
-    assert failing.taken(20 * SECOND) == 1.0
+    assert failing.share_of_s1(20 * SECOND) == 1.0
 
 
-def test_neighbours_reports_change_the_choice_and_neither_one_nor_all_exclude_a_healthy_server(
+def test_a_server_is_avoided_after_two_neighbours_reports_unless_its_own_results_are_good(
     failing: FailingServers,
 ) -> None:
     subsets = failing.cluster._subsets
@@ -60,23 +60,23 @@
     for name in "abc":
         subsets.on_load_report(SECOND, name, {}, [])
     subsets.on_load_report(SECOND, "a", {}, ["s1"])
-    assert failing.taken(SECOND) > 0.2
+    assert failing.share_of_s1(SECOND) > 0.2
     subsets.on_load_report(SECOND, "b", {}, ["s1"])
-    assert failing.taken(SECOND) == 0.0
+    assert failing.share_of_s1(SECOND) == 0.0
     for _ in range(2):
         failing.cluster.on_attempt_started(SECOND, Attempt(None, failing.cluster.servers["s2"], 0, SECOND))
     subsets.on_load_report(SECOND, "c", {}, ["s1"])
-    # Its own good answers weigh more than what the others say.
+    # This proxy's own successes outweigh the neighbours' reports.
     for _ in range(12):
-        failing.end(SECOND, "s1", AttemptOutcome.OK)
+        failing.finish_attempt(SECOND, "s1", AttemptOutcome.OK)
     assert failing.cluster.servers["s1"].confidence(SECOND, 3) > 0.7
-    assert failing.taken(SECOND) == 1.0
+    assert failing.share_of_s1(SECOND) == 1.0
 
 
 def test_a_dropped_idle_connection_does_not_exclude_a_healthy_server(failing: FailingServers) -> None:
     for _ in range(3):
-        failing.end(SECOND, "s1", AttemptOutcome.CONNECTION_LOST, 0.3)
-        failing.end(SECOND, "s1", AttemptOutcome.OK)
-        failing.end(SECOND, "s2", AttemptOutcome.OK)
+        failing.finish_attempt(SECOND, "s1", AttemptOutcome.CONNECTION_LOST, 0.3)
+        failing.finish_attempt(SECOND, "s1", AttemptOutcome.OK)
+        failing.finish_attempt(SECOND, "s2", AttemptOutcome.OK)
     assert failing.cluster.servers["s1"].health(SECOND, 50 * MS) > 0.5
     assert failing.cluster.servers["s1"].ejected_until_us == 0
--- a/tests/gateway/routing/test_idle_connections.py
+++ b/tests/gateway/routing/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections that servers drop: which are still trusted, and for which requests."""
+"""Idle connections that servers drop: which requests may reuse which connections."""
 
 import pytest
 
@@ -9,15 +9,15 @@
 
 
 class ReusedConnections:
-    """The record of how long idle connections may rest."""
+    """Idle limits that are learned from resets of reused connections."""
 
     def __init__(self) -> None:
         self.idle_connections = IdleConnections()
 
-    def broke(self, now: int, idle_us: int, took_us: int = 2 * MS, service: str = "a") -> bool:
+    def record_reset(self, now: int, idle_us: int, duration_us: int = 2 * MS, service: str = "a") -> bool:
         attempt = object()
         self.idle_connections.on_reuse(attempt, idle_us)
-        return self.idle_connections.on_attempt_finished(now, attempt, service, True, took_us)
+        return self.idle_connections.on_attempt_finished(now, attempt, service, True, duration_us)
 
 
 @pytest.fixture
@@ -29,22 +29,22 @@
     connections: ReusedConnections,
 ) -> None:
     assert connections.idle_connections.is_trusted(0, "a", 9 * SECOND, False)
-    assert connections.broke(SECOND, 400 * MS)
+    assert connections.record_reset(SECOND, 400 * MS)
     assert not connections.idle_connections.is_trusted(SECOND, "a", 300 * MS, False)
     assert connections.idle_connections.is_trusted(SECOND, "a", 200 * MS, False)
     assert connections.idle_connections.is_trusted(SECOND, "b", 300 * MS, False)
-    # Idempotent requests go on testing, and a limit that nothing confirms expires.
+    # Idempotent requests ignore the limit, and it expires unless another reset confirms it.
     assert connections.idle_connections.is_trusted(SECOND, "a", 9 * SECOND, True)
     assert connections.idle_connections.is_trusted(SECOND + LIMIT_TTL_US, "a", 300 * MS, False)
 
 
-def test_the_shortest_idle_time_counts_and_a_slow_or_early_reset_teaches_nothing(
+def test_the_shortest_idle_time_is_the_limit_and_slow_or_early_resets_are_ignored(
     connections: ReusedConnections,
 ) -> None:
-    connections.broke(SECOND, 400 * MS)
-    connections.broke(SECOND, 900 * MS)
+    connections.record_reset(SECOND, 400 * MS)
+    connections.record_reset(SECOND, 900 * MS)
     assert not connections.idle_connections.is_trusted(SECOND, "a", 300 * MS, False)
-    assert not connections.broke(SECOND, 700 * MS, took_us=500 * MS, service="b")
-    assert not connections.broke(SECOND, 10 * MS, service="b")
+    assert not connections.record_reset(SECOND, 700 * MS, duration_us=500 * MS, service="b")
+    assert not connections.record_reset(SECOND, 10 * MS, service="b")
     assert not connections.idle_connections.on_attempt_finished(SECOND, object(), "b", True, 0)
     assert connections.idle_connections.is_trusted(SECOND, "b", 9 * SECOND, False)
--- a/tests/gateway/routing/test_request_attempts.py
+++ b/tests/gateway/routing/test_request_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one request: queued, hedged inside its target time, retried, given up."""
+"""Attempts of one request: queueing, hedging within the target time, retries and failures."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -29,16 +29,16 @@
 
 @dataclass
 class ServedRequest:
-    """A request that is being served, driven by hand as the engine drives it."""
+    """A request that is being served, driven by the test in place of the engine."""
 
     router: Router
     generator: Any
-    sent: list[str]  # the servers of its attempts
+    sent: list[str]  # the servers of its attempts, in order
     yielded: Any = None
-    attempt: Any = None  # the last one
+    attempt: Any = None  # the latest one
 
-    def go_on(self, event: Any) -> None:
-        """Up to its next sleep, its response or its end."""
+    def resume(self, event: Any) -> None:
+        """Resume the request until it sleeps, responds or finishes."""
         self.yielded = self.generator.send(event)
         while isinstance(self.yielded, Send):
             self.attempt = self.yielded.attempt
@@ -46,20 +46,20 @@
             self.yielded = self.generator.send(None)
 
     def finish(self, outcome: AttemptOutcome) -> None:
-        """Let its last attempt end so, and go on."""
+        """Finish the latest attempt with this outcome and resume the request."""
         result = AttemptResult(outcome, 2 * MS)
         self.router.on_attempt_finished(self.attempt, result)
-        self.go_on(AttemptFinished(self.attempt, result))
+        self.resume(AttemptFinished(self.attempt, result))
 
     def sleep(self) -> int:
-        """Until the time that it sleeps to; that time in us."""
+        """Advance the clock to the end of the sleep, resume the request, and return the time in us."""
         self.router.clock.now_us = self.yielded.until_us
-        self.go_on(WakeReason.TIMER)
+        self.resume(WakeReason.TIMER)
         return self.router.clock.now_us
 
 
 class HedgingRouter:
-    """A router with three servers and a retry budget, on a clock that the test moves."""
+    """A router with three servers and a retry budget, on a clock that the test advances."""
 
     def __init__(self) -> None:
         self.clock = Clock(100 * SECOND)
@@ -88,9 +88,9 @@
             customer="", arrived_us=now - arrived_ago_us,
             deadline_us=now + 3 * SECOND, rule=found, tenant=None, service="a", handle=None,
         )  # fmt: skip
-        made = ServedRequest(self.router, self.router.serve(operation), [])
-        made.go_on(None)
-        return made
+        served = ServedRequest(self.router, self.router.serve(operation), [])
+        served.resume(None)
+        return served
 
 
 @pytest.fixture
@@ -98,25 +98,25 @@
     return HedgingRouter()
 
 
-def test_a_hedge_can_answer_inside_the_target_time(hedging: HedgingRouter) -> None:
-    began, one = hedging.clock.now_us, hedging.request()
-    at = one.sleep() - began
-    assert len(set(one.sent)) == 2
-    assert at > 1.5 * USUAL_US  # most requests end before
-    assert at + 1.2 * USUAL_US < TARGET_US
+def test_a_hedge_starts_early_enough_to_answer_within_the_target_time(hedging: HedgingRouter) -> None:
+    started, served_request = hedging.clock.now_us, hedging.request()
+    hedge_us = served_request.sleep() - started
+    assert len(set(served_request.sent)) == 2
+    assert hedge_us > 1.5 * USUAL_US  # most requests finish earlier
+    assert hedge_us + 1.2 * USUAL_US < TARGET_US
 
 
 def test_a_request_beyond_its_target_time_is_hedged_once_it_is_overdue(hedging: HedgingRouter) -> None:
-    began, one = hedging.clock.now_us, hedging.request(arrived_ago_us=800 * MS)
-    assert one.sleep() - began >= 2.5 * USUAL_US
-    assert len(one.sent) == 2
+    started, served_request = hedging.clock.now_us, hedging.request(arrived_ago_us=800 * MS)
+    assert served_request.sleep() - started >= 2.5 * USUAL_US
+    assert len(served_request.sent) == 2
 
 
 def test_a_non_idempotent_request_is_never_hedged(hedging: HedgingRouter) -> None:
-    one = hedging.request(mode="mutate")
-    assert isinstance(one.yielded, Sleep)
-    assert one.yielded.until_us >= hedging.clock.now_us + 2 * SECOND
-    assert len(one.sent) == 1
+    served_request = hedging.request(mode="mutate")
+    assert isinstance(served_request.yielded, Sleep)
+    assert served_request.yielded.until_us >= hedging.clock.now_us + 2 * SECOND
+    assert len(served_request.sent) == 1
 
 
 def test_an_early_hedge_leaves_half_of_the_budget_to_retries(hedging: HedgingRouter) -> None:
@@ -124,76 +124,78 @@
     while budget.try_spend(hedging.clock.now_us, is_early_hedge=True):
         pass
     assert budget.available(hedging.clock.now_us) > 4
-    one = hedging.request()
-    one.sleep()
-    assert len(one.sent) == 1
-    one.sleep()  # overdue: now it is what the budget is for
-    assert len(one.sent) == 2
+    served_request = hedging.request()
+    served_request.sleep()
+    assert len(served_request.sent) == 1
+    served_request.sleep()  # overdue, so the hedge may use the whole budget
+    assert len(served_request.sent) == 2
 
 
 def test_an_early_hedge_does_not_queue_at_a_server_whose_slots_are_taken(hedging: HedgingRouter) -> None:
     fillers = [hedging.request(mode="mutate") for _ in range(12)]
     assert sum(len(each.sent) for each in fillers) == 12
-    one = hedging.request()
-    one.sleep()
-    assert len(one.sent) == 1
+    served_request = hedging.request()
+    served_request.sleep()
+    assert len(served_request.sent) == 1
 
 
 def test_the_first_response_ends_the_request(hedging: HedgingRouter) -> None:
-    one = hedging.request()
-    one.sleep()
-    server = hedging.router.cluster("a").servers[one.sent[1]]
+    served_request = hedging.request()
+    served_request.sleep()
+    server = hedging.router.cluster("a").servers[served_request.sent[1]]
     attempt = next(iter(server.in_flight))
     result = AttemptResult(AttemptOutcome.OK, USUAL_US)
     result.is_final = True
     hedging.router.on_attempt_finished(attempt, result)
     with pytest.raises(StopIteration):
-        one.go_on(AttemptFinished(attempt, result))
+        served_request.resume(AttemptFinished(attempt, result))
 
 
-def test_a_request_is_queued_while_no_server_is_up_and_told_to_come_back(hedging: HedgingRouter) -> None:
+def test_a_request_without_a_server_is_queued_and_then_answered_503_with_retry_after(
+    hedging: HedgingRouter,
+) -> None:
     hedging.router.update_servers([], True)
-    began_us, one = hedging.clock.now_us, hedging.request()
-    while isinstance(one.yielded, Sleep):
-        one.sleep()
-    assert one.sent == []
+    began_us, served_request = hedging.clock.now_us, hedging.request()
+    while isinstance(served_request.yielded, Sleep):
+        served_request.sleep()
+    assert served_request.sent == []
     assert hedging.clock.now_us - began_us == int(MAX_QUEUE_RATIO * TARGET_US)
-    assert one.yielded.status == 503
-    assert 0.1 * TARGET_US < one.yielded.retry_after_us < 0.6 * TARGET_US
+    assert served_request.yielded.status == 503
+    assert 0.1 * TARGET_US < served_request.yielded.retry_after_us < 0.6 * TARGET_US
 
 
 def test_a_queued_request_is_sent_to_a_server_that_comes_up(hedging: HedgingRouter) -> None:
     hedging.router.update_servers([], True)
-    one = hedging.request()
+    served_request = hedging.request()
     hedging.router.update_servers([registry.Server("s9", "a", "10.0.0.1:9", "z", 4, "up", 1)], False)
-    one.sleep()
-    assert one.sent == ["s9"]
+    served_request.sleep()
+    assert served_request.sent == ["s9"]
 
 
 def test_a_non_idempotent_request_is_retried_only_where_it_has_not_run(hedging: HedgingRouter) -> None:
-    one = hedging.request(mode="mutate")
-    one.finish(AttemptOutcome.OVERLOADED)
-    assert len(set(one.sent)) == 2
-    one.finish(AttemptOutcome.CONNECTION_LOST)
-    assert (len(one.sent), one.yielded.status) == (2, 502)
+    served_request = hedging.request(mode="mutate")
+    served_request.finish(AttemptOutcome.OVERLOADED)
+    assert len(set(served_request.sent)) == 2
+    served_request.finish(AttemptOutcome.CONNECTION_LOST)
+    assert (len(served_request.sent), served_request.yielded.status) == (2, 502)
 
 
 def test_an_idempotent_request_is_retried_up_to_its_routes_attempts(hedging: HedgingRouter) -> None:
-    one = hedging.request()
+    served_request = hedging.request()
     for _ in range(3):
-        assert isinstance(one.yielded, Sleep)
-        one.finish(AttemptOutcome.ERROR)
-    assert (len(set(one.sent)), one.yielded.status) == (3, 502)
+        assert isinstance(served_request.yielded, Sleep)
+        served_request.finish(AttemptOutcome.ERROR)
+    assert (len(set(served_request.sent)), served_request.yielded.status) == (3, 502)
 
 
-def test_what_surely_has_not_run_is_told_to_come_back(hedging: HedgingRouter) -> None:
-    one = hedging.request(mode="mutate")
+def test_a_request_that_has_not_run_is_answered_503_retry_later(hedging: HedgingRouter) -> None:
+    served_request = hedging.request(mode="mutate")
     for _ in range(3):
-        one.finish(AttemptOutcome.OVERLOADED)
-    assert (one.yielded.status, one.yielded.reason) == (503, RejectReason.RETRY_LATER)
+        served_request.finish(AttemptOutcome.OVERLOADED)
+    assert (served_request.yielded.status, served_request.yielded.reason) == (503, RejectReason.RETRY_LATER)
 
 
-def test_a_request_is_given_up_at_its_deadline(hedging: HedgingRouter) -> None:
-    began_us, one = hedging.clock.now_us, hedging.request(mode="mutate")
-    one.sleep()
-    assert (hedging.clock.now_us - began_us, one.yielded.status) == (3 * SECOND, 504)
+def test_a_request_is_answered_504_at_its_deadline(hedging: HedgingRouter) -> None:
+    began_us, served_request = hedging.clock.now_us, hedging.request(mode="mutate")
+    served_request.sleep()
+    assert (hedging.clock.now_us - began_us, served_request.yielded.status) == (3 * SECOND, 504)
--- a/tests/gateway/routing/test_retry_budget.py
+++ b/tests/gateway/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Further tries over all proxies: the sum keeps to the rule."""
+"""Retry budgets of all proxies together stay within the limit."""
 
 from lapisgrade.gateway.routing.retry_budget import RetryBudget
 from lapisgrade.gateway.settings import Slo
@@ -7,9 +7,9 @@
 SLO = Slo()
 
 
-def test_the_sum_over_proxies_keeps_to_the_rule_also_right_after_their_start():
-    for began, extra in ((-60 * SECOND, SLO.retry_extra), (0, 0.0)):
-        budgets = [RetryBudget(SLO, began) for _ in range(14)]
+def test_retries_of_all_proxies_stay_within_the_limit_also_right_after_a_start():
+    for started_us, extra in ((-60 * SECOND, SLO.retry_extra), (0, 0.0)):
+        budgets = [RetryBudget(SLO, started_us) for _ in range(14)]
         spent = 0
         for each in budgets:
             each.proxy_count = 14
--- a/tests/gateway/routing/test_route_table.py
+++ b/tests/gateway/routing/test_route_table.py
@@ -1,4 +1,4 @@
-"""Matching a request to a route of one version of the configuration."""
+"""Matching of requests to the routes of one version of the configuration."""
 
 from http import HTTPStatus
 
@@ -15,8 +15,8 @@
 
 
 def test_a_route_is_the_longest_matching_prefix_of_the_host(table: RouteTable):
-    asked = ["/stock/2f", "/stock/claim/1?x=/stock/", "/stockroom", "/", "/stock/claim"]
-    found = [rule.name if (rule := table.find_rule("A.example", path)) else None for path in asked]
+    paths = ["/stock/2f", "/stock/claim/1?x=/stock/", "/stockroom", "/", "/stock/claim"]
+    found = [rule.name if (rule := table.find_rule("A.example", path)) else None for path in paths]
     assert found == ["r-stock", "r-claim", None, None, "r-stock"]
     assert table.find_rule("b.example", "/stock/") is None
     assert table.tenants_by_key["k2"].name == "sfax"
@@ -28,7 +28,7 @@
     assert tenant.name == "sfax"
 
 
-def test_a_request_without_a_route_or_a_valid_key_is_refused(table: RouteTable):
+def test_a_request_without_a_route_or_a_valid_key_is_rejected(table: RouteTable):
     assert table.match("a.example", "/", "k2") is HTTPStatus.NOT_FOUND
     assert table.match("a.example", "/stock/2f", "unknown") is HTTPStatus.UNAUTHORIZED
     assert table.match("a.example", "/stock/2f", "") is HTTPStatus.UNAUTHORIZED
--- a/tests/gateway/routing/test_route_versions.py
+++ b/tests/gateway/routing/test_route_versions.py
@@ -1,4 +1,4 @@
-"""Which version of the configuration a request is matched by."""
+"""Matching of requests while a version is staged that was merged from both sides of a partition."""
 
 from lapisgrade.gateway import SECOND, configuration
 from lapisgrade.gateway.routing.route_table import RouteTable
@@ -6,10 +6,8 @@
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import Clock
 
-# A version made of drafts from both sides of a partition is staged and not yet active.
 
-
-def table(ver: int, claims: str, looks: str) -> RouteTable:
+def table(ver: int, claim_service: str, look_service: str) -> RouteTable:
     rules = [
         {
             "Name": name,
@@ -18,9 +16,9 @@
             "Action": {"Svc": svc, "Timeout": "1s"},
         }
         for name, mode, svc in (
-            ("claim", "mutate", claims),
+            ("claim", "mutate", claim_service),
             ("desk", "mutate", "a"),
-            ("look", "idem", looks),
+            ("look", "idem", look_service),
         )
     ]
     conf = {
@@ -31,19 +29,19 @@
     return RouteTable(configuration.read(conf))
 
 
-def test_a_non_idempotent_request_on_a_merged_route_waits_for_it_and_all_others_go_on() -> None:
+def test_only_non_idempotent_requests_on_a_merged_route_wait_for_its_activation() -> None:
     router = Router(Clock(SECOND), 1, Slo(), "z", "c")
     router.activate(table(1, "a", "a"))
     router.tables.confirmed_us = SECOND
 
-    def matched(path: str) -> "int | str":
+    def match_result(path: str) -> "int | str":
         found = router.match(SECOND, "h", path, "")
         return found if isinstance(found, int) else found[0].action.svc
 
     router.tables.stage(table(2, "b", "b"))
-    assert [matched("/claim/1"), matched("/desk/1"), matched("/look/1")] == ["a", "a", "a"]
+    assert [match_result("/claim/1"), match_result("/desk/1"), match_result("/look/1")] == ["a", "a", "a"]
     router.tables.stage(table(3, "b", "b"), is_merged=True)
-    assert [matched("/claim/1"), matched("/desk/1"), matched("/look/1")] == [503, "a", "a"]
+    assert [match_result("/claim/1"), match_result("/desk/1"), match_result("/look/1")] == [503, "a", "a"]
     router.activate(router.tables.staged[3])
-    assert [matched("/claim/1"), matched("/desk/1"), matched("/look/1")] == ["b", "a", "b"]
+    assert [match_result("/claim/1"), match_result("/desk/1"), match_result("/look/1")] == ["b", "a", "b"]
     assert router.tables.merged_versions == set()
--- a/tests/gateway/routing/test_split.py
+++ b/tests/gateway/routing/test_split.py
@@ -1,4 +1,4 @@
-"""The services of a split route, by their weights."""
+"""Choice among the services of a split route by weight."""
 
 from collections import Counter
 from random import Random
@@ -20,20 +20,20 @@
 
 
 def observed_shares(rule: configuration.Rule, proxies: int, requests: int) -> list[float]:
-    taken = [SplitChooser(Random(seed)) for seed in range(proxies)]
-    seen = Counter(each.choose(rule) for each in taken for _ in range(requests))
-    return [seen[part.svc] / (proxies * requests) for part in rule.action.shares()]
+    choosers = [SplitChooser(Random(seed)) for seed in range(proxies)]
+    counts = Counter(each.choose(rule) for each in choosers for _ in range(requests))
+    return [counts[share.svc] / (proxies * requests) for share in rule.action.shares()]
 
 
-def test_each_service_gets_its_weights_share_of_few_requests_at_one_proxy_and_at_many() -> None:
-    for proxies, requests, off in ((1, 300, 0.01), (12, 25, 0.03), (200, 2, 0.1)):
+def test_services_get_their_share_of_few_requests_at_one_proxy_and_at_many() -> None:
+    for proxies, requests, tolerance in ((1, 300, 0.01), (12, 25, 0.03), (200, 2, 0.1)):
         for weights in ((90, 10), (50, 50), (1, 1, 8)):
-            got = observed_shares(split_rule(*weights), proxies, requests)
-            for share, weight in zip(got, weights, strict=True):
-                assert share == pytest.approx(weight / sum(weights), abs=off)
+            observed = observed_shares(split_rule(*weights), proxies, requests)
+            for share, weight in zip(observed, weights, strict=True):
+                assert share == pytest.approx(weight / sum(weights), abs=tolerance)
 
 
-def test_a_service_of_no_weight_gets_nothing_and_remembered_routes_are_bounded() -> None:
+def test_a_service_with_zero_weight_gets_no_requests_and_stored_routes_are_bounded() -> None:
     assert observed_shares(split_rule(0, 3, 0), 5, 50) == [0.0, 1.0, 0.0]
     chooser = SplitChooser(Random(1))
     with mock.patch.object(split, "MAX_ROUTES", 3):
