--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -197,7 +197,7 @@
     async def _drain(self) -> None:
         """Answer the requests in progress; new connections are accepted, but closed after one response."""
         loop, front = asyncio.get_running_loop(), self.client_front
-        ends = loop.time() + self.settings.slo.grace / SECOND - EXIT_RESERVE_S
+        deadline = loop.time() + self.settings.slo.grace / SECOND - EXIT_RESERVE_S
         front.is_draining = True
         front.closes_after_response = True
         log.info(
@@ -207,7 +207,7 @@
         )
         await asyncio.sleep(SHUTDOWN_ACCEPT_S)
         front.close_idle()
-        while (front.clients or self._has_requests()) and loop.time() < ends:
+        while (front.clients or self._has_requests()) and loop.time() < deadline:
             await asyncio.sleep(SHUTDOWN_POLL_S)
             front.close_idle()
 
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -155,7 +155,7 @@
             left_us = deadline_us - self._now_us()
             if predecessor in ("", self._context.settings.hostname, last_predecessor) or left_us <= 0:
                 break
-            last_predecessor = predecessor  # without a count, the next one is the owner before it
+            last_predecessor = predecessor  # if it has no count, the next predecessor is an earlier owner
             await asyncio.wait({self._hand_over_task(request, predecessor)}, timeout=left_us / SECOND)
         return self._add_locally(request)
 
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -183,7 +183,7 @@
         elif outcome is AttemptOutcome.OK:
             self._on_success(now_us, server, latency, result.duration_us)
         elif outcome not in (AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):
-            # An error response counts against the server's health. Its duration is not a latency sample.
+            # Not a latency sample: even with a response, it does not show how long work takes.
             server.on_failure(now_us, blame)
         if server.is_removed() and not server.in_flight:
             self.servers.pop(server.address, None)
