--- a/lapisgrade/gateway/controller/__init__.py
+++ b/lapisgrade/gateway/controller/__init__.py
@@ -1,13 +1,15 @@
-"""Control: one elected leader orders all changes in a log that a majority of the voters has on disk.
+"""The control plane: one elected leader orders all changes in a log on the disks of a majority of voters.
 
-Where to look, from the outside in:
+Modules, from the outside in:
 
 * `server` assembles one controller, starts it and shuts it down.
-* `control_api`, `call_forwarding`, `leader_calls`: calls of servers and operators, and where they run.
-* `drafts`: edits while no leader can be reached.
-* `watch_service`, `watch`, `version_activation`: what proxies are sent, and when a version comes into force;
-  `configuration_feed` and `proxy_list_feed` encode it as deltas.
-* `consensus_driver`, `log_writer`, `node_recovery`, `leader_discovery`: the node of `gateway.consensus`, its
-  disk and its peers.
-* `commands`, `state`, `state_machine`, `change_validation`, `draft_merging`: what the log means. Pure.
+* `control_api`, `call_forwarding`, `leader_calls`: receive calls of servers and operators, forward them to
+  the leader, and execute them there.
+* `drafts`: stores edits that are made while no leader is reachable.
+* `operation_claims`: records which attempt holds the key of a keyed operation.
+* `watch_service`, `watch`, `version_activation`: send updates to proxies, and decide when a version becomes
+  active; `configuration_feed` and `proxy_list_feed` encode updates as deltas.
+* `consensus_driver`, `log_writer`, `node_recovery`, `leader_discovery`: run the node of `gateway.consensus`
+  with its disk and its peers.
+* `commands`, `state`, `state_machine`, `change_validation`, `draft_merging`: the state machine. Pure.
 """
--- a/lapisgrade/gateway/controller/change_validation.py
+++ b/lapisgrade/gateway/controller/change_validation.py
@@ -1,8 +1,8 @@
-"""Validates a change of the configuration against the newest version. Pure.
+"""Validates a configuration change against the newest version. Pure.
 
-A change names the version that it makes, above the newest, and as `Base` the version that it was made on,
-which must be the newest (optimistic concurrency control). A change that is sent again is answered as the
-first time, as long as its digest is remembered.
+A change states the version that it produces, which must be above the newest, and in `Base` the version that
+it was derived from, which must be the newest (optimistic concurrency control). A duplicate of an applied
+change succeeds again, as long as the digest of the change is remembered.
 """
 
 from http import HTTPStatus
@@ -19,12 +19,12 @@
 
 
 class ApplyResult(msgspec.Struct, array_like=True, frozen=True):
-    """What came of a command.
+    """The result of applying a command.
 
     Attributes:
-        status: An HTTP status.
+        status: The HTTP status.
         reason: Why the command failed; empty on success.
-        claim_results: Of `ClaimOperations`, for each of its claims in order; None for all other commands.
+        claim_results: The results of the claims of a `ClaimOperations`, in order; None for other commands.
     """
 
     status: int
@@ -32,8 +32,8 @@
     claim_results: list[ClaimResult] | None = None
 
     @property
-    def concerns_claims_alone(self) -> bool:
-        """Whether the command changed nothing but the table of operations, which no watcher sees."""
+    def changes_only_operations(self) -> bool:
+        """Whether the command changed nothing but the operation table, which is not sent to watchers."""
         return self.claim_results is not None
 
 
@@ -41,10 +41,10 @@
     """The result of a validation.
 
     Attributes:
-        result: The status for the caller.
-        configuration: What the change makes of the newest version; None where nothing is to be applied, as
-            the change is invalid or was applied before.
-        version: The version that it makes.
+        result: The result for the caller.
+        configuration: The resulting configuration as JSON; None if there is nothing to apply, because the
+            change is invalid or was applied before.
+        version: The version of the resulting configuration.
     """
 
     result: ApplyResult
@@ -59,23 +59,23 @@
 
 
 def validate_change(state: State, change: ConfigurationChange) -> ValidatedChange:
-    """Return what a change would be answered now, and what it would make."""
+    """Validate a change against the state, and return the configuration that it produces."""
     try:
         fields = _decode(change)
         version, base = _version_numbers(fields)
         if version in state.applied_changes and state.applied_changes[version] == change.digest:
             return ValidatedChange(ApplyResult(HTTPStatus.OK))
         _check_version(state, version, base)
-        made = _make_configuration(state, change, fields)
+        result = _make_configuration(state, change, fields)
         if base != state.version:
             raise stale_base(state, base)
     except _RejectedChangeError as error:
         return ValidatedChange(ApplyResult(error.status, str(error)))
-    return ValidatedChange(ApplyResult(HTTPStatus.OK), msgspec.json.encode(made), version)
+    return ValidatedChange(ApplyResult(HTTPStatus.OK), msgspec.json.encode(result), version)
 
 
 def stale_base(state: State, base: int) -> LapisgradeError:
-    """Return the refusal of a change that was made on another version than the newest."""
+    """Return the error for a change whose base is not the newest version."""
     return _RejectedChangeError(
         HTTPStatus.PRECONDITION_FAILED, f"version {state.version} is in force, not {base}"
     )
@@ -94,9 +94,9 @@
 
 
 def _version_numbers(fields: dict[str, Any]) -> tuple[int, int]:
-    """Return the change's version and base."""
+    """Return the version and the base of a change."""
     version, base = fields.get("Ver"), fields.get("Base", 0)
-    if type(version) is not int or type(base) is not int:  # a bool is no number
+    if type(version) is not int or type(base) is not int:  # excludes bool, a subclass of int
         raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, "Ver and Base are whole numbers")
     return version, base
 
@@ -114,14 +114,14 @@
 
 
 def _make_configuration(state: State, change: ConfigurationChange, fields: dict[str, Any]) -> dict[str, Any]:
-    """Return the configuration that the change makes of the newest one."""
+    """Return the configuration that results from applying the change to the newest one."""
     try:
         if change.replaces_all:
-            made = {name: value for name, value in fields.items() if name != "Base"}
+            result = {name: value for name, value in fields.items() if name != "Base"}
         else:
             current = msgspec.json.decode(state.configuration) if state.configuration else {}
-            made = configuration_change.apply_change(current, fields)
-        configuration.read(made)
+            result = configuration_change.apply_change(current, fields)
+        configuration.read(result)
     except (InvalidInputError, KeyError, TypeError, AttributeError) as error:
         raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, str(error)) from None
-    return made
+    return result
--- a/lapisgrade/gateway/controller/commands.py
+++ b/lapisgrade/gateway/controller/commands.py
@@ -1,8 +1,8 @@
-"""Commands in the replicated log: what the state machine applies, on every controller alike.
+"""Commands in the replicated log, which the state machine of every controller applies.
 
-A command is encoded as a MessagePack array that starts with its tag. The tags and the order of the fields are
-what stands in logs on disk; names of classes and fields are free. Fields are only added at the end, with a
-default.
+A command is encoded as a MessagePack array that starts with its tag. Logs on disk contain the tags and the
+fields in order, but no names of classes or fields, so these may be renamed. New fields go at the end and have
+a default.
 """
 
 import msgspec
@@ -15,11 +15,11 @@
 
 
 class ConfigurationChange(msgspec.Struct, array_like=True, tag="c", frozen=True):
-    """A change of the configuration, as the operator sent it.
+    """A configuration change, as the operator sent it.
 
     Attributes:
-        replaces_all: Whether `body` is a whole configuration; else it has named items to change.
-        body: JSON.
+        replaces_all: Whether `body` is a complete configuration; otherwise it lists the items to change.
+        body: The change as JSON.
     """
 
     replaces_all: bool
@@ -27,16 +27,16 @@
 
     @property
     def digest(self) -> bytes:
-        """Identifies the change by its meaning; raises msgspec.DecodeError where it has none."""
+        """Identifies the change by content, not formatting; raises msgspec.DecodeError on invalid JSON."""
         return configuration_change.digest(self.body) + (b"w" if self.replaces_all else b"u")
 
 
 class NewVersion(msgspec.Struct, array_like=True, tag="v", frozen=True):
-    """The version that a valid change makes, for all controllers to apply without validating it again.
+    """The version that a valid change produces. Controllers apply it without validating the change again.
 
     Attributes:
-        change_digest: Of the `ConfigurationChange`.
-        encoded: The version, as a delta on the one that the change was validated on.
+        change_digest: The digest of the `ConfigurationChange`.
+        encoded: The version, as a delta from the version that the change was validated against.
     """
 
     change_digest: bytes
@@ -44,19 +44,19 @@
 
 
 class ServerLeaving(msgspec.Struct, array_like=True, tag="w", frozen=True):
-    """A server drains, or has ended (`is_gone`), by its own request."""
+    """A server announced that it is draining, or that it has ended (`is_gone`)."""
 
     server: str
     is_gone: bool
 
 
 class LiveProxies(msgspec.Struct, array_like=True, tag="k", frozen=True):
-    """The list of live proxies, by which the owners of counts are chosen.
+    """The list of live proxies, from which the owners of quota counts are computed.
 
     Attributes:
-        members: Address, incarnation and zone of each proxy, by its name.
-        proxies_with_controller: Those on whose machine a controller runs.
-        terminating_proxies: Those whose process was told to shut down.
+        members: Address, incarnation and zone of each proxy, by name.
+        proxies_with_controller: Proxies on whose machine a controller runs.
+        terminating_proxies: Proxies that are shutting down.
     """
 
     members: dict[str, tuple[str, str, str]]
@@ -65,25 +65,25 @@
 
 
 class ServerSnapshot(msgspec.Struct, array_like=True, tag="r", frozen=True):
-    """The live servers as the leader knew them; the next leader's registry starts from it."""
+    """The live servers in the leader's registry; the next leader initializes its registry from it."""
 
     servers: list[Server]
 
 
 class Activate(msgspec.Struct, array_like=True, tag="f", frozen=True):
-    """A staged version comes into force; `version_activation` says when."""
+    """Activates a staged version; `version_activation` decides when."""
 
     version: int
 
 
 class MergeDraft(msgspec.Struct, array_like=True, tag="b", frozen=True):
-    """A draft that was stored while its controller reached no leader, to be merged."""
+    """Merges a draft that was stored while its controller could not reach a leader."""
 
     draft: Draft
 
 
 class CloseDraft(msgspec.Struct, array_like=True, tag="d", frozen=True):
-    """An operator settled the conflicts of a draft, or gives them up."""
+    """Closes a draft whose conflicts an operator has settled or dropped."""
 
     draft_id: str
 
@@ -92,9 +92,9 @@
     """Claims of keyed operations, in the order in which the leader received them.
 
     Attributes:
-        elapsed_us: What the leader has measured since its last batch; 0 for its first.
-        retention_us: How long a record is kept.
-        claims: To be recorded one after the other.
+        elapsed_us: Time since this leader's previous batch, in us; 0 for its first batch.
+        retention_us: Time for which a record is kept, in us.
+        claims: The claims, to be applied in order.
     """
 
     elapsed_us: int
@@ -116,5 +116,5 @@
 
 
 def encode_command(command: LogCommand) -> bytes:
-    """Return the command as it stands in a log entry."""
+    """Return the command as the data of a log entry."""
     return msgspec.msgpack.encode(command)
--- a/lapisgrade/gateway/controller/consensus_driver.py
+++ b/lapisgrade/gateway/controller/consensus_driver.py
@@ -1,20 +1,20 @@
-"""Runs one consensus node: carries out its effects, keeps its timer, and completes pending proposals.
+"""Runs one consensus node: carries out its effects, arms its timer, and completes pending proposals.
 
 `consensus.node.Node` is pure. After each call into it this module
 
     1. loads a snapshot into the state machine, if one was installed,
-    2. hands records to the log writer; messages that depend on them are sent once they are on disk,
+    2. queues records at the log writer; messages that depend on them are sent once they are on disk,
     3. applies the committed entries and completes the proposals that wait for them,
     4. sends the messages that depend on no write,
-    5. hands the node its messages to itself, and repeats 1 to 4 for what they caused,
+    5. delivers the messages that the node sent to itself, and repeats 1 to 4 for their effects,
     6. replaces a long log by a snapshot,
     7. reports a change of leadership, and arms the timer for the node's next deadline.
 
-Records come before what may fail (guards the log against a hole: a later write counts as durable with all
-that was written before it).
+Records are queued before any step that may fail. A durable write implies that all earlier writes are durable,
+so a write that is lost through a failed step would leave a hole in the log.
 
-A controller without a disk has no node: its driver is never started, never leads, and proposes nothing. Nor
-has one that met an entry or a snapshot that it can't read: the driver gives up its node and reports that.
+A controller without a disk has no node: its driver is never started, never leads, and proposes nothing. At a
+committed entry or a snapshot that this release can't read, the driver drops the node and reports the error.
 """
 
 import asyncio
@@ -38,51 +38,51 @@
 
 log = logging.getLogger("controller")
 
-COMMIT_TIMEOUT_S = 0.85  # that a proposal waits for a majority; below call_forwarding.FORWARD_TIMEOUT_S
-MIN_TIMER_S = 0.0005  # between two timers of the node, so that one that is overdue can't starve the loop
+COMMIT_TIMEOUT_S = 0.85  # time-out for committing a proposal; below call_forwarding.FORWARD_TIMEOUT_S
+MIN_TIMER_S = 0.0005  # minimum delay of the node's timer, so that an overdue one can't starve the event loop
 
 
 class LeaderTasks(Protocol):
-    """What a controller does as a leader, beside its part in the consensus."""
+    """The tasks of a leader outside of consensus."""
 
     def become_leader(self, term: int) -> None:
-        """Start anew from the state machine, which now has all that was committed in earlier terms."""
+        """Start a new term from the state machine, which has applied all entries of earlier terms."""
 
     def on_applied(self) -> None:
-        """React to a change of the state machine."""
+        """React to a change of the state machine's state."""
 
     def on_timer(self) -> None:
-        """Notice what time alone has changed; called on the established leader at each timer of the node."""
+        """Apply time-outs; called on the established leader at each timer of the node."""
 
     def due_commands(self) -> list[LogCommand | None]:
-        """Return commands to propose now; called on a leader with a lease at each timer of the node."""
+        """Return the commands to propose now; called on a leader with a lease at each timer of the node."""
 
     def notify_watchers(self) -> None:
-        """Have pending watch requests looked at again."""
+        """Re-evaluate pending watch requests."""
 
 
 class NodeNotStartedError(LapisgradeError):
-    """Something was asked of the consensus node of a controller that has none, or not yet."""
+    """The consensus node was used on a controller that has none, or before it was started."""
 
 
 class ConsensusObserver:
-    """Is called at the steps of a driver; the laboratory's invariants are checked there. Does nothing."""
+    """Receives callbacks from a driver. Does nothing; the laboratory checks invariants in a subclass."""
 
     def on_started(self) -> None:
         """The node was created or recovered; nothing is applied yet."""
 
     def on_lease_confirmed(self) -> None:
-        """A request is about to be served by this node as the leader."""
+        """This node is about to serve a request as the leader."""
 
     def on_entry_applied(self, entry: Entry) -> None:
         """A committed entry was applied and its proposal completed."""
 
     def on_effects_carried_out(self, restored: bool) -> None:
-        """The node's effects were carried out; `restored` if a snapshot was loaded."""
+        """The node's effects were carried out; `restored` is True if a snapshot was loaded."""
 
 
 class ConsensusDriver:
-    """Drives `node`; `start` it once the disk was read."""
+    """Drives `node`; call `start` after the disk was read."""
 
     def __init__(
         self,
@@ -93,34 +93,35 @@
         observer: ConsensusObserver,
         on_unreadable_log: Callable[[UnreadableLogError], None],
     ) -> None:
-        """Drive no node yet.
+        """Create a driver without a node.
 
         Args:
-            state_machine: Committed entries are applied to it.
+            state_machine: The state machine to which committed entries are applied.
             send: Posts a message to an address.
-            clock: Tells the steady time in us.
-            metrics: Elections, entries and proposals are counted here.
-            observer: Is called at each step.
-            on_unreadable_log: Is called once the node was given up; the process has to end.
+            clock: Returns the monotonic time in us.
+            metrics: The counters of elections, entries and proposals.
+            observer: Receives a callback at each step.
+            on_unreadable_log: Called after the node was dropped; the process must end.
         """
         self.node: Node | None = None
-        self.is_established = False  # the node leads and has applied what earlier terms committed
+        self.is_established = False  # whether the node leads and has applied all entries of earlier terms
         self._state_machine = state_machine
         self._send = send
         self._clock = clock
         self._metrics = metrics
         self.observer = observer
         self._on_unreadable_log = on_unreadable_log
-        self._log_writer: LogWriter  # set by `start`, as the next one
+        self._log_writer: LogWriter  # set by `start`, like the next attribute
         self._leader_tasks: LeaderTasks
         self._pending_proposals: dict[
             tuple[int, int], asyncio.Future[ApplyResult | None]
-        ] = {}  # by index and term
+        ] = {}  # by index and term of the log entry
         self._timer: asyncio.TimerHandle | None = None
-        self._light_entries = 0  # applied since the last snapshot, see `Node.needs_compaction`
+        # Entries since the last snapshot that changed only operations; see `Node.needs_compaction`.
+        self._light_entries = 0
 
     def start(self, node: Node, log_writer: LogWriter, leader_tasks: LeaderTasks) -> None:
-        """Drive that node from the next `step` on."""
+        """Drive `node` from the next `step` on."""
         self.node = node
         self._log_writer = log_writer
         self._leader_tasks = leader_tasks
@@ -128,9 +129,9 @@
 
     @property
     def started_node(self) -> Node:
-        """The node, for what runs only after `start`."""
+        """The node, for code that runs only after `start`."""
         if self.node is None:
-            raise NodeNotStartedError("this controller has no consensus node, or has not started it yet")
+            raise NodeNotStartedError("this controller has no disk, or its consensus node is not started yet")
         return self.node
 
     def close(self) -> None:
@@ -141,7 +142,7 @@
     # ---- queries
 
     def is_leader(self) -> bool:
-        """Return whether this node may serve as the leader now: established, and with a valid lease."""
+        """Return whether this node may serve as the leader now: it is established and has a valid lease."""
         if self.node is None:
             return False
         self.node.advance_clock(self._clock())
@@ -151,22 +152,22 @@
         return is_leader
 
     def voter_addresses(self) -> list[str]:
-        """Return the addresses of the voters, sorted; they take watch requests and calls."""
+        """Return the sorted addresses of the voters, which accept watch requests and calls."""
         return sorted(set(self.node.voters.values())) if self.node is not None else []
 
     # ---- inputs of the node
 
     def receive(self, message: ConsensusMessage) -> None:
-        """Hand a message of another controller to the node."""
+        """Deliver a message of another controller to the node."""
         if self.node is not None:
             self.node.receive(self._clock(), message)
             self.step()
 
     def on_written(self, writes: list[DurableWrite], last_index: int, last_term: int) -> None:
-        """Note that those writes are on disk, and send the messages that waited for them."""
+        """Process writes that are now on disk: send the messages that depend on them."""
         node = self.node
         if node is None:
-            return  # it was given up meanwhile
+            return  # the node was dropped during the write
         node.on_write_durable(self._clock(), last_index, last_term)
         for write in writes:
             for address, message in write.sends_when_durable:
@@ -177,20 +178,20 @@
         self.step()
 
     def step_down(self) -> None:
-        """Give up leadership, to a voter with a complete log where there is one."""
+        """Transfer leadership to a voter with a complete log, if there is one, and step down."""
         self.started_node.step_down()
         self.step()
 
     async def propose(self, data: bytes, announces_commit: bool = True) -> ApplyResult | None:
-        """Put an encoded command into the log and wait until it is applied.
+        """Append an encoded command to the log and wait until it is applied.
 
         Args:
             data: The encoded command.
             announces_commit: As for `Node.propose`.
 
         Returns:
-            The state machine's result. None if this node doesn't lead, or if the outcome is not known
-            within `COMMIT_TIMEOUT_S`: the command may be applied later.
+            The state machine's result. None if this node doesn't lead, or if the command is not applied
+            within `COMMIT_TIMEOUT_S`; it may be applied later.
         """
         position = self.started_node.propose(data, announces_commit)
         if position is None:
@@ -207,7 +208,7 @@
             self._pending_proposals.pop(position, None)
 
     def propose_all(self, commands: Iterable[LogCommand | None]) -> None:
-        """Propose the leader's own commands, waiting for none; the next `step` sends them."""
+        """Propose the leader's own commands without waiting; the next `step` sends them."""
         for command in commands:
             if command is not None:
                 self._metrics.commands_proposed[type(command).__name__] += 1
@@ -223,9 +224,9 @@
         try:
             self._carry_out_all_effects(node)
         except UnreadableLogError as error:
-            self._give_up_node(error)
+            self._drop_node(error)
             return
-        self._follow_leadership(node)
+        self._update_leadership(node)
         if self._timer is not None:
             self._timer.cancel()
         delay_s = max(MIN_TIMER_S, (node.next_tick_us - self._clock()) / SECOND)
@@ -239,8 +240,8 @@
             self._light_entries = 0
             self._carry_out_effects(node)
 
-    def _give_up_node(self, error: UnreadableLogError) -> None:
-        """Neither vote nor answer any more: the state lacks an entry that was committed."""
+    def _drop_node(self, error: UnreadableLogError) -> None:
+        """Stop voting and serving, because the state lacks a committed entry."""
         self.node = None
         self.is_established = False
         self.close()
@@ -248,7 +249,11 @@
         self._on_unreadable_log(error)
 
     def _carry_out_effects(self, node: Node) -> bool:
-        """Return whether the node sent messages to itself, which may have had effects of their own."""
+        """Carry out the pending effects.
+
+        Returns:
+            Whether the node sent messages to itself, which may have caused further effects.
+        """
         effects = node.take_effects()
         if effects.snapshot is not None:
             self._state_machine.load(effects.snapshot)
@@ -277,7 +282,7 @@
         if entry.data:
             result = self._state_machine.apply(entry.index, entry.data)
             self._metrics.entries_applied += 1
-            if result.concerns_claims_alone:
+            if result.changes_only_operations:
                 self._light_entries += 1
             else:
                 self._on_applied()
@@ -291,9 +296,10 @@
             self._leader_tasks.on_applied()
         self._leader_tasks.notify_watchers()
 
-    def _follow_leadership(self, node: Node) -> None:
-        # Not before the log of earlier terms is applied: a node that was restarted has an empty state until
-        # then, and a list of live proxies begun from that would leave out proxies that still act.
+    def _update_leadership(self, node: Node) -> None:
+        # The node is established only after it has applied the log of earlier terms. A restarted node has an
+        # empty state until then, and a list of live proxies made from it would omit proxies that are still
+        # active.
         if node.has_committed_in_term == self.is_established:
             return
         self.is_established = node.has_committed_in_term
@@ -306,7 +312,7 @@
         self._leader_tasks.notify_watchers()
 
     def _fail_pending_proposals(self) -> None:
-        """Complete all proposals as unknown: another leader may still commit them."""
+        """Complete all proposals with an unknown outcome; another leader may still commit them."""
         pending, self._pending_proposals = self._pending_proposals, {}
         for future in pending.values():
             if not future.done():
--- a/lapisgrade/gateway/controller/log_writer.py
+++ b/lapisgrade/gateway/controller/log_writer.py
@@ -1,11 +1,11 @@
-"""Writes a node's records to its disk, one batch after another; writes that wait are batched.
+"""Writes the records of a node to disk, one batch at a time; writes that queue up share a batch.
 
-After a failed write nothing is appended until everything has been rewritten as the next generation of the
-file: what failed may be complete on disk after a loss of power. What was queued meanwhile is part of that
-generation, and is not appended behind it (guards the log against older entries, which would truncate it at
-their index).
+After a failed write, nothing is appended until the complete log was rewritten as the next generation of the
+file, because the records of the failed write may still be on disk after a power loss. The new generation
+includes all writes that are queued by then. They are not appended behind it: older entries would truncate the
+log at their index when it is read back.
 
-    queue -> batch --(no generation of this process yet, a snapshot in it, or a failure)--> renew
+    queue -> batch --(first write of this process, a snapshot, or a failed write)---------> renew
                ^   +--(else)-------------------------------------------------------------> append
                |                                                                           |
                +--- after RETRY_INTERVAL_S, until it succeeds <------- OSError ------------+---> on_written
@@ -25,21 +25,21 @@
 
 log = logging.getLogger("controller")
 
-RETRY_INTERVAL_S = 0.3  # after which a failed write is retried
+RETRY_INTERVAL_S = 0.3  # delay before a failed write is retried
 
 
 class Store(Protocol):
-    """The log's file; its calls block, and raise OSError where the records may not be on disk."""
+    """The log file. Calls block, and raise OSError if the records may not be on disk."""
 
     def renew(self, first_record: bytes) -> None:
-        """Begin the next generation with that record."""
+        """Start the next generation with that record."""
 
     def append(self, records: list[bytes]) -> None:
-        """Add records to the current generation."""
+        """Append records to the current generation."""
 
 
 class LogWriter:
-    """Writes what `put` queues, from `run` on until that is cancelled."""
+    """Writes the queued records while `run` is running."""
 
     def __init__(
         self,
@@ -52,12 +52,12 @@
         """Queue a snapshot of the node as the first write.
 
         Args:
-            node: Whose records are written; the log as it is at a write tells the last entry on disk.
-            store: The log's file.
-            executor: Makes the store's blocking calls.
-            metrics: Syncs and failures are counted here.
-            on_written: Is called after each batch with its writes in order, and with the index and term
-                of the log's last entry on disk.
+            node: The node whose records are written.
+            store: The log file.
+            executor: Runs the store's blocking calls.
+            metrics: The counters of syncs and failures.
+            on_written: Called after each batch with its writes in order, and with the index and term of the
+                last log entry on disk.
         """
         self._node = node
         self._store = store
@@ -65,7 +65,7 @@
         self._metrics = metrics
         self._on_written = on_written
         self._queue: asyncio.Queue[DurableWrite] = asyncio.Queue()
-        self._must_renew = True  # nothing is appended to a generation of an earlier process
+        self._must_renew = True  # never append to the generation of an earlier process
         self._last_failed = False
         self.put(DurableWrite([node.snapshot_record()], [], node.log.last_index, node.log.last_term))
 
@@ -98,7 +98,7 @@
             last_entry = await (self._renew() if self._must_renew else self._append(batch))
         except OSError as error:
             if not self._last_failed:
-                log.warning("the disk refuses: %s", error)
+                log.warning("write to the log failed and is retried: %s", error)
             self._must_renew = True
             self._last_failed = True
             self._metrics.disk_write_failures += 1
@@ -107,7 +107,7 @@
         return last_entry
 
     async def _renew(self) -> tuple[int, int]:
-        """Begin a generation with all that the node knows now."""
+        """Start a generation with a snapshot record of the node's current state."""
         node_log = self._node.log
         last_entry = node_log.last_index, node_log.last_term
         await self._call(self._store.renew, msgspec.msgpack.encode(self._node.snapshot_record()))
--- a/lapisgrade/gateway/controller/state.py
+++ b/lapisgrade/gateway/controller/state.py
@@ -1,6 +1,6 @@
-"""The state that the log's commands add up to, and its snapshots.
+"""The replicated state, and its snapshots.
 
-A snapshot on disk bears the fields' names: `rename` keeps the encoded names as they were.
+Snapshots on disk contain the names of the fields; `rename` keeps the encoded names as they were.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 from lapisgrade.gateway.operations.table import OperationTable
 from lapisgrade.gateway.registry import Server
 
-MAX_STAGED_VERSIONS = 8  # beyond it the oldest is dropped, as later versions replace it
+MAX_STAGED_VERSIONS = 8  # the oldest is dropped beyond this number; later versions supersede it
 
 _ENCODED_NAMES = {
     "configuration": "conf",
@@ -37,32 +37,32 @@
 
 
 class State(msgspec.Struct, rename=_ENCODED_NAMES):
-    """What all commands so far add up to.
+    """The result of all commands applied so far.
 
     Attributes:
-        configuration: The newest configuration, as JSON; empty before the first.
-        version: Its version; 0 before the first.
-        applied_changes: Digests of changes, by the version that each made; the oldest are forgotten.
-        forgotten_version: The newest version whose digest is no longer in `applied_changes`.
-        active_configuration: The active configuration (in force), as JSON.
-        active_version: Its version, at most the newest.
+        configuration: The newest configuration as JSON; empty before the first.
+        version: The version of the newest configuration; 0 before the first.
+        applied_changes: Digests of changes, by the version that each produced; the oldest are dropped.
+        forgotten_version: The newest version whose digest was dropped from `applied_changes`.
+        active_configuration: The active configuration as JSON.
+        active_version: The version of the active configuration, at most `version`.
         staged_versions: Configurations newer than the active one, by version.
-        merged_versions: Those of the staged versions that were made by merging drafts.
-        departed_servers: Servers that drain (False) or are gone (True), by id.
-        server_snapshot: The live servers, as the leader knew them.
+        merged_versions: The staged versions that were produced by merging drafts.
+        departed_servers: Servers that are draining (False) or gone (True), by id.
+        server_snapshot: The live servers in the leader's registry.
         live_proxies: Address, incarnation and zone of the live proxies, by name.
-        proxies_with_controller: Those on whose machine a controller runs.
-        terminating_proxies: Those whose process was told to shut down.
+        proxies_with_controller: Live proxies on whose machine a controller runs.
+        terminating_proxies: Live proxies that are shutting down.
         fencing_token: The fencing token of the list of live proxies: the index of its log entry.
-        previous_fencing_token: The fencing token of the list before.
-        previous_owners: Who owned counts under the list before.
-        merge_base: The newest acknowledged configuration, where drafts were merged on top of it; else empty.
-        drafts: Those drafts.
-        outcomes: What came of them, by id.
-        closed_drafts: Ids of those that were closed since.
-        unresolved_drafts: Drafts merged earlier that still have conflicts, and what came of each, by id.
-        merged_draft_ids: Ids of the last drafts that were merged, to recognize copies.
-        operations: Which attempts hold which operation keys.
+        previous_fencing_token: The fencing token of the previous list.
+        previous_owners: The proxies that owned quota counts under the previous list.
+        merge_base: The newest acknowledged configuration if drafts were merged on top of it; otherwise empty.
+        drafts: The drafts merged on top of `merge_base`.
+        outcomes: The merge outcomes of `drafts`, by draft id.
+        closed_drafts: Ids of drafts in `drafts` that were closed after the merge.
+        unresolved_drafts: Drafts merged earlier that still have conflicts, with their outcomes, by draft id.
+        merged_draft_ids: Ids of the last merged drafts, by which duplicates are recognized.
+        operations: The attempts that hold operation keys.
     """
 
     configuration: bytes = b""
@@ -90,16 +90,16 @@
     operations: OperationTable = msgspec.field(default_factory=OperationTable)
 
     def stage(self, configuration: bytes, version: int) -> None:
-        """Make a configuration the newest one; it waits to come into force."""
+        """Make a configuration the newest version, to be activated later."""
         self.configuration = configuration
         self.version = version
         self.staged_versions[version] = configuration
-        if len(self.staged_versions) > MAX_STAGED_VERSIONS:  # the next one replaces it
+        if len(self.staged_versions) > MAX_STAGED_VERSIONS:  # a later version supersedes it
             del self.staged_versions[next(iter(self.staged_versions))]
         self.forget_activated_merges()
 
     def activate(self, version: int) -> None:
-        """Bring a staged version into force; the versions before it will not be."""
+        """Activate a staged version; drop the staged versions before it."""
         if version not in self.staged_versions:
             return
         self.active_configuration = self.staged_versions[version]
@@ -108,14 +108,14 @@
         self.forget_activated_merges()
 
     def forget_activated_merges(self) -> None:
-        """Have `merged_versions` name staged versions alone."""
+        """Remove from `merged_versions` all versions that are no longer staged."""
         self.merged_versions = [
             version for version in self.merged_versions if version in self.staged_versions
         ]
 
 
 class SavedState(msgspec.Struct, array_like=True):
-    """A snapshot: the state without configurations, the newest of them, and the others as deltas on it."""
+    """A snapshot: the state without configurations, the newest one, and the others as deltas from it."""
 
     state: State
     configuration: bytes
@@ -126,7 +126,7 @@
 
 _STATE_DECODER = msgspec.msgpack.Decoder(State)
 _SAVED_STATE_DECODER = msgspec.msgpack.Decoder(SavedState)
-_FIRST_BYTES_OF_MAPS = (*range(0x80, 0x90), 0xDE, 0xDF)  # MessagePack: a `State`, as older snapshots have it
+_FIRST_BYTES_OF_MAPS = (*range(0x80, 0x90), 0xDE, 0xDF)  # MessagePack maps: older snapshots are a `State`
 
 
 def encode_snapshot(state: State) -> bytes:
@@ -151,7 +151,7 @@
 
 
 def decode_snapshot(data: bytes) -> State:
-    """Return the state of a snapshot; a new state where that is empty."""
+    """Return the state in a snapshot; the initial state if `data` is empty."""
     if not data:
         return State()
     if data[0] in _FIRST_BYTES_OF_MAPS:
--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -1,8 +1,8 @@
-"""Applies the log's commands to the state. Pure: the same log gives the same state on every controller.
+"""Applies the commands of the log to the state. Pure: the same log gives the same state on every controller.
 
-A change of the configuration is validated here and nowhere else, on the newest version. The leader validates
-it once, and proposes the version that it makes (`prepare`); `apply` then checks only that this is still made
-on the newest version.
+A configuration change is validated here and nowhere else, against the newest version. The leader validates it
+once and proposes the resulting version (`prepare`). `apply` then only checks that the base of that version is
+still the newest version.
 """
 
 from http import HTTPStatus
@@ -34,8 +34,8 @@
 from lapisgrade.gateway.merge.three_way import Draft, MergeOutcome
 from lapisgrade.gateway.quota.ownership import eligible_owners
 
-MAX_REMEMBERED_CHANGES = 4096  # versions whose change is recognized when it is sent again; days of changes
-MAX_DEPARTED_SERVERS = 16_384  # more than a deployment has at once
+MAX_REMEMBERED_CHANGES = 4096  # applied changes whose duplicates are recognized; covers several days
+MAX_DEPARTED_SERVERS = 16_384  # more servers than a deployment has at a time
 
 _OK = ApplyResult(HTTPStatus.OK)
 _COMMAND_DECODER = msgspec.msgpack.Decoder(LogCommand)
@@ -46,22 +46,22 @@
         return _COMMAND_DECODER.decode(data)
     except msgspec.MsgspecError as error:
         raise UnreadableLogError(
-            f"entry {index} of the log can't be read, a later release wrote it: {error}"
+            f"cannot decode log entry {index}, which a later release has written: {error}"
         ) from error
 
 
 class PreparedChange(msgspec.Struct, frozen=True):
-    """What a change would be answered now, and the command for it; None where none is needed."""
+    """The result of validating a change, and the command to propose; None if no command is needed."""
 
     result: ApplyResult
     command: NewVersion | None = None
 
 
 class StateMachine:
-    """The state, and the one way to change it."""
+    """The replicated state. Only `apply` and `load` change it."""
 
     def __init__(self) -> None:
-        """Begin with the state of an empty log."""
+        """Start from the state of an empty log."""
         self.state = State()
 
     # ---- snapshots
@@ -74,23 +74,23 @@
         """Replace the state by that of a snapshot.
 
         Raises:
-            UnreadableLogError: A later release wrote it.
+            UnreadableLogError: A later release wrote the snapshot.
         """
         try:
             self.state = decode_snapshot(data)
         except msgspec.MsgspecError as error:
             raise UnreadableLogError(
-                f"the log's snapshot can't be read, a later release wrote it: {error}"
+                f"cannot decode the log's snapshot, which a later release has written: {error}"
             ) from error
 
     # ---- queries of the leader
 
     def validate(self, change: ConfigurationChange) -> ValidatedChange:
-        """Return what a change would be answered now, and what it would make."""
+        """Validate a change against the current state, without applying it."""
         return validate_change(self.state, change)
 
     def prepare(self, change: ConfigurationChange) -> PreparedChange:
-        """Return what a change would be answered now, and the command to propose for it."""
+        """Validate a change, and return the result and the command to propose for it."""
         validated = self.validate(change)
         if validated.configuration is None:
             return PreparedChange(validated.result)
@@ -99,16 +99,16 @@
         return PreparedChange(validated.result, NewVersion(change.digest, encoded))
 
     def open_drafts(self) -> dict[str, tuple[Draft, MergeOutcome]]:
-        """Return the drafts that operators may look at, and what came of each, by id."""
+        """Return the drafts that are shown to operators, with their merge outcomes, by draft id."""
         return draft_merging.open_drafts(self.state)
 
     # ---- commands
 
     def apply(self, index: int, data: bytes) -> ApplyResult:
-        """Apply an encoded command, which stands at that index of the log.
+        """Apply an encoded command, the data of the log entry at `index`.
 
         Raises:
-            UnreadableLogError: A later release wrote it; nothing was applied.
+            UnreadableLogError: A later release wrote the command; nothing was applied.
         """
         command = _decode_command(index, data)
         match command:
@@ -145,17 +145,17 @@
         return validated.result
 
     def apply_new_version(self, command: NewVersion) -> ApplyResult:
-        """Accept a version that was validated on the newest one; 412 where another came before it."""
+        """Accept a version whose base is the newest version; 412 if another version was accepted first."""
         state, encoded = self.state, command.encoded
         if state.applied_changes.get(encoded.version) == command.change_digest:
-            return _OK  # the same change again
+            return _OK  # a duplicate of an applied change
         if encoded.base != state.version:
             return ApplyResult(HTTPStatus.PRECONDITION_FAILED, str(stale_base(state, encoded.base)))
         self.accept(decode(encoded, state.configuration), encoded.version, command.change_digest)
         return _OK
 
     def accept(self, configuration: bytes, version: int, change_digest: bytes) -> None:
-        """Make a configuration the newest, acknowledged one."""
+        """Make an acknowledged configuration the newest version."""
         state = self.state
         draft_merging.retire_drafts(state)
         state.stage(configuration, version)
@@ -165,7 +165,7 @@
             del state.applied_changes[state.forgotten_version]
 
     def apply_live_proxies(self, index: int, command: LiveProxies) -> None:
-        """Bring a list of live proxies into force, under a new fencing token."""
+        """Replace the list of live proxies; the entry's index is its fencing token."""
         state = self.state
         state.previous_owners = sorted(
             eligible_owners(state.live_proxies, state.proxies_with_controller, state.terminating_proxies)
--- a/tests/gateway/controller/test_consensus_driver.py
+++ b/tests/gateway/controller/test_consensus_driver.py
@@ -1,4 +1,4 @@
-"""What the consensus driver does with a step whose committed entry this release can't read."""
+"""The consensus driver at a committed entry that this release can't decode."""
 
 import asyncio
 from pathlib import Path
@@ -19,18 +19,16 @@
 from lapisgrade.gateway.errors import UnreadableLogError
 from lapisgrade.gateway.local_cluster import LocalCluster
 
-COMMAND_OF_A_LATER_RELEASE = msgspec.msgpack.encode(["?", 1])
+LATER_RELEASE_COMMAND = msgspec.msgpack.encode(["?", 1])
 
 
-class Driven:
-    """A driver whose node's next step has a write and a committed entry that can't be read."""
+class DriverFixture:
+    """A driver whose node's next step has a write and a committed entry that can't be decoded."""
 
     def __init__(self) -> None:
         self.write = DurableWrite([], [], 8, 1)
         self.effects = [
-            Effects(
-                writes=[self.write], committed=[Entry(7, 1, COMMAND_OF_A_LATER_RELEASE)], sends=[("b", 1)]
-            )
+            Effects(writes=[self.write], committed=[Entry(7, 1, LATER_RELEASE_COMMAND)], sends=[("b", 1)])
         ]
         self.written: list[DurableWrite] = []
         self.sent: list[tuple[str, object]] = []
@@ -52,46 +50,46 @@
         self.driver.start(self.node, SimpleNamespace(put=self.written.append), leader_tasks)
 
 
-def test_a_command_of_a_later_release_loses_no_write_of_the_same_step() -> None:
-    """The log counts as durable up to the last write; one that is never written is a hole in it."""
-    driven = Driven()
+def test_undecodable_command_does_not_discard_writes_of_the_same_step() -> None:
+    """The log counts as durable up to the last write, so a discarded write would leave a hole in it."""
+    fixture = DriverFixture()
     with pytest.raises(UnreadableLogError):
-        driven.driver._carry_out_effects(driven.node)
-    assert driven.written == [driven.write]
+        fixture.driver._carry_out_effects(fixture.node)
+    assert fixture.written == [fixture.write]
 
 
-async def test_a_driver_that_can_not_apply_an_entry_neither_votes_nor_leads_nor_answers() -> None:
-    driven = Driven()
-    async with asyncio.timeout(0.5):  # below COMMIT_TIMEOUT_S: the outcome is not waited for
-        assert await driven.driver.propose(b"") is None
-    assert [str(error) for error in driven.errors] == [
-        "entry 7 of the log can't be read, a later release wrote it: Invalid value '?' - at `$[0]`"
+async def test_driver_stops_voting_leading_and_replying_after_an_undecodable_entry() -> None:
+    fixture = DriverFixture()
+    async with asyncio.timeout(0.5):  # below COMMIT_TIMEOUT_S: the proposal fails without waiting
+        assert await fixture.driver.propose(b"") is None
+    assert [str(error) for error in fixture.errors] == [
+        "cannot decode log entry 7, which a later release has written: Invalid value '?' - at `$[0]`"
     ]
-    driven.driver.receive(RequestVote(2, "b", "10.0.0.2:1", 8, 1, False))
-    driven.driver.on_written([DurableWrite([], [("b", "a vote")], 8, 1)], 8, 1)
-    assert not driven.driver.is_leader()
-    assert driven.sent == []
-    assert driven.written == [driven.write]
+    fixture.driver.receive(RequestVote(2, "b", "10.0.0.2:1", 8, 1, False))
+    fixture.driver.on_written([DurableWrite([], [("b", "a vote")], 8, 1)], 8, 1)
+    assert not fixture.driver.is_leader()
+    assert fixture.sent == []
+    assert fixture.written == [fixture.write]
 
 
-async def test_a_controller_ends_at_an_entry_that_it_can_not_apply(
+async def test_controller_process_ends_at_an_undecodable_entry(
     loopback_network: LoopbackNetwork, tmp_path: Path
 ) -> None:
     cluster = LocalCluster(1, 1, loopback_network.number, str(tmp_path))
     controller = Controller(cluster.settings("m1"))
     running = asyncio.ensure_future(controller.run())
     await cluster.until(controller.consensus.is_leader)
-    assert await controller.consensus.propose(COMMAND_OF_A_LATER_RELEASE) is None
-    with pytest.raises(UnreadableLogError, match=r"^entry \d+ of the log can't be read"):
+    assert await controller.consensus.propose(LATER_RELEASE_COMMAND) is None
+    with pytest.raises(UnreadableLogError, match=r"^cannot decode log entry \d+, which a later release"):
         await running
 
 
-def test_a_process_that_ends_at_an_unreadable_log_says_so_in_one_line(
+def test_unreadable_log_is_logged_in_one_line_with_its_own_exit_code(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     def run_role(name: str, path: str | None) -> None:
-        raise UnreadableLogError("entry 7 of the log can't be read")
+        raise UnreadableLogError("cannot decode log entry 7")
 
     monkeypatch.setattr(gateway_main, "run_role", run_role)
     assert gateway_main.main(["controller"]) == ExitCode.UNREADABLE_LOG
-    assert caplog.messages == ["entry 7 of the log can't be read"]
+    assert caplog.messages == ["cannot decode log entry 7"]
