--- a/lapisgrade/gateway/controller/configuration_feed.py
+++ b/lapisgrade/gateway/controller/configuration_feed.py
@@ -1,26 +1,26 @@
-"""Encodes versions of the configuration for proxies, as deltas on a version that they have. Pure.
+"""Encodes configuration versions for proxies, as deltas from a version that they have. Pure.
 
-Deltas are made once for all proxies that have the same version. The texts of the last few versions are kept,
-for proxies that lag; a proxy that lags further is sent the whole text.
+A delta is computed once and cached for all proxies that have the same version. The texts of the last few
+versions are stored for proxies that lag behind; a proxy that lags further is sent the full text.
 """
 
 from typing import Any
 
 from lapisgrade.gateway.configuration_delta import EncodedVersion, encode
 
-MAX_TEXTS = 12  # versions whose text is kept: the most that can be staged at once, and a few before
-MAX_ENCODED = 48  # encoded versions that are kept
+MAX_TEXTS = 12  # versions whose text is stored; above MAX_STAGED_VERSIONS, for a few older ones
+MAX_ENCODED = 48  # cached deltas and full texts
 
 
 class ConfigurationFeed:
-    """The last versions, and what was encoded of them."""
+    """The texts of the last versions, and a cache of their encoded forms."""
 
     def __init__(self) -> None:
         self._texts: dict[int, bytes] = {}  # by version
         self._encoded: dict[tuple[int, int], EncodedVersion] = {}  # by version and base
 
     def version(self, version: int, text: bytes, base: int) -> EncodedVersion:
-        """Return that version as a delta on the version `base`; whole where that is 0 or forgotten."""
+        """Return a version as a delta from the version `base`; in full if `base` is 0 or no longer stored."""
         if self._texts.get(version) != text:
             self._texts.pop(version, None)
             self._texts[version] = text
@@ -37,7 +37,7 @@
         return encoded
 
     def chain(self, texts: dict[int, bytes], base: int) -> dict[int, EncodedVersion]:
-        """Return all versions of `texts` after `base`, in order, each a delta on the one before."""
+        """Return the versions in `texts` after `base`, in order, each as a delta from the previous one."""
         encoded = {}
         for version, text in texts.items():
             if version > base:
--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -1,6 +1,6 @@
-"""Remembers the last lists of live proxies, to send a proxy only the changes from the list it has. Pure.
+"""Stores recent lists of live proxies, so that a proxy is sent only the changes from the list it has. Pure.
 
-A list of hundreds of proxies takes some KB, and changes several times a second while ten of them restart.
+A list of hundreds of proxies takes several KB, and changes several times a second while ten of them restart.
 """
 
 from collections.abc import Iterable
@@ -10,61 +10,64 @@
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
 from lapisgrade.gateway.rpc_messages import ProxiesByName, ProxyListDelta
 
-MAX_LISTS = 12  # lists that are remembered: about two seconds' worth, at the leader's highest rate
+MAX_LISTS = 12  # stored lists; about two seconds' worth at the leader's highest rate
 
 
 class _ProxyList(msgspec.Struct, frozen=True):
     members: ProxiesByName
-    owners: tuple[str, ...]  # the members that own counts
-    since_us: int
+    owners: tuple[str, ...]  # the members that own quota counts
+    since_us: int  # when the list was added
 
 
 class ProxyListFeed:
-    """The last lists, by the fence that each is in force under."""
+    """The last lists, by fencing token."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, _ProxyList] = {}  # in the order in which they came
-        self._deltas: dict[tuple[int, int], ProxyListDelta] = {}  # to the newest list, by base and fence
-
-    def knows(self, fence: int) -> bool:
-        """Return whether that list is remembered."""
-        return fence in self._lists
-
-    def remember(self, now_us: int, fence: int, members: ProxiesByName, owners: Iterable[str] = ()) -> None:
-        """Take in the list that is in force now, and which of its members own counts."""
-        if fence in self._lists:
+        self._lists: dict[int, _ProxyList] = {}  # by fencing token, oldest first
+        self._deltas: dict[tuple[int, int], ProxyListDelta] = {}  # to the newest list, by both fencing tokens
+
+    def contains(self, fencing_token: int) -> bool:
+        """Return whether that list is stored."""
+        return fencing_token in self._lists
+
+    def add(
+        self, now_us: int, fencing_token: int, members: ProxiesByName, owners: Iterable[str] = ()
+    ) -> None:
+        """Store the current list, and which of its members own quota counts."""
+        if fencing_token in self._lists:
             return
-        self._lists[fence] = _ProxyList(members, tuple(owners), now_us)
+        self._lists[fencing_token] = _ProxyList(members, tuple(owners), now_us)
         while len(self._lists) > MAX_LISTS:
             del self._lists[next(iter(self._lists))]
         self._deltas = {}
 
-    def earlier_owners(self, now_us: int, fence: int) -> list[tuple[str, ...]]:
-        """Return who owned counts under the lists before `fence`, the latest first.
+    def earlier_owners(self, now_us: int, fencing_token: int) -> list[tuple[str, ...]]:
+        """Return the owners under each list before `fencing_token`, the latest first.
 
-        Goes back as far as an owner may still act by a list: `OWNERSHIP_LEASE_US` after the next one came.
+        Includes the lists under which an owner may still act: those that were replaced less than
+        `OWNERSHIP_LEASE_US` ago.
         """
         owners: list[tuple[str, ...]] = []
-        later = [each.since_us for each_fence, each in self._lists.items() if each_fence >= fence]
+        later = [each.since_us for token, each in self._lists.items() if token >= fencing_token]
         replaced_us = min(later, default=now_us)
-        for earlier_fence in sorted((each for each in self._lists if each < fence), reverse=True):
+        for earlier_token in sorted((each for each in self._lists if each < fencing_token), reverse=True):
             if now_us - replaced_us >= OWNERSHIP_LEASE_US:
                 break
-            replaced_us = self._lists[earlier_fence].since_us
-            owners.append(self._lists[earlier_fence].owners)
+            replaced_us = self._lists[earlier_token].since_us
+            owners.append(self._lists[earlier_token].owners)
         return owners
 
-    def delta(self, base: int, fence: int) -> ProxyListDelta | None:
-        """Return the changes from the list `base` to the list `fence`.
+    def delta(self, base: int, fencing_token: int) -> ProxyListDelta | None:
+        """Return the changes from the list `base` to the list `fencing_token`.
 
-        None where one of them is not remembered, or where the changes are no smaller than the list.
+        Returns None if one of the lists is not stored, or if the changes are no smaller than the list.
         """
-        if base not in self._lists or fence not in self._lists:
+        if base not in self._lists or fencing_token not in self._lists:
             return None
-        old, new = self._lists[base].members, self._lists[fence].members
-        delta = self._deltas.get((base, fence))
+        old, new = self._lists[base].members, self._lists[fencing_token].members
+        delta = self._deltas.get((base, fencing_token))
         if delta is None:
             changed = {name: each for name, each in new.items() if old.get(name) != each}
             delta = ProxyListDelta(base, changed, sorted(old.keys() - new.keys()))
-            self._deltas[base, fence] = delta
+            self._deltas[base, fencing_token] = delta
         return delta if len(delta.changed) + len(delta.removed) < len(new) else None
--- a/lapisgrade/gateway/controller/version_activation.py
+++ b/lapisgrade/gateway/controller/version_activation.py
@@ -1,29 +1,32 @@
-"""Decides when a version of the configuration comes into force (becomes active). Pure; used by the leader.
+"""Decides when a version of the configuration is activated. Pure; used by the leader.
 
-A version passes through these states, at each proxy and for the cluster (fields: those of `WatchReply`):
+A version passes through these states, at each proxy and in the cluster (fields of `WatchReply`):
 
           accepted, in `staged_versions`        `Activate` committed, `active_version`
     unknown ------------------------------> staged ------------------------------------> active
        |                                    |    |
-       | no reply of the leader for         |    | made by merging drafts (`merged_versions`)
+       | no reply from the leader for       |    | result of a draft merge (`merged_versions`)
        | MISSED_VERSION_AFTER_US            |    v
        +---------------> in doubt <---------+  fenced
 
-* staged: the proxy has the version, and still acts by the active one. It answers 503 (try again) to
+* staged: the proxy has the version, but still uses the active one. It responds with 503 (retry later) to
   every request that exactly one of the two versions accepts.
-* in doubt: the proxy may have missed a version. It answers 503 to everything that its active version refuses.
-* fenced: a staged version that was merged from both sides of a partition. The proxy answers 503 to requests
-  that may run only once and that the staged version routes otherwise than the active one.
-
-Rules of activation, for the newest version that satisfies one of them:
-
-1. At least one proxy is alive, all live ones have staged it, and, if it is merged, it was staged
-   `MERGED_VERSION_DELAY_US` ago: a proxy that was partitioned is not among the live ones, and learns of the
-   fence with its first watch request.
-2. It was staged `ACTIVATION_TIMEOUT_US` ago: by then every proxy that has not staged it is in doubt.
-
-So no proxy refuses for good what another one allows already (guards a new tenant against a proxy that lacks
-it), and no request that may run once takes the old route after one took the merged route.
+* in doubt: the proxy may have missed a version. It responds with 503 to every request that its active
+  version rejects.
+* fenced: the staged version was merged from both sides of a partition. The proxy responds with 503 to
+  requests that may run at most once and that the staged version routes differently from the active one.
+
+The newest version that satisfies one of these rules is activated:
+
+1. At least one proxy is live, all live proxies have staged the version, and, if it is merged, it was staged
+   at least `MERGED_VERSION_DELAY_US` ago. The delay covers proxies that were partitioned: they are not among
+   the live proxies, and learn of the fence with their first watch request.
+2. The version was staged at least `ACTIVATION_TIMEOUT_US` ago. By then, every proxy that has not staged it is
+   in doubt.
+
+Thus no proxy returns a final error to a request that another proxy already accepts, such as the first
+requests of a new tenant. And no request that may run at most once takes the old route after another one took
+the merged route.
 """
 
 from collections.abc import Iterable
@@ -33,23 +36,25 @@
 from lapisgrade.gateway.controller.commands import Activate
 from lapisgrade.gateway.controller.state import State
 
-ACTIVATION_TIMEOUT_US = 1_400_000  # after staging; above watch_timing.MISSED_VERSION_AFTER_US
-MERGED_VERSION_DELAY_US = 800_000  # after staging; above the time to a proxy's next watch request
-ACTIVATION_RETRY_US = 300_000  # after which an activation that did not commit is proposed again
+# Times since a version was staged.
+ACTIVATION_TIMEOUT_US = 1_400_000  # above watch_timing.MISSED_VERSION_AFTER_US
+MERGED_VERSION_DELAY_US = 800_000  # above the time until a proxy's next watch request
+
+ACTIVATION_RETRY_US = 300_000  # time after which an activation that was not committed is proposed again
 
 
 class ProxyStatus(msgspec.Struct):
-    """What the leader knows of a live proxy.
+    """The leader's record of a live proxy.
 
     Attributes:
-        address: Where it hears other proxies.
-        incarnation: Identifies its process.
-        zone: Its failure domain.
-        last_seen_us: When its last watch request came.
-        staged_version: The newest version that it has, active or not.
-        active_version: The version that it acts by.
-        has_local_controller: Whether a controller runs on its machine.
-        is_terminating: Whether its process was told to shut down.
+        address: The address for calls of other proxies.
+        incarnation: Identifies the proxy's process.
+        zone: The failure domain.
+        last_seen_us: Time of the last watch request.
+        staged_version: The newest version that the proxy has, active or not.
+        active_version: The version that the proxy uses.
+        has_local_controller: Whether a controller runs on the proxy's machine.
+        is_terminating: Whether the proxy is shutting down.
     """
 
     address: str
@@ -63,7 +68,7 @@
 
 
 class VersionActivation:
-    """Remembers since when versions are staged, and what was proposed for them."""
+    """Tracks when versions were staged, and which activation was proposed last."""
 
     def __init__(self) -> None:
         self._staged_since_us: dict[int, int] = {}
@@ -102,7 +107,7 @@
         return Activate(version)
 
     def _staged_everywhere(self, now_us: int, state: State, proxies: Iterable[ProxyStatus]) -> int:
-        """Return the newest version that rule 1 lets come into force; 0 for none."""
+        """Return the newest version that rule 1 allows to activate; 0 for none."""
         newest = min((proxy.staged_version for proxy in proxies), default=0)
         delayed = [
             version
@@ -112,5 +117,5 @@
         return min(newest, min(delayed) - 1) if delayed else newest
 
     def _is_pending(self, now_us: int, version: int) -> bool:
-        """Return whether that version, or a newer one, was proposed a moment ago."""
+        """Return whether this or a newer version was proposed within `ACTIVATION_RETRY_US`."""
         return version <= self._proposed_version and now_us - self._proposed_us < ACTIVATION_RETRY_US
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -1,16 +1,18 @@
-"""What the leader knows of live proxies and servers, and what is new for a proxy. Pure.
+"""The leader's state of live proxies and servers, and the updates that a proxy lacks. Pure.
 
-A proxy's watch request names the version, the registry's revision and the list of live proxies that it has;
-the reply has what is newer. The leader remembers each proxy by its requests, and proposes three commands:
+A watch request states which configuration version, registry revision and list of live proxies the proxy has;
+the reply contains whatever is newer. The leader tracks live proxies by their requests, and proposes three
+commands:
 
-* `Activate`: a version comes into force (rules in `version_activation`).
-* `LiveProxies`: the list of live proxies has changed. By it the owners of counts are chosen. Its index in the
-  log is the fencing token under which an owner acts, so a new leader goes on with the last leader's list,
-  and no count changes its owner for an election.
-* `ServerSnapshot`: the live servers, from which a new leader starts its registry.
+* `Activate`: activates a version (rules in `version_activation`).
+* `LiveProxies`: replaces the list of live proxies, which determines the owners of quota counts. The index of
+  its log entry is the owners' fencing token. A new leader continues with the last list, so no count changes
+  its owner because of an election.
+* `ServerSnapshot`: the live servers, from which a new leader initializes its registry.
 
-A registry is complete once all servers had time to send this leader a heartbeat. Its id is the leader's term,
-with a `+` once it is complete; a proxy that has another registry is sent a complete one.
+The registry is complete once every server has had time to send a heartbeat to this leader. Its incarnation is
+the leader's term, with the suffix `+` once it is complete. A proxy with another incarnation is sent the
+complete registry.
 """
 
 import msgspec
@@ -25,30 +27,32 @@
 from lapisgrade.gateway.quota.ownership import eligible_owners
 from lapisgrade.gateway.registry import Registry, Server, ServerState
 
-PROXY_TIMEOUT_US = 2_000_000  # without a request, until its counts go to others; above OWNERSHIP_LEASE_US
-PROXY_LIST_INTERVAL_US = 150_000  # between two lists, at least: proxies that start together share a list
-SERVER_SNAPSHOT_INTERVAL_US = 1_000_000  # between two server snapshots, at least
-MAX_PROXIES = 4096  # guards memory against a flood of names
+# Time without a watch request after which a proxy is removed and its quota counts get new owners. Above
+# OWNERSHIP_LEASE_US, so that the proxy no longer acts as an owner.
+PROXY_TIMEOUT_US = 2_000_000
+PROXY_LIST_INTERVAL_US = 150_000  # minimum interval of lists; proxies that start together share one
+SERVER_SNAPSHOT_INTERVAL_US = 1_000_000  # minimum interval of server snapshots
+MAX_PROXIES = 4096  # bounds memory if many different proxy names are received
 
 _LIVE_STATES = (ServerState.UP, ServerState.DRAIN)
 
 
 class _Outdated(msgspec.Struct, frozen=True):
-    """What of a proxy's knowledge is not the newest."""
+    """The parts of a proxy's state that are outdated."""
 
-    is_other_registry: bool  # all of it has to be sent
+    needs_full_registry: bool  # the proxy has another registry, so all of this one has to be sent
     has_registry_changes: bool
     configuration: bool
     proxy_list: bool
-    is_proxy_list_unknown: bool  # neither the newest list nor the one before it
+    is_proxy_list_unknown: bool  # the proxy has neither the newest list nor the previous one
 
-    def is_anything(self) -> bool:
-        """Return whether there is something to send."""
+    def has_any(self) -> bool:
+        """Return whether there is anything to send."""
         return self.has_registry_changes or self.configuration or self.proxy_list
 
 
 class Watch:
-    """The leader's knowledge; begun anew by `become_leader`."""
+    """The leader's state of proxies and servers; `become_leader` resets it."""
 
     def __init__(self, heartbeat_us: int, now_us: int) -> None:
         """`heartbeat_us` is the interval of the servers' heartbeats."""
@@ -57,26 +61,26 @@
         self.registry = Registry(heartbeat_us, now_us)
         self.is_registry_complete = False
         self.proxies: dict[str, ProxyStatus] = {}
-        self.departed_servers: dict[str, bool] = {}  # by the log; True for those that are gone
+        self.departed_servers: dict[str, bool] = {}  # by server id: False if draining, True if gone
         self.configuration_feed = ConfigurationFeed()
         self.proxy_lists = ProxyListFeed()
         self._activation = VersionActivation()
         self._proxy_list_proposed_us = 0
         self._snapshot_proposed_us = 0
-        self._snapshot_addresses: dict[str, str] = {}  # of the servers in the last snapshot
+        self._snapshot_addresses: dict[str, str] = {}  # by server id, in the last proposed snapshot
 
     @property
     def registry_incarnation(self) -> str:
-        """Identifies the registry at the proxies."""
+        """The identifier of the registry that proxies compare."""
         return f"{self.term}+" if self.is_registry_complete else str(self.term)
 
     def become_leader(self, now_us: int, term: int, state: State) -> None:
-        """Begin anew from what the log says."""
+        """Reset to the replicated state at the start of a term."""
         self.term = term
         self.is_registry_complete = False
         self._proxy_list_proposed_us = now_us
         self.registry = Registry(self.heartbeat_us, now_us)
-        # The proxies of the last list may still act, whenever their last request was.
+        # All proxies of the last list may still be active, so they all count as seen now.
         self.proxies = {
             name: ProxyStatus(
                 *each,
@@ -98,7 +102,7 @@
     # ---- events
 
     def update_departed_servers(self, now_us: int, departed: dict[str, bool]) -> None:
-        """Take in which servers drain (False) or are gone (True), by the log."""
+        """Update the registry from the replicated map of draining (False) and gone (True) servers."""
         for server_id, gone in departed.items():
             server = self.registry.servers.get(server_id)
             state = ServerState.GONE if gone else ServerState.DRAIN
@@ -107,7 +111,7 @@
         self.departed_servers = departed
 
     def on_heartbeat(self, now_us: int, server: Server) -> bool:
-        """Take a server's heartbeat in; return whether it changes what proxies know."""
+        """Record a server's heartbeat; return whether proxies need an update."""
         revision = self.registry.revision
         if server.id in self.departed_servers:
             server.state = ServerState.GONE if self.departed_servers[server.id] else ServerState.DRAIN
@@ -118,7 +122,7 @@
         """Remove proxies without recent requests and expire servers without recent heartbeats.
 
         Returns:
-            Whether that changes what proxies know.
+            Whether proxies need an update.
         """
         revision, was_complete = self.registry.revision, self.is_registry_complete
         self.registry.expire(now_us)
@@ -131,7 +135,7 @@
         return (revision, was_complete) != (self.registry.revision, self.is_registry_complete)
 
     def on_proxy_unreachable(self, name: str, address: str) -> None:
-        """Drop a proxy whose machine refused a connection there: its process is gone, and acts no more."""
+        """Remove a proxy whose machine refused a connection to `address`: its process has ended."""
         if name in self.proxies and self.proxies[name].address == address:
             del self.proxies[name]
 
@@ -142,13 +146,13 @@
         return self._activation.due(now_us, state, self.proxies.values())
 
     def live_proxies(self, now_us: int, state: State) -> LiveProxies | None:
-        """Return the list of live proxies, where it differs from the one in the log and is due."""
+        """Return the list of live proxies if it differs from the committed one and is due."""
         members = {
             name: (proxy.address, proxy.incarnation, proxy.zone) for name, proxy in self.proxies.items()
         }
-        core = sorted(name for name, proxy in self.proxies.items() if proxy.has_local_controller)
-        leaving = sorted(name for name, proxy in self.proxies.items() if proxy.is_terminating)
-        if (members, core, leaving) == (
+        with_controller = sorted(name for name, proxy in self.proxies.items() if proxy.has_local_controller)
+        terminating = sorted(name for name, proxy in self.proxies.items() if proxy.is_terminating)
+        if (members, with_controller, terminating) == (
             state.live_proxies,
             state.proxies_with_controller,
             state.terminating_proxies,
@@ -157,10 +161,10 @@
         if now_us - self._proxy_list_proposed_us < PROXY_LIST_INTERVAL_US:
             return None
         self._proxy_list_proposed_us = now_us
-        return LiveProxies(members, core, leaving)
+        return LiveProxies(members, with_controller, terminating)
 
     def server_snapshot(self, now_us: int) -> ServerSnapshot | None:
-        """Return the live servers, where they differ from the last snapshot and one is due."""
+        """Return a server snapshot if it differs from the last one and is due."""
         if now_us - self._snapshot_proposed_us < SERVER_SNAPSHOT_INTERVAL_US:
             return None
         live = [server for server in self.registry.servers.values() if server.state in _LIVE_STATES]
@@ -176,17 +180,17 @@
     def reply_if_changed(
         self, now_us: int, request: rpc_messages.WatchRequest, state: State, controllers: list[str]
     ) -> rpc_messages.WatchReply | None:
-        """Take a proxy's request in; return what is new for it, None if nothing is.
+        """Record a proxy's request and return the updates that it lacks; None if there are none.
 
         Args:
-            now_us: The steady clock.
-            request: What the proxy has.
-            state: The state machine's.
-            controllers: Addresses that take watch requests, for the reply.
+            now_us: The monotonic time.
+            request: The request, which states what the proxy has.
+            state: The replicated state.
+            controllers: Addresses that accept watch requests, for the reply.
         """
         self._observe(now_us, request)
         outdated = self._outdated(request, state)
-        if not outdated.is_anything():
+        if not outdated.has_any():
             return None
         self._remember_proxy_list(now_us, state)
         return self._reply(now_us, request, state, controllers, outdated)
@@ -194,7 +198,7 @@
     def unchanged_reply(
         self, request: rpc_messages.WatchRequest, state: State, controllers: list[str]
     ) -> rpc_messages.WatchReply:
-        """Return that what the proxy has is the newest."""
+        """Return a reply without updates."""
         return rpc_messages.WatchReply(
             is_leader=True,
             controllers=controllers,
@@ -206,7 +210,7 @@
         )
 
     def _observe(self, now_us: int, request: rpc_messages.WatchRequest) -> None:
-        """Remember the proxy, and the servers that it knew from an earlier leader."""
+        """Record the proxy, and the servers that it received from an earlier leader."""
         if request.proxy and len(self.proxies) < MAX_PROXIES:
             self.proxies[request.proxy] = ProxyStatus(
                 request.address,
@@ -222,17 +226,18 @@
             self.registry.restore(now_us, request.known_servers)
 
     def _outdated(self, request: rpc_messages.WatchRequest, state: State) -> _Outdated:
-        # A proxy with this term's incomplete registry is sent all of the complete one: it can't know which
-        # of its servers were never heard of again. One with the complete registry keeps it.
-        is_other_registry = request.registry_incarnation != self.registry_incarnation and (
+        # A proxy that has the incomplete registry of this term is sent the complete one in full, because it
+        # can't tell which of its servers sent no heartbeat to this leader. A proxy that has the complete
+        # registry keeps it.
+        needs_full_registry = request.registry_incarnation != self.registry_incarnation and (
             self.is_registry_complete or request.registry_incarnation != f"{self.term}+"
         )
         lacks_active = state.active_version > request.active_version
         lacks_newest = state.version > _newest_version(request)
         known_tokens = (state.fencing_token, state.previous_fencing_token)
         return _Outdated(
-            is_other_registry=is_other_registry,
-            has_registry_changes=is_other_registry or self.registry.revision > request.registry_revision,
+            needs_full_registry=needs_full_registry,
+            has_registry_changes=needs_full_registry or self.registry.revision > request.registry_revision,
             configuration=request.needs_full_version or lacks_active or lacks_newest,
             proxy_list=request.fencing_token != state.fencing_token,
             is_proxy_list_unknown=request.fencing_token not in known_tokens,
@@ -261,7 +266,7 @@
             registry_incarnation=self.registry_incarnation,
             registry_revision=self.registry.revision,
             is_registry_complete=self.is_registry_complete,
-            is_full_update=outdated.is_other_registry,
+            is_full_update=outdated.needs_full_registry,
             servers=self._servers(now_us, request, outdated),
             wants_known_servers=request.registry_incarnation not in (str(self.term), f"{self.term}+"),
             fencing_token=state.fencing_token,
@@ -279,7 +284,7 @@
     def _missing_versions(
         self, request: rpc_messages.WatchRequest, state: State
     ) -> tuple[EncodedVersion | None, dict[int, EncodedVersion]]:
-        """Return the active version and the staged ones, as far as the proxy lacks them."""
+        """Return the active version and the staged versions that the proxy lacks."""
         base = 0 if request.needs_full_version else _newest_version(request)
         active = None
         if state.active_version > base:
@@ -288,24 +293,24 @@
         return active, self.configuration_feed.chain(state.staged_versions, base)
 
     def _servers(self, now_us: int, request: rpc_messages.WatchRequest, outdated: _Outdated) -> list[Server]:
-        """Return the servers that the proxy lacks, or whose state it lacks."""
+        """Return the servers that are new or changed for the proxy."""
         if not outdated.has_registry_changes:
             return []
         return self.registry.changes_since(
-            now_us, 0 if outdated.is_other_registry else request.registry_revision
+            now_us, 0 if outdated.needs_full_registry else request.registry_revision
         )
 
     def _remember_proxy_list(self, now_us: int, state: State) -> None:
-        """Keep the list in force, for deltas and for the owners by it."""
-        if not self.proxy_lists.knows(state.fencing_token):
+        """Store the current list, from which deltas and earlier owners are computed."""
+        if not self.proxy_lists.contains(state.fencing_token):
             owners = eligible_owners(
                 state.live_proxies, state.proxies_with_controller, state.terminating_proxies
             )
-            self.proxy_lists.remember(now_us, state.fencing_token, state.live_proxies, owners)
+            self.proxy_lists.add(now_us, state.fencing_token, state.live_proxies, owners)
 
 
 def without_known_servers(request: rpc_messages.WatchRequest) -> rpc_messages.WatchRequest:
-    """Return the request, whose known servers were taken in, for its next look."""
+    """Return the request without its known servers, which were recorded already."""
     return msgspec.structs.replace(request, known_servers=[]) if request.known_servers else request
 
 
--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -1,7 +1,8 @@
-"""Answers the watch requests of proxies (long polls), and tells watchers when to look again.
+"""Serves the watch requests of proxies (long polling).
 
-A request is answered at once if something is new for that proxy, else when something becomes new, or after
-`LONG_POLL_US` without news. What is new is decided by `watch.Watch`; this module waits, paces and probes.
+A request is answered immediately if there are updates for that proxy, otherwise as soon as there are any, and
+after `LONG_POLL_US` at the latest. `watch.Watch` determines the updates. This module waits for them, limits
+the rate of replies, and probes proxies that were reported as unreachable.
 """
 
 import asyncio
@@ -19,13 +20,13 @@
 from lapisgrade.gateway.settings import parse_address
 from lapisgrade.gateway.watch_timing import LONG_POLL_US
 
-MAX_PROBES = 16  # proxies that one request may report as refusing connections
-REPLY_COST_US = 200  # us of the leader's processor that one proxy's reply takes, at most
-MAX_FAN_OUT_INTERVAL_US = 250_000  # us between two rounds of replies, at most: far inside all bounds on news
+MAX_PROBES = 16  # maximum number of proxies probed for one request
+REPLY_COST_US = 200  # upper bound of the leader's CPU time for one proxy's reply
+MAX_FAN_OUT_INTERVAL_US = 250_000  # between rounds of replies; far below all deadlines of updates
 
 
 class WatchService:
-    """Serves watch requests on the leader, and redirects them elsewhere."""
+    """Serves watch requests on the leader; redirects them on other controllers."""
 
     def __init__(
         self,
@@ -36,26 +37,26 @@
         clock: Callable[[], int],
         metrics: ControllerMetrics,
     ) -> None:
-        """`clock` tells the steady time in us."""
+        """`clock` returns the monotonic time in us."""
         self.watch = watch
         self._consensus = consensus
         self._discovery = discovery
         self._state_machine = state_machine
         self._clock = clock
         self._metrics = metrics
-        self._changed = asyncio.Event()  # set, and replaced, when watchers have to look again
-        self._notified_us = 0  # when it was set last
+        self._changed = asyncio.Event()  # set and replaced when requests are to be re-evaluated
+        self._notified_us = 0  # when `_changed` was last set
         self._notify_timer: asyncio.TimerHandle | None = None
 
     def close(self) -> None:
-        """Notify nobody any more."""
+        """Cancel a scheduled notification."""
         if self._notify_timer is not None:
             self._notify_timer.cancel()
 
     # ---- requests
 
     async def handle_watch(self, request: rpc_messages.WatchRequest) -> rpc_messages.WatchReply:
-        """Return what is new for a proxy, or after a while that nothing is."""
+        """Return the updates for a proxy, or after `LONG_POLL_US` a reply without updates."""
         self._metrics.watch_requests += 1
         self._probe_refusing_proxies(request.unreachable_proxies)
         ends_us = self._clock() + LONG_POLL_US
@@ -76,7 +77,7 @@
             await self._wait_for_change(remaining_s)
 
     def _redirect(self) -> rpc_messages.WatchReply:
-        """Return where else to ask, as this controller doesn't lead."""
+        """Return the leader's address, as far as this controller has it, and the addresses of the voters."""
         leader = self._discovery.remote_leader_address()
         return rpc_messages.WatchReply(False, leader, self._consensus.voter_addresses())
 
@@ -86,7 +87,7 @@
         )
 
     def _propose_activation(self) -> None:
-        """Propose to activate a staged version at once, if this request was the last to be waited for."""
+        """Propose an activation immediately if this request was the last one that it waited for."""
         activation = self.watch.activation(self._clock(), self._state_machine.state)
         if activation is not None:
             self._consensus.propose_all([activation])
@@ -101,7 +102,7 @@
             pass
 
     def on_heartbeat(self, server: Server) -> None:
-        """Take a server's heartbeat in, and notify watchers if it changes what they know."""
+        """Record a server's heartbeat, and notify watchers if they need an update."""
         if self.watch.on_heartbeat(self._clock(), server):
             self.notify_watchers()
 
@@ -114,7 +115,7 @@
                 asyncio.get_running_loop().create_task(self._probe_proxy(name, proxy.address))
 
     async def _probe_proxy(self, name: str, proxy_address: str) -> None:
-        """Connect to a proxy that refused another one: its process is gone if it refuses here too."""
+        """Probe a proxy that refused a connection of another proxy; remove it if it refuses this one too."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(*parse_address(proxy_address))
@@ -128,11 +129,11 @@
     # ---- the leader's tasks (`consensus_driver.LeaderTasks`)
 
     def become_leader(self, term: int) -> None:
-        """Begin to watch proxies and servers, from what the log says of them."""
+        """Reset the state of proxies and servers from the replicated state."""
         self.watch.become_leader(self._clock(), term, self._state_machine.state)
 
     def on_applied(self) -> None:
-        """Take in which servers left, by the log."""
+        """Update which servers are draining or gone."""
         self.watch.update_departed_servers(self._clock(), self._state_machine.state.departed_servers)
 
     def on_timer(self) -> None:
@@ -141,7 +142,7 @@
             self.notify_watchers()
 
     def due_commands(self) -> list[LogCommand | None]:
-        """Return an activation, a list of live proxies and a server snapshot, each where it is due."""
+        """Return an activation, a list of live proxies and a server snapshot; None for those not due."""
         now_us, state = self._clock(), self._state_machine.state
         return [
             self.watch.activation(now_us, state),
@@ -150,7 +151,7 @@
         ]
 
     def notify_watchers(self) -> None:
-        """Have pending requests looked at again: at once, or at the end of the fan-out interval."""
+        """Re-evaluate pending requests: immediately, or at the end of the fan-out interval."""
         if self._notify_timer is not None:
             return
         due_us = self._notified_us + fan_out_interval_us(len(self.watch.proxies))
@@ -168,9 +169,9 @@
 
 
 def fan_out_interval_us(proxy_count: int) -> int:
-    """Return the least time between two rounds of replies to so many proxies: twice what one round costs.
+    """Return the minimum interval between rounds of replies: twice the CPU time of one round.
 
-    Guards the leader where hundreds of servers come or go at once: with a round for each change, every
-    proxy would be sent a reply for each of them, and heartbeats would wait behind those replies.
+    Protects the leader when hundreds of servers start or stop at once. With a round for each change, every
+    proxy would be sent a reply for each change, and heartbeats would queue behind these replies.
     """
     return min(2 * REPLY_COST_US * proxy_count, MAX_FAN_OUT_INTERVAL_US)
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -1,4 +1,4 @@
-"""When a version comes into force: the leader's watch and state machine in simulated time."""
+"""When versions are activated: the leader's `Watch` and state machine in simulated time."""
 
 from lapisgrade.gateway import SECOND, rpc_messages
 from lapisgrade.gateway.controller.commands import Activate, ConfigurationChange, LiveProxies, encode_command
@@ -14,90 +14,99 @@
 from lapisgrade.lab.explore.watch_proxy import MS
 
 
-def test_activation_waits_for_all_live_proxies_within_a_bound() -> None:
+def test_activation_waits_for_all_live_proxies_until_the_time_out() -> None:
     state_machine = StateMachine()
     state_machine.apply(1, encode_command(ConfigurationChange(True, conf(1, 0, 1))))
     state_machine.apply(2, encode_command(LiveProxies({"a": ("p", "1", "z"), "b": ("p", "1", "z")})))
-    one = Watch(SECOND, 0)
-    one.become_leader(0, 1, state_machine.state)
+    watch = Watch(SECOND, 0)
+    watch.become_leader(0, 1, state_machine.state)
 
-    def asks(now: int, name: str, held: int) -> None:
-        one.reply_if_changed(
+    def send_watch_request(now: int, name: str, staged_version: int) -> None:
+        watch.reply_if_changed(
             now,
-            rpc_messages.WatchRequest(name, "p", "1", "z", 0, "1+", 9, 2, staged_version=held),
+            rpc_messages.WatchRequest(name, "p", "1", "z", 0, "1+", 9, 2, staged_version=staged_version),
             state_machine.state,
             [],
         )
 
-    asks(0, "a", 1)
-    assert one.activation(MS, state_machine.state) is None
-    asks(2 * MS, "b", 1)
-    assert one.activation(3 * MS, state_machine.state) == Activate(1)
-    assert one.activation(4 * MS, state_machine.state) is None  # it is under way
+    send_watch_request(0, "a", 1)
+    assert watch.activation(MS, state_machine.state) is None
+    send_watch_request(2 * MS, "b", 1)
+    assert watch.activation(3 * MS, state_machine.state) == Activate(1)
+    assert watch.activation(4 * MS, state_machine.state) is None  # the proposal is pending
     state_machine.apply(3, encode_command(Activate(1)))
     assert state_machine.state.active_version == 1
-    # The next one meets a proxy that is silent: it comes into force when that one must doubt.
+    # Proxy b sends no request after the next version: that is activated once b is certainly in doubt.
     state_machine.apply(4, encode_command(ConfigurationChange(True, conf(2, 1, 2))))
-    assert one.activation(SECOND, state_machine.state) is None
-    asks(SECOND, "a", 2)
-    assert one.activation(SECOND + MISSED_VERSION_AFTER_US, state_machine.state) is None
-    assert one.activation(SECOND + ACTIVATION_TIMEOUT_US, state_machine.state) == Activate(2)
+    assert watch.activation(SECOND, state_machine.state) is None
+    send_watch_request(SECOND, "a", 2)
+    assert watch.activation(SECOND + MISSED_VERSION_AFTER_US, state_machine.state) is None
+    assert watch.activation(SECOND + ACTIVATION_TIMEOUT_US, state_machine.state) == Activate(2)
 
 
-def test_rejected_changes_are_never_staged_nor_activated() -> None:
+def test_rejected_changes_are_neither_staged_nor_activated() -> None:
     state_machine = StateMachine()
     state_machine.apply(1, encode_command(ConfigurationChange(True, conf(1, 0, 1))))
-    answers = [
+    statuses = [
         state_machine.apply(2, encode_command(ConfigurationChange(True, conf(2, 1, 2)))).status,
-        state_machine.apply(
-            3, encode_command(ConfigurationChange(True, conf(3, 1, 3)))
-        ).status,  # on the same base
+        state_machine.apply(3, encode_command(ConfigurationChange(True, conf(3, 1, 3)))).status,  # same base
         state_machine.apply(
             4, encode_command(ConfigurationChange(True, b'{"Ver":9,"Base":2,"Ports":7}'))
         ).status,
         state_machine.apply(
             5, encode_command(ConfigurationChange(True, conf(2, 1, 2)))
-        ).status,  # the same again
+        ).status,  # a duplicate
     ]
-    assert answers == [200, 412, 400, 200]
+    assert statuses == [200, 412, 400, 200]
     assert list(state_machine.state.staged_versions) == [1, 2]
-    one = Watch(SECOND, 0)
-    one.become_leader(0, 1, state_machine.state)
-    news = one.reply_if_changed(
+    watch = Watch(SECOND, 0)
+    watch.become_leader(0, 1, state_machine.state)
+    reply = watch.reply_if_changed(
         0, rpc_messages.WatchRequest("a", "p", "1", "z", 0, "", 0, 0), state_machine.state, []
     )
-    assert (news.active_version, news.active_configuration, list(news.staged_versions)) == (0, None, [1, 2])
+    assert (reply.active_version, reply.active_configuration, list(reply.staged_versions)) == (
+        0,
+        None,
+        [1, 2],
+    )
 
 
-def test_consecutive_changes_are_activated_one_by_one_with_one_proxy_unreachable() -> None:
+def test_with_an_unreachable_proxy_each_change_is_activated_at_its_time_out() -> None:
     state_machine = StateMachine()
-    one = Watch(SECOND, 0)
-    one.proxies["dark"] = ProxyStatus("p", "1", "z", 0)
-    moments = {}
+    watch = Watch(SECOND, 0)
+    watch.proxies["unreachable"] = ProxyStatus("p", "1", "z", 0)
+    activated_at = {}
     for now in range(0, 4 * SECOND, 100 * MS):
         if now % (500 * MS) == 0:
-            ver = state_machine.state.version + 1
-            state_machine.apply(ver, encode_command(ConfigurationChange(True, conf(ver, ver - 1, 1))))
-        order = one.activation(now, state_machine.state)
-        if order is not None:
-            moments[order.version] = now
-            state_machine.apply(100 + order.version, encode_command(order))
-    assert {ver: at - (ver - 1) * 500 * MS for ver, at in moments.items()} == dict.fromkeys(
+            version = state_machine.state.version + 1
+            state_machine.apply(
+                version, encode_command(ConfigurationChange(True, conf(version, version - 1, 1)))
+            )
+        activation = watch.activation(now, state_machine.state)
+        if activation is not None:
+            activated_at[activation.version] = now
+            state_machine.apply(100 + activation.version, encode_command(activation))
+    assert {version: at - (version - 1) * 500 * MS for version, at in activated_at.items()} == dict.fromkeys(
         range(1, 7), ACTIVATION_TIMEOUT_US
     )
 
 
-def test_a_merged_version_waits_for_proxies_that_were_partitioned_with_a_draft() -> None:
-    """Guards claims at a proxy that was counted out over the break and has not asked since the heal."""
+def test_a_merged_version_is_activated_only_after_its_delay() -> None:
+    """Guards requests that may run only once, at a proxy that timed out during a partition.
+
+    Such a proxy is not among the live proxies until its first watch request after the heal.
+    """
     state = StateMachine().state
     state.staged_versions, state.merged_versions = {5: b"{}"}, [5]
-    one = Watch(SECOND, 0)
-    one.proxies = {"a": ProxyStatus("p", "1", "z", SECOND, staged_version=7)}
-    assert one.activation(SECOND, state) is None
-    state.staged_versions[7] = b"{}"  # acknowledged on top of it: goes by the merged one too
-    assert one.activation(SECOND + MERGED_VERSION_DELAY_US - 1, state) is None
-    assert one.activation(SECOND + MERGED_VERSION_DELAY_US, state) == Activate(7)
-    one.proxies["b"] = ProxyStatus("p", "1", "z", SECOND, staged_version=4)  # it asked, and lacks both
-    assert one.activation(SECOND + ACTIVATION_TIMEOUT_US - 1, state) is None
-    assert one.activation(SECOND + ACTIVATION_TIMEOUT_US, state) == Activate(5)
+    watch = Watch(SECOND, 0)
+    watch.proxies = {"a": ProxyStatus("p", "1", "z", SECOND, staged_version=7)}
+    assert watch.activation(SECOND, state) is None
+    state.staged_versions[7] = b"{}"  # acknowledged on top of the merged version, so it is delayed too
+    assert watch.activation(SECOND + MERGED_VERSION_DELAY_US - 1, state) is None
+    assert watch.activation(SECOND + MERGED_VERSION_DELAY_US, state) == Activate(7)
+    watch.proxies["b"] = ProxyStatus(
+        "p", "1", "z", SECOND, staged_version=4
+    )  # live again, and has neither version
+    assert watch.activation(SECOND + ACTIVATION_TIMEOUT_US - 1, state) is None
+    assert watch.activation(SECOND + ACTIVATION_TIMEOUT_US, state) == Activate(5)
     assert MERGED_VERSION_DELAY_US < ACTIVATION_TIMEOUT_US
--- a/tests/gateway/controller/test_proxy_list_feed.py
+++ b/tests/gateway/controller/test_proxy_list_feed.py
@@ -1,4 +1,4 @@
-"""Lists of live proxies told by their changes, and whole where the base is not known."""
+"""Lists of live proxies are sent as deltas, or in full if the base is unknown."""
 
 from random import Random
 
@@ -18,20 +18,20 @@
 
 
 class ProxyListLeader:
-    """A leader that sends its list of live proxies to readers."""
+    """A leader that sends its list of live proxies to proxies."""
 
     def __init__(self) -> None:
         self.state_machine, self.watch = StateMachine(), Watch(SECOND, 0)
         self.watch.become_leader(0, 1, self.state_machine.state)
 
-    def told(self, base: int) -> rpc_messages.WatchReply | None:
-        ask = rpc_messages.WatchRequest("", "", "1", "z", 0, "1", 0, base)
-        reply = self.watch.reply_if_changed(0, ask, self.state_machine.state, [])
+    def reply_to(self, base: int) -> rpc_messages.WatchReply | None:
+        request = rpc_messages.WatchRequest("", "", "1", "z", 0, "1", 0, base)
+        reply = self.watch.reply_if_changed(0, request, self.state_machine.state, [])
         return msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=type(reply)) if reply else None
 
-    def listed(self, fence: int, current: rpc_messages.ProxiesByName) -> None:
-        self.state_machine.apply(fence, encode_command(LiveProxies(current, [], [])))
-        self.told(fence)  # the leader looks at each list as it comes
+    def apply_list(self, fencing_token: int, current: rpc_messages.ProxiesByName) -> None:
+        self.state_machine.apply(fencing_token, encode_command(LiveProxies(current, [], [])))
+        self.reply_to(fencing_token)  # the leader stores each list at the next watch request
 
 
 @pytest.fixture
@@ -39,27 +39,29 @@
     return ProxyListLeader()
 
 
-def test_a_reader_with_any_earlier_list_reaches_the_newest(leader: ProxyListLeader) -> None:
+def test_a_proxy_with_any_earlier_list_obtains_the_newest(leader: ProxyListLeader) -> None:
     for seed in range(20):
         leader = ProxyListLeader()
         random, current, known = Random(seed), members(range(40)), {0: {}}
-        for fence in range(1, 25):
-            leader.listed(fence, current)
+        for fencing_token in range(1, 25):
+            leader.apply_list(fencing_token, current)
             for base in random.sample(sorted(known), min(len(known), 4)):
-                reply = leader.told(base)
+                reply = leader.reply_to(base)
                 assert reply.updated_proxies(base, known[base]) == current
-            known[fence] = current
+            known[fencing_token] = current
             departed = random.sample(sorted(current), min(len(current), random.choice((0, 1, 10))))
             current = {name: each for name, each in current.items() if name not in departed}
-            current |= members(random.sample(range(60), random.choice((0, 1, 10))), str(fence))
+            current |= members(random.sample(range(60), random.choice((0, 1, 10))), str(fencing_token))
 
 
-def test_a_change_of_ten_in_two_hundred_costs_a_tenth_of_the_list(leader: ProxyListLeader) -> None:
+def test_the_delta_for_ten_of_two_hundred_proxies_is_below_a_tenth_of_the_list(
+    leader: ProxyListLeader,
+) -> None:
     first = members(range(200))
-    leader.listed(1, first)
-    complete = leader.told(0)
-    leader.listed(2, {**first, **members(range(10), "2")})
-    delta = leader.told(1)
+    leader.apply_list(1, first)
+    complete = leader.reply_to(0)
+    leader.apply_list(2, {**first, **members(range(10), "2")})
+    delta = leader.reply_to(1)
     assert delta.live_proxies is None
     assert len(msgspec.msgpack.encode(delta)) < 0.1 * len(msgspec.msgpack.encode(complete))
 
@@ -71,15 +73,15 @@
     assert reply.updated_proxies(4, members([2])) == members([1, 2])
 
 
-def test_remembered_lists_are_bounded(leader: ProxyListLeader) -> None:
+def test_the_number_of_stored_lists_is_bounded(leader: ProxyListLeader) -> None:
     feed = ProxyListFeed()
-    for fence in range(1, 10 * MAX_LISTS):
-        feed.remember(fence, fence, members(range(fence % 7)))
+    for token in range(1, 10 * MAX_LISTS):
+        feed.add(token, token, members(range(token % 7)))
     assert feed.delta(1, 10 * MAX_LISTS - 1) is None
     assert len(feed._lists) <= MAX_LISTS
 
 
-def test_the_fan_out_interval_grows_with_the_proxies_up_to_a_bound() -> None:
+def test_the_fan_out_interval_grows_with_the_number_of_proxies_up_to_a_bound() -> None:
     assert fan_out_interval_us(12) < 5_000
     assert fan_out_interval_us(200) < 100_000
     assert fan_out_interval_us(13_000) == MAX_FAN_OUT_INTERVAL_US
