--- a/lapisgrade/gateway/controller/call_forwarding.py
+++ b/lapisgrade/gateway/controller/call_forwarding.py
@@ -1,4 +1,4 @@
-"""Has the leader execute a call, wherever it is."""
+"""Executes calls on the leader, locally or by forwarding them."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,13 +13,13 @@
 from lapisgrade.gateway.rpc_messages import ForwardCall, ForwardCallReply
 from lapisgrade.gateway.settings import parse_address
 
-LEADER_WAIT_S = 0.7  # that a call waits for a leader to be known
-FORWARD_TIMEOUT_S = 0.9  # that the leader may take for a forwarded call
-RETRY_INTERVAL_S = 0.03  # between two looks for a leader
+LEADER_WAIT_S = 0.7  # maximum time that a call waits until a leader is known
+FORWARD_TIMEOUT_S = 0.9  # time-out of a forwarded call
+RETRY_INTERVAL_S = 0.03  # interval of attempts to find a leader
 
 
 class CallForwarder:
-    """Executes calls here while this controller leads, else on the leader."""
+    """Executes calls locally while this controller leads; otherwise forwards them to the leader."""
 
     def __init__(
         self,
@@ -29,22 +29,22 @@
         rpc: RpcEndpoint,
         clock: Callable[[], int],
     ) -> None:
-        """`clock` tells the steady time in us."""
+        """`clock` returns the monotonic time in us."""
         self._consensus = consensus
         self._leader_calls = leader_calls
         self._discovery = discovery
         self._rpc = rpc
         self._clock = clock
 
-    async def forward(self, call: str, of: str, body: bytes) -> ForwardCallReply:
-        """Return the leader's reply; 503 where none is known within `LEADER_WAIT_S`."""
+    async def forward(self, call: str, subject: str, body: bytes) -> ForwardCallReply:
+        """Return the leader's reply; 503 if no leader is found within `LEADER_WAIT_S`."""
         ends_us = self._clock() + int(LEADER_WAIT_S * SECOND)
         while True:
             if self._consensus.is_leader():
-                return await self._leader_calls.execute(call, of, body)
+                return await self._leader_calls.execute(call, subject, body)
             leader = self._discovery.remote_leader_address()
             if leader:
-                reply = await self._call_leader(leader, ForwardCall(call, of, body))
+                reply = await self._call_leader(leader, ForwardCall(call, subject, body))
                 if reply is not None:
                     return reply
             await self._discovery.discover_leader()
@@ -53,7 +53,7 @@
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _call_leader(self, leader: str, call: ForwardCall) -> ForwardCallReply | None:
-        """Return the reply; None for no reply in time, or one that says that it doesn't lead."""
+        """Return the reply; None if it times out, or if the called controller doesn't lead."""
         result = await self._rpc.call(parse_address(leader), call, FORWARD_TIMEOUT_S)
         reply = result.value_or(None)
         if isinstance(reply, ForwardCallReply) and reply.status != HTTPStatus.SERVICE_UNAVAILABLE:
@@ -61,7 +61,7 @@
         return None
 
     async def execute_as_leader(self, call: ForwardCall) -> ForwardCallReply:
-        """Execute a call that another controller forwarded; 503 where this one doesn't lead."""
+        """Execute a call that another controller forwarded; 503 if this one doesn't lead."""
         if not self._consensus.is_leader():
             return ForwardCallReply(HTTPStatus.SERVICE_UNAVAILABLE)
         return await self._leader_calls.execute(call.call, call.subject, call.body)
--- a/lapisgrade/gateway/controller/control_api.py
+++ b/lapisgrade/gateway/controller/control_api.py
@@ -1,4 +1,4 @@
-"""Takes the calls of servers and operators over HTTP, as `api.TABLE` lists them, at any controller."""
+"""Handles HTTP calls of servers and operators, listed in `api.TABLE`, on any controller."""
 
 from http import HTTPStatus
 from typing import cast
@@ -14,7 +14,7 @@
 
 
 class ControlApi:
-    """Handles one request after another; drafts are taken here, all else on the leader."""
+    """Stores drafts on this controller, and forwards all other calls to the leader."""
 
     def __init__(self, forwarder: CallForwarder, drafts: DraftService, metrics: ControllerMetrics) -> None:
         self._forwarder = forwarder
@@ -22,8 +22,8 @@
         self._metrics = metrics
 
     async def handle_call(self, message: Message) -> HttpReply:
-        """Return the reply to one HTTP request."""
-        request = cast(h11.Request, message.head)  # a server parses nothing else
+        """Return the reply to an HTTP request."""
+        request = cast(h11.Request, message.head)  # an HTTP server parses only requests
         found = api.parse_call(request.method.decode(), request.target.decode("latin-1"))
         if isinstance(found, int):
             return HttpReply(found, b'{"Err":"no such call"}')
--- a/lapisgrade/gateway/controller/draft_merging.py
+++ b/lapisgrade/gateway/controller/draft_merging.py
@@ -1,13 +1,14 @@
-"""Merges drafts into the configuration, as a part of the state machine. Pure.
+"""Merges drafts into the configuration, as part of the state machine. Pure.
 
-    MergeDraft -> merged (`State.drafts`) -- next acknowledged change, with conflicts --> unresolved (`past`)
-                    |     |                                                                   |
-                    |     +-- next acknowledged change, without conflicts --> done        CloseDraft
-                    |                                                           ^             |
-                    +-- CloseDraft --> closed (`shut`) -- next change ----------+-------------+
+    MergeDraft --> `drafts` -- next acknowledged change, with conflicts --> `unresolved_drafts`
+                    |    |                                                         |
+                    |    +-- next acknowledged change, without conflicts --> done  CloseDraft
+                    |                                                         ^    |
+                    +-- CloseDraft --> `closed_drafts` -- next change --------+----+
 
-While drafts are merged on top of an acknowledged configuration (`State.ground`), each new draft has all of
-them merged anew from there, so the order in which they come does not matter.
+The quoted names are fields of `State`. While drafts are merged on top of an acknowledged configuration
+(`State.merge_base`), each new draft causes all of them to be merged again from that base, so their order of
+arrival does not matter.
 """
 
 from http import HTTPStatus
@@ -20,15 +21,15 @@
 from lapisgrade.gateway.merge.fields import to_fields
 from lapisgrade.gateway.merge.three_way import Draft, MergeOutcome
 
-MAX_DRAFTS = 16  # merged since the last acknowledged change, or with conflicts; bounds the state
-MAX_DRAFT_BYTES = 128 * 1024  # of one draft, as it stands in the log
-MAX_KNOWN_IDS = 512  # drafts that are recognized when a copy of one comes late
+MAX_DRAFTS = 16  # drafts merged since the last acknowledged change or with conflicts; bounds the state
+MAX_DRAFT_BYTES = 128 * 1024  # encoded size of one draft in the log
+MAX_KNOWN_IDS = 512  # merged drafts whose late duplicates are recognized
 
 
 def merge_draft(state: State, draft: Draft) -> ApplyResult:
-    """Merge a draft with those that are there; the result is staged like any other version."""
+    """Merge a draft with the current drafts; the result is staged like any other version."""
     if draft.id in state.merged_draft_ids:
-        return ApplyResult(HTTPStatus.OK)  # a copy
+        return ApplyResult(HTTPStatus.OK)  # a duplicate
     if len(state.drafts) + len(state.unresolved_drafts) >= MAX_DRAFTS:
         return ApplyResult(HTTPStatus.CONFLICT, f"{MAX_DRAFTS} drafts are there already: settle or drop one")
     if not state.configuration:
@@ -37,7 +38,7 @@
     drafts = [*state.drafts, draft]
     try:
         merged, outcomes = three_way.merge_drafts(msgspec.json.decode(merge_base), drafts)
-    except (KeyError, TypeError, ValueError, IndexError, AttributeError):  # it came from a peer
+    except (KeyError, TypeError, ValueError, IndexError, AttributeError):  # malformed, from a peer
         return ApplyResult(HTTPStatus.BAD_REQUEST, "not a draft")
     state.merge_base = merge_base
     state.outcomes = outcomes
@@ -51,7 +52,7 @@
 
 
 def close_draft(state: State, draft_id: str) -> ApplyResult:
-    """Mark a draft's conflicts as settled, or given up."""
+    """Mark the conflicts of a draft as settled or dropped."""
     if draft_id in state.unresolved_drafts:
         del state.unresolved_drafts[draft_id]
     elif draft_id in state.outcomes:
@@ -62,7 +63,7 @@
 
 
 def retire_drafts(state: State) -> None:
-    """Keep only the drafts with conflicts: the others are part of what was acknowledged by now."""
+    """Keep only drafts with open conflicts; the others are now part of the acknowledged configuration."""
     for draft in state.drafts:
         outcome = state.outcomes[draft.id]
         if outcome.is_open and draft.id not in state.closed_drafts:
@@ -74,7 +75,7 @@
 
 
 def open_drafts(state: State) -> dict[str, tuple[Draft, MergeOutcome]]:
-    """Return the drafts merged since the last acknowledged change, and earlier ones with conflicts."""
+    """Return the drafts merged since the last acknowledged change, and earlier drafts with conflicts."""
     current = {draft.id: (draft, state.outcomes[draft.id]) for draft in state.drafts}
     for draft_id in state.closed_drafts:
         draft, outcome = current[draft_id]
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -1,8 +1,8 @@
-"""Drafts: edits made at a controller that reaches no leader, stored on disks until the log has them.
+"""Drafts: edits made at a controller that can't reach a leader, stored on disk until they are committed.
 
-A draft is stored on this controller's disk and copied to the disks of the controllers that answer.
-Each of them then offers it to the leader, as soon as there is one, until its copy is committed or refused;
-the state machine knows a draft that it has by its id.
+A draft is stored on this controller's disk and replicated to the disks of the controllers that respond. Each
+of them sends its copy to the leader, as soon as there is one, until the draft is committed or rejected. The
+state machine recognizes duplicates by the draft's id.
 """
 
 import asyncio
@@ -30,19 +30,19 @@
 
 log = logging.getLogger("controller")
 
-COPY_TIMEOUT_S = 0.35  # that a peer may take to store a copy: a sync, and a round trip
-DELIVERY_INTERVAL_S = 0.5  # between two attempts to deliver the stored drafts, on average
+COPY_TIMEOUT_S = 0.35  # time-out for storing a copy at a peer: a sync and a round trip
+DELIVERY_INTERVAL_S = 0.5  # average interval of attempts to deliver the stored drafts
 
 Forward = Callable[[str, str, bytes], Awaitable[ForwardCallReply]]
 
 
 class DraftDelivery:
-    """Stores drafts on this disk, and offers them to the leader until the log has them."""
+    """Stores drafts on this disk, and sends them to the leader until they are committed."""
 
     def __init__(
         self, store: DraftStore | None, forward: Forward, random: Random, metrics: ControllerMetrics
     ) -> None:
-        """`store` is None on a controller without a disk; `forward` has the leader execute a call."""
+        """`store` is None on a controller without a disk; `forward` executes a call on the leader."""
         self._store = store
         self._forward = forward
         self._random = random
@@ -50,13 +50,13 @@
         self._task: asyncio.Task[None] | None = None
 
     def close(self) -> None:
-        """Offer nothing any more."""
+        """Stop sending drafts."""
         if self._task is not None:
             self._task.cancel()
 
     @property
     def has_disk(self) -> bool:
-        """Whether drafts can be stored here at all."""
+        """Whether this controller can store drafts."""
         return self._store is not None
 
     def stored(self) -> list[Draft]:
@@ -64,7 +64,7 @@
         return list(self._store.drafts.values()) if self._store is not None else []
 
     async def store(self, draft: Draft) -> HTTPStatus:
-        """Write a draft to this disk; OK once it is there, else why it is not."""
+        """Write a draft to this disk; return OK, or the HTTP status of the error."""
         if self._store is None:
             return HTTPStatus.CONFLICT
         if len(msgspec.msgpack.encode(draft)) > MAX_DRAFT_BYTES:
@@ -74,14 +74,14 @@
         except DraftStoreFullError:
             return HTTPStatus.TOO_MANY_REQUESTS
         except OSError as error:
-            log.warning("a draft was not stored: %s", error)
+            log.warning("could not write a draft to this disk: %s", error)
             return HTTPStatus.SERVICE_UNAVAILABLE
         self._metrics.drafts_stored += 1
         self.start()
         return HTTPStatus.OK
 
     def start(self) -> None:
-        """Begin to offer what is stored, if anything is and nothing is being offered."""
+        """Start sending the stored drafts, if there are any and no task is running."""
         store = self._store
         if store is not None and store.drafts and (self._task is None or self._task.done()):
             self._task = asyncio.get_running_loop().create_task(self._run(store))
@@ -96,21 +96,23 @@
                     await self._remove(store, draft)
                 elif reply.status == HTTPStatus.CONFLICT and last_refused_id != draft.id:
                     last_refused_id = draft.id
-                    log.warning("draft %s stays on this disk: %s", draft.id, reply.body.decode())
+                    log.warning(
+                        "leader rejected draft %s, kept on this disk: %s", draft.id, reply.body.decode()
+                    )
                 if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
-                    break  # no leader is known, for the other drafts neither
+                    break  # no leader is known, so the other drafts would fail too
 
     async def _remove(self, store: DraftStore, draft: Draft) -> None:
-        """Remove a draft that the log has."""
+        """Remove a draft that is committed."""
         try:
             await store.remove(draft.id)
             self._metrics.drafts_delivered += 1
         except OSError as error:
-            log.warning("a draft that was delivered is still on this disk: %s", error)
+            log.warning("could not remove a delivered draft from this disk: %s", error)
 
 
 class DraftService:
-    """Takes operators' drafts and peers' copies, and lists what is stored here."""
+    """Accepts drafts from operators and copies from peers, and lists the stored drafts."""
 
     def __init__(
         self,
@@ -121,7 +123,7 @@
         voter_addresses: Callable[[], list[str]],
         hostname: Callable[[], str],
     ) -> None:
-        """`own_address` and `voter_addresses` are where controllers reach each other."""
+        """`own_address` and `voter_addresses` are addresses for calls between controllers."""
         self._delivery = delivery
         self._state_machine = state_machine
         self._rpc = rpc
@@ -130,7 +132,7 @@
         self._hostname = hostname
 
     async def accept(self, body: bytes) -> ForwardCallReply:
-        """Store an edit of the newest version that is known here as a draft, on as many disks as answer."""
+        """Store an edit of the newest version known here as a draft, and replicate it to the peers."""
         try:
             draft = self._decode(body)
         except msgspec.MsgspecError:
@@ -147,10 +149,10 @@
         return ForwardCallReply(HTTPStatus.ACCEPTED, msgspec.json.encode(reply))
 
     def _decode(self, body: bytes) -> Draft | ApplyResult:
-        """Return the draft that a call brings, or why it is refused.
+        """Return the draft in the body of a call, or the reason why it is rejected.
 
         Raises:
-            InvalidInputError: It is no draft; other errors may say so too.
+            InvalidInputError: The body is not a draft. Errors of other types may have the same meaning.
         """
         state = self._state_machine.state
         edit = msgspec.json.decode(body)
@@ -167,7 +169,7 @@
         )
 
     async def _copy_to_peers(self, draft: Draft) -> int:
-        """Return how many other controllers have stored a copy."""
+        """Replicate a draft to the other controllers; return the number of stored copies."""
         peers = [parse_address(each) for each in self._voter_addresses() if each != str(self._own_address)]
         request = rpc_messages.CopyDraft(draft)
         calls = [self._rpc.call(peer, request, COPY_TIMEOUT_S) for peer in peers]
@@ -175,12 +177,12 @@
         return sum(isinstance(each, rpc_messages.CopyDraftReply) and each.is_stored for each in replies)
 
     async def store_copy(self, request: rpc_messages.CopyDraft) -> rpc_messages.CopyDraftReply:
-        """Store another controller's draft here too."""
+        """Store a copy of another controller's draft."""
         status = await self._delivery.store(request.draft)
         return rpc_messages.CopyDraftReply(status == HTTPStatus.OK)
 
     def add_stored_drafts(self, leader_reply: ForwardCallReply) -> ForwardCallReply:
-        """Return the leader's list of drafts with those added that are stored here and unknown to it."""
+        """Return the leader's list of drafts, extended by drafts on this disk that it doesn't have."""
         has_leader = leader_reply.status == HTTPStatus.OK
         drafts = msgspec.json.decode(leader_reply.body) if has_leader else []
         known_ids = {each["Id"] for each in drafts}
--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -1,7 +1,7 @@
 """Executes the calls of servers and operators on the leader.
 
-A call that changes something is answered once its command is committed to the log. What has no clear
-outcome in time is answered with 504: the command may still be committed.
+A call that changes the state is answered once its command is committed. If the outcome is not known in time,
+the reply is 504: the command may still be committed.
 """
 
 from collections.abc import Awaitable, Callable
@@ -32,7 +32,7 @@
 from lapisgrade.gateway.rpc_messages import ForwardCallReply
 from lapisgrade.gateway.settings import Address
 
-DELIVER_DRAFT = "drafts.hand"  # a controller's own call: one of its stored drafts, to be merged
+DELIVER_DRAFT = "drafts.hand"  # internal call of a controller: merge one of its stored drafts
 
 _DRAFT_DECODER = msgspec.msgpack.Decoder(Draft)
 
@@ -40,7 +40,7 @@
 
 
 class LeaderCalls:
-    """The calls by name; `execute` one only while this controller is the leader."""
+    """Calls by name. `execute` may be called only while this controller is the leader."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         own_address: Address,
         clock: Callable[[], int],
     ) -> None:
-        """`own_address` is where other controllers reach this one; `clock` tells the steady time in us."""
+        """`own_address` is the address for other controllers; `clock` returns the monotonic time in us."""
         self.watch_service = watch_service
         self._consensus = consensus
         self._state_machine = state_machine
@@ -71,52 +71,52 @@
             DELIVER_DRAFT: self._merge_draft,
         }
 
-    async def execute(self, call: str, of: str, body: bytes) -> ForwardCallReply:
+    async def execute(self, call: str, subject: str, body: bytes) -> ForwardCallReply:
         """Execute a call.
 
         Args:
-            call: Its name; one that isn't known is taken for `conf.update`.
-            of: The server that it is of; empty for calls of operators.
-            body: As it came; it is checked here.
+            call: The name of the call; an unknown name is treated as `conf.update`.
+            subject: The server that the call is about; empty for operators' calls.
+            body: The body of the call, not validated yet.
         """
         handler = self._handlers.get(call, self._update_configuration)
         try:
-            return await handler(of, body)
+            return await handler(subject, body)
         except InvalidInputError as error:
             return encode_error(HTTPStatus.BAD_REQUEST, str(error))
         except msgspec.MsgspecError:
             return encode_error(HTTPStatus.BAD_REQUEST, "not a draft")
 
     async def commit(self, command: LogCommand) -> ForwardCallReply:
-        """Put a command into the log, and return what the state machine said of it."""
+        """Propose a command, and return the state machine's result."""
         return _encode_proposed(await self._consensus.propose(encode_command(command)))
 
     # ---- servers
 
-    async def _heartbeat(self, of: str, body: bytes) -> ForwardCallReply:
-        server = api.parse_heartbeat(of, body)
-        if server.state == ServerState.DRAIN and of not in self._state_machine.state.departed_servers:
-            # Must outlive this leader: the server ends some time after the reply.
-            reply = await self.commit(ServerLeaving(of, False))
+    async def _heartbeat(self, subject: str, body: bytes) -> ForwardCallReply:
+        server = api.parse_heartbeat(subject, body)
+        if server.state == ServerState.DRAIN and subject not in self._state_machine.state.departed_servers:
+            # Committed, because it must survive this leader: the server ends some time after the reply.
+            reply = await self.commit(ServerLeaving(subject, False))
             if reply.status != HTTPStatus.OK:
                 return reply
         self.watch_service.on_heartbeat(server)
         return ForwardCallReply(HTTPStatus.OK, b"{}")
 
-    async def _deregister(self, of: str, body: bytes) -> ForwardCallReply:
-        return await self.commit(ServerLeaving(of, True))
+    async def _deregister(self, subject: str, body: bytes) -> ForwardCallReply:
+        return await self.commit(ServerLeaving(subject, True))
 
     # ---- the configuration
 
-    async def _replace_configuration(self, of: str, body: bytes) -> ForwardCallReply:
+    async def _replace_configuration(self, subject: str, body: bytes) -> ForwardCallReply:
         return await self._change("conf.replace", ConfigurationChange(True, body))
 
-    async def _update_configuration(self, of: str, body: bytes) -> ForwardCallReply:
+    async def _update_configuration(self, subject: str, body: bytes) -> ForwardCallReply:
         return await self._change("conf.update", ConfigurationChange(False, body))
 
     async def _change(self, call: str, change: ConfigurationChange) -> ForwardCallReply:
         prepared = self._state_machine.prepare(change)
-        if prepared.command is None:  # refused, or applied before: it needs no entry in the log
+        if prepared.command is None:  # rejected, or applied before: nothing to append to the log
             result: ApplyResult | None = prepared.result
         else:
             result = await self._consensus.propose(encode_command(prepared.command))
@@ -124,13 +124,13 @@
             self._refused_changes.record(call, result, self.clock())
         return _encode_proposed(result)
 
-    async def _show_configuration(self, of: str, body: bytes) -> ForwardCallReply:
+    async def _show_configuration(self, subject: str, body: bytes) -> ForwardCallReply:
         state = self._state_machine.state
         if not state.configuration:
             return encode_error(HTTPStatus.NOT_FOUND, "there is no configuration yet")
         return ForwardCallReply(HTTPStatus.OK, state.configuration)
 
-    async def _show_status(self, of: str, body: bytes) -> ForwardCallReply:
+    async def _show_status(self, subject: str, body: bytes) -> ForwardCallReply:
         watch = self.watch_service.watch
         servers = list(watch.registry.servers.values())
         state, last_refused = self._state_machine.state, self._refused_changes.last
@@ -140,30 +140,30 @@
         return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode(report))
 
     def _voter_status(self) -> dict[str, object]:
-        """Return who leads, and the voters that a majority is counted of."""
+        """Return the leader, its term and the voters."""
         node, now_us = self._consensus.started_node, self.clock()
-        heard_us = {name: follower.last_contact_us for name, follower in node.followers.items()}
-        heard_us[node.identity] = now_us
+        last_contact_us = {name: follower.last_contact_us for name, follower in node.followers.items()}
+        last_contact_us[node.identity] = now_us
         voters = [
-            {"Id": name, "At": address, "HeardMs": (now_us - heard_us.get(name, 0)) // 1000}
+            {"Id": name, "At": address, "HeardMs": (now_us - last_contact_us.get(name, 0)) // 1000}
             for name, address in sorted(node.voters.items())
         ]
         return {"Leader": str(self._own_address), "Term": node.term, "Voters": voters}
 
     # ---- drafts
 
-    async def _list_drafts(self, of: str, body: bytes) -> ForwardCallReply:
+    async def _list_drafts(self, subject: str, body: bytes) -> ForwardCallReply:
         drafts = [three_way.describe_draft(*each) for each in self._state_machine.open_drafts().values()]
         return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode(drafts))
 
-    async def _merge_draft(self, of: str, body: bytes) -> ForwardCallReply:
+    async def _merge_draft(self, subject: str, body: bytes) -> ForwardCallReply:
         return await self.commit(MergeDraft(_DRAFT_DECODER.decode(body)))
 
-    async def _close_draft(self, of: str, body: bytes) -> ForwardCallReply:
+    async def _close_draft(self, subject: str, body: bytes) -> ForwardCallReply:
         return await self.commit(CloseDraft(decode_draft_id(body)))
 
-    async def _settle_draft(self, of: str, body: bytes) -> ForwardCallReply:
-        """Bring a draft's conflicting operations into force, as a change of the newest version."""
+    async def _settle_draft(self, subject: str, body: bytes) -> ForwardCallReply:
+        """Apply a draft's conflicting operations as a change to the newest version, and close the draft."""
         draft_id = decode_draft_id(body)
         state = self._state_machine.state
         found = self._state_machine.open_drafts().get(draft_id)
@@ -181,7 +181,7 @@
 
 
 def _encode_proposed(result: ApplyResult | None) -> ForwardCallReply:
-    """Return the reply to a proposal; None is one whose outcome is not known yet."""
+    """Return the reply to a proposal; a result of None means that the outcome is not known yet."""
     if result is None:
         return encode_error(HTTPStatus.GATEWAY_TIMEOUT, "no majority has it yet; it may come into force")
     return encode_result(result)
--- a/lapisgrade/gateway/controller/leader_discovery.py
+++ b/lapisgrade/gateway/controller/leader_discovery.py
@@ -1,8 +1,8 @@
-"""Finds the leader, and keeps this controller's node a member of the cluster.
+"""Discovers the leader, and lets this controller's node join and leave the cluster.
 
-A controller with a disk knows the leader from its node; one without a disk asks the controllers that its
-settings name. A node that hears no leader, or is no voter, offers itself to every controller it knows of;
-one that shuts down asks the leader to be removed from the voters.
+A controller with a disk learns the leader from its consensus node; one without a disk queries the controllers
+in its settings. A node that has no leader, or is not a voter, sends join requests to all controllers that it
+has an address of. A node that shuts down requests the leader to remove it from the voters.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import Address, Settings
 
-DISCOVERY_TIMEOUT_S = 0.2  # that a controller may take to say who leads
-JOIN_INTERVAL_S = 0.3  # between two join requests, on average
-LEAVE_TIMEOUT_S = 0.6  # that a node which shuts down waits to be removed from the voters
-LEAVE_INTERVAL_S = LEAVE_TIMEOUT_S / 12  # between two leave requests
+DISCOVERY_TIMEOUT_S = 0.2  # time-out of a query for the leader's address
+JOIN_INTERVAL_S = 0.3  # average interval of join requests
+LEAVE_TIMEOUT_S = 0.6  # maximum time that a node waits at shutdown to be removed from the voters
+LEAVE_INTERVAL_S = LEAVE_TIMEOUT_S / 12  # interval of leave requests
 
 
 class LeaderDiscovery:
-    """Knows, or asks for, the leader's address."""
+    """Provides the leader's address."""
 
     def __init__(
         self,
@@ -33,22 +33,22 @@
         settings: Callable[[], Settings],
         random: Random,
     ) -> None:
-        """`settings` returns those in force, which a SIGHUP replaces."""
+        """`settings` returns the current settings, which SIGHUP reloads."""
         self._consensus = consensus
         self._rpc = rpc
         self._settings = settings
         self._random = random
         self._own_address = settings().internal_address(0)
-        self._leader_hint = ""  # what another controller said, where this one has no node
+        self._leader_hint = ""  # address from another controller, if this one has no node
 
     def remote_leader_address(self) -> str:
-        """Return the leader's address as far as it is known; empty if unknown, or this controller's own."""
+        """Return the leader's address; empty if it is unknown, or is this controller's own."""
         node = self._consensus.node
         leader = node.leader_address if node is not None else self._leader_hint
         return leader if leader != str(self._own_address) else ""
 
     async def discover_leader(self) -> None:
-        """Ask another controller who leads, if this one has no node to tell."""
+        """Query another controller for the leader, if this one has no node."""
         if self._consensus.node is not None:
             return
         seeds = [Address((peer[0], self._own_address[1])) for peer in self._settings().peers]
@@ -62,7 +62,7 @@
 
 
 class ClusterMembership:
-    """Has this controller's node join the voters, and leave them at a shutdown."""
+    """Makes this controller's node join the voters, and leave them at shutdown."""
 
     def __init__(
         self,
@@ -72,16 +72,16 @@
         clock: Callable[[], int],
         random: Random,
     ) -> None:
-        """`send` posts a message to an address; `settings` returns those in force; `clock` tells us."""
+        """`send` posts a message; `settings` returns the current ones; `clock` the monotonic time in us."""
         self._consensus = consensus
         self._send = send
         self._settings = settings
         self._clock = clock
         self._random = random
-        self._port = settings().internal_address(0)[1]  # of every controller
+        self._port = settings().internal_address(0)[1]  # the same for all controllers
 
     async def run_join_requests(self) -> None:
-        """Request to join whenever the node needs to, until cancelled. The driver must be started."""
+        """Send join requests while the node has no leader or is not a voter. Start the driver first."""
         while True:
             await asyncio.sleep(JOIN_INTERVAL_S * (0.5 + self._random.random()))
             node = self._consensus.started_node
@@ -90,7 +90,7 @@
                 self._request_join()
 
     def _request_join(self) -> None:
-        """Offer the node to all controllers that settings, the log or the leader's last message name."""
+        """Send join requests to the controllers in the settings, the voters and the last leader."""
         node = self._consensus.started_node
         addresses = {f"{peer[0]}:{self._port}" for peer in self._settings().peers}
         addresses |= set(node.voters.values())
@@ -99,7 +99,7 @@
             self._send(address, JoinRequest(node.identity, node.address))
 
     async def leave(self) -> None:
-        """Hand leadership over, and wait a while to be removed where enough other voters are left."""
+        """Transfer leadership; wait to be removed from the voters if there are more than `MIN_VOTERS`."""
         node = self._consensus.node
         if node is None:
             return
--- a/lapisgrade/gateway/controller/metrics.py
+++ b/lapisgrade/gateway/controller/metrics.py
@@ -1,4 +1,4 @@
-"""What a controller counts, for its log line at the end of the process and for tests."""
+"""Metrics of a controller, for tests and for the log line at the end of the process."""
 
 from collections import Counter
 from typing import Any
@@ -10,27 +10,27 @@
     """Totals since the process started.
 
     Attributes:
-        elections_won: Times that this node became the established leader.
+        elections_won: Number of times this node became the established leader.
         membership_changes: Committed log entries that change the voters.
         entries_applied: Committed log entries with a command, applied to the state machine.
-        commands_proposed: Commands that the leader itself proposed, by type.
-        changes_refused: Changes of the configuration that were refused, by call and HTTP status.
-        disk_syncs: Successful writes of the log's file.
-        disk_write_failures: Failed writes of the log's file; each is retried.
+        commands_proposed: Commands that the leader proposed on its own, by type.
+        changes_refused: Rejected configuration changes, by call and HTTP status.
+        disk_syncs: Successful writes to the log file.
+        disk_write_failures: Failed writes to the log file; each is retried.
         invalid_peer_addresses: Consensus messages dropped because the peer's address can't be parsed.
         watch_requests: Watch requests of proxies.
-        proxies_found_dead: Proxies whose machine refused a probe's connection.
-        drafts_stored: Drafts written to this controller's disk, its own and copies of its peers'.
-        drafts_delivered: Drafts that were committed to the log and removed from this disk.
-        calls: Calls of servers and operators over HTTP, by name.
-        call_replies: Replies to them, by name and HTTP status.
-        claim_batches: Log entries that this leader made of claims of operation keys.
-        claims_granted: Claims that were answered with their own attempt, also one that is sent again.
-        claims_held_by_another: Claims that were answered with another attempt.
-        claims_without_room: Claims that were not recorded, as the table or the tenant's part of it is full.
-        claims_unknown: Claims without an answer: this controller doesn't lead, too many wait, or no majority
-            had them in time.
-        claims_invalid: Claims that were refused as malformed.
+        proxies_found_dead: Proxies whose machine refused the connection of a probe.
+        drafts_stored: Drafts written to this controller's disk, including copies of peers' drafts.
+        drafts_delivered: Drafts that were committed and removed from this controller's disk.
+        calls: HTTP calls of servers and operators, by name.
+        call_replies: Replies to HTTP calls, by name and HTTP status.
+        claim_batches: Log entries with claims of operation keys that this leader proposed.
+        claims_granted: Claims whose own attempt holds the key, including duplicates.
+        claims_held_by_another: Claims whose key another attempt holds.
+        claims_without_room: Claims that were not recorded, because the table or the tenant's share is full.
+        claims_unknown: Claims with an unknown outcome: this controller doesn't lead, too many claims are
+            waiting, or no majority acknowledged the entry in time.
+        claims_invalid: Claims that were rejected as malformed.
     """
 
     elections_won: int = 0
@@ -55,7 +55,7 @@
     claims_invalid: int = 0
 
     def nonzero(self) -> dict[str, Any]:
-        """Every metric that was counted at least once, by name."""
+        """Return all metrics that are not zero, by name."""
         values = msgspec.structs.asdict(self)
         return {
             name: dict(value) if isinstance(value, Counter) else value
--- a/lapisgrade/gateway/controller/operation_claims.py
+++ b/lapisgrade/gateway/controller/operation_claims.py
@@ -1,9 +1,10 @@
 """The leader's part in keyed operations: records which attempt holds an operation key.
 
-Claims that come within `GATHER_S` share one log entry, and one batch is in flight at a time: a claim costs
-some bytes of the log, not a sync and a round of messages of its own. Who holds the key is told once that
-entry is applied, so that it is on a majority of the disks; what is in the applied table already is answered
-at once, under the lease. What decides is in `operations.claim_batches` and `operations.table`.
+Claims that arrive within `BATCH_WINDOW_S` share one log entry, and one batch is in flight at a time. So a
+claim costs some bytes of the log, not its own sync and round of messages. A claim is answered once its entry
+is applied, and therefore on a majority of the disks. If the applied table already has a holder of the key,
+the claim is answered immediately, under the leader's lease. The rules are in `operations.claim_batches` and
+`operations.table`.
 """
 
 import asyncio
@@ -32,18 +33,18 @@
 from lapisgrade.gateway.rpc_messages import ClaimReply, ClaimRequest
 from lapisgrade.gateway.settings import Settings
 
-GATHER_S = 0.02  # that a claim waits for others, to share their sync; far below requests' latency targets
+BATCH_WINDOW_S = 0.02  # time for which a claim waits for others to share a sync; far below latency targets
 
 
 class PendingClaim(msgspec.Struct, frozen=True):
-    """A claim that waits for its batch, and where its result goes; None for one that isn't known."""
+    """A claim that waits for its batch, and the future of its result; None if the result is unknown."""
 
     claim: Claim
     result: asyncio.Future[ClaimResult | None]
 
 
 class OperationClaims:
-    """Answers the claims of proxies on the leader, and redirects them elsewhere."""
+    """Handles the claims of proxies on the leader; redirects them on other controllers."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         clock: Callable[[], int],
         metrics: ControllerMetrics,
     ) -> None:
-        """`settings` returns those in force; `clock` tells the steady time in us."""
+        """`settings` returns the current settings; `clock` returns the monotonic time in us."""
         self._consensus = consensus
         self._state_machine = state_machine
         self._discovery = discovery
@@ -63,31 +64,31 @@
         self._metrics = metrics
         self._leadership_clock = LeadershipClock()
         self._waiting: list[PendingClaim] = []
-        self._batch_task: asyncio.Task[None] | None = None  # runs as long as claims wait
+        self._batch_task: asyncio.Task[None] | None = None  # runs while claims are waiting
 
     def close(self) -> None:
-        """Record nothing any more."""
+        """Stop recording claims."""
         if self._batch_task is not None:
             self._batch_task.cancel()
 
     async def handle_claim(self, request: ClaimRequest) -> ClaimReply:
-        """Return who holds the claim's key, as soon as that is on a majority of the disks."""
+        """Return the holder of the claim's key, once that is on a majority of the disks."""
         claim = request.claim
         if not self._consensus.is_leader():
-            return self._unknown()
+            return self._unknown_reply()
         if not is_valid(claim):
             self._metrics.claims_invalid += 1
             return ClaimReply(True)
         holder = self._known_holder(claim)
         if holder is not None:
-            return self._known(claim, ClaimResult(holder.attempt, holder.owner))
+            return self._known_reply(claim, ClaimResult(holder.attempt, holder.owner))
         if len(self._waiting) >= MAX_WAITING_CLAIMS:
-            return self._unknown()
+            return self._unknown_reply()
         result = await self._record(claim)
-        return self._known(claim, result) if result is not None else self._unknown()
+        return self._known_reply(claim, result) if result is not None else self._unknown_reply()
 
     def _known_holder(self, claim: Claim) -> OperationRecord | None:
-        """Return who holds a claim's key by the applied table."""
+        """Return the holder of a claim's key in the applied table, if any."""
         table = self._state_machine.state.operations
         elapsed_us = self._leadership_clock.elapsed_us(self._clock(), self._consensus.started_node.term)
         return known_holder(table, claim, table.clock_us + elapsed_us - self._retention_us())
@@ -97,12 +98,12 @@
 
     # ---- replies
 
-    def _unknown(self) -> ClaimReply:
-        """Return that nothing is known here, and where else to ask."""
+    def _unknown_reply(self) -> ClaimReply:
+        """Return that the outcome is unknown here, with the leader's address if available."""
         self._metrics.claims_unknown += 1
         return ClaimReply(False, leader_address=self._discovery.remote_leader_address())
 
-    def _known(self, claim: Claim, result: ClaimResult) -> ClaimReply:
+    def _known_reply(self, claim: Claim, result: ClaimResult) -> ClaimReply:
         if not result.attempt:
             self._metrics.claims_without_room += 1
         elif result.attempt == claim.attempt:
@@ -114,7 +115,7 @@
     # ---- batches
 
     async def _record(self, claim: Claim) -> ClaimResult | None:
-        """Have a claim recorded with the next batch; None where its outcome is not known."""
+        """Record a claim with the next batch; return None if its outcome is unknown."""
         loop = asyncio.get_running_loop()
         pending = PendingClaim(claim, loop.create_future())
         self._waiting.append(pending)
@@ -123,10 +124,10 @@
         return await pending.result
 
     async def _run_batches(self) -> None:
-        """Record one batch after another until no claim waits."""
+        """Record one batch after another until no claim is waiting."""
         try:
             while self._waiting:
-                await asyncio.sleep(GATHER_S)
+                await asyncio.sleep(BATCH_WINDOW_S)
                 batch = self._waiting[:MAX_BATCH_CLAIMS]
                 del self._waiting[:MAX_BATCH_CLAIMS]
                 await self._run_batch(batch)
@@ -134,7 +135,7 @@
             self._batch_task = None
 
     async def _run_batch(self, batch: list[PendingClaim]) -> None:
-        """Record a batch, and pass each claim its result."""
+        """Record a batch, and set the result of each claim."""
         results: list[ClaimResult] | None = None
         try:
             results = await self._propose([pending.claim for pending in batch])
@@ -144,12 +145,12 @@
                     pending.result.set_result(results[position] if results is not None else None)
 
     async def _propose(self, claims: list[Claim]) -> list[ClaimResult] | None:
-        """Put claims into the log, and return their results once they are applied; None for unknown ones."""
+        """Append claims to the log, and return their results once applied; None if these are unknown."""
         if not self._consensus.is_leader():
             return None
         elapsed_us = self._leadership_clock.start_batch(self._clock(), self._consensus.started_node.term)
         command = ClaimOperations(elapsed_us, self._retention_us(), claims)
         self._metrics.claim_batches += 1
-        # Nobody reads a follower's table: it is told of the commit with the next batch or heartbeat.
+        # No one reads a follower's table, so followers learn of the commit with the next batch or heartbeat.
         applied = await self._consensus.propose(encode_command(command), announces_commit=False)
         return applied.claim_results if applied is not None else None
--- a/lapisgrade/gateway/controller/replies.py
+++ b/lapisgrade/gateway/controller/replies.py
@@ -1,4 +1,4 @@
-"""Bodies of operators' calls and of their replies, as JSON."""
+"""The JSON bodies of operators' calls and of the replies."""
 
 from http import HTTPStatus
 
@@ -10,7 +10,7 @@
 
 
 def decode_draft_id(body: bytes) -> str:
-    """Return the id of the draft that a call names; raises InvalidInputError where it names none."""
+    """Return the draft id in the body of a call; raises InvalidInputError if there is none."""
     try:
         draft_id = msgspec.json.decode(body).get("Id")
     except (msgspec.MsgspecError, AttributeError):
@@ -21,11 +21,11 @@
 
 
 def encode_result(result: ApplyResult) -> ForwardCallReply:
-    """Return the state machine's result as the caller gets it."""
+    """Return the reply for a result of the state machine."""
     body = msgspec.json.encode({"Err": result.reason}) if result.reason else b"{}"
     return ForwardCallReply(result.status, body)
 
 
 def encode_error(status: HTTPStatus, message: str) -> ForwardCallReply:
-    """Return a refusal with that HTTP status and message."""
+    """Return an error reply with that HTTP status and message."""
     return encode_result(ApplyResult(status, message))
--- a/lapisgrade/gateway/controller/server.py
+++ b/lapisgrade/gateway/controller/server.py
@@ -1,4 +1,4 @@
-"""One controller as a process: assembles its parts, starts them, and shuts down gracefully.
+"""A controller process: assembles the components, starts them, and shuts them down gracefully.
 
 HTTP (servers, operators) -> ControlApi -> CallForwarder -> LeaderCalls ----+
                                  |              ^                           v
@@ -49,10 +49,10 @@
 
 log = logging.getLogger("controller")
 
-RESERVED_FILES = 200  # descriptors that are kept for files, and for calls between controllers and proxies
+RESERVED_FILES = 200  # descriptors reserved for files, and for calls between controllers and proxies
 MIN_CONTROL_CONNECTIONS = 16
 MAX_READINESS_CONNECTIONS = 32
-FLUSH_S = 0.15  # for the last messages to be sent at a shutdown
+SHUTDOWN_FLUSH_S = 0.15  # delay at shutdown for sending the last messages
 MAX_READINESS_BODY_BYTES = 4096
 
 CallHandler = Callable[[Any], Awaitable[Any]]
@@ -60,7 +60,7 @@
 
 
 class ControllerStorage(msgspec.Struct, frozen=True):
-    """A controller's disk: its files, and the executor that makes blocking calls on them, one at a time."""
+    """A controller's files on disk, and the executor that runs blocking calls on them, one at a time."""
 
     log_store: LogStore
     draft_store: DraftStore
@@ -68,15 +68,15 @@
 
 
 class ControllerEnvironment(msgspec.Struct, frozen=True):
-    """What a controller takes from the machine that it runs on; the laboratory simulates it.
+    """The dependencies of a controller on its machine; the laboratory simulates them.
 
     Attributes:
-        clock: The steady time in us.
-        random: The source of all random draws.
-        started_us: When the process began, by `clock`.
+        clock: Returns the monotonic time in us.
+        random: The random generator.
+        started_us: The time at which the process started, by `clock`.
         storage: The disk; None for a controller without one.
-        rpc: Makes the endpoint from the handlers of calls and of messages without a reply.
-        observer: Is called at each step of the consensus.
+        rpc: Creates the endpoint, given a handler of calls and a handler of messages without a reply.
+        observer: Receives a callback at each step of the consensus.
     """
 
     clock: Callable[[], int]
@@ -88,7 +88,7 @@
 
 
 def max_control_connections(descriptors: int) -> int:
-    """Return how many connections of servers and operators a process with so many descriptors keeps."""
+    """Return the maximum number of connections of servers and operators, given the descriptor limit."""
     return min(MAX_CONNECTIONS, max(MIN_CONTROL_CONNECTIONS, descriptors - RESERVED_FILES))
 
 
@@ -110,10 +110,10 @@
 
 
 class Controller:
-    """Runs until `end` is called."""
+    """A controller, which runs until `end` is called."""
 
     def __init__(self, settings: Settings, environment: ControllerEnvironment | None = None) -> None:
-        """`environment` is that of a real process if None."""
+        """`environment` defaults to that of a real process."""
         environment = environment or system_environment(settings)
         self.settings = settings
         self.storage = environment.storage
@@ -185,7 +185,7 @@
 
     @property
     def node(self) -> Node | None:
-        """The consensus node; None without a disk, and before the disk was read."""
+        """The consensus node; None without a disk, before recovery, and after an unreadable entry."""
         return self.consensus.node
 
     # ---- life cycle
@@ -194,7 +194,8 @@
         """Recover, listen and serve until `end` is called, then leave the cluster.
 
         Raises:
-            UnreadableLogError: The log holds what a later release wrote; nothing is served any more.
+            UnreadableLogError: The log has an entry or a snapshot of a later release. The controller has
+                stopped serving.
         """
         tasks = await self._recover()
         await self._listen()
@@ -211,7 +212,7 @@
             raise self._unreadable_log
 
     def end(self) -> None:
-        """Begin a graceful shutdown."""
+        """Start a graceful shutdown."""
         self._end_requested.set()
 
     def _on_unreadable_log(self, error: UnreadableLogError) -> None:
@@ -219,11 +220,11 @@
         self._end_requested.set()
 
     def reload(self, settings: Settings) -> None:
-        """Replace the settings; addresses and the data directory stay as they were."""
+        """Replace the settings. Changes of addresses and of the data directory have no effect."""
         self.settings = settings
 
     async def _recover(self) -> list[asyncio.Task[None]]:
-        """Read the disk, start the node and its tasks, and return those."""
+        """Read the disk, start the node and its tasks, and return the tasks."""
         storage = self.storage
         if storage is None:
             return []
@@ -264,7 +265,7 @@
 
     async def _leave_cluster(self) -> None:
         await self.membership.leave()
-        await asyncio.sleep(FLUSH_S)
+        await asyncio.sleep(SHUTDOWN_FLUSH_S)
 
     def _close(self, tasks: list[asyncio.Task[None]]) -> None:
         for task in tasks:
--- a/lapisgrade/gateway/controller/status_report.py
+++ b/lapisgrade/gateway/controller/status_report.py
@@ -1,4 +1,4 @@
-"""The part of `conf.status` that tells of versions, refused changes, proxies and servers."""
+"""The part of `conf.status` about versions, refused changes, proxies and servers."""
 
 from typing import Any
 
@@ -15,9 +15,9 @@
     proxies: dict[str, ProxyStatus],
     servers: list[Server],
 ) -> dict[str, Any]:
-    """Return which versions are newest and active, each proxy's versions, and what serves; for JSON.
+    """Return the newest and active versions, the versions of each proxy, and the servers, for JSON.
 
-    `last_refused` is the last change that this leader refused; None for none.
+    `last_refused` is the last change that this leader refused, if any.
     """
     return {
         "Newest": state.version,
@@ -44,7 +44,7 @@
 
 
 def _server_report(servers: list[Server]) -> dict[str, dict[str, int]]:
-    """Return the number of servers that are up, and of their slots, by service."""
+    """Return the numbers of servers that are up and of their slots, by service."""
     report: dict[str, dict[str, int]] = {}
     for server in servers:
         if server.state == ServerState.UP and server.service:
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -1,7 +1,4 @@
-"""Drafts: edits on both sides of a partition, merged when it heals.
-
-Transcripts of the operator's tool among them.
-"""
+"""Drafts: edits on both sides of a partition, merged after it heals, and the output of the operator tool."""
 
 import asyncio
 import os
@@ -21,14 +18,13 @@
 from lapisgrade.lab.partitions import rejoin
 
 POOLS = [*SAMPLE["Pools"], {"Name": "reparation"}]
-
-
 TWO_SERVICES = {**SAMPLE, "Pools": POOLS}
-claim = rejoin.edit
+claim_rule_edit = rejoin.edit
 
 
-def edit(**more) -> bytes:
-    return msgspec.json.encode(claim(**more))
+def edit(**fields) -> bytes:
+    """An edit of the rule r-claim, as JSON."""
+    return msgspec.json.encode(claim_rule_edit(**fields))
 
 
 def draft_client(site: LocalCluster, name: str, lines: list[str]) -> DraftClient:
@@ -40,15 +36,15 @@
     return await draft_client(site, name, lines).send(text, by), lines
 
 
-async def leave_alone(site: LocalCluster, name: str) -> None:
-    """Only that controller is left."""
+async def kill_other_controllers(site: LocalCluster, name: str) -> None:
+    """Kill all controllers but one, and wait until that one doesn't lead."""
     for other in [each for each in site.controllers if each != name]:
         await site.kill(site.controllers[other])
     await site.until(lambda: not site.controllers[name].consensus.is_leader())
 
 
-async def wait_for_version(site: LocalCluster, ver: int) -> None:
-    await site.until(lambda: all(each.active_version == ver for each in site.proxies.values()))
+async def wait_for_version(site: LocalCluster, version: int) -> None:
+    await site.until(lambda: all(each.active_version == version for each in site.proxies.values()))
 
 
 def claim_rule(site: LocalCluster, name: str):
@@ -58,7 +54,7 @@
 
 async def test_edits_of_one_route_on_both_sides_are_both_kept_and_reported() -> None:
     async with serving_cluster(TWO_SERVICES) as site:
-        await leave_alone(site, "m3")
+        await kill_other_controllers(site, "m3")
         status, lines = await send_draft(site, "m3", edit(Action={"Svc": "reparation"}))
         name = lines[0].split()[1]
         assert (status, lines) == (
@@ -76,11 +72,11 @@
             "  Routes/r-claim/Action/Svc",
         ]
         assert claim_rule(site, "m3").action.svc == "garantie"
-        # The other side: an acknowledged change of the same route.
+        # On the other side of the partition, an acknowledged change edits the same route.
         await site.kill(site.controllers["m3"])
         for each in ("m1", "m2"):
             await site.start_controller(each)
-        change = {"Ver": 4, "Base": 1, **claim(Action={"Timeout": "1500ms"}, Prio=0)}
+        change = {"Ver": 4, "Base": 1, **claim_rule_edit(Action={"Timeout": "1500ms"}, Prio=0)}
         while await site.put(change, "conf.update") != 200:
             await asyncio.sleep(0.02)
         await site.start_controller("m3")
@@ -94,9 +90,9 @@
         await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
 
 
-async def test_a_conflicting_field_is_reported_and_accepted_or_dropped() -> None:
+async def test_conflicting_fields_are_reported_and_can_be_settled_or_dropped() -> None:
     async with serving_cluster(TWO_SERVICES) as site:
-        await leave_alone(site, "m3")
+        await kill_other_controllers(site, "m3")
         _, lines = await send_draft(site, "m3", edit(Prio=3, Action={"Svc": "reparation"}))
         name = lines[0].split()[1]
         _, lines = await send_draft(site, "m3", edit(Mode="idem", Prio=5), "badr")
@@ -104,7 +100,7 @@
         await site.kill(site.controllers["m3"])
         for each in ("m1", "m2"):
             await site.start_controller(each)
-        change = {"Ver": 4, "Base": 1, **claim(Prio=0)}
+        change = {"Ver": 4, "Base": 1, **claim_rule_edit(Prio=0)}
         while await site.put(change, "conf.update") != 200:
             await asyncio.sleep(0.02)
         await site.start_controller("m3")
@@ -134,17 +130,17 @@
         assert await client.print_drafts() == 0
 
 
-async def test_a_replica_on_another_disk_survives_the_drafts_own_disk() -> None:
+async def test_a_draft_survives_the_loss_of_the_disk_it_was_sent_to() -> None:
     async with serving_cluster(TWO_SERVICES) as site:
         while not site.controllers["m3"].node.leader:
             await asyncio.sleep(0.02)
-        # Two of three on this side, but neither may lead: drafts are kept all the same.
+        # All controllers are up, but none may serve as the leader; drafts are stored nevertheless.
         for controller in site.controllers.values():
             controller.consensus.is_leader = lambda: False
-        with mock.patch.object(drafts, "COPY_TIMEOUT_S", 5.0):  # a machine busy with other work
+        with mock.patch.object(drafts, "COPY_TIMEOUT_S", 5.0):  # for a busy test machine
             status, lines = await send_draft(site, "m3", edit(Prio=0))
         assert (status, lines[0].split(": ")[1]) == (0, "kept on 3 disks, not in force")
-        await leave_alone(site, "m1")
+        await kill_other_controllers(site, "m1")
         await site.kill(site.controllers["m1"])
         shutil.rmtree(os.path.join(site.folder, "m3"))
         for each in ("m1", "m2"):
@@ -153,7 +149,7 @@
         assert claim_rule(site, "m2").prio == 0
 
 
-async def test_a_leader_lost_while_three_partitions_merge() -> None:
+async def test_drafts_of_three_partitions_are_merged_after_a_leader_failure() -> None:
     async with serving_cluster(TWO_SERVICES) as site:
         partition = Partition(site)
         partition.isolate("m1"), partition.isolate("m2"), partition.isolate("m3")
@@ -191,7 +187,7 @@
         partition.isolate("m3")
         await site.until(lambda: any(site.controllers[each].consensus.is_leader() for each in ("m1", "m2")))
         await send_draft(site, "m3", edit(Action={"Svc": "reparation"}))
-        change = {"Ver": 4, "Base": 1, **claim(Prio=0)}
+        change = {"Ver": 4, "Base": 1, **claim_rule_edit(Prio=0)}
         controllers = [(site.ip[each], CTL) for each in ("m1", "m2")]
         while await post_to_any(controllers, "/-/rpc?call=conf.update", msgspec.json.encode(change)) != 200:
             await asyncio.sleep(0.02)
@@ -210,7 +206,7 @@
 
 async def test_invalid_drafts_are_rejected_with_the_reason() -> None:
     async with serving_cluster(TWO_SERVICES) as site:
-        for text, wrong in (
+        for text, reason in (
             (edit(Action={"Svc": "nowhere"}), "service 'nowhere' is not in Pools"),
             (edit(), "nothing would change"),
             (edit(Mode="never"), "'never' is no mode"),
@@ -218,11 +214,11 @@
         ):
             status, lines = await send_draft(site, "m2", text)
             assert status == 1
-            assert wrong in lines[0]
+            assert reason in lines[0]
         for text in (b"{", b"[]", b'{"Ver": 3}'):
             with pytest.raises(InvalidInputError):
                 await send_draft(site, "m2", text)
-        body = msgspec.json.encode({"Base": 7, "By": "x", **claim(Prio=0)})
+        body = msgspec.json.encode({"Base": 7, "By": "x", **claim_rule_edit(Prio=0)})
         assert await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body) == 412
         for body, status in ((b"{", 400), (b"[]", 400), (b'{"Base":1}', 400)):
             assert await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body) == status
