--- a/tests/gateway/controller/test_activation_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -1,6 +1,8 @@
-"""Activation of versions with real processes: controllers and proxies as the deploy file starts them, on
-loopback, with signals between staging and force. Every proxy is called with the new tenant's key all the
-while."""
+"""Activation of versions with real processes.
+
+Controllers and proxies are started on loopback as by the deploy file, and receive signals between staging and
+activation. Meanwhile every proxy receives requests with the new tenant's key.
+"""
 
 import asyncio
 import json
@@ -25,41 +27,41 @@
          "Action": {"Svc": "garantie", "Timeout": "2s"}}]}],
 }  # fmt: skip
 
-WITHOUT_SILENT_S = 1.8  # from the sending of a change until it is in force without a proxy that is silent
+ACTIVATION_S = 1.8  # maximum time from sending a change to its activation while a proxy is paused
 
 
 class Calls:
-    """Clients of the new tenant at every proxy, and of the old one; what they met, and what it means."""
+    """Clients of the new tenant and of an existing one at every proxy, and their results."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.fleet, self.pulls = fleet, []
-        self.taken_at = float("inf")  # when the first call that was taken had its answer
-        self.wrong: list[tuple[str, int]] = []
-        self.first: dict[str, float] = {}  # by proxy, when it first took one
+        self.fleet, self.old_tenant_calls = fleet, []
+        self.first_accepted_at = float("inf")  # when any proxy first answered the new tenant with 200
+        self.violations: list[tuple[str, int]] = []  # requests rejected after another proxy accepted one
+        self.accepted_at: dict[str, float] = {}  # by proxy: when it first answered the new tenant with 200
         self.sent_at: float | None = None  # when the operator's change was sent
-        self._tasks = [asyncio.create_task(self.at(name)) for name in fleet.ip]
-        self._tasks += [asyncio.create_task(self.pull(name)) for name in fleet.ip]
+        self._tasks = [asyncio.create_task(self.call_as_new_tenant(name)) for name in fleet.ip]
+        self._tasks += [asyncio.create_task(self.call_as_old_tenant(name)) for name in fleet.ip]
 
-    async def at(self, name: str) -> None:
+    async def call_as_new_tenant(self, name: str) -> None:
         while True:
-            sent, known = time.monotonic(), self.taken_at
+            sent, first_accepted_at = time.monotonic(), self.first_accepted_at
             status = await self.fleet.call(name, "gabes.example", "/1", "key-of-gabes")
             if status == 200:
-                self.taken_at = min(self.taken_at, time.monotonic())
-                self.first.setdefault(name, time.monotonic())
-            elif status in (401, 404) and sent > known:
-                self.wrong.append((name, status))
+                self.first_accepted_at = min(self.first_accepted_at, time.monotonic())
+                self.accepted_at.setdefault(name, time.monotonic())
+            elif status in (401, 404) and sent > first_accepted_at:
+                self.violations.append((name, status))
             await asyncio.sleep(PAUSE)
 
-    async def pull(self, name: str) -> None:
+    async def call_as_old_tenant(self, name: str) -> None:
         while True:
             sent = time.monotonic()
             status = await self.fleet.call(name, "a.example", "/stock/1", "key-of-sfax")
-            self.pulls.append((status, time.monotonic() - sent))
+            self.old_tenant_calls.append((status, time.monotonic() - sent))
             await asyncio.sleep(3 * PAUSE)
 
     def on_operator_line(self, line: str) -> None:
-        """Called with each line of the operator's client; it prints the first just before it sends."""
+        """Receive a line of the operator's client; it prints the first just before it sends the change."""
         if self.sent_at is None:
             self.sent_at = time.monotonic()
 
@@ -68,21 +70,21 @@
             each.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def all_take(self) -> bool:
-        return len(self.first) == len(self.fleet.ip)
+    async def all_accept(self) -> bool:
+        return len(self.accepted_at) == len(self.fleet.ip)
 
 
 async def onboard(calls: Calls, fault=None) -> None:
-    """Bring the tenant in under calls at every proxy, with a fault as the change is sent."""
+    """Add the tenant while all proxies receive requests, and inject a fault when the change is sent."""
     fleet = calls.fleet
     client = TenantClient(fleet.ctl, calls.on_operator_line)
-    doing = asyncio.create_task(client.apply(msgspec.json.encode(TICKET), 8.0))
+    applying = asyncio.create_task(client.apply(msgspec.json.encode(TICKET), 8.0))
     if fault is not None:
         await fault()
-    await doing
-    await fleet.until(calls.all_take)
+    await applying
+    await fleet.until(calls.all_accept)
     await calls.end()
-    assert calls.wrong == [], "a proxy refused what another had taken"
+    assert calls.violations == [], "a proxy rejected a request after another proxy had accepted one"
 
 
 async def test_all_proxies_activate_a_change_together_and_traffic_goes_on(
@@ -91,31 +93,31 @@
     async with Fleet(loopback_network.number, str(tmp_path)) as fleet:
         calls = Calls(fleet)
         await onboard(calls)
-        assert max(calls.first.values()) - min(calls.first.values()) < 0.5
-        assert Counter(status for status, _ in calls.pulls) == {200: len(calls.pulls)}
+        assert max(calls.accepted_at.values()) - min(calls.accepted_at.values()) < 0.5
+        assert Counter(status for status, _ in calls.old_tenant_calls) == {200: len(calls.old_tenant_calls)}
 
 
-async def test_a_proxy_paused_over_the_activation_answers_503_when_it_resumes(
+async def test_a_proxy_paused_during_the_activation_does_not_reject_the_new_tenant(
     tmp_path: Path, loopback_network: LoopbackNetwork
 ) -> None:
     async with Fleet(loopback_network.number, str(tmp_path)) as fleet:
         calls = Calls(fleet)
 
-        async def others_take() -> bool:
-            return calls.first.keys() == {"m1", "m2"}
+        async def others_accept() -> bool:
+            return calls.accepted_at.keys() == {"m1", "m2"}
 
-        async def freeze() -> None:
+        async def pause() -> None:
             fleet.send("proxy", "m3", signal.SIGSTOP)
-            await fleet.until(others_take)
+            await fleet.until(others_accept)
             await asyncio.sleep(0.3)
             fleet.send("proxy", "m3", signal.SIGCONT)
 
-        await onboard(calls, freeze)
-        assert max(calls.first["m1"], calls.first["m2"]) - calls.sent_at < WITHOUT_SILENT_S
-        assert calls.first["m3"] - min(calls.first.values()) > 0.2
+        await onboard(calls, pause)
+        assert max(calls.accepted_at["m1"], calls.accepted_at["m2"]) - calls.sent_at < ACTIVATION_S
+        assert calls.accepted_at["m3"] - min(calls.accepted_at.values()) > 0.2
 
 
-async def test_the_leader_is_killed_while_the_change_is_sent(
+async def test_a_change_is_activated_although_the_leader_is_killed(
     tmp_path: Path, loopback_network: LoopbackNetwork
 ) -> None:
     async with Fleet(loopback_network.number, str(tmp_path)) as fleet:
@@ -137,22 +139,22 @@
                 return False
 
         await fleet.until(applied)
-        await fleet.until(calls.all_take)
+        await fleet.until(calls.all_accept)
         await calls.end()
-        assert calls.wrong == []
+        assert calls.violations == []
 
 
-async def test_a_proxy_is_killed_and_restarted_during_the_activation(
+async def test_a_proxy_killed_and_restarted_during_the_activation_accepts_the_new_tenant(
     tmp_path: Path, loopback_network: LoopbackNetwork
 ) -> None:
     async with Fleet(loopback_network.number, str(tmp_path)) as fleet:
 
-        async def again() -> None:
+        async def restart() -> None:
             fleet.send("proxy", "m2", signal.SIGKILL)
             await fleet.running["proxy", "m2"].wait()
             await fleet.start("proxy", "m2")
 
-        await onboard(Calls(fleet), again)
+        await onboard(Calls(fleet), restart)
 
 
 async def test_a_sighup_during_startup_reloads_the_settings(
@@ -160,37 +162,37 @@
 ) -> None:
     ip = loopback_network.host(9)
     path = str(tmp_path / "settings.json")
-    os.mkfifo(path)  # whoever reads waits for us to write
+    os.mkfifo(path)  # a reader blocks until the test writes
     settings = {"Hostname": "m1", "Ip": ip, "Az": "z", "Bind": {"Ctl": f"{ip}:8407"},
             "Portrange": [7660, 7675], "Peers": [f"{ip}:8407"]}  # fmt: skip
 
-    running = await asyncio.create_subprocess_exec(
+    process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "lapisgrade.gateway", "controller", f"--settings={path}",
         cwd=ROOT, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
 
-    async def read(first: bool) -> None:
-        """It reads the settings once; the first time it is signalled over it."""
+    async def serve_settings(with_signal: bool) -> None:
+        """Let the process read the settings once; optionally send SIGHUP while it reads."""
         while True:
             try:
                 file = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
                 break
-            except OSError:  # it has not opened them yet
+            except OSError:  # the process has not opened the file yet
                 await asyncio.sleep(PAUSE)
-        if first:
-            running.send_signal(signal.SIGHUP)
+        if with_signal:
+            process.send_signal(signal.SIGHUP)
             os.mkfifo(f"{path}.new")
-            os.replace(f"{path}.new", path)  # the next reading is of another file
+            os.replace(f"{path}.new", path)  # the next read opens a new file
         os.write(file, json.dumps(settings).encode())
         os.close(file)
 
     async with asyncio.timeout(20.0):
-        await read(True)
-        await read(False)
+        await serve_settings(True)
+        await serve_settings(False)
         logged = b""
         while b"settings read again" not in logged:
-            line = await running.stderr.readline()
+            line = await process.stderr.readline()
             assert line, logged
             logged += line
-    running.send_signal(signal.SIGTERM)
-    assert await running.wait() == 0
+    process.send_signal(signal.SIGTERM)
+    assert await process.wait() == 0
--- a/tests/gateway/controller/test_descriptors.py
+++ b/tests/gateway/controller/test_descriptors.py
@@ -1,4 +1,4 @@
-"""How a controller divides its descriptors."""
+"""The allocation of a controller's file descriptors."""
 
 from lapisgrade.gateway.controller.server import (
     MAX_READINESS_CONNECTIONS,
@@ -6,8 +6,8 @@
     max_control_connections,
 )
 
-DESCRIPTORS = 475  # of a process, of which RESERVED_FILES are for files alone
-PROXIES = 68  # each calls the leader on a connection of its own
+DESCRIPTORS = 475  # limit of the process; RESERVED_FILES of them are for files
+PROXIES = 68  # each has its own connection to the leader
 
 
 def test_callers_leave_descriptors_for_proxies_calls() -> None:
--- a/tests/gateway/controller/test_metrics.py
+++ b/tests/gateway/controller/test_metrics.py
@@ -1,9 +1,9 @@
-"""A controller's metrics: what its log line at the end of the process has."""
+"""A controller's metrics, as logged at the end of the process."""
 
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
 
 
-def test_only_metrics_that_were_counted_are_reported_with_their_labels() -> None:
+def test_only_nonzero_metrics_are_reported_with_their_labels() -> None:
     metrics = ControllerMetrics()
     assert metrics.nonzero() == {}
     metrics.disk_syncs += 2
--- a/tests/gateway/controller/test_operation_claims.py
+++ b/tests/gateway/controller/test_operation_claims.py
@@ -1,4 +1,4 @@
-"""The leader's part in keyed operations, in simulated time: batches, answers, bounds, and a leader's loss."""
+"""The leader's part in keyed operations, in simulated time: batches, replies, limits, and leader failures."""
 
 import asyncio
 from random import Random
@@ -18,7 +18,7 @@
 
 OWNER = "10.3.0.1:7600"
 RETENTION_S = (int(Slo().key_win) + RETENTION_MARGIN_US) / SECOND
-ANSWERED_S = 0.2  # in which a claim is answered where nothing is wrong
+REPLY_S = 0.2  # time limit for the reply to a claim in the absence of faults
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
@@ -46,8 +46,8 @@
     def others(self) -> list[Machine]:
         return [machine for machine in self.cluster.machines.values() if machine is not self.leader]
 
-    def ask(self, machine: Machine, *claims: Claim) -> list[asyncio.Task[ClaimReply]]:
-        """Begin to handle claims that come at once."""
+    def send(self, machine: Machine, *claims: Claim) -> list[asyncio.Task[ClaimReply]]:
+        """Start handling claims that arrive at the same time."""
         handle = machine.controller.operation_claims.handle_claim
         token = CURRENT.set(machine.process)
         try:
@@ -56,13 +56,14 @@
             CURRENT.reset(token)
 
     def replies(self, *claims: Claim) -> list[ClaimReply]:
-        """The leader's replies to claims that come at once."""
-        tasks = self.ask(self.leader, *claims)
-        self.loop.run_for(ANSWERED_S)
+        """The leader's replies to claims that arrive at the same time."""
+        tasks = self.send(self.leader, *claims)
+        self.loop.run_for(REPLY_S)
         return [task.result() for task in tasks]
 
-    def holder(self, asked: Claim) -> str:
-        return self.replies(asked)[0].attempt
+    def holder(self, claim: Claim) -> str:
+        """The attempt that holds the claim's key, by the leader's reply."""
+        return self.replies(claim)[0].attempt
 
 
 @pytest.fixture
@@ -74,7 +75,7 @@
     assert site.loop.errors == []
 
 
-def test_claims_of_one_batch_and_of_later_ones_have_one_holder(site: Site):
+def test_claims_of_one_key_have_one_holder_within_a_batch_and_across_batches(site: Site):
     metrics = site.leader.controller.metrics
     assert [reply.attempt for reply in site.replies(claim("a"), claim("b"), claim("a"))] == ["a"] * 3
     assert metrics.claim_batches == 1
@@ -85,7 +86,7 @@
     assert (metrics.claims_granted, metrics.claims_held_by_another) == (3, 3)
 
 
-def test_claims_wake_no_watcher(site: Site):
+def test_claims_do_not_notify_watchers(site: Site):
     leader = site.leader.controller
     applied = leader.metrics.entries_applied
     with mock.patch.object(leader.watch_service, "notify_watchers") as notify:
@@ -94,15 +95,15 @@
         assert not notify.called
 
 
-def test_malformed_claim_is_refused_and_a_follower_says_who_leads(site: Site):
+def test_malformed_claim_is_rejected_and_a_follower_redirects_to_the_leader(site: Site):
     assert site.replies(claim("")) == [ClaimReply(True)]
     assert site.leader.controller.state_machine.state.operations.records == {}
-    task = site.ask(site.others[0], claim("a"))[0]
-    site.loop.run_for(ANSWERED_S)
+    task = site.send(site.others[0], claim("a"))[0]
+    site.loop.run_for(REPLY_S)
     assert task.result() == ClaimReply(False, leader_address=site.leader.controller.node.address)
 
 
-def test_no_more_claims_wait_than_the_bound_and_no_batch_is_larger_than_its_own(site: Site):
+def test_waiting_claims_and_batch_size_are_limited(site: Site):
     metrics = site.leader.controller.metrics
     with (
         mock.patch.object(operation_claims, "MAX_WAITING_CLAIMS", 5),
@@ -113,7 +114,7 @@
     assert metrics.claim_batches == 3
 
 
-def test_key_is_given_back_after_its_retention_and_not_before(site: Site):
+def test_key_is_released_after_its_retention_and_not_before(site: Site):
     site.replies(claim("a"))
     site.loop.run_for(RETENTION_S - 1.0)
     site.replies(claim("x", key="other"))  # advances the table's clock
@@ -122,20 +123,20 @@
     assert site.holder(claim("b")) == "b"  # without another claim in between
 
 
-def test_outcome_is_unknown_while_a_leader_reaches_nobody_and_the_same_claim_is_answered_later(site: Site):
+def test_outcome_is_unknown_at_a_partitioned_leader_and_the_claim_is_answered_after_the_heal(site: Site):
     old = site.leader
     site.cluster.partition([old.name])
-    task = site.ask(old, claim("a"))[0]
+    task = site.send(old, claim("a"))[0]
     site.loop.run_for(3.0)
     assert task.result().is_known is False
     assert site.leader is not old
-    assert site.holder(claim("b")) == "b"  # what the old leader has is void
+    assert site.holder(claim("b")) == "b"  # the old leader's entry was never committed
     site.cluster.heal()
     site.loop.run_for(2.0)
     assert site.holder(claim("a")) == "b"
 
 
-def test_holders_outlive_a_loss_of_all_power_and_reach_a_newcomer_by_a_snapshot(site: Site):
+def test_holders_survive_a_power_loss_of_all_machines_and_reach_an_empty_disk_by_snapshot(site: Site):
     with log_limits(1, 64):
         for number in range(20):
             assert site.holder(claim(f"a{number}", key=f"k{number}")) == f"a{number}"
@@ -145,11 +146,11 @@
         for machine in machines:
             machine.start()
         site.await_leader()
-        newcomer = site.others[0]
-        newcomer.kill(wipe=True)
-        newcomer.start()
+        wiped = site.others[0]
+        wiped.kill(wipe=True)
+        wiped.start()
         site.loop.run_for(4.0)
-        assert newcomer.controller.node.log.snapshot_index > 0
+        assert wiped.controller.node.log.snapshot_index > 0
     assert site.holder(claim("b", key="k0")) == "a0"
     tables = [machine.controller.state_machine.state.operations for machine in machines]
     assert len(tables[0].records) == 20
--- a/tests/gateway/controller/test_partitions.py
+++ b/tests/gateway/controller/test_partitions.py
@@ -1,6 +1,8 @@
-"""The control plane's worst days with real processes: a leader cut off both ways and one way, killed or
-emptied right after an acknowledgement, a member that was away. In short; `lapisgrade lab line control` plays
-them in full.
+"""Failures of controllers with real processes.
+
+A leader is partitioned in both directions and in one, or is killed or loses its disk right after an
+acknowledgement, and a member is down during many changes. The cases are shortened here;
+`lapisgrade lab line control` runs them in full.
 """
 
 from collections.abc import Awaitable, Callable
@@ -12,47 +14,48 @@
 
 from lapisgrade.lab.partitions import control
 
-PART = 0.12  # of the long cuts and of the hundreds of changes
-
+SCALE = 0.12  # factor for the duration of the long partitions and for the hundreds of changes
 
-Played = Callable[[str], Awaitable[control.Found]]
+RunCase = Callable[[str], Awaitable[control.Found]]
 
 
 @pytest.fixture
-def played(loopback_network: LoopbackNetwork, tmp_path: Path) -> Played:
-    """Plays one case, and checks what holds for each."""
+def run_case(loopback_network: LoopbackNetwork, tmp_path: Path) -> RunCase:
+    """A function that runs one case, and checks the results that all cases must have."""
 
-    async def play_case(case: str) -> control.Found:
-        found = await control.play(case, loopback_network.number, str(tmp_path), Random(7), PART)
+    async def run(case: str) -> control.Found:
+        found = await control.play(case, loopback_network.number, str(tmp_path), Random(7), SCALE)
         assert found.wrong == []
         assert found.acknowledged > 10
         assert found.reads > 10
         return found
 
-    return play_case
+    return run
 
 
-async def test_a_partitioned_leader_acknowledges_nothing_and_the_others_go_on(played: Played) -> None:
-    found = await played("cut")
+async def test_a_partitioned_leader_acknowledges_nothing_and_the_others_continue(
+    run_case: RunCase,
+) -> None:
+    found = await run_case("cut")
     assert found.longest_wait < control.WITHIN
 
 
-async def test_a_leader_whose_messages_are_lost(played: Played) -> None:
-    await played("cut one way, not heard")
+async def test_the_history_is_linearizable_when_a_leaders_messages_are_lost(run_case: RunCase) -> None:
+    await run_case("cut one way, not heard")
 
 
-async def test_a_leader_that_receives_no_messages(played: Played) -> None:
-    await played("cut one way, hears nobody")
+async def test_the_history_is_linearizable_when_a_leader_receives_no_messages(run_case: RunCase) -> None:
+    await run_case("cut one way, hears nobody")
 
 
-async def test_a_leader_killed_right_after_an_acknowledgement(played: Played) -> None:
-    await played("killed right after")
+async def test_an_acknowledged_change_survives_a_kill_of_the_leader(run_case: RunCase) -> None:
+    await run_case("killed right after")
 
 
-async def test_a_leader_that_loses_its_disk_right_after_an_acknowledgement(played: Played) -> None:
-    await played("emptied right after")
+async def test_an_acknowledged_change_survives_the_loss_of_the_leaders_disk(run_case: RunCase) -> None:
+    await run_case("emptied right after")
 
 
-async def test_a_member_that_was_down_catches_up_and_leads(played: Played) -> None:
-    found = await played("away")
+async def test_a_member_that_was_down_catches_up_and_leads(run_case: RunCase) -> None:
+    found = await run_case("away")
     assert found.caught_up < control.WITHIN
--- a/tests/gateway/controller/test_refused_changes.py
+++ b/tests/gateway/controller/test_refused_changes.py
@@ -1,4 +1,4 @@
-"""What operators are told of changes of the configuration that were refused."""
+"""Reports of refused configuration changes: status, log and metrics."""
 
 import asyncio
 import logging
@@ -55,14 +55,14 @@
         assert not [line for line in lines if "ever accepted" in line]
 
 
-async def test_a_change_that_was_taken_before_is_no_refusal():
+async def test_a_duplicate_of_an_applied_change_is_not_counted_as_refused():
     async with local_cluster() as site:
         await put_until(site, VALID_CONFIGURATION, 200)
         assert await site.put(VALID_CONFIGURATION) == 200
         assert not any(each.metrics.changes_refused for each in site.controllers.values())
 
 
-def test_one_refusal_is_kept_and_its_reason_is_one_line_of_bounded_length():
+def test_the_last_refused_change_is_stored_with_a_single_line_reason_of_limited_length():
     lines: list[str] = []
     refused = RefusedChanges(ControllerMetrics(), lines.append)
     refused.record("conf.update", ApplyResult(412, "version 7 is in force, not 3"), 1_000_000)
@@ -84,13 +84,13 @@
         [{"Name": "sfax", "Apikeys": ["9183475610293"], "RateS": -1}],
     ],
 )
-def test_no_reason_shows_an_api_key(tenants):
+def test_the_reason_of_a_refused_change_contains_no_api_key(tenants):
     with pytest.raises(ConfigurationError) as caught:
         configuration.read(with_fields(Tenants=tenants))
     assert "9183475610293" not in str(caught.value)
 
 
-def test_the_status_of_a_controller_of_an_older_release_is_printed_too():
+def test_the_status_of_a_controller_of_an_older_release_is_printed():
     older = msgspec.json.decode(b'{"Newest":0,"InForce":0,"Proxies":[],"Servers":{}}')
     lines: list[str] = []
 
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine: changes one after another, as the log orders them."""
+"""The state machine: configuration changes in the order of the log, and snapshots."""
 
 import msgspec
 import pytest
@@ -15,7 +15,7 @@
 
 
 class Operator:
-    """Sends changes, one after another, as the log would order them."""
+    """An operator whose changes are applied to a state machine in the order of sending."""
 
     def __init__(self) -> None:
         self.state_machine, self.index = StateMachine(), 0
@@ -23,32 +23,34 @@
     def send(self, body: dict | bytes, is_complete: bool = True) -> tuple[int, str]:
         self.index += 1
         data = body if isinstance(body, bytes) else msgspec.json.encode(body)
-        answer = self.state_machine.apply(self.index, encode_command(ConfigurationChange(is_complete, data)))
-        return answer.status, answer.reason
+        result = self.state_machine.apply(self.index, encode_command(ConfigurationChange(is_complete, data)))
+        return result.status, result.reason
 
-    def shown(self) -> dict:
+    def configuration(self) -> dict:
         return msgspec.json.decode(self.state_machine.state.configuration)
 
 
-def test_a_configuration_is_read_back_as_it_was_stored():
+def test_a_configuration_is_stored_as_it_was_sent():
     operator = Operator()
     assert operator.send(VALID_CONFIGURATION) == (200, "")
-    assert operator.shown() == {name: each for name, each in VALID_CONFIGURATION.items() if name != "Base"}
+    assert operator.configuration() == {
+        name: each for name, each in VALID_CONFIGURATION.items() if name != "Base"
+    }
 
 
-def test_of_two_operators_on_one_base_the_second_is_rejected():
+def test_the_second_of_two_changes_with_the_same_base_is_rejected():
     operator = Operator()
     operator.send(VALID_CONFIGURATION)
-    transcript = [
+    results = [
         operator.send(with_fields(Ver=9, Base=7)),
         operator.send(with_fields(Ver=11, Base=7)),
-        operator.send(with_fields(Ver=9, Base=7)),  # the winner, unsure, sends the same again
+        operator.send(with_fields(Ver=9, Base=7)),  # a duplicate of the accepted change
         operator.send(with_fields(Ver=11, Base=9)),
     ]
-    assert transcript == [(200, ""), (412, "version 9 is in force, not 7"), (200, ""), (200, "")]
+    assert results == [(200, ""), (412, "version 9 is in force, not 7"), (200, ""), (200, "")]
 
 
-def test_a_reformatted_change_is_the_same_change():
+def test_a_reformatted_change_is_recognized_as_a_duplicate():
     operator = Operator()
     operator.send(VALID_CONFIGURATION)
     again = dict(reversed(VALID_CONFIGURATION.items()))
@@ -79,18 +81,18 @@
         with subtests.test(name):
             if isinstance(body, dict) and name not in ("old version",):
                 body = {**body, "Base": 3}
-            status, wrong = operator.send(body)
+            status, reason = operator.send(body)
             assert status == 400
-            assert expected in wrong
+            assert expected in reason
     assert operator.state_machine.state.version == 3
 
 
-def test_a_key_is_never_shown():
+def test_the_reason_for_a_duplicate_key_does_not_contain_the_key():
     twice = [{"Name": "a", "Apikeys": ["secret"]}, {"Name": "b", "Apikeys": ["secret"]}]
     assert Operator().send(with_fields(Tenants=twice)) == (400, "a key stands twice")
 
 
-def test_named_items_are_changed_and_removed_and_the_rest_stays():
+def test_an_update_changes_and_removes_only_the_named_items():
     operator = Operator()
     operator.send(VALID_CONFIGURATION)
     new = {**STOCK_RULE, "Name": "r-new", "Match": {"Pfx": "/new/"}}
@@ -104,14 +106,14 @@
         },
     }
     assert operator.send(change, is_complete=False) == (200, "")
-    shown = operator.shown()
-    assert shown["Ports"] == [{"Vhost": "a.example", "Policy": [{**STOCK_RULE, "Prio": 0}, new]}]
-    assert [each["Name"] for each in shown["Tenants"]] == ["sfax", "port"]
-    assert (shown["Ver"], shown["Pools"]) == (9, VALID_CONFIGURATION["Pools"])
+    current = operator.configuration()
+    assert current["Ports"] == [{"Vhost": "a.example", "Policy": [{**STOCK_RULE, "Prio": 0}, new]}]
+    assert [each["Name"] for each in current["Tenants"]] == ["sfax", "port"]
+    assert (current["Ver"], current["Pools"]) == (9, VALID_CONFIGURATION["Pools"])
     assert operator.send(change, is_complete=False) == (200, "")
 
 
-def test_a_state_survives_a_snapshot():
+def test_a_snapshot_restores_the_state():
     operator, other = Operator(), StateMachine()
     operator.send(VALID_CONFIGURATION)
     operator.state_machine.apply(2, encode_command(ServerLeaving("i-1", False)))
@@ -122,7 +124,7 @@
     assert other.state == operator.state_machine.state
 
 
-def test_all_servers_of_a_large_deployment_may_leave_at_once():
+def test_all_13_000_servers_of_a_large_deployment_can_leave_at_once():
     state_machine = StateMachine()
     for number in range(13_000):
         state_machine.apply(number, encode_command(ServerLeaving(f"i-{number}", number % 2 == 0)))
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations that tests edit."""
+"""A valid configuration, and variants of it."""
 
 STOCK_RULE = {
     "Name": "r-stock",
@@ -29,13 +29,16 @@
 }
 
 
-def with_fields(**over) -> dict:
-    return {**VALID_CONFIGURATION, **over}
+def with_fields(**fields) -> dict:
+    """The valid configuration with these fields replaced."""
+    return {**VALID_CONFIGURATION, **fields}
 
 
-def with_rule(**over) -> dict:
-    return with_fields(Ports=[{"Vhost": "a.example", "Policy": [{**STOCK_RULE, **over}, CLAIM_RULE]}])
+def with_rule(**fields) -> dict:
+    """The valid configuration with these fields of its stock rule replaced."""
+    return with_fields(Ports=[{"Vhost": "a.example", "Policy": [{**STOCK_RULE, **fields}, CLAIM_RULE]}])
 
 
-def with_action(**over) -> dict:
-    return with_rule(Action={**STOCK_RULE["Action"], **over})
+def with_action(**fields) -> dict:
+    """The valid configuration with these fields of its stock rule's action replaced."""
+    return with_rule(Action={**STOCK_RULE["Action"], **fields})
--- a/tests/support/local_clusters.py
+++ b/tests/support/local_clusters.py
@@ -1,4 +1,4 @@
-"""Whole small deployments on loopback, each on a network of its own."""
+"""Small deployments on loopback, each on its own network."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -9,7 +9,7 @@
 
 @contextlib.asynccontextmanager
 async def local_cluster() -> AsyncIterator[LocalCluster]:
-    """Three machines with a controller and a proxy each, and neither servers nor a configuration."""
+    """Three machines with a controller and a proxy each, without servers and without a configuration."""
     with reserve_loopback_network() as network:
         async with LocalCluster(net=network.number) as cluster:
             yield cluster
@@ -17,6 +17,6 @@
 
 @contextlib.asynccontextmanager
 async def serving_cluster(configuration: dict | None = None, **server_options) -> AsyncIterator[LocalCluster]:
-    """A cluster with one server and a configuration (the sample), both known to every proxy."""
+    """A cluster with one server and a configuration (default: the sample), both known to every proxy."""
     async with local_cluster() as cluster:
         yield await cluster.served(configuration, **server_options)
--- a/tests/support/sample_configuration.py
+++ b/tests/support/sample_configuration.py
@@ -1,4 +1,4 @@
-"""The sample configuration, and edits of it."""
+"""The sample configuration, and helpers to edit it."""
 
 import copy
 
@@ -8,21 +8,20 @@
 
 SAMPLE_CONFIGURATION = {name: each for name, each in SAMPLE.items() if name != "Base"}
 
-
-STOCK_ROUTE, CLAIM_ROUTE = 0, 1
+STOCK_ROUTE, CLAIM_ROUTE = 0, 1  # indexes of the routes in the sample's policy
 
 
 def edited_configuration(edit) -> bytes:
-    """The sample, edited."""
-    made = copy.deepcopy(SAMPLE_CONFIGURATION)
-    edit(made, made["Ports"][0]["Policy"])
-    return msgspec.json.encode(made)
+    """The sample as JSON, after `edit(configuration, rules)`."""
+    configuration = copy.deepcopy(SAMPLE_CONFIGURATION)
+    edit(configuration, configuration["Ports"][0]["Policy"])
+    return msgspec.json.encode(configuration)
 
 
-def action_of(rules: list, which: int = CLAIM_ROUTE) -> dict:
-    return rules[which]["Action"]
+def action_of(rules: list, route: int = CLAIM_ROUTE) -> dict:
+    return rules[route]["Action"]
 
 
-def set_split(rules: list, **wt) -> None:
+def set_split(rules: list, **weights) -> None:
     del action_of(rules)["Svc"]
-    action_of(rules)["Split"] = [{"Svc": name, "Wt": each} for name, each in wt.items()]
+    action_of(rules)["Split"] = [{"Svc": name, "Wt": each} for name, each in weights.items()]
