--- a/lapisgrade/gateway/controller/consensus_driver.py
+++ b/lapisgrade/gateway/controller/consensus_driver.py
@@ -11,7 +11,7 @@
     7. reports a change of leadership, and arms the timer for the node's next deadline.
 
 Records are queued before any step that may fail. A durable write implies that all earlier writes are durable,
-so a write that is lost through a failed step would leave a hole in the log.
+so a write that a failed step discards would leave a hole in the log.
 
 A controller without a disk has no node: its driver is never started, never leads, and proposes nothing. At a
 committed entry or a snapshot that this release can't read, the driver drops the node and reports the error.
--- a/lapisgrade/gateway/controller/draft_merging.py
+++ b/lapisgrade/gateway/controller/draft_merging.py
@@ -38,7 +38,7 @@
     drafts = [*state.drafts, draft]
     try:
         merged, outcomes = three_way.merge_drafts(msgspec.json.decode(merge_base), drafts)
-    except (KeyError, TypeError, ValueError, IndexError, AttributeError):  # malformed, from a peer
+    except (KeyError, TypeError, ValueError, IndexError, AttributeError):  # a malformed draft from a peer
         return ApplyResult(HTTPStatus.BAD_REQUEST, "not a draft")
     state.merge_base = merge_base
     state.outcomes = outcomes
--- a/lapisgrade/gateway/controller/leader_discovery.py
+++ b/lapisgrade/gateway/controller/leader_discovery.py
@@ -1,8 +1,8 @@
 """Discovers the leader, and lets this controller's node join and leave the cluster.
 
 A controller with a disk learns the leader from its consensus node; one without a disk queries the controllers
-in its settings. A node that has no leader, or is not a voter, sends join requests to all controllers that it
-has an address of. A node that shuts down requests the leader to remove it from the voters.
+in its settings. A node that has no leader, or is not a voter, sends join requests to all controllers whose
+addresses it has. A node that shuts down requests the leader to remove it from the voters.
 """
 
 import asyncio
--- a/lapisgrade/gateway/controller/metrics.py
+++ b/lapisgrade/gateway/controller/metrics.py
@@ -14,7 +14,7 @@
         membership_changes: Committed log entries that change the voters.
         entries_applied: Committed log entries with a command, applied to the state machine.
         commands_proposed: Commands that the leader proposed on its own, by type.
-        changes_refused: Rejected configuration changes, by call and HTTP status.
+        changes_refused: Refused configuration changes, by call and HTTP status.
         disk_syncs: Successful writes to the log file.
         disk_write_failures: Failed writes to the log file; each is retried.
         invalid_peer_addresses: Consensus messages dropped because the peer's address can't be parsed.
--- a/lapisgrade/gateway/controller/operation_claims.py
+++ b/lapisgrade/gateway/controller/operation_claims.py
@@ -37,7 +37,7 @@
 
 
 class PendingClaim(msgspec.Struct, frozen=True):
-    """A claim that waits for its batch, and the future of its result; None if the result is unknown."""
+    """A claim that waits for its batch, and its future result, which is None if the outcome is unknown."""
 
     claim: Claim
     result: asyncio.Future[ClaimResult | None]
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -80,7 +80,7 @@
         self.is_registry_complete = False
         self._proxy_list_proposed_us = now_us
         self.registry = Registry(self.heartbeat_us, now_us)
-        # All proxies of the last list may still be active, so they all count as seen now.
+        # Proxies of the last list may still act as owners, whenever they were last seen by the old leader.
         self.proxies = {
             name: ProxyStatus(
                 *each,
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -36,7 +36,7 @@
     assert watch.activation(4 * MS, state_machine.state) is None  # the proposal is pending
     state_machine.apply(3, encode_command(Activate(1)))
     assert state_machine.state.active_version == 1
-    # Proxy b sends no request after the next version: that is activated once b is certainly in doubt.
+    # Proxy b sends no request after the next version, which is activated once b must be in doubt.
     state_machine.apply(4, encode_command(ConfigurationChange(True, conf(2, 1, 2))))
     assert watch.activation(SECOND, state_machine.state) is None
     send_watch_request(SECOND, "a", 2)
