--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -167,7 +167,7 @@
 def run_role(name: str, path: str | None) -> None:
     """Run a role until it is told to end."""
     role_class = load_role(name)
-    startup.finished()
+    startup.finish()
     with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
         runner.run(serve(name, role_class, path))
 
--- a/lapisgrade/gateway/api.py
+++ b/lapisgrade/gateway/api.py
@@ -1,7 +1,7 @@
 """The control API: the calls of servers and operators, and how a request names one.
 
 A call is an HTTP POST to `PATH`, with its name in the query's `call` and, where it is about a server, that
-server's identity in `of`. `TABLE` lists all calls.
+server's identity in `of`. `CALLS_BY_NAME` lists all calls.
 """
 
 from http import HTTPStatus
@@ -82,7 +82,7 @@
     Call("conf.close", False, MAX_SMALL_BODY_BYTES, "what is open of a draft is not wanted any more"),
     Call("conf.status", False, MAX_SMALL_BODY_BYTES, "which proxies have which version; servers"),
 )
-TABLE = {call.name: call for call in _CALLS}
+CALLS_BY_NAME = {call.name: call for call in _CALLS}
 
 _CONVERTER = strict_converter()
 
@@ -93,7 +93,7 @@
     if parts.path != PATH:
         return HTTPStatus.NOT_FOUND
     query = parse_qs(parts.query)
-    call = TABLE.get(query.get("call", [""])[0])
+    call = CALLS_BY_NAME.get(query.get("call", [""])[0])
     subject = query.get("of", [""])[0]
     if call is None:
         return HTTPStatus.NOT_FOUND
--- a/lapisgrade/gateway/cli/demo.py
+++ b/lapisgrade/gateway/cli/demo.py
@@ -9,7 +9,7 @@
 
 from lapisgrade.gateway.cli.exit_codes import ExitCode
 from lapisgrade.gateway.cli.operator_client import Print
-from lapisgrade.gateway.local_cluster import HTTP, SAMPLE, LocalCluster
+from lapisgrade.gateway.local_cluster import HTTP_PORT, SAMPLE, LocalCluster
 from lapisgrade.net.http import MalformedMessageError, Message
 
 SERVER_COUNT = 4
@@ -99,8 +99,8 @@
     print_line(f"configuration 1 is on a majority's disks after {time.monotonic() - started_s:.2f} s")
     await site.until(lambda: all(proxy.ready for proxy in site.proxies.values()))
     for name in site.names:
-        print_line(f"  proxy {name} takes requests at http://{site.ip[name]}:{HTTP}")
+        print_line(f"  proxy {name} takes requests at http://{site.ip[name]}:{HTTP_PORT}")
     print_line(
         "  try: curl -i -H 'Host: a.example' -H 'Try-Id: 1' -H 'Authorization: Bearer key-of-sfax' "
-        f"http://{site.ip['m1']}:{HTTP}/stock/1"
+        f"http://{site.ip['m1']}:{HTTP_PORT}/stock/1"
     )
--- a/lapisgrade/gateway/controller/control_api.py
+++ b/lapisgrade/gateway/controller/control_api.py
@@ -1,4 +1,4 @@
-"""Handles HTTP calls of servers and operators, listed in `api.TABLE`, on any controller."""
+"""Handles HTTP calls of servers and operators, listed in `api.CALLS_BY_NAME`, on any controller."""
 
 from http import HTTPStatus
 from typing import cast
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -268,7 +268,7 @@
             is_registry_complete=self.is_registry_complete,
             is_full_update=outdated.needs_full_registry,
             servers=self._servers(now_us, request, outdated),
-            wants_known_servers=request.registry_incarnation not in (str(self.term), f"{self.term}+"),
+            requests_known_servers=request.registry_incarnation not in (str(self.term), f"{self.term}+"),
             fencing_token=state.fencing_token,
             previous_fencing_token=state.previous_fencing_token,
             live_proxies=state.live_proxies if is_new_list and list_delta is None else None,
--- a/lapisgrade/gateway/fake_server.py
+++ b/lapisgrade/gateway/fake_server.py
@@ -18,36 +18,36 @@
     """One stand-in server: answers by the protocol, and counts what it ran.
 
     Attributes:
-        ran: How often each request was executed, by its Try-Id.
+        run_counts: How often each request was executed, by its Try-Id.
         tenants: How many requests of each tenant were executed.
-        seen: How often each request was reset unread, by its Try-Id.
+        rejected_counts: How often each request was reset unread, by its Try-Id.
         deadlines: The deadline that each request came with in ms, by its Try-Id.
-        dropped: How long the server worked on requests whose caller had gone in s, by their Try-Id.
+        abandoned_after_s: How long the server worked on requests whose caller had gone in s, by their Try-Id.
         state: What its heartbeats say: `up` or `drain`.
         running: How many requests it is executing.
-        manner: The fault that it plays: `cut`, `mixed`, `unsealed`, `extra`, `full` (resets what it can't
+        fault: The fault that it plays: `cut`, `mixed`, `unsealed`, `extra`, `full` (resets what it can't
             take), `failing`, `unavailable` (503 for what it ran), `silent` (never answers what it can't take,
             nor what follows on that connection); empty for none.
     """
 
     def __init__(
-        self, name: str, svc: str, address: tuple[str, int], work: float = 0.01, slots: int = 4
+        self, name: str, svc: str, address: tuple[str, int], work_s: float = 0.01, slots: int = 4
     ) -> None:
-        """Answer for the service `svc`: `slots` requests at once, each after `work` seconds."""
+        """Answer for the service `svc`: `slots` requests at once, each after `work_s` seconds."""
         self.name = name
         self.svc = svc
         self.address = address
-        self.work = work
+        self.work_s = work_s
         self.slots = slots
-        self.ran: Counter[str] = Counter()
+        self.run_counts: Counter[str] = Counter()
         self.tenants: Counter[str] = Counter()
-        self.seen: Counter[str] = Counter()
+        self.rejected_counts: Counter[str] = Counter()
         self.deadlines: dict[str, int] = {}
-        self.dropped: dict[str, float] = {}
+        self.abandoned_after_s: dict[str, float] = {}
         self.state = "up"
         self.sequence_number = 0
         self.running = 0
-        self.manner = ""
+        self.fault = ""
         self._server: asyncio.Server | None = None
         self._callers: dict[asyncio.StreamWriter, asyncio.StreamReader] = {}
 
@@ -95,16 +95,16 @@
 
     async def _answer_request(self, message: Message, writer: asyncio.StreamWriter) -> bool:
         """Answer one request; whether the connection goes on."""
-        if self.manner == "full":
-            self.seen[message.headers().get(b"try-id", b"").decode()] += 1
+        if self.fault == "full":
+            self.rejected_counts[message.headers().get(b"try-id", b"").decode()] += 1
             writer.transport.abort()
             return False
-        if self.manner == "silent" and self.running >= self.slots:
-            self.seen[message.headers().get(b"try-id", b"").decode()] += 1
+        if self.fault == "silent" and self.running >= self.slots:
+            self.rejected_counts[message.headers().get(b"try-id", b"").decode()] += 1
             await self._wait_for_disconnect(writer)
             return False
         writer.write(await self._answer(message, writer))
-        return self.manner != "cut"
+        return self.fault != "cut"
 
     async def _wait_for_disconnect(self, writer: asyncio.StreamWriter) -> None:
         while not (writer.transport.is_closing() or self._callers[writer].at_eof()):
@@ -114,11 +114,11 @@
         """The work that a request takes; dropped once its connection closes, as most servers do."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        while (worked := loop.time() - began) < self.work:
+        while (worked := loop.time() - began) < self.work_s:
             if writer.transport.is_closing() or self._callers[writer].at_eof():
-                self.dropped[name] = worked
+                self.abandoned_after_s[name] = worked
                 return
-            await asyncio.sleep(min(POLL_INTERVAL_S, self.work - worked))
+            await asyncio.sleep(min(POLL_INTERVAL_S, self.work_s - worked))
 
     async def _answer(self, message: Message, writer: asyncio.StreamWriter) -> bytes:
         fields = {name: value.decode() for name, value in message.headers().items()}
@@ -129,7 +129,7 @@
         if self.running >= self.slots or self.state != "up":
             return encode_response(503, b"", (own + "Not-Run: 1\r\n").encode())
         self.running += 1
-        self.ran[name] += 1
+        self.run_counts[name] += 1
         self.tenants[fields.get(b"tenant", "")] += 1
         self.deadlines[name] = int(fields.get(b"deadline-ms", "0"))
         try:
@@ -138,7 +138,7 @@
             self.running -= 1
         body = f"{self.svc} {cast(h11.Request, message.head).target.decode()}".encode()
         whole = encode_response(200, body, (own + "Server-Seal: seal\r\n").encode())
-        match self.manner:
+        match self.fault:
             case "cut":
                 return whole[:-3]
             case "mixed":
--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -25,7 +25,7 @@
 from lapisgrade.gateway.settings import Address, Bind, Settings, Span
 from lapisgrade.net.http import Message
 
-CTL, HTTP, READY, INNER = 8407, 8405, 8406, 7660  # ports, as of one deployment
+CONTROL_PORT, HTTP_PORT, READINESS_PORT, RPC_PORT = 8407, 8405, 8406, 7660  # ports, as of one deployment
 HEARTBEAT_INTERVAL_S = 0.3  # between a stand-in's heartbeats
 
 
@@ -61,14 +61,14 @@
         self.servers: dict[str, FakeServer] = {}
         self.random = Random(1)
         self._tasks: dict[object, asyncio.Task[None]] = {}
-        self._first = True
+        self._is_bootstrap = True
 
     async def __aenter__(self) -> "LocalCluster":
         for name in self.voters:
             await self.start_controller(name)
         for name in self.names:
             await self.start_proxy(name)
-        self._first = False
+        self._is_bootstrap = False
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -87,32 +87,32 @@
     def settings(self, name: str) -> Settings:
         """Return the settings of a machine."""
         ip = self.ip[name]
-        peers = tuple(Address((self.ip[each], CTL)) for each in self.voters[:3])
-        bind = Bind(Address((ip, HTTP)), Address((ip, READY)), Address((ip, CTL)))
+        peers = tuple(Address((self.ip[each], CONTROL_PORT)) for each in self.voters[:3])
+        bind = Bind(Address((ip, HTTP_PORT)), Address((ip, READINESS_PORT)), Address((ip, CONTROL_PORT)))
         folder = os.path.join(self.folder, name) if name in self.voters else ""
         return Settings(
             name,
             ip,
             "local",
             bind,
-            (INNER, INNER + 15),
+            (RPC_PORT, RPC_PORT + 15),
             peers,
-            self._first,
+            self._is_bootstrap,
             True,
             folder,
             Span(HEARTBEAT_INTERVAL_S * SECOND),
         )
 
     @property
-    def ctl(self) -> list[tuple[str, int]]:
+    def control_addresses(self) -> list[tuple[str, int]]:
         """Where controllers take calls."""
-        return [(self.ip[name], CTL) for name in self.controllers]
+        return [(self.ip[name], CONTROL_PORT) for name in self.controllers]
 
-    def http(self, name: str) -> tuple[str, int]:
+    def http_address(self, name: str) -> tuple[str, int]:
         """Return where a machine's proxy takes requests."""
-        return (self.ip[name], HTTP)
+        return (self.ip[name], HTTP_PORT)
 
-    async def served(self, conf: dict[str, Any] | None = None, **more: Any) -> "LocalCluster":
+    async def start_serving(self, conf: dict[str, Any] | None = None, **more: Any) -> "LocalCluster":
         """Start one server, put a configuration (the sample), and wait until all proxies know both."""
         await self.start_server("garantie", **more)
         while await self.put(conf or SAMPLE) != 200:
@@ -146,21 +146,23 @@
         )
         await server.start()
         self.servers[server.name] = server
-        self._tasks[server] = asyncio.get_running_loop().create_task(self._beats(server))
+        self._tasks[server] = asyncio.get_running_loop().create_task(self._send_heartbeats(server))
         return server
 
-    async def _beats(self, server: FakeServer) -> None:
+    async def _send_heartbeats(self, server: FakeServer) -> None:
         while True:
-            await server.send_heartbeat(self.random.sample(self.ctl, len(self.ctl)))
+            await server.send_heartbeat(
+                self.random.sample(self.control_addresses, len(self.control_addresses))
+            )
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    def silence(self, server: FakeServer) -> None:
+    def stop_heartbeats(self, server: FakeServer) -> None:
         """It beats no more, and answers on."""
         self._tasks.pop(server).cancel()
 
     async def put(self, conf: dict[str, Any], call: str = "conf.replace") -> int:
         """The operator's call, at any controller until one answers."""
-        return await post_to_any(self.ctl, f"/-/rpc?call={call}", msgspec.json.encode(conf))
+        return await post_to_any(self.control_addresses, f"/-/rpc?call={call}", msgspec.json.encode(conf))
 
     async def get(
         self,
@@ -179,7 +181,7 @@
             fields["Authorization"] = f"Bearer {key}"
         while True:
             fields["Try-Id"] = id or f"{self.random.getrandbits(64):016x}"
-            got = await send_request(self.http(name), method, path, fields=fields)
+            got = await send_request(self.http_address(name), method, path, fields=fields)
             back = got.headers().get(b"retry-after")
             tries -= 1
             status = cast(h11.Response, got.head).status_code
@@ -187,14 +189,14 @@
                 return got
             await asyncio.sleep(float(back))
 
-    async def until(self, ready: Callable[[], Any], within: float = 20.0) -> None:
+    async def until(self, condition: Callable[[], Any], timeout_s: float = 20.0) -> None:
         """Wait until that holds, so many seconds at most.
 
         Raises:
             TimeoutError: It doesn't in time.
         """
-        async with asyncio.timeout(within):
-            while not ready():
+        async with asyncio.timeout(timeout_s):
+            while not condition():
                 await asyncio.sleep(POLL_INTERVAL_S)
 
 
--- a/lapisgrade/gateway/proxy/control_updates.py
+++ b/lapisgrade/gateway/proxy/control_updates.py
@@ -54,7 +54,7 @@
         self.servers = servers
         self.registry_incarnation = ""
         self.registry_revision = 0
-        self.wants_known_servers = False
+        self.requests_known_servers = False
         self.ownership_ends_us = 0
 
     def apply(self, reply: rpc_messages.WatchReply, sent_us: int) -> None:
@@ -73,7 +73,7 @@
             self.servers.apply(reply)
         self.registry_incarnation = reply.registry_incarnation
         self.registry_revision = reply.registry_revision
-        self.wants_known_servers = reply.wants_known_servers
+        self.requests_known_servers = reply.requests_known_servers
         members = self._quota_owner.on_watch_reply(now_us(), reply)
         if members is not None:
             self._apply_live_proxies(members)
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -115,7 +115,7 @@
             registry_incarnation=updates.registry_incarnation,
             registry_revision=updates.registry_revision,
             fencing_token=fencing_token,
-            known_servers=list(updates.servers.by_id.values()) if updates.wants_known_servers else [],
+            known_servers=list(updates.servers.by_id.values()) if updates.requests_known_servers else [],
             unreachable_proxies=sorted(self._reachability.terminated_proxies),
             staged_version=updates.versions.staged_version,
             has_local_controller=settings.quorum,
--- a/lapisgrade/gateway/registry.py
+++ b/lapisgrade/gateway/registry.py
@@ -78,7 +78,7 @@
         self.heartbeat_us = heartbeat_us
         self.started_us = now_us
         self.servers: dict[str, Server] = {}
-        self.last_heard_us: dict[str, int] = {}  # by server: its last heartbeat, or when it left
+        self.last_seen_us: dict[str, int] = {}  # by server: its last heartbeat, or when it left
         self.warm_up_ends_us: dict[str, int] = {}  # by server
         self._newest_by_address: dict[str, str] = {}  # the server that came up last at each address
         self.revision = 1
@@ -96,7 +96,7 @@
             return
         if known is not None and known.state in (ServerState.DRAIN, ServerState.GONE):
             server.state = known.state
-        self.last_heard_us[server.id] = now_us
+        self.last_seen_us[server.id] = now_us
         self.warm_up_ends_us[server.id] = now_us + server.warm_up_us
         if known is None or server.differs_from(known):
             self._record_change(server)
@@ -122,7 +122,7 @@
         newest = self.servers.get(self._newest_by_address.get(server.address, ""))
         if newest is None or newest.service == server.service or newest.state != ServerState.UP:
             return False
-        return now_us - self.last_heard_us.get(newest.id, -ADDRESS_REUSE_US) < ADDRESS_REUSE_US
+        return now_us - self.last_seen_us.get(newest.id, -ADDRESS_REUSE_US) < ADDRESS_REUSE_US
 
     def mark_left(self, now_us: int, server_id: str, is_gone: bool) -> None:
         """Mark a server as draining, or with `is_gone` as ended."""
@@ -131,10 +131,10 @@
         if server is None:
             if len(self.servers) < MAX_SERVERS:
                 self._record_change(Server(server_id, "", "", "", 1, state, 0))
-                self.last_heard_us[server_id] = now_us
+                self.last_seen_us[server_id] = now_us
         elif server.state not in (state, ServerState.GONE):
             server.state = state
-            self.last_heard_us[server_id] = now_us
+            self.last_seen_us[server_id] = now_us
             self._record_change(server)
 
     def restore(self, now_us: int, servers: list[Server]) -> None:
@@ -156,7 +156,7 @@
         if not self.is_complete(now_us):
             return
         for server in list(self.servers.values()):
-            age_us = now_us - self.last_heard_us.get(server.id, now_us)
+            age_us = now_us - self.last_seen_us.get(server.id, now_us)
             is_serving = server.state in (ServerState.UP, ServerState.DRAIN)
             if is_serving and age_us > MISSED_HEARTBEATS * self.heartbeat_us:
                 server.state = ServerState.LOST if server.state == ServerState.UP else ServerState.GONE
@@ -166,7 +166,7 @@
 
     def _forget(self, server: Server) -> None:
         self.servers.pop(server.id, None)
-        self.last_heard_us.pop(server.id, None)
+        self.last_seen_us.pop(server.id, None)
         self.warm_up_ends_us.pop(server.id, None)
         if self._newest_by_address.get(server.address) == server.id:
             del self._newest_by_address[server.address]
--- a/lapisgrade/gateway/rpc_messages.py
+++ b/lapisgrade/gateway/rpc_messages.py
@@ -21,7 +21,7 @@
     """A call of a server or an operator, forwarded to the leader.
 
     Attributes:
-        call: The name of the call, as in `api.TABLE`.
+        call: The name of the call, as in `api.CALLS_BY_NAME`.
         subject: The server that it is about; empty for calls about none.
         body: The body of the HTTP request.
     """
@@ -142,7 +142,7 @@
     servers: list[Server] = []
     fencing_token: int = 0
     live_proxies: ProxiesByName | None = None
-    wants_known_servers: bool = False
+    requests_known_servers: bool = False
     staged_versions: dict[int, EncodedVersion] = {}
     merged_versions: list[int] = []
     proxies_with_controller: list[str] = []
--- a/lapisgrade/gateway/startup.py
+++ b/lapisgrade/gateway/startup.py
@@ -18,7 +18,7 @@
     signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
 
 
-def finished() -> None:
+def finish() -> None:
     """All code is loaded: what there is stays, and the collector looks at what comes after it."""
     gc.freeze()
     gc.enable()
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -59,7 +59,7 @@
         if manner == "not run":
             writer.write(encode_response(503, b"", (own + "Not-Run: 1\r\n").encode()))
             return True
-        self.ran[name] += 1
+        self.run_counts[name] += 1
         await asyncio.sleep(WORK)
         body = f"{message.head.target.decode()} {name}".encode()
         whole = encode_response(200, body, (own + "Server-Seal: seal\r\n").encode())
@@ -142,7 +142,10 @@
         one = found.tries[id] = Try(once)
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
         sent = send_request(
-            site.http(name), "POST" if once else "GET", "/claim/1" if once else "/stock/1", fields=fields
+            site.http_address(name),
+            "POST" if once else "GET",
+            "/claim/1" if once else "/stock/1",
+            fields=fields,
         )
         try:
             async with asyncio.timeout(0.003 if chance.random() < LEAVES else 3.0):
@@ -167,7 +170,7 @@
         for each in unruly:
             await each.start()
             site.servers[each.name] = each
-            site._tasks[each] = asyncio.get_running_loop().create_task(site._beats(each))
+            site._tasks[each] = asyncio.get_running_loop().create_task(site._send_heartbeats(each))
         while await site.put({**SAMPLE, "Tenants": [unmetered]}) != 200:
             await asyncio.sleep(0.01)
         proxy = site.proxies["m1"]
@@ -183,7 +186,7 @@
         await asyncio.gather(*clients)
         await asyncio.sleep(0.5)  # what was sent may still arrive
         for each in unruly:
-            found.ran.update(each.ran)
+            found.ran.update(each.run_counts)
             found.arrived.update(each.arrived)
     return found
 
--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -13,7 +13,7 @@
 
 from lapisgrade.gateway.fake_server import FakeServer
 from lapisgrade.gateway.http_client import post_to_any, send_request
-from lapisgrade.gateway.local_cluster import CTL, HTTP, INNER, READY, SAMPLE
+from lapisgrade.gateway.local_cluster import CONTROL_PORT, HTTP_PORT, READINESS_PORT, RPC_PORT, SAMPLE
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.fleet.process import ROOT, prepare_child
 from lapisgrade.net.http import MalformedMessageError
@@ -56,18 +56,22 @@
         self.cut()
         self.running: dict[tuple[str, str], asyncio.subprocess.Process] = {}
         self.server = FakeServer("i-1", "garantie", (f"127.{net}.1.1", 8080), slots=64)
-        self.ctl = [Address((self.ip[name], CTL)) for name in self.controllers]
+        self.ctl = [Address((self.ip[name], CONTROL_PORT)) for name in self.controllers]
         self.tasks: list[asyncio.Task] = []
         self.number = 0
 
     def write_settings(self, role: str, name: str, peers: list[str] | None = None) -> str:
         """Write a process's settings file, by default with the first three machines as peers; its path."""
         ip, path = self.ip[name], os.path.join(self.folder, f"{name}-{role}.json")
-        bind = {"Http": f"{ip}:{HTTP}", "Readyz": f"{ip}:{READY}", "Ctl": f"{ip}:{CTL}"}
+        bind = {
+            "Http": f"{ip}:{HTTP_PORT}",
+            "Readyz": f"{ip}:{READINESS_PORT}",
+            "Ctl": f"{ip}:{CONTROL_PORT}",
+        }
         hosts = [self.ip[each] for each in peers or list(self.ip)[:3]]
         settings = {
-            "Hostname": name, "Ip": ip, "Az": "z", "Bind": bind, "Portrange": [INNER, INNER + 15],
-            "Peers": [f"{each}:{CTL}" for each in hosts], "Bootstrap": self.first,
+            "Hostname": name, "Ip": ip, "Az": "z", "Bind": bind, "Portrange": [RPC_PORT, RPC_PORT + 15],
+            "Peers": [f"{each}:{CONTROL_PORT}" for each in hosts], "Bootstrap": self.first,
             "Datadir": os.path.join(self.folder, name), "Heartbeat": "300ms", "Slo": {"Grace": self.grace},
         }  # fmt: skip
         with open(f"{path}.new", "w") as file:
@@ -128,7 +132,7 @@
     async def ready(self) -> bool:
         for ip in self.ip.values():
             try:
-                if (await send_request((ip, READY), "GET", "/-/readyz")).head.status_code != 200:
+                if (await send_request((ip, READINESS_PORT), "GET", "/-/readyz")).head.status_code != 200:
                     return False
             except OSError:
                 return False
@@ -154,7 +158,9 @@
             "Authorization": f"Bearer {key}",
         }  # fmt: skip
         try:
-            return (await send_request((self.ip[name], HTTP), "GET", path, fields=fields)).head.status_code
+            return (
+                await send_request((self.ip[name], HTTP_PORT), "GET", path, fields=fields)
+            ).head.status_code
         except (OSError, TimeoutError, MalformedMessageError):
             return 0
 
--- a/lapisgrade/lab/partitions/operation_clients.py
+++ b/lapisgrade/lab/partitions/operation_clients.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from lapisgrade.gateway.local_cluster import HTTP
+from lapisgrade.gateway.local_cluster import HTTP_PORT
 from lapisgrade.lab.partitions.fleet import Fleet
 from lapisgrade.lab.partitions.operation_history import (
     DEADLINE_S,
@@ -162,7 +162,7 @@
         connection = self._connections.get(proxy)
         if connection is None or not connection.is_open():
             process_id = self._fleet.running["proxy", proxy].pid
-            connection = await KeptConnection.open((self._fleet.ip[proxy], HTTP), process_id)
+            connection = await KeptConnection.open((self._fleet.ip[proxy], HTTP_PORT), process_id)
             self._connections[proxy] = connection
         return connection
 
--- a/lapisgrade/lab/partitions/operation_server.py
+++ b/lapisgrade/lab/partitions/operation_server.py
@@ -79,7 +79,7 @@
         number = len(self._history.runs)
         seal, body = f"{self.name}.{number}", f"run {number} of {request.key}".encode()
         self._history.runs.append(Run(request.try_id, request.tenant, request.key, seal, body))
-        self.work = LATE_S if behavior == "late" else self._random.uniform(*WORK_S)
+        self.work_s = LATE_S if behavior == "late" else self._random.uniform(*WORK_S)
         self.running += 1
         try:
             await self._execute(request.try_id, writer)
--- a/lapisgrade/lab/partitions/operations.py
+++ b/lapisgrade/lab/partitions/operations.py
@@ -52,7 +52,7 @@
         faults: How often each fault is drawn.
         is_unruly: Whether servers go wrong.
         slots: Requests that a server takes at once.
-        manner: As `FakeServer.manner`.
+        manner: As `FakeServer.fault`.
         machines: Each has a proxy.
         controllers: The machines that have a controller too.
     """
@@ -147,7 +147,7 @@
     for number in range(2, SERVERS + 2):
         address = (f"{fleet.server.address[0].rsplit('.', 1)[0]}.{number}", fleet.server.address[1])
         server = OperationServer(f"i-{number}", address, history, random, case.slots, case.is_unruly)
-        server.manner = case.manner
+        server.fault = case.manner
         await server.start()
         fleet.tasks.append(asyncio.create_task(fleet.beats(server)))
         servers.append(server)
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -19,7 +19,7 @@
 
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.http_client import send_request
-from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
+from lapisgrade.gateway.local_cluster import HTTP_PORT, SAMPLE
 from lapisgrade.gateway.quota.count import LEASE_US
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
 from lapisgrade.gateway.settings import Slo
@@ -85,7 +85,7 @@
     async def one(self, tenant: str, id: str, name: str) -> None:
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900"}
         fields["Authorization"] = f"Bearer {tenant}"
-        status, place = 0, (self.fleet.ip[name], HTTP)
+        status, place = 0, (self.fleet.ip[name], HTTP_PORT)
         with contextlib.suppress(OSError, TimeoutError, MalformedMessageError):
             status = (await send_request(place, "GET", "/stock/1", fields=fields)).head.status_code
         if tenant == self.calm:
@@ -197,7 +197,7 @@
     tenants = [{"Name": each, "Apikeys": [each], "RateS": RATE, "Burst": BURST} for each in (hot, calm)]
     tenants += SAMPLE["Tenants"]
     async with Fleet(net, folder, MACHINES, CONTROLLERS, tenants) as fleet:
-        fleet.server.ran, fleet.server.slots = Stamped(), 256
+        fleet.server.run_counts, fleet.server.slots = Stamped(), 256
         one = Play(fleet, hot, calm, holds, chance)
         began = time.monotonic()
         loads = [asyncio.create_task(one.load(*each)) for each in ((hot, HOT * RATE), (calm, CALM * RATE))]
@@ -210,7 +210,7 @@
                 each.cancel()
             await one.end()
         took = time.monotonic() - began
-        at = [when for id, when in fleet.server.ran.at.items() if id.startswith(hot)]
+        at = [when for id, when in fleet.server.run_counts.at.items() if id.startswith(hot)]
         found = Found(case, most(at, SLO.quota_win / SECOND), len(at) / (RATE * took + BURST))
         found.asked, found.refused = sum(one.calls.values()), one.calls[429]
         found.failed = found.asked - one.calls[200] - found.refused
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -24,7 +24,7 @@
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.fake_server import FakeServer
 from lapisgrade.gateway.http_client import post_to_any, send_request
-from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
+from lapisgrade.gateway.local_cluster import HTTP_PORT, SAMPLE
 from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
 from lapisgrade.net.http import MalformedMessageError
 
@@ -112,7 +112,7 @@
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
         back = 0.0
         try:
-            got = await send_request((self.fleet.ip[each.proxy], HTTP), "GET", path, fields=fields)
+            got = await send_request((self.fleet.ip[each.proxy], HTTP_PORT), "GET", path, fields=fields)
             each.status, back = got.head.status_code, float(got.headers().get(b"retry-after", b"0"))
         except (OSError, TimeoutError, MalformedMessageError):
             pass
@@ -318,7 +318,7 @@
         second = FakeServer("i-2", NEW, (f"127.{net}.1.2", 8080), slots=64)
         await second.start()
         fleet.tasks.append(asyncio.create_task(fleet.beats(second)))
-        fleet.server.ran, second.ran = Stamped(), Stamped()
+        fleet.server.run_counts, second.run_counts = Stamped(), Stamped()
         clients = None
         try:
             one = Play(fleet, chance)
@@ -345,8 +345,8 @@
                              if each.sent > one.healed)  # fmt: skip
         found.calm_p99, found.rejoin_p99 = (p99([each.took for each in some]) for some in (calm, rejoin))
         found.urgent_failed = sum(each.status != 200 for each in rejoin)
-        found.wrong = breaches(ended, fleet.server.ran, second.ran, one.away)
-        if not any(name in second.ran for name in ended):
+        found.wrong = breaches(ended, fleet.server.run_counts, second.run_counts, one.away)
+        if not any(name in second.run_counts for name in ended):
             found.wrong.append("no claim went by the merged route")
         return found
 
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -126,7 +126,7 @@
             ],
             fencing_token=1070,
             live_proxies={"text-71": ("text-72", "text-73", "text-74")},
-            wants_known_servers=True,
+            requests_known_servers=True,
             staged_versions={
                 1076: configuration_delta.EncodedVersion(
                     version=1077, base=1078, digest=b"bytes-79", data=b"bytes-80"
@@ -960,13 +960,13 @@
     ),
     "rpc/watch-reply/flags-1": Sample(
         msgspec.structs.replace(
-            RPC_MESSAGES["rpc/watch-reply"].instance, is_registry_complete=False, wants_known_servers=False
+            RPC_MESSAGES["rpc/watch-reply"].instance, is_registry_complete=False, requests_known_servers=False
         ),
         rpc_messages.Message,
     ),
     "rpc/watch-reply/flags-2": Sample(
         msgspec.structs.replace(
-            RPC_MESSAGES["rpc/watch-reply"].instance, is_full_update=False, wants_known_servers=False
+            RPC_MESSAGES["rpc/watch-reply"].instance, is_full_update=False, requests_known_servers=False
         ),
         rpc_messages.Message,
     ),
--- a/tests/compatibility/test_recovery.py
+++ b/tests/compatibility/test_recovery.py
@@ -36,7 +36,7 @@
 async def call(cluster: LocalCluster, name: str, body: Any = None, controller: int = 0) -> tuple[int, Any]:
     """One of the operators' calls: the HTTP status, and what the body says."""
     sent = b"" if body is None else json.dumps(body).encode()
-    reply = await send_request(cluster.ctl[controller], "POST", f"/-/rpc?call={name}", sent)
+    reply = await send_request(cluster.control_addresses[controller], "POST", f"/-/rpc?call={name}", sent)
     return reply.head.status_code, json.loads(b"".join(reply.body))
 
 
@@ -72,7 +72,7 @@
 
 def control_option(cluster: LocalCluster) -> str:
     """The operators' option that names every controller."""
-    return "--ctl=" + ",".join(f"{host}:{port}" for host, port in cluster.ctl)
+    return "--ctl=" + ",".join(f"{host}:{port}" for host, port in cluster.control_addresses)
 
 
 async def test_stored_configuration_and_drafts_come_into_force_and_are_shown_as_before():
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -20,7 +20,7 @@
 from lapisgrade.gateway.cli.operator_client import OperatorClient
 from lapisgrade.gateway.configuration_change import apply_change
 from lapisgrade.gateway.errors import InvalidInputError
-from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster
+from lapisgrade.gateway.local_cluster import CONTROL_PORT, SAMPLE, LocalCluster
 from lapisgrade.gateway.quota.ownership import owner_of
 from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.settings import Address
@@ -118,7 +118,7 @@
 
 async def test_a_plan_matches_the_change_that_follows() -> None:
     async with serving_cluster() as site:
-        current, where = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
+        current, where = await OperatorClient(site.control_addresses, lambda line: None).fetch_newest()
         rule = {**SAMPLE["Ports"][0]["Policy"][1]}
         rule["Action"] = {**rule["Action"], "Svc": "reparation"}
         ports = [{"Vhost": "a.example", "Policy": [rule]}]
@@ -130,14 +130,14 @@
             ["service reparation: no server is up"],
         )
         assert await site.put({"Ver": 2, "Base": 1, **change}, "conf.update") == 200
-        later, _ = await OperatorClient(site.ctl, lambda line: None).fetch_newest()
+        later, _ = await OperatorClient(site.control_addresses, lambda line: None).fetch_newest()
         assert configuration_check.describe_changes(current, later) == lines
         rule["Action"] = {"Svc": "nowhere", "Timeout": "1s"}
         assert len(configuration_check.check_change(current, change, where["Servers"])[1]) == 1
 
 
 def client(site: LocalCluster) -> OperatorClient:
-    return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
+    return OperatorClient([Address((ip, CONTROL_PORT)) for ip in site.ip.values()], lambda line: None)
 
 
 async def test_a_predicted_loss_matches_the_loss_that_follows() -> None:
--- a/tests/gateway/cli/test_commands.py
+++ b/tests/gateway/cli/test_commands.py
@@ -22,7 +22,7 @@
 )
 
 from lapisgrade.gateway import __main__ as main_module
-from lapisgrade.gateway.local_cluster import CTL
+from lapisgrade.gateway.local_cluster import CONTROL_PORT
 
 
 class Program:
@@ -106,7 +106,7 @@
 
 async def test_json_output_has_the_documented_keys() -> None:
     async with serving_cluster() as site:
-        where = f"--ctl={site.ip['m1']}:{CTL}"
+        where = f"--ctl={site.ip['m1']}:{CONTROL_PORT}"
         versions = {"Newest", "InForce", "EverAccepted", "LastRefused"}
         status = versions | {"Proxies", "Servers", "Leader", "Term", "Voters", "Operations"}
         for word, names in (("status", status), ("drafts", {"Leader", "Newest", "Drafts"})):
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -100,7 +100,7 @@
 async def test_a_tenant_is_onboarded_served_and_withdrawn() -> None:
     async with serving_cluster() as site:
         said = []
-        client = TenantClient(site.ctl, said.append)
+        client = TenantClient(site.control_addresses, said.append)
         assert await client.apply(text(), 5.0) == 0
         assert said == [
             "  tenant gabes: new, 1 keys, 40 a second and 20 on top",
@@ -125,7 +125,7 @@
 async def test_two_concurrent_operators_both_succeed() -> None:
     async with serving_cluster() as site:
         other = {**TICKET, "Name": "lagos", "Apikeys": ["key-of-lagos"], "Ports": []}
-        offices = [TenantClient(site.ctl, lambda line: None) for _ in range(2)]
+        offices = [TenantClient(site.control_addresses, lambda line: None) for _ in range(2)]
         got = await asyncio.gather(
             offices[0].apply(text(), 5.0), offices[1].apply(msgspec.json.encode(other), 5.0)
         )
@@ -145,7 +145,7 @@
             for each in range(350)
         ]
         more = {"Ver": 2, "Base": 1, "Upsert": {"Ports": [{"Vhost": "a.example", "Policy": rules}]}}
-        client = TenantClient(site.ctl, lambda line: None)
+        client = TenantClient(site.control_addresses, lambda line: None)
         put, applied = await asyncio.gather(site.put(more, "conf.update"), client.apply(text(), 8.0))
         if put == 412:  # the tenant came first
             put = await site.put({**more, "Ver": 3, "Base": 2}, "conf.update")
@@ -172,7 +172,7 @@
 
         silent.rpc.call = unheard  # no news comes any more, and it does not know that yet
         said: list[str] = []
-        assert await TenantClient(site.ctl, said.append).apply(text(), 4.0) in (0, 3)
+        assert await TenantClient(site.control_addresses, said.append).apply(text(), 4.0) in (0, 3)
         served = await site.get("m1", "/1", "key-of-gabes", host="gabes.example")
         lagging = await site.get("m3", "/1", "key-of-gabes", host="gabes.example", tries=1)
         old = await site.get("m3", "/stock/1", "key-of-sfax", tries=1)
--- a/tests/gateway/cli/test_rollout.py
+++ b/tests/gateway/cli/test_rollout.py
@@ -7,12 +7,12 @@
 
 from lapisgrade.gateway.cli import rollout
 from lapisgrade.gateway.cli.operator_client import OperatorClient
-from lapisgrade.gateway.local_cluster import CTL, LocalCluster
+from lapisgrade.gateway.local_cluster import CONTROL_PORT, LocalCluster
 from lapisgrade.gateway.settings import Address
 
 
 def client(site: LocalCluster) -> OperatorClient:
-    return OperatorClient([Address((ip, CTL)) for ip in site.ip.values()], lambda line: None)
+    return OperatorClient([Address((ip, CONTROL_PORT)) for ip in site.ip.values()], lambda line: None)
 
 
 async def test_a_rolling_restart_goes_machine_by_machine_and_nothing_is_refused() -> None:
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -13,7 +13,7 @@
 from lapisgrade.gateway.controller import drafts
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.http_client import post_to_any
-from lapisgrade.gateway.local_cluster import CTL, SAMPLE, LocalCluster, Partition
+from lapisgrade.gateway.local_cluster import CONTROL_PORT, SAMPLE, LocalCluster, Partition
 from lapisgrade.gateway.settings import Address
 from lapisgrade.lab.partitions import rejoin
 
@@ -28,7 +28,7 @@
 
 
 def draft_client(site: LocalCluster, name: str, lines: list[str]) -> DraftClient:
-    return DraftClient([Address((site.ip[name], CTL))], lines.append)
+    return DraftClient([Address((site.ip[name], CONTROL_PORT))], lines.append)
 
 
 async def send_draft(site: LocalCluster, name: str, text: bytes, by: str = "amel") -> tuple[int, list[str]]:
@@ -188,7 +188,7 @@
         await site.until(lambda: any(site.controllers[each].consensus.is_leader() for each in ("m1", "m2")))
         await send_draft(site, "m3", edit(Action={"Svc": "reparation"}))
         change = {"Ver": 4, "Base": 1, **claim_rule_edit(Prio=0)}
-        controllers = [(site.ip[each], CTL) for each in ("m1", "m2")]
+        controllers = [(site.ip[each], CONTROL_PORT) for each in ("m1", "m2")]
         while await post_to_any(controllers, "/-/rpc?call=conf.update", msgspec.json.encode(change)) != 200:
             await asyncio.sleep(0.02)
         partition.isolated.clear()
@@ -219,7 +219,7 @@
             with pytest.raises(InvalidInputError):
                 await send_draft(site, "m2", text)
         body = msgspec.json.encode({"Base": 7, "By": "x", **claim_rule_edit(Prio=0)})
-        assert await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body) == 412
+        assert await post_to_any(site.control_addresses[:1], "/-/rpc?call=conf.draft", body) == 412
         for body, status in ((b"{", 400), (b"[]", 400), (b'{"Base":1}', 400)):
-            assert await post_to_any(site.ctl[:1], "/-/rpc?call=conf.draft", body) == status
+            assert await post_to_any(site.control_addresses[:1], "/-/rpc?call=conf.draft", body) == status
         assert not any(controller.draft_delivery.stored() for controller in site.controllers.values())
--- a/tests/gateway/controller/test_refused_changes.py
+++ b/tests/gateway/controller/test_refused_changes.py
@@ -14,7 +14,7 @@
 from lapisgrade.gateway.controller.metrics import ControllerMetrics
 from lapisgrade.gateway.controller.refused_changes import MAX_REASON_LENGTH, RefusedChanges
 from lapisgrade.gateway.errors import ConfigurationError
-from lapisgrade.gateway.local_cluster import CTL, LocalCluster
+from lapisgrade.gateway.local_cluster import CONTROL_PORT, LocalCluster
 from lapisgrade.gateway.settings import Address
 
 UNKNOWN_MODE = with_rule(Mode="sometimes")
@@ -22,7 +22,7 @@
 
 async def printed_status(site: LocalCluster) -> list[str]:
     lines: list[str] = []
-    await OperatorClient([Address((site.ip["m1"], CTL))], lines.append).print_status()
+    await OperatorClient([Address((site.ip["m1"], CONTROL_PORT))], lines.append).print_status()
     return lines
 
 
--- a/tests/gateway/proxy/test_keyed_operations.py
+++ b/tests/gateway/proxy/test_keyed_operations.py
@@ -25,7 +25,7 @@
 @contextlib.asynccontextmanager
 async def keyed_cluster(work_s: float = 0.01) -> AsyncIterator[LocalCluster]:
     """A cluster with a keyed route /claim/ and one server that takes `work_s` seconds per request."""
-    async with serving_cluster(KEYED, work=work_s) as site:
+    async with serving_cluster(KEYED, work_s=work_s) as site:
         yield site
 
 
@@ -39,7 +39,7 @@
 
 
 def run_count(site: LocalCluster) -> int:
-    return sum(each.ran.total() for each in site.servers.values())
+    return sum(each.run_counts.total() for each in site.servers.values())
 
 
 async def test_repeats_through_any_proxy_get_the_first_response_with_their_own_request_id() -> None:
@@ -68,11 +68,11 @@
 async def test_repeats_get_a_servers_error_response_and_502_after_a_lost_connection() -> None:
     async with keyed_cluster() as site:
         server = site.servers["i-1"]
-        for manner, expected in (("failing", 500), ("cut", 502)):
-            server.manner = manner
-            assert status(await claim(site, "m1", manner)) == expected
-            server.manner = ""
-            statuses = [status(await claim(site, machine, manner)) for machine in site.names]
+        for fault, expected in (("failing", 500), ("cut", 502)):
+            server.fault = fault
+            assert status(await claim(site, "m1", fault)) == expected
+            server.fault = ""
+            statuses = [status(await claim(site, machine, fault)) for machine in site.names]
             assert statuses == [expected] * 3
         assert run_count(site) == 2
 
@@ -91,7 +91,7 @@
         ):
             proxy.end()
             repeat = await claim(site, "m2", "k")
-        assert (status(repeat), run_count(site), server.dropped) == (200, 1, {})
+        assert (status(repeat), run_count(site), server.abandoned_after_s) == (200, 1, {})
 
 
 async def test_a_key_is_not_run_again_after_its_proxy_was_restarted() -> None:
@@ -126,7 +126,7 @@
 async def test_a_keyed_request_without_one_usable_key_is_answered_400(keys: list[str]) -> None:
     async with keyed_cluster() as site:
         fields = "".join(f"Op-Key: {key}\r\n" for key in keys)
-        reader, writer = await asyncio.open_connection(*site.http("m1"))
+        reader, writer = await asyncio.open_connection(*site.http_address("m1"))
         writer.write(
             f"POST /claim/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: t\r\nAuthorization: Bearer {KEY}\r\n"
             f"Content-Length: 0\r\n{fields}\r\n".encode()
@@ -137,7 +137,7 @@
 
 
 async def test_a_mutate_request_with_a_valid_key_runs_once() -> None:
-    async with serving_cluster(SAMPLE, work=0.01) as site:  # its route /claim/ has mode mutate
+    async with serving_cluster(SAMPLE, work_s=0.01) as site:  # its route /claim/ has mode mutate
         first = await claim(site, "m1", "k", id="first")
         repeat = await claim(site, "m2", "k", id="repeat")
         assert repeat.headers()[b"server-seal"] == first.headers()[b"server-seal"]
--- a/tests/gateway/proxy/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -24,19 +24,19 @@
 
 
 async def test_gone_a_server_stops_work_once_its_client_has_disconnected() -> None:
-    async with serving_cluster(work=2.0) as site:
+    async with serving_cluster(work_s=2.0) as site:
         server = site.servers["i-1"]
         for path, method in (("/stock/1", "GET"), ("/claim/1", "POST")):
             request_task = asyncio.create_task(site.get("m1", path, KEY, method=method, id=path))
-            await site.until(lambda path=path: server.ran[path] == 1)
+            await site.until(lambda path=path: server.run_counts[path] == 1)
             request_task.cancel()
             await asyncio.gather(request_task, return_exceptions=True)
-            await site.until(lambda path=path: path in server.dropped)
-            assert server.dropped[path] < 0.5
+            await site.until(lambda path=path: path in server.abandoned_after_s)
+            assert server.abandoned_after_s[path] < 0.5
 
 
 async def test_config_a_request_is_answered_at_its_routes_timeout() -> None:
-    async with serving_cluster(with_timeout("400ms"), work=3.0) as site:
+    async with serving_cluster(with_timeout("400ms"), work_s=3.0) as site:
         for path, method in (("/stock/1", "GET"), ("/claim/1", "POST")):
             started = asyncio.get_running_loop().time()
             response = await site.get("m1", path, KEY, method=method)
@@ -59,10 +59,12 @@
             await site.start_server("garantie")
         await site.until(lambda: all(len(each.servers) == 5 for each in site.proxies.values()))
         for each in site.servers.values():
-            each.manner = "failing"
+            each.fault = "failing"
         for number in range(20):
             await site.get("m1", f"/stock/{number}", KEY, id=f"try-{number}", tries=1)
-        runs = [sum(each.ran[f"try-{number}"] for each in site.servers.values()) for number in range(20)]
+        runs = [
+            sum(each.run_counts[f"try-{number}"] for each in site.servers.values()) for number in range(20)
+        ]
         assert max(runs) <= SAMPLE["Ports"][0]["Policy"][0]["Action"]["Tries"]
 
 
@@ -71,7 +73,7 @@
     conf = {**SAMPLE, "Caps": {**SAMPLE["Caps"], "HdrBytes": 40_000}}
     async with serving_cluster(conf) as site:
         for size, expected in ((30_000, b"HTTP/1.1 200"), (50_000, b"HTTP/1.1 431")):
-            reader, writer = await asyncio.open_connection(*site.http("m1"))
+            reader, writer = await asyncio.open_connection(*site.http_address("m1"))
             head = f"GET /stock/1 HTTP/1.1\r\nHost: a.example\r\nTry-Id: {size}\r\nDeadline-Ms: 2000\r\n"
             writer.write(f"{head}Authorization: Bearer {KEY}\r\nX-Long: ".encode())
             for _ in range(size // 10_000):
@@ -85,10 +87,10 @@
 async def test_refused_a_servers_503_for_what_it_ran_is_no_promise_of_ours() -> None:
     async with serving_cluster() as site:
         server = site.servers["i-1"]
-        server.manner = "unavailable"
+        server.fault = "unavailable"
         response = await site.get("m1", "/claim/1", KEY, method="POST", id="once", tries=1)
         assert (status(response), response.headers().get(b"server-seal")) == (502, None)
-        assert server.ran["once"] == 1
+        assert server.run_counts["once"] == 1
 
 
 async def test_drain_a_deregistered_server_gets_no_more_requests() -> None:
@@ -96,14 +98,16 @@
         await site.start_server("garantie")
         await site.until(lambda: all(len(each.servers) == 2 for each in site.proxies.values()))
         leaving = site.servers["i-1"]
-        site.silence(leaving)  # it never reports draining, and its last heartbeat is late
-        response = await send_request(site.ctl[0], "POST", "/-/rpc?call=servers.deregister&of=i-1")
+        site.stop_heartbeats(leaving)  # it never reports draining, and its last heartbeat is late
+        response = await send_request(
+            site.control_addresses[0], "POST", "/-/rpc?call=servers.deregister&of=i-1"
+        )
         assert status(response) == 200
-        await leaving.send_heartbeat(site.ctl)
+        await leaving.send_heartbeat(site.control_addresses)
         await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
-        runs_before = leaving.ran.total()
+        runs_before = leaving.run_counts.total()
         statuses = [status(await site.get(name, "/stock/1", KEY)) for name in site.names for _ in range(4)]
-        assert (statuses, leaving.ran.total() - runs_before) == ([200] * 12, 0)
+        assert (statuses, leaving.run_counts.total() - runs_before) == ([200] * 12, 0)
 
 
 async def test_denied_a_proxy_without_a_configuration_answers_503_and_denies_nobody() -> None:
--- a/tests/gateway/proxy/test_unreadable_version.py
+++ b/tests/gateway/proxy/test_unreadable_version.py
@@ -19,8 +19,8 @@
         assert await site.put({**SAMPLE, "Ver": 2, "Base": 1}) == 200
         await site.until(lambda: proxy.updates.versions.requests_full_version)
         await site.start_server("garantie")
-        await site.until(lambda: "i-2" in proxy.servers, within=5.0)
+        await site.until(lambda: "i-2" in proxy.servers, timeout_s=5.0)
         assert proxy.active_version == 1
         assert (await site.get("m3", "/stock/1", KEY)).head.status_code == 200
         await site.kill(site.proxies["m1"])
-        await site.until(lambda: "m1" not in proxy.quota_owner.proxies, within=10.0)
+        await site.until(lambda: "m1" not in proxy.quota_owner.proxies, timeout_s=10.0)
--- a/tests/gateway/test_known_words.py
+++ b/tests/gateway/test_known_words.py
@@ -205,7 +205,7 @@
 
 
 def test_no_call_is_known_that_is_not_listed_here():
-    assert sorted(api.TABLE) == sorted(CALLS)
+    assert sorted(api.CALLS_BY_NAME) == sorted(CALLS)
 
 
 @pytest.mark.parametrize("state", ["up", "drain"])
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -17,7 +17,7 @@
 from lapisgrade.net.http import Message
 
 KEY = "key-of-sfax"
-READY = 8406
+READINESS_PORT = 8406
 
 
 def status(message: Message) -> int:
@@ -48,8 +48,8 @@
         assert (status(got), b"".join(got.body)) == (200, b"garantie /stock/7?x=1")
         fields = got.headers()
         assert (fields[b"try-id"], fields[b"server-seal"]) == (b"one", b"seal")
-        ran = [each for each in site.servers.values() if each.ran]
-        assert (ran[0].ran, ran[0].tenants) == ({"one": 1}, {"sfax": 1})
+        ran = [each for each in site.servers.values() if each.run_counts]
+        assert (ran[0].run_counts, ran[0].tenants) == ({"one": 1}, {"sfax": 1})
 
 
 async def test_unauthorized_and_unrouted_requests_are_rejected():
@@ -59,15 +59,15 @@
             status(await site.get("m2", "/stock/1")),
             status(await site.get("m3", "/nowhere/", KEY)),
             status(await site.get("m1", "/stock/1", KEY, host="b.example")),
-            status(await send_request((site.ip["m1"], READY), "GET", "/-/readyz")),
+            status(await send_request((site.ip["m1"], READINESS_PORT), "GET", "/-/readyz")),
         ]
         assert transcript == [401, 401, 404, 404, 200]
-        assert sum(each.ran.total() for each in site.servers.values()) == 0
+        assert sum(each.run_counts.total() for each in site.servers.values()) == 0
 
 
 async def test_a_response_to_another_request_is_ignored():
     async with served_cluster(1) as site:
-        site.servers["i-1"].manner = "mixed"
+        site.servers["i-1"].fault = "mixed"
         got = await site.get("m1", "/claim/1", KEY, method="POST", id="mine")
         assert (status(got), got.headers()[b"try-id"]) == (200, b"mine")
         assert b"".join(got.body) == b"garantie /claim/1"
@@ -76,59 +76,61 @@
 async def test_a_truncated_response_to_a_non_idempotent_request_is_neither_forwarded_nor_retried():
     async with served_cluster(2) as site:
         for each in site.servers.values():
-            each.manner = "cut"
+            each.fault = "cut"
         assert status(await site.get("m1", "/claim/1", KEY, method="POST", id="once")) == 502
-        assert sum(each.ran["once"] for each in site.servers.values()) == 1
+        assert sum(each.run_counts["once"] for each in site.servers.values()) == 1
 
 
 async def test_a_reset_of_a_non_idempotent_request_is_neither_retryable_nor_retried():
     async with served_cluster(2) as site:
         for each in site.servers.values():
-            each.manner = "full"
+            each.fault = "full"
         got = await site.get("m1", "/claim/1", KEY, method="POST", id="once")
         assert (status(got), got.headers().get(b"retry-after")) == (502, None)
-        assert sum(each.seen["once"] for each in site.servers.values()) == 1
+        assert sum(each.rejected_counts["once"] for each in site.servers.values()) == 1
         # What may run again is: the budget's first further try goes to the other server.
         await site.get("m1", "/stock/1", KEY, id="again")
-        assert sum(each.seen["again"] for each in site.servers.values()) >= 1
+        assert sum(each.rejected_counts["again"] for each in site.servers.values()) >= 1
 
 
 async def test_a_response_without_the_seal_is_no_success():
     async with served_cluster(1) as site:
-        site.servers["i-1"].manner = "unsealed"
+        site.servers["i-1"].fault = "unsealed"
         assert status(await site.get("m1", "/stock/1", KEY)) == 502
 
 
 async def test_a_server_error_is_forwarded_with_its_status_and_seal():
     async with served_cluster(2) as site:
         for each in site.servers.values():
-            each.manner = "failing"
+            each.fault = "failing"
         for path, method, tries in (("/stock/1", "GET", 2), ("/claim/1", "POST", 1)):
             got = await site.get("m1", path, KEY, method=method, id=path)
             assert (status(got), got.headers().get(b"server-seal")) == (500, b"seal")
             assert b"".join(got.body) == b"garantie " + path.encode()
-            assert sum(each.ran[path] for each in site.servers.values()) in range(1, tries + 1)
+            assert sum(each.run_counts[path] for each in site.servers.values()) in range(1, tries + 1)
 
 
 async def test_a_server_error_is_retried_elsewhere_within_the_retry_budget():
     async with served_cluster(2) as site:
         for _ in range(20):  # requests earn the budget
             await site.get("m1", "/stock/1", KEY)
-        good, failing = sorted(site.servers.values(), key=lambda each: each.ran.total())  # the preferred one
-        failing.manner = "failing"
+        good, failing = sorted(
+            site.servers.values(), key=lambda each: each.run_counts.total()
+        )  # the preferred one
+        failing.fault = "failing"
         answers = {}
         for number in range(40):
             got = await site.get("m1", "/stock/2", KEY, id=f"again-{number}")
             answers[f"again-{number}"] = status(got), got.headers().get(b"server-seal")
         assert set(answers.values()) <= {(200, b"seal"), (500, b"seal")}
-        at_both = [name for name in answers if good.ran[name] and failing.ran[name]]
+        at_both = [name for name in answers if good.run_counts[name] and failing.run_counts[name]]
         assert len(at_both) > 0
         assert {answers[name][0] for name in at_both} == {200}
 
 
 async def test_bytes_after_a_complete_response_are_dropped():
     async with served_cluster(1) as site:
-        site.servers["i-1"].manner = "extra"
+        site.servers["i-1"].fault = "extra"
         for number in range(4):
             got = await site.get("m1", f"/stock/{number}", KEY)
             assert b"".join(got.body) == f"garantie /stock/{number}".encode()
@@ -156,7 +158,7 @@
         await site.until(lambda: all(each.servers["i-1"].state == "drain" for each in site.proxies.values()))
         for number in range(6):
             assert status(await site.get("m2", f"/stock/{number}", KEY)) == 200
-        assert server.ran.total() == 0
+        assert server.run_counts.total() == 0
 
 
 async def test_a_configuration_survives_the_kill_of_every_process():
@@ -169,7 +171,7 @@
         await site.until(
             lambda: all(each.ready and each.active_version == 1 for each in site.proxies.values())
         )
-        shown = await send_request(site.ctl[0], "POST", "/-/rpc?call=conf.show")
+        shown = await send_request(site.control_addresses[0], "POST", "/-/rpc?call=conf.show")
         want = {name: each for name, each in SAMPLE.items() if name != "Base"}
         assert msgspec.json.decode(b"".join(shown.body)) == want
         await site.until(lambda: all(each.servers for each in site.proxies.values()))
@@ -204,7 +206,7 @@
 async def test_any_controller_answers_an_operators_call_and_names_the_error():
     async with served_cluster() as site:
         found = []
-        for place in site.ctl:
+        for place in site.control_addresses:
             body = msgspec.json.encode({**SAMPLE, "Ver": 9, "Base": 1, "Pools": []})
             got = await send_request(place, "POST", "/-/rpc?call=conf.replace", body)
             found.append((status(got), msgspec.json.decode(b"".join(got.body))["Err"]))
@@ -212,12 +214,12 @@
 
 
 async def test_a_proxy_that_shuts_down_answers_its_requests_and_announces_its_departure():
-    async with served_cluster(1, work=0.3) as site:
+    async with served_cluster(1, work_s=0.3) as site:
         under_way = asyncio.create_task(site.get("m1", "/claim/1", KEY, method="POST"))
         await site.until(lambda: site.servers["i-1"].running)
         site.proxies["m1"].end()
         await site.until(lambda: site.proxies["m1"].client_front.is_draining)
-        assert status(await send_request((site.ip["m1"], READY), "GET", "/-/readyz")) == 503
+        assert status(await send_request((site.ip["m1"], READINESS_PORT), "GET", "/-/readyz")) == 503
         got = await under_way
         assert (status(got), got.headers()[b"connection"]) == (200, b"close")
 
@@ -227,7 +229,7 @@
         partition = Partition(site)
         partition.isolate("m3")
         await site.until(lambda: not site.proxies["m3"].ready)
-        assert status(await send_request((site.ip["m3"], READY), "GET", "/-/readyz")) == 503
+        assert status(await send_request((site.ip["m3"], READINESS_PORT), "GET", "/-/readyz")) == 503
         # The others may have waited for it for as long, where its controller led and they asked it first.
         await site.until(lambda: site.proxies["m1"].ready and site.proxies["m2"].ready)
         assert not site.proxies["m3"].ready
@@ -243,15 +245,15 @@
 
 async def test_a_departed_server_gets_no_requests_and_its_address_may_be_reused():
     async with served_cluster(2) as site:
-        assert await post_to_any(site.ctl, "/-/rpc?call=servers.deregister&of=i-1") == 200
+        assert await post_to_any(site.control_addresses, "/-/rpc?call=servers.deregister&of=i-1") == 200
         await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
         # Whoever listens there now is another server, not known yet: it says so, and has not run it.
-        site.silence(site.servers["i-2"])
+        site.stop_heartbeats(site.servers["i-2"])
         site.servers["i-2"].name = "i-3"
         got = await site.get("m1", "/claim/1", KEY, method="POST", tries=1)
         assert status(got) == 503
         assert b"retry-after" in got.headers()
-        assert sum(each.ran.total() for each in site.servers.values()) == 0
+        assert sum(each.run_counts.total() for each in site.servers.values()) == 0
 
 
 async def test_wall_clock_steps_of_hours_have_no_effect():
--- a/tests/support/local_clusters.py
+++ b/tests/support/local_clusters.py
@@ -19,4 +19,4 @@
 async def serving_cluster(configuration: dict | None = None, **server_options) -> AsyncIterator[LocalCluster]:
     """A cluster with one server and a configuration (default: the sample), both known to every proxy."""
     async with local_cluster() as cluster:
-        yield await cluster.served(configuration, **server_options)
+        yield await cluster.start_serving(configuration, **server_options)
