--- a/lapisgrade/gateway/call_failure.py
+++ b/lapisgrade/gateway/call_failure.py
@@ -1,4 +1,4 @@
-"""How a call to another process failed: whether it may have been executed all the same."""
+"""How a call to another process failed: whether it may have been executed nevertheless."""
 
 from enum import Enum
 
@@ -6,8 +6,8 @@
 class CallFailure(Enum):
     """Why a call has no reply.
 
-    A caller may send a NOT_RUN call anew to anybody; one that MAY_HAVE_RUN only unchanged, to where it is
-    recognized.
+    A caller may retry a NOT_RUN call at any process. It may retry a MAY_HAVE_RUN call only unchanged, and
+    only at a process that recognizes the repeat.
     """
 
     NOT_RUN = "not run"
--- a/lapisgrade/gateway/clock.py
+++ b/lapisgrade/gateway/clock.py
@@ -4,5 +4,5 @@
 
 
 def now_us() -> int:
-    """Return whole microseconds; they never step back, and say nothing of the time of day."""
+    """Return the monotonic time in whole microseconds; unrelated to the time of day."""
     return time.monotonic_ns() // 1000
--- a/lapisgrade/gateway/registry.py
+++ b/lapisgrade/gateway/registry.py
@@ -1,53 +1,54 @@
-"""The registry of live servers, built from their own heartbeats. Pure: the time is handed in.
+"""The registry of live servers, built from their heartbeats. No I/O: callers pass in the time.
 
-The leader alone keeps it. A new leader rebuilds it from heartbeats, from the snapshot in the log and from
-what proxies know. A heartbeat counts only where its sequence number is above the server's last one, as
+Only the leader keeps it. A new leader rebuilds it from heartbeats, the snapshot in the log and the server
+lists of proxies. A heartbeat is ignored unless its sequence number is above the server's last one, as
 heartbeats may arrive seconds late.
-States of a server (`ServerState`) and what changes them::
 
-    UP          DRAIN   the server announced it, or is about to shut down
+State transitions of a server (`ServerState`)::
+
+    UP          DRAIN   the server reported that it is draining, or about to shut down
     UP          LOST    no heartbeat for MISSED_HEARTBEATS
     LOST        UP      a heartbeat
-    UP, DRAIN   GONE    the server deregistered, or another one came up at its address
+    UP, DRAIN   GONE    the server deregistered, or another one started at its address
     DRAIN       GONE    no heartbeat for MISSED_HEARTBEATS
-    LOST, GONE  -       forgotten after FORGET_HEARTBEATS
+    LOST, GONE  -       removed after FORGET_HEARTBEATS
 
-A server in DRAIN or GONE never comes UP again.
+A server in DRAIN or GONE never returns to UP.
 """
 
 from enum import StrEnum
 
 import msgspec
 
-MISSED_HEARTBEATS = 3.3  # heartbeats that a server may miss before it is LOST
-COMPLETE_HEARTBEATS = 2.5  # heartbeats that a new leader waits before it declares any server LOST
-FORGET_HEARTBEATS = 20.0  # heartbeats after which a server that is GONE or LOST is forgotten
-ADDRESS_REUSE_US = 2_000_000  # after a server's end its address is no other service's for so long
-MAX_SERVERS = 20_000  # bounds the memory that a flood of names can take
+MISSED_HEARTBEATS = 3.3  # heartbeat intervals without a heartbeat before a server is LOST
+COMPLETE_HEARTBEATS = 2.5  # heartbeat intervals that a new leader waits before it marks any server LOST
+FORGET_HEARTBEATS = 20.0  # heartbeat intervals after which a GONE or LOST server is removed
+ADDRESS_REUSE_US = 2_000_000  # minimum time before another service may reuse a server's address
+MAX_SERVERS = 20_000  # bounds the memory that a flood of server names can occupy
 
 
 class ServerState(StrEnum):
-    """States of a server, by their names in messages."""
+    """States of a server; the values are their names in messages."""
 
     UP = "up"
     DRAIN = "drain"  # takes no new requests
     LOST = "lost"  # its heartbeats stopped
-    GONE = "gone"  # it has ended
+    GONE = "gone"  # it has terminated
 
 
 class Server(msgspec.Struct, array_like=True):
-    """One incarnation of one server. Times are durations, as clocks of machines may differ.
+    """One incarnation of one server. Times are durations, as the clocks of machines may differ.
 
     Attributes:
         id: Unique to this incarnation.
         service: The service that it runs.
-        address: IP address and port, as text; empty where it is not known.
-        zone: The failure domain that it runs in.
-        slots: How many requests it runs at once.
+        address: IP address and port, as text; empty if unknown.
+        zone: Its failure domain.
+        slots: Number of requests that it runs concurrently.
         state: One of `ServerState`.
-        sequence_number: Of its last heartbeat.
-        warm_up_us: How much longer it is slower than usual.
-        revision: The registry's revision when it last changed.
+        sequence_number: Sequence number of its last heartbeat.
+        warm_up_us: Remaining slow-start time.
+        revision: The registry's revision of its last change.
     """
 
     id: str
@@ -61,7 +62,7 @@
     revision: int = 0
 
     def differs_from(self, other: "Server") -> bool:
-        """Whether proxies must be notified of this server in place of `other`."""
+        """Return whether proxies must be notified when this record replaces `other`."""
         return (other.state, other.address, other.service, other.slots) != (
             self.state,
             self.address,
@@ -71,24 +72,24 @@
 
 
 class Registry:
-    """All servers that are known, each with the revision in which it last changed."""
+    """All known servers, each with the revision of its last change."""
 
     def __init__(self, heartbeat_us: int, now_us: int) -> None:
-        """Begin empty at `now_us`; `heartbeat_us` is the interval between a server's heartbeats."""
+        """Start empty at `now_us`; `heartbeat_us` is the interval between a server's heartbeats."""
         self.heartbeat_us = heartbeat_us
         self.started_us = now_us
         self.servers: dict[str, Server] = {}
-        self.last_seen_us: dict[str, int] = {}  # by server: its last heartbeat, or when it left
-        self.warm_up_ends_us: dict[str, int] = {}  # by server
-        self._newest_by_address: dict[str, str] = {}  # the server that came up last at each address
+        self.last_seen_us: dict[str, int] = {}  # by server: time of its last heartbeat or of its departure
+        self.warm_up_ends_us: dict[str, int] = {}  # by server: end of its slow start
+        self._newest_by_address: dict[str, str] = {}  # by address: the server that started there last
         self.revision = 1
 
     def is_complete(self, now_us: int) -> bool:
-        """Whether every live server has had time to be heard, so that silence means a lost server."""
+        """Return whether every live server has had time to send a heartbeat to this leader."""
         return now_us - self.started_us > COMPLETE_HEARTBEATS * self.heartbeat_us
 
     def on_heartbeat(self, now_us: int, server: Server) -> None:
-        """Take in a heartbeat, as the server that it describes."""
+        """Process a heartbeat, given as the server that it describes."""
         known = self.servers.get(server.id)
         if known is not None and server.sequence_number <= known.sequence_number:
             return
@@ -107,17 +108,17 @@
             self._claim_address(now_us, server)
 
     def _claim_address(self, now_us: int, server: Server) -> None:
-        """Mark whoever was up at the server's address as gone: an address is its newest incarnation's."""
+        """Mark the previous server at the address as gone: an address belongs to its newest incarnation."""
         previous = self._newest_by_address.get(server.address, server.id)
         if previous != server.id and previous in self.servers:
             self.mark_left(now_us, previous, True)
         self._newest_by_address[server.address] = server.id
 
     def _is_delayed(self, now_us: int, server: Server) -> bool:
-        """Whether an unknown server's heartbeat was delayed for long.
+        """Return whether an unknown server's heartbeat must be an old one that was delayed.
 
-        It was where another service's server was heard at its address so lately that the address can't have
-        changed hands since.
+        It must be if a server of another service sent a heartbeat from the same address so recently that the
+        address can't have been reused since.
         """
         newest = self.servers.get(self._newest_by_address.get(server.address, ""))
         if newest is None or newest.service == server.service or newest.state != ServerState.UP:
@@ -125,7 +126,7 @@
         return now_us - self.last_seen_us.get(newest.id, -ADDRESS_REUSE_US) < ADDRESS_REUSE_US
 
     def mark_left(self, now_us: int, server_id: str, is_gone: bool) -> None:
-        """Mark a server as draining, or with `is_gone` as ended."""
+        """Mark a server as draining, or as gone if `is_gone`."""
         server = self.servers.get(server_id)
         state = ServerState.GONE if is_gone else ServerState.DRAIN
         if server is None:
@@ -138,7 +139,7 @@
             self._record_change(server)
 
     def restore(self, now_us: int, servers: list[Server]) -> None:
-        """Take in servers as an earlier leader knew them, where nothing newer is known."""
+        """Add servers as an earlier leader knew them, unless something newer is known."""
         for server in servers[:MAX_SERVERS]:
             known = self.servers.get(server.id)
             if known is None and server.state == ServerState.UP and server.address:
@@ -149,9 +150,9 @@
                 self.mark_left(now_us, server.id, server.state == ServerState.GONE)
 
     def expire(self, now_us: int) -> None:
-        """Find servers whose heartbeats stopped, and forget those that left long ago.
+        """Mark servers whose heartbeats stopped, and remove those that left long ago.
 
-        To be called about once a heartbeat interval.
+        Must be called about once per heartbeat interval.
         """
         if not self.is_complete(now_us):
             return
@@ -172,7 +173,7 @@
             del self._newest_by_address[server.address]
 
     def changes_since(self, now_us: int, revision: int) -> list[Server]:
-        """Return the servers that changed after that revision, each with what is left of its warm-up."""
+        """Return the servers that changed after the revision, each with its remaining slow-start time."""
         changed = [server for server in self.servers.values() if server.revision > revision]
         for server in changed:
             server.warm_up_us = max(0, self.warm_up_ends_us.get(server.id, 0) - now_us)
--- a/lapisgrade/gateway/rpc.py
+++ b/lapisgrade/gateway/rpc.py
@@ -1,8 +1,8 @@
-"""Remote procedure calls between the gateway's own processes, over TCP connections that are kept open.
+"""Remote procedure calls between the processes of the gateway, over persistent TCP connections.
 
-`RpcEndpoint` is one process's side of it: it listens for others' calls and messages, and sends its own
-through one `rpc_peer.Peer` for each address. What is not answered yet is bounded on both sides (guards
-memory).
+`RpcEndpoint` is the endpoint of one process: it listens for calls and messages of other processes, and sends
+its own through one `rpc_peer.Peer` per address. Both sides limit the number of unanswered calls, which
+bounds memory.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 from lapisgrade.gateway.rpc_connection import Codec, Connection, UnreadableMessage
 from lapisgrade.gateway.rpc_peer import Peer
 
-MAX_PEERS = 512  # that a process keeps connections to
-MAX_OPEN_CALLS = 512  # of one connection
+MAX_PEERS = 512  # maximum number of peers that a process keeps connections to
+MAX_OPEN_CALLS = 512  # maximum number of unanswered calls per connection
 LISTEN_BACKLOG = 256
 
 
@@ -29,14 +29,14 @@
 
 
 def _ignore(message: Any) -> None:
-    """Drop a message without a reply: this process handles none."""
+    """Ignore a message without a reply, in a process that handles none."""
 
 
 class RpcEndpoint:
-    """One process: who calls it, and whom it calls.
+    """The RPC server and client of one process.
 
     Attributes:
-        metrics: What was counted so far.
+        metrics: Counters since the start.
     """
 
     def __init__(
@@ -45,12 +45,12 @@
         on_call: Callable[[Any], Awaitable[Any]],
         on_message: Callable[[Any], None] = _ignore,
     ) -> None:
-        """Carry messages of the types in `union`.
+        """Create an endpoint that does not listen yet.
 
         Args:
-            union: The types of messages.
-            on_call: Given each call, returns the reply; None for none.
-            on_message: Given each message that wants no reply.
+            union: The message types that it sends and receives.
+            on_call: Called with each call; returns the reply, or None for no reply.
+            on_message: Called with each message that needs no reply.
         """
         self._codec = Codec(union)
         self._on_call = on_call
@@ -62,10 +62,10 @@
         self.metrics = RpcMetrics()
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """Accept connections at that address.
+        """Accept connections at the address.
 
         Raises:
-            OSError: The address can't be listened at.
+            OSError: Listening at the address fails.
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accept, *address, backlog=LISTEN_BACKLOG)
@@ -76,10 +76,10 @@
         return connection
 
     def peer(self, address: tuple[str, int]) -> Peer:
-        """Return the peer at that address; nothing is sent to it yet."""
+        """Return the peer at the address, without connecting to it."""
         peer = self._peers.get(address)
         if peer is None:
-            if len(self._peers) >= MAX_PEERS:  # guards descriptors: the one asked for longest ago goes
+            if len(self._peers) >= MAX_PEERS:  # bounds descriptors: evicts the oldest peer
                 self._peers.pop(next(iter(self._peers))).close()
             peer = self._peers[address] = Peer(self._codec, address)
         return peer
@@ -87,7 +87,7 @@
     async def call(
         self, address: tuple[str, int], message: Any, timeout_s: float
     ) -> Result[Any, CallFailure]:
-        """Send a call and return its reply, or how the call failed."""
+        """Send a call and return its reply, or the kind of failure."""
         self.metrics.calls_sent += 1
         return await self.peer(address).call(message, timeout_s)
 
@@ -116,7 +116,7 @@
             return
         self.metrics.calls_received += 1
         if connection.open_calls >= MAX_OPEN_CALLS:
-            connection.abort()  # guards memory against a peer that floods
+            connection.abort()  # bounds the memory that a flooding peer can occupy
             return
         connection.open_calls += 1
         task = asyncio.get_running_loop().create_task(self._reply(connection, number, message))
--- a/lapisgrade/gateway/rpc_connection.py
+++ b/lapisgrade/gateway/rpc_connection.py
@@ -1,12 +1,12 @@
 """Frames of RPC messages, and one TCP connection that carries them.
 
 A frame is its length (4 bytes, big-endian), then a MessagePack array of a number and one message. A call has
-a number above 0, and its reply has the same number; 0 is a message without a reply. A peer that sends
-anything else loses its connection.
+a number above 0, and its reply has the same number; a message without a reply has the number 0. The
+connection of a peer that sends anything else is closed.
 
-A message of a later release can't be read. It is told apart from what is no frame by its number, and costs
-that one message alone, up to `MAX_UNREADABLE_MESSAGES` on a connection. A call is answered with nil: it did
-not run. A release from before nil closes the connection at that reply, as this side did before.
+A message of a type that only a later release knows can't be decoded. As its number can be, only that message
+is dropped, up to `MAX_UNREADABLE_MESSAGES` per connection. Such a call is answered with nil: it did not run.
+Releases without the nil reply close the connection when they receive one.
 """
 
 import asyncio
@@ -22,12 +22,14 @@
 
 log = logging.getLogger("rpc")
 
-MAX_FRAME_BYTES = 16 * 1024 * 1024  # a configuration of many thousand routes
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # that wait for a peer that does not read; its connection is closed then
-READ_BYTES = 65_536  # at once
-ACKNOWLEDGEMENT_TIMEOUT_MS = 1500  # without one from the peer's machine a connection is closed
-MAX_UNREADABLE_MESSAGES = 512  # of one connection; it is closed at the next one
-MAX_LOGGED_CHARACTERS = 200  # of what is wrong with a message, which may quote it
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # fits a configuration of many thousand routes
+MAX_UNSENT_BYTES = (
+    8 * 1024 * 1024
+)  # write buffer limit; the connection of a peer that does not read is closed
+READ_BYTES = 65_536  # maximum size of one read
+ACKNOWLEDGEMENT_TIMEOUT_MS = 1500  # TCP_USER_TIMEOUT: closes a connection with unacknowledged data
+MAX_UNREADABLE_MESSAGES = 512  # per connection; the next one closes it
+MAX_LOGGED_CHARACTERS = 200  # of a decoding error, which may quote the message
 LENGTH_BYTES = 4
 
 _ENCODED_NIL = msgspec.msgpack.encode(None)
@@ -35,11 +37,11 @@
 
 
 class UnreadableMessage(msgspec.Struct, frozen=True):
-    """Stands for a message that is of no type in the union.
+    """Replaces a message that matches no type of the union.
 
     Attributes:
-        is_refusal: The other side can't read the call with this number, and did not run it.
-        error: What is wrong with it.
+        is_refusal: Whether the peer could not decode the call with this number and did not run it.
+        error: The decoding error.
     """
 
     is_refusal: bool
@@ -47,7 +49,7 @@
 
 
 def detect_dead_peer(transport: asyncio.BaseTransport) -> None:
-    """Have the system close a connection soon whose other machine is gone (guards against partitions)."""
+    """Make the kernel close a connection soon after its peer becomes unreachable, as in a partition."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
@@ -60,7 +62,7 @@
 
 
 class Codec:
-    """Frames whose messages are of one union."""
+    """Encodes and decodes frames whose messages belong to one union."""
 
     def __init__(self, union: Any) -> None:
         """Carry messages of the types in `union`."""
@@ -74,12 +76,13 @@
         return struct.pack(">I", len(data)) + data
 
     def decode(self, buffer: bytearray) -> list[tuple[int, Any]]:
-        """Return the complete frames at the buffer's start, and remove them from it.
+        """Return the complete frames at the start of the buffer, and remove them from it.
 
-        Messages that can't be read are returned as `UnreadableMessage`.
+        Messages that can't be decoded are returned as `UnreadableMessage`.
 
         Raises:
-            ValueError: They are no frames; also msgspec's errors.
+            ValueError: A frame is longer than `MAX_FRAME_BYTES`.
+            msgspec.MsgspecError: The bytes are not a frame.
         """
         frames: list[tuple[int, Any]] = []
         offset = 0
@@ -87,7 +90,7 @@
             start = offset + LENGTH_BYTES
             size = int.from_bytes(buffer[offset:start], "big")
             if size > MAX_FRAME_BYTES:
-                raise ValueError("a frame too long")
+                raise ValueError("RPC frame is longer than MAX_FRAME_BYTES")
             if len(buffer) - start < size:
                 break
             frames.append(self._decode_frame(bytes(buffer[start : start + size])))
@@ -104,11 +107,11 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection, on either side.
+    """One connection, on the calling or the called side.
 
     Attributes:
-        transport: The transport; None until the connection is there.
-        open_calls: Calls of the other side that were not answered yet.
+        transport: The transport; None until the connection is established.
+        open_calls: Number of calls of the peer that are not answered yet.
     """
 
     def __init__(
@@ -117,9 +120,9 @@
         on_frame: Callable[["Connection", int, Any], None],
         on_close: Callable[["Connection"], None],
     ) -> None:
-        """Call `on_frame` with each number and message, and `on_close` once the connection is closed.
+        """Call `on_frame` with each number and message, and `on_close` when the connection is closed.
 
-        A message that can't be read is passed on as `UnreadableMessage`.
+        A message that can't be decoded is passed to `on_frame` as `UnreadableMessage`.
         """
         self._codec = codec
         self._on_frame = on_frame
@@ -130,13 +133,13 @@
         self._unreadable_messages = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport over (asyncio's callback)."""
+        """Store the transport and set its socket options (asyncio callback)."""
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.max_size = READ_BYTES  # type: ignore[attr-defined]  # of asyncio's selector transports
+        self.transport.max_size = READ_BYTES  # type: ignore[attr-defined]  # attribute of asyncio's selector transports
         detect_dead_peer(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Pass on the frames that are complete (asyncio's callback)."""
+        """Decode the complete frames and pass them to `on_frame` (asyncio callback)."""
         self._buffer += data
         try:
             for number, message in self._codec.decode(self._buffer):
@@ -148,24 +151,27 @@
             self.abort()
 
     def _tolerates(self, message: UnreadableMessage) -> bool:
-        """Count a message that can't be read; False where there were too many (guards against floods)."""
+        """Count a message that can't be decoded; return False if the connection sent too many of them."""
         self._unreadable_messages += 1
         if self._unreadable_messages == 1 and self.transport is not None:
             peer = self.transport.get_extra_info("peername")
-            what = (
-                "refuses a call that it can't read"
+            description = (
+                "it can't decode a call from here and did not run it"
                 if message.is_refusal
                 else ascii(message.error[:MAX_LOGGED_CHARACTERS])
             )
-            _unreadable_log.write(f"{peer}: a message of another release; more are not logged: {what}")
+            _unreadable_log.write(
+                f"{peer}: dropped a message of another release, not logging further ones of this connection: "
+                f"{description}"
+            )
         return self._unreadable_messages <= MAX_UNREADABLE_MESSAGES
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Pass on that the connection is closed (asyncio's callback)."""
+        """Call `on_close` (asyncio callback)."""
         self._on_close(self)
 
     def send(self, number: int, message: Any) -> bool:
-        """Write one frame; False where the other side is gone or does not read."""
+        """Write one frame; return False if the connection is closed or the peer does not read."""
         if self.transport is None or self.transport.is_closing():
             return False
         if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
@@ -175,10 +181,10 @@
         return True
 
     def refuse(self, number: int) -> bool:
-        """Reply to a call that can't be read; False as for `send`."""
+        """Reply with nil to a call that can't be decoded; return False as `send` does."""
         return self.send(number, None)
 
     def abort(self) -> None:
-        """Close the connection at once; what was not sent is lost."""
+        """Close the connection immediately; unsent data is lost."""
         if self.transport is not None:
             self.transport.abort()
--- a/lapisgrade/gateway/rpc_peer.py
+++ b/lapisgrade/gateway/rpc_peer.py
@@ -1,4 +1,4 @@
-"""The calling side of RPC: one address, and the connection to it that is opened when there is a message."""
+"""The calling side of RPC: one address and its connection, which is opened on demand."""
 
 import asyncio
 from typing import Any
@@ -8,25 +8,25 @@
 from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.rpc_connection import Codec, Connection, UnreadableMessage
 
-CONNECT_TIMEOUT_S = 0.35  # several round trips between zones; a connection not up by then is tried anew
-MAX_UNSENT_MESSAGES = 512  # that wait for a connection
+CONNECT_TIMEOUT_S = 0.35  # several round trips between zones; the next message starts a new attempt
+MAX_UNSENT_MESSAGES = 512  # maximum number of messages queued for a connection
 
 
 class Peer:
-    """Another process by its address.
+    """Another process, identified by its address.
 
     Attributes:
-        is_refusing: Whether the machine refused the last connection: no process listens there.
+        is_refusing: Whether the last connection attempt was refused: no process listens at the address.
     """
 
     def __init__(self, codec: Codec, address: tuple[str, int]) -> None:
-        """Open no connection yet."""
+        """Create the peer without connecting to it."""
         self._codec = codec
         self._address = address
         self._connection: Connection | None = None
         self._connecting: asyncio.Task[None] | None = None
-        self._waiting: dict[int, asyncio.Future[Result[Any, CallFailure]]] = {}  # calls, by number
-        self._unsent: list[tuple[int, Any]] = []  # numbers and messages that wait for a connection
+        self._waiting: dict[int, asyncio.Future[Result[Any, CallFailure]]] = {}  # unanswered calls by number
+        self._unsent: list[tuple[int, Any]] = []  # numbers and messages queued for a connection
         self._last_number = 0
         self.is_refusing = False
 
@@ -35,7 +35,7 @@
         self._send(0, message)
 
     async def call(self, message: Any, timeout_s: float) -> Result[Any, CallFailure]:
-        """Send a call and return its reply, or how the call failed."""
+        """Send a call and return its reply, or the kind of failure."""
         self._last_number += 1
         number = self._last_number
         future: asyncio.Future[Result[Any, CallFailure]] = asyncio.get_running_loop().create_future()
@@ -54,12 +54,13 @@
         was_sent = len(unsent) == len(self._unsent)
         self._unsent = unsent
         if was_sent:
-            # It may be behind a partition: the next call must not wait for what TCP repeats.
+            # The peer may be unreachable: a new connection saves the next call from waiting for TCP
+            # retransmissions.
             self._disconnect()
         return CallFailure.MAY_HAVE_RUN if was_sent else CallFailure.NOT_RUN
 
     def close(self) -> None:
-        """Close the connection; calls under way fail."""
+        """Close the connection; unanswered calls fail."""
         if self._connecting is not None:
             self._connecting.cancel()
         self._disconnect()
@@ -78,7 +79,7 @@
             self._connecting = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
-        """Open a connection and send what waits for it."""
+        """Open a connection and send the queued messages."""
         connection = await self._open_connection()
         self._connecting = None
         unsent = self._unsent
@@ -91,7 +92,7 @@
             connection.send(number, message)
 
     async def _open_connection(self) -> Connection | None:
-        """Return a new connection; None where there is none in time."""
+        """Return a new connection; None if connecting fails or times out."""
         loop = asyncio.get_running_loop()
         self.is_refusing = False
         try:
--- a/lapisgrade/gateway/watch_timing.py
+++ b/lapisgrade/gateway/watch_timing.py
@@ -1,11 +1,11 @@
-"""The times that a proxy and the controllers agree on for watch requests.
+"""Timing of watch requests, shared by proxies and controllers.
 
-A proxy always has one watch request at the leading controller (long polling). Both sides reason from these
-times: the leader activates a version without a proxy that sends no requests only once that proxy is in doubt
-by itself (`controller/version_activation.py`).
+A proxy always has one watch request open at the leader (long polling). The leader activates a version without
+the confirmation of an unresponsive proxy only after that proxy itself must assume that it missed a version
+(`controller/version_activation.py`); both sides derive this from the times below.
 """
 
-LONG_POLL_US = 250_000  # that the leader holds a watch request while it has no updates
+LONG_POLL_US = 250_000  # maximum time that the leader delays its reply while it has no updates
 MISSED_VERSION_AFTER_US = (
-    1_300_000  # without an answer: a proxy may have missed a version; two requests' time
+    1_300_000  # time without a reply after which a proxy may have missed a version; two requests fit in it
 )
--- a/tests/gateway/test_registry.py
+++ b/tests/gateway/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry of servers: heartbeats, losses and departures."""
+"""The registry of servers: heartbeats, lost servers and departures."""
 
 from lapisgrade.gateway.registry import Registry, Server
 
@@ -33,7 +33,7 @@
     assert states(registry) == {"i-9": "lost", "i-1": "up"}
 
 
-def test_a_late_heartbeat_and_one_after_departure_change_nothing():
+def test_late_heartbeats_and_heartbeats_after_departure_do_not_change_the_state():
     registry = Registry(SECOND, 0)
     send_heartbeat(registry, 0.1, sequence_number=5)
     registry.mark_left(SECOND, "i-1", False)
@@ -63,12 +63,12 @@
     assert states(registry)["i-1"] == "up"
 
 
-def test_a_late_heartbeat_of_an_unknown_incarnation_takes_no_address_of_another_service():
+def test_a_late_heartbeat_of_an_unknown_server_does_not_take_over_another_services_address():
     registry = Registry(SECOND, 0)
     registry.on_heartbeat(SECOND, Server("i-2", "reports", "10.0.0.1:80", "z", 2, "up", 1))
     send_heartbeat(
         registry, 1.5, name="i-1", sequence_number=90
-    )  # of one that ended before a new leader came
+    )  # delayed heartbeat of a server that terminated before the change of leader
     assert states(registry) == {"i-2": "up"}
-    send_heartbeat(registry, 3.5, name="i-3")  # the other one was not heard since: it has ended
+    send_heartbeat(registry, 3.5, name="i-3")  # i-2 has sent no heartbeat since: it has terminated
     assert states(registry) == {"i-2": "gone", "i-3": "up"}
--- a/tests/gateway/test_rpc.py
+++ b/tests/gateway/test_rpc.py
@@ -1,4 +1,4 @@
-"""Calls between processes: replies, failures that tell whether a call may have run, and bad peers."""
+"""RPC between processes: replies, failures (not run or may have run), and invalid or flooding peers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -59,9 +59,9 @@
     on_call: Callable[[Any], Awaitable[Any]] = answer,
     on_message: Callable[[Any], None] = lambda message: None,
 ) -> None:
-    """Play a scenario with a caller, and a callee that listens at the address."""
+    """Run a scenario with a caller and a callee that listens at the address."""
 
-    async def play() -> None:
+    async def run_scenario() -> None:
         caller, callee, address = (
             RpcEndpoint(UNION, never),
             RpcEndpoint(UNION, on_call, on_message),
@@ -75,7 +75,7 @@
             caller.close()
             callee.close()
 
-    asyncio.run(play())
+    asyncio.run(run_scenario())
 
 
 def test_calls_on_one_connection_get_their_own_replies():
@@ -100,7 +100,7 @@
     run(scenario, on_message=received.append)
 
 
-def test_a_call_that_was_sent_and_not_answered_may_have_run():
+def test_a_sent_call_without_a_reply_may_have_run():
     async def scenario(caller, callee, address):
         assert await caller.call(address, Question("a"), SHORT_TIMEOUT_S) == Failure(CallFailure.MAY_HAVE_RUN)
 
@@ -118,11 +118,11 @@
     run(scenario, on_call=never)
 
 
-def test_a_call_to_a_machine_that_refuses_did_not_run():
+def test_a_call_whose_connection_is_refused_did_not_run():
     async def scenario(caller, callee, address):
-        nobody = free_address()
-        assert await caller.call(nobody, Question("a"), TIMEOUT_S) == Failure(CallFailure.NOT_RUN)
-        assert caller.peer(nobody).is_refusing
+        unused_address = free_address()
+        assert await caller.call(unused_address, Question("a"), TIMEOUT_S) == Failure(CallFailure.NOT_RUN)
+        assert caller.peer(unused_address).is_refusing
         assert not caller.peer(address).is_refusing
 
     run(scenario)
@@ -137,7 +137,7 @@
     ],
     ids=["http", "frame-too-long", "not-a-message"],
 )
-def test_a_peer_that_sends_no_frames_loses_its_connection(sent):
+def test_the_connection_of_a_peer_that_sends_no_frames_is_closed(sent):
     async def scenario(caller, callee, address):
         reader, writer = await asyncio.open_connection(*address)
         writer.write(sent)
@@ -148,7 +148,7 @@
     run(scenario)
 
 
-def test_a_frame_may_arrive_in_any_pieces():
+def test_a_frame_split_at_any_position_is_decoded():
     codec = Codec(UNION)
     data = codec.encode(1, Question("a")) + codec.encode(0, Answer("b"))
     for cut in range(len(data)):
@@ -159,7 +159,7 @@
         assert not buffer
 
 
-async def test_a_call_of_a_later_release_fails_no_other_call() -> None:
+async def test_a_call_unknown_to_this_release_fails_no_other_call() -> None:
     async def answer_slowly(question: Question) -> Answer:
         await asyncio.sleep(0.1)
         return Answer(question.text)
@@ -177,7 +177,7 @@
         callee.close()
 
 
-async def test_a_call_that_the_callee_can_not_read_did_not_run_and_fails_before_its_time() -> None:
+async def test_a_call_that_the_callee_can_not_decode_did_not_run_and_fails_before_its_time_out() -> None:
     address = free_address()
     caller, callee = RpcEndpoint(LATER_UNION, never), RpcEndpoint(UNION, never)
     await callee.listen(address)
@@ -191,7 +191,7 @@
         callee.close()
 
 
-async def test_a_reply_that_can_not_be_read_fails_its_call_alone() -> None:
+async def test_a_reply_that_can_not_be_decoded_fails_only_its_call() -> None:
     async def answer_as_later(question: Question) -> Answer | LaterAnswer:
         if question.text == "later":
             return LaterAnswer("y")
@@ -212,7 +212,7 @@
         callee.close()
 
 
-async def test_a_message_without_a_reply_that_can_not_be_read_is_ignored() -> None:
+async def test_a_message_without_a_reply_that_can_not_be_decoded_is_ignored() -> None:
     address = free_address()
     received: list[Any] = []
     caller, callee = RpcEndpoint(LATER_UNION, never), RpcEndpoint(UNION, answer, received.append)
@@ -227,7 +227,7 @@
         callee.close()
 
 
-def test_a_flood_of_messages_that_can_not_be_read_loses_its_connection():
+def test_a_connection_with_too_many_undecodable_messages_is_closed():
     async def scenario(caller, callee, address):
         frame = Codec(LATER_UNION).encode(7, LaterQuestion("y"))
         refusal = Codec(UNION).encode(7, None)
@@ -243,7 +243,9 @@
     run(scenario)
 
 
-def test_unreadable_messages_of_a_connection_are_logged_in_one_short_line(caplog: pytest.LogCaptureFixture):
+def test_undecodable_messages_of_a_connection_are_logged_once_in_one_short_line(
+    caplog: pytest.LogCaptureFixture,
+):
     async def scenario(caller, callee, address):
         message = msgspec.msgpack.encode((0, ["\n" * 1000, "y"]))
         reader, writer = await asyncio.open_connection(*address)
