--- a/lapisgrade/gateway/fake_server.py
+++ b/lapisgrade/gateway/fake_server.py
@@ -1,4 +1,4 @@
-"""Stand-in servers of a local cluster: they send heartbeats, drain and answer by the servers' protocol."""
+"""Fake servers of a local cluster: they send heartbeats, drain and implement the servers' protocol."""
 
 import asyncio
 from collections import Counter
@@ -11,29 +11,33 @@
 from lapisgrade.gateway.http_server import encode_response
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 
-POLL_INTERVAL_S = 0.01  # between checks whether a caller has gone
+POLL_INTERVAL_S = 0.01  # interval between checks whether a caller has disconnected
 
 
 class FakeServer:
-    """One stand-in server: answers by the protocol, and counts what it ran.
+    """One fake server, which implements the servers' protocol and counts the requests that it runs.
 
     Attributes:
-        run_counts: How often each request was executed, by its Try-Id.
-        tenants: How many requests of each tenant were executed.
-        rejected_counts: How often each request was reset unread, by its Try-Id.
-        deadlines: The deadline that each request came with in ms, by its Try-Id.
-        abandoned_after_s: How long the server worked on requests whose caller had gone in s, by their Try-Id.
-        state: What its heartbeats say: `up` or `drain`.
-        running: How many requests it is executing.
-        fault: The fault that it plays: `cut`, `mixed`, `unsealed`, `extra`, `full` (resets what it can't
-            take), `failing`, `unavailable` (503 for what it ran), `silent` (never answers what it can't take,
-            nor what follows on that connection); empty for none.
+        run_counts: By Try-Id: number of times that the request was executed.
+        tenants: By tenant: number of executed requests.
+        rejected_counts: By Try-Id: number of times that the request was received and not executed, because of
+            the fault `full` or `silent`.
+        deadlines: By Try-Id: the request's deadline in ms.
+        abandoned_after_s: By Try-Id: seconds of work after which a request was abandoned, as its caller had
+            disconnected.
+        state: The state in its heartbeats: `up` or `drain`.
+        running: Number of requests in execution.
+        fault: The injected fault; empty for none. `cut` truncates responses and closes the connection,
+            `mixed` sends another request's response first, `unsealed` omits the seal, `extra` sends the
+            response twice, `full` resets the connection of every request, `failing` answers 500,
+            `unavailable` answers 503 after execution, `silent` never answers a request beyond its slots, nor
+            any later one on that connection.
     """
 
     def __init__(
         self, name: str, svc: str, address: tuple[str, int], work_s: float = 0.01, slots: int = 4
     ) -> None:
-        """Answer for the service `svc`: `slots` requests at once, each after `work_s` seconds."""
+        """Run up to `slots` requests of the service `svc` concurrently, each for `work_s` seconds."""
         self.name = name
         self.svc = svc
         self.address = address
@@ -52,18 +56,18 @@
         self._callers: dict[asyncio.StreamWriter, asyncio.StreamReader] = {}
 
     async def start(self) -> None:
-        """Listen at its address."""
+        """Listen at the server's address."""
         self._server = await asyncio.start_server(self._serve, *self.address)
 
     def close(self) -> None:
-        """Stop listening, and break all connections."""
+        """Stop listening, and abort all connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._callers:
             writer.transport.abort()
 
     async def send_heartbeat(self, controllers: list[tuple[str, int]]) -> int:
-        """Send a heartbeat to the first controller that replies; the status, 0 for none."""
+        """Send a heartbeat to the first controller that replies; return the status, or 0 for no reply."""
         self.sequence_number += 1
         body = {
             "Svc": self.svc, "Addr": f"{self.address[0]}:{self.address[1]}", "Az": "local", "Ver": "v1",
@@ -76,8 +80,8 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._callers[writer] = reader
         try:
-            rest, goes_on = b"", True
-            while goes_on:
+            rest, is_open = b"", True
+            while is_open:
                 parser, message = MessageParser(h11.SERVER), None
                 while message is None:
                     chunk = rest or await reader.read(65_536)
@@ -86,7 +90,7 @@
                         return
                     message = parser.feed(chunk)
                 rest = message.rest
-                goes_on = await self._answer_request(message, writer)
+                is_open = await self._answer_request(message, writer)
         except (OSError, MalformedMessageError, asyncio.CancelledError):
             pass
         finally:
@@ -94,7 +98,7 @@
             writer.close()
 
     async def _answer_request(self, message: Message, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request; whether the connection goes on."""
+        """Answer one request; return whether the connection stays open."""
         if self.fault == "full":
             self.rejected_counts[message.headers().get(b"try-id", b"").decode()] += 1
             writer.transport.abort()
@@ -111,10 +115,10 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _execute(self, name: str, writer: asyncio.StreamWriter) -> None:
-        """The work that a request takes; dropped once its connection closes, as most servers do."""
+        """Simulate the work of a request; abandon it when its connection closes, as most servers do."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while (worked := loop.time() - began) < self.work_s:
+        started = loop.time()
+        while (worked := loop.time() - started) < self.work_s:
             if writer.transport.is_closing() or self._callers[writer].at_eof():
                 self.abandoned_after_s[name] = worked
                 return
@@ -123,11 +127,11 @@
     async def _answer(self, message: Message, writer: asyncio.StreamWriter) -> bytes:
         fields = {name: value.decode() for name, value in message.headers().items()}
         name = fields.get(b"try-id", "")
-        own = f"Try-Id: {name}\r\nInstance: {self.name}\r\nServer-Load: {self.running},0,{self.slots}\r\n"
+        headers = f"Try-Id: {name}\r\nInstance: {self.name}\r\nServer-Load: {self.running},0,{self.slots}\r\n"
         if fields.get(b"want-instance", self.name) != self.name:
-            return encode_response(421, b"", own.encode())
+            return encode_response(421, b"", headers.encode())
         if self.running >= self.slots or self.state != "up":
-            return encode_response(503, b"", (own + "Not-Run: 1\r\n").encode())
+            return encode_response(503, b"", (headers + "Not-Run: 1\r\n").encode())
         self.running += 1
         self.run_counts[name] += 1
         self.tenants[fields.get(b"tenant", "")] += 1
@@ -137,18 +141,20 @@
         finally:
             self.running -= 1
         body = f"{self.svc} {cast(h11.Request, message.head).target.decode()}".encode()
-        whole = encode_response(200, body, (own + "Server-Seal: seal\r\n").encode())
+        response = encode_response(200, body, (headers + "Server-Seal: seal\r\n").encode())
         match self.fault:
             case "cut":
-                return whole[:-3]
+                return response[:-3]
             case "mixed":
-                return encode_response(200, b"another's", b"Try-Id: another\r\nServer-Seal: seal\r\n") + whole
+                return (
+                    encode_response(200, b"another's", b"Try-Id: another\r\nServer-Seal: seal\r\n") + response
+                )
             case "failing":
-                return encode_response(500, body, (own + "Server-Seal: seal\r\n").encode())
+                return encode_response(500, body, (headers + "Server-Seal: seal\r\n").encode())
             case "unavailable":
-                return encode_response(503, body, (own + "Server-Seal: seal\r\n").encode())
+                return encode_response(503, body, (headers + "Server-Seal: seal\r\n").encode())
             case "unsealed":
-                return encode_response(200, body, own.encode())
+                return encode_response(200, body, headers.encode())
             case "extra":
-                return whole + whole
-        return whole
+                return response + response
+        return response
--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -1,7 +1,7 @@
-"""A small gateway on loopback, in one process, for a first look and for tests.
+"""A small gateway on loopback in one process, for demos and tests.
 
-It has controllers, proxies and stand-in servers; each machine has its own address in 127/8. `LocalCluster`
-also plays the operator and the clients.
+It has controllers, proxies and fake servers; each machine has its own address in 127/8. `LocalCluster` also
+acts as the operator and the clients.
 """
 
 import asyncio
@@ -25,31 +25,31 @@
 from lapisgrade.gateway.settings import Address, Bind, Settings, Span
 from lapisgrade.net.http import Message
 
-CONTROL_PORT, HTTP_PORT, READINESS_PORT, RPC_PORT = 8407, 8405, 8406, 7660  # ports, as of one deployment
-HEARTBEAT_INTERVAL_S = 0.3  # between a stand-in's heartbeats
+CONTROL_PORT, HTTP_PORT, READINESS_PORT, RPC_PORT = 8407, 8405, 8406, 7660  # ports as in one deployment
+HEARTBEAT_INTERVAL_S = 0.3  # interval between a fake server's heartbeats
 
 
 class LocalCluster:
-    """A gateway, its servers and its operator, in this process. `async with` starts and ends it.
+    """A gateway, its servers and its operator in this process. `async with` starts and stops it.
 
     Attributes:
-        folder: Where each controller has a folder of its own.
-        names: The machines.
-        ip: Each machine's address.
+        folder: Folder with one data folder per controller.
+        names: Names of the machines.
+        ip: IP address by machine.
         voters: The machines that run a controller.
         controllers: Running controllers by machine.
         proxies: Running proxies by machine.
-        servers: Stand-in servers by name.
+        servers: Fake servers by name.
     """
 
     def __init__(self, machines: int = 3, voters: int = 3, net: int = 77, folder: str | None = None) -> None:
-        """Start nothing yet.
+        """Create the cluster without starting it.
 
         Args:
-            machines: How many there are.
-            voters: How many of them run a controller.
-            net: The second number of their addresses.
-            folder: Where controllers store their logs; by default a folder that goes with the cluster.
+            machines: Number of machines.
+            voters: Number of machines that run a controller.
+            net: Second byte of their IP addresses.
+            folder: Folder for the controllers' logs; by default a temporary one, deleted with the cluster.
         """
         self._temporary_folder = None if folder else tempfile.TemporaryDirectory[str]()
         self.folder = self._temporary_folder.name if self._temporary_folder else str(folder)
@@ -105,23 +105,25 @@
 
     @property
     def control_addresses(self) -> list[tuple[str, int]]:
-        """Where controllers take calls."""
+        """Addresses at which the controllers accept calls."""
         return [(self.ip[name], CONTROL_PORT) for name in self.controllers]
 
     def http_address(self, name: str) -> tuple[str, int]:
-        """Return where a machine's proxy takes requests."""
+        """Return the address at which a machine's proxy accepts requests."""
         return (self.ip[name], HTTP_PORT)
 
-    async def start_serving(self, conf: dict[str, Any] | None = None, **more: Any) -> "LocalCluster":
-        """Start one server, put a configuration (the sample), and wait until all proxies know both."""
-        await self.start_server("garantie", **more)
+    async def start_serving(
+        self, conf: dict[str, Any] | None = None, **server_options: Any
+    ) -> "LocalCluster":
+        """Start a server, apply a configuration (default `SAMPLE`), and wait until all proxies have both."""
+        await self.start_server("garantie", **server_options)
         while await self.put(conf or SAMPLE) != 200:
             await asyncio.sleep(POLL_INTERVAL_S)
         await self.until(lambda: all(each.ready and each.servers for each in self.proxies.values()))
         return self
 
     async def start_controller(self, name: str) -> None:
-        """Start a machine's controller, on the folder that it has."""
+        """Start a machine's controller on its existing folder."""
         controller = self.controllers[name] = Controller(self.settings(name))
         self._tasks[controller] = asyncio.get_running_loop().create_task(controller.run())
 
@@ -131,18 +133,21 @@
         self._tasks[proxy] = asyncio.get_running_loop().create_task(proxy.run())
 
     async def kill(self, part: Controller | Proxy) -> None:
-        """End a role as a process that is killed: it notifies nobody."""
+        """Stop a role as if its process was killed: without notifying other processes."""
         self._tasks[part].cancel()
         await asyncio.gather(self._tasks.pop(part), return_exceptions=True)
         for table in (self.controllers, self.proxies):
             for name in [name for name, each in table.items() if each is part]:
                 del table[name]
 
-    async def start_server(self, svc: str, **more: Any) -> FakeServer:
-        """Start a stand-in server of a service, which sends heartbeats from then on."""
+    async def start_server(self, svc: str, **server_options: Any) -> FakeServer:
+        """Start a fake server of a service and its heartbeats."""
         number = len(self.servers) + 1
         server = FakeServer(
-            f"i-{number}", svc, (f"127.{self.ip[self.names[0]].split('.')[1]}.1.{number}", 8080), **more
+            f"i-{number}",
+            svc,
+            (f"127.{self.ip[self.names[0]].split('.')[1]}.1.{number}", 8080),
+            **server_options,
         )
         await server.start()
         self.servers[server.name] = server
@@ -157,11 +162,11 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def stop_heartbeats(self, server: FakeServer) -> None:
-        """It beats no more, and answers on."""
+        """Stop a server's heartbeats; it keeps answering requests."""
         self._tasks.pop(server).cancel()
 
     async def put(self, conf: dict[str, Any], call: str = "conf.replace") -> int:
-        """The operator's call, at any controller until one answers."""
+        """Make an operator's call; return the status of the first controller that replies, or 0."""
         return await post_to_any(self.control_addresses, f"/-/rpc?call={call}", msgspec.json.encode(conf))
 
     async def get(
@@ -172,28 +177,28 @@
         id: str = "",
         host: str = "a.example",
         tries: int = 8,
-        **more: str,
+        **headers: str,
     ) -> Message:
-        """A client's request at a proxy; a promise (429, 503) is heeded, and asked again so many times."""
-        method = more.pop("method", "GET")
-        fields = {"Host": host, "Deadline-Ms": "2000", **more}
+        """Send a client's request to a proxy, up to `tries` times on 429 or 503 with Retry-After."""
+        method = headers.pop("method", "GET")
+        fields = {"Host": host, "Deadline-Ms": "2000", **headers}
         if key:
             fields["Authorization"] = f"Bearer {key}"
         while True:
             fields["Try-Id"] = id or f"{self.random.getrandbits(64):016x}"
-            got = await send_request(self.http_address(name), method, path, fields=fields)
-            back = got.headers().get(b"retry-after")
+            response = await send_request(self.http_address(name), method, path, fields=fields)
+            retry_after = response.headers().get(b"retry-after")
             tries -= 1
-            status = cast(h11.Response, got.head).status_code
-            if status not in (429, 503) or not back or not tries:
-                return got
-            await asyncio.sleep(float(back))
+            status = cast(h11.Response, response.head).status_code
+            if status not in (429, 503) or not retry_after or not tries:
+                return response
+            await asyncio.sleep(float(retry_after))
 
     async def until(self, condition: Callable[[], Any], timeout_s: float = 20.0) -> None:
-        """Wait until that holds, so many seconds at most.
+        """Wait until the condition is true.
 
         Raises:
-            TimeoutError: It doesn't in time.
+            TimeoutError: It is still false after `timeout_s` seconds.
         """
         async with asyncio.timeout(timeout_s):
             while not condition():
@@ -204,11 +209,11 @@
     """A network partition between the processes of a cluster: messages are lost, and calls time out.
 
     Attributes:
-        isolated: The addresses of the machines that reach no other machine.
+        isolated: IP addresses of the machines that are cut off from all others.
     """
 
     def __init__(self, cluster: LocalCluster) -> None:
-        """Take over the sending of all processes; no machine is isolated yet."""
+        """Intercept the calls and messages of all processes; no machine is isolated yet."""
         self.isolated: set[str] = set()
         self._ip = cluster.ip
         for controller in cluster.controllers.values():
--- a/lapisgrade/gateway/proxy/control_updates.py
+++ b/lapisgrade/gateway/proxy/control_updates.py
@@ -27,7 +27,7 @@
         servers: Copy of the server registry.
         registry_incarnation: Incarnation of the registry that the servers come from.
         registry_revision: Revision of that registry up to which the servers are known.
-        wants_known_servers: Whether a new leader requests the servers that this proxy knows.
+        requests_known_servers: Whether a new leader requests the servers that this proxy knows.
         ownership_ends_us: Until when this proxy may own counts under the present membership.
     """
 
--- a/lapisgrade/gateway/rpc_messages.py
+++ b/lapisgrade/gateway/rpc_messages.py
@@ -1,7 +1,7 @@
-"""Messages between the gateway's processes, beside those of the consensus group.
+"""RPC messages between the gateway's processes, except those of the consensus group.
 
-Each is encoded as a MessagePack array that starts with its tag; the order of the fields is the wire form,
-their names are free. Fields are only ever added at the end, with a default. Times are microseconds.
+Each is encoded as a MessagePack array that starts with its tag. The order of the fields is part of the wire
+format, their names are not. New fields go at the end and have a default. Times are in microseconds.
 """
 
 import msgspec
@@ -22,7 +22,7 @@
 
     Attributes:
         call: The name of the call, as in `api.CALLS_BY_NAME`.
-        subject: The server that it is about; empty for calls about none.
+        subject: The server that the call concerns; empty if it concerns none.
         body: The body of the HTTP request.
     """
 
@@ -37,7 +37,7 @@
     Attributes:
         status: The HTTP status for the caller.
         body: The body of the HTTP response.
-        leader_address: Where the leader takes such calls itself.
+        leader_address: Address at which the leader accepts such calls directly.
     """
 
     status: int
@@ -46,25 +46,25 @@
 
 
 class WatchRequest(msgspec.Struct, array_like=True, tag="N", frozen=True):
-    """A proxy asks the leader for whatever differs from what it has.
+    """Long poll of a proxy for updates from the leader.
 
-    The leader answers at once where something differs, else after a while.
+    The leader replies immediately if it has updates, and otherwise after `watch_timing.LONG_POLL_US`.
 
     Attributes:
-        proxy: The name of the proxy; empty for one that only looks for the leader.
-        address: Where the proxy listens for other proxies.
-        incarnation: Of the proxy's process.
+        proxy: The name of the proxy; empty if it only searches for the leader.
+        address: Address at which the proxy listens for other proxies.
+        incarnation: Incarnation of the proxy's process.
         zone: The proxy's zone.
-        active_version: The configuration version in force at the proxy.
-        registry_incarnation: Of the server registry that the proxy's servers are from.
-        registry_revision: The revision of that registry which the proxy has.
-        fencing_token: Of the list of live proxies which the proxy has; 0 for none.
-        known_servers: All servers that the proxy knows, for a leader that is new.
-        unreachable_proxies: Proxies whose machine refuses connections: their process has ended.
-        staged_version: The newest version that the proxy has ready, in force or not.
+        active_version: The configuration version that is active at the proxy.
+        registry_incarnation: Incarnation of the server registry that the proxy's servers come from.
+        registry_revision: The revision of that registry at the proxy.
+        fencing_token: Fencing token of the proxy's list of live proxies; 0 for no list.
+        known_servers: All servers that the proxy knows, for a new leader.
+        unreachable_proxies: Proxies whose machine refuses connections: their process has terminated.
+        staged_version: The newest version that is staged or active at the proxy.
         has_local_controller: Whether a controller runs on the proxy's machine.
         needs_full_version: Whether the proxy failed to decode a delta and needs a version in full.
-        is_terminating: Whether the proxy's process was told to shut down.
+        is_terminating: Whether the proxy's process is shutting down.
     """
 
     proxy: str
@@ -84,12 +84,12 @@
 
 
 class ProxyListDelta(msgspec.Struct, array_like=True, frozen=True):
-    """A list of live proxies as its changes from an earlier list.
+    """A list of live proxies, encoded as changes to an earlier list.
 
     Attributes:
         base: The fencing token of the earlier list.
-        changed: The proxies that were added or differ.
-        removed: The names of those that are no longer in the list.
+        changed: The proxies that were added or changed.
+        removed: The names of the removed proxies.
     """
 
     base: int
@@ -97,37 +97,37 @@
     removed: list[str]
 
     def apply_to(self, proxies: ProxiesByName) -> ProxiesByName:
-        """Return the newer list, given the earlier one."""
+        """Return the new list, given the earlier one."""
         remaining = {name: proxy for name, proxy in proxies.items() if name not in self.removed}
         return {**remaining, **self.changed}
 
 
 class WatchReply(msgspec.Struct, array_like=True, tag="n", frozen=True):
-    """What differs from what the proxy has, or only where the leader may be found.
+    """Updates for a proxy, or only a hint where to find the leader.
 
     Attributes:
-        is_leader: Whether the leader sent this; else only the addresses below are set.
-        leader_address: Where the leader may be found.
+        is_leader: Whether the leader sent this; if not, only the two address fields below are set.
+        leader_address: Probable address of the leader.
         controllers: Addresses of all controllers.
-        active_version: The configuration version in force.
-        active_configuration: That version, where the proxy lacks it.
-        registry_incarnation: Of the leader's server registry.
-        registry_revision: The revision of that registry which the proxy has with this reply.
-        is_registry_complete: Whether the registry knows every live server by now.
-        is_full_update: Whether `servers` are all servers of the registry, not changes alone.
+        active_version: The active configuration version.
+        active_configuration: That version, if the proxy lacks it.
+        registry_incarnation: Incarnation of the leader's server registry.
+        registry_revision: The revision of that registry at the proxy after this reply.
+        is_registry_complete: Whether every live server has had time to register with this leader.
+        is_full_update: Whether `servers` holds all servers of the registry, not only changes.
         servers: The servers that changed after the proxy's revision.
-        fencing_token: Of the current list of live proxies.
-        live_proxies: That list in full, where the proxy has another and gets no delta.
-        wants_known_servers: Whether the leader is new and wants to know the proxy's servers.
-        staged_versions: Newer versions that the proxy lacks, to be kept ready until they come into force.
-        merged_versions: Those of the staged versions that were merged from drafts. A request that must run
-            at most once is held back by them.
+        fencing_token: Fencing token of the current list of live proxies.
+        live_proxies: That list in full, if the proxy has another one and gets no delta.
+        requests_known_servers: Whether a new leader requests the servers that the proxy knows.
+        staged_versions: Newer versions that the proxy lacks, to be staged until they are activated.
+        merged_versions: The staged versions that were merged from drafts. Requests that must run at most
+            once wait for their activation.
         proxies_with_controller: Live proxies on whose machine a controller runs.
-        previous_fencing_token: Of the list of live proxies before the current one.
-        terminating_proxies: Live proxies that were told to shut down.
-        previous_owners: Who owned quota counts under the previous list, for a proxy that lacks that list.
-        earlier_owners: The same for the lists before it, the latest first, as far back as an owner may act.
-        live_proxies_delta: The current list as changes from the proxy's, in place of `live_proxies`.
+        previous_fencing_token: Fencing token of the previous list of live proxies.
+        terminating_proxies: Live proxies that are shutting down.
+        previous_owners: Owners of quota counts under the previous list, for a proxy that lacks that list.
+        earlier_owners: The same for the lists before it, latest first, as far back as an owner may still act.
+        live_proxies_delta: The current list as changes to the proxy's list, instead of `live_proxies`.
     """
 
     is_leader: bool
@@ -153,9 +153,9 @@
     live_proxies_delta: ProxyListDelta | None = None
 
     def updated_proxies(self, fencing_token: int, proxies: ProxiesByName) -> ProxiesByName | None:
-        """Return the current list of live proxies for one that has `proxies` under that fencing token.
+        """Return the current list of live proxies, given the proxy's list and its fencing token.
 
-        Returns None where the reply brings no newer list, or a delta on another list.
+        Returns None if the reply has no newer list, or has a delta to another list.
         """
         delta = self.live_proxies_delta
         if delta is not None:
@@ -167,14 +167,14 @@
     """Take units of a tenant's quota from the proxy that owns the tenant's count.
 
     Attributes:
-        tenant: Whose quota it is.
-        units: How many units the requester takes.
-        requester: The name of the proxy that takes them.
-        fencing_token: Of the list of live proxies by which the requester found the owner.
-        rate: The tenant's limit, in units a second.
+        tenant: The tenant whose quota it is.
+        units: Number of units that the requester takes.
+        requester: The name of the requesting proxy.
+        fencing_token: Fencing token of the list of live proxies that determined the owner.
+        rate: The tenant's rate limit, in units per second.
         burst: The tenant's burst, in units.
-        returned_units: Units of an earlier grant that were not spent.
-        sequence_number: Of the requester's requests for this tenant.
+        returned_units: Unspent units of an earlier grant.
+        sequence_number: Sequence number of the requester's requests for this tenant.
         returned_from: The sequence number of the request that granted `returned_units`.
     """
 
@@ -193,11 +193,11 @@
     """The owner's answer to a quota request.
 
     Attributes:
-        is_accepted: Whether the units were counted. False where the receiver does not own the count now; then
-            nothing was counted.
-        total: Units in use of the tenant's burst, after this request.
-        active_limiters: How many proxies take units of this tenant.
-        fencing_token: Of the list of live proxies that the owner has.
+        is_accepted: Whether the units were counted; False, with nothing counted, if the receiver does not own
+            the count.
+        total: Units of the tenant's burst in use after this request.
+        active_limiters: Number of proxies that take units of this tenant.
+        fencing_token: Fencing token of the owner's list of live proxies.
     """
 
     is_accepted: bool
@@ -207,15 +207,15 @@
 
 
 class HandOverRequest(msgspec.Struct, array_like=True, tag="O", frozen=True):
-    """The new owner of a count asks the previous owner for it.
+    """Request of a count's new owner to its previous owner.
 
     Attributes:
-        tenant: Whose quota is counted.
+        tenant: The tenant whose quota is counted.
         requester: The name of the new owner.
-        fencing_token: Of the list of live proxies under which the requester is the owner.
-        rate: The tenant's limit, in units a second.
+        fencing_token: Fencing token of the list of live proxies under which the requester is the owner.
+        rate: The tenant's rate limit, in units per second.
         burst: The tenant's burst, in units.
-        incarnation: Of the requester's process.
+        incarnation: Incarnation of the requester's process.
     """
 
     tenant: str
@@ -227,12 +227,12 @@
 
 
 class HandedCount(msgspec.Struct, array_like=True, frozen=True):
-    """A count as its previous owner leaves it.
+    """A count that its previous owner hands over.
 
     Attributes:
-        level: Units that are available.
-        outstanding_grants: Units that were granted and may not be spent yet.
-        reserve_us: How much longer half of the burst is reserved for grants of an owner before that.
+        level: Available units.
+        outstanding_grants: Granted units that may not be spent yet.
+        reserve_us: Remaining time for which half of the burst is reserved for grants of an earlier owner.
     """
 
     level: float
@@ -244,8 +244,9 @@
     """The previous owner's answer to a hand-over request.
 
     Attributes:
-        must_wait: The count can't be given, and somebody may still act as its owner. If False, nobody does.
-        count: The count to go on with, where it is known.
+        must_wait: Whether the count can't be handed over yet and another proxy may still act as its owner.
+            If False, no other proxy does.
+        count: The count to continue with, if it is known.
     """
 
     must_wait: bool
@@ -253,12 +254,12 @@
 
 
 class ProxyLoads(msgspec.Struct, array_like=True, tag="L", frozen=True):
-    """The requests of one proxy at each server, for proxies that share servers with it.
+    """Load that one proxy puts on its servers, sent to proxies that share servers with it.
 
     Attributes:
         proxy: The name of the proxy.
-        in_flight: Requests in flight by server, where there are any.
-        unhealthy_servers: Servers that answer the proxy badly.
+        in_flight: By server: number of requests in flight, if any.
+        unhealthy_servers: Servers that are unhealthy from the proxy's point of view.
     """
 
     proxy: str
@@ -267,19 +268,19 @@
 
 
 class CopyDraft(msgspec.Struct, array_like=True, tag="H", frozen=True):
-    """A draft that the receiving controller is to store too."""
+    """A draft for the receiving controller to store as a replica."""
 
     draft: Draft
 
 
 class CopyDraftReply(msgspec.Struct, array_like=True, tag="h", frozen=True):
-    """Whether the draft is on the receiving controller's disk."""
+    """Reply to `CopyDraft`: whether the draft is on the receiver's disk."""
 
     is_stored: bool
 
 
 class ClaimRequest(msgspec.Struct, array_like=True, tag="C", frozen=True):
-    """A proxy asks the leader to record that one of its attempts runs a keyed operation."""
+    """Request of a proxy to the leader to record that one of its attempts runs a keyed operation."""
 
     claim: Claim
 
@@ -288,11 +289,11 @@
     """The leader's answer to a claim.
 
     Attributes:
-        is_known: Whether the leader knows who holds the key. False where the receiver doesn't lead, or where
-            the claim may still be recorded; the same claim may be sent again, there or elsewhere.
-        attempt: The attempt that holds the key, on a majority of the disks; empty where no more are recorded.
-        owner: Where that attempt's proxy answers other proxies.
-        leader_address: Where the leader may be found, where the receiver doesn't lead.
+        is_known: Whether the leader knows which attempt holds the key. False if the receiver is not the
+            leader, or if the claim may still be recorded; the same claim may be retried at any controller.
+        attempt: The attempt that holds the key, committed; empty if the table accepts no more claims.
+        owner: Address at which that attempt's proxy answers other proxies.
+        leader_address: Probable address of the leader, if the receiver is not the leader.
     """
 
     is_known: bool
@@ -302,11 +303,11 @@
 
 
 class OutcomeRequest(msgspec.Struct, array_like=True, tag="U", frozen=True):
-    """A proxy asks the one that holds a key's claim what came of its attempt.
+    """Request to the proxy that holds a key's claim for the outcome of its attempt.
 
     Attributes:
-        attempt: As the claim named it.
-        wait_us: How long the reply may wait for the end of an attempt that is running.
+        attempt: The attempt as named in the claim.
+        wait_us: Maximum delay of the reply while the attempt is running.
     """
 
     attempt: str
@@ -314,7 +315,7 @@
 
 
 class OutcomeReply(msgspec.Struct, array_like=True, tag="u", frozen=True):
-    """What came of an attempt, as far as its proxy knows."""
+    """The outcome of an attempt, as far as its proxy knows."""
 
     outcome: Outcome
 
