--- a/lapisgrade/gateway/__init__.py
+++ b/lapisgrade/gateway/__init__.py
@@ -1,9 +1,9 @@
-"""The gateway round the limiter: controllers keep the configuration and the server registry, proxies route.
+"""The gateway around the limiter: controllers store the configuration and server registry, proxies route.
 
-docs/design/system.md says which part does what.
+docs/design/system.md describes the parts.
 """
 
 import time
 
-SECOND = 1_000_000  # us; all times inside the pure parts are whole microseconds of one steady clock
-STARTED_US = time.monotonic_ns() // 1000  # when this process began to load its code
+SECOND = 1_000_000  # us; the modules without I/O use whole microseconds of one monotonic clock
+STARTED_US = time.monotonic_ns() // 1000  # time at which this process started to load its code
--- a/lapisgrade/gateway/api.py
+++ b/lapisgrade/gateway/api.py
@@ -1,7 +1,7 @@
-"""The control API: the calls of servers and operators, and how a request names one.
+"""The control API: the calls of servers and operators, and their encoding in requests.
 
-A call is an HTTP POST to `PATH`, with its name in the query's `call` and, where it is about a server, that
-server's identity in `of`. `CALLS_BY_NAME` lists all calls.
+A call is an HTTP POST to `PATH` with its name in the query parameter `call`. A call that concerns a server
+has its id in the parameter `of`. `CALLS_BY_NAME` lists all calls.
 """
 
 from http import HTTPStatus
@@ -19,22 +19,22 @@
 
 PATH = "/-/rpc"
 NO_WARM_UP = Span(0)
-MAX_SMALL_BODY_BYTES = 4096  # of calls that carry neither a configuration nor a draft
+MAX_SMALL_BODY_BYTES = 4096  # body limit of calls with neither a configuration nor a draft
 MAX_SERVER_ID_LENGTH = 256  # characters
 
 
 @define(frozen=True, slots=True)
 class Heartbeat:
-    """The body of a server's heartbeat; its fields bear the names of the wire in lower case.
+    """The body of a server's heartbeat; the field names are the wire names in lower case.
 
     Attributes:
         svc: The service that the server runs.
-        addr: Where it takes requests.
-        seq: Counts the server's heartbeats.
-        az: The failure domain that it runs in.
-        slots: How many requests it runs at once.
-        state: `drain` where it takes no new requests; anything else is `up`.
-        warmup_time: How much longer it is slower than usual.
+        addr: Address at which it accepts requests.
+        seq: Sequence number of the heartbeat.
+        az: Its failure domain.
+        slots: Number of requests that it runs concurrently.
+        state: `drain` if it accepts no new requests; any other value means `up`.
+        warmup_time: Remaining slow-start time.
     """
 
     svc: str
@@ -51,10 +51,10 @@
     """One call of the control API.
 
     Attributes:
-        name: As requests and metrics have it.
-        has_subject: Whether it is about a server, which the request names.
-        max_body_bytes: What its body may have at most.
-        description: What it tells or asks, for people.
+        name: The name in requests and metrics.
+        has_subject: Whether it concerns a server, which the request names.
+        max_body_bytes: Maximum size of its body.
+        description: Its content or purpose in words.
     """
 
     name: str
@@ -64,23 +64,23 @@
 
 
 class ParsedCall(NamedTuple):
-    """A call and the server that it is about; empty for none."""
+    """A call and the id of the server that it concerns; empty for none."""
 
     call: Call
     subject: str
 
 
 _CALLS = (
-    Call("servers.heartbeat", True, MAX_SMALL_BODY_BYTES, "a server lives, or drains"),
-    Call("servers.deregister", True, MAX_SMALL_BODY_BYTES, "a server is about to end"),
-    Call("conf.replace", False, configuration.MAX_BYTES, "a whole configuration"),
+    Call("servers.heartbeat", True, MAX_SMALL_BODY_BYTES, "a server is up or draining"),
+    Call("servers.deregister", True, MAX_SMALL_BODY_BYTES, "a server is about to terminate"),
+    Call("conf.replace", False, configuration.MAX_BYTES, "a complete configuration"),
     Call("conf.update", False, configuration.MAX_BYTES, "a change of named items"),
     Call("conf.show", False, MAX_SMALL_BODY_BYTES, "the newest configuration"),
     Call("conf.draft", False, MAX_DRAFT_BYTES, "a change of named items, stored here until it can be merged"),
-    Call("conf.drafts", False, MAX_SMALL_BODY_BYTES, "drafts, what came of each, and what is open"),
-    Call("conf.settle", False, MAX_SMALL_BODY_BYTES, "a draft's fields that were set aside come into force"),
-    Call("conf.close", False, MAX_SMALL_BODY_BYTES, "what is open of a draft is not wanted any more"),
-    Call("conf.status", False, MAX_SMALL_BODY_BYTES, "which proxies have which version; servers"),
+    Call("conf.drafts", False, MAX_SMALL_BODY_BYTES, "drafts, their outcomes, and unresolved conflicts"),
+    Call("conf.settle", False, MAX_SMALL_BODY_BYTES, "apply the conflicting fields of a draft"),
+    Call("conf.close", False, MAX_SMALL_BODY_BYTES, "discard the unresolved part of a draft"),
+    Call("conf.status", False, MAX_SMALL_BODY_BYTES, "the configuration version of each proxy; servers"),
 )
 CALLS_BY_NAME = {call.name: call for call in _CALLS}
 
@@ -88,7 +88,7 @@
 
 
 def parse_call(method: str, target: str) -> ParsedCall | HTTPStatus:
-    """Return the call that a request line names, or the HTTP status that refuses it."""
+    """Return the call that a request line names, or the HTTP status of the rejection."""
     parts = urlsplit(target)
     if parts.path != PATH:
         return HTTPStatus.NOT_FOUND
@@ -105,10 +105,10 @@
 
 
 def parse_heartbeat(server_id: str, body: bytes) -> Server:
-    """Return the server that a heartbeat describes, as the registry takes it in.
+    """Return the server that a heartbeat describes, for `Registry.on_heartbeat`.
 
     Raises:
-        InvalidInputError: The body is no heartbeat.
+        InvalidInputError: The body is not a valid heartbeat.
     """
     try:
         raw = msgspec.json.decode(body)
--- a/lapisgrade/gateway/errors.py
+++ b/lapisgrade/gateway/errors.py
@@ -1,19 +1,19 @@
-"""Errors for what operators, peers and later releases hand in to the gateway."""
+"""Errors for invalid input from operators, peers and later releases."""
 
 from lapisgrade.errors import LapisgradeError
 
 
 class InvalidInputError(LapisgradeError):
-    """A file, call or message can't be accepted; the message says what is wrong with it and where."""
+    """A file, call or message is invalid; the error message names the fault and its place."""
 
 
 class SettingsError(InvalidInputError):
-    """A settings file can't be read, or its content can't be accepted."""
+    """A settings file can't be read, or its content is invalid."""
 
 
 class ConfigurationError(InvalidInputError):
-    """A configuration, a change or a draft of one, or its encoded form, can't be accepted."""
+    """A configuration, a change or draft of one, or an encoded version is invalid."""
 
 
 class UnreadableLogError(LapisgradeError):
-    """A controller's replicated log holds what this release can't read: a later release wrote it."""
+    """A controller's replicated log has entries of a later release, which this release can't decode."""
--- a/lapisgrade/gateway/http_client.py
+++ b/lapisgrade/gateway/http_client.py
@@ -1,4 +1,4 @@
-"""One request over HTTP on a connection of its own, for operators' tools and stand-ins."""
+"""HTTP client for operators' tools and fake servers; opens one connection per request."""
 
 import asyncio
 from collections.abc import Iterable
@@ -24,9 +24,9 @@
     """Send one request and return the reply.
 
     Raises:
-        OSError: There is no connection, or it broke.
-        TimeoutError: The reply is not complete in time.
-        MalformedMessageError: The reply is not HTTP, or ends early.
+        OSError: The connection fails.
+        TimeoutError: The reply is not complete after `REPLY_TIMEOUT_S`.
+        MalformedMessageError: The reply is not HTTP, or is truncated.
     """
     fields = fields or {}
     lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
@@ -46,11 +46,11 @@
 
 
 async def post_to_any(controllers: Iterable[tuple[str, int]], target: str, body: bytes = b"") -> int:
-    """Return the status of the first controller that replies with one below 500; 0 where none does."""
+    """Return the first status below 500 that a controller replies with; 0 if there is none."""
     for address in controllers:
         try:
             message = await send_request(address, "POST", target, body, {"Content-Type": "application/json"})
-        except (OSError, TimeoutError, MalformedMessageError):  # it may end in the midst of a reply
+        except (OSError, TimeoutError, MalformedMessageError):  # it may stop during a reply
             continue
         response = cast(h11.Response, message.head)
         if response.status_code < HTTPStatus.INTERNAL_SERVER_ERROR:
--- a/lapisgrade/gateway/http_server.py
+++ b/lapisgrade/gateway/http_server.py
@@ -1,6 +1,6 @@
-"""A small HTTP server for servers, operators and the platform.
+"""A small HTTP server for calls of servers, operators and the platform.
 
-It reads one request after another from a connection, and answers each with a short JSON body.
+It answers the requests of a connection one after another, each with a short JSON body.
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 from lapisgrade.net.connection import READ_BYTES, limit_read_size
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 
-IDLE_TIMEOUT_S = 30.0  # that a connection may stay without a request
-MAX_CONNECTIONS = 512  # beyond it the one that has been idle for longest is closed (guards descriptors)
+IDLE_TIMEOUT_S = 30.0  # maximum time for a complete request to arrive, before the connection is closed
+MAX_CONNECTIONS = 512  # beyond it the connection idle for longest is closed; bounds descriptors
 LISTEN_BACKLOG = 64
 CLOSE_FIELD = b"Connection: close\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class HttpReply(NamedTuple):
-    """What a handler answers.
+    """A handler's reply.
 
     Attributes:
         status: The HTTP status.
-        body: JSON; empty for none.
-        fields: Further header lines, each with its line end.
+        body: JSON; empty for no body.
+        fields: Additional header lines, each with its line end.
     """
 
     status: int
@@ -40,27 +40,29 @@
 
 
 class HttpServer:
-    """Hands each request to a handler.
+    """Passes each request to a handler.
 
     Attributes:
-        closing: Set where connections are to be closed after the request that is being answered.
+        closing: Set during shutdown: each connection is closed after its current request.
     """
 
     def __init__(self, handler: Handler, max_body_bytes: int, max_connections: int = MAX_CONNECTIONS) -> None:
-        """Refuse requests whose body is longer than that, and keep no more connections than that."""
+        """Reject requests with a body over `max_body_bytes`, and keep at most `max_connections` open."""
         self._handler = handler
         self._max_connections = max_connections
         self._max_body_bytes = max_body_bytes
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.StreamWriter] = set()
-        self._idle: dict[asyncio.StreamWriter, None] = {}  # without a request; the longest so is first
+        self._idle: dict[
+            asyncio.StreamWriter, None
+        ] = {}  # connections without a request, the longest idle first
         self.closing = False
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """Accept connections at that address.
+        """Accept connections at the address.
 
         Raises:
-            OSError: The address can't be listened at.
+            OSError: Listening at the address fails.
         """
         sock = socket.create_server(tuple(address))
         self._server = await asyncio.start_server(self._on_connection, sock=sock, backlog=LISTEN_BACKLOG)
@@ -88,14 +90,14 @@
             writer.close()
 
     def _free_capacity(self, newest: asyncio.StreamWriter) -> None:
-        """Close the connection that has been idle for longest, else the newest."""
+        """Close the connection that has been idle for longest, or the newest one if none is idle."""
         closed = next(iter(self._idle), newest)
         self._idle.pop(closed, None)
         self._connections.discard(closed)
         closed.transport.abort()
 
     async def _answer_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        rest = b""  # what came after the request before
+        rest = b""  # bytes received after the previous request
         while True:
             try:
                 self._idle[writer] = None
@@ -117,11 +119,11 @@
     async def _read_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, rest: bytes
     ) -> Message | None:
-        """Return the next request; None where the connection ends.
+        """Return the next request; None at the end of the connection.
 
         Raises:
-            TimeoutError: It is not complete in time.
-            MalformedMessageError: It is no request.
+            TimeoutError: It is not complete after `IDLE_TIMEOUT_S`.
+            MalformedMessageError: It is not a valid HTTP request.
         """
         parser = MessageParser(h11.SERVER, self._max_body_bytes)
         async with asyncio.timeout(IDLE_TIMEOUT_S):
@@ -138,7 +140,7 @@
 
 
 def encode_response(status: int, body: bytes, fields: bytes) -> bytes:
-    """Return an HTTP response with a JSON body; `fields` are further header lines, each with its end."""
+    """Return an HTTP response with a JSON body; `fields` are additional header lines with line ends."""
     reason = HTTPStatus(status).phrase.encode() if status in HTTPStatus._value2member_map_ else b""
     content_type = b"Content-Type: application/json\r\n" if body else b""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
--- a/lapisgrade/gateway/renamed.py
+++ b/lapisgrade/gateway/renamed.py
@@ -1,4 +1,4 @@
-"""The command `lapisgrade-railway`, an earlier name of this program: says what the command is called now."""
+"""The command `lapisgrade-railway`, a former name of this program: prints the current command line."""
 
 import sys
 
@@ -8,12 +8,12 @@
 
 
 def renamed_command_line(arguments: list[str]) -> str:
-    """Say today's command line for one of `lapisgrade-railway`."""
+    """Return a message with the current command line for the arguments of `lapisgrade-railway`."""
     command = [RENAMED_COMMANDS.get(name, name) for name in arguments[:1]]
     return f"lapisgrade-railway is now: {' '.join(['lapisgrade', *command, *arguments[1:]])}"
 
 
 def main() -> int:
-    """Print the command line of today, and end with 2."""
+    """Print the current command line; return exit code 2."""
     print(renamed_command_line(sys.argv[1:]), file=sys.stderr)
     return ExitCode.INVALID_INPUT
--- a/lapisgrade/gateway/startup.py
+++ b/lapisgrade/gateway/startup.py
@@ -1,7 +1,8 @@
-"""Imported before all else by a program that may run a role.
+"""Start-up of a role's process; imported before everything else by programs that may run a role.
 
-A role's code loads without garbage collection: nothing of it is garbage, and looking for some costs a tenth
-of a start's processor time. A SIGHUP that comes meanwhile is kept, as one without a handler ends the process.
+Garbage collection is off while a role's code loads: loading produces no garbage, and the collections take a
+tenth of the processor time of a start. A SIGHUP during loading is recorded, as the default action terminates
+the process.
 """
 
 import gc
@@ -9,9 +10,9 @@
 import sys
 
 ROLES = ("proxy", "controller")
-MAX_ROLE_POSITION = 2  # of the role among the arguments; the laboratory's runner has one before it
+MAX_ROLE_POSITION = 2  # last argument position of the role; the lab's runner has one argument before it
 
-early_signals: list[int] = []  # the SIGHUPs that came before the role could act on them
+early_signals: list[int] = []  # SIGHUPs received before the role installed its handler
 
 if any(argument in ROLES for argument in sys.argv[1 : MAX_ROLE_POSITION + 1]):
     gc.disable()
@@ -19,6 +20,6 @@
 
 
 def finish() -> None:
-    """All code is loaded: what there is stays, and the collector looks at what comes after it."""
+    """Enable garbage collection after loading; objects that exist by now are never collected."""
     gc.freeze()
     gc.enable()
--- a/tests/gateway/test_http_server.py
+++ b/tests/gateway/test_http_server.py
@@ -1,4 +1,4 @@
-"""The small HTTP server of controllers, and what it holds for callers that say nothing."""
+"""The HTTP server of controllers, and its limits on idle connections."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
     return HttpReply(200)
 
 
-async def test_idle_connections_beyond_the_bound_keep_no_caller_out(
+async def test_idle_connections_beyond_the_limit_do_not_block_callers(
     loopback_network: LoopbackNetwork,
 ) -> None:
     address = (loopback_network.host(1), PORT)
@@ -26,18 +26,18 @@
     await server.listen(address)
     idle = [await asyncio.open_connection(*address) for _ in range(3 * MAX_CONNECTIONS)]
     try:
-        got = await send_request(address, "GET", "/")
-        assert got.head.status_code == 200
+        response = await send_request(address, "GET", "/")
+        assert response.head.status_code == 200
         assert len(server._connections) <= MAX_CONNECTIONS
         async with asyncio.timeout(5.0):
-            assert await idle[0][0].read() == b"", "the one that was idle for longest is closed"
+            assert await idle[0][0].read() == b"", "the connection idle for longest was not closed"
     finally:
         server.close()
         for _, writer in idle:
             writer.close()
 
 
-def test_a_controller_keeps_descriptors_for_its_own_calls_and_files() -> None:
+def test_a_controller_reserves_descriptors_for_its_own_calls_and_files() -> None:
     for descriptors in (300, 475, 750, 1024):
         assert max_control_connections(descriptors) <= descriptors - RESERVED_FILES
     assert max_control_connections(100) > 0
