--- a/lapisgrade/gateway/configuration.py
+++ b/lapisgrade/gateway/configuration.py
@@ -1,8 +1,8 @@
-"""The configuration that operators put into force: its records, and how it is read and checked. Pure.
+"""The operators' configuration: its records (attrs), parsing and validation. No I/O.
 
-The fields of the records bear the configuration's own keys in lower case (`Apikeys` is `apikeys`), as
-messages about faults name them. What the operator sent is stored as it was laid out, so that it can be
-read back the same; the records are what the data plane needs of it. Times are microseconds.
+The fields of the records are the keys of the configuration in lower case (`Apikeys` is `apikeys`), as error
+messages name them. The configuration is stored as the operator sent it, so that it can be read back
+unchanged; the records hold the part that the data plane needs. Times are in microseconds.
 """
 
 import functools
@@ -18,10 +18,10 @@
 from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway.settings import Span, strict_converter, structure, wire_name
 
-MAX_BYTES = 8 * 1024 * 1024  # of one configuration; far beyond what a leader's memory is asked to keep
+MAX_BYTES = 8 * 1024 * 1024  # maximum size of one configuration; far above what a leader has to store
 MAX_NAME_LENGTH = 256  # characters
-MAX_CACHED_ITEMS = 8192  # routes, tenants and services each whose text is not read again
-MAX_SHOWN_LENGTH = 100  # characters of a name in a message
+MAX_CACHED_ITEMS = 8192  # cache size for parsed items, for each of routes, tenants and services
+MAX_SHOWN_LENGTH = 100  # maximum number of characters of a name in a message
 DEFAULT_HEAD_TIMEOUT = Span(3 * SECOND)
 DEFAULT_IDLE_TIMEOUT = Span(15 * SECOND)
 DEFAULT_HEAD_BYTES = 16_384
@@ -29,47 +29,47 @@
 
 
 class ApiKey(str):
-    """A tenant's API key: a secret, which no message shows, not even where it can't be read."""
+    """A tenant's API key: a secret that no message contains, even if it is invalid."""
 
     __slots__ = ()
 
 
 def wire_field(name: str, **options: Any) -> Any:
-    """Return an attrs field that the configuration has under another key than `wire_name` would make."""
+    """Return an attrs field whose key in the configuration differs from its `wire_name`."""
     return field(metadata={"wire": name}, **options)
 
 
 def check_positive(_: Any, attribute: Any, value: Any) -> None:
-    """Validate a number above 0."""
+    """Validate that a number is above 0."""
     if value <= 0:
         raise ValueError(f"{wire_name(attribute.name)} is {value}, not above 0")
 
 
 def check_not_negative(_: Any, attribute: Any, value: Any) -> None:
-    """Validate a number from 0 on."""
+    """Validate that a number is not below 0."""
     if value < 0:
         raise ValueError(f"{wire_name(attribute.name)} is {value}, below 0")
 
 
 def check_leading_slash(_: Any, attribute: Any, value: str) -> None:
-    """Validate the prefix of a path."""
+    """Validate that a path prefix starts with a slash."""
     if not value.startswith("/"):
         raise ValueError(f"{value!r} does not begin with a slash")
 
 
 def check_name(_: Any, attribute: Any, value: str) -> None:
-    """Validate the name of an item."""
+    """Validate the length of an item's name."""
     if not 0 < len(value) <= MAX_NAME_LENGTH:
         raise ValueError(f"{wire_name(attribute.name)} must have 1 to {MAX_NAME_LENGTH} characters")
 
 
 class Mode(StrEnum):
-    """How often a route's requests may run; the values are the configuration's own words.
+    """How often a route's requests may run; the values are those of the configuration.
 
     Attributes:
-        IDEM: Idempotent: as often as is of use.
-        MUTATE: At most once for each attempt of a client.
-        KEYED: At most once for all attempts of a tenant with one `Op-Key`.
+        IDEM: Idempotent: any number of times.
+        MUTATE: At most once per attempt of a client.
+        KEYED: At most once for all attempts of a tenant with the same `Op-Key`.
     """
 
     IDEM = "idem"
@@ -78,10 +78,10 @@
 
 
 def to_mode(value: str) -> Mode:
-    """Return the mode of that name.
+    """Return the mode with the given name.
 
     Raises:
-        ValueError: There is none.
+        ValueError: No mode has this name.
     """
     if value not in tuple(Mode):
         raise ValueError(f"{value!r} is no mode, as idem, mutate and keyed are")
@@ -90,11 +90,11 @@
 
 @define(frozen=True, slots=True)
 class Share:
-    """A service's part of a split route.
+    """A service's share of a split route.
 
     Attributes:
         svc: The service.
-        wt: Its weight; its part is the weight divided by the sum of all.
+        wt: Its weight; its share is the weight divided by the sum of all weights.
     """
 
     svc: str = field(validator=check_name)
@@ -103,13 +103,13 @@
 
 @define(frozen=True, slots=True)
 class Action:
-    """Where a route's requests go, and how long and how often they are tried.
+    """Services, time-out and attempt limit of a route's requests.
 
     Attributes:
-        timeout: Until the client has its answer at the latest, in us.
-        svc: The service; empty where the route is split.
-        split: The services that share the route; empty where it goes to one.
-        tries: How many attempts a request may take.
+        timeout: Time after which a request is answered at the latest, in us.
+        svc: The service; empty if the route is split.
+        split: The services that share the route; empty if it has a single service.
+        tries: Maximum number of attempts per request.
     """
 
     timeout: Span = field(validator=check_positive)
@@ -118,20 +118,20 @@
     tries: int = field(default=2, validator=check_positive)
 
     def __attrs_post_init__(self) -> None:
-        """Check that the route goes to one service or to a split."""
+        """Validate that the route has either one service or a split."""
         if bool(self.svc) == bool(self.split):
             raise ValueError("either Svc or Split, not both and not none")
         if self.split and sum(share.wt for share in self.split) <= 0:
             raise ValueError("the weights of Split add up to 0")
 
     def shares(self) -> tuple[Share, ...]:
-        """Return the services with their weights; one with weight 1 where the route is not split."""
+        """Return the services with their weights; a single service has weight 1."""
         return self.split or (Share(self.svc, 1.0),)
 
 
 @define(frozen=True, slots=True)
 class Match:
-    """Which requests a route takes: those whose path begins with `pfx`."""
+    """A route's requests: those whose path starts with `pfx`."""
 
     pfx: str = field(validator=check_leading_slash)
 
@@ -142,12 +142,12 @@
 
     Attributes:
         name: Unique in the configuration.
-        match: Which requests it takes.
-        action: Where they go.
+        match: The requests that it matches.
+        action: Where they are forwarded.
         mode: How often its requests may run.
         target_time: The latency target, in us.
-        prio: The priority; where there is too much load, the lowest is shed first.
-        public: Whether requests without an API key are taken.
+        prio: The priority; under overload the lowest priority is shed first.
+        public: Whether requests without an API key are accepted.
     """
 
     name: str = field(validator=check_name)
@@ -174,8 +174,8 @@
     Attributes:
         name: Unique in the configuration.
         hcheck: The path of its health check.
-        maxconn: How many connections one of its servers takes.
-        dedup: Whether its servers keep a record of operation keys of their own.
+        maxconn: Maximum number of connections per server.
+        dedup: Whether its servers deduplicate operation keys themselves.
     """
 
     name: str = field(validator=check_name)
@@ -186,14 +186,14 @@
 
 @define(frozen=True, slots=True)
 class Tenant:
-    """A customer with its API keys and its quota.
+    """A customer with its API keys and quota.
 
     Attributes:
         name: Unique in the configuration.
-        apikeys: Each is one tenant's alone. They are secrets.
+        apikeys: Its keys, which are secret; a key belongs to only one tenant.
         prio: Overrides the priority of routes.
-        rate_s: The quota, in requests a second; 0 for none.
-        burst: How many requests the quota lets through at once.
+        rate_s: The quota, in requests per second; 0 for no quota.
+        burst: Burst of the quota, in requests.
     """
 
     name: str = field(validator=check_name)
@@ -205,13 +205,13 @@
 
 @define(frozen=True, slots=True)
 class Caps:
-    """What clients may send.
+    """Limits on clients' requests and connections.
 
     Attributes:
-        hdr_bytes: Size of a request's head.
-        body_bytes: Size of a request's body.
-        hdr: Time for a request's head to arrive, in us.
-        idle: Time that a connection may stay without a request, in us.
+        hdr_bytes: Maximum size of a request's head.
+        body_bytes: Maximum size of a request's body.
+        hdr: Maximum time for a request's head to arrive, in us.
+        idle: Maximum idle time of a connection, in us.
     """
 
     hdr_bytes: int = field(default=DEFAULT_HEAD_BYTES, validator=check_positive)
@@ -226,10 +226,10 @@
 
     Attributes:
         ver: The version, above 0.
-        ports: Virtual hosts; one may stand several times.
+        ports: Virtual hosts; a host may be listed several times.
         pools: Services.
-        tenants: Tenants; None where no API keys are wanted.
-        caps: What clients may send.
+        tenants: Tenants; None if requests need no API key.
+        caps: Limits on clients.
     """
 
     ver: int = field(validator=check_positive)
@@ -241,7 +241,7 @@
 
 @functools.cache
 def converter() -> cattrs.Converter:
-    """Return the converter of configurations; versions share most of their items, so items are cached."""
+    """Return the converter of configurations; it caches items, as versions share most of them."""
     caching, plain = strict_converter(), strict_converter()
     plain.register_structure_hook(ApiKey, _read_api_key)
     for kind in (Rule, Tenant, Pool):
@@ -256,7 +256,7 @@
 
 
 def _cached_hook(plain: cattrs.Converter, kind: type) -> Callable[[Any, type], Any]:
-    """Return a hook that reads each text of a record of that kind once."""
+    """Return a structure hook that parses each distinct text of a record of the kind only once."""
 
     @functools.lru_cache(MAX_CACHED_ITEMS)
     def structure_text(text: bytes) -> Any:
@@ -266,10 +266,10 @@
 
 
 def read(raw: Any) -> Configuration:
-    """Return a configuration, read and checked.
+    """Parse and validate a configuration.
 
     Raises:
-        ConfigurationError: It can't be accepted; each mistake is named with its place.
+        ConfigurationError: It is invalid; the message has the first faults with their places.
     """
     if not isinstance(raw, dict):
         raise ConfigurationError("a configuration is an object")
@@ -286,13 +286,13 @@
     return configuration
 
 
-def _check_unique(what: str, names: list[str]) -> None:
+def _check_unique(item_kind: str, names: list[str]) -> None:
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            # A key is a secret and is never repeated to anybody.
-            shown = "" if what == "key" else f": {name[:MAX_SHOWN_LENGTH]!r}"
-            raise ConfigurationError(f"a {what} stands twice{shown}")
+            # API keys are secret and never appear in messages.
+            shown_name = "" if item_kind == "key" else f": {name[:MAX_SHOWN_LENGTH]!r}"
+            raise ConfigurationError(f"a {item_kind} stands twice{shown_name}")
         seen.add(name)
 
 
--- a/lapisgrade/gateway/configuration_change.py
+++ b/lapisgrade/gateway/configuration_change.py
@@ -1,7 +1,7 @@
-"""Changes of a configuration by named items, and the digest that tells two changes apart. Pure.
+"""Changes of named items of a configuration, and the digest that identifies a change. No I/O.
 
-A change (`conf.update`) holds whole items to be put under `Upsert`, and names of items to be removed under
-`Del`. A configuration is handled here as the operator laid it out, so that it can be read back the same.
+A change (`conf.update`) has complete items to insert or replace in `Upsert`, and names of items to remove in
+`Del`. Configurations are handled as raw JSON, so that they can be read back as the operator sent them.
 """
 
 from collections.abc import Iterable
@@ -14,18 +14,18 @@
 
 DIGEST_BYTES = 16
 
-# Lists of named items, with the keys that a change may give them under: whole items, or names alone.
+# Lists of named items, with the keys that a change may use for them.
 ITEM_LISTS = {"Pools": ("Pools", "Svcs"), "Tenants": ("Tenants",)}
-ROUTE_KEYS = ("Routes", "Ports", "Policy")  # under which names of routes to be removed may stand
+ROUTE_KEYS = ("Routes", "Ports", "Policy")  # keys of `Del` that may list names of routes
 
 Json = dict[str, Any]
 
 
 def apply_change(current: Json, change: Json) -> Json:
-    """Return the whole configuration that a change of named items leaves.
+    """Return the configuration that results from applying a change of named items.
 
     Raises:
-        ConfigurationError: The change can't be read.
+        ConfigurationError: The change is malformed.
     """
     upsert, delete = change.get("Upsert") or {}, change.get("Del") or {}
     if not isinstance(upsert, dict) or not isinstance(delete, dict):
@@ -43,10 +43,10 @@
 
 
 def _change_routes(current: Json, upsert: Json, delete: Json) -> list[Json]:
-    """Return the hosts with their routes: a route that is put under another host moves there."""
+    """Return the hosts with their routes; a route that is upserted at another host moves there."""
     deleted = {name for key in ROUTE_KEYS for name in _names(delete, key)}
     rules_by_host: dict[str, list[Json]] = {}
-    for port in current.get("Ports") or []:  # a host may stand twice
+    for port in current.get("Ports") or []:  # a host may be listed twice
         rules_by_host.setdefault(port["Vhost"], []).extend(port.get("Policy") or [])
     host_of_rule = {rule["Name"]: host for host, rules in rules_by_host.items() for rule in rules}
     for port in _items(upsert, "Ports"):
@@ -65,7 +65,7 @@
 def _put_rule(
     rules_by_host: dict[str, list[Json]], host_of_rule: dict[str, str], host: str, rule: Any
 ) -> None:
-    """Put one route under a host: in the place of the one of its name there, else at the end."""
+    """Insert a route at a host, in place of the host's route with the same name or else at the end."""
     if not isinstance(rule, dict) or not isinstance(rule.get("Name"), str):
         raise ConfigurationError("an item of Policy has no Name")
     name = rule["Name"]
@@ -84,7 +84,7 @@
 def _change_items(
     current: Json, key: str, given_under: Iterable[str], upsert: Json, delete: Json
 ) -> list[Json] | None:
-    """Return a list of named items after the change; None where there is none before and after."""
+    """Return a list of named items after the change; None if it exists neither before nor after."""
     items = {item["Name"]: item for item in current.get(key) or []}
     put = [item for name in given_under for item in _items(upsert, name)]
     if any(not isinstance(item.get("Name"), str) for item in put):
@@ -104,7 +104,7 @@
 
 
 def _names(delete: Json, key: str) -> list[str]:
-    """Return the names under a key, each given as text or as an item with its name."""
+    """Return the names listed under a key, each given as a string or as an item with a `Name`."""
     given = delete.get(key) or []
     if not isinstance(given, list):
         raise ConfigurationError(f"{key} is not a list of names")
@@ -112,6 +112,6 @@
 
 
 def digest(body: bytes) -> bytes:
-    """Return a digest of a body's meaning: the same JSON laid out another way is the same change."""
+    """Return a digest of a body's JSON content, independent of formatting and key order."""
     ordered = msgspec.json.encode(msgspec.json.decode(body), order="sorted")
     return blake2b(ordered, digest_size=DIGEST_BYTES).digest()
--- a/lapisgrade/gateway/configuration_delta.py
+++ b/lapisgrade/gateway/configuration_delta.py
@@ -1,9 +1,9 @@
-"""How a configuration travels to a process that has an earlier version. Pure.
+"""Delta encoding of configuration versions, for processes that have an earlier version. No I/O.
 
-A version is JSON text of many small items, of which a change touches few. The text is cut into pieces between
-its items, and a delta names runs of pieces of the earlier text and spells out what is new: it rebuilds the
-new text to the byte, whatever fields the operator sent. A digest of the result guards against a base that
-only bears the same number. What is sent is compressed (RFC 1950).
+A version is JSON text of many small items, few of which differ between versions. The text is split into
+pieces between its items. A delta lists runs of pieces of the earlier text and the text of new pieces, and
+rebuilds the new text exactly, whatever fields the operator sent. A digest of the result detects a different
+base with the same version number. The encoded data is compressed (RFC 1950).
 """
 
 import zlib
@@ -15,10 +15,10 @@
 from lapisgrade.gateway.errors import ConfigurationError
 
 PIECE_SEPARATOR = b"},{"
-FASTEST_LEVEL = 1  # of zlib: a processor's time is dearer than a tenth of the bytes
+FASTEST_LEVEL = 1  # zlib level; processor time costs more than 10 % of the bytes
 DIGEST_BYTES = 16
 
-Operation = tuple[int, int] | bytes  # a run of pieces of the base (first, count), or a new piece
+Operation = tuple[int, int] | bytes  # a run of the base's pieces (first, count), or a new piece
 _OPERATIONS = msgspec.msgpack.Decoder(list[Operation])
 
 
@@ -26,9 +26,9 @@
     """One version of the configuration, encoded.
 
     Attributes:
-        version: Its number.
-        base: The version that `data` is a delta on; 0 where it is complete.
-        digest: Of the version's text.
+        version: The version number.
+        base: The version that `data` is a delta to; 0 if it is the complete text.
+        digest: Digest of the version's text.
         data: The compressed text or delta.
     """
 
@@ -44,7 +44,7 @@
 
 
 def encode(version: int, text: bytes, base: int = 0, base_text: bytes = b"") -> EncodedVersion:
-    """Return a version as a delta on `base`; complete without one."""
+    """Return a version encoded as a delta to `base`, or completely if there is no base."""
     plain = _make_delta(base_text, text) if base else text
     return EncodedVersion(version, base, digest_of(text), zlib.compress(plain, FASTEST_LEVEL))
 
@@ -53,27 +53,33 @@
     """Return the version's text.
 
     Raises:
-        ConfigurationError: It isn't one, or is no delta on that base.
+        ConfigurationError: The data is malformed, or is a delta to another base.
     """
     try:
         inflate = zlib.decompressobj()
         plain = inflate.decompress(encoded.data, configuration.MAX_BYTES)
         if not inflate.eof:
-            raise ConfigurationError(f"version {encoded.version} is too long")
+            raise ConfigurationError(
+                f"configuration version {encoded.version} is truncated or exceeds the size limit"
+            )
         text = _apply_delta(base_text, plain) if encoded.base else plain
     except (zlib.error, msgspec.MsgspecError, IndexError) as error:
-        raise ConfigurationError(f"version {encoded.version} can't be read: {error}") from None
+        raise ConfigurationError(
+            f"configuration version {encoded.version} can't be decoded: {error}"
+        ) from None
     if digest_of(text) != encoded.digest:
-        raise ConfigurationError(f"version {encoded.version} does not come out as it was")
+        raise ConfigurationError(
+            f"configuration version {encoded.version}: digest mismatch, decoded on a different base"
+        )
     return text
 
 
 def _make_delta(old: bytes, new: bytes) -> bytes:
-    """Return the operations that make the new text of the old one, encoded."""
+    """Return the encoded operations that produce the new text from the old one."""
     old_pieces = old.split(PIECE_SEPARATOR)
     index_of_piece = {piece: index for index, piece in enumerate(old_pieces)}
     operations: list[Operation] = []
-    first, count = 0, 0  # the run that is being gathered
+    first, count = 0, 0  # the current run
     for piece in new.split(PIECE_SEPARATOR):
         if count and first + count < len(old_pieces) and old_pieces[first + count] == piece:
             count += 1
@@ -93,8 +99,8 @@
     """Return the new text.
 
     Raises:
-        IndexError: The operations fit no such text, or make one that is too long.
-        msgspec.MsgspecError: They can't be decoded.
+        IndexError: A run is outside the old text, or the new text exceeds `configuration.MAX_BYTES`.
+        msgspec.MsgspecError: The operations can't be decoded.
     """
     old_pieces = old.split(PIECE_SEPARATOR)
     pieces: list[bytes] = []
@@ -103,12 +109,12 @@
         part = [operation] if isinstance(operation, bytes) else _run_of(old_pieces, *operation)
         size += sum(map(len, part)) + len(part) * len(PIECE_SEPARATOR)
         if size > configuration.MAX_BYTES:
-            raise IndexError("it is too long")
+            raise IndexError("text exceeds the size limit of a configuration")
         pieces += part
     return PIECE_SEPARATOR.join(pieces)
 
 
 def _run_of(pieces: list[bytes], first: int, count: int) -> list[bytes]:
     if first < 0 or count < 0 or first + count > len(pieces):
-        raise IndexError("a run lies outside of the base")
+        raise IndexError("a run of the delta is outside the base text")
     return pieces[first : first + count]
--- a/lapisgrade/gateway/settings.py
+++ b/lapisgrade/gateway/settings.py
@@ -1,7 +1,7 @@
-"""The settings file of one process: its records (attrs), and how it is read and checked (cattrs).
+"""The settings file of one process: its records (attrs), parsing and validation (cattrs).
 
-The fields of the records bear the file's own keys in lower case (`MemMb` is `mem_mb`), as messages about
-faults name them. Unknown keys are ignored. Times are microseconds.
+The fields of the records are the keys of the file in lower case (`MemMb` is `mem_mb`), as error messages
+name them. Unknown keys are ignored. Times are in microseconds.
 """
 
 import os
@@ -17,34 +17,34 @@
 
 from lapisgrade.gateway.errors import InvalidInputError, SettingsError
 
-PATH_VARIABLE = "LAPISGRADE_SETTINGS"  # the environment variable that names the file
+PATH_VARIABLE = "LAPISGRADE_SETTINGS"  # environment variable with the path of the file
 DEFAULT_PATH = "/etc/lapisgrade/node.json"
 MAX_PORT = 65_535
-MAX_FAULTS = 5  # that one message names
+MAX_FAULTS = 5  # maximum number of faults in one message
 MAX_MESSAGE_LENGTH = 500  # characters
-MAX_SHOWN_LENGTH = 60  # characters of a value in a message
+MAX_SHOWN_LENGTH = 60  # maximum number of characters of a value in a message
 
 
 class Span(int):
-    """A duration in us; in files a number and its unit, `ms` or `s`."""
+    """A duration in us; in files a number with the unit `ms` or `s`."""
 
 
 class Address(tuple[str, int]):
-    """An IP address and a port; in files `10.0.0.4:8407`."""
+    """An IP address and a port; in files as `10.0.0.4:8407`."""
 
     def __str__(self) -> str:
-        """Return the address as files have it."""
+        """Return the address in the format of files."""
         return f"{self[0]}:{self[1]}"
 
 
 @define(frozen=True, slots=True)
 class Bind:
-    """Where a process listens; None for what its role does not serve.
+    """Addresses at which a process listens; None for those that its role does not serve.
 
     Attributes:
-        http: For clients.
-        readyz: For the platform's readiness checks.
-        ctl: For calls of servers and operators.
+        http: Address for clients.
+        readyz: Address for the platform's readiness checks.
+        ctl: Address for calls of servers and operators.
     """
 
     http: Address | None = None
@@ -54,12 +54,12 @@
 
 @define(frozen=True, slots=True)
 class Caps:
-    """What the machine has.
+    """Resources of the machine.
 
     Attributes:
-        nofile: File descriptors that a process may open.
+        nofile: Maximum number of file descriptors per process.
         mem_mb: Memory, in MB.
-        cpu: The share of a core.
+        cpu: Share of a core.
     """
 
     nofile: int = 1024
@@ -69,19 +69,19 @@
 
 @define(frozen=True, slots=True)
 class Slo:
-    """The service's objectives, with their figures as agreed.
+    """The agreed service level objectives.
 
     Attributes:
-        drain: How long a draining server still answers.
-        grace: How long a process may take to shut down.
-        contact: How long a proxy may act without hearing from the controllers.
-        retry_ratio: Retries allowed, as a part of the requests in `retry_window`.
+        drain: Time for which a draining server still answers requests.
+        grace: Maximum time for a process to shut down.
+        contact: Maximum time for which a proxy may act without contact to the controllers.
+        retry_ratio: Maximum number of retries in `retry_window`, as a fraction of the requests in it.
         retry_window: The window of the retry budget.
-        retry_extra: Retries allowed in the window beside that.
+        retry_extra: Additional retries allowed in the window.
         quota_win: The window in which a quota's excess is measured.
-        quota_excess: The part by which a quota may be exceeded in the window.
-        quota_extra: Requests by which it may be exceeded beside that.
-        key_win: The window in which attempts with one operation key are one operation.
+        quota_excess: Fraction by which a quota may be exceeded in the window.
+        quota_extra: Additional requests by which it may be exceeded.
+        key_win: The window in which attempts with the same operation key are one operation.
     """
 
     drain: Span = Span(2_500_000)
@@ -98,21 +98,21 @@
 
 @define(frozen=True, slots=True)
 class Settings:
-    """What a process is told when it starts.
+    """The settings of a process.
 
     Attributes:
         hostname: The machine's name.
         ip: The machine's address.
-        az: The failure domain that it stands in.
-        bind: Where the process listens for others than the gateway's own processes.
-        portrange: The first and last port that the gateway's own processes may use.
-        peers: Where the first controllers take calls.
-        bootstrap: Whether this start may found a new cluster.
+        az: Its failure domain.
+        bind: Addresses for clients, servers, operators and the platform.
+        portrange: The first and last port for connections between the gateway's processes.
+        peers: Control addresses of the initial controllers.
+        bootstrap: Whether this process may bootstrap a new cluster.
         quorum: Whether a controller runs on this machine.
-        datadir: Where a controller stores its log; empty for one without a disk.
+        datadir: Folder of a controller's log; empty if it has no disk.
         heartbeat: The interval between a server's heartbeats.
-        caps: What the machine has.
-        slo: The service's objectives.
+        caps: Resources of the machine.
+        slo: Service level objectives.
     """
 
     hostname: str
@@ -129,7 +129,7 @@
     slo: Slo = Slo()
 
     def internal_address(self, role_number: int) -> Address:
-        """Return where the process of that role on this machine listens for the gateway's own processes."""
+        """Return the address at which the process of the role listens for the gateway's own processes."""
         return Address((self.ip, self.portrange[0] + role_number))
 
 
@@ -137,7 +137,7 @@
     """Return `1500ms` or `2.5s` as a duration.
 
     Raises:
-        ValueError: The text is no duration.
+        ValueError: The text is not a duration.
     """
     found = re.fullmatch(r"(\d{1,12}(?:\.\d{1,9})?)(ms|s)", text) if isinstance(text, str) else None
     if found is None:
@@ -149,7 +149,7 @@
     """Return `10.0.0.4:8407` as an address.
 
     Raises:
-        ValueError: The text is no address.
+        ValueError: The text is not an address.
     """
     host, _separator, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
@@ -163,7 +163,7 @@
 
 
 def strict_converter() -> cattrs.Converter:
-    """Return a converter that reads JSON values strictly: no text for a number, no number for a switch."""
+    """Return a converter that does not coerce JSON values: no string as a number, no number as a boolean."""
     converter = cattrs.Converter(detailed_validation=True, forbid_extra_keys=False)
     converter.register_structure_hook(Span, parse_span)
     converter.register_structure_hook(Address, parse_address)
@@ -176,7 +176,7 @@
 
 
 def _exact_hook(kind: type, *also_accepted: type) -> Callable[[Any, type], Any]:
-    """Return a hook that takes values of exactly those types."""
+    """Return a structure hook that accepts only values of exactly these types."""
 
     def check(value: Any, _: type) -> Any:
         if type(value) not in (kind, *also_accepted):
@@ -187,7 +187,7 @@
 
 
 def _record_hook(converter: cattrs.Converter, kind: type) -> Callable[..., Any]:
-    """Return a hook that reads a record whose fields have their keys of the wire."""
+    """Return a structure hook for a record that maps the wire keys to its fields."""
     overrides: dict[str, Any] = {
         each.name: override(rename=each.metadata.get("wire", wire_name(each.name))) for each in fields(kind)
     }
@@ -195,9 +195,9 @@
 
 
 def _describe_fault(error: BaseException, kind: type | None) -> str:
-    """Return what a record's validator or a hook says is wrong, in its own words."""
-    is_own = isinstance(error, ValueError) and not isinstance(error, UnicodeError)
-    return str(error) if is_own else format_exception(error, kind)
+    """Return the message of a record's validator or a hook, or cattrs' description of another error."""
+    is_validation_error = isinstance(error, ValueError) and not isinstance(error, UnicodeError)
+    return str(error) if is_validation_error else format_exception(error, kind)
 
 
 def structure(
@@ -209,7 +209,8 @@
     """Return `raw` as a record of `kind`.
 
     Raises:
-        InvalidInputError: It is none; of `error_type`, with the first few mistakes and their places.
+        InvalidInputError: `raw` is invalid. The error is of `error_type` and has up to `MAX_FAULTS` faults
+            with their places.
     """
     try:
         return converter.structure(raw, kind)
@@ -222,26 +223,26 @@
         raise error_type(message[:MAX_MESSAGE_LENGTH] or type(error).__name__) from None
 
 
-def decode_object(text: bytes, what: str) -> dict[str, Any]:
-    """Return the JSON object in a file; `what` it should be is for people.
+def decode_object(text: bytes, content: str) -> dict[str, Any]:
+    """Return the JSON object in a file; `content` describes it in error messages.
 
     Raises:
-        InvalidInputError: The file holds none.
+        InvalidInputError: The file is not a JSON object.
     """
     try:
         raw = msgspec.json.decode(text)
     except msgspec.MsgspecError as error:
         raise InvalidInputError(f"not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise InvalidInputError(f"{what} is an object")
+        raise InvalidInputError(f"{content} is an object")
     return raw
 
 
 def read(path: str | None = None) -> Settings:
-    """Return the settings in a file, by default the one that the environment names.
+    """Read the settings from a file, by default the one that the environment names.
 
     Raises:
-        SettingsError: The file can't be read or accepted.
+        SettingsError: The file can't be read, or its content is invalid.
     """
     path = path or os.environ.get(PATH_VARIABLE, DEFAULT_PATH)
     try:
@@ -251,7 +252,9 @@
         raise SettingsError(f"{path}: {error}") from None
     if not isinstance(raw, dict):
         raise SettingsError(f"{path}: not an object")
-    raw = {key: value for key, value in raw.items() if value is not None}  # null: the machine has none
+    raw = {
+        key: value for key, value in raw.items() if value is not None
+    }  # null: the machine has no such resource
     try:
         settings: Settings = structure(strict_converter(), raw, Settings)
     except InvalidInputError as error:
--- a/tests/gateway/test_configuration_change.py
+++ b/tests/gateway/test_configuration_change.py
@@ -1,4 +1,4 @@
-"""Changes of a configuration by named items."""
+"""Changes of named items of a configuration."""
 
 from typing import Any
 
@@ -27,36 +27,36 @@
     return {port["Vhost"]: [each["Name"] for each in port["Policy"]] for port in configuration["Ports"]}
 
 
-def test_an_empty_change_leaves_all_but_the_version():
+def test_an_empty_change_changes_only_the_version():
     assert apply_change(CURRENT, {"Ver": 2}) == {**CURRENT, "Ver": 2}
 
 
-def test_a_route_is_replaced_in_its_place_and_a_new_one_comes_last():
+def test_an_existing_route_is_replaced_in_place_and_a_new_one_is_appended():
     ports = [{"Vhost": "one", "Policy": [rule("r-1", "/new/"), rule("r-4")]}]
     changed = apply_change(CURRENT, {"Ver": 2, "Upsert": {"Ports": ports}})
     assert names(changed) == {"one": ["r-1", "r-2", "r-4"], "two": ["r-3"]}
     assert changed["Ports"][0]["Policy"][0]["Match"] == {"Pfx": "/new/"}
 
 
-def test_a_route_put_under_another_host_moves_there():
+def test_a_route_that_is_upserted_at_another_host_moves_there():
     ports = [{"Vhost": "two", "Policy": [rule("r-1")]}]
     changed = apply_change(CURRENT, {"Ver": 2, "Upsert": {"Ports": ports}})
     assert names(changed) == {"one": ["r-2"], "two": ["r-3", "r-1"]}
 
 
 @pytest.mark.parametrize("key", ["Routes", "Ports", "Policy"])
-def test_routes_are_removed_by_name_and_a_host_without_routes_goes(key):
+def test_routes_are_removed_by_name_and_hosts_without_routes_disappear(key):
     changed = apply_change(CURRENT, {"Ver": 2, "Del": {key: ["r-2", {"Name": "r-3"}]}})
     assert names(changed) == {"one": ["r-1"]}
 
 
 @pytest.mark.parametrize("key", ["Pools", "Svcs"])
-def test_services_are_put_and_removed_under_either_key(key):
+def test_services_are_upserted_and_removed_under_either_key(key):
     change = {"Ver": 2, "Upsert": {key: [{"Name": "b", "Maxconn": 7}, {"Name": "c"}]}, "Del": {key: ["a"]}}
     assert apply_change(CURRENT, change)["Pools"] == [{"Name": "b", "Maxconn": 7}, {"Name": "c"}]
 
 
-def test_the_first_tenant_begins_the_list_of_tenants():
+def test_the_first_tenant_creates_the_list_of_tenants():
     assert "Tenants" not in apply_change(CURRENT, {"Ver": 2, "Del": {"Tenants": ["t"]}})
     changed = apply_change(CURRENT, {"Ver": 2, "Upsert": {"Tenants": [{"Name": "t"}]}})
     assert changed["Tenants"] == [{"Name": "t"}]
@@ -73,7 +73,7 @@
         ({"Del": {"Tenants": "t"}}, "Tenants is not a list of names"),
     ],
 )
-def test_a_change_that_cannot_be_read_is_refused(change, message):
+def test_a_malformed_change_is_rejected(change, message):
     with pytest.raises(ConfigurationError) as caught:
         apply_change(CURRENT, {"Ver": 2, **change})
     assert str(caught.value) == message
@@ -88,6 +88,6 @@
     assert repr(CURRENT) == before
 
 
-def test_the_digest_is_of_the_meaning():
+def test_the_digest_is_independent_of_formatting():
     assert digest(b'{"a": 1, "b": [2]}') == digest(b'{"b":[2],"a":1}')
     assert digest(b'{"a": 1}') != digest(b'{"a": 2}')
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -1,4 +1,4 @@
-"""Versions on their way: deltas rebuild a text to the byte, and a wrong base or a lie is told."""
+"""Encoded configuration versions, and the changes to them in the replicated log."""
 
 from random import Random
 
@@ -22,16 +22,16 @@
     return msgspec.json.encode(sample_configuration(routes, 5, ver))
 
 
-def test_any_two_texts_are_rebuilt_to_the_byte() -> None:
-    chance = Random(4)
+def test_any_text_is_rebuilt_exactly_from_any_base() -> None:
+    random = Random(4)
     pieces = [b"},{", b'{"Name":"a', b"1", b"}]", b"[", b""]
     for _ in range(400):
-        old, new = (b"".join(chance.choices(pieces, k=chance.randrange(12))) for _ in range(2))
+        old, new = (b"".join(random.choices(pieces, k=random.randrange(12))) for _ in range(2))
         assert decode(encode(9, new, 7, old), old) == new
         assert decode(encode(9, new)) == new
 
 
-def test_a_change_is_small_however_large_the_configuration() -> None:
+def test_a_change_is_small_whatever_the_size_of_the_configuration() -> None:
     sizes = []
     for routes in (100, 2000):
         state_machine = StateMachine()
@@ -67,15 +67,15 @@
             decode(bad, b"")
 
 
-def test_each_version_is_sent_as_a_delta_on_the_readers_version() -> None:
+def test_each_version_is_sent_as_a_delta_to_the_receivers_version() -> None:
     feed, texts = ConfigurationFeed(), {ver: text(30 + ver, ver) for ver in range(1, 5)}
     chain = feed.chain(texts, 0)
     assert [each.base for each in chain.values()] == [0, 1, 2, 3]
     assert [each.base for each in feed.chain(texts, 2).values()] == [2, 3]
-    held = b""
+    decoded = b""
     for ver, encoded_version in chain.items():
-        held = decode(encoded_version, held)
-        assert held == texts[ver]
+        decoded = decode(encoded_version, decoded)
+        assert decoded == texts[ver]
 
 
 def test_a_version_is_sent_complete_once_its_base_is_forgotten() -> None:
@@ -86,7 +86,7 @@
 
 
 class VersionLog:
-    """What the log holds of a change, and what becomes of the same one again."""
+    """A state machine with one applied configuration change, `first`."""
 
     def __init__(self) -> None:
         self.state_machine = StateMachine()
@@ -99,7 +99,7 @@
     return VersionLog()
 
 
-def test_of_two_changes_on_one_base_only_one_is_applied(version_log: VersionLog) -> None:
+def test_only_one_of_two_changes_to_the_same_base_is_applied(version_log: VersionLog) -> None:
     one, other = (
         version_log.state_machine.prepare(
             ConfigurationChange(False, msgspec.json.encode({"Ver": ver, "Base": 7}))
@@ -108,11 +108,11 @@
     )
     assert version_log.state_machine.apply(2, encode_command(one)) == ApplyResult(200)
     assert version_log.state_machine.apply(3, encode_command(other)).status == 412
-    assert version_log.state_machine.apply(4, encode_command(one)) == ApplyResult(200)  # the same again
+    assert version_log.state_machine.apply(4, encode_command(one)) == ApplyResult(200)  # repeated
     assert version_log.state_machine.state.version == 8
 
 
-def test_two_changes_under_one_number_are_told_apart(version_log: VersionLog) -> None:
+def test_two_changes_with_the_same_version_number_are_distinguished(version_log: VersionLog) -> None:
     bodies = [{"Ver": 8, "Base": 7, "Upsert": {"Pools": [{"Name": name}]}} for name in ("x", "y")]
     changes = [ConfigurationChange(False, msgspec.json.encode(body)) for body in bodies]
     one, other = (version_log.state_machine.prepare(change).command for change in changes)
@@ -130,15 +130,16 @@
         version_log.state_machine.apply(
             ver, encode_command(version_log.state_machine.prepare(change).command)
         )
-    again = StateMachine()
-    again.load(version_log.state_machine.dump())
-    respelt = msgspec.json.format(msgspec.json.encode({"Base": 8, "Ver": 9}), indent=2)
-    assert again.prepare(ConfigurationChange(False, respelt)) == PreparedChange(ApplyResult(200))
-    assert again.prepare(version_log.first) == PreparedChange(ApplyResult(200))
-    assert again.prepare(ConfigurationChange(True, respelt)).result.status == 412  # that one is another kind
+    restored = StateMachine()
+    restored.load(version_log.state_machine.dump())
+    reformatted = msgspec.json.format(msgspec.json.encode({"Base": 8, "Ver": 9}), indent=2)
+    assert restored.prepare(ConfigurationChange(False, reformatted)) == PreparedChange(ApplyResult(200))
+    assert restored.prepare(version_log.first) == PreparedChange(ApplyResult(200))
+    # Version 9 was a change of named items, this one replaces the whole configuration.
+    assert restored.prepare(ConfigurationChange(True, reformatted)).result.status == 412
 
 
-def test_a_change_too_long_ago_gets_no_definite_answer(version_log: VersionLog) -> None:
+def test_a_change_of_a_forgotten_version_is_answered_504(version_log: VersionLog) -> None:
     state = version_log.state_machine.state
     state.forgotten_version, state.version = 700, 900
     old = ConfigurationChange(False, msgspec.json.encode({"Ver": 650, "Base": 649}))
@@ -153,16 +154,16 @@
         )
     data, state = version_log.state_machine.dump(), version_log.state_machine.state
     assert len(data) < 2 * len(state.configuration)
-    again = StateMachine()
-    again.load(data)
-    assert again.state == state
+    restored = StateMachine()
+    restored.load(data)
+    assert restored.state == state
     assert isinstance(msgspec.msgpack.decode(data, type=SavedState), SavedState)
 
 
 def test_a_snapshot_of_an_earlier_release_is_loaded(version_log: VersionLog) -> None:
-    again = StateMachine()
-    again.load(msgspec.msgpack.encode(version_log.state_machine.state))
-    assert again.state == version_log.state_machine.state
+    restored = StateMachine()
+    restored.load(msgspec.msgpack.encode(version_log.state_machine.state))
+    assert restored.state == version_log.state_machine.state
 
 
 def test_the_log_stores_what_the_operator_sent(version_log: VersionLog) -> None:
@@ -170,15 +171,15 @@
     assert isinstance(version_log.state_machine.prepare(changed(7)).command, NewVersion)
 
 
-def news(term: int) -> rpc_messages.WatchReply:
+def watch_reply(term: int) -> rpc_messages.WatchReply:
     return rpc_messages.WatchReply(True, "", [], 3, None, f"{term}+")
 
 
 def test_updates_of_an_earlier_term_are_ignored() -> None:
     watch_target = WatchTarget(Random(1), PartialView("127.0.0.1:1", "z", Random(1), 0), ["127.0.0.2:1"])
     watch_target.next(0)
-    assert watch_target.on_reply(1, news(5))
+    assert watch_target.on_reply(1, watch_reply(5))
     watch_target.next(2)
-    assert not watch_target.on_reply(3, news(4))  # it was cut off, and does not know it yet
+    assert not watch_target.on_reply(3, watch_reply(4))  # from a deposed leader that was isolated
     watch_target.next(4)
-    assert watch_target.on_reply(5, news(6))
+    assert watch_target.on_reply(5, watch_reply(6))
--- a/tests/gateway/test_settings.py
+++ b/tests/gateway/test_settings.py
@@ -1,4 +1,4 @@
-"""Reading a process's settings file."""
+"""Parsing a process's settings file."""
 
 import tempfile
 
