--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""lapisgrade's system: one program, whose role is a subcommand.
+"""The lapisgrade gateway: one program with a subcommand per role.
 
 Usage:
   lapisgrade proxy [--settings=FILE] [--log=LEVEL]
@@ -20,52 +20,55 @@
   lapisgrade (-h | --help)
 
 Roles:
-  proxy        carries clients' requests to servers, and limits
-  controller   keeps the configuration and the list of servers, and takes the calls of servers and operators
-  check        reads the settings file, or with conf a configuration, says what is wrong with it and how to
-               mend it, and starts and sends nothing
-  system-demo  a whole small system on loopback with stand-in servers, a configuration and some load
+  proxy        forwards clients' requests to servers and limits them
+  controller   stores the configuration and the server registry, and answers calls of servers and operators
+  check        validates the settings file, or with conf a configuration, and prints errors with hints how to
+               correct them; starts and sends nothing
+  system-demo  runs a small system on loopback with fake servers, a sample configuration and some load
 
 For operators:
-  plan       what a change (as conf.update takes it) or a whole configuration would change, what is wrong with
-             it, and what to mind; sends nothing
-  loss       what the loss of those machines at once would do: disks, leader, zones, counts; changes nothing
-  roll       restarts machine after machine with COMMAND, each once all is as well as it was; stops by itself
-  show       the newest configuration, as JSON
-  diff       what leads from the newest configuration, or from OTHER, to the one in FILE, field by field
-  dump       what is on the disk of a controller that is down, each record checked; with --conf the newest
-             configuration in it, as JSON; with --history what each entry of its log did, and what each
-             version changed
-  tenant     brings a tenant in as the file TICKET says, or takes it out: plan tells what would change and
-             what speaks against it, apply and withdraw do it and follow it to every proxy
-  draft      an edit where no majority can be asked: send keeps it on this side's disks, and it is merged with
-             the other side's at the rejoin; settle puts into force what was set aside then, drop forgets it
-  drafts     what is kept, what came of it, and what is open
-  status     which version is the newest, which is in force, who holds back, and what serves
+  plan       print what a change (in the format of conf.update) or a complete configuration would change, its
+             errors and warnings; sends nothing
+  loss       print the consequences of losing these machines at once: voters, leader, zones, quota counts;
+             changes nothing
+  roll       restart machines one by one with COMMAND, each only while the system is as healthy as at the
+             start; stops if a machine does not recover in time
+  show       print the newest configuration, as JSON
+  diff       print the differences between the newest configuration, or OTHER, and FILE, field by field
+  dump       print the content of the disk of a stopped controller after checking each record; with --conf the
+             newest configuration on it, as JSON; with --history the effect of each log entry and the changes
+             of each version
+  tenant     onboard or withdraw a tenant as described in the file TICKET: plan prints the changes and
+             objections; apply and withdraw make the change and wait until it is active at every proxy
+  draft      edit the configuration without a majority of controllers: send stores the edit on the reachable
+             disks, to be merged with the other side's edits after the partition; settle applies the fields
+             that were in conflict, drop discards them
+  drafts     list the drafts, their outcomes and unresolved conflicts
+  status     print the newest and the active version, the proxies that lag behind, and the servers
 
 Options:
-  --settings=FILE  the settings file; else the one that $LAPISGRADE_SETTINGS names
-  --ctl=ADDRESSES  where controllers take calls, with commas between them
-  --run=COMMAND    what restarts one machine; {} in it is its name
-  --json           as control tells it, for programs
-  --conf           the configuration alone, keys and all
-  --history        entry by entry, since the last snapshot
-  --by=NAME        who makes the draft; else $USER
-  --within=S       how long to wait until a change is in force everywhere [default: 10]
-  --seconds=S      how long the demo's load lasts [default: 5]
-  --log=LEVEL      what is logged on standard error: debug, info, warning [default: info]
-
-A settings file that can't be taken is told in one line, and the program ends with code 2. A controller whose
-log holds what a later release wrote says so in one line, and ends with code 4.
+  --settings=FILE  settings file; default: the one named by $LAPISGRADE_SETTINGS
+  --ctl=ADDRESSES  control addresses of the controllers, separated by commas
+  --run=COMMAND    command that restarts one machine; {} in it is replaced by the machine's name
+  --json           print the controllers' reply as JSON, for programs
+  --conf           print only the configuration, including API keys
+  --history        print the log entries since the last snapshot
+  --by=NAME        author of the draft; default: $USER
+  --within=S       seconds to wait until a change is active everywhere [default: 10]
+  --seconds=S      duration of the demo's load in seconds [default: 5]
+  --log=LEVEL      log level on standard error: debug, info, warning [default: info]
+
+An invalid settings file is reported in one line, with exit code 2. A controller whose log has entries of a
+later release reports it in one line, with exit code 4.
 """
 
-# A second command-line library beside click, on which `lapisgrade.cli` is written. Neither can take the
-# other's part without a change that is seen: this module's docstring is the usage text that docopt parses and
-# prints, and a bad command line prints it and ends with code 1 (click: other texts, code 2); and roles start
-# through here, where click costs 51 ms of processor time to import and docopt 21 ms (medians of 7 on a busy
-# machine). `lapisgrade.cli.gateway` hands these commands' arguments on as they are.
+# These commands use docopt, whereas `lapisgrade.cli` uses click. Replacing either would be visible: docopt
+# parses and prints the docstring above as the usage text, and prints it with exit code 1 for an invalid
+# command line (click: other texts, exit code 2). Roles are started by this module, and importing click costs
+# 51 ms of processor time, docopt 21 ms (medians of 7 on a busy machine). `lapisgrade.cli.gateway` passes the
+# arguments of these commands on unchanged.
 
-# First, as it may switch off garbage collection while a role's code loads.
+# Imported first, as it may disable garbage collection while a role's code loads.
 from lapisgrade.gateway.errors import InvalidInputError, UnreadableLogError
 
 from lapisgrade.gateway import startup  # isort: skip
@@ -104,17 +107,17 @@
     """A proxy or a controller."""
 
     async def run(self) -> None:
-        """Serve until `end` is called."""
+        """Run until `end` is called."""
 
     def end(self) -> None:
-        """Shut down in order."""
+        """Start an orderly shutdown."""
 
     def reload(self, new_settings: settings.Settings) -> None:
-        """Take over settings that may change while it runs."""
+        """Apply the settings that may change at run time."""
 
 
 def load_role(name: str) -> Callable[[settings.Settings], Role]:
-    """Return the class that runs a role; its code is loaded only where it runs."""
+    """Return the class of a role; imports only the code of this role."""
     if name == "proxy":
         from lapisgrade.gateway.proxy.process import Proxy
 
@@ -125,7 +128,7 @@
 
 
 def check_bindings(role_name: str, role_settings: settings.Settings) -> None:
-    """Raise InvalidInputError where the settings lack an address that the role listens at."""
+    """Raise InvalidInputError if the settings lack an address that the role needs."""
     bind = role_settings.bind
     if role_name == "proxy" and (bind.http is None or bind.readyz is None):
         raise InvalidInputError("Bind: a proxy needs Http and Readyz")
@@ -136,12 +139,12 @@
     role_class: Callable[[settings.Settings], Role],
     path: str | None,
 ) -> None:
-    """Run a role: SIGTERM ends it, SIGHUP has it read its settings again.
+    """Run a role until SIGTERM or SIGINT; reload its settings on SIGHUP.
 
     Args:
-        role_name: as on the command line.
-        role_class: what `load_role` returned.
-        path: the settings file; None for the one that the environment names.
+        role_name: Name of the role on the command line.
+        role_class: Class of the role, from `load_role`.
+        path: Path of the settings file; None for the one that the environment names.
     """
     role_settings = settings.read(path)
     check_bindings(role_name, role_settings)
@@ -152,7 +155,7 @@
             role.reload(settings.read(path))
             log.info("settings read again")
         except InvalidInputError as error:
-            log.warning("goes on as before: %s", error)
+            log.warning("settings not reloaded, keeping the previous ones: %s", error)
 
     event_loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -165,7 +168,7 @@
 
 
 def run_role(name: str, path: str | None) -> None:
-    """Run a role until it is told to end."""
+    """Run a role until a signal ends it."""
     role_class = load_role(name)
     startup.finish()
     with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
@@ -173,7 +176,7 @@
 
 
 def run_operator_command(args: dict[str, Any]) -> int:
-    """Run an operator's command; returns its exit code."""
+    """Run an operator's command; return its exit code."""
     from lapisgrade.gateway.cli import commands
 
     if args["conf"]:
@@ -186,12 +189,12 @@
 
 
 def check_settings(path: str | None) -> None:
-    """Say that a settings file can be taken; raises InvalidInputError where it can't."""
+    """Print that a settings file is valid; raise InvalidInputError if it is not."""
     print(f"{settings.read(path).hostname}: settings can be taken")
 
 
 def configure_logging(level: str | None) -> None:
-    """Log to standard error, from that level on."""
+    """Log to standard error from the given level on."""
     logging.basicConfig(
         stream=sys.stderr,
         level=getattr(logging, (level or "info").upper(), logging.INFO),
@@ -200,7 +203,7 @@
 
 
 def run_command(args: dict[str, Any], is_operator_command: bool) -> int:
-    """Run the command that docopt read; returns its exit code."""
+    """Run the command that docopt parsed; return its exit code."""
     if is_operator_command:
         return run_operator_command(args)
     if args["system-demo"]:
@@ -215,7 +218,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command that `argv` names, that of the process if None; returns its exit code."""
+    """Run the command in `argv`, by default the process's arguments; return its exit code."""
     args = docopt(__doc__, argv)
     configure_logging(args["--log"])
     is_operator_command = any(args[name] for name in OPERATOR_COMMANDS)
--- a/lapisgrade/gateway/cli/__init__.py
+++ b/lapisgrade/gateway/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' commands of the gateway; `lapisgrade.gateway.__main__` reads the command line for them."""
+"""The operators' commands of the gateway; `lapisgrade.gateway.__main__` parses their command line."""
--- a/lapisgrade/gateway/cli/commands.py
+++ b/lapisgrade/gateway/cli/commands.py
@@ -1,6 +1,6 @@
-"""Operators' commands: each is given what docopt read, prints for people or programs, and returns its code.
+"""Operators' commands: each gets the arguments from docopt, prints its output, and returns its exit code.
 
-What can't be read, and a controller that can't be reached, raise `InvalidInputError`.
+Invalid input and unreachable controllers raise `InvalidInputError`.
 """
 
 import json
@@ -20,14 +20,14 @@
 from lapisgrade.gateway.errors import InvalidInputError
 
 Arguments = dict[str, Any]
-"""What docopt read: by the name of a command, option or argument, as in `gateway.__main__`."""
+"""Arguments from docopt, by the name of a command, option or argument in `gateway.__main__`."""
 
 
 def read_file(path: str) -> bytes:
     """Return the bytes of a file.
 
     Raises:
-        InvalidInputError: it can't be read.
+        InvalidInputError: The file can't be read.
     """
     try:
         with open(path, "rb") as file:
@@ -37,21 +37,21 @@
 
 
 def print_section(title: str, lines: list[str]) -> None:
-    """Print lines under a title; nothing where there are none."""
+    """Print lines under a title, or nothing if there are no lines."""
     if lines:
         print(title)
         for line in lines:
             print(f"  {line}")
 
 
-# ---- commands that need no controller
+# ---- commands without a controller
 
 
 def check_configuration(path: str) -> ExitCode:
-    """Check a configuration's file, and print each mistake with how to mend it."""
+    """Check a configuration file; print its errors, with hints how to correct them, and warnings."""
     errors, warnings = configuration_check.check_text(read_file(path))
     print_section("wrong:", errors)
-    print_section("mind:", warnings)
+    print_section("warnings:", warnings)
     if errors:
         return ExitCode.OBJECTION
     print("it can be taken")
@@ -59,7 +59,7 @@
 
 
 def diff_files(before: str, after: str) -> ExitCode:
-    """Print what differs between two configurations' files."""
+    """Print the differences between two configuration files."""
     configurations = [configuration_check.read(read_file(path)) for path in (before, after)]
     for raw in configurations:
         configuration.read(raw)
@@ -69,7 +69,7 @@
 
 
 def dump(folder: str, show_configuration: bool, show_history: bool) -> ExitCode:
-    """Print what is on the disk of a controller that is down."""
+    """Print the content of a stopped controller's disk."""
     report = DiskReport(folder)
     if show_configuration:
         if not report.state_machine.state.configuration:
@@ -81,7 +81,7 @@
     return ExitCode.DONE
 
 
-# ---- commands on the newest configuration, which are given it and `conf.status`
+# ---- commands that get the newest configuration and the reply of `conf.status`
 
 
 async def show(args: Arguments, current: JsonObject, status: JsonObject, client: OperatorClient) -> ExitCode:
@@ -91,37 +91,37 @@
 
 
 async def loss(args: Arguments, current: JsonObject, status: JsonObject, client: OperatorClient) -> ExitCode:
-    """Print what the loss of machines would do."""
+    """Print the consequences of losing machines."""
     lines, has_majority = describe_loss(configuration.read(current), status, args["NAME"])
-    print_section("without them:", lines)
+    print_section("consequences:", lines)
     return ExitCode.DONE if has_majority else ExitCode.OBJECTION
 
 
 async def rolling_restart(
     args: Arguments, current: JsonObject, status: JsonObject, client: OperatorClient
 ) -> ExitCode:
-    """Restart machines in turn."""
+    """Restart machines one by one."""
     timeout_s = float(args["--within"])
     rollout = RollingRestart(client, lambda name: run_shell(args["--run"], name), print, timeout_s)
     return await rollout.run(args["NAME"])
 
 
 async def diff(args: Arguments, current: JsonObject, status: JsonObject, client: OperatorClient) -> ExitCode:
-    """Print what differs between the newest configuration and a file's."""
+    """Print the differences between the newest configuration and a file."""
     given = configuration_check.read(read_file(args["FILE"]))
     configuration.read(given)
     lines = configuration_check.describe_changes(current, given)
-    print_section(f"changes on top of version {current.get('Ver', 0)}:", lines)
+    print_section(f"changes to version {current.get('Ver', 0)}:", lines)
     return ExitCode.OBJECTION if lines else ExitCode.DONE
 
 
 async def plan(args: Arguments, current: JsonObject, status: JsonObject, client: OperatorClient) -> ExitCode:
-    """Print what a change would change, and what is wrong with it."""
+    """Print the effects of a change, its errors and warnings."""
     given = configuration_check.read(read_file(args["FILE"]))
     lines, errors, warnings = configuration_check.check_change(current, given, status["Servers"])
-    print_section(f"changes on top of version {current.get('Ver', 0)}:", lines)
+    print_section(f"changes to version {current.get('Ver', 0)}:", lines)
     print_section("wrong:", errors)
-    print_section("mind:", warnings)
+    print_section("warnings:", warnings)
     return ExitCode.OBJECTION if errors else ExitCode.DONE
 
 
@@ -135,27 +135,27 @@
     "plan": plan,
 }
 
-# ---- commands that ask the controllers for something else
+# ---- other commands that call controllers
 
 
 async def print_reply(client: OperatorClient, call: str) -> ExitCode:
-    """Print a call's reply as the controllers have it, for programs."""
+    """Print a call's reply as JSON, for programs."""
     status_code, reply = await client.call(call)
     if status_code != HTTPStatus.OK:
-        raise InvalidInputError("no controller answers, or none leads")
+        raise InvalidInputError("no controller replied, or the cluster has no leader")
     print(json.dumps(reply, indent=1))
     return ExitCode.DONE
 
 
 async def draft(args: Arguments, client: DraftClient) -> ExitCode:
-    """Keep an edit where no majority can be asked, settle it or drop it."""
+    """Send, settle or drop a draft."""
     if args["send"]:
         return await client.send(read_file(args["FILE"]), author_name(args["--by"]))
     return await (client.settle(args["ID"]) if args["settle"] else client.drop(args["ID"]))
 
 
 async def tenant(args: Arguments, client: TenantClient) -> ExitCode:
-    """Bring a tenant in, or out."""
+    """Plan or make the onboarding or withdrawal of a tenant."""
     text = read_file(args["TICKET"])
     if args["plan"]:
         return await client.print_plan(text)
@@ -163,7 +163,7 @@
 
 
 async def run_with_controllers(args: Arguments) -> ExitCode:
-    """Run a command that asks the controllers for something."""
+    """Run a command that calls controllers."""
     try:
         controllers = [settings.parse_address(each) for each in args["--ctl"].split(",")]
         client = OperatorClient(controllers, print)
--- a/lapisgrade/gateway/cli/configuration_check.py
+++ b/lapisgrade/gateway/cli/configuration_check.py
@@ -1,6 +1,6 @@
-"""Checks of a configuration before it is sent: what would change, what is wrong, and what to mind.
+"""Checks of a configuration before it is sent: its changes, errors and warnings.
 
-Pure: nothing is sent, and no key is shown.
+No I/O: nothing is sent. API keys are not shown.
 """
 
 import re
@@ -19,10 +19,10 @@
 from lapisgrade.gateway.settings import decode_object, wire_name
 
 WIRE_NAMES = {"target_time": "Target_time", "warmup_time": "Warmup_time"}
-"""Fields that aren't encoded in wire_name case."""
+"""Wire names of fields that differ from `wire_name`."""
 
 MAX_LINES = 200
-"""Lines of one kind that are shown; a configuration may have many hundred routes."""
+"""Maximum number of lines of one kind; a configuration may have many hundred routes."""
 
 HINTS = (
     ("is not in Pools", "name the service under Pools, or send the route to one that is there"),
@@ -34,17 +34,17 @@
     ("not both and not none", "an Action has Svc, or Split with weights"),
     ("stands twice", "names, keys and a host's prefixes are there once"),
     ("is no mode", "Mode is idem for what may be repeated, keyed for what bears an Op-Key, else mutate"),
-    ("not above", "Ver climbs with each change"),
+    ("not above", "Ver must increase with each change"),
     ("required field", "it can't be left out"),
 )
-"""What an error's text contains, and how the error is mended; the first that fits counts."""
+"""Substrings of error messages, each with a hint how to correct the error; the first match is used."""
 
 
 def read(text: bytes) -> JsonObject:
-    """Return a configuration's file as JSON.
+    """Return the JSON object in a configuration file.
 
     Raises:
-        InvalidInputError: it is none.
+        InvalidInputError: The file is not a JSON object.
     """
     return decode_object(text, "a configuration")
 
@@ -53,7 +53,7 @@
 
 
 def describe_changes(before: JsonObject, after: JsonObject) -> list[str]:
-    """Describe what differs, a line a field; items that come or go as one line."""
+    """Describe the differences, one line per field; added and removed items take one line each."""
     old, new = merge_fields.to_fields(before), merge_fields.to_fields(after)
     added_items = {path for path in new if merge_fields.is_item(path) and path not in old}
     lines = []
@@ -75,11 +75,11 @@
 
 
 def find_warnings(conf: Configuration, servers: JsonObject | None = None) -> list[str]:
-    """Say what may be meant otherwise, though it can be taken.
+    """Return warnings about valid but probably unintended settings.
 
     Args:
-        conf: the configuration.
-        servers: by service, how many are up (`Servers` of `conf.status`); None where that isn't known.
+        conf: The configuration.
+        servers: By service: number of servers that are up (`Servers` of `conf.status`); None if unknown.
     """
     return [
         *_route_warnings(conf),
@@ -99,33 +99,36 @@
 def _rule_warnings(rule: Rule, conf: Configuration) -> Iterator[str]:
     action = rule.action
     if not rule.match.pfx.endswith("/"):
-        yield f"the prefix {rule.match.pfx} has no slash at its end: it begins other words too"
+        yield f"prefix {rule.match.pfx} does not end with a slash: it also matches longer path segments"
     if action.timeout < rule.target_time:
-        yield f"is held {action.timeout / SECOND:g} s at most, and aims at {rule.target_time / SECOND:g} s"
+        yield (
+            f"time-out of {action.timeout / SECOND:g} s is below "
+            f"its latency target of {rule.target_time / SECOND:g} s"
+        )
     if len(action.split) == 1:
-        yield "a split of one service"
+        yield "split has only one service"
     for share in action.split:
         if not share.wt:
-            yield f"service {share.svc} has weight 0: nothing goes there"
+            yield f"service {share.svc} has weight 0: it gets no requests"
     if len({share.svc for share in action.split}) < len(action.split):
-        yield "a service stands twice in its split"
+        yield "split lists a service twice"
     if rule.mode is Mode.IDEM and action.tries == 1:
-        yield "may be repeated, but is tried once"
+        yield "is idempotent, but is limited to one attempt"
     if rule.public and conf.tenants is None:
-        yield "is public where no key is wanted anyway"
+        yield "is public, although no route requires a key"
 
 
 def _host_warnings(conf: Configuration) -> Iterator[str]:
     for host, count in Counter(port.vhost.lower() for port in conf.ports).items():
         if count > 1:
-            yield f"host {host} stands {count} times: its routes count together"
+            yield f"host {host} is listed {count} times: its routes are combined"
 
 
 def _service_warnings(conf: Configuration, servers: JsonObject | None) -> Iterator[str]:
     routed = {share.svc for port in conf.ports for rule in port.policy for share in rule.action.shares()}
     for pool in conf.pools:
         if pool.name not in routed:
-            yield f"service {pool.name}: no route goes there"
+            yield f"service {pool.name}: no route uses it"
         elif servers is not None and not servers.get(pool.name, {}).get("Up"):
             yield f"service {pool.name}: no server is up"
 
@@ -133,20 +136,20 @@
 def _tenant_warnings(tenants: tuple[Tenant, ...] | None) -> Iterator[str]:
     for tenant in tenants or ():
         if not tenant.apikeys:
-            yield f"tenant {tenant.name}: has no key, so no request is its"
+            yield f"tenant {tenant.name}: has no key, so it can't send requests"
         if tenant.burst and not tenant.rate_s:
-            yield f"tenant {tenant.name}: a Burst without RateS is no limit"
+            yield f"tenant {tenant.name}: Burst has no effect without RateS"
         if tenant.rate_s and not tenant.burst:
-            yield f"tenant {tenant.name}: no Burst: a second's rate is taken for it"
+            yield f"tenant {tenant.name}: no Burst: it defaults to the requests of one second"
     if tenants == ():
-        yield "Tenants is empty: every request but on public routes gets 401"
+        yield "Tenants is empty: every request to a route that is not public is answered 401"
 
 
 # ---- errors
 
 
 def check_text(text: bytes, servers: JsonObject | None = None) -> tuple[list[str], list[str]]:
-    """Check a configuration's file; returns errors, each with how it is mended, and warnings."""
+    """Check a configuration file; return its errors, with hints how to correct them, and its warnings."""
     try:
         conf = configuration.read(read(text))
     except InvalidInputError as error:
@@ -157,21 +160,21 @@
 def check_change(
     current: JsonObject, change: JsonObject, servers: JsonObject
 ) -> tuple[list[str], list[str], list[str]]:
-    """Check a change of named items, or a whole configuration, on top of the current one.
+    """Check a change of named items, or a complete configuration, against the current one.
 
     Returns:
-        What changes, the errors, and the warnings that were not there before.
+        The changes, the errors, and the warnings that the current configuration does not have.
     """
-    is_whole = "Upsert" not in change and "Del" not in change
+    replaces_all = "Upsert" not in change and "Del" not in change
     try:
-        changed = {**change} if is_whole else apply_change(current, change)
+        changed = {**change} if replaces_all else apply_change(current, change)
         changed["Ver"] = current.get("Ver", 0) + 1
         changed.pop("Base", None)
         conf = configuration.read(changed)
     except (InvalidInputError, KeyError, TypeError, AttributeError) as error:
         return [], _errors_with_hints(error), []
-    known = set(find_warnings(configuration.read(current), servers)) if current else set()
-    warnings = [warning for warning in find_warnings(conf, servers) if warning not in known]
+    known_warnings = set(find_warnings(configuration.read(current), servers)) if current else set()
+    warnings = [warning for warning in find_warnings(conf, servers) if warning not in known_warnings]
     return describe_changes(current, changed)[:MAX_LINES], [], warnings[:MAX_LINES]
 
 
@@ -180,7 +183,7 @@
 
 
 def _with_hint(error: str) -> str:
-    """The error with its place in the file's own names, and how it is mended."""
+    """Return the error with its place in the names of the file, and a hint how to correct it."""
     message, separator, place = error.partition(" @ $")
     place = re.sub(r"\.(\w+)", lambda name: f".{WIRE_NAMES.get(name[1]) or wire_name(name[1])}", place)
     error = message + separator + place
--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -1,7 +1,7 @@
-"""What a controller has on its disk, read while it is down: each record is checked, nothing is written.
+"""Report on the disk of a stopped controller; checks each record and writes nothing.
 
-The newest configuration in it may be one that was never acknowledged (the end of a log counts only once a
-majority has it); it is shown for what it is.
+The end of the log may be uncommitted, so the newest configuration in the report may never have been
+acknowledged.
 """
 
 import os
@@ -32,7 +32,7 @@
 from lapisgrade.gateway.storage.log_store import CorruptLogError, LogStore
 
 _RECORD_DECODER = msgspec.msgpack.Decoder(Record)
-_ITEM_DECODER = msgspec.msgpack.Decoder(LogCommand)
+_COMMAND_DECODER = msgspec.msgpack.Decoder(LogCommand)
 
 
 class DiskReport:
@@ -42,7 +42,7 @@
         """Read the folder.
 
         Raises:
-            InvalidInputError: there is no such folder, or its log is damaged or has no complete generation.
+            InvalidInputError: The folder does not exist, or its log is corrupt or has no complete generation.
         """
         if not os.path.isdir(folder):
             raise InvalidInputError(f"{folder}: no such folder")
@@ -63,13 +63,13 @@
         if first.state:
             self.state_machine.load(first.state)
         self.snapshot_version = self.state_machine.state.version
-        self.history: list[str] = []  # what the log's entries did, in their order
+        self.history: list[str] = []  # descriptions of the log entries in order
         for entry in replicated.entries:
             self._apply(entry)
         self.drafts = read_drafts(folder)
 
     def summary(self) -> list[str]:
-        """Describe the disk: identity, log, voters, versions and drafts."""
+        """Return lines on the identity, log, voters, versions and drafts."""
         state = self.state_machine.state
         voters = ", ".join(f"{name} at {address}" for name, address in sorted(self.voters.items()))
         lines = [
@@ -93,25 +93,25 @@
             self.voters = entry.voters
             self._add_history(entry, f"voters: {', '.join(sorted(entry.voters)) or 'none'}")
         if entry.data:
-            self._apply_item(entry)
+            self._apply_command(entry)
 
-    def _apply_item(self, entry: Entry) -> None:
-        """Apply an entry, and describe what it did; keys and addresses are not shown."""
-        item, state = _ITEM_DECODER.decode(entry.data), self.state_machine.state
+    def _apply_command(self, entry: Entry) -> None:
+        """Apply an entry, and describe its effect without API keys and addresses."""
+        command, state = _COMMAND_DECODER.decode(entry.data), self.state_machine.state
         version, conf = state.version, state.configuration
-        answer = self.state_machine.apply(entry.index, entry.data)
-        self._add_history(entry, _describe_item(item, answer, version, state.version))
+        result = self.state_machine.apply(entry.index, entry.data)
+        self._add_history(entry, _describe_command(command, result, version, state.version))
         if state.version != version:
             before = msgspec.json.decode(conf) if conf else {}
             changes = describe_changes(before, msgspec.json.decode(state.configuration))
             self.history += [f"  {change}" for change in changes]
 
-    def _add_history(self, entry: Entry, what: str) -> None:
-        self.history.append(f"entry {entry.index}, term {entry.term}: {what}")
+    def _add_history(self, entry: Entry, description: str) -> None:
+        self.history.append(f"entry {entry.index}, term {entry.term}: {description}")
 
 
 def _read_records(folder: str, log_store: LogStore) -> tuple[SnapshotRecord, list[Record]]:
-    """Return the first record of the newest generation, and those after it."""
+    """Return the first record of the newest generation, and the later ones."""
     try:
         records = [_RECORD_DECODER.decode(data) for data in log_store.recover()]
     except (CorruptLogError, OSError, msgspec.MsgspecError) as error:
@@ -131,34 +131,34 @@
     return replicated
 
 
-def _describe_item(item: LogCommand, answer: ApplyResult, version_before: int, version: int) -> str:
-    """Describe what an item of the log did; the versions are the newest ones before and after it."""
-    match item:
-        case ConfigurationChange() | NewVersion() if answer.status != 200:
-            return f"a change was refused: {answer.status} {answer.reason}".rstrip()
+def _describe_command(command: LogCommand, result: ApplyResult, version_before: int, version: int) -> str:
+    """Describe the effect of a log command; the versions are the newest ones before and after it."""
+    match command:
+        case ConfigurationChange() | NewVersion() if result.status != 200:
+            return f"a change was refused: {result.status} {result.reason}".rstrip()
         case ConfigurationChange():
-            return f"version {version} on {version_before} was {'put' if item.replaces_all else 'updated'}"
+            return f"version {version} on {version_before} was {'put' if command.replaces_all else 'updated'}"
         case NewVersion():
             return f"version {version} on {version_before} was accepted"
         case MergeDraft(draft=draft):
             outcome = f"merged as version {version}" if version != version_before else "nothing of it stands"
             return f"draft {draft.id} by {draft.author}: {outcome}"
         case CloseDraft():
-            return f"draft {item.draft_id}: closed"
+            return f"draft {command.draft_id}: closed"
         case Activate():
-            return f"version {item.version} comes into force"
+            return f"version {command.version} comes into force"
         case ClaimOperations():
-            return f"{len(item.claims)} claims of keyed operations"
+            return f"{len(command.claims)} claims of keyed operations"
         case ServerLeaving() | LiveProxies() | ServerSnapshot():
-            return _describe_membership(item)
+            return _describe_membership(command)
 
 
-def _describe_membership(item: ServerLeaving | LiveProxies | ServerSnapshot) -> str:
-    match item:
+def _describe_membership(command: ServerLeaving | LiveProxies | ServerSnapshot) -> str:
+    match command:
         case ServerLeaving():
-            return f"server {item.server} {'is gone' if item.is_gone else 'drains'}"
+            return f"server {command.server} {'is gone' if command.is_gone else 'drains'}"
         case LiveProxies():
-            names = ", ".join(sorted(item.members)) or "none"
-            return f"{len(item.members)} proxies live: {names}"
+            names = ", ".join(sorted(command.members)) or "none"
+            return f"{len(command.members)} proxies live: {names}"
         case ServerSnapshot():
-            return f"{len(item.servers)} servers are known"
+            return f"{len(command.servers)} servers are known"
--- a/lapisgrade/gateway/cli/drafts.py
+++ b/lapisgrade/gateway/cli/drafts.py
@@ -1,8 +1,8 @@
-"""Drafts: edits that are kept where no majority can be asked.
+"""Drafts: configuration edits that are stored while no majority of controllers is reachable.
 
-A draft is sent to a controller of the side that the operator is on, kept on disks there, and merged with the
-other side's edits at the rejoin. What couldn't be merged is shown with both values, and settled by one
-command. A draft's file is a JSON object with `Upsert` and `Del`, as `conf.update` takes them.
+A draft is sent to a controller on the operator's side of a partition, stored on disks there, and merged with
+the other side's edits when the partition ends. Conflicting fields are shown with both values; the operator
+settles or drops them. A draft's file is a JSON object with `Upsert` and `Del`, as for `conf.update`.
 """
 
 import os
@@ -19,7 +19,7 @@
     "kept": "kept, not in force",
     "stands": "merged, all of it stands",
     "aside": "merged in part",
-    "invalid": "stays a draft",
+    "invalid": "invalid, not merged",
 }
 OPEN_STATES = ("aside", "invalid")
 
@@ -28,22 +28,22 @@
     """Return the change in a draft's file.
 
     Raises:
-        InvalidInputError: it holds none.
+        InvalidInputError: The file is not a valid draft.
     """
     raw = decode_object(text, "a draft")
     if unknown := sorted(set(raw) - {"Upsert", "Del"}):
-        raise InvalidInputError(f"unknown: {', '.join(unknown)[:200]}; a draft has Upsert and Del")
+        raise InvalidInputError(f"unknown keys: {', '.join(unknown)[:200]}; a draft has only Upsert and Del")
     return raw
 
 
 def describe_draft(draft: JsonObject) -> list[str]:
-    """Describe a draft, as `conf.drafts` lists it, for people."""
+    """Return the lines that describe a draft from the reply of `conf.drafts`."""
     title = f"{draft['Id']} by {draft['By']} at {draft['At']} on version {draft['Base']}"
     lines = [f"{title}: {STATE_PHRASES[draft['State']]}"]
     if draft["State"] == "kept":
         lines += [f"  {field}" for field in draft["Fields"]]
     elif draft["Wrong"]:
-        lines.append(f"  what is wrong: {draft['Wrong']}")
+        lines.append(f"  error: {draft['Wrong']}")
     for conflict in draft.get("Aside", ()):
         current, wanted = (msgspec.json.encode(conflict[key]).decode() for key in ("Has", "Wants"))
         lines.append(f"  {conflict['Field']}: has {current}, wants {wanted}: {conflict['Why']}")
@@ -51,24 +51,24 @@
 
 
 def author_name(given: str | None) -> str:
-    """Who makes a draft: the name that was given, else the user's."""
+    """Return the author of a draft: the given name, or else the user's."""
     return given or os.environ.get("USER") or "an operator"
 
 
 class DraftClient(OperatorClient):
-    """Sends drafts, lists them, and ends them."""
+    """Sends, lists, settles and drops drafts."""
 
     async def send(self, text: bytes, author: str) -> ExitCode:
-        """Have a draft kept on a disk."""
+        """Send a draft to be stored on controllers' disks."""
         change = read_change(text)
         for _ in range(MAX_ATTEMPTS):
             drafts = await self._fetch_drafts()
             body = {**change, "Base": drafts["Newest"], "By": author}
             status_code, reply = await self.call("conf.draft", msgspec.json.encode(body))
             if status_code == HTTPStatus.PRECONDITION_FAILED:
-                continue  # the controller learned of a newer version between the two calls
+                continue  # a newer version reached the controller between the two calls
             if status_code != HTTPStatus.ACCEPTED:
-                self._print_line(f"answered {status_code}: {reply.get('Err', 'nothing was kept')}")
+                self._print_line(f"answered {status_code}: {reply.get('Err', 'the draft was not stored')}")
                 return ExitCode.OBJECTION
             self._print_kept(reply)
             return ExitCode.DONE
@@ -81,7 +81,7 @@
             self._print_line("  mind: no neighbour has a copy: it is lost with that machine")
 
     async def print_drafts(self) -> ExitCode:
-        """Print all drafts; an objection where one is open."""
+        """Print all drafts; return OBJECTION if one is unresolved."""
         drafts = await self._fetch_drafts()
         if not drafts["Leader"]:
             self._print_line("no leader is reached from here: what was merged elsewhere is not known")
@@ -92,17 +92,17 @@
         return ExitCode.OBJECTION if has_open else ExitCode.DONE
 
     async def settle(self, draft_id: str) -> ExitCode:
-        """Have what was set aside of a draft come into force."""
+        """Apply the conflicting fields of a draft."""
         return await self._end("conf.settle", draft_id, "what was set aside is acknowledged")
 
     async def drop(self, draft_id: str) -> ExitCode:
-        """Have what was set aside of a draft forgotten."""
+        """Discard the conflicting fields of a draft."""
         return await self._end("conf.close", draft_id, "closed")
 
     async def _end(self, call: str, draft_id: str, outcome: str) -> ExitCode:
         status_code, reply = await self.call(call, msgspec.json.encode({"Id": draft_id}))
         if status_code != HTTPStatus.OK:
-            reason = reply.get("Err", "no majority has said so; look at drafts")
+            reason = reply.get("Err", "no majority confirmed it; check with `lapisgrade drafts`")
             self._print_line(f"answered {status_code}: {reason}")
             return ExitCode.OBJECTION
         self._print_line(f"draft {draft_id}: {outcome}")
@@ -111,5 +111,5 @@
     async def _fetch_drafts(self) -> JsonObject:
         status_code, drafts = await self.call("conf.drafts")
         if status_code != HTTPStatus.OK:
-            raise InvalidInputError("no controller answers")
+            raise InvalidInputError("no controller replied")
         return drafts
--- a/lapisgrade/gateway/cli/machine_loss.py
+++ b/lapisgrade/gateway/cli/machine_loss.py
@@ -1,4 +1,4 @@
-"""What the loss of machines at once would do, by what the controllers say of themselves: pure."""
+"""Prediction of the consequences of losing several machines at once, from `conf.status`. No I/O."""
 
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.cli.operator_client import JsonObject
@@ -9,22 +9,22 @@
 
 
 def describe_loss(conf: Configuration, status: JsonObject, names: list[str]) -> tuple[list[str], bool]:
-    """Describe what the loss of those machines would do.
+    """Describe the consequences of losing the machines.
 
     Args:
-        conf: the newest configuration.
-        status: `conf.status`.
-        names: the machines, by their proxies' names.
+        conf: The newest configuration.
+        status: The reply of `conf.status`.
+        names: The names of the machines' proxies.
 
     Returns:
-        Lines for people, and whether changes could still be made.
+        The lines of output, and whether a quorum remains, so that changes are still possible.
 
     Raises:
-        InvalidInputError: there is no proxy of one of the names.
+        InvalidInputError: A name is not that of a proxy.
     """
     proxies = {proxy["Name"]: proxy for proxy in status["Proxies"]}
     if unknown := sorted(set(names) - set(proxies)):
-        raise InvalidInputError(f"no proxy of that name: {', '.join(unknown)}")
+        raise InvalidInputError(f"unknown proxies: {', '.join(unknown)}")
     lost_hosts = {_host(proxies[name]["At"]) for name in names}
     voter_hosts = [_host(voter["At"]) for voter in status["Voters"]]
     remaining = sum(host not in lost_hosts for host in voter_hosts)
@@ -36,7 +36,7 @@
         *_describe_counts(conf, proxies, names),
     ]
     if len(names) == len(proxies):
-        lines.append("no proxy is left: nothing is served")
+        lines.append("no proxies left: no request is served")
     return lines, has_majority
 
 
@@ -46,18 +46,18 @@
 
 def _describe_voters(remaining: int, total: int, has_majority: bool) -> str:
     consequence = (
-        "a majority, changes go on"
+        "a quorum, changes are still possible"
         if has_majority
-        else "no majority, nothing is acknowledged until one is back"
+        else "no quorum, no change is acknowledged until it is restored"
     )
-    return f"disks: {remaining} of {total} left: {consequence}"
+    return f"voters: {remaining} of {total} left: {consequence}"
 
 
 def _describe_leader(is_lost: bool, has_majority: bool) -> list[str]:
     if not is_lost:
         return []
-    consequence = "another is elected" if has_majority else "none can be elected"
-    return [f"the leader is among them: {consequence}"]
+    consequence = "a new one is elected" if has_majority else "no new one can be elected"
+    return [f"the leader is lost: {consequence}"]
 
 
 def _describe_zones(proxies: dict[str, JsonObject], lost: list[str]) -> list[str]:
@@ -72,7 +72,7 @@
 
 
 def _describe_counts(conf: Configuration, proxies: dict[str, JsonObject], lost: list[str]) -> list[str]:
-    """Describe the tenants' counts whose owner is lost."""
+    """Describe the quota counts whose owner is lost."""
     beside_controllers = {name for name, proxy in proxies.items() if proxy["Core"]}
     owners = eligible_owners(proxies, beside_controllers)
     moved = [
@@ -83,5 +83,6 @@
     if not moved:
         return []
     return [
-        f"counts that others take over, dark for some {PROXY_TIMEOUT_US / SECOND:g} s: {', '.join(moved)}"
+        f"quota counts that change owner, unavailable for about "
+        f"{PROXY_TIMEOUT_US / SECOND:g} s: {', '.join(moved)}"
     ]
--- a/lapisgrade/gateway/cli/operator_client.py
+++ b/lapisgrade/gateway/cli/operator_client.py
@@ -1,6 +1,6 @@
-"""Calls of an operator to the controllers, over HTTP.
+"""HTTP client for operators' calls to the controllers.
 
-What goes in and out is JSON in the form that the controllers' calls have; the typed records are theirs.
+Requests and replies are plain JSON objects in the format of the control API, not typed records.
 """
 
 import asyncio
@@ -19,30 +19,30 @@
 from lapisgrade.net.http import MalformedMessageError
 
 MAX_ATTEMPTS = 5
-"""Times that a change is made anew where another operator's came first."""
+"""Maximum number of attempts at a change if changes of other operators are applied first."""
 
 POLL_INTERVAL_S = 0.2
-"""Between two looks at how far a change has come."""
+"""Interval between polls of a change's progress."""
 
 JsonObject = dict[str, Any]
 Print = Callable[[str], None]
 
 
 class OperatorClient:
-    """Sends calls to whichever controller answers, and prints what came of them."""
+    """Sends calls to the first controller that replies, and prints the results."""
 
     def __init__(self, controllers: list[Address], print_line: Print) -> None:
-        """Make a client.
+        """Create a client.
 
         Args:
-            controllers: where controllers take calls; they are tried in this order.
-            print_line: called with each line of output.
+            controllers: Control addresses of the controllers, tried in this order.
+            print_line: Called with each line of output.
         """
         self._controllers = controllers
         self._print_line = print_line
 
     async def call(self, name: str, body: bytes = b"") -> tuple[int, JsonObject]:
-        """Make a call; returns the status and the reply, status 0 where no controller answers."""
+        """Make a call; return the status and the reply, with status 0 if no controller replies."""
         status = 0
         for controller in self._controllers:
             try:
@@ -57,19 +57,19 @@
         return status, {}
 
     async def fetch_newest(self) -> tuple[JsonObject, JsonObject]:
-        """Return the newest configuration, empty for none, and `conf.status`.
+        """Return the newest configuration, empty if there is none, and the reply of `conf.status`.
 
         Raises:
-            InvalidInputError: no controller answers, or none leads.
+            InvalidInputError: No controller replies, or there is no leader.
         """
         _, configuration = await self.call("conf.show")
         status_code, status = await self.call("conf.status")
         if status_code != HTTPStatus.OK:
-            raise InvalidInputError("no controller answers, or none leads")
+            raise InvalidInputError("no controller replied, or the cluster has no leader")
         return ({} if "Ver" not in configuration else configuration), status
 
     async def wait_until_active(self, version: int, timeout_s: float) -> ExitCode:
-        """Follow a version until it is in force at every proxy; else print which ones hold it back."""
+        """Wait until a version is active at every proxy; on time-out, print the proxies that lag behind."""
         deadline_s = time.monotonic() + timeout_s
         last_active_count = -1
         while True:
@@ -77,18 +77,20 @@
             lagging = lagging_proxies(status, version)
             active_count = len(status["Proxies"]) - len(lagging)
             if active_count != last_active_count:
-                self._print_line(f"version {version}: in force at {active_count} of {len(status['Proxies'])}")
+                self._print_line(
+                    f"proxies with version {version} active: {active_count} of {len(status['Proxies'])}"
+                )
                 last_active_count = active_count
             if not lagging and status["InForce"] >= version:
                 return ExitCode.DONE
             if time.monotonic() > deadline_s:
                 for line in lagging:
-                    self._print_line(f"  holds back: {line}")
+                    self._print_line(f"  not active at {line}")
                 return ExitCode.INCOMPLETE
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def print_status(self) -> ExitCode:
-        """Print which version is in force, which proxies lag, the servers of each service, and held keys."""
+        """Print the newest and active version, lagging proxies, servers per service, and operation keys."""
         _, status = await self.fetch_newest()
         self._print_line(f"newest version {status['Newest']}, in force {status['InForce']}")
         for line in refusal_lines(status):
@@ -99,12 +101,12 @@
             self._print_line(f"  service {service}: {servers['Up']} servers up, {servers['Slots']} slots")
         operations = status.get("Operations", 0)
         if operations:
-            self._print_line(f"  {operations} operation keys are held")
+            self._print_line(f"  {operations} operation keys recorded")
         return ExitCode.DONE
 
 
 def refusal_lines(status: JsonObject) -> list[str]:
-    """Describe why nothing may be served, and the last refused change; controllers of before tell neither."""
+    """Describe a missing configuration and the last rejected change; earlier releases report neither."""
     lines = []
     if not status.get("EverAccepted", True):
         lines.append("no configuration was ever accepted: every request gets 503")
@@ -115,11 +117,14 @@
 
 
 def lagging_proxies(status: JsonObject, version: int) -> list[str]:
-    """Describe the proxies that don't act by that version yet, and what holds each back."""
+    """Describe the proxies at which the version is not active yet, with their progress."""
     return [_lagging_proxy(proxy, version) for proxy in status["Proxies"] if proxy["InForce"] < version]
 
 
 def _lagging_proxy(proxy: JsonObject, version: int) -> str:
     is_staged = proxy["Held"] >= version
-    progress = f"holds {proxy['Held']} ready" if is_staged else f"last told of {proxy['Held']}"
-    return f"{proxy['Name']}: {progress}, acts by {proxy['InForce']}, heard {proxy['HeardMs']} ms ago"
+    progress = f"version {proxy['Held']} staged" if is_staged else f"newest staged version {proxy['Held']}"
+    return (
+        f"{proxy['Name']}: {progress}, active version {proxy['InForce']}, "
+        f"last contact {proxy['HeardMs']} ms ago"
+    )
--- a/lapisgrade/gateway/cli/tenants.py
+++ b/lapisgrade/gateway/cli/tenants.py
@@ -1,8 +1,8 @@
-"""Onboarding and withdrawal of one tenant by a ticket.
+"""Onboarding and withdrawal of a tenant as described by a ticket.
 
-A ticket is a JSON object that says who the tenant is, what it may take and where its requests go: a tenant's
-fields beside `Ports` and `Pools`, each as in a configuration. From it and the newest configuration a change
-is planned, with what speaks against it. All is pure but for `TenantClient`, which carries a plan out.
+A ticket is a JSON object with a tenant's fields, `Ports` and `Pools`, each as in a configuration. The ticket
+and the newest configuration determine a plan: a change with objections and warnings. Only `TenantClient`,
+which carries out a plan, does I/O.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
 
 @define(frozen=True, slots=True)
 class Ticket:
-    """One tenant with the routes and services that come with it; encoded as in a configuration."""
+    """One tenant with its routes and services; encoded as in a configuration."""
 
     name: str = field(validator=configuration.check_name)
     apikeys: tuple[str, ...] = ()
@@ -35,29 +35,29 @@
     pools: tuple[configuration.Pool, ...] = ()
 
     def rules(self) -> list[tuple[str, Rule]]:
-        """The ticket's routes, with the host of each."""
+        """Return the ticket's routes, each with its host."""
         return rules_by_host(self.ports)
 
 
 @define(slots=True)
 class Plan:
-    """A change as `conf.update` takes it, described for people."""
+    """A change in the format of `conf.update`, with its description."""
 
     change: JsonObject
-    lines: list[str] = field(factory=list)  # what will change
-    objections: list[str] = field(factory=list)  # what keeps it from being sent
-    warnings: list[str] = field(factory=list)  # what it may cost
+    lines: list[str] = field(factory=list)  # description of the changes
+    objections: list[str] = field(factory=list)  # reasons not to send the change
+    warnings: list[str] = field(factory=list)  # possible side effects
 
 
 def read_ticket(text: bytes) -> tuple[Ticket, JsonObject]:
-    """Return a ticket, checked, and as it was written.
+    """Return a validated ticket and its JSON object.
 
     Raises:
-        InvalidInputError: each mistake and its place.
+        InvalidInputError: The ticket is invalid; the message names the faults with their places.
     """
     raw = decode_object(text, "a ticket")
     if unknown := sorted(set(raw) - {*TENANT_FIELDS, "Ports", "Pools"}):
-        raise InvalidInputError(f"unknown: {', '.join(unknown)[:200]}")
+        raise InvalidInputError(f"unknown keys: {', '.join(unknown)[:200]}")
     ticket: Ticket = structure(configuration.converter(), raw, Ticket)
     if not ticket.apikeys:
         raise InvalidInputError("Apikeys: a tenant needs a key")
@@ -65,17 +65,17 @@
 
 
 def rules_by_host(ports: Iterable[configuration.Port]) -> list[tuple[str, Rule]]:
-    """The routes of those hosts, with the host of each."""
+    """Return the routes of the hosts, each with its host."""
     return [(port.vhost, rule) for port in ports for rule in port.policy]
 
 
 def plan_onboarding(current: JsonObject, servers: JsonObject, text: bytes) -> Plan:
-    """Plan the change that brings a tenant in.
+    """Plan the change that onboards a tenant.
 
     Args:
-        current: the newest configuration, as JSON.
-        servers: by service, how many are up and their slots (`Servers` of `conf.status`).
-        text: the ticket.
+        current: The newest configuration, as JSON.
+        servers: By service: number of servers that are up and their slots (`Servers` of `conf.status`).
+        text: The ticket.
     """
     ticket, raw = read_ticket(text)
     upsert: JsonObject = {"Tenants": [{name: raw[name] for name in TENANT_FIELDS if name in raw}]}
@@ -92,7 +92,7 @@
     try:
         configuration.read(apply_change(current, plan.change))
     except InvalidInputError as error:
-        if not plan.objections:  # they say the same
+        if not plan.objections:  # they have the same cause
             plan.objections.append(str(error))
     return plan
 
@@ -105,23 +105,25 @@
 def _review_tenant(plan: Plan, ticket: Ticket, existing: Configuration) -> None:
     tenants = {each.name: each for each in existing.tenants or ()}
     has_limit = bool(ticket.rate_s)
-    limit = f"{ticket.rate_s:g} a second and {ticket.burst:g} on top" if has_limit else "no limit"
+    limit = (
+        f"{ticket.rate_s:g} requests/s with a burst of {ticket.burst:g} requests" if has_limit else "no limit"
+    )
     change = "changes" if ticket.name in tenants else "new"
     plan.lines.append(f"tenant {ticket.name}: {change}, {len(ticket.apikeys)} keys, {limit}")
     for other in tenants.values():
         if other.name != ticket.name and set(other.apikeys) & set(ticket.apikeys):
-            plan.objections.append(f"a key of the ticket is held by tenant {other.name}")
+            plan.objections.append(f"a key of the ticket belongs to tenant {other.name}")
     if existing.tenants is None and existing.ports:
-        plan.warnings.append("no keys were wanted so far: every request needs one from then on")
+        plan.warnings.append("no request needs an API key now; after this change every request does")
 
 
 def _review_route(plan: Plan, host: str, rule: Rule, existing: Configuration) -> None:
-    """Describe a route, and how it stands to those of the same host."""
+    """Describe a route, and its conflicts with other routes of the same host."""
     routes = {other.name: (other_host, other) for other_host, other in rules_by_host(existing.ports)}
     services = ", ".join(share.svc for share in rule.action.shares())
     plan.lines.append(f"route {rule.name}: {host}{rule.match.pfx} to {services}")
     if rule.name in routes:
-        plan.objections.append(f"route {rule.name} is there already, at {routes[rule.name][0]}")
+        plan.objections.append(f"route {rule.name} already exists, at {routes[rule.name][0]}")
     for other_host, other in routes.values():
         if other_host.lower() == host.lower() and other.name != rule.name:
             _review_prefixes(plan, rule, other)
@@ -130,15 +132,15 @@
 def _review_prefixes(plan: Plan, rule: Rule, other: Rule) -> None:
     prefix, other_prefix = rule.match.pfx, other.match.pfx
     if other_prefix == prefix:
-        plan.objections.append(f"route {rule.name}: {other.name} has that prefix")
+        plan.objections.append(f"route {rule.name}: {other.name} has the same prefix")
     elif prefix.startswith(other_prefix):
-        plan.warnings.append(f"route {rule.name} takes from {other.name}, whose prefix is shorter")
+        plan.warnings.append(f"route {rule.name} takes requests from {other.name}, whose prefix is shorter")
     elif other_prefix.startswith(prefix):
-        plan.warnings.append(f"route {rule.name} is hidden in part by {other.name}")
+        plan.warnings.append(f"route {rule.name} is partly shadowed by {other.name}")
 
 
 def _review_capacity(plan: Plan, ticket: Ticket, rule: Rule, servers: JsonObject) -> None:
-    """Compare the slots that the tenant's rate takes (Little's law) with those that are there."""
+    """Compare the slots that the tenant's rate needs (Little's law) with the available ones."""
     target_s = rule.target_time / SECOND
     for share in rule.action.shares():
         slots = servers.get(share.svc, {}).get("Slots", 0)
@@ -147,41 +149,41 @@
             plan.warnings.append(f"service {share.svc}: no server is up")
         elif concurrency > slots:
             plan.warnings.append(
-                f"service {share.svc}: {ticket.rate_s:g} a second within {target_s:g} s "
-                f"may take {concurrency:g} slots at once, and it has {slots}"
+                f"service {share.svc}: {ticket.rate_s:g} requests/s within {target_s:g} s "
+                f"may take up to {concurrency:g} slots, but it has {slots}"
             )
 
 
 def plan_withdrawal(current: JsonObject, text: bytes) -> Plan:
-    """Plan the change that takes a tenant and its routes out; services stay, as others may use them."""
+    """Plan the change that removes a tenant and its routes; services stay, as other tenants may use them."""
     ticket, _ = read_ticket(text)
     existing = configuration.read(current)
     existing_routes = {rule.name for _, rule in rules_by_host(existing.ports)}
     routes = [rule.name for _, rule in ticket.rules() if rule.name in existing_routes]
     plan = Plan({**_next_version(current), "Del": {"Tenants": [ticket.name], "Routes": routes}})
     if ticket.name not in {each.name for each in existing.tenants or ()}:
-        plan.objections.append(f"tenant {ticket.name} is not there")
-    plan.lines = [f"tenant {ticket.name} goes", *(f"route {name} goes" for name in routes)]
+        plan.objections.append(f"tenant {ticket.name} does not exist")
+    plan.lines = [f"tenant {ticket.name} is removed", *(f"route {name} is removed" for name in routes)]
     return plan
 
 
 class TenantClient(OperatorClient):
-    """Carries out the plans for a ticket."""
+    """Prints and carries out the plan for a ticket."""
 
     async def print_plan(self, text: bytes) -> ExitCode:
-        """Print what bringing the tenant in would change; sends nothing."""
+        """Print the plan for onboarding the tenant, without sending the change."""
         current, status = await self.fetch_newest()
         plan = plan_onboarding(current, status["Servers"], text)
-        self._print_line(f"on top of version {plan.change['Base']}, at {len(status['Proxies'])} proxies:")
+        self._print_line(f"changes to version {plan.change['Base']}, at {len(status['Proxies'])} proxies:")
         return ExitCode.OBJECTION if self._print_and_check(plan) else ExitCode.DONE
 
     async def apply(self, text: bytes, timeout_s: float, withdraw: bool = False) -> ExitCode:
-        """Send the change, and follow it until it is in force everywhere.
+        """Send the change, and wait until it is active at every proxy.
 
         Args:
-            text: the ticket.
-            timeout_s: how long to follow the change.
-            withdraw: whether to take the tenant out.
+            text: The ticket.
+            timeout_s: Maximum time to wait until the change is active.
+            withdraw: Whether to withdraw the tenant instead of onboarding it.
         """
         for _ in range(MAX_ATTEMPTS):
             current, status = await self.fetch_newest()
@@ -194,21 +196,21 @@
                 return ExitCode.OBJECTION
             status_code, reply = await self.call("conf.update", msgspec.json.encode(plan.change))
             if status_code == HTTPStatus.PRECONDITION_FAILED:
-                self._print_line("somebody else's change came first: planned anew")
+                self._print_line("another change was applied first: planning again")
                 continue
             if status_code != HTTPStatus.OK:
-                reason = reply.get("Err", "no majority has said so; look at status")
+                reason = reply.get("Err", "no majority confirmed it; check with `lapisgrade status`")
                 self._print_line(f"answered {status_code}: {reason}")
                 return ExitCode.OBJECTION
             return await self.wait_until_active(plan.change["Ver"], timeout_s)
         return ExitCode.OBJECTION
 
     def _print_and_check(self, plan: Plan) -> list[str]:
-        """Print a plan; returns its objections."""
+        """Print a plan; return its objections."""
         for line in plan.lines:
             self._print_line(f"  {line}")
         for line in plan.warnings:
-            self._print_line(f"  mind: {line}")
+            self._print_line(f"  warning: {line}")
         for line in plan.objections:
-            self._print_line(f"  against it: {line}")
+            self._print_line(f"  objection: {line}")
         return plan.objections
--- a/tests/gateway/cli/test_check.py
+++ b/tests/gateway/cli/test_check.py
@@ -1,4 +1,4 @@
-"""`check conf`, `plan` and `loss`: each mistake has its message, its place and its remedy."""
+"""`check conf`, `plan` and `loss`: errors with places and hints, warnings, changes and predictions."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.settings import Address
 
-WRONG = [
+INVALID = [
     (lambda c, r: action_of(r).update(Svc="nowhere"), "route r-claim: service 'nowhere' is not in Pools"),
     (lambda c, r: action_of(r).pop("Timeout"), "required field missing"),
     (lambda c, r: action_of(r).update(Timeout="0s"), "Timeout is 0, not above 0"),
@@ -57,48 +57,60 @@
 ]
 
 
-MINDED = [
-    (lambda c, r: r[CLAIM_ROUTE]["Match"].update(Pfx="/claim"), "the prefix /claim has no slash at its end"),
-    (lambda c, r: action_of(r).update(Timeout="100ms"), "r-claim: is held 0.1 s at most, and aims at 0.5 s"),
-    (lambda c, r: set_split(r, garantie=1), "r-claim: a split of one service"),
+SUSPICIOUS = [
+    (lambda c, r: r[CLAIM_ROUTE]["Match"].update(Pfx="/claim"), "prefix /claim does not end with a slash"),
+    (
+        lambda c, r: action_of(r).update(Timeout="100ms"),
+        "r-claim: time-out of 0.1 s is below its latency target of 0.5 s",
+    ),
+    (lambda c, r: set_split(r, garantie=1), "r-claim: split has only one service"),
     (lambda c, r: (c["Pools"].append({"Name": "b"}), set_split(r, garantie=1, b=0)), "b has weight 0"),
-    (lambda c, r: action_of(r, STOCK_ROUTE).update(Tries=1), "r-stock: may be repeated, but is tried once"),
-    (lambda c, r: c["Pools"].append({"Name": "b"}), "service b: no route goes there"),
+    (
+        lambda c, r: action_of(r, STOCK_ROUTE).update(Tries=1),
+        "r-stock: is idempotent, but is limited to one attempt",
+    ),
+    (lambda c, r: c["Pools"].append({"Name": "b"}), "service b: no route uses it"),
     (lambda c, r: c["Tenants"].append({"Name": "b"}), "tenant b: has no key"),
-    (lambda c, r: c["Tenants"][0].update(RateS=0), "a Burst without RateS is no limit"),
-    (lambda c, r: c["Tenants"][0].update(Burst=0), "no Burst: a second's rate is taken for it"),
-    (lambda c, r: c.update(Tenants=[]), "every request but on public routes gets 401"),
-    (lambda c, r: (c.pop("Tenants"), r[CLAIM_ROUTE].update(Public=True)), "is public where no key is wanted"),
-    (lambda c, r: c["Ports"].append({"Vhost": "A.example", "Policy": []}), "host a.example stands 2 times"),
+    (lambda c, r: c["Tenants"][0].update(RateS=0), "Burst has no effect without RateS"),
+    (lambda c, r: c["Tenants"][0].update(Burst=0), "no Burst: it defaults to the requests of one second"),
+    (lambda c, r: c.update(Tenants=[]), "every request to a route that is not public is answered 401"),
+    (
+        lambda c, r: (c.pop("Tenants"), r[CLAIM_ROUTE].update(Public=True)),
+        "is public, although no route requires a key",
+    ),
+    (
+        lambda c, r: c["Ports"].append({"Vhost": "A.example", "Policy": []}),
+        "host a.example is listed 2 times",
+    ),
 ]
 
 
 def test_every_kind_of_error_is_reported_with_its_place() -> None:
-    for edit, expected in WRONG:
-        wrong, minded = configuration_check.check_text(edited_configuration(edit))
-        assert expected in " ".join(wrong), (expected, wrong)
-        assert minded == []
-        assert "key-of-sfax" not in " ".join(wrong)
+    for edit, expected in INVALID:
+        errors, warnings = configuration_check.check_text(edited_configuration(edit))
+        assert expected in " ".join(errors), (expected, errors)
+        assert warnings == []
+        assert "key-of-sfax" not in " ".join(errors)
 
 
 def test_valid_but_suspicious_configurations_get_warnings() -> None:
     assert configuration_check.check_text(msgspec.json.encode(SAMPLE_CONFIGURATION)) == ([], [])
-    for edit, expected in MINDED:
-        wrong, minded = configuration_check.check_text(edited_configuration(edit))
-        assert wrong == [], expected
-        assert expected in "\n".join(minded)
+    for edit, expected in SUSPICIOUS:
+        errors, warnings = configuration_check.check_text(edited_configuration(edit))
+        assert errors == [], expected
+        assert expected in "\n".join(warnings)
 
 
-def test_errors_carry_a_hint_how_to_correct_them() -> None:
-    wrong, _ = configuration_check.check_text(
+def test_errors_have_a_hint_how_to_correct_them() -> None:
+    errors, _ = configuration_check.check_text(
         edited_configuration(lambda c, r: action_of(r).update(Svc="nowhere"))
     )
     hint = "(name the service under Pools, or send the route to one that is there)"
-    assert wrong == [f"route r-claim: service 'nowhere' is not in Pools {hint}"]
-    wrong, _ = configuration_check.check_text(edited_configuration(lambda c, r: action_of(r).pop("Timeout")))
+    assert errors == [f"route r-claim: service 'nowhere' is not in Pools {hint}"]
+    errors, _ = configuration_check.check_text(edited_configuration(lambda c, r: action_of(r).pop("Timeout")))
     place = "$.Ports[0].Policy[1].Action.Timeout"
-    assert wrong == [f"required field missing @ {place} (it can't be left out)"]
-    for edit, expected in WRONG[1:8]:
+    assert errors == [f"required field missing @ {place} (it can't be left out)"]
+    for edit, expected in INVALID[1:8]:
         assert configuration_check.check_text(edited_configuration(edit))[0][0].endswith(")"), expected
 
 
@@ -118,13 +130,13 @@
 
 async def test_a_plan_matches_the_change_that_follows() -> None:
     async with serving_cluster() as site:
-        current, where = await OperatorClient(site.control_addresses, lambda line: None).fetch_newest()
+        current, status = await OperatorClient(site.control_addresses, lambda line: None).fetch_newest()
         rule = {**SAMPLE["Ports"][0]["Policy"][1]}
         rule["Action"] = {**rule["Action"], "Svc": "reparation"}
         ports = [{"Vhost": "a.example", "Policy": [rule]}]
         change = {"Upsert": {"Ports": ports, "Pools": [{"Name": "reparation"}]}}
         lines = ["+ Pools/reparation", '  Routes/r-claim/Action/Svc: "garantie" -> "reparation"']
-        assert configuration_check.check_change(current, change, where["Servers"]) == (
+        assert configuration_check.check_change(current, change, status["Servers"]) == (
             lines,
             [],
             ["service reparation: no server is up"],
@@ -133,7 +145,7 @@
         later, _ = await OperatorClient(site.control_addresses, lambda line: None).fetch_newest()
         assert configuration_check.describe_changes(current, later) == lines
         rule["Action"] = {"Svc": "nowhere", "Timeout": "1s"}
-        assert len(configuration_check.check_change(current, change, where["Servers"])[1]) == 1
+        assert len(configuration_check.check_change(current, change, status["Servers"])[1]) == 1
 
 
 def client(site: LocalCluster) -> OperatorClient:
@@ -142,31 +154,29 @@
 
 async def test_a_predicted_loss_matches_the_loss_that_follows() -> None:
     async with serving_cluster() as site:
-        current, where = await client(site).fetch_newest()
+        current, status = await client(site).fetch_newest()
         conf = configuration.read(current)
-        keeper = owner_of("sfax", site.names)
-        other = next(each for each in site.names if each != keeper)
-        lines, goes_on = describe_loss(conf, where, [keeper])
-        assert [goes_on, lines[0], lines[-1], "zone local: 2 of 3 proxies left" in lines] == [
+        owner = owner_of("sfax", site.names)
+        other = next(each for each in site.names if each != owner)
+        lines, has_quorum = describe_loss(conf, status, [owner])
+        assert [has_quorum, lines[0], lines[-1], "zone local: 2 of 3 proxies left" in lines] == [
             True,
-            "disks: 2 of 3 left: a majority, changes go on",
-            "counts that others take over, dark for some 2 s: sfax",
+            "voters: 2 of 3 left: a quorum, changes are still possible",
+            "quota counts that change owner, unavailable for about 2 s: sfax",
             True,
         ]
-        assert not [line for line in describe_loss(conf, where, [other])[0] if "counts" in line]
-        lines, goes_on = describe_loss(conf, where, [keeper, other])
-        assert not goes_on
-        assert "no majority, nothing is acknowledged until one is back" in lines[0]
-        with pytest.raises(InvalidInputError, match="no proxy of that name: m9"):
-            describe_loss(conf, where, ["m9"])
-        for part in (site.controllers[keeper], site.proxies[keeper]):
+        assert not [line for line in describe_loss(conf, status, [other])[0] if "counts" in line]
+        lines, has_quorum = describe_loss(conf, status, [owner, other])
+        assert not has_quorum
+        assert "no quorum, no change is acknowledged until it is restored" in lines[0]
+        with pytest.raises(InvalidInputError, match="unknown proxies: m9"):
+            describe_loss(conf, status, ["m9"])
+        for part in (site.controllers[owner], site.proxies[owner]):
             await site.kill(part)
         change = {"Ver": 2, "Base": 1, "Upsert": {"Pools": [{"Name": "b"}]}}
         while await site.put(change, "conf.update") != 200:
             await asyncio.sleep(0.02)
-        await site.until(
-            lambda: all(keeper not in each.quota_owner.proxies for each in site.proxies.values())
-        )
-        assert owner_of("sfax", site.proxies[other].quota_owner.eligible_owners) != keeper
+        await site.until(lambda: all(owner not in each.quota_owner.proxies for each in site.proxies.values()))
+        assert owner_of("sfax", site.proxies[other].quota_owner.eligible_owners) != owner
         await site.kill(site.controllers[other])
         assert await site.put({**change, "Ver": 3, "Base": 2}, "conf.update") == 0
--- a/tests/gateway/cli/test_commands.py
+++ b/tests/gateway/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The program as an operator runs it: its output and exit code."""
+"""Output and exit codes of operators' commands."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 
 
 class Program:
-    """The program as an operator runs it: words out, exit code."""
+    """Runs the program as an operator does, with files in a folder."""
 
     def __init__(self, tmp_path: Path) -> None:
         self.folder = str(tmp_path)
@@ -95,22 +95,26 @@
     assert program.run_command("diff", one, one) == (0, "", "")
 
 
-def test_an_unreachable_target_is_one_line_and_exit_code_2(program: Program) -> None:
+def test_an_unreachable_target_is_reported_in_one_line_with_exit_code_2(program: Program) -> None:
     one = program.write("one", msgspec.json.encode(SAMPLE_CONFIGURATION))
-    nobody = "--ctl=127.0.0.1:1"
+    unreachable = "--ctl=127.0.0.1:1"
     calls = [("show",), ("status", "--json"), ("plan", one), ("diff", one), ("loss", "m1")]
-    for arguments in (*((*each, nobody) for each in calls), ("dump", "/nowhere"), ("dump", program.folder)):
+    for arguments in (
+        *((*each, unreachable) for each in calls),
+        ("dump", "/nowhere"),
+        ("dump", program.folder),
+    ):
         code, out, err = program.run_command(*arguments)
         assert (code, out, err.count("\n")) == (2, "", 1), err
 
 
 async def test_json_output_has_the_documented_keys() -> None:
     async with serving_cluster() as site:
-        where = f"--ctl={site.ip['m1']}:{CONTROL_PORT}"
+        control_option = f"--ctl={site.ip['m1']}:{CONTROL_PORT}"
         versions = {"Newest", "InForce", "EverAccepted", "LastRefused"}
         status = versions | {"Proxies", "Servers", "Leader", "Term", "Voters", "Operations"}
-        for word, names in (("status", status), ("drafts", {"Leader", "Newest", "Drafts"})):
-            arguments = (sys.executable, "-m", "lapisgrade.gateway", word, where, "--json")
+        for command, names in (("status", status), ("drafts", {"Leader", "Newest", "Drafts"})):
+            arguments = (sys.executable, "-m", "lapisgrade.gateway", command, control_option, "--json")
             child = await asyncio.create_subprocess_exec(*arguments, stdout=asyncio.subprocess.PIPE)
             out, _ = await child.communicate()
             assert (child.returncode, set(json.loads(out))) == (0, names)
--- a/tests/gateway/cli/test_demo.py
+++ b/tests/gateway/cli/test_demo.py
@@ -1,4 +1,4 @@
-"""`system-demo`: it serves all that it asks for, and says what was not served."""
+"""`system-demo`: all requests are served; failed ones are reported."""
 
 import contextlib
 import functools
@@ -16,7 +16,7 @@
     load.add(0.25, "m2", TimeoutError())
     load.add(0.5, "m1", TimeoutError())
     assert load.failure_lines() == [
-        "  not served: 2 with TimeoutError (no whole answer), the first after 0.25 s at proxy m2"
+        "  not served: 2 with TimeoutError (no complete response), the first after 0.25 s at proxy m2"
     ]
 
 
@@ -26,7 +26,7 @@
     cluster = functools.partial(LocalCluster, net=loopback_network.number)
     monkeypatch.setattr(demo, "LocalCluster", cluster)
     for _ in range(5):
-        said: list[str] = []
+        lines: list[str] = []
         with contextlib.redirect_stderr(io.StringIO()):
-            status = await demo.run_demo(1.0, said.append)
-        assert status == 0, "\n".join(said)
+            status = await demo.run_demo(1.0, lines.append)
+        assert status == 0, "\n".join(lines)
--- a/tests/gateway/cli/test_dump.py
+++ b/tests/gateway/cli/test_dump.py
@@ -1,4 +1,4 @@
-"""`dump`: what a controller's disk holds."""
+"""`dump`: the report on a controller's disk."""
 
 import json
 import os
@@ -56,21 +56,23 @@
     return StoredLog(tmp_path)
 
 
-def test_a_dump_reports_the_log_and_writes_nothing(stored_log: StoredLog) -> None:
+def test_a_dump_reports_the_log_without_writing(stored_log: StoredLog) -> None:
     before = stored_log.times()
-    found = DiskReport(stored_log.folder)
-    assert found.summary() == [
+    report = DiskReport(stored_log.folder)
+    assert report.summary() == [
         "disk first, generation 1, 3 sound records",
         "term 2; a snapshot up to entry 0 (version 0), 3 entries after it",
         "voters: first at 10.0.0.1:7660",
         "newest version 2, in force 0; servers that left 0, proxies in the list of live proxies 0",
         f"draft {stored_log.name} by amel: stands",
     ]
-    assert json.loads(found.state_machine.state.configuration)["Ports"][0]["Policy"][1]["Prio"] == 9
+    assert json.loads(report.state_machine.state.configuration)["Ports"][0]["Policy"][1]["Prio"] == 9
     assert stored_log.times() == before
 
 
-def test_the_history_says_what_each_entry_did_and_each_version_changed(stored_log: StoredLog) -> None:
+def test_the_history_lists_the_effect_of_each_entry_and_the_changes_of_each_version(
+    stored_log: StoredLog,
+) -> None:
     log_store = LogStore(stored_log.folder)
     old = [msgspec.msgpack.decode(each, type=Record) for each in log_store.recover()]
     deletion = {"Del": {"Routes": ["r-stock"]}}
@@ -82,8 +84,8 @@
     entries += [Entry(4 + number, 2, encode_command(each)) for number, each in enumerate(items)]
     log_store.start_generation(msgspec.msgpack.encode(msgspec.structs.replace(old[0], entries=entries)))
     log_store.close()
-    told = "\n".join(DiskReport(stored_log.folder).history)
-    assert told[told.index("entry 3") :] == (
+    history = "\n".join(DiskReport(stored_log.folder).history)
+    assert history[history.index("entry 3") :] == (
         f"""\
 entry 3, term 2: draft {stored_log.name} by amel: merged as version 2
     Routes/r-claim/Prio: 1 -> 9
@@ -97,16 +99,16 @@
 entry 10, term 2: draft nobody: closed"""
     )
     put = "entry 1, term 1: voters: first\nentry 2, term 1: version 1 on 0 was put\n    Caps/BodyBytes: "
-    assert put in told
-    assert "key-of-sfax" not in told
+    assert put in history
+    assert "key-of-sfax" not in history
 
 
-def test_corruption_is_reported_and_a_torn_tail_is_none(stored_log: StoredLog) -> None:
+def test_corruption_is_reported_and_a_torn_tail_is_ignored(stored_log: StoredLog) -> None:
     path = os.path.join(stored_log.folder, "log-1.dat")
     with open(path, "ab") as file:
         file.write(b"LGD1 torn")
     assert DiskReport(stored_log.folder).record_count == 3
-    with open(path, "r+b") as file:  # one bit of what was surely there
+    with open(path, "r+b") as file:  # flips a bit of a complete record
         file.seek(40)
         byte = file.read(1)
         file.seek(40)
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -1,4 +1,4 @@
-"""Onboarding a tenant as an operator does it: approved transcripts, on a small system and on mere words."""
+"""Onboarding and withdrawal of tenants: plans and their output, and end-to-end on a small system."""
 
 import asyncio
 import subprocess
@@ -38,76 +38,76 @@
 def test_a_plan_lists_the_changes() -> None:
     plan = plan_onboarding(CURRENT, SERVERS, text())
     assert plan.lines == [
-        "tenant gabes: new, 1 keys, 40 a second and 20 on top",
+        "tenant gabes: new, 1 keys, 40 requests/s with a burst of 20 requests",
         "route r-gabes: gabes.example/ to garantie",
     ]
     assert (plan.objections, plan.warnings) == (
         [],
-        ["service garantie: 40 a second within 0.4 s may take 16 slots at once, and it has 8"],
+        ["service garantie: 40 requests/s within 0.4 s may take up to 16 slots, but it has 8"],
     )
 
 
 def test_a_plan_lists_the_objections() -> None:
-    for ticket, against in (
-        (text(Apikeys=["key-of-sfax"]), ["a key of the ticket is held by tenant sfax"]),
-        (text(Ports=routed("/stock/")), ["route r-new: r-stock has that prefix"]),
+    for ticket, objections in (
+        (text(Apikeys=["key-of-sfax"]), ["a key of the ticket belongs to tenant sfax"]),
+        (text(Ports=routed("/stock/")), ["route r-new: r-stock has the same prefix"]),
         (
             text(Ports=routed("/x/", name="r-claim")),
-            ["route r-claim is there already, at a.example"],
+            ["route r-claim already exists, at a.example"],
         ),
         (
             text(Ports=routed("/x/", svc="nowhere")),
             ["route r-new: service 'nowhere' is not in Pools"],
         ),
     ):
-        assert plan_onboarding(CURRENT, SERVERS, ticket).objections == against
+        assert plan_onboarding(CURRENT, SERVERS, ticket).objections == objections
 
 
 def test_a_plan_lists_the_warnings() -> None:
-    quiet = {**TICKET, "RateS": 0}
-    for pfx, doubt in (
-        ("/stock/eu/", "route r-new takes from r-stock, whose prefix is shorter"),
-        ("/", "route r-new is hidden in part by r-stock"),
+    unlimited = {**TICKET, "RateS": 0}
+    for pfx, warning in (
+        ("/stock/eu/", "route r-new takes requests from r-stock, whose prefix is shorter"),
+        ("/", "route r-new is partly shadowed by r-stock"),
     ):
-        plan = plan_onboarding(CURRENT, SERVERS, msgspec.json.encode({**quiet, "Ports": routed(pfx)}))
-        assert doubt in plan.warnings
+        plan = plan_onboarding(CURRENT, SERVERS, msgspec.json.encode({**unlimited, "Ports": routed(pfx)}))
+        assert warning in plan.warnings
         assert plan.objections == []
 
 
 def test_an_invalid_ticket_is_rejected_with_its_place() -> None:
-    for ticket, word in (
+    for ticket, message in (
         (b"{", "not JSON"),
         (b"[]", "a ticket is an object"),
         (text(Apikeys=[]), "Apikeys: a tenant needs a key"),
-        (text(Quota=3), "unknown: Quota"),
+        (text(Quota=3), "unknown keys: Quota"),
         (text(RateS=-1), "RateS"),
         (text(Ports=routed("stock")), "does not begin with a slash"),
     ):
         with pytest.raises(InvalidInputError) as got:
             tenants.read_ticket(ticket)
-        assert word in str(got.value)
+        assert message in str(got.value)
 
 
 def test_proxies_that_lag_are_listed_with_their_versions() -> None:
     one = {"Name": "c1", "Az": "z", "Held": 4, "InForce": 3, "HeardMs": 20}
     status = {"Proxies": [one, {**one, "Name": "c2", "Held": 3, "HeardMs": 1900}, {**one, "InForce": 4}]}
     assert lagging_proxies(status, 4) == [
-        "c1: holds 4 ready, acts by 3, heard 20 ms ago",
-        "c2: last told of 3, acts by 3, heard 1900 ms ago",
+        "c1: version 4 staged, active version 3, last contact 20 ms ago",
+        "c2: newest staged version 3, active version 3, last contact 1900 ms ago",
     ]
 
 
 async def test_a_tenant_is_onboarded_served_and_withdrawn() -> None:
     async with serving_cluster() as site:
-        said = []
-        client = TenantClient(site.control_addresses, said.append)
+        lines = []
+        client = TenantClient(site.control_addresses, lines.append)
         assert await client.apply(text(), 5.0) == 0
-        assert said == [
-            "  tenant gabes: new, 1 keys, 40 a second and 20 on top",
+        assert lines == [
+            "  tenant gabes: new, 1 keys, 40 requests/s with a burst of 20 requests",
             "  route r-gabes: gabes.example/ to garantie",
-            "  mind: service garantie: 40 a second within 0.4 s may take 16 slots at once, and it has 4",
-            *said[3:-1],
-            "version 2: in force at 3 of 3",
+            "  warning: service garantie: 40 requests/s within 0.4 s may take up to 16 slots, but it has 4",
+            *lines[3:-1],
+            "proxies with version 2 active: 3 of 3",
         ]
         for name in site.names:
             got = await site.get(name, "/1", "key-of-gabes", host="gabes.example")
@@ -117,20 +117,20 @@
             got = await site.get(name, "/1", "key-of-gabes", host="gabes.example")
             assert got.head.status_code == 404
         assert (await site.get("m1", "/stock/1", "key-of-sfax")).head.status_code == 200
-        said.clear()
+        lines.clear()
         assert await client.apply(text(), 5.0, withdraw=True) == 1
-        assert said[-1] == "  against it: tenant gabes is not there"
+        assert lines[-1] == "  objection: tenant gabes does not exist"
 
 
 async def test_two_concurrent_operators_both_succeed() -> None:
     async with serving_cluster() as site:
         other = {**TICKET, "Name": "lagos", "Apikeys": ["key-of-lagos"], "Ports": []}
-        offices = [TenantClient(site.control_addresses, lambda line: None) for _ in range(2)]
+        clients = [TenantClient(site.control_addresses, lambda line: None) for _ in range(2)]
         got = await asyncio.gather(
-            offices[0].apply(text(), 5.0), offices[1].apply(msgspec.json.encode(other), 5.0)
+            clients[0].apply(text(), 5.0), clients[1].apply(msgspec.json.encode(other), 5.0)
         )
         assert got == [0, 0]
-        _, shown = await offices[0].call("conf.show")
+        _, shown = await clients[0].call("conf.show")
         assert sorted(each["Name"] for each in shown["Tenants"][1:]) == ["gabes", "lagos"]
 
 
@@ -147,7 +147,7 @@
         more = {"Ver": 2, "Base": 1, "Upsert": {"Ports": [{"Vhost": "a.example", "Policy": rules}]}}
         client = TenantClient(site.control_addresses, lambda line: None)
         put, applied = await asyncio.gather(site.put(more, "conf.update"), client.apply(text(), 8.0))
-        if put == 412:  # the tenant came first
+        if put == 412:  # the tenant's change was applied first
             put = await site.put({**more, "Ver": 3, "Base": 2}, "conf.update")
         assert (put, applied) == (200, 0)
         await site.until(lambda: all(each.active_version == 3 for each in site.proxies.values()))
@@ -161,23 +161,23 @@
 
 async def test_a_proxy_without_updates_answers_503_for_the_new_tenant_and_serves_the_others() -> None:
     async with serving_cluster() as site:
-        silent = site.proxies["m3"]
+        lagging_proxy = site.proxies["m3"]
 
-        call = silent.rpc.call
+        call = lagging_proxy.rpc.call
 
-        async def unheard(place, message, within):
+        async def drop_watch_requests(address, message, timeout_s):
             if isinstance(message, rpc_messages.WatchRequest):
                 await asyncio.Event().wait()
-            return await call(place, message, within)
+            return await call(address, message, timeout_s)
 
-        silent.rpc.call = unheard  # no news comes any more, and it does not know that yet
-        said: list[str] = []
-        assert await TenantClient(site.control_addresses, said.append).apply(text(), 4.0) in (0, 3)
+        lagging_proxy.rpc.call = drop_watch_requests  # it gets no updates, and has not detected that yet
+        lines: list[str] = []
+        assert await TenantClient(site.control_addresses, lines.append).apply(text(), 4.0) in (0, 3)
         served = await site.get("m1", "/1", "key-of-gabes", host="gabes.example")
         lagging = await site.get("m3", "/1", "key-of-gabes", host="gabes.example", tries=1)
         old = await site.get("m3", "/stock/1", "key-of-sfax", tries=1)
         assert [each.head.status_code for each in (served, lagging)] == [200, 503]
-        assert old.head.status_code in (200, 429)  # as the count allows one that is out of touch
+        assert old.head.status_code in (200, 429)  # 429 as far as quotas are limited without contact
         assert b"retry-after" in lagging.headers()
 
 
@@ -193,11 +193,11 @@
     [
         (("tenant", "plan", "/nowhere.json", "--ctl=127.0.0.1:1"), "/nowhere.json"),
         (("tenant", "plan", "TICKET", "--ctl=here"), "not an address"),
-        (("tenant", "plan", "TICKET", "--ctl=127.0.0.1:1"), "no controller answers"),
-        (("status", "--ctl=127.0.0.1:1"), "no controller answers"),
+        (("tenant", "plan", "TICKET", "--ctl=127.0.0.1:1"), "no controller replied"),
+        (("status", "--ctl=127.0.0.1:1"), "no controller replied"),
     ],
 )
-def test_errors_are_one_line_and_exit_code_2(
+def test_errors_are_reported_in_one_line_with_exit_code_2(
     arguments: tuple[str, ...], message: str, tmp_path: Path
 ) -> None:
     ticket = tmp_path / "ticket.json"
--- a/tests/gateway/cli/test_rollout.py
+++ b/tests/gateway/cli/test_rollout.py
@@ -1,4 +1,4 @@
-"""A rolling restart: machine by machine, and where it stops."""
+"""Rolling restarts: their order, their stop conditions, and uninterrupted service."""
 
 import asyncio
 import re
@@ -15,10 +15,10 @@
     return OperatorClient([Address((ip, CONTROL_PORT)) for ip in site.ip.values()], lambda line: None)
 
 
-async def test_a_rolling_restart_goes_machine_by_machine_and_nothing_is_refused() -> None:
+async def test_a_rolling_restart_restarts_machine_by_machine_without_rejected_requests() -> None:
     async with serving_cluster() as site:
         lines = []
-        answers = []
+        statuses = []
 
         async def restart(name: str) -> int:
             for part in (site.controllers[name], site.proxies[name]):
@@ -27,25 +27,25 @@
             await site.start_proxy(name)
             return 0
 
-        async def pulls() -> None:
+        async def send_requests() -> None:
             while True:
                 ready = [name for name, each in site.proxies.items() if each.ready]
-                answers.append((await site.get(ready[0], "/stock/1", "key-of-sfax")).head.status_code)
+                statuses.append((await site.get(ready[0], "/stock/1", "key-of-sfax")).head.status_code)
                 await asyncio.sleep(0.02)
 
-        task = asyncio.create_task(pulls())
+        task = asyncio.create_task(send_requests())
         incarnations = {name: each.context.incarnation for name, each in site.proxies.items()}
         assert await rollout.RollingRestart(client(site), restart, lines.append, 20.0).run(site.names) == 0
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        assert lines == ["1 of 3: m1", "2 of 3: m2", "3 of 3: m3", "all are back and well"]
+        assert lines == ["1 of 3: m1", "2 of 3: m2", "3 of 3: m3", "all machines are restarted and healthy"]
         assert not {
             name for name, each in site.proxies.items() if each.context.incarnation == incarnations[name]
         }
-        assert set(answers) == {200}
+        assert set(statuses) == {200}
 
 
-async def test_a_rolling_restart_stops_at_the_machine_that_is_not_back() -> None:
+async def test_a_rolling_restart_stops_at_a_machine_that_does_not_recover() -> None:
     async with serving_cluster() as site:
         lines = []
 
@@ -55,8 +55,10 @@
 
         assert await rollout.RollingRestart(client(site), restart, lines.append, 3.0).run(site.names) == 3
         assert lines[:2] == ["1 of 3: m1", "stopped at m1:"]
-        # A leader that is new has not heard it, one that is not has counted it out.
-        assert re.search("^  proxy m1 (is not there|acts by version 0, not 1|was heard .* ago)$", lines[2])
+        # A new leader has no contact with the proxy yet; an old one has removed it.
+        assert re.search(
+            "^  proxy m1(?: is missing|: active version is 0, not 1|: last contact .* ago)$", lines[2]
+        )
         assert len(site.proxies) == 2
 
         async def failing(name: str) -> int:
@@ -66,22 +68,22 @@
         await site.start_proxy("m1")
         await site.until(lambda: site.proxies["m1"].ready)
         assert await rollout.RollingRestart(client(site), failing, lines.append, 10.0).run(["m2"]) == 3
-        assert lines == ["1 of 1: m2", "stopped at m2:", "  the command ended with 7"]
+        assert lines == ["1 of 1: m2", "stopped at m2:", "  the restart command exited with code 7"]
 
 
-def test_what_is_worse_than_before_the_rollout_is_reported() -> None:
-    one = {"Name": "c1", "Life": "a", "HeardMs": 10, "InForce": 4}
-    disk = {"Id": "d1", "HeardMs": 10}
-    well = {"Proxies": [one], "Voters": [disk], "Servers": {"s": {"Up": 10}}, "Newest": 4}
+def test_degradations_since_the_start_of_the_rollout_are_reported() -> None:
+    proxy = {"Name": "c1", "Life": "a", "HeardMs": 10, "InForce": 4}
+    voter = {"Id": "d1", "HeardMs": 10}
+    healthy = {"Proxies": [proxy], "Voters": [voter], "Servers": {"s": {"Up": 10}}, "Newest": 4}
     monitor = rollout.RolloutMonitor()
-    monitor.record_baseline(well)
-    assert monitor.problems(well) == []
+    monitor.record_baseline(healthy)
+    assert monitor.problems(healthy) == []
     for now, expected in (
-        ({**well, "Proxies": []}, "proxy c1 is not there"),
-        ({**well, "Proxies": [{**one, "HeardMs": 2500}]}, "proxy c1 was heard 2500 ms ago"),
-        ({**well, "Newest": 5}, "proxy c1 acts by version 4, not 5"),
-        ({**well, "Voters": []}, "0 disks vote, not 1"),
-        ({**well, "Voters": [{**disk, "HeardMs": 9000}]}, "disk d1 was heard 9000 ms ago"),
-        ({**well, "Servers": {"s": {"Up": 7}}}, "service s: 7 servers are up, 10 were"),
+        ({**healthy, "Proxies": []}, "proxy c1 is missing"),
+        ({**healthy, "Proxies": [{**proxy, "HeardMs": 2500}]}, "proxy c1: last contact 2500 ms ago"),
+        ({**healthy, "Newest": 5}, "proxy c1: active version is 4, not 5"),
+        ({**healthy, "Voters": []}, "0 voters left of 1"),
+        ({**healthy, "Voters": [{**voter, "HeardMs": 9000}]}, "voter d1: last contact 9000 ms ago"),
+        ({**healthy, "Servers": {"s": {"Up": 7}}}, "service s: 7 servers are up, 10 at the start"),
     ):
         assert monitor.problems(now) == [expected]
