--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -15,7 +15,7 @@
 
 import click
 
-from lapisgrade.fakes.site import Plan, Site, sample
+from lapisgrade.fakes.site import Plan, Site, sample_configuration
 from lapisgrade.lab.load import client, schedule
 
 LIVE_INTERVAL_S = 1.0
@@ -103,7 +103,7 @@
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(stopping.wait(), options.seconds if options.seconds > 0 else None)
         return
-    settings = (options.plan.template or sample())["settings"]
+    settings = (options.plan.template or sample_configuration())["settings"]
     planned = schedule.plan(options.shape, schedule.mix_of(settings), options.plan.seed)
     print_line(
         f"load: {len(planned)} operations over {options.shape.seconds:g} s, shape {options.shape.kind}"
--- a/lapisgrade/cli/fake_site.py
+++ b/lapisgrade/cli/fake_site.py
@@ -8,7 +8,7 @@
 
 from lapisgrade.cli.options import load_shape, parse_address, shape_options
 from lapisgrade.fakes.servers import ServerBehavior
-from lapisgrade.fakes.site import Plan, sample
+from lapisgrade.fakes.site import Plan, sample_configuration
 
 
 @click.command()
@@ -54,7 +54,7 @@
         shape=load_shape(shape, rate, seconds, peak, at_s, length_s) if load else None,
         seconds=seconds if load else 0.0,
         leave_at_s=leave_at_s,
-        grace_s=sample()["settings"]["Rules"]["DrainGrace"] / 1000,
+        grace_s=sample_configuration()["settings"]["Rules"]["DrainGrace"] / 1000,
     )
     sys.exit(demo_run.main(options))
 
@@ -81,7 +81,7 @@
     from lapisgrade.fakes.discovery import Discovery, ServerEntry
     from lapisgrade.fakes.servers import ServerPool
 
-    configuration = sample()
+    configuration = sample_configuration()
     counter = await Counter(*parse_address(configuration["counter"], "counter")).open()
     discovery = await Discovery(*parse_address(configuration["discovery"], "discovery")).open()
     pool = await ServerPool(server_count, ServerBehavior(), seed).open()
--- a/lapisgrade/cli/load.py
+++ b/lapisgrade/cli/load.py
@@ -11,7 +11,7 @@
 import click
 
 from lapisgrade.cli.options import load_shape, parse_address, shape_options
-from lapisgrade.fakes.site import sample
+from lapisgrade.fakes.site import sample_configuration
 from lapisgrade.lab.load import client, schedule
 
 
@@ -47,7 +47,7 @@
 ) -> None:
     """Open-loop load at the limiters at TARGETS (host:port each); latency counted from when each was due."""
     addresses = [parse_address(target) for target in targets]
-    mix = schedule.mix_of(sample()["settings"])
+    mix = schedule.mix_of(sample_configuration()["settings"])
     if trace is not None:
         planned = _read_trace(trace, mix)
     else:
--- a/lapisgrade/fakes/servers.py
+++ b/lapisgrade/fakes/servers.py
@@ -150,8 +150,8 @@
             200, b"done " + request.headers["x-request-id"].encode() + b" " + request.body, load
         )
 
-    def on_request(self, request: http.Request, came_s: float, ran: bool) -> None:
-        """For whoever watches: a request that came at `came_s` was turned away, or is at work now."""
+    def on_request(self, request: http.Request, arrived_s: float, ran: bool) -> None:
+        """For whoever watches: a request that came at `arrived_s` was turned away, or is at work now."""
 
     def _load(self, now_s: float) -> str:
         capacity = self.capacity_at(now_s)
--- a/lapisgrade/fakes/site.py
+++ b/lapisgrade/fakes/site.py
@@ -23,7 +23,7 @@
 CHECK_INTERVAL_S = 0.02  # between looks whether a limiter is up
 
 
-def sample() -> dict[str, Any]:
+def sample_configuration() -> dict[str, Any]:
     """The sample configuration shipped with the package (also `deploy/sample.json`)."""
     return json.loads(resources.files("lapisgrade.fakes").joinpath("sample.json").read_text("utf-8"))
 
@@ -121,7 +121,7 @@
 
     def limiter_configuration(self, index: int, port: int) -> dict[str, Any]:
         """The configuration of limiter `index`, listening at `port`."""
-        configuration = copy.deepcopy(self.plan.template or sample())
+        configuration = copy.deepcopy(self.plan.template or sample_configuration())
         configuration["name"] = f"{configuration.get('name', 'lg')}-{index}"
         configuration["listen"] = f"127.0.0.1:{port}"
         configuration["discovery"], configuration["counter"] = self.discovery.address, self.counter.address
--- a/lapisgrade/lab/fleet/servers.py
+++ b/lapisgrade/lab/fleet/servers.py
@@ -24,8 +24,8 @@
         self.writer.put(h.ConnectionOpened(at=h.now_us(), to=self.name))
         await super()._accept(reader, writer)
 
-    def on_request(self, request: http.Request, came_s: float, ran: bool) -> None:
-        at, op = round(came_s * h.SECOND), request.headers["x-request-id"]
+    def on_request(self, request: http.Request, arrived_s: float, ran: bool) -> None:
+        at, op = round(arrived_s * h.SECOND), request.headers["x-request-id"]
         self.writer.put(h.RequestReceived(at=at, op=op, server=self.name, ran=ran))
 
 
--- a/lapisgrade/members/__main__.py
+++ b/lapisgrade/members/__main__.py
@@ -40,7 +40,7 @@
 
     def on_change(update: Update) -> None:
         state = MemberState(update.state).name.lower()
-        print_json(at=now_us(), name=update.name, state=state, by=update.by)
+        print_json(at=now_us(), name=update.name, state=state, by=update.reporter)
 
     def log_line(text: str) -> None:
         print(f"{name}: {text}", file=sys.stderr, flush=True)
--- a/lapisgrade/members/core.py
+++ b/lapisgrade/members/core.py
@@ -201,7 +201,7 @@
         state = MemberState(update.state)
         member = Member(update.name, update.address, update.incarnation, state, self._now_us)
         if state is MemberState.SUSPECT:
-            member.suspecters.add(update.by)
+            member.suspecters.add(update.reporter)
             self.metrics.suspected += 1
         elif state is MemberState.DEAD:
             self.metrics.died += 1
@@ -216,8 +216,12 @@
         return is_suspicion and update.incarnation == known.incarnation
 
     def _add_suspecter(self, known: Member, update: Update) -> None:
-        if update.by and update.by not in known.suspecters and len(known.suspecters) < MAX_SUSPECTERS:
-            known.suspecters.add(update.by)
+        if (
+            update.reporter
+            and update.reporter not in known.suspecters
+            and len(known.suspecters) < MAX_SUSPECTERS
+        ):
+            known.suspecters.add(update.reporter)
             self._updates.put(update)
 
     def _refute(self, update: Update) -> None:
--- a/lapisgrade/members/messages.py
+++ b/lapisgrade/members/messages.py
@@ -23,7 +23,7 @@
     address: str
     incarnation: int
     state: int  # a MemberState; another number is refused by the receiver
-    by: str = ""  # who suspects it; an update of a death names who first reported it
+    reporter: str = ""  # who suspects it; an update of a death names who first reported it
 
 
 class Ping(msgspec.Struct, array_like=True, tag="p", frozen=True):
--- a/tests/cli/test_load.py
+++ b/tests/cli/test_load.py
@@ -3,10 +3,10 @@
 from click.testing import CliRunner
 
 from lapisgrade.cli.main import cli
-from lapisgrade.fakes.site import sample
+from lapisgrade.fakes.site import sample_configuration
 from lapisgrade.lab.load import schedule
 
-MIX = schedule.mix_of(sample()["settings"])
+MIX = schedule.mix_of(sample_configuration()["settings"])
 
 
 def test_invalid_arguments_are_one_line():
--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -493,10 +493,10 @@
             name="text-308",
             updates=[
                 member_messages.Update(
-                    name="text-309", address="text-310", incarnation=1311, state=1312, by="text-313"
+                    name="text-309", address="text-310", incarnation=1311, state=1312, reporter="text-313"
                 ),
                 member_messages.Update(
-                    name="text-314", address="text-315", incarnation=1316, state=1317, by="text-318"
+                    name="text-314", address="text-315", incarnation=1316, state=1317, reporter="text-318"
                 ),
             ],
         ),
@@ -509,10 +509,10 @@
             address="text-321",
             updates=[
                 member_messages.Update(
-                    name="text-322", address="text-323", incarnation=1324, state=1325, by="text-326"
+                    name="text-322", address="text-323", incarnation=1324, state=1325, reporter="text-326"
                 ),
                 member_messages.Update(
-                    name="text-327", address="text-328", incarnation=1329, state=1330, by="text-331"
+                    name="text-327", address="text-328", incarnation=1329, state=1330, reporter="text-331"
                 ),
             ],
         ),
@@ -524,10 +524,10 @@
             missed=True,
             updates=[
                 member_messages.Update(
-                    name="text-334", address="text-335", incarnation=1336, state=1337, by="text-338"
+                    name="text-334", address="text-335", incarnation=1336, state=1337, reporter="text-338"
                 ),
                 member_messages.Update(
-                    name="text-339", address="text-340", incarnation=1341, state=1342, by="text-343"
+                    name="text-339", address="text-340", incarnation=1341, state=1342, reporter="text-343"
                 ),
             ],
         ),
@@ -538,10 +538,10 @@
             is_reply=True,
             updates=[
                 member_messages.Update(
-                    name="text-345", address="text-346", incarnation=1347, state=1348, by="text-349"
+                    name="text-345", address="text-346", incarnation=1347, state=1348, reporter="text-349"
                 ),
                 member_messages.Update(
-                    name="text-350", address="text-351", incarnation=1352, state=1353, by="text-354"
+                    name="text-350", address="text-351", incarnation=1352, state=1353, reporter="text-354"
                 ),
             ],
         ),
--- a/tests/lab/load/test_load.py
+++ b/tests/lab/load/test_load.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lapisgrade.fakes import servers
-from lapisgrade.fakes.site import sample
+from lapisgrade.fakes.site import sample_configuration
 from lapisgrade.lab.load import client, schedule
 
 
@@ -16,7 +16,7 @@
 SECOND = 1_000_000
 
 
-MIX = schedule.mix_of(sample()["settings"])
+MIX = schedule.mix_of(sample_configuration()["settings"])
 
 
 def test_a_schedule_is_the_same_for_a_seed_and_keeps_its_shape():
