--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -38,7 +38,7 @@
 CALL_INTERVAL_US = 50 * MS
 
 
-def conf(ver: int, base: int, tenants: int | list[int]) -> bytes:
+def encode_configuration(ver: int, base: int, tenants: int | list[int]) -> bytes:
     """Return a configuration, as JSON, with tenants of these numbers, or with so many."""
     names = [f"t{number}" for number in (range(tenants) if isinstance(tenants, int) else tenants)]
     return msgspec.json.encode(
@@ -132,7 +132,9 @@
         state = self.state_machine.state
         tenants = [number for number in range(self.tenant_count) if number not in self.withdrawn]
         self._commit(
-            encode_command(ConfigurationChange(True, conf(state.version + 1, state.version, tenants))),
+            encode_command(
+                ConfigurationChange(True, encode_configuration(state.version + 1, state.version, tenants))
+            ),
             self.term,
         )
 
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -31,7 +31,7 @@
 UNIT = "requests"
 AWAY_US = 2600 * MS  # that a limiter is cut off until it is surely counted out
 TERMINATION_GRACE_US = 2600 * MS  # that a process goes on once it was told to end
-PRESSURE = 7.5  # times its rate that the tenant asks for
+DEMAND_FACTOR = 7.5  # times its rate that the tenant asks for
 LIMITS = ((24.0, 24.0), (60.0, 60.0), (12.0, 40.0), (40.0, 8.0))  # rate and burst
 OWNER_FAULT_SHARE = 0.6  # of the faults that hit the count's owner
 MAX_LINES = 30
@@ -164,7 +164,7 @@
         limiter = self.random.choice(self.proxies)
         self.call_count += 1
         limiter.when_awake(limiter.incarnation, limiter.request)
-        pause_s = self.random.expovariate(PRESSURE * self.tenant.rate_s)
+        pause_s = self.random.expovariate(DEMAND_FACTOR * self.tenant.rate_s)
         self.sim.after(pause_s * SECOND, self.send_requests)
 
     def run(self, changes: int = 6) -> Self:
--- a/lapisgrade/lab/quota_comparison.py
+++ b/lapisgrade/lab/quota_comparison.py
@@ -218,7 +218,7 @@
         "| bytes/s | owner dark: refused | of its rate | worst window |"
     )
     print_line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for limiters, pressure, policy in product(sizes, (1 / 1.6, explored.PRESSURE), policies):
+    for limiters, pressure, policy in product(sizes, (1 / 1.6, explored.DEMAND_FACTOR), policies):
         calm, dark = simulate(policy, limiters, pressure, seed, rate, burst)
         figures = (
             calm.rejected_share,
--- a/lapisgrade/lab/simulation/clients.py
+++ b/lapisgrade/lab/simulation/clients.py
@@ -10,7 +10,7 @@
 from lapisgrade.lab.simulation.cluster import Cluster
 from lapisgrade.lab.simulation.network import Endpoint
 from lapisgrade.lab.simulation.operator_call import OPERATOR_PORT, CallReply, OperatorCall
-from lapisgrade.lab.simulation.virtual_loop import CURRENT, Process
+from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, Process
 
 REPLY_TIMEOUT_S = 1.0
 MAX_ATTEMPTS = 40  # of one change; then its outcome stays unknown
@@ -68,11 +68,11 @@
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task:
         """Start a task in the client's process."""
-        token = CURRENT.set(self.process)
+        token = CURRENT_PROCESS.set(self.process)
         try:
             return self.loop.create_task(work)
         finally:
-            CURRENT.reset(token)
+            CURRENT_PROCESS.reset(token)
 
 
 class Operator(Client):
--- a/lapisgrade/lab/simulation/disk.py
+++ b/lapisgrade/lab/simulation/disk.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from lapisgrade.gateway.consensus.records import EntriesRecord, HardState, Record, SnapshotRecord
-from lapisgrade.lab.simulation.virtual_loop import CURRENT, VirtualLoop
+from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, VirtualLoop
 
 _RECORD = msgspec.msgpack.Decoder(Record)
 MIN_SYNC_US = 500
@@ -75,7 +75,7 @@
         takes = round(self.random.randrange(MIN_SYNC_US, MAX_SYNC_US) * self.slowdown)
         begins = max(loop.now_us, self._busy_until_us, self.stalled_until_us)
         self._busy_until_us = begins + takes
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         # The call is made as the disk takes it up, and what it wrote is synced as it ends.
         loop.schedule(begins - loop.now_us, process, self._begin, loop, func, args, future, takes)
         return future
@@ -88,7 +88,7 @@
             value, wrong = func(*args), None
         except OSError as error:
             value, wrong = None, error
-        loop.schedule(takes, CURRENT.get(), self._end, future, value, wrong, self._write)
+        loop.schedule(takes, CURRENT_PROCESS.get(), self._end, future, value, wrong, self._write)
 
     def _end(self, future: asyncio.Future, value: Any, wrong: OSError | None, write: Any) -> None:
         if write is not None:
--- a/lapisgrade/lab/simulation/machine.py
+++ b/lapisgrade/lab/simulation/machine.py
@@ -10,7 +10,7 @@
 from lapisgrade.lab.simulation.disk import Disk
 from lapisgrade.lab.simulation.network import Endpoint, Network, OnCall, OnMessage
 from lapisgrade.lab.simulation.operator_call import OPERATOR_PORT, RPC_PORT, CallReply, Message, OperatorCall
-from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process, VirtualLoop
+from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, SECOND, Process, VirtualLoop
 
 HEARTBEAT_INTERVAL_US = 1_300_000
 RPC_PORTS = (RPC_PORT, RPC_PORT + 15)
@@ -119,7 +119,7 @@
     async def _on_operator_call(self, message: Message) -> Message | None:
         if not isinstance(message, OperatorCall):
             return None
-        reply = await self.forwarder.forward(message.call, message.of, message.body)
+        reply = await self.forwarder.forward(message.call, message.subject, message.body)
         return CallReply(reply.status, reply.body)
 
 
@@ -148,12 +148,12 @@
         self.process = process = Process(self.name)
         cluster.processes.append(process)
         settings = process_settings(self.name, self.ip, cluster.seeds, bootstrap, is_controller=True)
-        token = CURRENT.set(process)
+        token = CURRENT_PROCESS.set(process)
         try:
             self.controller = SimulatedController(self, settings, process)
             cluster.loop.call_soon(lambda: cluster.loop.create_task(self._run(self.controller, process)))
         finally:
-            CURRENT.reset(token)
+            CURRENT_PROCESS.reset(token)
         cluster.note(f"{self.name} starts")
 
     async def _run(self, controller: SimulatedController, process: Process) -> None:
--- a/lapisgrade/lab/simulation/operations/clients.py
+++ b/lapisgrade/lab/simulation/operations/clients.py
@@ -8,7 +8,7 @@
 from lapisgrade.lab.simulation.operations.exchange import REQUEST_DEADLINE_MS, Exchange
 from lapisgrade.lab.simulation.operations.history import OK, Answer, OperationId, Try
 from lapisgrade.lab.simulation.operations.proxy import KeyedProxyMachine
-from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process
+from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, SECOND, Process
 
 if TYPE_CHECKING:
     from lapisgrade.lab.simulation.operations.simulation import KeyedSimulation
@@ -55,11 +55,11 @@
 
     def start_task(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
         """Start a task in the clients' process."""
-        token = CURRENT.set(self.process)
+        token = CURRENT_PROCESS.set(self.process)
         try:
             return self.loop.create_task(work)
         finally:
-            CURRENT.reset(token)
+            CURRENT_PROCESS.reset(token)
 
     async def run(self) -> None:
         """Begin one operation after another."""
--- a/lapisgrade/lab/simulation/operator_call.py
+++ b/lapisgrade/lab/simulation/operator_call.py
@@ -12,7 +12,7 @@
     """A call of an operator or server, as HTTP would bring it."""
 
     call: str
-    of: str
+    subject: str
     body: bytes
 
 
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -21,7 +21,7 @@
 from lapisgrade.lab.simulation.cluster import Cluster
 from lapisgrade.lab.simulation.machine import process_settings
 from lapisgrade.lab.simulation.network import Endpoint
-from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, Process, VirtualLoop
+from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, SECOND, Process, VirtualLoop
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.events import AttemptClosed, RequestReceived
 from lapisgrade.net.http import MessageParser
@@ -201,12 +201,12 @@
         process.skew_us = skew_us
         cluster.processes.append(process)
         settings = process_settings(self.name, self.ip, cluster.seeds, bootstrap=False, is_controller=False)
-        token = CURRENT.set(process)
+        token = CURRENT_PROCESS.set(process)
         try:
             self.proxy = self.make_proxy(settings, process)
             cluster.loop.create_task(self.proxy.work())
         finally:
-            CURRENT.reset(token)
+            CURRENT_PROCESS.reset(token)
         cluster.note(f"{self.name} starts")
 
     def kill(self) -> None:
@@ -235,5 +235,5 @@
 
     def now_us(self) -> int:
         """Return the time in the process whose callback runs."""
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         return process.clock_us(self.loop.now_us) if process is not None else self.loop.now_us
--- a/lapisgrade/lab/simulation/virtual_loop.py
+++ b/lapisgrade/lab/simulation/virtual_loop.py
@@ -38,7 +38,7 @@
         return now_us + self.skew_us + gained_us
 
 
-CURRENT: ContextVar[Process | None] = ContextVar("process", default=None)
+CURRENT_PROCESS: ContextVar[Process | None] = ContextVar("process", default=None)
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
@@ -78,7 +78,7 @@
     def create_task(self, coro: Coroutine, *, name: str | None = None, context: Any = None) -> asyncio.Task:
         """Start a task in the current process."""
         task = asyncio.Task(coro, loop=self, name=name, context=context)
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         (process.tasks if process is not None else self._tasks).append(task)
         return task
 
@@ -115,13 +115,13 @@
     ) -> asyncio.Handle:
         """Have `callback` run in the context of `process`."""
         context = copy_context()
-        context.run(CURRENT.set, process)
+        context.run(CURRENT_PROCESS.set, process)
         handle = asyncio.Handle(callback, args, self, context)
         return self._schedule(handle, self.now_us + delay_us)
 
     def _schedule(self, handle: asyncio.Handle, at_us: int) -> asyncio.Handle:
         self._order += 1
-        process = handle._context.get(CURRENT)  # asyncio keeps no public name for it
+        process = handle._context.get(CURRENT_PROCESS)  # asyncio keeps no public name for it
         heapq.heappush(self._events, (at_us, self._order, handle, process))
         return handle
 
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -10,13 +10,13 @@
 )
 from lapisgrade.gateway.controller.watch import Watch
 from lapisgrade.gateway.watch_timing import MISSED_VERSION_AFTER_US
-from lapisgrade.lab.explore.activation import conf
+from lapisgrade.lab.explore.activation import encode_configuration
 from lapisgrade.lab.explore.watch_proxy import MS
 
 
 def test_activation_waits_for_all_live_proxies_until_the_time_out() -> None:
     state_machine = StateMachine()
-    state_machine.apply(1, encode_command(ConfigurationChange(True, conf(1, 0, 1))))
+    state_machine.apply(1, encode_command(ConfigurationChange(True, encode_configuration(1, 0, 1))))
     state_machine.apply(2, encode_command(LiveProxies({"a": ("p", "1", "z"), "b": ("p", "1", "z")})))
     watch = Watch(SECOND, 0)
     watch.become_leader(0, 1, state_machine.state)
@@ -37,7 +37,7 @@
     state_machine.apply(3, encode_command(Activate(1)))
     assert state_machine.state.active_version == 1
     # Proxy b sends no request after the next version, which is activated once b must be in doubt.
-    state_machine.apply(4, encode_command(ConfigurationChange(True, conf(2, 1, 2))))
+    state_machine.apply(4, encode_command(ConfigurationChange(True, encode_configuration(2, 1, 2))))
     assert watch.activation(SECOND, state_machine.state) is None
     send_watch_request(SECOND, "a", 2)
     assert watch.activation(SECOND + MISSED_VERSION_AFTER_US, state_machine.state) is None
@@ -46,15 +46,19 @@
 
 def test_rejected_changes_are_neither_staged_nor_activated() -> None:
     state_machine = StateMachine()
-    state_machine.apply(1, encode_command(ConfigurationChange(True, conf(1, 0, 1))))
+    state_machine.apply(1, encode_command(ConfigurationChange(True, encode_configuration(1, 0, 1))))
     statuses = [
-        state_machine.apply(2, encode_command(ConfigurationChange(True, conf(2, 1, 2)))).status,
-        state_machine.apply(3, encode_command(ConfigurationChange(True, conf(3, 1, 3)))).status,  # same base
+        state_machine.apply(
+            2, encode_command(ConfigurationChange(True, encode_configuration(2, 1, 2)))
+        ).status,
+        state_machine.apply(
+            3, encode_command(ConfigurationChange(True, encode_configuration(3, 1, 3)))
+        ).status,  # same base
         state_machine.apply(
             4, encode_command(ConfigurationChange(True, b'{"Ver":9,"Base":2,"Ports":7}'))
         ).status,
         state_machine.apply(
-            5, encode_command(ConfigurationChange(True, conf(2, 1, 2)))
+            5, encode_command(ConfigurationChange(True, encode_configuration(2, 1, 2)))
         ).status,  # a duplicate
     ]
     assert statuses == [200, 412, 400, 200]
@@ -80,7 +84,8 @@
         if now % (500 * MS) == 0:
             version = state_machine.state.version + 1
             state_machine.apply(
-                version, encode_command(ConfigurationChange(True, conf(version, version - 1, 1)))
+                version,
+                encode_command(ConfigurationChange(True, encode_configuration(version, version - 1, 1))),
             )
         activation = watch.activation(now, state_machine.state)
         if activation is not None:
--- a/tests/gateway/controller/test_operation_claims.py
+++ b/tests/gateway/controller/test_operation_claims.py
@@ -14,7 +14,7 @@
 from lapisgrade.lab.simulation.cluster import Cluster
 from lapisgrade.lab.simulation.log_limits import log_limits
 from lapisgrade.lab.simulation.machine import Machine
-from lapisgrade.lab.simulation.virtual_loop import CURRENT, SECOND, VirtualLoop
+from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, SECOND, VirtualLoop
 
 OWNER = "10.3.0.1:7600"
 RETENTION_S = (int(Slo().key_win) + RETENTION_MARGIN_US) / SECOND
@@ -49,11 +49,11 @@
     def send(self, machine: Machine, *claims: Claim) -> list[asyncio.Task[ClaimReply]]:
         """Start handling claims that arrive at the same time."""
         handle = machine.controller.operation_claims.handle_claim
-        token = CURRENT.set(machine.process)
+        token = CURRENT_PROCESS.set(machine.process)
         try:
             return [self.loop.create_task(handle(ClaimRequest(each))) for each in claims]
         finally:
-            CURRENT.reset(token)
+            CURRENT_PROCESS.reset(token)
 
     def replies(self, *claims: Claim) -> list[ClaimReply]:
         """The leader's replies to claims that arrive at the same time."""
