--- a/lapisgrade/cli/lab_comparisons.py
+++ b/lapisgrade/cli/lab_comparisons.py
@@ -36,7 +36,7 @@
     """Compare ways to choose a server where few requests pass each limiter; a Markdown table."""
     from lapisgrade.lab.balancing import choosers as balancing_choosers
     from lapisgrade.lab.balancing.model import Spec
-    from lapisgrade.lab.balancing.play import table
+    from lapisgrade.lab.balancing.simulation import comparison_table
 
     names = parse_names(choosers, balancing_choosers.CHOOSERS, "chooser")
     spec = Spec(
@@ -44,11 +44,11 @@
         servers or round(SERVERS_PER_LIMITER * limiters),
         load=load,
         slots=slots,
-        ill=ill,
+        unhealthy_share=ill,
         seconds=seconds,
         seed=seed,
     )
-    for line in table(spec, names):
+    for line in comparison_table(spec, names):
         click.echo(line)
 
 
--- a/lapisgrade/cli/lab_faults.py
+++ b/lapisgrade/cli/lab_faults.py
@@ -53,5 +53,5 @@
     modules = {"control": control, "rejoin": rejoin, "quota": quota, "operations": operations}
     module = modules[what]
     names = parse_names(cases, module.CASES, "case")
-    all_held = asyncio.run(module.table(names, range(first, first + plays), click.echo))
+    all_held = asyncio.run(module.print_table(names, range(first, first + plays), click.echo))
     sys.exit(0 if all_held else 1)
--- a/lapisgrade/lab/balancing/model.py
+++ b/lapisgrade/lab/balancing/model.py
@@ -22,7 +22,7 @@
     aim_us: int = 400_000
     ends_us: int = 2_500_000  # a client waits so long
     tries: int = 2
-    ill: float = 0.0  # of the servers, in the middle half of the run
+    unhealthy_share: float = 0.0  # of the servers, in the middle half of the run
     fails: float = 0.4  # of an ill server's answers that are failures, at once
     seconds: float = 20.0
     seed: int = 1
--- a/lapisgrade/lab/balancing/play.py
+++ b/lapisgrade/lab/balancing/simulation.py
@@ -41,7 +41,7 @@
         self.over = False
 
 
-class Play:
+class Simulation:
     def __init__(self, spec: Spec, name: str) -> None:
         self.spec, self.name, self.kind, self.sim = spec, name, CHOOSERS[name], Sim()
         self.sim.now = SECOND
@@ -65,8 +65,8 @@
 
     def run(self) -> Figures:
         spec, ends = self.spec, SECOND + int(self.spec.seconds * SECOND)
-        if spec.ill:
-            ill = self.luck.sample(self.servers, round(spec.ill * spec.servers))
+        if spec.unhealthy_share:
+            ill = self.luck.sample(self.servers, round(spec.unhealthy_share * spec.servers))
             self.sim.at(SECOND + (ends - SECOND) // 4, self.turn, ill, True)
             self.sim.at(SECOND + 3 * (ends - SECOND) // 4, self.turn, ill, False)
         at = float(SECOND)
@@ -183,9 +183,9 @@
         self.limiters[limiter].subsets.on_load_report(self.sim.now, by, out, ill)
 
 
-def table(spec: Spec, names: list[str]) -> list[str]:
+def comparison_table(spec: Spec, names: list[str]) -> list[str]:
     """A Markdown table, one chooser a row; `gap` is what full sight has in aim beyond it."""
-    rows = {name: Play(spec, name).run() for name in names}
+    rows = {name: Simulation(spec, name).run() for name in names}
     best = rows.get("full-sight")
     out = [
         "| chooser | in aim | gap | served | mean ms | p99 ms | waiting | other zone | again | "
--- a/lapisgrade/lab/baselines/central.py
+++ b/lapisgrade/lab/baselines/central.py
@@ -4,14 +4,14 @@
 from hashlib import blake2b
 
 from lapisgrade.interface import AddToCounter, CounterOutcome, Operation, Reject, RejectReason
-from lapisgrade.lab.baselines.common import Plain
+from lapisgrade.lab.baselines.common import BaselinePolicy
 
 SECOND = 1_000_000
 WINDOW = SECOND  # us; a count's window: a quota's rate for a second, and its burst on top
 LIFE = 2 * SECOND  # us a window's count lives at the counter, past its end
 
 
-class CentralCount(Plain):
+class CentralCounterPolicy(BaselinePolicy):
     """Asks the counter before each operation; a counter that does not answer turns the operation back."""
 
     def handle(self, op: Operation) -> Generator:
--- a/lapisgrade/lab/baselines/common.py
+++ b/lapisgrade/lab/baselines/common.py
@@ -23,17 +23,17 @@
 
 
 @dataclass(slots=True)
-class Named:
+class BaselineServer:
     address: str
 
 
 @dataclass(slots=True)
-class Hop:
+class BaselineAttempt:
     operation: Operation
-    server: Named
+    server: BaselineServer
 
 
-class Plain:
+class BaselinePolicy:
     """The part of a baseline policy that sends: servers as listed, one hop each, no second tries."""
 
     def __init__(self, clock: Clock, seed: int) -> None:
@@ -49,14 +49,14 @@
             self._states[entry.address] = entry.state
         self.ready = sorted(name for name, state in self._states.items() if state is ServerState.READY)
 
-    def on_attempt_finished(self, hop: Hop, report) -> None:
+    def on_attempt_finished(self, hop: BaselineAttempt, report) -> None:
         """Nothing is learnt from a hop's end."""
 
     def send(self, op: Operation) -> Generator:
         if not self.ready:
             yield Reject(RejectReason.RETRY_LATER, COME_BACK)
             return
-        hop = Hop(op, Named(self.random.choice(self.ready)))
+        hop = BaselineAttempt(op, BaselineServer(self.random.choice(self.ready)))
         yield Send(hop)
         ended = yield Sleep(op.deadline_us - END_MARGIN)
         if isinstance(ended, AttemptFinished) and ended.result.outcome.name == "OK":
--- a/lapisgrade/lab/baselines/local.py
+++ b/lapisgrade/lab/baselines/local.py
@@ -3,12 +3,12 @@
 from collections.abc import Generator
 
 from lapisgrade.interface import Clock, Operation, Reject, RejectReason
-from lapisgrade.lab.baselines.common import Plain
+from lapisgrade.lab.baselines.common import BaselinePolicy
 
 SECOND = 1_000_000
 
 
-class LocalBucket(Plain):
+class LocalBucketPolicy(BaselinePolicy):
     """No counter: each limiter admits its share, `rate / gateways` a second, `burst / gateways` at once."""
 
     def __init__(self, clock: Clock, seed: int) -> None:
--- a/lapisgrade/lab/emulator/world.py
+++ b/lapisgrade/lab/emulator/world.py
@@ -84,14 +84,14 @@
         )
 
     def local(self, clock, index: int):
-        from lapisgrade.lab.baselines.local import LocalBucket
+        from lapisgrade.lab.baselines.local import LocalBucketPolicy
 
-        return LocalBucket(clock, self.scenario.seed * 7_919 + index)
+        return LocalBucketPolicy(clock, self.scenario.seed * 7_919 + index)
 
     def central(self, clock, index: int):
-        from lapisgrade.lab.baselines.central import CentralCount
+        from lapisgrade.lab.baselines.central import CentralCounterPolicy
 
-        return CentralCount(clock, self.scenario.seed * 7_919 + index)
+        return CentralCounterPolicy(clock, self.scenario.seed * 7_919 + index)
 
     # ---- the run
 
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -26,7 +26,7 @@
 from lapisgrade.lab.explore.quota_defects import DEFECTS
 from lapisgrade.lab.explore.quota_limiter import SLO, TENANT, Limiter
 from lapisgrade.lab.explore.watch_proxy import MS, Proxy
-from lapisgrade.lab.partitions.quota import allowed, most
+from lapisgrade.lab.partitions.quota import max_in_window, quota_bound
 
 UNIT = "requests"
 AWAY_US = 2600 * MS  # that a limiter is cut off until it is surely counted out
@@ -182,12 +182,12 @@
     @property
     def max_allowed(self) -> float:
         """Requests that QUOTA allows in a window."""
-        return allowed(SLO, self.tenant.rate_s, self.tenant.burst)
+        return quota_bound(SLO, self.tenant.rate_s, self.tenant.burst)
 
     @property
     def max_admitted(self) -> int:
         """Requests that were admitted in the worst window."""
-        return most(self.admitted_us, SLO.quota_win)
+        return max_in_window(self.admitted_us, SLO.quota_win)
 
     @property
     def is_wrong(self) -> bool:
--- a/lapisgrade/lab/partitions/control.py
+++ b/lapisgrade/lab/partitions/control.py
@@ -2,7 +2,7 @@
 right after an acknowledgement, a member that is away for hundreds of changes. The history of orders and reads
 is judged as that of one register (`lab/simulation/linearizability.py`).
 
-    found = await play("cut", net=141, folder=folder, chance=Random(1))
+    found = await run_case("cut", net=141, folder=folder, chance=Random(1))
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 LONG = 20.0  # s that a leader is cut off
 CHANGES = 500  # while a member is away
 PATIENCE = 1.0  # s that an operator waits for an answer
-WITHIN = 30.0  # s that anything may take; a play that takes longer has failed
+STEP_TIMEOUT_S = 30.0  # s that anything may take; a play that takes longer has failed
 RIGHT_AFTER = 0.005  # s after an acknowledgement in which its machine is struck
 ENDS = (400, 409, 412, 413, 422)
 NET, NETS = 160, 40  # 127.160 to 127.199 are the plays' machines
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class CaseResult:
     """What a play showed. Times in s."""
 
     case: str
@@ -41,9 +41,9 @@
     refused: int = 0
     unclear: int = 0
     reads: int = 0
-    longest_wait: float = 0.0  # until an order was answered clearly, by callers that reach all machines
-    caught_up: float = 0.0  # until a member that was away had all changes
-    wrong: list[str] = field(default_factory=list)
+    max_latency_s: float = 0.0  # until an order was answered clearly, by callers that reach all machines
+    catch_up_s: float = 0.0  # until a member that was away had all changes
+    violations: list[str] = field(default_factory=list)
 
 
 class Operator:
@@ -62,7 +62,7 @@
             await asyncio.sleep(0.01)
 
     def place(self, turn: int) -> Address:
-        ctl = self.fleet.ctl
+        ctl = self.fleet.controller_addresses
         return Address((self.fleet.ip[self.only], ctl[0][1])) if self.only else ctl[turn % len(ctl)]
 
     async def call(self, turn: int, call: str, body: bytes) -> tuple[int, bytes]:
@@ -83,7 +83,7 @@
         called, at = round(began * 1e6), len(self.events)
         self.events.append(Event("change", called, UNANSWERED, ver, base))  # should this be ended midway
         while status != 200 and status not in ENDS:
-            if time.monotonic() - began > (WITHIN if not self.only else PATIENCE):
+            if time.monotonic() - began > (STEP_TIMEOUT_S if not self.only else PATIENCE):
                 break
             turn += 1
             status, _ = await self.call(turn, "conf.update", body)
@@ -116,10 +116,10 @@
         return ver
 
 
-class Play:
+class CaseRun:
     """A fleet and its operators; `judge` says what was wrong."""
 
-    def __init__(self, fleet: Fleet, chance: Random, found: Found) -> None:
+    def __init__(self, fleet: Fleet, chance: Random, found: CaseResult) -> None:
         self.fleet, self.chance, self.found = fleet, chance, found
         fleet.chance = chance
         self.operators = [Operator(fleet, "a"), Operator(fleet, "b")]
@@ -137,14 +137,14 @@
     async def judge(self) -> None:
         found, operators = self.found, self.operators
         last = Operator(self.fleet, "last")
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while not await last.change():
                 pass
         operators.append(last)
         _, shown = await last.call(0, "conf.show", b"")
         names = {each["Name"] for each in msgspec.json.decode(shown)["Pools"]}
         for each in operators:
-            found.wrong += [
+            found.violations += [
                 f"version {ver} was acknowledged and is gone"
                 for ver in each.marks
                 if each.marks[ver] not in names
@@ -154,9 +154,9 @@
         found.refused = sum(each.refused for each in operators)
         found.unclear = sum(each.kind == "change" and each.is_accepted is None for each in events)
         found.reads = sum(each.kind == "read" for each in events)
-        found.longest_wait = max(each.longest for each in operators if not each.only)
+        found.max_latency_s = max(each.longest for each in operators if not each.only)
         if (at := first_violation(events, 1)) is not None:
-            found.wrong.append(f"the history up to {at / 1e6:.3f} s can't be explained")
+            found.violations.append(f"the history up to {at / 1e6:.3f} s can't be explained")
 
     async def struck(self, wipe: bool) -> None:
         """The machine that acknowledges an order loses its process right after, and with `wipe` its disk."""
@@ -164,7 +164,7 @@
         one = Operator(self.fleet, "struck", leader)
         one.known = await one.read() or 1
         self.operators.append(one)
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(STEP_TIMEOUT_S):
             while not await one.change():
                 one.known = await one.read() or one.known
         await asyncio.sleep(RIGHT_AFTER * self.chance.random())
@@ -175,9 +175,9 @@
         await self.fleet.start("controller", leader)
 
 
-async def cut(play: Play, seconds: float, one_way: str = "") -> None:
+async def cut(run: CaseRun, seconds: float, one_way: str = "") -> None:
     """The leader is cut off from the other machines; orders and questions come to both sides."""
-    fleet = play.fleet
+    fleet = run.fleet
     leader = await fleet.leader()
     others = [each for each in fleet.ip if each != leader]
     await asyncio.sleep(CALM)
@@ -185,89 +185,89 @@
     pairs += [(each, leader) for each in others] if one_way != "out" else []
     fleet.cut(*pairs)
     alone = Operator(fleet, "alone", leader)
-    play.begin(alone)
+    run.begin(alone)
     await asyncio.sleep(2.0)
     before = len([each for each in alone.events if each.is_accepted])
     await asyncio.sleep(max(0.0, seconds - 2.0))
     confirmed = len([each for each in alone.events if each.is_accepted]) - before
     if confirmed and not one_way:
-        play.found.wrong.append(f"a leader that was cut off confirmed {confirmed} orders")
+        run.found.violations.append(f"a leader that was cut off confirmed {confirmed} orders")
     fleet.cut()
     await asyncio.sleep(2.0 + CALM)
 
 
-async def acknowledged(play: Play, wipe: bool) -> None:
+async def acknowledged(run: CaseRun, wipe: bool) -> None:
     """Three times: struck right after an acknowledgement."""
     for _ in range(3):
         await asyncio.sleep(CALM)
-        await play.struck(wipe)
+        await run.struck(wipe)
         await asyncio.sleep(2.5)
 
 
-async def away(play: Play, changes: int) -> None:
+async def away(run: CaseRun, changes: int) -> None:
     """One member is away for so many changes, comes back while they go on, and is asked once it leads."""
-    fleet = play.fleet
+    fleet = run.fleet
     leader = await fleet.leader()
     member = next(each for each in fleet.controllers if each != leader)
     await fleet.kill("controller", member)
-    wanted = sum(len(each.acknowledged) for each in play.operators) + changes
-    async with asyncio.timeout(WITHIN + changes / 4):
-        while sum(len(each.acknowledged) for each in play.operators) < wanted:
+    wanted = sum(len(each.acknowledged) for each in run.operators) + changes
+    async with asyncio.timeout(STEP_TIMEOUT_S + changes / 4):
+        while sum(len(each.acknowledged) for each in run.operators) < wanted:
             await asyncio.sleep(0.05)
     began = time.monotonic()
     await fleet.start("controller", member)
     one = Operator(fleet, "asked", member)
-    play.operators.append(one)
-    async with asyncio.timeout(WITHIN):
+    run.operators.append(one)
+    async with asyncio.timeout(STEP_TIMEOUT_S):
         while not await one.read():
             await asyncio.sleep(0.05)
-    play.found.caught_up = time.monotonic() - began
+    run.found.catch_up_s = time.monotonic() - began
     await asyncio.sleep(1.0)
     await fleet.kill("controller", leader)  # the member and one other are a majority now
-    async with asyncio.timeout(WITHIN):
+    async with asyncio.timeout(STEP_TIMEOUT_S):
         while not await one.change():
             one.known = await one.read() or one.known
     await fleet.start("controller", leader)
     await asyncio.sleep(CALM)
 
 
-Case = Callable[[Play, float], Awaitable[None]]
+Case = Callable[[CaseRun, float], Awaitable[None]]
 CASES: dict[str, Case] = {
-    "cut": lambda play, part: cut(play, LONG * part),
-    "cut one way, not heard": lambda play, part: cut(play, LONG * part, "out"),
-    "cut one way, hears nobody": lambda play, part: cut(play, LONG * part, "in"),
-    "killed right after": lambda play, part: acknowledged(play, False),
-    "emptied right after": lambda play, part: acknowledged(play, True),
-    "away": lambda play, part: away(play, round(CHANGES * part)),
+    "cut": lambda run, part: cut(run, LONG * part),
+    "cut one way, not heard": lambda run, part: cut(run, LONG * part, "out"),
+    "cut one way, hears nobody": lambda run, part: cut(run, LONG * part, "in"),
+    "killed right after": lambda run, part: acknowledged(run, False),
+    "emptied right after": lambda run, part: acknowledged(run, True),
+    "away": lambda run, part: away(run, round(CHANGES * part)),
 }
 
 
-async def play(case: str, net: int, folder: str, chance: Random, part: float = 1.0) -> Found:
+async def run_case(case: str, net: int, folder: str, chance: Random, part: float = 1.0) -> CaseResult:
     """One play; `part` of the long cuts and of the changes."""
-    found = Found(case)
+    found = CaseResult(case)
     async with Fleet(net, folder) as fleet:
-        one = Play(fleet, chance, found)
+        one = CaseRun(fleet, chance, found)
         one.begin()
         try:
             await CASES[case](one, part)
         except TimeoutError:
-            found.wrong.append("something took too long")
+            found.violations.append("something took too long")
         await one.end()
         await one.judge()
     return found
 
 
-async def table(names: list[str], seeds: range, say: Callable[[str], None], part: float = 1.0) -> bool:
+async def print_table(names: list[str], seeds: range, say: Callable[[str], None], part: float = 1.0) -> bool:
     """A row a play; whether nothing wrong was seen."""
     say("| case | seed | acknowledged | refused | unclear | reads | longest wait s | caught up s | wrong |")
     say("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     sound = True
     for turn, (name, seed) in enumerate((name, seed) for name in names for seed in seeds):
         with tempfile.TemporaryDirectory() as folder:
-            found = await play(name, NET + turn % NETS, folder, Random(seed), part)
-        sound = sound and not found.wrong
+            found = await run_case(name, NET + turn % NETS, folder, Random(seed), part)
+        sound = sound and not found.violations
         say(
             f"| {name} | {seed} | {found.acknowledged} | {found.refused} | {found.unclear} | {found.reads} | "
-            f"{found.longest_wait:.2f} | {found.caught_up:.2f} | {'; '.join(found.wrong) or '-'} |"
+            f"{found.max_latency_s:.2f} | {found.catch_up_s:.2f} | {'; '.join(found.violations) or '-'} |"
         )
     return sound
--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -19,10 +19,10 @@
 from lapisgrade.net.http import MalformedMessageError
 
 BEAT = 0.25  # s between a stand-in's beats
-PAUSE = 0.01  # s between a client's calls, and between looks at what is waited for
+POLL_INTERVAL_S = 0.01  # s between a client's calls, and between looks at what is waited for
 
 
-class Stamped(Counter):
+class RunCounter(Counter):
     """What a server ran, and when it began."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         self.cut()
         self.running: dict[tuple[str, str], asyncio.subprocess.Process] = {}
         self.server = FakeServer("i-1", "garantie", (f"127.{net}.1.1", 8080), slots=64)
-        self.ctl = [Address((self.ip[name], CTL)) for name in self.controllers]
+        self.controller_addresses = [Address((self.ip[name], CTL)) for name in self.controllers]
         self.tasks: list[asyncio.Task] = []
         self.number = 0
 
@@ -84,7 +84,7 @@
             )  # fmt: skip
 
     async def kill(self, role: str, name: str) -> None:
-        self.send(role, name, signal.SIGKILL)
+        self.send_signal(role, name, signal.SIGKILL)
         await self.running[role, name].wait()
 
     def cut(self, *pairs: tuple[str, str]) -> None:
@@ -106,8 +106,8 @@
         self.first = False
         await self.server.start()
         self.tasks.append(asyncio.create_task(self.beats(self.server)))
-        await self.until(self.put)
-        await self.until(self.ready)
+        await self.wait_until(self.put)
+        await self.wait_until(self.ready)
         return self
 
     async def __aexit__(self, *_) -> None:
@@ -122,7 +122,10 @@
 
     async def put(self) -> bool:
         return (
-            await post_to_any(self.ctl, "/-/rpc?call=conf.replace", msgspec.json.encode(self.sample)) == 200
+            await post_to_any(
+                self.controller_addresses, "/-/rpc?call=conf.replace", msgspec.json.encode(self.sample)
+            )
+            == 200
         )
 
     async def ready(self) -> bool:
@@ -134,16 +137,18 @@
                 return False
         return all([await self.call(name, "a.example", "/stock/1", "key-of-sfax") == 200 for name in self.ip])
 
-    async def until(self, holds, within: float = 30.0) -> None:
+    async def wait_until(self, holds, within: float = 30.0) -> None:
         async with asyncio.timeout(within):
             while not await holds():
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def beats(self, server: FakeServer) -> None:
         turn = 0
         while True:
             turn += 1
-            await server.send_heartbeat(self.ctl[turn % len(self.ctl) :] + self.ctl)
+            await server.send_heartbeat(
+                self.controller_addresses[turn % len(self.controller_addresses) :] + self.controller_addresses
+            )
             await asyncio.sleep(BEAT)
 
     async def call(self, name: str, host: str, path: str, key: str) -> int:
@@ -168,5 +173,5 @@
                 found.append((int(said[-1].split("term ")[1].split(":")[0]), name))
         return max(found)[1]
 
-    def send(self, role: str, name: str, what: signal.Signals) -> None:
+    def send_signal(self, role: str, name: str, what: signal.Signals) -> None:
         self.running[role, name].send_signal(what)
--- a/lapisgrade/lab/partitions/operation_faults.py
+++ b/lapisgrade/lab/partitions/operation_faults.py
@@ -219,7 +219,7 @@
         async with self._changes:
             base, self._version = self._version, self._version + self.random.randint(1, 5)
             body = msgspec.json.encode(self._change(base, self._version))
-            while await post_to_any(self.fleet.ctl, "/-/rpc?call=conf.update", body) != 200:
+            while await post_to_any(self.fleet.controller_addresses, "/-/rpc?call=conf.update", body) != 200:
                 await asyncio.sleep(CHANGE_INTERVAL_S)
 
     def _change(self, base: int, version: int) -> dict[str, Any]:
--- a/lapisgrade/lab/partitions/operations.py
+++ b/lapisgrade/lab/partitions/operations.py
@@ -1,6 +1,6 @@
 """Plays of keyed operations with real processes, whose signals, restarts and configuration changes overlap.
 
-    found = await play("signals", net=101, folder=folder, random=Random(1))
+    found = await run_case("signals", net=101, folder=folder, random=Random(1))
 
 Clients keep their connections until the process is gone, and repeat their keys at other proxies after
 failures and after successes. `operation_history.violations` judges what they and the servers have seen.
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class CaseResult:
     """What a play showed."""
 
     case: str
@@ -90,7 +90,7 @@
     done: Counter[str] = field(default_factory=Counter)
     usage: Usage = field(default_factory=Usage)
     stalls: int = 0  # of the play itself
-    wrong: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 def share_served(attempts: list[Attempt]) -> float:
@@ -112,9 +112,9 @@
     return {**SAMPLE, "Tenants": tenants, "Ports": [{**port, "Policy": rules}]}
 
 
-async def play(case_name: str, net: int, folder: str, random: Random, faults: int = FAULTS) -> Found:
+async def run_case(case_name: str, net: int, folder: str, random: Random, faults: int = FAULTS) -> CaseResult:
     """Play one case on machines of 127.`net`; TimeoutError where the system never came up."""
-    case, history, found = CASES[case_name], History(), Found(case_name)
+    case, history, found = CASES[case_name], History(), CaseResult(case_name)
     fleet = Fleet(net, folder, case.machines, case.controllers, grace=f"{GRACE_S:g}s")
     fleet.sample = _sample()
     async with fleet:
@@ -132,7 +132,7 @@
             ended = await _cancel([*loads, watching])
             for server in servers:
                 server.close()
-    found.wrong = violations(history, MODE == "keyed") + [f"a client failed: {each!r}" for each in ended]
+    found.violations = violations(history, MODE == "keyed") + [f"a client failed: {each!r}" for each in ended]
     attempts = [each for each in history.attempts.values() if each.end is not AttemptEnd.CANCELLED]
     found.operations = [each for each in attempts if each.key]
     found.lookups = [each for each in attempts if not each.key]
@@ -159,7 +159,7 @@
             await fleet.call(name, "a.example", "/stock/1", TENANTS["sfax"])
         return len(history.runs) - before == len(fleet.ip)
 
-    await fleet.until(all_serve)
+    await fleet.wait_until(all_serve)
     history.runs.clear()
     return servers
 
@@ -176,7 +176,7 @@
     ]
 
 
-async def table(cases: list[str], seeds: range, say: Callable[[str], None]) -> bool:
+async def print_table(cases: list[str], seeds: range, say: Callable[[str], None]) -> bool:
     """Print a Markdown table, a row for each play; whether nothing was seen that must not be."""
     say(f"Mode {MODE}.")
     say("| case | seed | faults | operations: attempts, served | look-ups, served | runs "
@@ -187,11 +187,11 @@
         for seed in seeds:
             with tempfile.TemporaryDirectory() as folder:
                 try:
-                    found = await play(case, NET + seed % NETS, folder, Random(seed))
+                    found = await run_case(case, NET + seed % NETS, folder, Random(seed))
                 except TimeoutError:
-                    found = Found(case, wrong=["something never came to be in time"])
+                    found = CaseResult(case, violations=["something never came to be in time"])
             say(_row(found, seed))
-            for line in found.wrong[:MAX_SHOWN]:
+            for line in found.violations[:MAX_SHOWN]:
                 wrong.append(f"{case}, seed {seed}: {line}")
                 log.warning(wrong[-1])  # before the table ends, as later plays may be broken off
     for line in wrong:
@@ -199,12 +199,12 @@
     return not wrong
 
 
-def _row(found: Found, seed: int) -> str:
+def _row(found: CaseResult, seed: int) -> str:
     statuses = Counter(each.status or each.end.name for each in found.operations)
     shown = ", ".join(f"{name} {count}" for name, count in statuses.most_common())
     return (
         f"| {found.case} | {seed} | {found.done.total()} | {len(found.operations)}, "
         f"{share_served(found.operations):.3f} | {len(found.lookups)}, {share_served(found.lookups):.3f} "
         f"| {found.runs} | {shown} | {found.usage.resident_mb:.0f} MB, {found.usage.descriptors} "
-        f"| {found.stalls} | {len(found.wrong)} |"
+        f"| {found.stalls} | {len(found.violations)} |"
     )
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -1,7 +1,7 @@
 """Plays of a tenant's quota with real processes: one that asks for far more than its limit, and one beside it
 that stays inside, while the proxy that holds both counts is cut off, frozen or killed.
 
-    found = await play("owner-cut", net=101, folder=folder, chance=Random(1))
+    found = await run_case("owner-cut", net=101, folder=folder, chance=Random(1))
 
 What ran is judged at the server, over all proxies, against what QUOTA allows in any window.
 """
@@ -23,7 +23,7 @@
 from lapisgrade.gateway.quota.count import LEASE_US
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
 from lapisgrade.gateway.settings import Slo
-from lapisgrade.lab.partitions.fleet import Fleet, Stamped
+from lapisgrade.lab.partitions.fleet import Fleet, RunCounter
 from lapisgrade.net.http import MalformedMessageError
 
 MACHINES, CONTROLLERS = 6, 3  # counts are held away from controllers
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class CaseResult:
     """What a play showed."""
 
     case: str
@@ -47,15 +47,15 @@
     asked: int = 0  # by the calm one
     refused: int = 0  # of those, 429
     failed: int = 0  # of those, any other end but 200
-    wrong: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
-def allowed(slo: Slo, rate: float, burst: float) -> float:
+def quota_bound(slo: Slo, rate: float, burst: float) -> float:
     """Runs in any QuotaWin, by RULES."""
     return (rate * slo.quota_win / SECOND + burst) * (1 + slo.quota_excess) + slo.quota_extra
 
 
-def most(at: list[float], window: float) -> int:
+def max_in_window(at: list[float], window: float) -> int:
     """The most of those times in any window of that length."""
     at, found, first = sorted(at), 0, 0
     for last, when in enumerate(at):
@@ -65,7 +65,7 @@
     return found
 
 
-class Play:
+class CaseRun:
     def __init__(self, fleet: Fleet, hot: str, calm: str, holds: list[str], chance: Random) -> None:
         self.fleet, self.hot, self.calm, self.holds, self.chance = fleet, hot, calm, holds, chance
         self.calls: Counter[int] = Counter()  # the calm one's, by status
@@ -99,7 +99,7 @@
     async def again(self, *names: str) -> None:
         """Those proxies are killed at one moment, and started again."""
         for name in names:
-            self.fleet.send("proxy", name, signal.SIGKILL)
+            self.fleet.send_signal("proxy", name, signal.SIGKILL)
         for name in names:
             await self.fleet.running["proxy", name].wait()
         await asyncio.sleep(AGAIN)
@@ -110,64 +110,64 @@
 # ---- the cases; `holds` names the owner and those after it
 
 
-async def none(play: Play) -> None:
+async def none(run: CaseRun) -> None:
     """Nothing but load."""
     await asyncio.sleep(FAULT)
 
 
-async def owner_cut(play: Play) -> None:
+async def owner_cut(run: CaseRun) -> None:
     """The owner reaches nobody, and clients go on at it."""
-    one = play.holds[0]
-    play.fleet.part({one}, set(play.fleet.ip) - {one})
+    one = run.holds[0]
+    run.fleet.part({one}, set(run.fleet.ip) - {one})
     await asyncio.sleep(FAULT)
-    play.fleet.cut()
+    run.fleet.cut()
 
 
-async def owner_deaf(play: Play) -> None:
+async def owner_deaf(run: CaseRun) -> None:
     """The owner says what it did, and hears nobody."""
-    one = play.holds[0]
-    play.fleet.cut(*((other, one) for other in play.fleet.ip if other != one))
+    one = run.holds[0]
+    run.fleet.cut(*((other, one) for other in run.fleet.ip if other != one))
     await asyncio.sleep(FAULT)
-    play.fleet.cut()
+    run.fleet.cut()
 
 
-async def half_cut(play: Play) -> None:
+async def half_cut(run: CaseRun) -> None:
     """All controllers and the owner's successor on one side, the owner and the rest on the other."""
-    side = {play.holds[0], play.holds[2]}
-    play.fleet.part(side, set(play.fleet.ip) - side)
+    side = {run.holds[0], run.holds[2]}
+    run.fleet.part(side, set(run.fleet.ip) - side)
     await asyncio.sleep(FAULT)
-    play.fleet.cut()
+    run.fleet.cut()
 
 
-async def owner_frozen(play: Play) -> None:
+async def owner_frozen(run: CaseRun) -> None:
     """The owner is stopped for a lease and a half, and wakes with all it knew."""
-    play.fleet.send("proxy", play.holds[0], signal.SIGSTOP)
+    run.fleet.send_signal("proxy", run.holds[0], signal.SIGSTOP)
     await asyncio.sleep(FAULT)
-    play.fleet.send("proxy", play.holds[0], signal.SIGCONT)
+    run.fleet.send_signal("proxy", run.holds[0], signal.SIGCONT)
 
 
-async def owners_killed(play: Play) -> None:
+async def owners_killed(run: CaseRun) -> None:
     """The owner is killed, and its successor a moment after it took over."""
-    for name in play.holds[:2]:
-        await play.again(name)
+    for name in run.holds[:2]:
+        await run.again(name)
         await asyncio.sleep(FAULT / 2)
 
 
-async def all_killed(play: Play) -> None:
+async def all_killed(run: CaseRun) -> None:
     """Every proxy at one moment, twice."""
     for _ in range(2):
-        await play.again(*play.fleet.ip)
+        await run.again(*run.fleet.ip)
         await asyncio.sleep(FAULT / 2)
 
 
-async def cut_and_killed(play: Play) -> None:
+async def cut_and_killed(run: CaseRun) -> None:
     """The owner is cut off, and while it is, all others are killed and come back."""
-    one = play.holds[0]
-    play.fleet.part({one}, set(play.fleet.ip) - {one})
+    one = run.holds[0]
+    run.fleet.part({one}, set(run.fleet.ip) - {one})
     await asyncio.sleep(LEASE_US / SECOND / 3)
-    await play.again(*(set(play.fleet.ip) - {one}))
+    await run.again(*(set(run.fleet.ip) - {one}))
     await asyncio.sleep(FAULT - LEASE_US / SECOND / 3)
-    play.fleet.cut()
+    run.fleet.cut()
 
 
 CASES = {"none": none, "owner-cut": owner_cut, "owner-deaf": owner_deaf, "half-cut": half_cut,
@@ -186,7 +186,7 @@
     return found
 
 
-async def play(case: str, net: int, folder: str, chance: Random) -> Found:
+async def run_case(case: str, net: int, folder: str, chance: Random) -> CaseResult:
     """One case on machines of 127.`net`; TimeoutError where the fleet never came up."""
     names = [f"m{number}" for number in range(1, MACHINES + 1)]
     core = names[:CONTROLLERS]
@@ -197,8 +197,8 @@
     tenants = [{"Name": each, "Apikeys": [each], "RateS": RATE, "Burst": BURST} for each in (hot, calm)]
     tenants += SAMPLE["Tenants"]
     async with Fleet(net, folder, MACHINES, CONTROLLERS, tenants) as fleet:
-        fleet.server.ran, fleet.server.slots = Stamped(), 256
-        one = Play(fleet, hot, calm, holds, chance)
+        fleet.server.ran, fleet.server.slots = RunCounter(), 256
+        one = CaseRun(fleet, hot, calm, holds, chance)
         began = time.monotonic()
         loads = [asyncio.create_task(one.load(*each)) for each in ((hot, HOT * RATE), (calm, CALM * RATE))]
         try:
@@ -211,17 +211,17 @@
             await one.end()
         took = time.monotonic() - began
         at = [when for id, when in fleet.server.ran.at.items() if id.startswith(hot)]
-        found = Found(case, most(at, SLO.quota_win / SECOND), len(at) / (RATE * took + BURST))
+        found = CaseResult(case, max_in_window(at, SLO.quota_win / SECOND), len(at) / (RATE * took + BURST))
         found.asked, found.refused = sum(one.calls.values()), one.calls[429]
         found.failed = found.asked - one.calls[200] - found.refused
-        if found.worst > (bound := allowed(SLO, RATE, BURST)):
-            found.wrong.append(f"{found.worst} runs in a window, {bound:g} allowed")
+        if found.worst > (bound := quota_bound(SLO, RATE, BURST)):
+            found.violations.append(f"{found.worst} runs in a window, {bound:g} allowed")
         return found
 
 
-async def table(cases: list[str], seeds: range, say: Callable[[str], None]) -> bool:
+async def print_table(cases: list[str], seeds: range, say: Callable[[str], None]) -> bool:
     """A Markdown table, a row a case; whether every play kept to the rule."""
-    bound = allowed(SLO, RATE, BURST)
+    bound = quota_bound(SLO, RATE, BURST)
     say(f"Allowed in a window: {bound:g}.")
     say("")
     say("| case | plays | worst window, median and most | of what is allowed | of its rate "
@@ -232,8 +232,8 @@
         rows = []
         for seed in seeds:
             with tempfile.TemporaryDirectory() as folder:
-                rows.append(await play(case, NET + seed % NETS, folder, Random(seed)))
-            wrong += [f"{case}, seed {seed}: {each}" for each in rows[-1].wrong]
+                rows.append(await run_case(case, NET + seed % NETS, folder, Random(seed)))
+            wrong += [f"{case}, seed {seed}: {each}" for each in rows[-1].violations]
         worst = max(each.worst for each in rows)
         say(
             f"| {case} | {len(rows)} | {median(each.worst for each in rows):g}, {worst} "
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -1,6 +1,6 @@
 """Plays of a break and its heal with real processes whose links are cut, and what their history must show.
 
-    found = await play("edge", net=101, folder=folder, chance=Random(1))
+    found = await run_case("edge", net=101, folder=folder, chance=Random(1))
 
 A route for claims is edited on each side of the break; claims (what may run once) and urgent look-ups come to
 every proxy all the while. `breaches` is pure: it judges the history of the claims alone.
@@ -25,14 +25,14 @@
 from lapisgrade.gateway.fake_server import FakeServer
 from lapisgrade.gateway.http_client import post_to_any, send_request
 from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
-from lapisgrade.lab.partitions.fleet import PAUSE, Fleet, Stamped
+from lapisgrade.lab.partitions.fleet import POLL_INTERVAL_S, Fleet, RunCounter
 from lapisgrade.net.http import MalformedMessageError
 
 CALM = 1.5  # s of calls before the break, to compare with
 BROKEN = (0.5, 3.0)  # s that the break lasts once both sides are edited
 AFTER = 1.0  # s of calls after the moment
 REOPENED = 1.5  # s of a break that opens again
-WITHIN = 20.0  # s that anything may take; a play that takes longer has failed
+STEP_TIMEOUT_S = 20.0  # s that anything may take; a play that takes longer has failed
 NET, NETS = 120, 100  # 127.120 to 127.219 are the plays' machines
 CLAIM = SAMPLE["Ports"][0]["Policy"][1]
 KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
@@ -40,7 +40,7 @@
 HELD = {200: "ran", 503: "promised", 429: "promised"}  # any other answer says neither
 
 
-def edit(**more) -> dict:
+def claim_rule_edit(**more) -> dict:
     """An edit of the claims' route: its fields, and those of its Action."""
     action = {**CLAIM["Action"], **more.pop("Action", {})}
     return {"Upsert": {"Ports": [{"Vhost": "a.example", "Policy": [{**CLAIM, **more, "Action": action}]}]}}
@@ -57,7 +57,9 @@
     took: float = 0.0
 
 
-def breaches(tries: dict[str, Try], old: Stamped, new: Stamped, away: set[str] = frozenset()) -> list[str]:
+def breaches(
+    tries: dict[str, Try], old: RunCounter, new: RunCounter, away: set[str] = frozenset()
+) -> list[str]:
     """What must not be, over all tries by id: a claim that ran twice; a promise that was not kept; a success
     that no server ran; a claim by the old route that was sent after one went by the merged one, but for
     proxies that were `away` and could not know."""
@@ -82,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class CaseResult:
     """What a play showed."""
 
     case: str
@@ -93,7 +95,7 @@
     calm_p99: float = 0.0  # s, urgent look-ups
     rejoin_p99: float = 0.0
     urgent_failed: int = 0
-    wrong: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 class Clients:
@@ -131,14 +133,14 @@
                 if again:
                     await asyncio.sleep(back)
             self.unclear += each.status not in HELD
-            await asyncio.sleep(2 * PAUSE)
+            await asyncio.sleep(2 * POLL_INTERVAL_S)
 
     async def _look_ups(self, name: str) -> None:
         while True:
             each = Try(0, name, time.monotonic())
             await self._one(each, "/stock/1", f"u{len(self.urgent):015x}{name}")
             self.urgent.append(each)
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def end(self) -> None:
         for each in self._tasks:
@@ -146,7 +148,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-class Play:
+class CaseRun:
     """One play: what the cases do with it."""
 
     def __init__(self, fleet: Fleet, chance: Random) -> None:
@@ -154,11 +156,14 @@
         self.away: set[str] = set()  # proxies that could not know of the merge
         self.healed = 0.0
 
-    async def until(self, holds: Callable[[], Awaitable[bool]]) -> None:
-        await self.fleet.until(holds, WITHIN)
+    async def wait_until(self, holds: Callable[[], Awaitable[bool]]) -> None:
+        await self.fleet.wait_until(holds, STEP_TIMEOUT_S)
 
     def controllers(self, *names: str) -> list:
-        return [self.fleet.ctl[list(self.fleet.ip).index(name)] for name in names or self.fleet.ip]
+        return [
+            self.fleet.controller_addresses[list(self.fleet.ip).index(name)]
+            for name in names or self.fleet.ip
+        ]
 
     async def settled(self) -> None:
         """Every controller votes, and every proxy is known."""
@@ -168,7 +173,7 @@
             status, where = await client.call("conf.status")
             return status == 200 and len(where["Voters"]) == len(names) == len(where["Proxies"])
 
-        await self.until(known)
+        await self.wait_until(known)
 
     async def acknowledged(self, ver: int, base: int, change: dict, *names: str) -> None:
         body = msgspec.json.encode({"Ver": ver, "Base": base, **change})
@@ -176,7 +181,7 @@
         async def taken() -> bool:
             return await post_to_any(self.controllers(*names), "/-/rpc?call=conf.update", body) == 200
 
-        await self.until(taken)
+        await self.wait_until(taken)
 
     async def alone(self, name: str) -> None:
         """The cut is felt: that controller reaches no leader."""
@@ -186,7 +191,7 @@
             status, known = await client.call("conf.drafts")
             return status == 200 and not known["Leader"]
 
-        await self.until(none_reached)
+        await self.wait_until(none_reached)
 
     async def drafted(self, name: str, change: dict, disks: int = 1) -> None:
         """Kept at that controller, once it is alone, and on so many disks."""
@@ -202,7 +207,7 @@
                 return False
             return done and (disks == 1 or f"kept on {disks} disks" in said[0])
 
-        await self.until(kept)
+        await self.wait_until(kept)
 
     async def broken(self) -> None:
         await asyncio.sleep(self.chance.uniform(*BROKEN))
@@ -219,7 +224,7 @@
             status, known = await client.call("conf.drafts")
             return status == 200 and any(each["State"] != "kept" for each in known["Drafts"])
 
-        await self.until(merged)
+        await self.wait_until(merged)
 
     async def merged(self, timeout: str = "1500ms") -> None:
         """One version with both edits, in force at every proxy."""
@@ -235,75 +240,77 @@
             names = {each["Name"] for each in where["Proxies"]}
             return both and names == set(self.fleet.ip) and not lagging_proxies(where, conf["Ver"])
 
-        await self.until(everywhere)
+        await self.wait_until(everywhere)
 
 
 # ---- the cases
 
 
-async def edge(play: Play, side: set[str] = frozenset({"m3"})) -> None:
+async def edge(run: CaseRun, side: set[str] = frozenset({"m3"})) -> None:
     """One machine is cut off, and its people edit the route that the others edit too."""
-    rest = set(play.fleet.ip) - side
-    play.fleet.part(rest, side)
+    rest = set(run.fleet.ip) - side
+    run.fleet.part(rest, side)
     name = min(side)
-    await play.drafted(name, edit(Action={"Svc": NEW}), len(side))
-    await play.acknowledged(6, 2, edit(Action={"Timeout": "1500ms"}), *sorted(rest))
-    await play.broken()
+    await run.drafted(name, claim_rule_edit(Action={"Svc": NEW}), len(side))
+    await run.acknowledged(6, 2, claim_rule_edit(Action={"Timeout": "1500ms"}), *sorted(rest))
+    await run.broken()
 
 
-async def cut_off(play: Play) -> None:
-    await edge(play)
-    play.heal()
+async def cut_off(run: CaseRun) -> None:
+    await edge(run)
+    run.heal()
 
 
-async def one_way(play: Play) -> None:
+async def one_way(run: CaseRun) -> None:
     """It hears the others, and nothing that it says gets out."""
-    play.fleet.cut(("m3", "m1"), ("m3", "m2"))
-    await play.drafted("m3", edit(Action={"Svc": NEW}))
-    await play.acknowledged(6, 2, edit(Action={"Timeout": "1500ms"}), "m1", "m2")
-    await play.broken()
-    play.heal()
+    run.fleet.cut(("m3", "m1"), ("m3", "m2"))
+    await run.drafted("m3", claim_rule_edit(Action={"Svc": NEW}))
+    await run.acknowledged(6, 2, claim_rule_edit(Action={"Timeout": "1500ms"}), "m1", "m2")
+    await run.broken()
+    run.heal()
 
 
-async def three_sides(play: Play) -> None:
+async def three_sides(run: CaseRun) -> None:
     """Nobody reaches anybody, and each edits the route."""
-    play.fleet.part({"m1"}, {"m2"}, {"m3"})
+    run.fleet.part({"m1"}, {"m2"}, {"m3"})
     for name, change in (
-        ("m1", edit(Prio=4)), ("m2", edit(Action={"Svc": NEW})), ("m3", edit(Action={"Timeout": "1500ms"}))
+        ("m1", claim_rule_edit(Prio=4)),
+        ("m2", claim_rule_edit(Action={"Svc": NEW})),
+        ("m3", claim_rule_edit(Action={"Timeout": "1500ms"})),
     ):  # fmt: skip
-        await play.drafted(name, change)
-    await play.broken()
-    play.heal()
+        await run.drafted(name, change)
+    await run.broken()
+    run.heal()
 
 
-async def opens_again(play: Play) -> None:
+async def opens_again(run: CaseRun) -> None:
     """The break opens again as soon as the draft is in the log; the merge goes on without that side."""
-    await edge(play)
-    play.fleet.cut()
-    await play.in_log("m1", "m2")
-    play.away = {"m3"}
-    play.fleet.part({"m1", "m2"}, {"m3"})
+    await edge(run)
+    run.fleet.cut()
+    await run.in_log("m1", "m2")
+    run.away = {"m3"}
+    run.fleet.part({"m1", "m2"}, {"m3"})
     await asyncio.sleep(REOPENED)
-    play.heal()
+    run.heal()
 
 
-async def leader_lost(play: Play) -> None:
+async def leader_lost(run: CaseRun) -> None:
     """The controller that leads is killed as soon as a draft is in the log, and started again."""
-    await edge(play)
-    play.heal()
-    await play.in_log("m1", "m2")
-    leader = await play.fleet.leader()
-    await play.fleet.kill("controller", leader)
-    await play.fleet.start("controller", leader)
+    await edge(run)
+    run.heal()
+    await run.in_log("m1", "m2")
+    leader = await run.fleet.leader()
+    await run.fleet.kill("controller", leader)
+    await run.fleet.start("controller", leader)
 
 
-async def wiped(play: Play) -> None:
+async def wiped(run: CaseRun) -> None:
     """The machine that took the draft loses its disk; a neighbour of its side has a copy."""
-    await edge(play, {"m4", "m5"})
-    await play.fleet.kill("controller", "m4")
-    shutil.rmtree(Path(play.fleet.folder) / "m4")
-    await play.fleet.start("controller", "m4")
-    play.heal()
+    await edge(run, {"m4", "m5"})
+    await run.fleet.kill("controller", "m4")
+    shutil.rmtree(Path(run.fleet.folder) / "m4")
+    await run.fleet.start("controller", "m4")
+    run.heal()
 
 
 CASES = {"cut-off": cut_off, "one-way": one_way, "three-sides": three_sides, "opens-again": opens_again,
@@ -311,27 +318,29 @@
 MACHINES = {"wiped": 5}  # else three; a side of two without a majority needs five
 
 
-async def play(case: str, net: int, folder: str, chance: Random) -> Found:
+async def run_case(case: str, net: int, folder: str, chance: Random) -> CaseResult:
     """One case on machines of 127.`net`; TimeoutError where something never came to be."""
     tenants = [{**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}]
     async with Fleet(net, folder, MACHINES.get(case, 3), tenants=tenants) as fleet:
         second = FakeServer("i-2", NEW, (f"127.{net}.1.2", 8080), slots=64)
         await second.start()
         fleet.tasks.append(asyncio.create_task(fleet.beats(second)))
-        fleet.server.ran, second.ran = Stamped(), Stamped()
+        fleet.server.ran, second.ran = RunCounter(), RunCounter()
         clients = None
         try:
-            one = Play(fleet, chance)
+            one = CaseRun(fleet, chance)
             await one.settled()
             pools = {"Upsert": {"Pools": [*SAMPLE["Pools"], {"Name": NEW}]}}
             await one.acknowledged(2, 1, pools)
-            await OperatorClient(fleet.ctl, lambda line: None).wait_until_active(2, WITHIN)
+            await OperatorClient(fleet.controller_addresses, lambda line: None).wait_until_active(
+                2, STEP_TIMEOUT_S
+            )
             clients, began = Clients(fleet), time.monotonic()
             await asyncio.sleep(CALM)
             cut = time.monotonic()
             await CASES[case](one)
             await one.merged()
-            found = Found(case, time.monotonic() - one.healed)
+            found = CaseResult(case, time.monotonic() - one.healed)
             await asyncio.sleep(AFTER)
         finally:
             if clients is not None:
@@ -345,13 +354,13 @@
                              if each.sent > one.healed)  # fmt: skip
         found.calm_p99, found.rejoin_p99 = (p99([each.took for each in some]) for some in (calm, rejoin))
         found.urgent_failed = sum(each.status != 200 for each in rejoin)
-        found.wrong = breaches(ended, fleet.server.ran, second.ran, one.away)
+        found.violations = breaches(ended, fleet.server.ran, second.ran, one.away)
         if not any(name in second.ran for name in ended):
-            found.wrong.append("no claim went by the merged route")
+            found.violations.append("no claim went by the merged route")
         return found
 
 
-async def table(cases: list[str], seeds: range, say: Callable[[str], None]) -> bool:
+async def print_table(cases: list[str], seeds: range, say: Callable[[str], None]) -> bool:
     """A Markdown table, a row a case; whether nothing was seen that must not be."""
     say("| case | plays | to one version, s: least, median, most | claims | told to come back | unclear "
         "| look-ups, p99 calm and after, ms | failed | wrong |")  # fmt: skip
@@ -362,10 +371,16 @@
         for seed in seeds:
             with tempfile.TemporaryDirectory() as folder:
                 try:
-                    rows.append(await play(case, NET + seed % NETS, folder, Random(seed)))
+                    rows.append(await run_case(case, NET + seed % NETS, folder, Random(seed)))
                 except TimeoutError:
-                    rows.append(Found(case, WITHIN, wrong=[f"never one version within {WITHIN:g} s"]))
-            wrong += [f"{case}, seed {seed}: {each}" for each in rows[-1].wrong]
+                    rows.append(
+                        CaseResult(
+                            case,
+                            STEP_TIMEOUT_S,
+                            violations=[f"never one version within {STEP_TIMEOUT_S:g} s"],
+                        )
+                    )
+            wrong += [f"{case}, seed {seed}: {each}" for each in rows[-1].violations]
         took = [each.merged for each in rows]
         calm, after = (median(getattr(each, name) * 1000 for each in rows)
                        for name in ("calm_p99", "rejoin_p99"))  # fmt: skip
@@ -373,7 +388,7 @@
             f"| {case} | {len(rows)} | {min(took):.2f}, {median(took):.2f}, {max(took):.2f} "
             f"| {sum(each.claims for each in rows)} | {sum(each.promised for each in rows)} "
             f"| {sum(each.unclear for each in rows)} | {calm:.0f}, {after:.0f} "
-            f"| {sum(each.urgent_failed for each in rows)} | {sum(len(each.wrong) for each in rows)} |"
+            f"| {sum(each.urgent_failed for each in rows)} | {sum(len(each.violations) for each in rows)} |"
         )
     for each in wrong:
         say(each)
--- a/lapisgrade/lab/quota_comparison.py
+++ b/lapisgrade/lab/quota_comparison.py
@@ -19,7 +19,7 @@
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.lab.explore import quota as explored
 from lapisgrade.lab.explore.watch_proxy import WatchCall
-from lapisgrade.lab.partitions.quota import allowed, most
+from lapisgrade.lab.partitions.quota import max_in_window, quota_bound
 from lapisgrade.rate import TokenBucket
 
 WARM_UP_S = 8  # until all know the live proxies and have leases
@@ -168,7 +168,9 @@
             now - then for now, then in zip(self.totals(), totals_before, strict=True)
         )  # fmt: skip
         admitted_us = [at for at in self.admitted_us if at >= started_us]
-        worst = most(admitted_us, explored.SLO.quota_win) / allowed(explored.SLO, tenant.rate_s, tenant.burst)
+        worst = max_in_window(admitted_us, explored.SLO.quota_win) / quota_bound(
+            explored.SLO, tenant.rate_s, tenant.burst
+        )
         return Measurement(worst, len(admitted_us) / (tenant.rate_s * seconds), rejected / max(1, requests),
                     calls / seconds, size_bytes / seconds)  # fmt: skip
 
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -14,7 +14,7 @@
 
 from lapisgrade.gateway import rpc_messages
 from lapisgrade.gateway.quota.owner import QuotaOwner
-from lapisgrade.lab.partitions.quota import most
+from lapisgrade.lab.partitions.quota import max_in_window
 from lapisgrade.lab.simulation.control_plane import ControlPlaneSimulation
 from lapisgrade.lab.simulation.invariants import Invariants
 from lapisgrade.lab.simulation.proxies import ProxyMachine, SimulatedClock, SimulatedProxy
@@ -187,7 +187,7 @@
             machine.start()
         super().finish()
         allowed = allowed_in_a_window(self.load)
-        worst = most([each / SECOND for each in self.sent_us], QUOTA_WINDOW_S)
+        worst = max_in_window([each / SECOND for each in self.sent_us], QUOTA_WINDOW_S)
         if worst > allowed:
             self.invariants.report_violation(
                 f"{worst} of the tenant's requests in a window, {allowed:g} are allowed"
--- a/lapisgrade/lab/simulation/tenant_load.py
+++ b/lapisgrade/lab/simulation/tenant_load.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from lapisgrade.gateway.settings import Slo
-from lapisgrade.lab.partitions.quota import allowed
+from lapisgrade.lab.partitions.quota import quota_bound
 from lapisgrade.lab.simulation.clients import REPLACE_CALL, Operator
 
 TENANT = "t"
@@ -44,4 +44,4 @@
 
 def allowed_in_a_window(load: TenantLoad) -> float:
     """Return how many requests the quota lets the tenant send in a window."""
-    return allowed(Slo(), load.rate, load.burst)
+    return quota_bound(Slo(), load.rate, load.burst)
--- a/tests/gateway/controller/test_activation_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -18,7 +18,7 @@
 
 from lapisgrade.gateway.cli.tenants import TenantClient
 from lapisgrade.lab.fleet.process import ROOT
-from lapisgrade.lab.partitions.fleet import PAUSE, Fleet
+from lapisgrade.lab.partitions.fleet import POLL_INTERVAL_S, Fleet
 
 TICKET = {
     "Apikeys": ["key-of-gabes"], "Name": "gabes",
@@ -51,14 +51,14 @@
                 self.accepted_at.setdefault(name, time.monotonic())
             elif status in (401, 404) and sent > first_accepted_at:
                 self.violations.append((name, status))
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def call_as_old_tenant(self, name: str) -> None:
         while True:
             sent = time.monotonic()
             status = await self.fleet.call(name, "a.example", "/stock/1", "key-of-sfax")
             self.old_tenant_calls.append((status, time.monotonic() - sent))
-            await asyncio.sleep(3 * PAUSE)
+            await asyncio.sleep(3 * POLL_INTERVAL_S)
 
     def on_operator_line(self, line: str) -> None:
         """Receive a line of the operator's client; it prints the first just before it sends the change."""
@@ -77,12 +77,12 @@
 async def onboard(calls: Calls, fault=None) -> None:
     """Add the tenant while all proxies receive requests, and inject a fault when the change is sent."""
     fleet = calls.fleet
-    client = TenantClient(fleet.ctl, calls.on_operator_line)
+    client = TenantClient(fleet.controller_addresses, calls.on_operator_line)
     applying = asyncio.create_task(client.apply(msgspec.json.encode(TICKET), 8.0))
     if fault is not None:
         await fault()
     await applying
-    await fleet.until(calls.all_accept)
+    await fleet.wait_until(calls.all_accept)
     await calls.end()
     assert calls.violations == [], "a proxy rejected a request after another proxy had accepted one"
 
@@ -107,10 +107,10 @@
             return calls.accepted_at.keys() == {"m1", "m2"}
 
         async def pause() -> None:
-            fleet.send("proxy", "m3", signal.SIGSTOP)
-            await fleet.until(others_accept)
+            fleet.send_signal("proxy", "m3", signal.SIGSTOP)
+            await fleet.wait_until(others_accept)
             await asyncio.sleep(0.3)
-            fleet.send("proxy", "m3", signal.SIGCONT)
+            fleet.send_signal("proxy", "m3", signal.SIGCONT)
 
         await onboard(calls, pause)
         assert max(calls.accepted_at["m1"], calls.accepted_at["m2"]) - calls.sent_at < ACTIVATION_S
@@ -124,13 +124,13 @@
         leader = await fleet.leader()
 
         async def kill() -> None:
-            fleet.send("controller", leader, signal.SIGKILL)
+            fleet.send_signal("controller", leader, signal.SIGKILL)
             await fleet.running["controller", leader].wait()
             await fleet.start("controller", leader)
 
         calls = Calls(fleet)
         await kill()
-        client = TenantClient(fleet.ctl, lambda line: None)
+        client = TenantClient(fleet.controller_addresses, lambda line: None)
 
         async def applied() -> bool:
             try:
@@ -138,8 +138,8 @@
             except Exception:
                 return False
 
-        await fleet.until(applied)
-        await fleet.until(calls.all_accept)
+        await fleet.wait_until(applied)
+        await fleet.wait_until(calls.all_accept)
         await calls.end()
         assert calls.violations == []
 
@@ -150,7 +150,7 @@
     async with Fleet(loopback_network.number, str(tmp_path)) as fleet:
 
         async def restart() -> None:
-            fleet.send("proxy", "m2", signal.SIGKILL)
+            fleet.send_signal("proxy", "m2", signal.SIGKILL)
             await fleet.running["proxy", "m2"].wait()
             await fleet.start("proxy", "m2")
 
@@ -178,7 +178,7 @@
                 file = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
                 break
             except OSError:  # the process has not opened the file yet
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(POLL_INTERVAL_S)
         if with_signal:
             process.send_signal(signal.SIGHUP)
             os.mkfifo(f"{path}.new")
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -19,7 +19,7 @@
 
 POOLS = [*SAMPLE["Pools"], {"Name": "reparation"}]
 TWO_SERVICES = {**SAMPLE, "Pools": POOLS}
-claim_rule_edit = rejoin.edit
+claim_rule_edit = rejoin.claim_rule_edit
 
 
 def edit(**fields) -> bytes:
--- a/tests/gateway/controller/test_partitions.py
+++ b/tests/gateway/controller/test_partitions.py
@@ -16,16 +16,16 @@
 
 SCALE = 0.12  # factor for the duration of the long partitions and for the hundreds of changes
 
-RunCase = Callable[[str], Awaitable[control.Found]]
+RunCase = Callable[[str], Awaitable[control.CaseResult]]
 
 
 @pytest.fixture
 def run_case(loopback_network: LoopbackNetwork, tmp_path: Path) -> RunCase:
     """A function that runs one case, and checks the results that all cases must have."""
 
-    async def run(case: str) -> control.Found:
-        found = await control.play(case, loopback_network.number, str(tmp_path), Random(7), SCALE)
-        assert found.wrong == []
+    async def run(case: str) -> control.CaseResult:
+        found = await control.run_case(case, loopback_network.number, str(tmp_path), Random(7), SCALE)
+        assert found.violations == []
         assert found.acknowledged > 10
         assert found.reads > 10
         return found
@@ -37,7 +37,7 @@
     run_case: RunCase,
 ) -> None:
     found = await run_case("cut")
-    assert found.longest_wait < control.WITHIN
+    assert found.max_latency_s < control.STEP_TIMEOUT_S
 
 
 async def test_the_history_is_linearizable_when_a_leaders_messages_are_lost(run_case: RunCase) -> None:
@@ -58,4 +58,4 @@
 
 async def test_a_member_that_was_down_catches_up_and_leads(run_case: RunCase) -> None:
     found = await run_case("away")
-    assert found.caught_up < control.WITHIN
+    assert found.catch_up_s < control.STEP_TIMEOUT_S
--- a/tests/lab/emulator/test_emulator.py
+++ b/tests/lab/emulator/test_emulator.py
@@ -7,7 +7,7 @@
 
 from lapisgrade.cli.main import cli
 from lapisgrade.interface import Reject, RejectReason, Send, Sleep
-from lapisgrade.lab.baselines.common import Hop, Named, Plain
+from lapisgrade.lab.baselines.common import BaselineAttempt, BaselinePolicy, BaselineServer
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.emulator.world import World
 from lapisgrade.lab.report import plots
@@ -90,17 +90,17 @@
     assert 0 < result.most_cold_share <= 1.0
 
 
-class Twice(Plain):
+class Twice(BaselinePolicy):
     """A careless policy: sends every operation to two servers at once, and answers the second time too."""
 
     def handle(self, op):
         for name in self.ready[:2]:
-            yield Send(Hop(op, Named(name)))
+            yield Send(BaselineAttempt(op, BaselineServer(name)))
         yield Reject(RejectReason.RETRY_LATER, 0)
         yield Reject(RejectReason.RETRY_LATER, 0)
 
 
-class Mute(Plain):
+class Mute(BaselinePolicy):
     """A careless policy: takes every operation, waits past its hard stop, and never answers."""
 
     def handle(self, op):
@@ -121,7 +121,7 @@
     assert mute.ends["lost"] > 0
 
 
-class Open(Plain):
+class Open(BaselinePolicy):
     """A policy with no limit at all: it passes every ceiling."""
 
     def handle(self, op):
--- a/tests/lab/partitions/test_operations.py
+++ b/tests/lab/partitions/test_operations.py
@@ -17,8 +17,8 @@
 async def test_signals_and_changes_that_overlap_cost_no_promise(
     seed: int, case: str, loopback_network: LoopbackNetwork, tmp_path: Path
 ) -> None:
-    found = await operations.play(case, loopback_network.number, str(tmp_path), Random(seed), FAULTS)
-    assert found.wrong == []
+    found = await operations.run_case(case, loopback_network.number, str(tmp_path), Random(seed), FAULTS)
+    assert found.violations == []
     assert found.done.total() >= FAULTS
     assert operations.share_served(found.operations) > 0.5, "the load was not carried"
 
--- a/tests/lab/partitions/test_quota.py
+++ b/tests/lab/partitions/test_quota.py
@@ -46,8 +46,8 @@
 
 
 def test_the_worst_window_is_found():
-    assert partitioned.most([0.0, 1.0, 5.0, 5.1, 9.0], 5.0) == 3
-    assert (partitioned.most([], 5.0), round(partitioned.allowed(SLO, 60, 60))) == (0, 416)
+    assert partitioned.max_in_window([0.0, 1.0, 5.0, 5.1, 9.0], 5.0) == 3
+    assert (partitioned.max_in_window([], 5.0), round(partitioned.quota_bound(SLO, 60, 60))) == (0, 416)
 
 
 def test_the_command_names_its_cases():
--- a/tests/lab/partitions/test_rejoin.py
+++ b/tests/lab/partitions/test_rejoin.py
@@ -7,7 +7,7 @@
 from support.loopback_network import LoopbackNetwork
 
 from lapisgrade.lab.partitions import rejoin
-from lapisgrade.lab.partitions.fleet import Stamped
+from lapisgrade.lab.partitions.fleet import RunCounter
 
 
 @pytest.mark.parametrize(
@@ -16,8 +16,8 @@
 async def test_links_cut_between_processes_and_one_route_that_keeps_both(
     seed: int, case: str, loopback_network: LoopbackNetwork, tmp_path: Path
 ) -> None:
-    found = await rejoin.play(case, loopback_network.number, str(tmp_path), Random(seed))
-    assert (found.wrong, found.urgent_failed) == ([], 0)
+    found = await rejoin.run_case(case, loopback_network.number, str(tmp_path), Random(seed))
+    assert (found.violations, found.urgent_failed) == ([], 0)
     assert found.claims > 30
 
 
@@ -25,8 +25,8 @@
     tries = {"a": rejoin.Try(1, "m1", 1.0, 200), "b": rejoin.Try(2, "m2", 1.1, 503),
              "c": rejoin.Try(2, "m2", 2.0, 200), "d": rejoin.Try(3, "m3", 3.0, 504)}  # fmt: skip
 
-    def ran(**at: float) -> Stamped:
-        made = Stamped()
+    def ran(**at: float) -> RunCounter:
+        made = RunCounter()
         for name, when in at.items():
             made[name] += 1
             made.at[name] = when
