--- a/lapisgrade/gateway/fake_server.py
+++ b/lapisgrade/gateway/fake_server.py
@@ -85,7 +85,7 @@
                     if not chunk:
                         return
                     message = parser.feed(chunk)
-                rest = message.rest
+                rest = message.trailing_data
                 goes_on = await self._answer_request(message, writer)
         except (OSError, MalformedMessageError, asyncio.CancelledError):
             pass
--- a/lapisgrade/gateway/http_server.py
+++ b/lapisgrade/gateway/http_server.py
@@ -106,9 +106,9 @@
                 return
             if message is None:
                 return
-            rest = message.rest
+            rest = message.trailing_data
             status, body, fields = await self._handler(message)
-            is_last = message.last or self.closing
+            is_last = message.closes_connection or self.closing
             writer.write(encode_response(status, body, fields + (CLOSE_FIELD if is_last else b"")))
             await writer.drain()
             if is_last:
--- a/lapisgrade/gateway/membership/gossip.py
+++ b/lapisgrade/gateway/membership/gossip.py
@@ -7,7 +7,7 @@
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.membership.partial_view import PartialView, SendShuffle, Shuffle
 from lapisgrade.peers import frame
-from lapisgrade.peers.udp import Udp
+from lapisgrade.peers.udp import UdpTransport
 
 CODEC = frame.Codec(Shuffle)
 MIN_TIMER_S = 0.01
@@ -21,7 +21,7 @@
     ) -> None:
         self.partial_view = partial_view
         self._now = now
-        self.udp = Udp(name, CODEC, lambda: 0, self._on_frame, log_line)
+        self.udp = UdpTransport(name, CODEC, lambda: 0, self._on_frame, log_line)
         self._timer: asyncio.TimerHandle | None = None
 
     async def open(self, host: str, port: int) -> None:
--- a/lapisgrade/gateway/proxy/client_front.py
+++ b/lapisgrade/gateway/proxy/client_front.py
@@ -63,10 +63,12 @@
         if found == HTTPStatus.SERVICE_UNAVAILABLE:
             self._metrics.requests_not_yet_active += 1
             retry_after = b"Retry-After: %.1f\r\n" % NOT_YET_ACTIVE_RETRY_S
-            client.respond_at_once(HTTPStatus.SERVICE_UNAVAILABLE, retry_after, close=message.last)
+            client.respond_at_once(
+                HTTPStatus.SERVICE_UNAVAILABLE, retry_after, close=message.closes_connection
+            )
             return None
         if isinstance(found, HTTPStatus):
-            client.respond_at_once(found, close=message.last)
+            client.respond_at_once(found, close=message.closes_connection)
             return None
         request_id = headers.get(upstream_protocol.REQUEST_ID, b"")
         if not 0 < len(request_id) <= MAX_REQUEST_ID_BYTES:
@@ -74,7 +76,7 @@
                 f"Try-Id header has {len(request_id)} bytes; 1 to {MAX_REQUEST_ID_BYTES} are allowed"
             )
         if request_id in self.open_request_ids:  # the response could not be attributed
-            client.respond_at_once(HTTPStatus.CONFLICT, close=message.last)
+            client.respond_at_once(HTTPStatus.CONFLICT, close=message.closes_connection)
             return None
         rule, tenant = found
         key = operation_key(message, rule.mode)
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -39,7 +39,7 @@
 
 def ignore_drain() -> None:
     """News of servers that drain is not heard (rule 3)."""
-    discovery_client.STATES["terminating"] = ServerState.READY
+    discovery_client.LIFECYCLE_STATES["terminating"] = ServerState.READY
 
 
 def remove_quotas() -> None:
--- a/lapisgrade/lab/partitions/operation_clients.py
+++ b/lapisgrade/lab/partitions/operation_clients.py
@@ -71,7 +71,7 @@
             if not chunk:
                 raise ConnectionResetError("closed before a whole answer")
             message = parser.feed(chunk)
-        if message.last:
+        if message.closes_connection:
             self.close()
         return message
 
--- a/lapisgrade/members/host.py
+++ b/lapisgrade/members/host.py
@@ -11,7 +11,7 @@
 from lapisgrade.members.messages import Message, Update
 from lapisgrade.members.timing import SECOND, Timing
 from lapisgrade.peers import frame
-from lapisgrade.peers.udp import Udp
+from lapisgrade.peers.udp import UdpTransport
 
 CODEC = frame.Codec(Message)
 
@@ -50,7 +50,7 @@
         self._on_change = on_change
         self._timing = timing
         self._random = Random(seed)
-        self.udp = Udp(name, CODEC, self._incarnation, self._on_frame, log_line)
+        self.udp = UdpTransport(name, CODEC, self._incarnation, self._on_frame, log_line)
         self._timer: asyncio.TimerHandle | None = None
 
     def _incarnation(self) -> int:
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -86,16 +86,16 @@
 
         def on_change(update: Update) -> None:
             service.log(f"limiter {update.name} {STATE_PHRASES[MemberState(update.state)]}")
-            service.peer_counts[ALIVE_COUNTER] = len(host.core.alive()) if host.core is not None else 1
+            service.companion_counts[ALIVE_COUNTER] = len(host.core.alive()) if host.core is not None else 1
 
         # Randomness of its own, the same for the same name: what the decisions draw is not touched.
         host = Host(name[:MAX_NAME_LENGTH], service.log, on_change, zlib.crc32(name.encode()))
-        host.udp.counts = service.peer_counts
+        host.udp.counts = service.companion_counts
         try:
             await host.open(*settings.listen, list(settings.seeds), settings.reached_at)
         except OSError as error:
             raise MalformedInputError(f"peers.listen: {error.strerror or error}") from None
-        service.peer_counts[ALIVE_COUNTER] = 1
+        service.companion_counts[ALIVE_COUNTER] = 1
         try:
             yield
         finally:
--- a/lapisgrade/net/client_connection.py
+++ b/lapisgrade/net/client_connection.py
@@ -78,7 +78,7 @@
             pass  # reset by the client
         finally:
             if self.state is ClientState.AWAITING_RESPONSE:
-                self._listener.enqueue(ClientDisconnected(self._take_operation()))
+                self._listener.enqueue(ClientDisconnected(self._detach_operation()))
             self._end_receiving()
             self._writer.close()
             self._listener.on_closed(self, self._close_reason)
@@ -107,10 +107,10 @@
         self, status: int, body: list[memoryview | bytes], size: int, header_lines: bytes = b""
     ) -> None:
         """Write the final response to the request that awaits one, and go on with the next."""
-        self._take_operation()
+        self._detach_operation()
         pipelined, self._pipelined = self._pipelined, b""
         self._write_response(status, body, size, header_lines, close=self._closes_after_response)
-        self._expect_next()
+        self._await_next_request()
         self._receive(pipelined)
 
     def respond_at_once(
@@ -159,7 +159,7 @@
                     return self._on_partial_request()
                 self._end_receiving()
                 self._on_request(message)
-                chunk = message.rest
+                chunk = message.trailing_data
             except MalformedMessageError as error:
                 self._listener.log(f"a request was answered {error.status}: {error}")
                 return self.respond_at_once(error.status, close=True, reason=CloseReason.MALFORMED)
@@ -188,21 +188,21 @@
         listener = self._listener
         if message.head.target == listener.READINESS_TARGET:
             status = _SERVICE_UNAVAILABLE if listener.is_draining else _OK
-            self.respond_at_once(status, close=message.last)
-            return self._expect_next()
+            self.respond_at_once(status, close=message.closes_connection)
+            return self._await_next_request()
         if self.is_over_limit:
             return self.respond_at_once(_SERVICE_UNAVAILABLE, close=True, reason=CloseReason.REJECTED)
         operation = listener.parse_request(self, message)
         if operation is None:
-            return self._expect_next()  # answered already
+            return self._await_next_request()  # answered already
         listener.open_request_ids.add(operation.handle.request_id)
         self._operation = operation
-        self._closes_after_response = message.last
+        self._closes_after_response = message.closes_connection
         self.state = ClientState.AWAITING_RESPONSE
         listener.mark_busy(self)
         listener.enqueue(RequestReceived(operation))
 
-    def _take_operation(self) -> Operation:
+    def _detach_operation(self) -> Operation:
         """The request no longer awaits a response."""
         operation, self._operation = self._operation, None
         self.state = ClientState.NO_REQUEST
@@ -210,7 +210,7 @@
         self._listener.open_request_ids.discard(operation.handle.request_id)
         return operation
 
-    def _expect_next(self) -> None:
+    def _await_next_request(self) -> None:
         """The last request has its response; the connection is idle until the next one comes."""
         listener = self._listener
         self._parser = MessageParser(h11.SERVER, listener.max_body_bytes, listener.max_head_bytes)
--- a/lapisgrade/net/client_listener.py
+++ b/lapisgrade/net/client_listener.py
@@ -19,7 +19,7 @@
 IDLE_TIMEOUT_S = 2.0  # that a connection may be idle after a response; clients that ask again do so sooner
 IDLE_DIVISOR = 4  # the part of all clients' connections that may be idle for that long
 CHECK_INTERVAL_S = 0.2  # between checks for either
-GRACE_S = 0.2  # from connecting; a client that means to ask has asked by then
+EVICTION_GRACE_S = 0.2  # from connecting; a client that means to ask has asked by then
 ACCEPT_BATCH = 16  # connections accepted in one turn of the loop, before any other must make room for them
 BACKLOG = 1024  # connections that wait in the kernel meanwhile
 
@@ -143,7 +143,7 @@
         One that came just now may be about to ask, and would lose what it asks.
         """
         oldest = next(iter(self.awaiting_first_request), newest)
-        latest = asyncio.get_running_loop().time() - GRACE_S
+        latest = asyncio.get_running_loop().time() - EVICTION_GRACE_S
         if oldest is not newest and self.awaiting_first_request[oldest] < latest:
             oldest.abort(CloseReason.TIMED_OUT)
         elif self.idle:
@@ -167,5 +167,5 @@
         # one that asks: beyond a few, those idle for longest go sooner (guards against those who ask once).
         excess = len(self.idle) - self._max_connections // IDLE_DIVISOR
         for i, (client, since) in enumerate(list(self.idle.items())):
-            if since < now - (GRACE_S if i < excess else self.idle_timeout_s):
+            if since < now - (EVICTION_GRACE_S if i < excess else self.idle_timeout_s):
                 client.close(CloseReason.IDLE)
--- a/lapisgrade/net/connection_pool.py
+++ b/lapisgrade/net/connection_pool.py
@@ -179,7 +179,7 @@
         if connection in idle:
             idle.remove(connection)
 
-    def on_server_silent(self, attempt: Any) -> None:
+    def on_server_unresponsive(self, attempt: Any) -> None:
         """An attempt got no response: close the idle connections to a server that was silent all the while.
 
         The server may have vanished. The next attempt shows it by a connection that does not come up, and
--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -19,15 +19,15 @@
 from lapisgrade.net.events import Event, ServersUpdated
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 from lapisgrade.net.metrics import NetMetrics
-from lapisgrade.net.poll_backoff import MAX_STALENESS_S, RENEW_S, PollBackoff
+from lapisgrade.net.poll_backoff import MAX_RENEWAL_DELAY_S, MAX_STALENESS_S, PollBackoff
 from lapisgrade.settings import Fields, MalformedInputError, parse_address
 
-STATES = {
+LIFECYCLE_STATES = {
     "in_service": ServerState.READY,
     "terminating": ServerState.DRAINING,
     "terminated": ServerState.REMOVED,
 }
-TIMEOUT_S = 2.0  # the protocol's figure: how long past its wait a watch is answered
+RESPONSE_TIMEOUT_S = 2.0  # the protocol's figure: how long past its wait a watch is answered
 _TARGET = "/discovery/hosts"
 _OK = 200
 _US_PER_MS = 1000
@@ -78,11 +78,11 @@
         self._address = address
         self._version = None
         self._start_watch()
-        self._keep_only(self._watches[-2:])
+        self._cancel_watches_except(self._watches[-2:])
 
     def close(self) -> None:
         """End all watches."""
-        self._keep_only([])
+        self._cancel_watches_except([])
 
     def apply(self, update: Any) -> int:
         """Take in a list, or changes of it, as parsed from JSON; returns its version.
@@ -113,20 +113,20 @@
         return version
 
     def _start_watch(self) -> None:
-        self._watches.append(asyncio.create_task(self._follow(self._address, self._version)))
+        self._watches.append(asyncio.create_task(self._watch_agent(self._address, self._version)))
 
-    def _keep_only(self, watches: list[asyncio.Task[None]]) -> None:
+    def _cancel_watches_except(self, watches: list[asyncio.Task[None]]) -> None:
         for each in self._watches:
             if each not in watches:
                 each.cancel()
         self._watches = watches
 
-    async def _follow(self, address: tuple[str, int], version: int | None) -> None:
+    async def _watch_agent(self, address: tuple[str, int], version: int | None) -> None:
         """Watch the agent at one address, on one connection after another."""
         delay_s = 0.0
         while True:
             await asyncio.sleep(delay_s)
-            delay_s = RENEW_S / 2
+            delay_s = MAX_RENEWAL_DELAY_S / 2
             try:
                 reader, writer = await asyncio.open_connection(*address)
                 try:
@@ -137,12 +137,12 @@
                 finally:
                     writer.transport.abort()
             except DiscoveryRejectedError as error:
-                self._on_failed(error)
+                self._record_failure(error)
                 delay_s = self._backoff.on_rejected()
             except (OSError, TimeoutError, MalformedMessageError, MalformedInputError, ValueError) as error:
-                self._on_failed(error)
+                self._record_failure(error)
 
-    def _on_failed(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         self._metrics.discovery_failures += 1
         self._log(f"discovery: {error!r}")
 
@@ -152,21 +152,21 @@
         """One call; returns the version it brought, and whether the agent ends the connection with it."""
         target, wait_s = _TARGET, 0.0
         if version is not None:
-            wait_s = MAX_STALENESS_S - TIMEOUT_S
+            wait_s = MAX_STALENESS_S - RESPONSE_TIMEOUT_S
             target = f"{target}?since={version}&timeout_ms={int(wait_s * 1000)}"
         writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
-        message = await self._read_response(reader, wait_s + TIMEOUT_S)
+        message = await self._read_response(reader, wait_s + RESPONSE_TIMEOUT_S)
         if message.head.status_code != _OK:
             raise DiscoveryRejectedError(f"status {message.head.status_code}")
         update = json.loads(b"".join(message.body))
         version = self.apply(update)
         if asyncio.current_task() is self._watches[-1]:
-            self._keep_only(self._watches[-1:])
-        if not update["instances"] and not message.last:
+            self._cancel_watches_except(self._watches[-1:])
+        if not update["instances"] and not message.closes_connection:
             await asyncio.sleep(
-                RENEW_S / 2
+                MAX_RENEWAL_DELAY_S / 2
             )  # guards against an agent that has nothing new and says so at once
-        return version, message.last
+        return version, message.closes_connection
 
     async def _read_response(self, reader: asyncio.StreamReader, timeout_s: float) -> Message:
         parser = MessageParser(h11.CLIENT)
@@ -185,7 +185,7 @@
     started_ms = row.number("startedAtMs")
     return ServerEndpoint(
         address=row.text("instanceId"),
-        state=row.choice("lifecycle", STATES, "in_service"),
+        state=row.choice("lifecycle", LIFECYCLE_STATES, "in_service"),
         zone=row.get("zone") or "",
         cell=row.integer("cell", 0),
         weight=row.number("weight", 1.0),
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -106,9 +106,9 @@
             except Exception:
                 self._log(f"on {type(event).__name__}: {traceback.format_exc()}")
                 self._metrics.handler_failures += 1
-                self._give_up_broken()
+                self._reject_failed_operations()
 
-    def _give_up_broken(self) -> None:
+    def _reject_failed_operations(self) -> None:
         """An operation whose generator raised is given up alone, and at once (guards the others)."""
         broken = [each for each in self.unanswered.values() if each.task is None or each.task.is_finished]
         for operation in broken:
--- a/lapisgrade/net/http.py
+++ b/lapisgrade/net/http.py
@@ -34,8 +34,8 @@
     head: h11.Request | h11.Response
     body: list[memoryview | bytes]
     size: int  # bytes of body
-    rest: bytes  # read already, but part of the next message
-    last: bool  # nothing may follow on this connection (RFC 9112, section 9.3)
+    trailing_data: bytes  # read already, but part of the next message
+    closes_connection: bool  # nothing may follow on this connection (RFC 9112, section 9.3)
 
     def headers(self) -> dict[bytes, bytes]:
         """The header fields by lower-case name; the last of each name counts."""
@@ -79,8 +79,10 @@
                 event = machine.next_event()
                 kind = type(event)
                 if kind is h11.EndOfMessage:
-                    last = machine.their_state is not h11.DONE
-                    return Message(self._head, self._body, self._size, machine.trailing_data[0], last)
+                    closes_connection = machine.their_state is not h11.DONE
+                    return Message(
+                        self._head, self._body, self._size, machine.trailing_data[0], closes_connection
+                    )
                 if kind is h11.Data:
                     self._append_body(chunk, event.data)
                 elif kind in (h11.Request, h11.Response):
--- a/lapisgrade/net/request_parser.py
+++ b/lapisgrade/net/request_parser.py
@@ -65,17 +65,17 @@
             MalformedMessageError: A field is missing or out of range, or a request with this id is open.
         """
         headers = message.headers()
-        category: Category = _configured(self._categories, headers, b"x-priority-class")
-        plan: Plan = _configured(self._plans, headers, b"x-plan")
-        customer = _matched(headers, b"x-customer", _CUSTOMER)[0].decode().lower()
+        category: Category = _look_up_field(self._categories, headers, b"x-priority-class")
+        plan: Plan = _look_up_field(self._plans, headers, b"x-plan")
+        customer = _match_field(headers, b"x-customer", _CUSTOMER)[0].decode().lower()
         quota = self._quota(headers)
-        timeout_s = float(_matched(headers, b"x-timeout", _TIMEOUT)[0])
-        request_id = _matched(headers, b"x-request-id", _REQUEST_ID)[0]
+        timeout_s = float(_match_field(headers, b"x-timeout", _TIMEOUT)[0])
+        request_id = _match_field(headers, b"x-request-id", _REQUEST_ID)[0]
         key = headers.get(b"idempotency-key")
         self._check_quota(quota)
         if timeout_s <= 0:
             raise MalformedMessageError("no time is left")
-        _check_repeatability(category, message, key)
+        _check_method_and_key(category, message, key)
         if request_id in open_request_ids:  # its response might go to the wrong one, and servers see a copy
             raise MalformedMessageError("a request with this id is open", _CONFLICT)
         return Operation(
@@ -100,7 +100,7 @@
         )
 
     def _quota(self, headers: dict[bytes, bytes]) -> _Quota:
-        units, spread, first = _matched(headers, b"x-quota", _QUOTA).groups()
+        units, spread, first = _match_field(headers, b"x-quota", _QUOTA).groups()
         return _Quota(float(units), int(spread), int(first))
 
     def _check_quota(self, quota: _Quota) -> None:
@@ -110,7 +110,7 @@
             raise MalformedMessageError("the customer's set is out of range")
 
 
-def _check_repeatability(category: Category, message: Message, key: bytes | None) -> None:
+def _check_method_and_key(category: Category, message: Message, key: bytes | None) -> None:
     """Whether method and key are those of the category."""
     method = message.head.method
     if method != _METHODS[category.repeat_safety] or (message.size and method == b"GET"):
@@ -119,7 +119,7 @@
         raise MalformedMessageError("a key is missing, by which servers would know a repeat")
 
 
-def _matched(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> re.Match[bytes]:
+def _match_field(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> re.Match[bytes]:
     value = headers.get(name, b"")
     match = form.fullmatch(value)
     if match is None:
@@ -127,7 +127,7 @@
     return match
 
 
-def _configured(table: dict[bytes, Any], headers: dict[bytes, bytes], name: bytes) -> Any:
+def _look_up_field(table: dict[bytes, Any], headers: dict[bytes, bytes], name: bytes) -> Any:
     value = headers.get(name, b"")
     if value not in table:
         raise MalformedMessageError(f"{name.decode()} is unknown: {value[:_MAX_SHOWN_BYTES]!r}")
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -19,9 +19,9 @@
 from lapisgrade.net.request_parser import RequestParser
 from lapisgrade.net.service_configuration import (
     Address,
-    check_kinds,
+    check_value_types,
     read_configuration,
-    service_addresses,
+    read_service_addresses,
 )
 from lapisgrade.policy import Limiter
 from lapisgrade.settings import (
@@ -40,12 +40,12 @@
 )
 
 # The protocol's figure: so long after its word to end, new connections keep coming to a limiter.
-LATE_CONNECTIONS_S = 0.4
+ACCEPT_AFTER_SHUTDOWN_S = 0.4
 DRAIN_CHECK_INTERVAL_S = 0.02  # between checks whether all is answered
 DEFAULT_SOCKETS = 1024
 # Of the descriptors, half are for clients and a quarter for servers; the rest is for all else.
-CLIENTS_DIVISOR = 2
-SERVERS_DIVISOR = 4
+CLIENT_SOCKETS_DIVISOR = 2
+SERVER_SOCKETS_DIVISOR = 4
 
 
 class Service:
@@ -53,11 +53,11 @@
 
     def __init__(self, configuration: dict[str, Any]) -> None:
         """Takes the parsed configuration file; MalformedInputError where that can't be read."""
-        check_kinds(configuration)
+        check_value_types(configuration)
         settings = flatten(configuration["settings"])
         seed, sockets = _read_seed_and_sockets(configuration)
         self.metrics = NetMetrics()
-        self.peer_counts: Counter[str] = Counter()  # of what runs beside the limiter, by name
+        self.companion_counts: Counter[str] = Counter()  # of what runs beside the limiter, by name
         self._log = RateLimitedLog(configuration["name"])
         self.log = self._log.write
         now = _read_clock(configuration)
@@ -65,12 +65,12 @@
         self._known_servers = configuration["known"]
         self.host = Host(lambda clock: _build_policy(clock, seed, settings), now, self.log, self.metrics)
         connections = read_connection_settings(settings)
-        self.listener = self._build_listener(settings, now, sockets // CLIENTS_DIVISOR)
+        self.listener = self._build_listener(settings, now, sockets // CLIENT_SOCKETS_DIVISOR)
         self.host.pool = ConnectionPool(
-            self.host.enqueue, now, self.log, self.metrics, connections, sockets // SERVERS_DIVISOR
+            self.host.enqueue, now, self.log, self.metrics, connections, sockets // SERVER_SOCKETS_DIVISOR
         )
         counter = read_counter_settings(settings)
-        discovery_address, counter_address = service_addresses(
+        discovery_address, counter_address = read_service_addresses(
             configuration, uses_counter=counter.is_available
         )
         self._counter: CounterClient | None = None
@@ -117,7 +117,7 @@
 
         Discovery and the counter service move while work is open; all else holds until the next start.
         """
-        discovery_address, counter_address = service_addresses(
+        discovery_address, counter_address = read_service_addresses(
             configuration, uses_counter=self._counter is not None
         )
         self.metrics.reloads += 1
@@ -146,7 +146,7 @@
     async def _drain(self) -> None:
         """Deny readiness, serve those who still come, and then answer what is owed."""
         self.listener.is_draining = True
-        await asyncio.sleep(LATE_CONNECTIONS_S)
+        await asyncio.sleep(ACCEPT_AFTER_SHUTDOWN_S)
         self.listener.stop_accepting()
         self.listener.close_idle()
         while self.listener.clients or self.host.unanswered:
@@ -155,7 +155,7 @@
 
     def log_metrics(self) -> None:
         """Print all counters."""
-        self._log.write_counts({**self.metrics.nonzero(), **self.peer_counts})
+        self._log.write_counts({**self.metrics.nonzero(), **self.companion_counts})
 
 
 def _read_seed_and_sockets(configuration: dict[str, Any]) -> tuple[int, int]:
@@ -187,12 +187,12 @@
 
 
 async def serve(
-    path: str, beside: Callable[["Service"], contextlib.AbstractAsyncContextManager[None]] | None = None
+    path: str, companion: Callable[["Service"], contextlib.AbstractAsyncContextManager[None]] | None = None
 ) -> None:
     """Run one limiter as this process, by the configuration file at `path`.
 
-    SIGTERM and SIGINT shut it down, SIGHUP has it read the file again, SIGUSR1 prints its counters. `beside`
-    runs around it where that is given.
+    SIGTERM and SIGINT shut it down, SIGHUP has it read the file again, SIGUSR1 prints its counters.
+    `companion` runs around it where that is given.
     """
     service = Service(read_configuration(path))
 
@@ -211,5 +211,5 @@
         loop.add_signal_handler(each, shut_down, each)
     loop.add_signal_handler(signal.SIGHUP, reload)
     loop.add_signal_handler(signal.SIGUSR1, service.log_metrics)
-    async with beside(service) if beside is not None else contextlib.nullcontext():
+    async with companion(service) if companion is not None else contextlib.nullcontext():
         await service.run()
--- a/lapisgrade/net/service_configuration.py
+++ b/lapisgrade/net/service_configuration.py
@@ -7,7 +7,7 @@
 
 Address = tuple[str, int]
 
-_KINDS = {
+_VALUE_TYPES = {
     "name": str,
     "listen": str,
     "discovery": str,
@@ -30,14 +30,16 @@
     return configuration
 
 
-def check_kinds(configuration: dict[str, Any]) -> None:
+def check_value_types(configuration: dict[str, Any]) -> None:
     """Raise MalformedInputError where a value is missing or of another kind than it must be."""
-    for name, kind in _KINDS.items():
+    for name, kind in _VALUE_TYPES.items():
         if not isinstance(configuration.get(name), kind):
             raise MalformedInputError(f"{name} is missing or not of the kind {kind.__name__}")
 
 
-def service_addresses(configuration: dict[str, Any], *, uses_counter: bool) -> tuple[Address, Address | None]:
+def read_service_addresses(
+    configuration: dict[str, Any], *, uses_counter: bool
+) -> tuple[Address, Address | None]:
     """Where discovery and, for a limiter that uses it, the counter service are."""
     discovery = parse_address(configuration.get("discovery"), "discovery")
     counter = parse_address(configuration.get("counter"), "counter") if uses_counter else None
--- a/lapisgrade/net/upstream_connection.py
+++ b/lapisgrade/net/upstream_connection.py
@@ -105,7 +105,7 @@
                 reason = CloseReason.NOT_SENT
             self._pool.on_attempt_finished(attempt, reason, None)
             if reason in (CloseReason.TIMED_OUT, CloseReason.CANCELLED):
-                self._pool.on_server_silent(attempt)
+                self._pool.on_server_unresponsive(attempt)
         if self._writer is not None:
             self._writer.transport.abort()
         elif self._task is not asyncio.current_task():
@@ -186,10 +186,10 @@
         self._pool.metrics.stray_responses += 1
         self._received_stray = True
         self._parser = MessageParser(h11.CLIENT, self._pool.protocol.max_body_bytes)
-        if message.last:
+        if message.closes_connection:
             self.close(CloseReason.CONNECTION_LOST)
-        elif message.rest:
-            self._receive(message.rest)
+        elif message.trailing_data:
+            self._receive(message.trailing_data)
 
     def _finish_attempt(self, message: Message) -> None:
         """The response is complete: report it, and keep the connection where it can be reused."""
@@ -200,8 +200,8 @@
         self.max_idle_us = pool.protocol.keep_alive_us(message) or pool.settings.idle_timeout_us
         pool.on_attempt_finished(attempt, reason, message)
         must_close = (
-            message.last
-            or message.rest
+            message.closes_connection
+            or message.trailing_data
             or self.state is UpstreamState.WRITING
             or not self._is_at_current_address()
             or self._received_stray
--- a/lapisgrade/peers/frame.py
+++ b/lapisgrade/peers/frame.py
@@ -11,19 +11,19 @@
 
 from lapisgrade.errors import LapisgradeError
 
-VERSION = 1
+FRAME_VERSION = 1
 MAX_FRAME_BYTES = 1400  # of one datagram: under the smallest usual path's packet, so that none is cut in two
 MAX_NAME_LENGTH = 64  # characters
-T = TypeVar("T")
+MessageT = TypeVar("MessageT")
 
 
-class Frame(msgspec.Struct, Generic[T], array_like=True, frozen=True):
+class Frame(msgspec.Struct, Generic[MessageT], array_like=True, frozen=True):
     """What goes over the wire. The incarnation tells apart the processes of one name."""
 
     version: int
     name: str
     incarnation: int
-    message: T
+    message: MessageT
 
 
 class FrameError(LapisgradeError, ValueError):
@@ -31,7 +31,7 @@
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_VERSION = msgspec.msgpack.Decoder(list[msgspec.Raw])
+_FIELDS_DECODER = msgspec.msgpack.Decoder(list[msgspec.Raw])
 
 
 class Codec:
@@ -43,7 +43,7 @@
     def encode(self, name: str, incarnation: int, message: Any) -> bytes:
         """The frame's bytes, in one datagram."""
         while True:
-            data = _ENCODER.encode(Frame(VERSION, name, incarnation, message))
+            data = _ENCODER.encode(Frame(FRAME_VERSION, name, incarnation, message))
             if len(data) <= MAX_FRAME_BYTES or not message.updates:
                 return data
             over = len(data) - MAX_FRAME_BYTES
@@ -57,20 +57,20 @@
         try:
             frame = self._decoder.decode(data)
         except msgspec.MsgspecError:
-            raise FrameError(_reason(data)) from None
-        if frame.version != VERSION:
-            raise FrameError(f"version {frame.version}, not {VERSION}")
+            raise FrameError(_decode_failure_reason(data)) from None
+        if frame.version != FRAME_VERSION:
+            raise FrameError(f"version {frame.version}, not {FRAME_VERSION}")
         if not 0 < len(frame.name) <= MAX_NAME_LENGTH or frame.incarnation < 0:
             raise FrameError("a name or incarnation out of range")
         return frame
 
 
-def _reason(data: bytes) -> str:
+def _decode_failure_reason(data: bytes) -> str:
     """Return why the bytes can't be read; another version may differ in all but its first field."""
     try:
-        version = msgspec.msgpack.decode(_VERSION.decode(data)[0])
+        version = msgspec.msgpack.decode(_FIELDS_DECODER.decode(data)[0])
     except (msgspec.MsgspecError, IndexError):
         return "not a frame"
-    if isinstance(version, int) and not isinstance(version, bool) and version != VERSION:
-        return f"version {version}, not {VERSION}"
+    if isinstance(version, int) and not isinstance(version, bool) and version != FRAME_VERSION:
+        return f"version {version}, not {FRAME_VERSION}"
     return "not a frame"
--- a/lapisgrade/peers/udp.py
+++ b/lapisgrade/peers/udp.py
@@ -1,8 +1,8 @@
 """Datagrams between processes on asyncio: bounded per peer both ways, and sparing with log lines.
 
 Of a peer that floods, `MAX_FRAMES_PER_SECOND` frames are read and the rest counted; one that sends what is no
-frame is logged once in a while. Nothing is kept of a peer but how much it sent, and that for `MAX_PEERS`
-addresses at most.
+frame is logged once in a while. Nothing is kept of a peer but how much it sent, and that for
+`MAX_TRACKED_ADDRESSES` addresses at most.
 """
 
 import asyncio
@@ -15,9 +15,9 @@
 from lapisgrade.peers import frame
 
 MAX_FRAMES_PER_SECOND = 400  # read from one address; a member sends some tens
-MAX_PEERS = 4096  # addresses of which it is kept how much they sent
+MAX_TRACKED_ADDRESSES = 4096  # addresses of which it is kept how much they sent
 MAX_BUFFERED_BYTES = 64 * frame.MAX_FRAME_BYTES  # that wait to be sent; past it frames are dropped
-LOG_INTERVAL_S = 30.0  # between two lines about frames that can't be read
+FRAME_ERROR_LOG_INTERVAL_S = 30.0  # between two lines about frames that can't be read
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
     frames: int = 0
 
 
-class Udp(asyncio.DatagramProtocol):
+class UdpTransport(asyncio.DatagramProtocol):
     """One socket."""
 
     def __init__(
@@ -56,7 +56,7 @@
         self.counts: Counter[str] = Counter()
         self._transport: asyncio.DatagramTransport | None = None
         self._rates: dict[str, ReceiveRate] = {}
-        self._last_log_s = -LOG_INTERVAL_S
+        self._last_log_s = -FRAME_ERROR_LOG_INTERVAL_S
 
     async def open(self, host: str, port: int) -> str:
         """Listen, and return the address that peers reach this at.
@@ -105,7 +105,7 @@
         except frame.FrameError as wrong:
             self.counts["peer frames refused"] += 1
             now = time.monotonic()
-            if now - self._last_log_s >= LOG_INTERVAL_S:
+            if now - self._last_log_s >= FRAME_ERROR_LOG_INTERVAL_S:
                 self._last_log_s = now
                 self._log_line(f"a frame from {address}: {wrong}")
             return
@@ -120,7 +120,7 @@
         """Count a frame, and return whether that address may still be read in this second."""
         rate = self._rates.pop(address, None) or ReceiveRate()
         self._rates[address] = rate  # the one that sent last is the last
-        if len(self._rates) > MAX_PEERS:
+        if len(self._rates) > MAX_TRACKED_ADDRESSES:
             del self._rates[next(iter(self._rates))]
         second = int(time.monotonic())
         if rate.second != second:
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -158,7 +158,7 @@
             asyncio.DatagramProtocol, remote_addr=("127.0.0.1", one.port)
         )
         ping = CODEC.encode("m9", 1, messages.Ping(1, "nobody"))
-        other = msgspec.msgpack.encode([frame.VERSION + 1, {"a": 1}])
+        other = msgspec.msgpack.encode([frame.FRAME_VERSION + 1, {"a": 1}])
         for i in range(6 * MAX_FRAMES_PER_SECOND):
             flood.sendto((ping, other, b"noise", b"\xc1" * 3000)[i % 4])
             if i % 50 == 0:
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -16,13 +16,15 @@
 @on_limiter_loop
 async def test_requests_and_responses_are_forwarded_unchanged():
     async with LimiterSite(servers=1) as site:
-        on = await site.connect()
+        connection = await site.connect()
         body = bytes(range(256)) * 200
         for number, behavior in enumerate(
             [Behavior.NORMAL, Behavior.CHUNKED, Behavior.EARLY_HINTS, Behavior.UNTIL_CLOSE, Behavior.NORMAL]
         ):
             site.servers[0].behavior = behavior
-            status, _, answer = await site.request("file", str(number), body, on=on, path="/api/a?b=c%20d")
+            status, _, answer = await site.request(
+                "file", str(number), body, connection=connection, path="/api/a?b=c%20d"
+            )
             assert (status, answer) == (200, b"for " + body), behavior
             first, headers, came, *_ = site.servers[0].received[-1]
             assert first == "POST /api/a?b=c%20d HTTP/1.1"
@@ -75,7 +77,7 @@
             {"X_Quota": "units=1,spread=1,first=1"},
             {"X_Quota": "units=1,spread=0,first=0"},
             {"X_Customer": "00000002b4d65521"},
-            {"kind": "look", "body": b"x"},
+            {"request_class": "look", "body": b"x"},
             {"X_Quota": "units=nan,spread=1,first=0"},
             {"X_Request_ID": "a b"},
             {"X_Priority_Class": "look"},
@@ -85,9 +87,9 @@
             {"Content_Length": "many"},
             {"Host": None},
             {"bad header": "1"},
-            {"kind": "file", "Idempotency_Key": None},
+            {"request_class": "file", "Idempotency_Key": None},
         ]:
-            status, headers, _ = await site.request(**{"kind": "burn", **bad})
+            status, headers, _ = await site.request(**{"request_class": "burn", **bad})
             assert status == 400, bad
             assert headers["connection"] == "close", bad
         assert (await site.request("burn", body=bytes(70_000)))[0] == 413
@@ -115,7 +117,7 @@
 @on_limiter_loop
 async def test_rejections_carry_retry_after():
     async with LimiterSite() as site:
-        answers = [await site.request(number=str(i), X_Plan="none") for i in range(3)]
+        answers = [await site.request(request_id=str(i), X_Plan="none") for i in range(3)]
         status, headers, _ = answers[-1]
         assert status == 429
         assert 0 < float(headers["retry-after"]) <= 0.5
@@ -139,8 +141,8 @@
 async def test_idle_client_connections_are_evicted_and_busy_ones_kept():
     async with LimiterSite(sockets=16) as site:
         kept = [await site.connect() for _ in range(8)]
-        await site.request(path="/up", on=kept[0])  # the one used last is the last to go
-        await asyncio.sleep(client_listener.GRACE_S)
+        await site.request(path="/up", connection=kept[0])  # the one used last is the last to go
+        await asyncio.sleep(client_listener.EVICTION_GRACE_S)
         more = [await site.connect() for _ in range(4)]
         assert [await reader.read(1) for reader, _ in kept[1:5]] == [b""] * 4
         left = [kept[0], *kept[5:], *more]
@@ -167,12 +169,12 @@
             half[1].write(site.encode_request()[:40])
             for each in site.servers:
                 each.behavior = 0.5
-            busy = asyncio.create_task(site.request("burn", "1", on=slow))
-            assert (await site.request(path="/up", on=asked))[0] == 200
+            busy = asyncio.create_task(site.request("burn", "1", connection=slow))
+            assert (await site.request(path="/up", connection=asked))[0] == 200
             assert await silent[0].read() == b""
             assert (await read_message(half[0]))[0].startswith("HTTP/1.1 408")
             assert (await busy)[0] == 200  # longer than either, but something is owed
-            assert (await site.request(path="/up", on=asked))[0] == 200
+            assert (await site.request(path="/up", connection=asked))[0] == 200
             assert await asked[0].read() == b""
             assert not site.service.listener.clients
 
@@ -182,12 +184,14 @@
     """Found in an incident: clients that asked once and stayed held all that clients may hold."""
     async with LimiterSite(sockets=64) as site:  # 32 for clients, a quarter of them at rest
         kept = [await site.connect() for _ in range(24)]
-        for on in kept:
-            assert (await site.request(path="/up", on=on))[0] == 200
-        await asyncio.sleep(client_listener.GRACE_S + 2 * client_listener.CHECK_INTERVAL_S + 0.1)
+        for connection in kept:
+            assert (await site.request(path="/up", connection=connection))[0] == 200
+        await asyncio.sleep(client_listener.EVICTION_GRACE_S + 2 * client_listener.CHECK_INTERVAL_S + 0.1)
         assert len(site.service.listener.idle) == 8
         assert [await reader.read(1) for reader, _ in kept[:16]] == [b""] * 16
-        assert [(await site.request(path="/up", on=on))[0] for on in kept[16:]] == [200] * 8
+        assert [(await site.request(path="/up", connection=connection))[0] for connection in kept[16:]] == [
+            200
+        ] * 8
 
 
 @on_limiter_loop
--- a/tests/net/test_random_faults.py
+++ b/tests/net/test_random_faults.py
@@ -36,22 +36,22 @@
         )
 
         async def client(name):
-            on = None
+            connection = None
             for turn in range(14):
                 number, kind = f"{name}-{turn}", random.choice(["look", "file", "burn"])
-                on = on or await site.connect()
+                connection = connection or await site.connect()
                 started, time_out = time(), random.choice([0.1, 0.5, 0.9])
 
                 async def ask(*args, **more):
                     return *await site.request(*args, **more), time()
 
-                asking = asyncio.create_task(ask(kind, number, on=on, timeout=str(time_out)))
+                asking = asyncio.create_task(ask(kind, number, connection=connection, timeout=str(time_out)))
                 if random.random() < 0.1:
                     await asyncio.sleep(random.random() * 0.2)
                     if not asking.done():
                         asking.cancel()
-                        on[1].transport.abort()
-                        on, done[number] = None, (kind, None, time())
+                        connection[1].transport.abort()
+                        connection, done[number] = None, (kind, None, time())
                         continue
                 status, headers, body, ended = await asyncio.wait_for(asking, 5)
                 assert ended - started < time_out + 0.3, "rule 1: answered late"
@@ -59,7 +59,7 @@
                 assert status in (200, 429, 502)
                 assert body == (b"for " if status == 200 else b"")
                 if "connection" in headers:
-                    on = None
+                    connection = None
 
         async def trouble():
             for _ in range(25):
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -25,7 +25,7 @@
         for each in site.servers:
             each.behavior = 0.6
         idle, busy = await site.connect(), await site.connect()
-        asked = asyncio.create_task(site.request("burn", "1", on=busy))
+        asked = asyncio.create_task(site.request("burn", "1", connection=busy))
         await asyncio.sleep(0.05)
         site.service.shut_down()
         await asyncio.sleep(0.1)
@@ -42,12 +42,14 @@
             return seen
 
         insisting = asyncio.create_task(insist())
-        assert (await site.request("look", "3", on=idle, timeout="0.1"))[0] == 502  # or on one that was kept
+        assert (await site.request("look", "3", connection=idle, timeout="0.1"))[
+            0
+        ] == 502  # or on one that was kept
         assert (await asked)[0] == 200
         assert (await late)[0] == 200
         assert (await late)[1]["connection"] == "close"
         assert await idle[0].read() == b""
-        await asyncio.wait_for(site.running, 1)
+        await asyncio.wait_for(site.service_task, 1)
         assert await insisting == {"503"}
         assert await silent[0].read() == b""
         closed = site.service.metrics.client_connections_closed
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -100,7 +100,7 @@
     for _ in range(2):
         op = simulation.submit(0)
         simulation.run(simulation.now + 4_000)
-        for sent in host.attempts_of[id(op)]:
+        for sent in host.attempts_by_operation[id(op)]:
             sent.outcome = AttemptOutcome.OK
             host.limiter.on_attempt_finished(
                 sent.attempt, AttemptResult(AttemptOutcome.OK, 4_000, True, settled_units=4.0)
--- a/tests/support/fake_peers.py
+++ b/tests/support/fake_peers.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Any, Self
 
-SILENCE_S = 30.0  # longer than any time-out under test
-WATCH_S = 0.3  # how long discovery holds a watch open without a change
+NO_RESPONSE_S = 30.0  # longer than any time-out under test
+WATCH_TIMEOUT_S = 0.3  # how long discovery holds a watch open without a change
 
 
 class Behavior(enum.Enum):
@@ -81,7 +81,7 @@
         """How to answer the message at hand."""
         return self.behavior() if callable(self.behavior) else self.behavior
 
-    def block_if_asked(self) -> None:
+    def block_if_requested(self) -> None:
         """Keep this process from its sockets, once."""
         seconds, self.block_once_s = self.block_once_s, 0.0
         time.sleep(seconds)
@@ -98,7 +98,7 @@
         writer.transport.abort()
 
 
-def response(behavior: Behavior, body: bytes) -> bytes:
+def encode_response(behavior: Behavior, body: bytes) -> bytes:
     """What a server with that behaviour answers to a request with that body; nothing where it closes."""
     echo = b"for " + body
     chunk = b"%x\r\n%b\r\n" % (len(body), body) if body else b""
@@ -134,10 +134,10 @@
             await asyncio.sleep(behavior)
             behavior = Behavior.NORMAL
         if behavior is Behavior.SILENT:
-            await asyncio.sleep(SILENCE_S)
+            await asyncio.sleep(NO_RESPONSE_S)
             return False
-        writer.write(response(behavior, body))
-        self.block_if_asked()
+        writer.write(encode_response(behavior, body))
+        self.block_if_requested()
         await writer.drain()
         return behavior not in (Behavior.TRUNCATED, Behavior.UNTIL_CLOSE, Behavior.CLOSE)
 
@@ -157,7 +157,7 @@
         if isinstance(behavior, float):
             await asyncio.sleep(behavior)
         if behavior is Behavior.SILENT:
-            await asyncio.sleep(SILENCE_S)
+            await asyncio.sleep(NO_RESPONSE_S)
         if behavior is Behavior.BUSY:
             writer.write(b"-BUSY try later\r\n")
         elif isinstance(behavior, bytes):
@@ -181,7 +181,7 @@
         for fragment in (b"$%d\r" % len(total), b"\n" + total[:1], total[1:] + b"\r\n"):
             await asyncio.sleep(0)
             writer.write(fragment)
-        self.block_if_asked()
+        self.block_if_requested()
 
 
 class FakeDiscovery(FakePeer):
@@ -211,7 +211,7 @@
         if self.behavior is Behavior.NORMAL and f"since={self.generation}&" in first:
             await self._wait_for_change()
         if self.behavior is Behavior.SILENT:
-            await asyncio.sleep(SILENCE_S)
+            await asyncio.sleep(NO_RESPONSE_S)
         if self.behavior is Behavior.BUSY:
             writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             return True
@@ -225,4 +225,4 @@
     async def _wait_for_change(self) -> None:
         self._changed.clear()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._changed.wait(), WATCH_S)
+            await asyncio.wait_for(self._changed.wait(), WATCH_TIMEOUT_S)
--- a/tests/support/limiter_host.py
+++ b/tests/support/limiter_host.py
@@ -54,7 +54,7 @@
 
     Attributes:
         pending: Operations without a final answer, by id().
-        attempts_of: Each operation's attempts, by its id().
+        attempts_by_operation: Each operation's attempts, by its id().
         known_states: Each server's state as this limiter knows it, and since when.
         log_lines: What the limiter logged.
     """
@@ -63,7 +63,7 @@
         self.simulation, self.index, self.clock = simulation, index, Clock(simulation.now)
         self.engine = Engine(self, self.clock)
         self.pending: dict[int, Operation] = {}
-        self.attempts_of: dict[int, list[SimulatedAttempt]] = {}
+        self.attempts_by_operation: dict[int, list[SimulatedAttempt]] = {}
         self.known_states: dict[str, tuple[ServerState, int]] = {}
         self.log_lines: list[str] = []
         self.limiter = Limiter(
@@ -82,7 +82,7 @@
     def send(self, attempt: Any) -> None:
         """Send an attempt, if the rules allow it, and draw how it ends."""
         operation, simulation = attempt.operation, self.simulation
-        earlier = self.attempts_of[id(operation)]
+        earlier = self.attempts_by_operation[id(operation)]
         self._check_attempt(operation, earlier, attempt.server.address)
         if not earlier and operation.plan.rate_limit_per_s:
             self._check_rate_limit(operation)
@@ -96,7 +96,7 @@
 
     def cancel(self, attempt: Any) -> None:
         """The attempt ends as cancelled, unless something else comes first."""
-        for sent in self.attempts_of[id(attempt.operation)]:
+        for sent in self.attempts_by_operation[id(attempt.operation)]:
             if sent.attempt is attempt:
                 cancelled = (attempt.operation, sent, AttemptOutcome.CANCELLED)
                 self.simulation.schedule(CANCELLATION_US, self._finish_attempt, *cancelled)
@@ -104,7 +104,7 @@
     def reject(self, operation: Operation, answer: Reject) -> None:
         """The limiter's own final answer."""
         assert self.pending.pop(id(operation), None) is operation, "rule 1: a second final answer"
-        may_have_run = any(each.may_have_run for each in self.attempts_of[id(operation)])
+        may_have_run = any(each.may_have_run for each in self.attempts_by_operation[id(operation)])
         if answer.reason is RejectReason.RETRY_LATER and may_have_run:
             assert operation.category.repeat_safety is RepeatSafety.IDEMPOTENT, (
                 "rule 2: told the client to retry what may have run"
--- a/tests/support/limiter_simulation.py
+++ b/tests/support/limiter_simulation.py
@@ -102,7 +102,7 @@
         host, deadline_us = self.limiters[i], self.now + (timeout_us or kind.timeout_us)
         operation = Operation(customer, PLANS[plan], kind, units, self.now, deadline_us, self.limiter_count)
         host.pending[id(operation)] = operation
-        host.attempts_of[id(operation)] = []
+        host.attempts_by_operation[id(operation)] = []
         self.schedule(deadline_us - self.now + ANSWER_LEEWAY_US, host.check_answered, operation)
         host.engine.run(host.limiter.handle(operation), operation)
         return operation
--- a/tests/support/limiter_site.py
+++ b/tests/support/limiter_site.py
@@ -29,14 +29,14 @@
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
         self.service = Service(self.configuration())
-        self.running = asyncio.create_task(self.service.run())
+        self.service_task = asyncio.create_task(self.service.run())
         while (await self.request(path="/up"))[0] != 200:
             pass
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.running.cancel()
-        await asyncio.wait([self.running])
+        self.service_task.cancel()
+        await asyncio.wait([self.service_task])
         for fake in (*self.servers, self.counter, self.discovery):
             fake.close()
 
@@ -50,7 +50,7 @@
             "counter": f"127.0.0.1:{self.counter.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
             "known": self.discovery.endpoint_list(),
-            "settings": settings(self.counter_timeout_ms),
+            "settings": limiter_settings(self.counter_timeout_ms),
         }
 
     async def connect(self) -> Connection:
@@ -62,46 +62,51 @@
 
     def encode_request(
         self,
-        kind: str = "look",
-        number: str = "1",
+        request_class: str = "look",
+        request_id: str = "1",
         body: bytes = b"",
         path: str = "/api?q=1",
         timeout: str = "0.800",
-        **more: str | None,
+        **extra_headers: str | None,
     ) -> bytes:
-        """A request of that class and id; `more` adds headers, or leaves those out that are None."""
+        """A request of that class and id; `extra_headers` adds headers, or leaves those out that are None."""
         headers: dict[str, str | None] = {
             "Host": "api.internal",
-            "X-Request-ID": number,
-            "X-Priority-Class": kind,
+            "X-Request-ID": request_id,
+            "X-Priority-Class": request_class,
             "X-Plan": "wide",
             "X-Customer": "00000000b4d65521",
             "X-Timeout": timeout,
             "X-Quota": "units=2,spread=1,first=0",
         }
-        if kind == "file":
-            headers["Idempotency-Key"] = "k" + number
-        if kind != "look" or body:
+        if request_class == "file":
+            headers["Idempotency-Key"] = "k" + request_id
+        if request_class != "look" or body:
             headers["Content-Length"] = str(len(body))
-        headers |= {name.replace("_", "-"): value for name, value in more.items()}
+        headers |= {name.replace("_", "-"): value for name, value in extra_headers.items()}
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value is not None)
-        return f"{'GET' if kind == 'look' else 'POST'} {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
+        return (
+            f"{'GET' if request_class == 'look' else 'POST'} {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
+        )
 
     async def request(
-        self, *args: Any, on: Connection | None = None, **more: Any
+        self, *args: Any, connection: Connection | None = None, **extra_headers: Any
     ) -> tuple[int, dict[str, str], bytes]:
         """One request on a connection, its own if none is given; status, headers and body of the response."""
-        reader, writer = on or await self.connect()
-        writer.write(self.encode_request(*args, **more))
+        reader, writer = connection or await self.connect()
+        writer.write(self.encode_request(*args, **extra_headers))
         first, headers, body = await read_message(reader)
-        if on is None:
+        if connection is None:
             writer.close()
         return int(first.split(" ")[1]), headers, body
 
-    def attempts(self, number: str) -> list[Any]:
+    def attempts(self, request_id: str) -> list[Any]:
         """The attempts of a request that reached servers complete."""
         return [
-            each for server in self.servers for each in server.received if each[1]["x-request-id"] == number
+            each
+            for server in self.servers
+            for each in server.received
+            if each[1]["x-request-id"] == request_id
         ]
 
 
@@ -118,7 +123,7 @@
     }
 
 
-def settings(counter_timeout_ms: float) -> dict[str, Any]:
+def limiter_settings(counter_timeout_ms: float) -> dict[str, Any]:
     """The operators' settings of the limiter."""
     return {
         "SelfIndex": 0,
