--- a/lapisgrade/gateway/fake_server.py
+++ b/lapisgrade/gateway/fake_server.py
@@ -89,7 +89,7 @@
                     if not chunk:
                         return
                     message = parser.feed(chunk)
-                rest = message.rest
+                rest = message.trailing_data
                 is_open = await self._answer_request(message, writer)
         except (OSError, MalformedMessageError, asyncio.CancelledError):
             pass
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -26,12 +26,12 @@
 from lapisgrade.lab.explore.quota_defects import DEFECTS
 from lapisgrade.lab.explore.quota_limiter import SLO, TENANT, Limiter
 from lapisgrade.lab.explore.watch_proxy import MS, Proxy
-from lapisgrade.lab.partitions.quota import allowed, most
+from lapisgrade.lab.partitions.quota import max_in_window, quota_bound
 
 UNIT = "requests"
 AWAY_US = 2600 * MS  # that a limiter is cut off until it is surely counted out
 TERMINATION_GRACE_US = 2600 * MS  # that a process goes on once it was told to end
-PRESSURE = 7.5  # times its rate that the tenant asks for
+DEMAND_FACTOR = 7.5  # times its rate that the tenant asks for
 LIMITS = ((24.0, 24.0), (60.0, 60.0), (12.0, 40.0), (40.0, 8.0))  # rate and burst
 OWNER_FAULT_SHARE = 0.6  # of the faults that hit the count's owner
 MAX_LINES = 30
@@ -164,7 +164,7 @@
         limiter = self.random.choice(self.proxies)
         self.call_count += 1
         limiter.when_awake(limiter.incarnation, limiter.request)
-        pause_s = self.random.expovariate(PRESSURE * self.tenant.rate_s)
+        pause_s = self.random.expovariate(DEMAND_FACTOR * self.tenant.rate_s)
         self.sim.after(pause_s * SECOND, self.send_requests)
 
     def run(self, changes: int = 6) -> Self:
@@ -182,12 +182,12 @@
     @property
     def max_allowed(self) -> float:
         """Requests that QUOTA allows in a window."""
-        return allowed(SLO, self.tenant.rate_s, self.tenant.burst)
+        return quota_bound(SLO, self.tenant.rate_s, self.tenant.burst)
 
     @property
     def max_admitted(self) -> int:
         """Requests that were admitted in the worst window."""
-        return most(self.admitted_us, SLO.quota_win)
+        return max_in_window(self.admitted_us, SLO.quota_win)
 
     @property
     def is_wrong(self) -> bool:
