--- a/tests/gateway/test_keyed_route.py
+++ b/tests/gateway/test_keyed_route.py
@@ -1,4 +1,4 @@
-"""Routes of mode `keyed`, through a whole small system on loopback."""
+"""Routes of mode `keyed`, end-to-end on a small system on loopback."""
 
 import asyncio
 from http import HTTPStatus
@@ -17,7 +17,7 @@
 
 
 async def put_first(site: LocalCluster, configuration: dict) -> int:
-    """The reply to the first configuration, once there is a leader that replies."""
+    """Put a configuration until a leader replies; return the status of the reply."""
     async with asyncio.timeout(20.0):
         while True:
             status = await site.put(configuration)
@@ -26,7 +26,7 @@
             await asyncio.sleep(0.02)
 
 
-async def test_a_keyed_route_and_a_service_with_dedup_do_not_keep_everything_from_being_served():
+async def test_a_configuration_with_a_keyed_route_and_a_service_with_dedup_is_served():
     async with local_cluster() as site:
         await site.start_server("garantie")
         assert await put_first(site, KEYED) == HTTPStatus.OK
--- a/tests/gateway/test_known_words.py
+++ b/tests/gateway/test_known_keys.py
@@ -1,6 +1,6 @@
-"""Each word that operators, servers and settings files use is read; one that is not known is passed over.
+"""All keys of configurations, settings files and calls are accepted, and unknown keys are ignored.
 
-Guards against a reader that refuses a whole configuration, or a start, for one word that it does not know.
+Guards against a parser that rejects a complete configuration, or a start, because of one unknown key.
 """
 
 import copy
@@ -111,9 +111,9 @@
 LATER_VALUES = (None, True, 7, 0.5, "text", ["text", 7], {"Of": {"a": "later"}})
 
 
-def with_later_words(whole: dict, place: tuple) -> dict:
-    """A copy with words of a later release at that place."""
-    changed = copy.deepcopy(whole)
+def with_unknown_keys(original: dict, place: tuple) -> dict:
+    """A copy with keys of a later release at the given place."""
+    changed = copy.deepcopy(original)
     item = changed
     for step in place:
         item = item[step]
@@ -121,8 +121,8 @@
     return changed
 
 
-def send(machine: StateMachine, body: dict, is_whole: bool) -> tuple[int, str]:
-    change = ConfigurationChange(is_whole, msgspec.json.encode(body))
+def send(machine: StateMachine, body: dict, replaces_all: bool) -> tuple[int, str]:
+    change = ConfigurationChange(replaces_all, msgspec.json.encode(body))
     result = machine.apply(machine.state.version + 1, encode_command(change))
     return result.status, result.reason
 
@@ -133,7 +133,7 @@
     return settings.read(str(path))
 
 
-def test_a_configuration_with_each_known_word_is_accepted_and_read_back_unchanged():
+def test_a_configuration_with_all_known_keys_is_accepted_and_read_back_unchanged():
     machine = StateMachine()
     assert send(machine, CONFIGURATION, True) == (200, "")
     shown = msgspec.json.decode(machine.state.configuration)
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("services", ["Pools", "Svcs"])
-def test_a_change_of_named_items_with_each_known_word_is_accepted(services: str):
+def test_a_change_of_named_items_with_all_known_keys_is_accepted(services: str):
     machine = StateMachine()
     send(machine, CONFIGURATION, True)
     upsert = {
@@ -168,9 +168,9 @@
 
 
 @pytest.mark.parametrize("place", OBJECTS_OF_A_CONFIGURATION, ids=str)
-def test_a_word_of_a_later_release_has_no_configuration_refused_and_is_kept(place: tuple):
+def test_unknown_keys_in_a_configuration_are_accepted_and_stored(place: tuple):
     machine = StateMachine()
-    sent = with_later_words(CONFIGURATION, place)
+    sent = with_unknown_keys(CONFIGURATION, place)
     assert send(machine, sent, True) == (200, "")
     shown = msgspec.json.decode(machine.state.configuration)
     assert shown == {name: value for name, value in sent.items() if name != "Base"}
@@ -178,7 +178,7 @@
     assert configuration.read(shown) == configuration.read(CONFIGURATION)
 
 
-def test_settings_with_each_known_word_are_read(tmp_path: Path):
+def test_settings_with_all_known_keys_are_accepted(tmp_path: Path):
     read = read_settings(tmp_path, SETTINGS)
     assert (read.hostname, read.az, read.datadir, read.heartbeat) == (
         "edge-north-1",
@@ -192,24 +192,24 @@
 
 
 @pytest.mark.parametrize("place", OBJECTS_OF_SETTINGS, ids=str)
-def test_a_word_of_a_later_release_keeps_no_process_from_starting(tmp_path: Path, place: tuple):
-    read = read_settings(tmp_path, with_later_words(SETTINGS, place))
+def test_unknown_keys_in_settings_are_ignored(tmp_path: Path, place: tuple):
+    read = read_settings(tmp_path, with_unknown_keys(SETTINGS, place))
     assert read == read_settings(tmp_path, SETTINGS)
 
 
 @pytest.mark.parametrize("name", CALLS)
-def test_each_call_is_known(name: str):
+def test_each_call_is_accepted(name: str):
     found = api.parse_call("POST", f"/-/rpc?call={name}&of=i-7f")
     assert isinstance(found, api.ParsedCall)
     assert found.call.name == name
 
 
-def test_no_call_is_known_that_is_not_listed_here():
+def test_the_control_api_has_exactly_the_listed_calls():
     assert sorted(api.CALLS_BY_NAME) == sorted(CALLS)
 
 
 @pytest.mark.parametrize("state", ["up", "drain"])
-def test_a_heartbeat_with_each_known_word_and_words_of_a_later_release_is_read(state: str):
-    body = msgspec.json.encode({**with_later_words(HEARTBEAT, ()), "State": state})
+def test_a_heartbeat_with_all_known_and_with_unknown_keys_is_accepted(state: str):
+    body = msgspec.json.encode({**with_unknown_keys(HEARTBEAT, ()), "State": state})
     server = api.parse_heartbeat("i-7f", body)
     assert (server.service, server.state.name.lower(), server.slots) == ("stock", state, 4)
