--- a/lapisgrade/gateway/configuration_change.py
+++ b/lapisgrade/gateway/configuration_change.py
@@ -33,8 +33,8 @@
     changed = dict(current)
     changed["Ver"] = change.get("Ver")
     changed["Ports"] = _change_routes(current, upsert, delete)
-    for key, given_under in ITEM_LISTS.items():
-        items = _change_items(current, key, given_under, upsert, delete)
+    for key, change_keys in ITEM_LISTS.items():
+        items = _change_items(current, key, change_keys, upsert, delete)
         if items is not None:
             changed[key] = items
     if "Caps" in upsert:
@@ -82,15 +82,15 @@
 
 
 def _change_items(
-    current: Json, key: str, given_under: Iterable[str], upsert: Json, delete: Json
+    current: Json, key: str, change_keys: Iterable[str], upsert: Json, delete: Json
 ) -> list[Json] | None:
     """Return a list of named items after the change; None if it exists neither before nor after."""
     items = {item["Name"]: item for item in current.get(key) or []}
-    put = [item for name in given_under for item in _items(upsert, name)]
+    put = [item for name in change_keys for item in _items(upsert, name)]
     if any(not isinstance(item.get("Name"), str) for item in put):
         raise ConfigurationError(f"an item of {key} has no Name")
     items.update({item["Name"]: item for item in put})
-    deleted = {name for given in given_under for name in _names(delete, given)}
+    deleted = {name for change_key in change_keys for name in _names(delete, change_key)}
     if key not in current and not put:
         return None
     return [item for name, item in items.items() if name not in deleted]
@@ -105,10 +105,10 @@
 
 def _names(delete: Json, key: str) -> list[str]:
     """Return the names listed under a key, each given as a string or as an item with a `Name`."""
-    given = delete.get(key) or []
-    if not isinstance(given, list):
+    items = delete.get(key) or []
+    if not isinstance(items, list):
         raise ConfigurationError(f"{key} is not a list of names")
-    return [each["Name"] if isinstance(each, dict) and "Name" in each else str(each) for each in given]
+    return [each["Name"] if isinstance(each, dict) and "Name" in each else str(each) for each in items]
 
 
 def digest(body: bytes) -> bytes:
--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -83,9 +83,9 @@
         (text(RateS=-1), "RateS"),
         (text(Ports=routed("stock")), "does not begin with a slash"),
     ):
-        with pytest.raises(InvalidInputError) as got:
+        with pytest.raises(InvalidInputError) as caught:
             tenants.read_ticket(ticket)
-        assert message in str(got.value)
+        assert message in str(caught.value)
 
 
 def test_proxies_that_lag_are_listed_with_their_versions() -> None:
@@ -144,11 +144,11 @@
             }
             for each in range(350)
         ]
-        more = {"Ver": 2, "Base": 1, "Upsert": {"Ports": [{"Vhost": "a.example", "Policy": rules}]}}
+        change = {"Ver": 2, "Base": 1, "Upsert": {"Ports": [{"Vhost": "a.example", "Policy": rules}]}}
         client = TenantClient(site.control_addresses, lambda line: None)
-        put, applied = await asyncio.gather(site.put(more, "conf.update"), client.apply(text(), 8.0))
+        put, applied = await asyncio.gather(site.put(change, "conf.update"), client.apply(text(), 8.0))
         if put == 412:  # the tenant's change was applied first
-            put = await site.put({**more, "Ver": 3, "Base": 2}, "conf.update")
+            put = await site.put({**change, "Ver": 3, "Base": 2}, "conf.update")
         assert (put, applied) == (200, 0)
         await site.until(lambda: all(each.active_version == 3 for each in site.proxies.values()))
         for name in site.names:
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -176,13 +176,13 @@
             lambda: all(each.ready and each.active_version == 1 for each in site.proxies.values())
         )
         shown = await send_request(site.control_addresses[0], "POST", "/-/rpc?call=conf.show")
-        want = {name: each for name, each in SAMPLE.items() if name != "Base"}
-        assert msgspec.json.decode(b"".join(shown.body)) == want
+        expected = {name: each for name, each in SAMPLE.items() if name != "Base"}
+        assert msgspec.json.decode(b"".join(shown.body)) == expected
         await site.until(lambda: all(each.servers for each in site.proxies.values()))
         assert status(await site.get("m1", "/stock/1", KEY)) == 200
 
 
-async def test_a_leader_starts_from_the_logged_live_proxies_after_every_controller_was_killed():
+async def test_a_leader_starts_with_the_logged_live_proxies_after_all_controllers_were_killed():
     """Otherwise it would reassign ownership held by live proxies and activate versions without them."""
     async with cluster_with_servers() as site:
         initial_lists = []
