--- a/lapisgrade/net/client_connection.py
+++ b/lapisgrade/net/client_connection.py
@@ -1,12 +1,12 @@
-"""One client's connection: requests in, responses out, one request at a time.
+"""A client connection, which processes one request at a time.
 
               part of a request                the request is complete
     NO_REQUEST ────────────> RECEIVING ──────────────────────────────> AWAITING_RESPONSE
         ^  └──────────────────────────────────────────────────────────────────^  │
-        ├───────────────────────────┘ answered at once: 4xx, 503, readiness      │
+        ├───────────────────────────┘ immediate response: 4xx, 503, readiness    │
         └────────────────────────────────────────────────────────────────────────┘ responded, or disconnected
 
-Pipelined requests (RFC 9112, section 9.3.2) are kept unread while one awaits its response.
+Pipelined requests (RFC 9112, section 9.3.2) are buffered unparsed while a request awaits its response.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from lapisgrade.net.client_listener import ClientListener
 
-MAX_UNREAD_BYTES = 4 * MAX_BODY_BYTES  # of responses that a client may leave unread
+MAX_UNREAD_BYTES = 4 * MAX_BODY_BYTES  # limit on the responses buffered for a client that does not read
 _OK = 200
 _REQUEST_TIMEOUT = 408
 _SERVICE_UNAVAILABLE = 503
@@ -34,7 +34,7 @@
 
 
 class ClientState(Enum):
-    """What has come of the current request; see the diagram above."""
+    """State of the current request; see the diagram above."""
 
     NO_REQUEST = auto()
     RECEIVING = auto()
@@ -42,7 +42,7 @@
 
 
 class ClientConnection:
-    """A connection that the listener has accepted. `run` reads it until it ends."""
+    """A connection accepted by the listener. `run` reads it until it closes."""
 
     __slots__ = (
         "_close_reason",
@@ -63,14 +63,14 @@
         self._parser = MessageParser(h11.SERVER, listener.max_body_bytes, listener.max_head_bytes)
         self._pipelined = b""  # received while a request awaits its response
         self._closes_after_response = False
-        self._request_timer: asyncio.TimerHandle | None = None  # runs while RECEIVING
+        self._request_timer: asyncio.TimerHandle | None = None  # active while RECEIVING
         self._operation: Operation | None = None  # set while AWAITING_RESPONSE
-        self._close_reason = CloseReason.CLIENT_DISCONNECTED  # unless we close it
+        self._close_reason = CloseReason.CLIENT_DISCONNECTED  # unless it is closed locally
         self.state = ClientState.NO_REQUEST
-        self.is_over_limit = False  # its requests are rejected: there are too many connections
+        self.is_over_limit = False  # requests are rejected because there are too many connections
 
     async def run(self, reader: asyncio.StreamReader) -> None:
-        """Take in all that comes, until the client disconnects or we close."""
+        """Process received data until the client disconnects or the connection is closed locally."""
         try:
             while chunk := await reader.read(READ_BYTES):
                 self._receive(chunk)
@@ -84,19 +84,22 @@
             self._listener.on_closed(self, self._close_reason)
 
     def close(self, reason: CloseReason) -> None:
-        """Close once all that was written is out; `run` ends then."""
+        """Close after the write buffer is flushed; `run` then returns."""
         self._close_reason = reason
         self._listener.mark_busy(self)
         self._writer.close()
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once, also where what was written can't go out (guards descriptors against lost peers)."""
+        """Close immediately and discard the write buffer.
+
+        A lost peer never reads it, and the connection would keep its file descriptor.
+        """
         self._close_reason = reason
         self._listener.mark_busy(self)
         self._writer.transport.abort()
 
     def on_request_timeout(self) -> None:
-        """No complete request came in time (guards descriptors against peers that are silent or slow)."""
+        """Close a connection without a complete request in time; idle or slow peers use up descriptors."""
         if self.state is ClientState.RECEIVING:
             self._end_receiving()
             self.respond_at_once(_REQUEST_TIMEOUT, close=True, reason=CloseReason.TIMED_OUT)
@@ -106,7 +109,7 @@
     def respond(
         self, status: int, body: list[memoryview | bytes], size: int, header_lines: bytes = b""
     ) -> None:
-        """Write the final response to the request that awaits one, and go on with the next."""
+        """Write the final response to the current request, and process the next pipelined request."""
         self._detach_operation()
         pipelined, self._pipelined = self._pipelined, b""
         self._write_response(status, body, size, header_lines, close=self._closes_after_response)
@@ -121,7 +124,7 @@
         close: bool,
         reason: CloseReason = CloseReason.ANSWERED,
     ) -> None:
-        """Write an empty response to a request that goes no further; `close` makes it the last one."""
+        """Write an empty response to a request that is not forwarded; `close` closes the connection."""
         self._write_response(status, [], 0, header_lines, close=close, reason=reason)
 
     def _write_response(
@@ -146,12 +149,12 @@
         self._writer.writelines([head, *body])
         self._listener.metrics.responses[status] += 1
         if self._writer.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
-            self.abort(CloseReason.TIMED_OUT)  # guards memory against a peer that asks and does not read
+            self.abort(CloseReason.TIMED_OUT)  # bounds memory: the peer sends requests but reads no responses
         elif close:
             self.close(reason)
 
     def _receive(self, chunk: bytes) -> None:
-        """Take in what came, one request after another until one must wait for its response."""
+        """Process received requests one by one, until one has to wait for its response."""
         while chunk and self.state is not ClientState.AWAITING_RESPONSE and not self._writer.is_closing():
             try:
                 message = self._parser.feed(chunk)
@@ -161,12 +164,12 @@
                 self._on_request(message)
                 chunk = message.trailing_data
             except MalformedMessageError as error:
-                self._listener.log(f"a request was answered {error.status}: {error}")
+                self._listener.log(f"invalid client request answered with status {error.status}: {error}")
                 return self.respond_at_once(error.status, close=True, reason=CloseReason.MALFORMED)
         if chunk and self.state is ClientState.AWAITING_RESPONSE:
             self._pipelined += chunk
             if len(self._pipelined) > 2 * self._listener.max_body_bytes:
-                self.abort(CloseReason.MALFORMED)  # `run` sees the end, and reports the disconnect
+                self.abort(CloseReason.MALFORMED)  # `run` then reports the disconnect
 
     def _on_partial_request(self) -> None:
         self._listener.mark_receiving(self)
@@ -179,7 +182,7 @@
             self._writer.write(_CONTINUE)
 
     def _end_receiving(self) -> None:
-        """The request is complete, or won't be."""
+        """Stop the request timer: the request is complete, or the connection is closing."""
         if self.state is ClientState.RECEIVING:
             self.state = ClientState.NO_REQUEST
             self._request_timer.cancel()
@@ -194,7 +197,7 @@
             return self.respond_at_once(_SERVICE_UNAVAILABLE, close=True, reason=CloseReason.REJECTED)
         operation = listener.parse_request(self, message)
         if operation is None:
-            return self._await_next_request()  # answered already
+            return self._await_next_request()  # already answered
         listener.open_request_ids.add(operation.handle.request_id)
         self._operation = operation
         self._closes_after_response = message.closes_connection
@@ -203,7 +206,7 @@
         listener.enqueue(RequestReceived(operation))
 
     def _detach_operation(self) -> Operation:
-        """The request no longer awaits a response."""
+        """Return the current operation and clear it; its request no longer awaits a response."""
         operation, self._operation = self._operation, None
         self.state = ClientState.NO_REQUEST
         operation.handle.client = None
@@ -211,7 +214,7 @@
         return operation
 
     def _await_next_request(self) -> None:
-        """The last request has its response; the connection is idle until the next one comes."""
+        """Mark the connection as idle until the next request; the previous one has its response."""
         listener = self._listener
         self._parser = MessageParser(h11.SERVER, listener.max_body_bytes, listener.max_head_bytes)
         if not self._writer.is_closing():
--- a/lapisgrade/net/client_listener.py
+++ b/lapisgrade/net/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections, bounds how many there are, and closes those that ask nothing."""
+"""Accepts client connections, limits their number, and closes those without a request."""
 
 import asyncio
 import socket
@@ -13,26 +13,26 @@
 from lapisgrade.net.metrics import NetMetrics
 from lapisgrade.net.request_parser import RequestParser
 
-# The protocol's figures: a connection with no open request may be closed after 2 s, and one that brings no
-# complete request is owed an error or its end within 3 s.
-REQUEST_TIMEOUT_S = 2.0  # from connecting, or from a request's first byte, to a complete request
-IDLE_TIMEOUT_S = 2.0  # that a connection may be idle after a response; clients that ask again do so sooner
-IDLE_DIVISOR = 4  # the part of all clients' connections that may be idle for that long
-CHECK_INTERVAL_S = 0.2  # between checks for either
-EVICTION_GRACE_S = 0.2  # from connecting; a client that means to ask has asked by then
-ACCEPT_BATCH = 16  # connections accepted in one turn of the loop, before any other must make room for them
-BACKLOG = 1024  # connections that wait in the kernel meanwhile
+# The protocol allows closing a connection after 2 s without an open request. A connection without a complete
+# request must get an error response or be closed within 3 s.
+REQUEST_TIMEOUT_S = 2.0  # time to a complete request, from connecting or from the request's first byte
+IDLE_TIMEOUT_S = 2.0  # maximum idle time after a response; clients that reuse a connection do so sooner
+IDLE_DIVISOR = 4  # the limit on connections divided by this may be idle for IDLE_TIMEOUT_S
+CHECK_INTERVAL_S = 0.2  # interval between checks of both time-outs
+EVICTION_GRACE_S = 0.2  # minimum age before eviction; active clients send their request within this time
+ACCEPT_BATCH = 16  # connections accepted per turn of the event loop, before others are evicted for them
+BACKLOG = 1024  # pending connections in the kernel
 
 
 class ClientListener:
-    """All clients' connections.
+    """Manages all client connections.
 
-    What clients ask goes out through `enqueue` as `RequestReceived` and `ClientDisconnected`; responses come
-    back by `ClientConnection.respond`.
+    Requests are enqueued as `RequestReceived` and `ClientDisconnected` events; `ClientConnection.respond`
+    writes the responses.
     """
 
     READINESS_TARGET = b"/up"
-    # Another protocol of clients sets these on its own listener.
+    # Subclasses for other client protocols override these.
     max_body_bytes = MAX_BODY_BYTES
     max_head_bytes = MAX_HEAD_BYTES
     request_timeout_s = REQUEST_TIMEOUT_S
@@ -47,17 +47,27 @@
         parser: RequestParser | None,
         max_connections: int,
     ) -> None:
-        """`now` is in us; `log` takes one line for the people on call."""
+        """Create a listener that does not listen yet.
+
+        Args:
+            enqueue: Receives the events.
+            now: Returns the current time in microseconds.
+            log: Writes one log line.
+            metrics: Counters to update.
+            parser: Parses requests; None if a subclass overrides `parse_request`.
+            max_connections: Number of connections from which on others are evicted or rejected.
+        """
         self.enqueue = enqueue
         self.log = log
         self.metrics = metrics
         self.open_request_ids: set[bytes] = set()
         self.clients: dict[ClientConnection, None] = {}
-        # Connections without an open request, and since when (s of the loop's clock); the longest first.
+        # Connections without an open request, with the start of that state in seconds of the loop's clock;
+        # longest first.
         self.awaiting_first_request: dict[ClientConnection, float] = {}
-        self.idle: dict[ClientConnection, float] = {}  # all that was asked is answered
-        self.is_draining = False  # readiness is denied
-        self.closes_after_response = False  # each response is its connection's last from now on
+        self.idle: dict[ClientConnection, float] = {}  # all requests are answered
+        self.is_draining = False  # readiness checks are answered with 503
+        self.closes_after_response = False  # connections are closed after their next response
         self._now = now
         self._parser = parser
         self._max_connections = max_connections
@@ -66,22 +76,26 @@
         self._check_timer: asyncio.TimerHandle | None = None
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """Accept connections from now on. OSError where the address is taken."""
+        """Start accepting connections.
+
+        Raises:
+            OSError: The address is in use.
+        """
         listener = socket.create_server(address)
         self._server = await asyncio.start_server(self._accept, sock=listener, backlog=ACCEPT_BATCH)
         listener.listen(BACKLOG)
         self._close_expired()
 
     def is_listening(self) -> bool:
-        """Whether `listen` was called."""
+        """Return whether `listen` was called."""
         return self._server is not None
 
     def stop_accepting(self) -> None:
-        """Take no new connections (guards the end against those who go on connecting)."""
+        """Stop accepting connections, so that clients that keep connecting do not delay the shutdown."""
         self._server.close()
 
     def close_idle(self) -> None:
-        """From now on connections end with their responses; those idle since the last such call end now."""
+        """Close connections after their next response, and now those idle since the last call."""
         self.closes_after_response = True
         for client in self._idle_at_last_close:
             if client in self.awaiting_first_request or client in self.idle:
@@ -89,38 +103,38 @@
         self._idle_at_last_close = [*self.awaiting_first_request, *self.idle]
 
     def close(self) -> None:
-        """Take no new connections, and abort all that are left."""
+        """Stop accepting connections, and abort all remaining ones."""
         self._check_timer.cancel()
         self._server.close()
         for client in list(self.clients):
             client.abort(CloseReason.CANCELLED)
 
     def parse_request(self, client: ClientConnection, message: Message) -> Operation | None:
-        """The operation that a request asks for; None where it is answered already.
+        """Return the operation for a request, or None if the request is already answered.
 
         Raises:
-            MalformedMessageError: It asks for none.
+            MalformedMessageError: The request is invalid.
         """
         return self._parser.parse(client, message, self._now(), self.open_request_ids)
 
     # ---- called by connections
 
     def mark_receiving(self, client: ClientConnection) -> None:
-        """Part of a request has come; the first one's time still runs from connecting."""
+        """Handle a partial request; the time-out of the first request still counts from connecting."""
         self.idle.pop(client, None)
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """A request is open, or the connection closes."""
+        """Handle a connection that has an open request or is closing."""
         self.awaiting_first_request.pop(client, None)
         self.idle.pop(client, None)
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """All that was asked is answered."""
+        """Handle a connection whose requests are all answered."""
         self.mark_busy(client)
         self.idle[client] = asyncio.get_running_loop().time()
 
     def on_closed(self, client: ClientConnection, reason: CloseReason) -> None:
-        """The connection has ended."""
+        """Handle a closed connection."""
         self.clients.pop(client, None)
         self.mark_busy(client)
         self.metrics.client_connections_closed[reason] += 1
@@ -138,9 +152,10 @@
         await client.run(reader)
 
     def _free_capacity(self, newest: ClientConnection) -> None:
-        """Close one that asks nothing, else one that is idle, else reject the newest (guards descriptors).
+        """Evict a connection without a request, else an idle one, else reject the newest one's requests.
 
-        One that came just now may be about to ask, and would lose what it asks.
+        This bounds the number of descriptors. A recently opened connection is spared, because its request may
+        already be on its way and would be lost.
         """
         oldest = next(iter(self.awaiting_first_request), newest)
         latest = asyncio.get_running_loop().time() - EVICTION_GRACE_S
@@ -152,7 +167,7 @@
             newest.is_over_limit = True
 
     def _close_expired(self) -> None:
-        """Close connections that ask nothing (guards descriptors and memory), and come back."""
+        """Close connections without a request, to free descriptors and memory; schedule the next check."""
         loop = asyncio.get_running_loop()
         self._check_timer = loop.call_later(CHECK_INTERVAL_S, self._close_expired)
         now = loop.time()
@@ -163,8 +178,9 @@
         ]
         for client in expired:
             client.on_request_timeout()
-        # The load balancers before us open so many connections at most, and an idle one takes the place of
-        # one that asks: beyond a few, those idle for longest go sooner (guards against those who ask once).
+        # The load balancers in front of the limiter open a bounded number of connections, so clients that
+        # send one request and stay connected take capacity from active ones. Beyond a share of the limit, the
+        # longest idle connections are therefore closed earlier.
         excess = len(self.idle) - self._max_connections // IDLE_DIVISOR
         for i, (client, since) in enumerate(list(self.idle.items())):
             if since < now - (EVICTION_GRACE_S if i < excess else self.idle_timeout_s):
--- a/lapisgrade/net/clock.py
+++ b/lapisgrade/net/clock.py
@@ -1,4 +1,4 @@
-"""The limiter's time: Unix time in us that never steps."""
+"""The limiter's clock: Unix time in microseconds without steps."""
 
 import time
 from collections.abc import Callable
@@ -7,10 +7,11 @@
 
 
 def wall_clock(offset_us: int = 0, drift_ppm: float = 0.0) -> Callable[[], int]:
-    """Unix time in us, read once and then advanced by the monotonic clock.
+    """Return a clock that reads Unix time once and then advances with the monotonic clock.
 
-    For tests of clocks that disagree it may be `offset_us` ahead at the start, and gain `drift_ppm` us in
-    each second.
+    Args:
+        offset_us: Offset in microseconds, for tests of clock skew.
+        drift_ppm: Microseconds gained per second, for tests of clock skew.
     """
     started_ns = time.monotonic_ns()
     unix_offset_ns = time.time_ns() - started_ns
--- a/lapisgrade/net/close_reason.py
+++ b/lapisgrade/net/close_reason.py
@@ -1,17 +1,17 @@
-"""Why an exchange on a connection ended, and what each reason means to the policy.
+"""Reasons why an exchange on a connection ended, and their meaning for the policy.
 
-One set of reasons serves all three kinds of connection: a client's, an upstream server's and the counter
-service's. What the policy makes of a reason depends on one question: may the request have been executed?
+Connections to clients, upstream servers and the counter service share these reasons. The policy needs to know
+whether the request may have been executed:
 
     before the last byte was written        NOT_SENT, CONNECTION_REFUSED, CONNECT_TIMEOUT, INCOMPLETE_WRITE
-                                            -> it was not executed: another attempt is safe
-    the peer says that it did nothing       REJECTED
-                                            -> it was not executed
-    written, and no complete answer         CONNECTION_LOST, TIMED_OUT, CANCELLED, MALFORMED
-                                            -> it may have been executed
-    a complete answer                       ANSWERED, ERROR_RESPONSE, CLIENT_ERROR
+                                            -> not executed: a retry is safe
+    the peer reports that it did nothing    REJECTED
+                                            -> not executed
+    written, without a complete response    CONNECTION_LOST, TIMED_OUT, CANCELLED, MALFORMED
+                                            -> may have been executed
+    a complete response                     ANSWERED, ERROR_RESPONSE, CLIENT_ERROR
 
-`_OUTCOMES` and `_COUNTER_OUTCOMES` are the whole mapping.
+`_OUTCOMES` and `_COUNTER_OUTCOMES` define the complete mapping.
 """
 
 from enum import Enum
@@ -20,31 +20,35 @@
 
 
 class CloseReason(Enum):
-    """Why an exchange ended. The value is its name in metrics."""
+    """Why an exchange ended. The value is the name in metrics."""
 
     ANSWERED = "answered"  # 200 from a server, a total from the counter service
     ERROR_RESPONSE = "error_response"  # a complete response that is neither a success nor a client error
-    CLIENT_ERROR = "client_error"  # the server says that the request itself is at fault
-    REJECTED = "rejected"  # the peer says that it has not begun on the request
+    CLIENT_ERROR = "client_error"  # the server reports that the request is invalid
+    REJECTED = "rejected"  # the peer reports that it has not started to process the request
     CONNECTION_REFUSED = "connection_refused"
     CONNECT_TIMEOUT = "connect_timeout"
-    INCOMPLETE_WRITE = "incomplete_write"  # lost before the last byte of the request was written
-    CONNECTION_LOST = "connection_lost"  # lost or closed after that
-    MALFORMED = "malformed"  # what came is not the protocol
-    TIMED_OUT = "timed_out"  # nothing came in time
-    CANCELLED = "cancelled"  # by us, after the whole request was written
-    NOT_SENT = "not_sent"  # by us, before it was written
+    INCOMPLETE_WRITE = "incomplete_write"  # connection lost before the last byte of the request was written
+    CONNECTION_LOST = "connection_lost"  # connection lost or closed after the last byte was written
+    MALFORMED = "malformed"  # the received data violates the protocol
+    TIMED_OUT = "timed_out"  # no complete message in time
+    CANCELLED = "cancelled"  # cancelled locally, after the complete request was written
+    NOT_SENT = "not_sent"  # abandoned locally, before the request was written
     CLIENT_DISCONNECTED = "disconnected"  # the client closed its connection
     IDLE = "idle"  # nothing was in flight
 
     @property
     def outcome(self) -> AttemptOutcome:
-        """What an attempt that ended so was worth. KeyError for reasons that no attempt ends with."""
+        """Outcome of an attempt with this reason.
+
+        Raises:
+            KeyError: No attempt ends for this reason.
+        """
         return _OUTCOMES[self]
 
     @property
     def counter_outcome(self) -> CounterOutcome:
-        """Whether a call to the counter service that ended so has added to the count."""
+        """Outcome of a call to the counter service with this reason."""
         return _COUNTER_OUTCOMES.get(self, CounterOutcome.TIMED_OUT)
 
 
@@ -62,7 +66,7 @@
     CloseReason.CANCELLED: AttemptOutcome.CANCELLED,
     CloseReason.NOT_SENT: AttemptOutcome.NOT_SENT,
 }
-# Any other reason leaves it open whether the count was added to.
+# With any other reason, the call may or may not have been added to the count.
 _COUNTER_OUTCOMES = {
     CloseReason.ANSWERED: CounterOutcome.ADDED,
     CloseReason.REJECTED: CounterOutcome.REJECTED,
--- a/lapisgrade/net/connection.py
+++ b/lapisgrade/net/connection.py
@@ -1,19 +1,19 @@
-"""What every connection of ours shares: opening it, sizing its reads, and finding out that it has ended."""
+"""Functions for all connections: opening them, limiting the read size, and detecting stale ones."""
 
 import asyncio
 import select
 from collections.abc import Callable
 
-READ_BYTES = 16_384  # bytes asked for in one read; most messages are far smaller
+READ_BYTES = 16_384  # maximum bytes per read; most messages are far smaller
 
 
 class CountingStreamReader(asyncio.StreamReader):
-    """A stream reader that knows how many received bytes were not read yet."""
+    """A stream reader that counts the received bytes that were not read yet."""
 
     unread_bytes = 0
 
     def feed_data(self, data: bytes) -> None:
-        """Take in what the transport received."""
+        """Store the data that the transport received."""
         self.unread_bytes += len(data)
         super().feed_data(data)
 
@@ -25,7 +25,7 @@
 
 
 async def connect(host: str, port: int) -> tuple[CountingStreamReader, asyncio.StreamWriter]:
-    """Open a connection as `asyncio.open_connection` does, with a reader that `is_stale` can ask.
+    """Open a connection as `asyncio.open_connection` does, with a reader that supports `is_stale`.
 
     Raises:
         OSError: The connection was refused, or the address can't be reached.
@@ -38,19 +38,18 @@
 
 
 def limit_read_size(writer: asyncio.StreamWriter) -> None:
-    """Have asyncio read at most `READ_BYTES` at a time from this connection.
+    """Limit asyncio to `READ_BYTES` per read from this connection.
 
-    Its default is a new buffer of 256 KiB for each read, which costs more than the read itself.
+    By default it allocates a buffer of 256 KiB for each read, which costs more than the read itself.
     """
     writer.transport.max_size = READ_BYTES
 
 
 def is_stale(reader: CountingStreamReader, writer: asyncio.StreamWriter) -> bool:
-    """Whether an idle connection has ended, or has received something, as far as this machine knows.
+    """Return whether an idle connection is known locally to be closed or to have received data.
 
-    A request written to a connection that has ended may have been executed, for all that we know (guards
-    operations that must not repeat, and counts that must not be added twice); and what an idle connection
-    has received would be taken for the next response.
+    A request written to a closed connection may have been executed, so that a non-idempotent operation or a
+    counter call could not be retried. Data received while idle would be taken for the next response.
     """
     if writer.is_closing() or reader.at_eof() or reader.unread_bytes:
         return True
@@ -58,9 +57,9 @@
 
 
 def call_after_pending_io(callback: Callable[[], None]) -> None:
-    """Carry out a time-out, but after all that has been received by now.
+    """Run the callback of a time-out after all data received so far is processed.
 
-    After a stall of this process, responses that came in time are handled first (guards peers against being
-    blamed for our own sleep).
+    After a stall of this process, responses that arrived in time are handled first, so that peers are not
+    marked as timed out because of the stall.
     """
     asyncio.get_running_loop().call_soon(callback)
--- a/lapisgrade/net/connection_pool.py
+++ b/lapisgrade/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to upstream servers: which one an attempt uses, and how long idle ones are kept."""
+"""Pool of connections to upstream servers: selection for each attempt, and expiry of idle connections."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,10 +15,9 @@
 
 
 class ConnectionPool:
-    """Writes attempts to connections, a new one or the idle one used last.
+    """Writes each attempt to the most recently used idle connection, or to a new one.
 
-    `send` and `cancel` are called by the host. What becomes of an attempt comes back as an `AttemptClosed`
-    through `enqueue`, exactly one for each attempt sent.
+    The host calls `send` and `cancel`. Exactly one `AttemptClosed` event is enqueued for each attempt sent.
     """
 
     def __init__(
@@ -31,7 +30,17 @@
         max_connections: int,
         protocol: ServerProtocol | None = None,
     ) -> None:
-        """`now` is in us; `log` takes one line for the people on call."""
+        """Create an empty pool.
+
+        Args:
+            enqueue: Receives the events.
+            now: Returns the current time in microseconds.
+            log: Writes one log line.
+            metrics: Counters to update.
+            settings: Time-outs of connections.
+            max_connections: Maximum number of open connections.
+            protocol: Protocol of the servers; `ServerProtocol` by default.
+        """
         self._enqueue = enqueue
         self.now = now
         self.log = log
@@ -39,17 +48,17 @@
         self.settings = settings
         self.max_connections = max_connections
         self.protocol = protocol or ServerProtocol()
-        self.addresses: dict[str, tuple[str, int]] = {}  # by server; those that take new requests
-        self.last_received_us: dict[str, int] = {}  # when anything last came, by server
+        self.addresses: dict[str, tuple[str, int]] = {}  # by server; only servers that accept new requests
+        self.last_received_us: dict[str, int] = {}  # time of the last data received, by server
         self._in_flight: dict[Any, UpstreamConnection] = {}  # by attempt
-        self._idle: dict[str, list[UpstreamConnection]] = {}  # by server; the one idle for longest first
+        self._idle: dict[str, list[UpstreamConnection]] = {}  # by server; longest idle first
         self._open_connections = 0
         self._is_expiry_scheduled = False
 
     # ---- attempts
 
     def send(self, attempt: Any) -> None:
-        """Write an attempt to the connection used last, or to a new one."""
+        """Write an attempt to the most recently used idle connection, or to a new one."""
         server = attempt.server.address
         self.metrics.attempts += 1
         connection = self.newest_idle(server)
@@ -64,7 +73,7 @@
             self._in_flight[attempt] = UpstreamConnection(self, server, attempt)
 
     def cancel(self, attempt: Any) -> None:
-        """Close the connection of an attempt that is no longer wanted."""
+        """Close the connection of an attempt that is no longer needed."""
         connection = self._in_flight.get(attempt)
         if connection is not None:
             connection.close(CloseReason.CANCELLED)
@@ -83,7 +92,7 @@
     # ---- servers
 
     def update_addresses(self, addresses: dict[str, tuple[str, int] | None]) -> None:
-        """Take in where servers listen; None for one that takes no new requests."""
+        """Update the addresses of servers; None for a server that accepts no new requests."""
         addresses = self._with_displaced(addresses)
         for server, address in addresses.items():
             if address is not None:
@@ -92,7 +101,7 @@
                 self.addresses.pop(server, None)
             for connection in [each for each in self._idle.get(server, []) if not each.is_usable()]:
                 connection.close(CloseReason.IDLE)
-            if address is None:  # guards memory
+            if address is None:  # bounds memory use
                 self.last_received_us.pop(server, None)
                 if not self._idle.get(server):
                     self._idle.pop(server, None)
@@ -100,10 +109,10 @@
     def _with_displaced(
         self, addresses: dict[str, tuple[str, int] | None]
     ) -> dict[str, tuple[str, int] | None]:
-        """Also None for servers whose address another one has now.
+        """Return the addresses, with None added for servers whose address now belongs to another server.
 
-        An address that was reused is the new server's alone (guards it, warming up, against the old one's
-        work).
+        A reused address belongs to the new server only. Otherwise a server in slow start would also get the
+        load of the previous one.
         """
         owners = {address: server for server, address in addresses.items() if address is not None}
         for server, address in self.addresses.items():
@@ -114,36 +123,36 @@
     # ---- idle connections
 
     def newest_idle(self, server: str) -> UpstreamConnection | None:
-        """The usable idle connection to a server that was used last; closes newer ones that are stale."""
+        """Return the most recently used usable idle connection to a server; close stale newer ones."""
         idle = self._idle.get(server, [])
         while idle and not idle[-1].is_usable():
             idle[-1].close(CloseReason.IDLE)
         return idle[-1] if idle else None
 
     def close_idle(self, server: str) -> int:
-        """Close the idle connections to a server; returns how many there were."""
+        """Close the idle connections to a server; returns their number."""
         idle = list(self._idle.get(server, []))
         for connection in idle:
             connection.close(CloseReason.IDLE)
         return len(idle)
 
     def _has_capacity(self) -> bool:
-        """Whether one more connection may be opened, if need be once an idle one is closed for it."""
+        """Return whether one more connection may be opened; closes an idle one if at the limit."""
         return self._open_connections < self.max_connections or self._close_oldest_idle()
 
     def _close_oldest_idle(self) -> bool:
-        """Close the connection idle for longest; whether there was one."""
+        """Close the longest idle connection; returns False if none is idle."""
         oldest = [idle[0] for idle in self._idle.values() if idle]
         if oldest:
             min(oldest, key=lambda connection: connection.idle_since_us).close(CloseReason.IDLE)
         return bool(oldest)
 
     def _expires_us(self, connection: UpstreamConnection) -> int:
-        """When to close an idle connection: before the server does, by the time that connecting may take."""
+        """Return when to close an idle connection: earlier than the server does, by the connect time-out."""
         return connection.idle_since_us + connection.max_idle_us - self.settings.connect_timeout_us
 
     def _close_expired(self) -> None:
-        """Close what has been idle for too long, and schedule this again for the next one."""
+        """Close expired idle connections, and schedule the next call for the next expiry."""
         for idle in self._idle.values():
             now = self.now()
             for connection in [each for each in idle if self._expires_us(each) <= now]:
@@ -156,35 +165,35 @@
     # ---- called by connections
 
     def call_at(self, at_us: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call back at a time of `now`, at once where that has passed."""
+        """Schedule a callback at `at_us` on the clock of `now`, or immediately if that is in the past."""
         return asyncio.get_running_loop().call_later(max(0, at_us - self.now()) / SECOND, callback)
 
     def on_attempt_finished(self, attempt: Any, reason: CloseReason, message: Message | None) -> None:
-        """An attempt has ended, with a complete response or without one."""
+        """Handle the end of an attempt; `message` is None without a complete response."""
         del self._in_flight[attempt]
         self.metrics.attempts_finished[reason] += 1
         self._enqueue(AttemptClosed(attempt, reason, message))
 
     def on_connection_idle(self, connection: UpstreamConnection) -> None:
-        """A connection may be reused."""
+        """Handle a connection that became idle and may be reused."""
         connection.idle_since_us = self.now()
         self._idle.setdefault(connection.server, []).append(connection)
         if not self._is_expiry_scheduled:
             self._close_expired()
 
     def on_connection_closed(self, connection: UpstreamConnection) -> None:
-        """A connection has closed; called once for each."""
+        """Handle a closed connection; called once per connection."""
         self._open_connections -= 1
         idle = self._idle.get(connection.server, [])
         if connection in idle:
             idle.remove(connection)
 
     def on_server_unresponsive(self, attempt: Any) -> None:
-        """An attempt got no response: close the idle connections to a server that was silent all the while.
+        """Close the idle connections to a server that sent nothing during an unanswered attempt.
 
-        The server may have vanished. The next attempt shows it by a connection that does not come up, and
-        then has surely not been executed; on an idle connection it might have, for all that we know (guards
-        operations that must not repeat).
+        The server may be unreachable. The next attempt then fails to connect, which proves that it was not
+        executed. On an idle connection it might have been executed, so a non-idempotent operation could not
+        be retried.
         """
         server = attempt.server.address
         last_received_us = self.last_received_us.get(server, 0)
--- a/lapisgrade/net/counter_client.py
+++ b/lapisgrade/net/counter_client.py
@@ -1,8 +1,8 @@
-"""Calls to the counter service, in RESP2, pipelined on one connection.
+"""Client of the counter service, which pipelines RESP2 calls on one connection.
 
-A call adds to a named count and is answered with its total. Replies come in the order of the calls, late ones
-too: a call that timed out stays in the connection's queue until its reply has come, so that no later call is
-given it.
+A call adds to a named count, and the reply is the new total. Replies arrive in the order of the calls, also
+late ones. A call that timed out therefore stays in the connection's queue until its reply arrives, so that
+the reply is not assigned to a later call.
 """
 
 import asyncio
@@ -26,21 +26,21 @@
 from lapisgrade.net.http import MalformedMessageError
 from lapisgrade.net.metrics import NetMetrics
 
-# A complete reply: a bulk string with a total, or an error. A total that can be read is true; anything else
-# tells nothing.
+# A complete reply: a bulk string with a total, or an error. A valid total is trusted; malformed data does not
+# show whether the call was executed.
 _REPLY = re.compile(
     rb"\$(?P<size>\d{1,2})\r\n(?P<total>[-+]?(?:\d+\.?\d*|\.\d+)(?:[eE][-+]?\d{1,3})?)\r\n"
     rb"|-(?P<error>[^\r\n]{1,256})\r\n"
 )
-# What may yet become a reply.
+# A prefix of a valid reply.
 _PARTIAL_REPLY = re.compile(rb"(?:\$(?:\d{1,2}(?:\r(?:\n(?:[-+.\deE]{1,64}\r?)?)?)?)?|-[^\r\n]{0,256}\r?)?")
-MAX_TOTAL = 1e15  # far past what all limiters could add; more would not be a number to reckon with
-_MAX_SHOWN_BYTES = 80  # of a reply, in the log
+MAX_TOTAL = 1e15  # far more than all limiters can add; a larger total is invalid
+_MAX_SHOWN_BYTES = 80  # bytes of a reply to include in log lines
 _US_PER_MS = 1000
 
 
 class CounterCall:
-    """One call; `task` is None once its end has been reported, as when its reply comes too late."""
+    """One call; `task` is None once its result is reported, for example after a time-out."""
 
     __slots__ = ("frame", "is_written", "task", "timer")
 
@@ -52,7 +52,7 @@
 
 
 class CounterConnection:
-    """One connection: the calls that wait for it to come up, and those in flight on it."""
+    """One connection, with the calls waiting for it to be established and those in flight on it."""
 
     __slots__ = (
         "_address",
@@ -69,21 +69,21 @@
     def __init__(self, client: "CounterClient", address: tuple[str, int]) -> None:
         self._client = client
         self._address = address
-        self.pending: deque[CounterCall] = deque()  # until the connection is up
-        self.in_flight: deque[CounterCall] = deque()  # written, not answered
+        self.pending: deque[CounterCall] = deque()  # waiting for the connection
+        self.in_flight: deque[CounterCall] = deque()  # written, without a reply
         self._reader: CountingStreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
-        self._last_received_s = 0.0  # or when nothing was in flight
+        self._last_received_s = 0.0  # or the time of the last write with no call in flight
         self._buffer = b""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def ensure_usable(self) -> bool:
-        """Whether a further call may be written; a connection that can't be used is closed."""
+        """Return whether another call may be written; closes the connection if not."""
         if self._writer is None:
             return True
         silent_s = asyncio.get_running_loop().time() - self._last_received_s
         if self.in_flight and silent_s > self._client.connect_timeout_s:
-            self.close(CloseReason.CONNECTION_LOST)  # guards against a peer that has vanished
+            self.close(CloseReason.CONNECTION_LOST)  # the peer is probably unreachable
         elif not self.in_flight and is_stale(self._reader, self._writer):
             self.close(CloseReason.IDLE)
         else:
@@ -91,7 +91,7 @@
         return False
 
     def send(self, call: CounterCall) -> None:
-        """Write a call, or keep it until the connection is up."""
+        """Write a call, or queue it until the connection is established."""
         if self._writer is None:
             self.pending.append(call)
             return
@@ -102,7 +102,7 @@
         self._writer.write(call.frame)
 
     def close(self, reason: CloseReason) -> None:
-        """Close at once; what was written may have been added."""
+        """Close immediately; calls that were written may have been executed."""
         self._client.on_connection_closed(self)
         for call in (*self.in_flight, *self.pending):
             self._client.on_call_finished(call, reason)
@@ -114,7 +114,7 @@
             self._task.cancel()
 
     async def _run(self) -> None:
-        """Connect, write what is pending, and read until the connection ends."""
+        """Connect, write the pending calls, and read until the connection closes."""
         try:
             async with asyncio.timeout(self._client.connect_timeout_s):
                 reader, writer = await connect(*self._address)
@@ -127,7 +127,7 @@
         self._writer = writer
         while self.pending:
             call = self.pending.popleft()
-            if call.task is not None:  # one that timed out must not be written any more
+            if call.task is not None:  # a call that timed out must not be written
                 self.send(call)
         try:
             while chunk := await reader.read(READ_BYTES):
@@ -136,7 +136,7 @@
         except OSError:
             pass  # reset by the counter service
         except MalformedMessageError as error:
-            self._client.log(f"the counter: {error}")
+            self._client.log(f"malformed reply from the counter service: {error}; connection closed")
             self.close(CloseReason.MALFORMED)
         finally:
             self.close(CloseReason.CONNECTION_LOST)
@@ -148,23 +148,23 @@
             offset = reply.end()
             self._on_reply(reply)
         self._buffer = data[offset:]
-        if _PARTIAL_REPLY.fullmatch(self._buffer) is None:  # guards against noise, and endless replies
-            raise MalformedMessageError(f"an answer to no call of ours: {self._buffer[:_MAX_SHOWN_BYTES]!r}")
+        if _PARTIAL_REPLY.fullmatch(self._buffer) is None:  # rejects invalid data and endless replies
+            raise MalformedMessageError(f"not a valid RESP2 reply: {self._buffer[:_MAX_SHOWN_BYTES]!r}")
 
     def _on_reply(self, reply: re.Match[bytes]) -> None:
-        """Finish the call in flight for longest."""
+        """Finish the oldest call in flight."""
         total = 0.0
         if reply["total"] is not None:
             total = float(reply["total"])
             if len(reply["total"]) != int(reply["size"]) or not abs(total) < MAX_TOTAL:
-                raise MalformedMessageError(f"no total: {reply[0][:_MAX_SHOWN_BYTES]!r}")
+                raise MalformedMessageError(f"not a valid total: {reply[0][:_MAX_SHOWN_BYTES]!r}")
             reason = CloseReason.ANSWERED
         else:
             reason = CloseReason.REJECTED
             if not reply["error"].startswith(b"BUSY"):
-                self._client.log(f"the counter says {reply['error'][:_MAX_SHOWN_BYTES]!r}")
+                self._client.log(f"counter service rejected a call: {reply['error'][:_MAX_SHOWN_BYTES]!r}")
         if not self.in_flight:
-            raise MalformedMessageError("an answer without a call")
+            raise MalformedMessageError("reply received without a call in flight")
         call = self.in_flight.popleft()
         if call.task is None:
             self._client.metrics.late_counter_replies += 1
@@ -172,9 +172,9 @@
 
 
 class CounterClient:
-    """The counter service at one address, which may change.
+    """Client of the counter service at one address, which may change.
 
-    `add` is called by the host; each call's end goes out as one `CounterCallFinished` through `enqueue`.
+    The host calls `add`. Exactly one `CounterCallFinished` event is enqueued for each call.
     """
 
     def __init__(
@@ -186,18 +186,27 @@
         timeout_us: int,
         connect_timeout_us: int,
     ) -> None:
-        """`log` takes one line for the people on call."""
+        """Create a client without a connection.
+
+        Args:
+            enqueue: Receives the events.
+            log: Writes one log line.
+            metrics: Counters to update.
+            address: Host and port of the counter service.
+            timeout_us: Time-out of a call in microseconds.
+            connect_timeout_us: Time-out for connecting in microseconds.
+        """
         self._enqueue = enqueue
         self.log = log
         self.metrics = metrics
         self._address = address
         self._timeout_s = timeout_us / SECOND
         self.connect_timeout_s = connect_timeout_us / SECOND
-        self._current: CounterConnection | None = None  # that new calls are written to
-        self._retiring: list[CounterConnection] = []  # at a former address, until their calls have ended
+        self._current: CounterConnection | None = None  # used for new calls
+        self._retiring: list[CounterConnection] = []  # to a previous address, until their calls finish
 
     def add(self, task: Task, add: AddToCounter) -> None:
-        """Call the counter service for a task that waits for the total."""
+        """Call the counter service; the task waits for the total."""
         ttl_ms = max(1, add.ttl_us // _US_PER_MS)
         call = CounterCall(
             task, _encode(b"INCRTTL", b"%d" % add.counter_id, b"%.6f" % add.amount, b"%d" % ttl_ms)
@@ -207,7 +216,7 @@
         self._usable_connection().send(call)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """From now on calls go to another address; those written are answered where they went."""
+        """Send new calls to another address; calls already written keep their connection."""
         if address == self._address:
             return
         self._address = address
@@ -224,19 +233,19 @@
         )
 
     def close(self) -> None:
-        """End all calls; none is written any more."""
+        """Cancel all calls and close the connections."""
         for connection in [*self._retiring, *([self._current] if self._current is not None else [])]:
             connection.close(CloseReason.CANCELLED)
 
     def on_connection_closed(self, connection: CounterConnection) -> None:
-        """A connection takes no further calls."""
+        """Handle a closed connection."""
         if self._current is connection:
             self._current = None
         elif connection in self._retiring:
             self._retiring.remove(connection)
 
     def on_call_finished(self, call: CounterCall, reason: CloseReason, total: float = 0.0) -> None:
-        """Report the end of a call, unless that was done."""
+        """Report the result of a call, unless it is already reported."""
         if call.task is not None:
             call.timer.cancel()
             self.metrics.counter_calls_finished[reason] += 1
@@ -257,6 +266,6 @@
 
 
 def _encode(*arguments: bytes) -> bytes:
-    """A RESP2 array of bulk strings."""
+    """Encode a command as a RESP2 array of bulk strings."""
     bulk_strings = b"".join(b"$%d\r\n%b\r\n" % (len(each), each) for each in arguments)
     return b"*%d\r\n%b" % (len(arguments), bulk_strings)
--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -1,7 +1,7 @@
-"""Follows the list of servers: the complete list once, then a watch (long poll) that is renewed at once.
+"""Client of the discovery agent: reads the complete server list once, then watches it for changes.
 
-`GET /discovery/hosts` returns the complete list, `GET /discovery/hosts?since=V&timeout_ms=T` the changes
-after version V, at the latest after T.
+`GET /discovery/hosts` returns the complete list. `GET /discovery/hosts?since=V&timeout_ms=T` is a watch (long
+poll): it returns the changes after version V, after T at the latest, and is then renewed immediately.
 """
 
 import asyncio
@@ -27,20 +27,20 @@
     "terminating": ServerState.DRAINING,
     "terminated": ServerState.REMOVED,
 }
-RESPONSE_TIMEOUT_S = 2.0  # the protocol's figure: how long past its wait a watch is answered
+RESPONSE_TIMEOUT_S = 2.0  # time to a response, by the protocol; for a watch, after its own time-out
 _TARGET = "/discovery/hosts"
 _OK = 200
 _US_PER_MS = 1000
 
 
 class DiscoveryRejectedError(LapisgradeError):
-    """The service behind the agent rejects calls."""
+    """The agent answered with an error status, because the discovery service rejects calls."""
 
 
 class DiscoveryClient:
-    """The agent on this machine, and the list of servers that it serves.
+    """Watches the server list of the discovery agent on this machine.
 
-    Addresses go to the connection pool, the list itself as `ServersUpdated` through `enqueue`.
+    Server addresses are passed to the connection pool. The list is enqueued as a `ServersUpdated` event.
     """
 
     def __init__(
@@ -53,25 +53,35 @@
         random: Random,
         limiters: int,
     ) -> None:
-        """`log` takes one line for the people on call; `limiters` is how many there are in all."""
+        """Create a client without a watch.
+
+        Args:
+            enqueue: Receives the events.
+            log: Writes one log line.
+            metrics: Counters to update.
+            address: Host and port of the agent.
+            pool: Receives the server addresses.
+            random: Source of jitter for the backoff.
+            limiters: Total number of limiters.
+        """
         self._enqueue = enqueue
         self._log = log
         self._metrics = metrics
         self._pool = pool
         self._address = address
         self._backoff = PollBackoff(random, limiters)
-        self._version: int | None = None  # of the list applied last; None: the complete one comes first
-        self._watches: list[asyncio.Task[None]] = []  # the newest last
+        self._version: int | None = None  # of the last applied list; None: request the complete one
+        self._watches: list[asyncio.Task[None]] = []  # newest last
 
     def start(self) -> None:
-        """Watch from now on, for changes after the list applied last."""
+        """Start to watch for changes after the last applied list."""
         self._start_watch()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Ask another agent from now on, for the complete list first.
+        """Switch to another agent, starting with its complete list.
 
-        The one before is followed until that has come (guards against a change that comes meanwhile, and
-        against an agent that is not up yet).
+        The watch of the previous agent stays open until that list arrives, so that no change is missed while
+        the new agent is not yet reachable.
         """
         if address == self._address:
             return
@@ -81,24 +91,24 @@
         self._cancel_watches_except(self._watches[-2:])
 
     def close(self) -> None:
-        """End all watches."""
+        """Cancel all watches."""
         self._cancel_watches_except([])
 
     def apply(self, update: Any) -> int:
-        """Take in a list, or changes of it, as parsed from JSON; returns its version.
+        """Apply a complete list or a list of changes, as parsed from JSON; returns its version.
 
         Raises:
-            MalformedInputError: It makes no sense.
+            MalformedInputError: The list is invalid.
         """
         if not isinstance(update, dict) or not isinstance(update.get("instances"), list):
-            raise MalformedInputError("not a list of servers")
+            raise MalformedInputError("server list must be an object with a list 'instances'")
         version = Fields(update).integer("generation")
         is_complete = update.get("reset") is True
         endpoints: list[ServerEndpoint] = []
         addresses: dict[str, tuple[str, int] | None] = {}
         for row in update["instances"]:
             if not isinstance(row, dict):
-                raise MalformedInputError("a server is not an object")
+                raise MalformedInputError("each entry of 'instances' must be an object")
             endpoint = _parse_endpoint(Fields(row))
             endpoints.append(endpoint)
             is_ready = endpoint.state is ServerState.READY
@@ -122,7 +132,7 @@
         self._watches = watches
 
     async def _watch_agent(self, address: tuple[str, int], version: int | None) -> None:
-        """Watch the agent at one address, on one connection after another."""
+        """Watch the agent at one address, reconnecting after each failure."""
         delay_s = 0.0
         while True:
             await asyncio.sleep(delay_s)
@@ -149,7 +159,7 @@
     async def _poll(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str, version: int | None
     ) -> tuple[int, bool]:
-        """One call; returns the version it brought, and whether the agent ends the connection with it."""
+        """Make one call; returns the version of the list, and whether the agent closes the connection."""
         target, wait_s = _TARGET, 0.0
         if version is not None:
             wait_s = MAX_STALENESS_S - RESPONSE_TIMEOUT_S
@@ -163,9 +173,8 @@
         if asyncio.current_task() is self._watches[-1]:
             self._cancel_watches_except(self._watches[-1:])
         if not update["instances"] and not message.closes_connection:
-            await asyncio.sleep(
-                MAX_RENEWAL_DELAY_S / 2
-            )  # guards against an agent that has nothing new and says so at once
+            # Limits the call rate to an agent that answers immediately without changes.
+            await asyncio.sleep(MAX_RENEWAL_DELAY_S / 2)
         return version, message.closes_connection
 
     async def _read_response(self, reader: asyncio.StreamReader, timeout_s: float) -> Message:
@@ -177,11 +186,11 @@
                 if message is not None:
                     return message
                 if not chunk:
-                    raise MalformedMessageError("the connection ended")
+                    raise MalformedMessageError("connection closed before the response was complete")
 
 
 def _parse_endpoint(row: Fields) -> ServerEndpoint:
-    """One server of the list."""
+    """Parse one server of the list."""
     started_ms = row.number("startedAtMs")
     return ServerEndpoint(
         address=row.text("instanceId"),
--- a/lapisgrade/net/events.py
+++ b/lapisgrade/net/events.py
@@ -1,4 +1,4 @@
-"""Events from sockets and timers to the host; its queue carries nothing else."""
+"""Events from sockets and timers, the contents of the host's queue."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
@@ -14,9 +14,9 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """What a client sent, as far as it is forwarded to a server; an operation's `handle`."""
+    """The parts of a client's request that are forwarded to servers; the `handle` of an operation."""
 
-    client: ResponseWriter | None  # None once it is answered or has disconnected: nothing is owed any more
+    client: ResponseWriter | None  # None once the client is answered or has disconnected
     method: bytes
     target: bytes
     host: bytes
@@ -27,23 +27,23 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client has sent a complete request that asks for an operation."""
+    """A client sent a complete and valid request."""
 
     operation: Operation
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has gone before its response."""
+    """The client disconnected before its response."""
 
     operation: Operation
 
 
 @dataclass(slots=True)
 class AttemptClosed:
-    """A server's side of an attempt has ended, with a complete response or without one.
+    """An attempt ended on its connection; `message` is None without a complete response.
 
-    The host makes an `interface.AttemptFinished` of it, once it is clear what becomes of the client.
+    The host converts it to an `interface.AttemptResult`, after it decided whether to forward the response.
     """
 
     attempt: Any
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class CounterCallFinished:
-    """A call to the counter service has ended; `total` is the count where it was answered."""
+    """A call to the counter service ended; `total` is the new total if it was answered."""
 
     task: "Task"
     reason: CloseReason
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True)
 class CallFinished:
-    """A call of another process has ended; `result` is what its kind of call says."""
+    """A call to another process ended; the type of `result` depends on the call."""
 
     task: "Task"
     result: Any
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class ServersUpdated:
-    """The endpoint list has changed; a complete list names all servers there are."""
+    """The endpoint list changed; a complete list replaces all previous entries."""
 
     endpoints: list[ServerEndpoint]
     is_complete: bool
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """The wake-up requested for `due_us` has come."""
+    """The wake-up requested for `due_us` is due."""
 
     due_us: int
 
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -1,7 +1,7 @@
-"""The one task that owns the policy and its engine; all else reaches them through its queue.
+"""The single task that owns the policy and its engine; other code reaches them through its queue.
 
-Sockets and timers `enqueue` events. The host takes one event after another, moves the clock, and lets the
-engine run the policy's generators; what these ask for, the engine has the host carry out.
+Sockets and timers `enqueue` events. The host handles one event at a time: it advances the clock and lets the
+engine run the policy's generators. The engine calls the host to execute the commands that they yield.
 """
 
 import asyncio
@@ -46,27 +46,27 @@
 
 
 class CounterService(Protocol):
-    """What adds to counts on behalf of the policy."""
+    """A client of the counter service, used by the policy."""
 
     def add(self, task: Task, add: AddToCounter) -> None:
-        """Add to a count; its end comes back as a `CounterCallFinished`."""
+        """Add to a count. A `CounterCallFinished` event reports the result."""
 
 
 class LocalResponse(NamedTuple):
-    """Status and header fields of a response that no server gave."""
+    """Status and header fields of a response that the limiter generates itself."""
 
     status: int
     header_lines: bytes
 
 
 class Host:
-    """Brings events to the policy in the order of the queue, and carries out what it asks for."""
+    """Passes events to the policy in queue order and executes the policy's commands."""
 
     parse_load_report = staticmethod(parse_load_report)
-    # Set by whoever builds the host, before `run`.
+    # The owner of the host sets these before `run`.
     pool: ConnectionPool
     counter: CounterService
-    caller: Caller  # only where the policy calls other processes
+    caller: Caller  # set only if the policy calls other processes
 
     def __init__(
         self,
@@ -75,7 +75,14 @@
         log: Callable[[str], None],
         metrics: NetMetrics,
     ) -> None:
-        """`now` is in us; `log` takes one line for the people on call."""
+        """Create the policy and its engine.
+
+        Args:
+            build_policy: Creates the policy with the host's clock.
+            now: Returns the current time in microseconds.
+            log: Writes one log line.
+            metrics: Counters to update.
+        """
         self.now = now
         self._log = log
         self._metrics = metrics
@@ -84,8 +91,8 @@
         self.clock = Clock(now())
         self.engine = Engine(self, self.clock, self)
         self.policy = build_policy(self.clock)
-        self.unanswered: dict[ClientRequest, Operation] = {}  # operations without their final response
-        self._wake_at_us = 0  # the wake-up requested last
+        self.unanswered: dict[ClientRequest, Operation] = {}  # operations awaiting a final response
+        self._wake_at_us = 0  # time of the most recently requested wake-up
 
     async def run(self) -> None:
         """Handle events until cancelled."""
@@ -104,14 +111,14 @@
             try:
                 handlers[type(event)](event)
             except Exception:
-                self._log(f"on {type(event).__name__}: {traceback.format_exc()}")
+                self._log(f"handler of {type(event).__name__} failed: {traceback.format_exc()}")
                 self._metrics.handler_failures += 1
                 self._reject_failed_operations()
 
     def _reject_failed_operations(self) -> None:
-        """An operation whose generator raised is given up alone, and at once (guards the others)."""
-        broken = [each for each in self.unanswered.values() if each.task is None or each.task.is_finished]
-        for operation in broken:
+        """Reject operations whose generator raised, immediately, without affecting other operations."""
+        failed = [each for each in self.unanswered.values() if each.task is None or each.task.is_finished]
+        for operation in failed:
             self.reject(operation, Reject(RejectReason.FAILED))
 
     # ---- events
@@ -119,7 +126,7 @@
     def _on_request_received(self, event: RequestReceived) -> None:
         operation = event.operation
         if operation.handle.client is None:
-            return  # disconnected already
+            return  # already disconnected
         self.unanswered[operation.handle] = operation
         self._metrics.requests += 1
         self.engine.run(self.policy.handle(operation), operation)
@@ -135,7 +142,7 @@
         attempt, reason, message = event.attempt, event.reason, event.message
         operation = attempt.operation
         client = operation.handle.client
-        # A client error is forwarded: no other server could use the request (guards servers against it).
+        # Client errors are forwarded instead of retried: every other server would reject the request too.
         if client is not None and reason in (CloseReason.ANSWERED, CloseReason.CLIENT_ERROR):
             del self.unanswered[operation.handle]
             self.forward_response(client, message)
@@ -164,7 +171,7 @@
         client.respond(message.head.status_code, message.body, message.size)
 
     def local_response(self, answer: Reject) -> LocalResponse:
-        """Status and header fields of a final answer that no server gave."""
+        """Return status and header fields of a final answer that the limiter generates itself."""
         if answer.reason is RejectReason.FAILED:
             return LocalResponse(_BAD_GATEWAY, b"")
         if answer.retry_after_us <= 0:
@@ -179,32 +186,32 @@
         self.pool.send(attempt)
 
     def cancel(self, attempt: Any) -> None:
-        """End an attempt that is no longer wanted."""
+        """Cancel an attempt that is no longer needed."""
         self.pool.cancel(attempt)
 
     def reject(self, operation: Operation, answer: Reject) -> None:
-        """Write a final answer that no server gave."""
+        """Write a final answer that the limiter generates itself."""
         client = operation.handle.client
         if client is None:
-            return  # it disconnected while this was on its way
+            return  # the client disconnected in the meantime
         del self.unanswered[operation.handle]
         response = self.local_response(answer)
         client.respond(response.status, [], 0, response.header_lines)
 
     def add_to_counter(self, task: Task, add: AddToCounter) -> None:
-        """Add to a count for a task that waits for the total."""
+        """Add to a count; the task waits for the total."""
         self.counter.add(task, add)
 
     def call(self, task: Task, call: Call) -> None:
-        """Call another process for a task that waits for the result."""
+        """Call another process; the task waits for the result."""
         self.caller.call(task, call)
 
     def log(self, text: str) -> None:
-        """Write a line for the people on call."""
+        """Write a log line."""
         self._log(text)
 
     def schedule_wakeup(self, when_us: int) -> None:
-        """Enqueue a `TimerFired` at a time of `now`; only the one requested last counts."""
+        """Enqueue a `TimerFired` at `when_us` on the clock of `now`. A later request replaces this one."""
         self._wake_at_us = when_us
         delay_s = max(0, when_us - self.now()) / SECOND
         asyncio.get_running_loop().call_later(
--- a/lapisgrade/net/http.py
+++ b/lapisgrade/net/http.py
@@ -1,7 +1,7 @@
-"""Reads HTTP/1.1 messages out of a stream of bytes.
+"""Parses HTTP/1.1 messages from a byte stream.
 
-h11 parses the head and the framing of the body; the body itself stays slices of what was read, so that a
-forwarded body is not copied. `MessageParser` does no I/O: whoever reads the connection feeds it.
+h11 parses the head and the framing of the body. The body is kept as slices of the received chunks, so that a
+forwarded body is not copied. `MessageParser` does no I/O: the reader of the connection feeds it.
 """
 
 import re
@@ -11,16 +11,17 @@
 
 from lapisgrade.errors import LapisgradeError
 
-MAX_BODY_BYTES = 65_536  # the limit of the limiter's protocol
-MAX_HEAD_BYTES = 16_384  # of a start line with its header fields
-# A h11 client takes a response also where no request has passed through it, but no interim one (1xx). A bare
-# request before those is all that it needs; without one, a response costs a third less to read.
+MAX_BODY_BYTES = 65_536  # limit set by the limiter's protocol
+MAX_HEAD_BYTES = 16_384  # start line and header fields
+# An h11 client connection accepts a final response without having sent a request, but not an interim response
+# (1xx). This minimal request is therefore passed to h11 only before an interim response: parsing a response
+# without it costs a third less.
 _PRIMING_REQUEST = h11.Request(method=b"GET", target=b"/", headers=[(b"Host", b"-")])
 _FINAL_STATUS_LINE = re.compile(rb"HTTP/1\.[01] [2-9]")
 
 
 class MalformedMessageError(LapisgradeError):
-    """What came is not the protocol; `status` is what a client is answered."""
+    """The received data violates the protocol; `status` is the HTTP status for the client."""
 
     def __init__(self, message: str, status: int = 400) -> None:
         super().__init__(message)
@@ -34,23 +35,23 @@
     head: h11.Request | h11.Response
     body: list[memoryview | bytes]
     size: int  # bytes of body
-    trailing_data: bytes  # read already, but part of the next message
-    closes_connection: bool  # nothing may follow on this connection (RFC 9112, section 9.3)
+    trailing_data: bytes  # already read, but part of the next message
+    closes_connection: bool  # no further message may follow on this connection (RFC 9112, section 9.3)
 
     def headers(self) -> dict[bytes, bytes]:
-        """The header fields by lower-case name; the last of each name counts."""
+        """Return the header fields by lower-case name; the last field of a name wins."""
         return {name.lower(): value for name, value in self.head.headers.raw_items()}
 
 
 class MessageParser:
-    """Takes in what is read until one message is complete; each message has a parser of its own."""
+    """Parses one message from the chunks that are read; each message needs its own parser."""
 
     __slots__ = ("_awaits_response", "_body", "_head", "_machine", "_max_body_bytes", "_size")
 
     def __init__(
         self, role: type, max_body_bytes: int = MAX_BODY_BYTES, max_head_bytes: int = MAX_HEAD_BYTES
     ) -> None:
-        """`role` is ours: `h11.SERVER` reads a request, `h11.CLIENT` a response."""
+        """`role` is the local role: `h11.SERVER` parses a request, `h11.CLIENT` a response."""
         self._machine = h11.Connection(role, max_incomplete_event_size=max_head_bytes)
         self._max_body_bytes = max_body_bytes
         self._awaits_response = role is h11.CLIENT
@@ -59,13 +60,14 @@
         self._size = 0
 
     def feed(self, chunk: bytes) -> Message | None:
-        """Take in one read, empty at the end of the stream.
+        """Process the data of one read; empty data marks the end of the stream.
 
         Returns:
             The message once it is complete, None before.
 
         Raises:
-            MalformedMessageError: It is no message, its body is too long, or the stream ended inside it.
+            MalformedMessageError: The data is not an HTTP message, its body is too long, or the stream ended
+                before the message was complete.
         """
         machine = self._machine
         if self._awaits_response:
@@ -91,32 +93,37 @@
                 elif kind is h11.NEED_DATA:
                     return None
                 elif kind is not h11.InformationalResponse:
-                    raise MalformedMessageError("the connection ended inside a message")
+                    raise MalformedMessageError("connection closed before the message was complete")
         except h11.RemoteProtocolError as error:
             raise MalformedMessageError(str(error), error.error_status_hint) from None
 
     def expects_continue(self) -> bool:
-        """Whether the peer waits for 100 Continue before it sends the body (RFC 9110, section 10.1.1)."""
+        """Return whether the peer waits for 100 Continue to send the body (RFC 9110, section 10.1.1)."""
         return self._machine.they_are_waiting_for_100_continue
 
     def _check_framing(self, head: h11.Request | h11.Response) -> None:
-        """Refuse a body with two lengths, or with one that is too long.
+        """Reject a body with conflicting lengths or a declared length that is too large.
 
-        Two lengths may hide another message in a body (RFC 9112, sections 6.1 and 11.2: request smuggling).
+        Conflicting lengths allow request smuggling: a second message hidden in a body (RFC 9112, sections 6.1
+        and 11.2).
         """
         names = [name for name, _ in head.headers]
         if b"transfer-encoding" in names and (b"content-length" in names or head.http_version < b"1.1"):
-            raise MalformedMessageError("the body has two lengths")
+            raise MalformedMessageError(
+                "Transfer-Encoding is not allowed together with Content-Length or in HTTP/1.0"
+            )
         if any(
             name == b"content-length" and int(value) > self._max_body_bytes for name, value in head.headers
         ):
-            raise MalformedMessageError("the body is too long", 413)
+            raise MalformedMessageError(
+                f"Content-Length exceeds the limit of {self._max_body_bytes} bytes", 413
+            )
 
     def _append_body(self, chunk: bytes, data: bytes) -> None:
-        """Keep a part of the body: the slice of the read that h11 has just passed over."""
+        """Keep a part of the body, as the slice of the chunk that h11 has just parsed."""
         size = len(data)
         self._size += size
         if self._size > self._max_body_bytes:
-            raise MalformedMessageError("the body is too long", 413)
+            raise MalformedMessageError(f"body exceeds the limit of {self._max_body_bytes} bytes", 413)
         end = len(chunk) - len(self._machine.trailing_data[0])
         self._body.append(memoryview(chunk)[end - size : end])
--- a/lapisgrade/net/poll_backoff.py
+++ b/lapisgrade/net/poll_backoff.py
@@ -1,21 +1,21 @@
-"""When to ask a service again that rejects calls as all limiters ask it at once. Pure, chance handed in."""
+"""Backoff for polls of a service that all limiters call. No I/O; the caller provides the random source."""
 
 from random import Random
 
-MAX_STALENESS_S = 6.0  # the protocol's figure: when a change of the list counts as known at the latest
-MAX_RENEWAL_DELAY_S = 0.2  # the protocol's figure: how soon the next call must come for the watch to go on
-MAX_BACKOFF_S = 60.0  # that a call rejected again and again may be put off; a watch's longest wait
+MAX_STALENESS_S = 6.0  # time until a change of the list counts as known, by the protocol
+MAX_RENEWAL_DELAY_S = 0.2  # time within which a watch must be renewed to continue, by the protocol
+MAX_BACKOFF_S = 60.0  # maximum delay after repeated rejections; equals the longest time-out of a watch
 _MAX_DOUBLINGS = 16
 
 
 class PollBackoff:
-    """Exponential backoff with jitter, at a pace that all limiters keep together.
+    """Exponential backoff with jitter, with the total call rate of all limiters bounded.
 
-    The one service behind all agents works even on what it can't serve in time: callers who come back at
-    once, as all do together after a restart, keep it from ever serving any. So a call that was rejected is
-    repeated at a random time, such that all limiters' calls come one in half of
-    `MAX_RENEWAL_DELAY_S`, and half as often with each
-    rejection. The first call is never put off: what it would have told counts as known.
+    The single service behind all agents spends time even on calls that it can't answer in time. If all
+    limiters retried immediately, as after a restart, no call would ever succeed. A rejected call is therefore
+    retried after a random delay. The delays are such that all limiters together make one call per half of
+    `MAX_RENEWAL_DELAY_S`, and half as many after each further rejection. The first call is never delayed,
+    because the changes that it would return count as known.
     """
 
     __slots__ = ("_limiters", "_random", "_rejections")
@@ -23,19 +23,19 @@
     def __init__(self, random: Random, limiters: int) -> None:
         self._random = random
         self._limiters = limiters
-        self._rejections = 0  # since the last call that was answered
+        self._rejections = 0  # consecutive rejections since the last successful call
 
     def on_rejected(self) -> float:
-        """Note a rejected call; returns the seconds before the next one."""
+        """Record a rejected call; returns the delay before the next one in seconds."""
         spread_s = self._spread_s()
         self._rejections = min(_MAX_DOUBLINGS, self._rejections + 1)
         return MAX_RENEWAL_DELAY_S / 2 + self._random.random() * spread_s
 
     def on_answered(self) -> None:
-        """Note an answered call."""
+        """Record a successful call."""
         self._rejections = 0
 
     def _spread_s(self) -> float:
-        """The seconds over which the next calls of all limiters spread."""
+        """Return the interval in seconds over which the next calls of all limiters are spread."""
         first_s = min(MAX_STALENESS_S, self._limiters * MAX_RENEWAL_DELAY_S / 2)
         return min(MAX_BACKOFF_S, first_s * 2**self._rejections)
--- a/lapisgrade/net/rate_limited_log.py
+++ b/lapisgrade/net/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""A log of so many lines a second at most; by default on standard error, as `HH:MM:SS NAME: TEXT`."""
+"""A rate-limited log, by default on standard error with lines of the form `HH:MM:SS NAME: TEXT`."""
 
 import functools
 import sys
@@ -9,23 +9,23 @@
 
 
 class RateLimitedLog:
-    """Prints lines, so many a second at the most; how many were left out is said in the next second."""
+    """Prints at most `MAX_LINES_PER_SECOND` lines; the next line of a later second reports omitted lines."""
 
     __slots__ = ("_omitted", "_print", "_printed", "_second")
 
     def __init__(self, name: str, print_line: Callable[[str], None] | None = None) -> None:
-        """`print_line` takes each line that is printed; by default it goes to standard error."""
+        """`print_line` prints each line; the default prints to standard error."""
         self._print = print_line or functools.partial(_print_to_standard_error, name)
         self._second = 0
-        self._printed = 0  # in that second
+        self._printed = 0  # lines in that second
         self._omitted = 0
 
     def write(self, text: str) -> None:
-        """Print a line, or count it as left out."""
+        """Print a line, or count it as omitted if the limit is exceeded."""
         second = int(time.monotonic())
         if second != self._second:
             if self._omitted:
-                self._print(f"{self._omitted} lines left out")
+                self._print(f"{self._omitted} log lines omitted by the rate limit")
             self._second = second
             self._printed = 0
             self._omitted = 0
@@ -36,7 +36,7 @@
             self._omitted += 1
 
     def write_counts(self, counts: Mapping[str, int]) -> None:
-        """Print all counters on one line, whatever else was printed in this second."""
+        """Print all counters on one line, regardless of the rate limit."""
         self._print("counts: " + ", ".join(f"{name} {counts[name]}" for name in sorted(counts)))
 
 
--- a/lapisgrade/net/request_parser.py
+++ b/lapisgrade/net/request_parser.py
@@ -1,15 +1,15 @@
-"""Reads the limiter's request header fields: which operation does a client's request ask for?
+"""Parses the limiter's request header fields into an operation.
 
     X-Priority-Class: NAME                      the category
     X-Plan: NAME                                the customer's plan
     X-Customer: 16 hex digits
-    X-Quota: units=U, spread=N, first=K         what it costs, and the limiters that share the customer
-    X-Timeout: SECONDS                          how long the client waits
+    X-Quota: units=U, spread=N, first=K         the cost, and the limiters that share the customer's quota
+    X-Timeout: SECONDS                          the client's time-out
     X-Request-ID: 1 to 128 visible characters
-    Idempotency-Key: KEY                        where servers drop repeats by it
-    X-Retried: 1                                where the client has sent it before
+    Idempotency-Key: KEY                        for categories in which servers deduplicate by key
+    X-Retried: 1                                the request is a retry by the client
 
-A request whose fields can't be read is answered 400 and asks for nothing.
+A request with an invalid field is answered with status 400 and not executed.
 """
 
 import re
@@ -33,12 +33,12 @@
     RepeatSafety.NON_IDEMPOTENT: b"POST",
 }
 _CONFLICT = 409
-_MAX_SHOWN_BYTES = 80  # of a value that can't be read, in the message
+_MAX_SHOWN_BYTES = 80  # bytes of an invalid value to include in the error message
 
 
 @dataclass(slots=True)
 class _Quota:
-    """The X-Quota field."""
+    """The X-Quota header field."""
 
     units: float
     spread: int
@@ -46,7 +46,7 @@
 
 
 class RequestParser:
-    """Turns requests into operations, by the categories and plans that are configured."""
+    """Converts requests to operations, with the configured categories and plans."""
 
     def __init__(
         self, categories: list[Category], plans: list[Plan], limiters: int, max_units: float
@@ -59,10 +59,10 @@
     def parse(
         self, client: ResponseWriter, message: Message, now_us: int, open_request_ids: Container[bytes]
     ) -> Operation:
-        """The operation that a request asks for.
+        """Return the operation for a request.
 
         Raises:
-            MalformedMessageError: A field is missing or out of range, or a request with this id is open.
+            MalformedMessageError: A field is missing or invalid, or a request with this id is in flight.
         """
         headers = message.headers()
         category: Category = _look_up_field(self._categories, headers, b"x-priority-class")
@@ -74,10 +74,12 @@
         key = headers.get(b"idempotency-key")
         self._check_quota(quota)
         if timeout_s <= 0:
-            raise MalformedMessageError("no time is left")
+            raise MalformedMessageError("x-timeout must be greater than 0")
         _check_method_and_key(category, message, key)
-        if request_id in open_request_ids:  # its response might go to the wrong one, and servers see a copy
-            raise MalformedMessageError("a request with this id is open", _CONFLICT)
+        # With two requests of one id, a response could be matched to the wrong request, and servers would
+        # receive a duplicate.
+        if request_id in open_request_ids:
+            raise MalformedMessageError("a request with this x-request-id is in flight", _CONFLICT)
         return Operation(
             customer=customer,
             plan=plan,
@@ -105,30 +107,38 @@
 
     def _check_quota(self, quota: _Quota) -> None:
         if not 0 < quota.units <= self._max_units:
-            raise MalformedMessageError("the units are out of range")
+            raise MalformedMessageError(
+                f"x-quota: units={quota.units:g} must be greater than 0 and at most {self._max_units:g}"
+            )
         if not (1 <= quota.spread <= self._limiters and quota.first < self._limiters):
-            raise MalformedMessageError("the customer's set is out of range")
+            raise MalformedMessageError(
+                f"x-quota: spread={quota.spread}, first={quota.first} is out of range for"
+                f" {self._limiters} limiters"
+            )
 
 
 def _check_method_and_key(category: Category, message: Message, key: bytes | None) -> None:
-    """Whether method and key are those of the category."""
+    """Check that the method and the idempotency key are valid for the category."""
     method = message.head.method
     if method != _METHODS[category.repeat_safety] or (message.size and method == b"GET"):
-        raise MalformedMessageError("not the method of its class")
+        raise MalformedMessageError(
+            f"method {method[:_MAX_SHOWN_BYTES]!r} with a body of {message.size} bytes is not allowed for"
+            " this x-priority-class"
+        )
     if not key and category.repeat_safety is RepeatSafety.DEDUPLICATED:
-        raise MalformedMessageError("a key is missing, by which servers would know a repeat")
+        raise MalformedMessageError("idempotency-key is required for this x-priority-class")
 
 
 def _match_field(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[bytes]) -> re.Match[bytes]:
     value = headers.get(name, b"")
     match = form.fullmatch(value)
     if match is None:
-        raise MalformedMessageError(f"{name.decode()} can't be read: {value[:_MAX_SHOWN_BYTES]!r}")
+        raise MalformedMessageError(f"{name.decode()} is missing or invalid: {value[:_MAX_SHOWN_BYTES]!r}")
     return match
 
 
 def _look_up_field(table: dict[bytes, Any], headers: dict[bytes, bytes], name: bytes) -> Any:
     value = headers.get(name, b"")
     if value not in table:
-        raise MalformedMessageError(f"{name.decode()} is unknown: {value[:_MAX_SHOWN_BYTES]!r}")
+        raise MalformedMessageError(f"{name.decode()} is not configured: {value[:_MAX_SHOWN_BYTES]!r}")
     return table[value]
--- a/lapisgrade/net/response_writer.py
+++ b/lapisgrade/net/response_writer.py
@@ -1,10 +1,10 @@
-"""What the rest of the limiter may ask of whoever carries a client's connection."""
+"""Interface of a client connection to the rest of the limiter."""
 
 from typing import Protocol
 
 
 class ResponseWriter(Protocol):
-    """A client that waits for the response to its request."""
+    """A client connection that awaits the response to its request."""
 
     def respond(
         self, status: int, body: list[memoryview | bytes], size: int, header_lines: bytes = b""
@@ -13,7 +13,7 @@
 
         Args:
             status: The status code.
-            body: The body's slices.
-            size: The bytes of all slices together.
-            header_lines: Further header fields, each line ended by CRLF.
+            body: Slices of the body.
+            size: Total bytes of all slices.
+            header_lines: Additional header fields, each line terminated by CRLF.
         """
--- a/lapisgrade/net/server_protocol.py
+++ b/lapisgrade/net/server_protocol.py
@@ -1,4 +1,4 @@
-"""What is said to upstream servers over HTTP/1.1, and what their responses mean. No I/O."""
+"""Encodes requests to upstream servers in HTTP/1.1 and classifies their responses. No I/O."""
 
 from typing import Any
 
@@ -6,17 +6,17 @@
 from lapisgrade.net.events import ClientRequest
 from lapisgrade.net.http import MAX_BODY_BYTES, Message
 
-# 4xx that are about the moment, not about the request (RFC 9110, section 15.5.9; RFC 8470; RFC 6585).
+# 4xx statuses for transient conditions, not invalid requests (RFC 9110, section 15.5.9; RFC 8470; RFC 6585).
 _TRANSIENT_CLIENT_ERRORS = (408, 425, 429)
 
 
 class ServerProtocol:
-    """The protocol of the limiter's servers; another protocol overrides what differs."""
+    """The protocol of the limiter's servers; subclasses override parts of it for other protocols."""
 
     max_body_bytes = MAX_BODY_BYTES
 
     def encode_head(self, attempt: Any, seconds_left: float) -> bytes:
-        """Request line and header fields of an attempt, `seconds_left` before its deadline."""
+        """Encode request line and header fields of an attempt, `seconds_left` before its deadline."""
         request: ClientRequest = attempt.operation.handle
         size = sum(len(each) for each in request.body)
         return b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Request-ID: %b\r\nX-Timeout: %.6f\r\n%b%b\r\n" % (
@@ -30,20 +30,20 @@
         )
 
     def classify(self, attempt: Any, message: Message) -> CloseReason:
-        """What a server's complete response says of the attempt."""
+        """Return the close reason of an attempt with this complete response."""
         return classify_response(message)
 
     def is_stray(self, attempt: Any, message: Message) -> bool:
-        """Whether the response belongs to another request than the one in flight."""
+        """Return whether the response belongs to a request other than the one in flight."""
         return False
 
     def keep_alive_us(self, message: Message) -> int:
-        """How long the server says that it keeps the connection idle; 0 where it says nothing."""
+        """Return how long the server keeps an idle connection open, in microseconds; 0 if unspecified."""
         return 0
 
 
 def classify_response(message: Message) -> CloseReason:
-    """What a complete response of one of the limiter's servers says."""
+    """Return the close reason for a complete response from one of the limiter's servers."""
     status = message.head.status_code
     if status == 200:
         return CloseReason.ANSWERED
@@ -55,7 +55,7 @@
 
 
 def parse_load_report(message: Message) -> dict[str, float] | None:
-    """The load report in a response (`X-Server-Load: TEXT name=value,...`), None without a readable one."""
+    """Parse the load report in a response, `X-Server-Load: TEXT name=value,...`; None without a valid one."""
     text = message.headers().get(b"x-server-load")
     if text is None:
         return None
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -1,4 +1,4 @@
-"""Assembles one limiter from its configuration, and runs it until it is told to shut down."""
+"""Assembles one limiter from its configuration, and runs it until shutdown is requested."""
 
 import asyncio
 import contextlib
@@ -39,25 +39,29 @@
     read_server_rules,
 )
 
-# The protocol's figure: so long after its word to end, new connections keep coming to a limiter.
+# By the protocol, a limiter may get new connections for this long after SIGTERM.
 ACCEPT_AFTER_SHUTDOWN_S = 0.4
-DRAIN_CHECK_INTERVAL_S = 0.02  # between checks whether all is answered
+DRAIN_CHECK_INTERVAL_S = 0.02  # interval between checks whether all requests are answered
 DEFAULT_SOCKETS = 1024
-# Of the descriptors, half are for clients and a quarter for servers; the rest is for all else.
+# Half of the descriptors are for clients and a quarter for servers; the rest is for everything else.
 CLIENT_SOCKETS_DIVISOR = 2
 SERVER_SOCKETS_DIVISOR = 4
 
 
 class Service:
-    """One limiter. `run` returns once it was told to shut down and nothing is owed any more."""
+    """One limiter. `run` returns once shutdown is requested and all requests are answered."""
 
     def __init__(self, configuration: dict[str, Any]) -> None:
-        """Takes the parsed configuration file; MalformedInputError where that can't be read."""
+        """Assemble a limiter from a parsed configuration file.
+
+        Raises:
+            MalformedInputError: A value is missing or invalid.
+        """
         check_value_types(configuration)
         settings = flatten(configuration["settings"])
         seed, sockets = _read_seed_and_sockets(configuration)
         self.metrics = NetMetrics()
-        self.companion_counts: Counter[str] = Counter()  # of what runs beside the limiter, by name
+        self.companion_counts: Counter[str] = Counter()  # counters of the companion, by name
         self._log = RateLimitedLog(configuration["name"])
         self.log = self._log.write
         now = _read_clock(configuration)
@@ -109,13 +113,16 @@
         )
 
     def shut_down(self) -> None:
-        """Have `run` answer what is owed, and return."""
+        """Request shutdown: `run` answers the open requests, then returns."""
         self._shutdown_requested.set()
 
     def reload(self, configuration: dict[str, Any]) -> None:
-        """Go on with what a new configuration says; MalformedInputError leaves all as it was.
+        """Apply the addresses of discovery and the counter service from a new configuration.
+
+        Requests in flight are not interrupted. All other settings take effect at the next start.
 
-        Discovery and the counter service move while work is open; all else holds until the next start.
+        Raises:
+            MalformedInputError: An address is invalid; the current configuration stays in use.
         """
         discovery_address, counter_address = read_service_addresses(
             configuration, uses_counter=self._counter is not None
@@ -126,7 +133,7 @@
             self._counter.change_address(counter_address)
 
     async def run(self) -> None:
-        """Serve clients until `shut_down`, and then until all that is owed is answered."""
+        """Serve clients until `shut_down`, and then until all open requests are answered."""
         self._discovery.apply(self._known_servers)
         host_task = asyncio.create_task(self.host.run())
         self._discovery.start()
@@ -144,7 +151,7 @@
             self.log_metrics()
 
     async def _drain(self) -> None:
-        """Deny readiness, serve those who still come, and then answer what is owed."""
+        """Fail readiness checks, serve late connections, then answer the open requests."""
         self.listener.is_draining = True
         await asyncio.sleep(ACCEPT_AFTER_SHUTDOWN_S)
         self.listener.stop_accepting()
@@ -154,7 +161,7 @@
             self.listener.close_idle()
 
     def log_metrics(self) -> None:
-        """Print all counters."""
+        """Log all counters."""
         self._log.write_counts({**self.metrics.nonzero(), **self.companion_counts})
 
 
@@ -169,7 +176,7 @@
 def _read_clock(configuration: dict[str, Any]) -> Callable[[], int]:
     clock = configuration.get("clock", {})
     if not isinstance(clock, dict):
-        raise MalformedInputError("clock is not of the kind dict")
+        raise MalformedInputError("clock must be an object")
     fields = Fields(clock)
     return wall_clock(fields.duration_us("offset_ms"), fields.number("drift_ppm"))
 
@@ -189,10 +196,16 @@
 async def serve(
     path: str, companion: Callable[["Service"], contextlib.AbstractAsyncContextManager[None]] | None = None
 ) -> None:
-    """Run one limiter as this process, by the configuration file at `path`.
+    """Run one limiter in this process, with the configuration file at `path`.
+
+    SIGTERM and SIGINT shut it down, SIGHUP reloads the configuration file, SIGUSR1 logs the counters.
+
+    Args:
+        path: The configuration file.
+        companion: Optional context manager that is entered while the limiter runs.
 
-    SIGTERM and SIGINT shut it down, SIGHUP has it read the file again, SIGUSR1 prints its counters.
-    `companion` runs around it where that is given.
+    Raises:
+        MalformedInputError: The configuration is invalid.
     """
     service = Service(read_configuration(path))
 
@@ -200,10 +213,10 @@
         try:
             service.reload(read_configuration(path))
         except MalformedInputError as error:
-            service.log(f"goes on as before: {error}")
+            service.log(f"reload failed, keeping the current configuration: {error}")
 
-    def shut_down(by: signal.Signals) -> None:
-        service.log(f"told to end by {by.name}")
+    def shut_down(received: signal.Signals) -> None:
+        service.log(f"received {received.name}, shutting down")
         service.shut_down()
 
     loop = asyncio.get_running_loop()
--- a/lapisgrade/net/service_configuration.py
+++ b/lapisgrade/net/service_configuration.py
@@ -1,4 +1,4 @@
-"""Reads the limiter's configuration file: which kinds of value it holds, and where the services are."""
+"""Reads the limiter's configuration file, and checks the types of its values."""
 
 import json
 from typing import Any
@@ -19,28 +19,36 @@
 
 
 def read_configuration(path: str) -> dict[str, Any]:
-    """The configuration in a file. MalformedInputError if it is not a JSON object, or can't be read."""
+    """Read a configuration file.
+
+    Raises:
+        MalformedInputError: The file can't be read, or is not a JSON object.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             configuration = json.load(file)
     except (OSError, ValueError) as error:
         raise MalformedInputError(f"{path}: {error}") from None
     if not isinstance(configuration, dict):
-        raise MalformedInputError(f"{path}: not an object")
+        raise MalformedInputError(f"{path}: must be a JSON object")
     return configuration
 
 
 def check_value_types(configuration: dict[str, Any]) -> None:
-    """Raise MalformedInputError where a value is missing or of another kind than it must be."""
-    for name, kind in _VALUE_TYPES.items():
-        if not isinstance(configuration.get(name), kind):
-            raise MalformedInputError(f"{name} is missing or not of the kind {kind.__name__}")
+    """Check that all required values exist and have the right type.
+
+    Raises:
+        MalformedInputError: A value is missing or has another type.
+    """
+    for name, value_type in _VALUE_TYPES.items():
+        if not isinstance(configuration.get(name), value_type):
+            raise MalformedInputError(f"{name} must be present and of type {value_type.__name__}")
 
 
 def read_service_addresses(
     configuration: dict[str, Any], *, uses_counter: bool
 ) -> tuple[Address, Address | None]:
-    """Where discovery and, for a limiter that uses it, the counter service are."""
+    """Read the addresses of discovery and, if the limiter uses it, of the counter service."""
     discovery = parse_address(configuration.get("discovery"), "discovery")
     counter = parse_address(configuration.get("counter"), "counter") if uses_counter else None
     return discovery, counter
--- a/lapisgrade/net/upstream_connection.py
+++ b/lapisgrade/net/upstream_connection.py
@@ -1,14 +1,14 @@
-"""One connection to an upstream server, with one attempt on it at most.
+"""One connection to an upstream server, with at most one attempt in flight.
 
-    CONNECTING ──> AWAITING_RESPONSE <── IDLE      an attempt is written: at once, when the connection is up,
-        │            ^           │         ^       or when the pool assigns it an idle connection
+    CONNECTING ──> AWAITING_RESPONSE <── IDLE      an attempt is written when the connection is established,
+        │            ^           │         ^       or when the pool assigns it to an idle connection
         │            │ drained   │ a complete response
         └──────> WRITING         └─────────┘
-                     │                             WRITING: part of the request is still in our buffer
-    any state ──> CLOSED                           `close` tells the pool why the attempt ended
+                     │                             WRITING: part of the request is still in the local buffer
+    any state ──> CLOSED                           `close` reports to the pool why the attempt ended
 
-The states matter because they decide whether an attempt that ended may have been executed: not while
-CONNECTING or WRITING, as no server acts on half a request; for all that we know from AWAITING_RESPONSE on.
+The state determines whether an attempt that ended may have been executed. While CONNECTING or WRITING it was
+not, because no server executes a partial request. From AWAITING_RESPONSE on it may have been.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class UpstreamState(Enum):
-    """Where a connection to a server stands; see the diagram above."""
+    """State of a connection to a server; see the diagram above."""
 
     CONNECTING = auto()
     WRITING = auto()
@@ -45,7 +45,7 @@
 
 
 class UpstreamConnection:
-    """A connection to one server. The pool opens it with an attempt and may assign it further ones."""
+    """A connection to one server. The pool opens it for one attempt and may assign further ones later."""
 
     __slots__ = (
         "_address",
@@ -79,21 +79,21 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def is_usable(self) -> bool:
-        """Whether a further attempt may be written to this idle connection."""
+        """Return whether another attempt may be written to this idle connection."""
         return self._is_at_current_address() and not is_stale(self._reader, self._writer)
 
     def has_unread_data(self) -> bool:
-        """Whether asyncio has received something that was not read from it yet."""
+        """Return whether asyncio has received data that was not read yet."""
         return bool(self._reader.unread_bytes)
 
     def assign(self, attempt: Any) -> None:
-        """Write an attempt to this connection, which is idle."""
+        """Write an attempt to this connection, which must be idle."""
         self.attempt = attempt
         self._timer = self._pool.call_at(attempt.operation.deadline_us, self._on_deadline)
         self._write()
 
     def close(self, reason: CloseReason) -> None:
-        """Close at once, and tell the pool why the attempt ended if one is in flight."""
+        """Close immediately; if an attempt is in flight, report to the pool why it ended."""
         attempt, self.attempt = self.attempt, None
         was_connecting = self.state is UpstreamState.CONNECTING
         if self.state is not UpstreamState.CLOSED:
@@ -112,7 +112,7 @@
             self._task.cancel()
 
     async def _run(self) -> None:
-        """Connect, write the first attempt, and read until the connection ends."""
+        """Connect, write the first attempt, and read until the connection closes."""
         pool = self._pool
         try:
             async with asyncio.timeout(pool.settings.connect_timeout_us / SECOND):
@@ -129,7 +129,7 @@
             while chunk := await self._reader.read(READ_BYTES):
                 self._receive(chunk)
             if self.state is UpstreamState.AWAITING_RESPONSE:
-                self._receive(b"")  # a response may end with its connection (RFC 9112, section 6.3)
+                self._receive(b"")  # closing the connection may end a response (RFC 9112, section 6.3)
         except OSError:
             pass  # reset by the server
         finally:
@@ -137,13 +137,14 @@
             self.close(CloseReason.INCOMPLETE_WRITE if is_writing else CloseReason.CONNECTION_LOST)
 
     def _is_at_current_address(self) -> bool:
-        """Whether the endpoint list still names this server at the address we are connected to."""
+        """Return whether the endpoint list still has this server at the connected address."""
         return self._pool.addresses.get(self.server) == self._address
 
     def _write(self) -> None:
         attempt, pool = self.attempt, self._pool
         request: ClientRequest = attempt.operation.handle
-        # Guards rules 1 and 3: the connection came up after the operation's end, or as the server drains.
+        # Upholds rules 1 and 3: the operation may have ended, or the server may have started draining, while
+        # the connection was being established.
         if request.client is None or not self._is_at_current_address():
             return self.close(CloseReason.NOT_SENT)
         self._parser = MessageParser(h11.CLIENT, pool.protocol.max_body_bytes)
@@ -163,9 +164,9 @@
             self.state = UpstreamState.AWAITING_RESPONSE
 
     def _receive(self, chunk: bytes) -> None:
-        """Take in one read, empty at the end of the stream."""
+        """Process the data of one read; empty data marks the end of the stream."""
         if self.attempt is None:
-            return self.close(CloseReason.IDLE)  # nothing was asked
+            return self.close(CloseReason.IDLE)  # data without a request
         pool = self._pool
         if self._is_at_current_address():
             pool.last_received_us[self.server] = pool.now()
@@ -173,7 +174,7 @@
             message = self._parser.feed(chunk)
         except MalformedMessageError as error:
             if chunk:
-                pool.log(f"server {self.server}: {error}")
+                pool.log(f"malformed response from server {self.server}: {error}; connection closed")
             return self.close(CloseReason.MALFORMED if chunk else CloseReason.CONNECTION_LOST)
         if message is None:
             return None
@@ -182,7 +183,10 @@
         return self._finish_attempt(message)
 
     def _skip_stray(self, message: Message) -> None:
-        """Pass over a late response to another request; ours may follow it, and nothing follows ours here."""
+        """Discard a late response to another request.
+
+        The response to the current attempt may follow. The connection is not reused after that.
+        """
         self._pool.metrics.stray_responses += 1
         self._received_stray = True
         self._parser = MessageParser(h11.CLIENT, self._pool.protocol.max_body_bytes)
@@ -192,7 +196,7 @@
             self._receive(message.trailing_data)
 
     def _finish_attempt(self, message: Message) -> None:
-        """The response is complete: report it, and keep the connection where it can be reused."""
+        """Report a complete response, and keep the connection if it can be reused."""
         pool = self._pool
         attempt, self.attempt = self.attempt, None
         self._timer.cancel()
--- a/lapisgrade/peers/__init__.py
+++ b/lapisgrade/peers/__init__.py
@@ -1,5 +1,5 @@
 """Datagrams between processes: frames (`frame`) over UDP (`udp`).
 
-`lapisgrade.members` and `lapisgrade.gateway.membership` send their messages by it.
-Off, and not imported, in `python -m lapisgrade`.
+`lapisgrade.members` and `lapisgrade.gateway.membership` send their messages with it.
+`python -m lapisgrade` neither uses nor imports it.
 """
--- a/lapisgrade/peers/frame.py
+++ b/lapisgrade/peers/frame.py
@@ -1,8 +1,8 @@
-"""One frame: a version, who sends it, and one message, as msgspec msgpack. Pure.
+"""Frames: a version, the sender and one message, encoded as msgpack by msgspec. No I/O.
 
-A codec is made for any msgspec struct or union of them. What a message carries along, as its list `updates`,
-is left out from the end as far as a datagram can't hold it. A frame that can't be read raises `FrameError`
-with one plain reason, never an exception of the library: it came from anybody.
+A codec supports any msgspec struct or union of structs. If a frame exceeds the size of a datagram, entries
+are dropped from the end of the message's list `updates`. Frames come from untrusted senders: an invalid frame
+raises `FrameError` with a short reason, never an exception of the library.
 """
 
 from typing import Any, Generic, TypeVar
@@ -12,13 +12,13 @@
 from lapisgrade.errors import LapisgradeError
 
 FRAME_VERSION = 1
-MAX_FRAME_BYTES = 1400  # of one datagram: under the smallest usual path's packet, so that none is cut in two
+MAX_FRAME_BYTES = 1400  # per datagram; below the usual path MTU, so that datagrams are not fragmented
 MAX_NAME_LENGTH = 64  # characters
 MessageT = TypeVar("MessageT")
 
 
 class Frame(msgspec.Struct, Generic[MessageT], array_like=True, frozen=True):
-    """What goes over the wire. The incarnation tells apart the processes of one name."""
+    """The encoded structure. The incarnation distinguishes successive processes with the same name."""
 
     version: int
     name: str
@@ -27,7 +27,7 @@
 
 
 class FrameError(LapisgradeError, ValueError):
-    """Bytes that are no frame of ours; the message says why, in a few words that do not repeat them."""
+    """The bytes are not a valid frame; the message gives a short reason without quoting the bytes."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -35,42 +35,46 @@
 
 
 class Codec:
-    """Frames of one union of messages."""
+    """Encodes and decodes frames for one union of message types."""
 
     def __init__(self, union: Any) -> None:
         self._decoder = msgspec.msgpack.Decoder(Frame[union])
 
     def encode(self, name: str, incarnation: int, message: Any) -> bytes:
-        """The frame's bytes, in one datagram."""
+        """Encode a frame; drops entries of `updates` from the end until it fits into one datagram."""
         while True:
             data = _ENCODER.encode(Frame(FRAME_VERSION, name, incarnation, message))
             if len(data) <= MAX_FRAME_BYTES or not message.updates:
                 return data
-            over = len(data) - MAX_FRAME_BYTES
-            fewer = max(1, over * len(message.updates) // len(data))
-            message = msgspec.structs.replace(message, updates=message.updates[:-fewer])
+            excess_bytes = len(data) - MAX_FRAME_BYTES
+            dropped = max(1, excess_bytes * len(message.updates) // len(data))
+            message = msgspec.structs.replace(message, updates=message.updates[:-dropped])
 
     def decode(self, data: bytes) -> Frame[Any]:
-        """The frame in these bytes; FrameError where they hold none that this version reads."""
+        """Decode a frame.
+
+        Raises:
+            FrameError: The bytes are not a valid frame of this version.
+        """
         if len(data) > MAX_FRAME_BYTES:
-            raise FrameError("longer than a datagram of ours")
+            raise FrameError(f"longer than {MAX_FRAME_BYTES} bytes")
         try:
             frame = self._decoder.decode(data)
         except msgspec.MsgspecError:
             raise FrameError(_decode_failure_reason(data)) from None
         if frame.version != FRAME_VERSION:
-            raise FrameError(f"version {frame.version}, not {FRAME_VERSION}")
+            raise FrameError(f"version {frame.version} is not supported, only {FRAME_VERSION}")
         if not 0 < len(frame.name) <= MAX_NAME_LENGTH or frame.incarnation < 0:
-            raise FrameError("a name or incarnation out of range")
+            raise FrameError("name or incarnation out of range")
         return frame
 
 
 def _decode_failure_reason(data: bytes) -> str:
-    """Return why the bytes can't be read; another version may differ in all but its first field."""
+    """Return why the bytes can't be decoded. Other versions share only the first field, the version."""
     try:
         version = msgspec.msgpack.decode(_FIELDS_DECODER.decode(data)[0])
     except (msgspec.MsgspecError, IndexError):
         return "not a frame"
     if isinstance(version, int) and not isinstance(version, bool) and version != FRAME_VERSION:
-        return f"version {version}, not {FRAME_VERSION}"
+        return f"version {version} is not supported, only {FRAME_VERSION}"
     return "not a frame"
--- a/lapisgrade/peers/udp.py
+++ b/lapisgrade/peers/udp.py
@@ -1,8 +1,8 @@
-"""Datagrams between processes on asyncio: bounded per peer both ways, and sparing with log lines.
+"""UDP transport for frames on asyncio, with bounds on frames per peer, send buffer and log lines.
 
-Of a peer that floods, `MAX_FRAMES_PER_SECOND` frames are read and the rest counted; one that sends what is no
-frame is logged once in a while. Nothing is kept of a peer but how much it sent, and that for
-`MAX_TRACKED_ADDRESSES` addresses at most.
+Frames beyond `MAX_FRAMES_PER_SECOND` from one address are counted and dropped. Invalid frames are counted,
+and logged at most once per `FRAME_ERROR_LOG_INTERVAL_S`. The only state per peer is its receive rate, for at
+most `MAX_TRACKED_ADDRESSES` addresses.
 """
 
 import asyncio
@@ -14,22 +14,22 @@
 
 from lapisgrade.peers import frame
 
-MAX_FRAMES_PER_SECOND = 400  # read from one address; a member sends some tens
-MAX_TRACKED_ADDRESSES = 4096  # addresses of which it is kept how much they sent
-MAX_BUFFERED_BYTES = 64 * frame.MAX_FRAME_BYTES  # that wait to be sent; past it frames are dropped
-FRAME_ERROR_LOG_INTERVAL_S = 30.0  # between two lines about frames that can't be read
+MAX_FRAMES_PER_SECOND = 400  # frames read from one address; a member sends a few tens per second
+MAX_TRACKED_ADDRESSES = 4096  # addresses whose receive rate is tracked
+MAX_BUFFERED_BYTES = 64 * frame.MAX_FRAME_BYTES  # send buffer; frames are dropped while it is exceeded
+FRAME_ERROR_LOG_INTERVAL_S = 30.0  # minimum interval between log lines about invalid frames
 
 
 @dataclass(slots=True)
 class ReceiveRate:
-    """How many frames one address sent in the present second."""
+    """Number of frames received from one address in the current second."""
 
     second: int = 0
     frames: int = 0
 
 
 class UdpTransport(asyncio.DatagramProtocol):
-    """One socket."""
+    """One UDP socket that sends and receives frames."""
 
     def __init__(
         self,
@@ -39,14 +39,14 @@
         on_frame: Callable[[str, frame.Frame[Any]], None],
         log_line: Callable[[str], None],
     ) -> None:
-        """Prepare a socket.
+        """Prepare a socket; `open` opens it.
 
         Args:
-            name: this process's, in each frame.
-            codec: of the messages.
-            incarnation: returns this process's incarnation, in each frame.
-            on_frame: is called with the sender's address and each frame that can be read.
-            log_line: is called with what an operator should know, one line each.
+            name: Name of this process, sent in each frame.
+            codec: Codec for the messages.
+            incarnation: Returns the incarnation of this process, sent in each frame.
+            on_frame: Called with the sender's address and each valid frame.
+            log_line: Writes one log line.
         """
         self._name = name
         self._codec = codec
@@ -59,10 +59,10 @@
         self._last_log_s = -FRAME_ERROR_LOG_INTERVAL_S
 
     async def open(self, host: str, port: int) -> str:
-        """Listen, and return the address that peers reach this at.
+        """Open the socket; returns its address.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is in use.
         """
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
@@ -75,14 +75,16 @@
             self._transport.close()
 
     def send(self, to: str, message: Any) -> None:
-        """Send a message to an address; what can't be sent is counted and dropped."""
+        """Send a message to an address; a message that can't be sent is counted and dropped."""
         host, _, port = to.rpartition(":")
         if self._transport is None or self._transport.is_closing() or not port.isdecimal():
             self.counts["peer frames unsent"] += 1
             return
-        # asyncio's own transports for datagrams have the method; their declared type lacks it.
+        # asyncio's datagram transports have this method, but their declared type lacks it.
         if self._transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:  # type: ignore[attr-defined]
-            self.counts["peer frames unsent"] += 1  # the socket is full: a late frame is worth nothing
+            self.counts["peer frames unsent"] += (
+                1  # the send buffer is full, and a late frame would be useless
+            )
             return
         try:
             data = self._codec.encode(self._name, self._incarnation(), message)
@@ -92,34 +94,36 @@
             return
         self.counts["peer frames sent"] += 1
 
-    # ---- asyncio's side
+    # ---- called by asyncio
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
-        """Read one datagram."""
+        """Decode one datagram, unless its sender exceeds the rate limit."""
         address = f"{source[0]}:{source[1]}"
         if not self._is_within_rate(address):
             self.counts["peer frames too many"] += 1
             return
         try:
             received = self._codec.decode(data)
-        except frame.FrameError as wrong:
+        except frame.FrameError as error:
             self.counts["peer frames refused"] += 1
             now = time.monotonic()
             if now - self._last_log_s >= FRAME_ERROR_LOG_INTERVAL_S:
                 self._last_log_s = now
-                self._log_line(f"a frame from {address}: {wrong}")
+                self._log_line(f"dropped a frame from {address}: {error}")
             return
         self.counts["peer frames read"] += 1
         self._on_frame(address, received)
 
     def error_received(self, exc: Exception) -> None:
-        """Count a datagram that its receiver's machine rejected."""
-        self.counts["peer sends refused"] += 1  # nobody listens there: its probe tells as much
+        """Count a datagram rejected by the receiver's machine."""
+        self.counts["peer sends refused"] += (
+            1  # no process listens there; the failure detector finds out anyway
+        )
 
     def _is_within_rate(self, address: str) -> bool:
-        """Count a frame, and return whether that address may still be read in this second."""
+        """Count a frame, and return whether its address is within the rate limit for this second."""
         rate = self._rates.pop(address, None) or ReceiveRate()
-        self._rates[address] = rate  # the one that sent last is the last
+        self._rates[address] = rate  # moves the address to the end: the dict is in order of the last frame
         if len(self._rates) > MAX_TRACKED_ADDRESSES:
             del self._rates[next(iter(self._rates))]
         second = int(time.monotonic())
--- a/tests/net/test_rate_limited_log.py
+++ b/tests/net/test_rate_limited_log.py
@@ -1,4 +1,4 @@
-"""The limiter's log on standard error."""
+"""Tests of the rate-limited log on standard error."""
 
 from lapisgrade.net.rate_limited_log import MAX_LINES_PER_SECOND, RateLimitedLog
 
@@ -11,6 +11,6 @@
         log.write(f"line {i}")
     now[0] = 6.0
     log.write("after")
-    said = capfd.readouterr().err.splitlines()
-    assert len(said) == MAX_LINES_PER_SECOND + 2
-    assert "7 lines left out" in said[-2]
+    lines = capfd.readouterr().err.splitlines()
+    assert len(lines) == MAX_LINES_PER_SECOND + 2
+    assert "7 log lines omitted by the rate limit" in lines[-2]
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -69,7 +69,11 @@
             env={**os.environ, "ROUTER_CONFIG": str(configuration_file)},
         )
 
-    for text, expected in [("{", "the configuration: "), ('{"name": 3}', "name is"), ("[]", "not an object")]:
+    for text, expected in [
+        ("{", "the configuration: "),
+        ('{"name": 3}', "name must be"),
+        ("[]", "must be a JSON object"),
+    ]:
         configuration_file.write_text(text)
         process = run()
         _, errors = process.communicate(timeout=20)
@@ -102,9 +106,9 @@
     assert process.returncode == 0
     assert "requests 4" in errors
     assert "responses_429 4" in errors
-    assert errors.count("goes on as before: ") == 2
+    assert errors.count("reload failed, keeping the current configuration: ") == 2
     assert "reloads 1" in errors
-    assert "told to end by SIGTERM" in errors
+    assert "received SIGTERM, shutting down" in errors
 
 
 @on_limiter_loop
