--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -1,4 +1,4 @@
-"""Clients' connections: what passes on, what is refused, who makes room."""
+"""Client connections: forwarding, rejection of invalid requests, eviction and time-outs."""
 
 import asyncio
 import contextlib
@@ -26,13 +26,13 @@
                 "file", str(number), body, connection=connection, path="/api/a?b=c%20d"
             )
             assert (status, answer) == (200, b"for " + body), behavior
-            first, headers, came, *_ = site.servers[0].received[-1]
-            assert first == "POST /api/a?b=c%20d HTTP/1.1"
-            assert came == body
+            request_line, headers, received_body, *_ = site.servers[0].received[-1]
+            assert request_line == "POST /api/a?b=c%20d HTTP/1.1"
+            assert received_body == body
             assert headers["x-request-id"] == str(number)
             assert headers["idempotency-key"] == f"k{number}"
             assert 0.5 < float(headers["x-timeout"]) <= 0.8
-        assert len(site.servers[0].writers) == 2  # UNTIL_CLOSE closed one; the others were used again
+        assert len(site.servers[0].writers) == 2  # UNTIL_CLOSE closed one; the others were reused
 
 
 @on_limiter_loop
@@ -43,8 +43,8 @@
             writer.write(bytes([byte]))
             await asyncio.sleep(0)
         assert (await read_message(reader))[2] == b"for abc"
-        how = {"Content_Length": None, "Transfer_Encoding": "chunked", "Expect": "100-continue"}
-        writer.write(site.encode_request("burn", "8", **how))
+        framing = {"Content_Length": None, "Transfer_Encoding": "chunked", "Expect": "100-continue"}
+        writer.write(site.encode_request("burn", "8", **framing))
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
         writer.write(b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
         assert (await read_message(reader))[2] == b"for abc"
@@ -93,7 +93,7 @@
             assert status == 400, bad
             assert headers["connection"] == "close", bad
         assert (await site.request("burn", body=bytes(70_000)))[0] == 413
-        assert (await site.request(timeout="900000.0"))[0] == 200  # no longer than the hard stop
+        assert (await site.request(timeout="900000.0"))[0] == 200  # capped at the category's time-out
         hidden = site.encode_request("burn", "hidden", b"x")
         for bad in [
             {"Transfer_Encoding": "chunked", "Content_Length": str(len(hidden) + 5)},
@@ -141,48 +141,48 @@
 async def test_idle_client_connections_are_evicted_and_busy_ones_kept():
     async with LimiterSite(sockets=16) as site:
         kept = [await site.connect() for _ in range(8)]
-        await site.request(path="/up", connection=kept[0])  # the one used last is the last to go
+        await site.request(path="/up", connection=kept[0])  # the most recently used one is evicted last
         await asyncio.sleep(client_listener.EVICTION_GRACE_S)
-        more = [await site.connect() for _ in range(4)]
+        newer = [await site.connect() for _ in range(4)]
         assert [await reader.read(1) for reader, _ in kept[1:5]] == [b""] * 4
-        left = [kept[0], *kept[5:], *more]
+        remaining = [kept[0], *kept[5:], *newer]
         for each in site.servers:
             each.behavior = 0.3
         site.service.host.policy.server_pool.concurrency.value = 99.0
         site.service.host.pool.max_connections = 8
-        for i, (_, writer) in enumerate(left):
+        for i, (_, writer) in enumerate(remaining):
             writer.write(site.encode_request("burn", f"{i}"))
         await wait_until(lambda: len(site.service.host.unanswered) == 8)
         assert (await site.request("burn", "over"))[0] == 503
         assert not site.attempts("over")
-        for reader, _ in left:
+        for reader, _ in remaining:
             assert (await read_message(reader))[0].startswith("HTTP/1.1 200")
 
 
 @on_limiter_loop
-async def test_connections_without_a_request_time_out_and_others_stay():
+async def test_connections_without_a_complete_request_time_out_and_active_ones_stay_open():
     async with LimiterSite() as site:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(client_listener.ClientListener, "request_timeout_s", 0.4)
             patch.setattr(client_listener.ClientListener, "idle_timeout_s", 1.0)
-            silent, half, slow, asked = [await site.connect() for _ in range(4)]
-            half[1].write(site.encode_request()[:40])
+            unused, incomplete, slow, reused = [await site.connect() for _ in range(4)]
+            incomplete[1].write(site.encode_request()[:40])
             for each in site.servers:
                 each.behavior = 0.5
-            busy = asyncio.create_task(site.request("burn", "1", connection=slow))
-            assert (await site.request(path="/up", connection=asked))[0] == 200
-            assert await silent[0].read() == b""
-            assert (await read_message(half[0]))[0].startswith("HTTP/1.1 408")
-            assert (await busy)[0] == 200  # longer than either, but something is owed
-            assert (await site.request(path="/up", connection=asked))[0] == 200
-            assert await asked[0].read() == b""
+            in_flight = asyncio.create_task(site.request("burn", "1", connection=slow))
+            assert (await site.request(path="/up", connection=reused))[0] == 200
+            assert await unused[0].read() == b""
+            assert (await read_message(incomplete[0]))[0].startswith("HTTP/1.1 408")
+            assert (await in_flight)[0] == 200  # no time-out applies while a request is in flight
+            assert (await site.request(path="/up", connection=reused))[0] == 200
+            assert await reused[0].read() == b""
             assert not site.service.listener.clients
 
 
 @on_limiter_loop
 async def test_idle_connections_leave_capacity_for_active_ones():
-    """Found in an incident: clients that asked once and stayed held all that clients may hold."""
-    async with LimiterSite(sockets=64) as site:  # 32 for clients, a quarter of them at rest
+    """Guards against an incident: clients that sent one request and stayed connected used all connections."""
+    async with LimiterSite(sockets=64) as site:  # 32 connections for clients, of which 8 may be idle
         kept = [await site.connect() for _ in range(24)]
         for connection in kept:
             assert (await site.request(path="/up", connection=connection))[0] == 200
@@ -214,27 +214,27 @@
             each.behavior = Behavior.BAD_REQUEST
         assert [(await site.request(kind, kind))[0] for kind in ("look", "file", "burn")] == [400] * 3
         assert [len(site.attempts(kind)) for kind in ("look", "file", "burn")] == [1] * 3
-        fleet = site.service.host.policy.server_pool
-        assert not fleet.concurrency.in_flight
-        assert all(each.health(0, 1.0) == 1.0 for each in fleet.servers.values())
+        server_pool = site.service.host.policy.server_pool
+        assert not server_pool.concurrency.in_flight
+        assert all(each.health(0, 1.0) == 1.0 for each in server_pool.servers.values())
 
 
 @on_limiter_loop
-async def test_hundreds_of_pipelined_requests_and_a_client_that_does_not_read():
+async def test_pipelined_requests_are_answered_and_a_client_that_does_not_read_is_aborted():
     async with LimiterSite() as site:
         reader, writer = await site.connect()
         writer.write(site.encode_request(path="/up") * 400)
         for _ in range(400):
             assert (await read_message(reader))[0].startswith("HTTP/1.1 200")
         closed = site.service.metrics.client_connections_closed
-        with socket.socket() as deaf:
-            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            deaf.connect(("127.0.0.1", site.port))
-            deaf.setblocking(False)
+        with socket.socket() as non_reading:
+            non_reading.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            non_reading.connect(("127.0.0.1", site.port))
+            non_reading.setblocking(False)
             with contextlib.suppress(ConnectionError):
                 for i in range(200):
-                    asked = site.encode_request("burn", f"{i}", bytes(60_000))
-                    await asyncio.get_running_loop().sock_sendall(deaf, asked)
+                    request = site.encode_request("burn", f"{i}", bytes(60_000))
+                    await asyncio.get_running_loop().sock_sendall(non_reading, request)
                     await wait_until(lambda i=i: site.attempts(f"{i}") or closed[CloseReason.TIMED_OUT])
                     await wait_until(lambda: not site.service.host.unanswered)
         assert closed[CloseReason.TIMED_OUT] == 1
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to servers: how each attempt ends, and which connections are reused."""
+"""Connections to servers: the close reason of each attempt, and reuse of connections."""
 
 import asyncio
 from types import SimpleNamespace
@@ -21,7 +21,7 @@
 
 
 class FakeAttempt:
-    """An attempt as the pool needs it."""
+    """The parts of an attempt that the pool uses."""
 
     def __init__(self, now, body=b"x", server="s", lasts=0.5):
         request = ClientRequest(object(), b"POST", b"/api", b"h", b"1", None, [body])
@@ -74,13 +74,13 @@
 
 
 @on_limiter_loop
-async def test_a_connection_that_is_never_established_has_run_nothing():
-    async def nobody():
+async def test_an_attempt_whose_connection_is_never_established_has_not_run():
+    async def never_connect():
         await asyncio.sleep(30)
 
     pool, finished, now = new_pool(1, dial=0.1)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("lapisgrade.net.upstream_connection.connect", lambda *_: nobody())
+        patch.setattr("lapisgrade.net.upstream_connection.connect", lambda *_: never_connect())
         pool.send(FakeAttempt(now))
         assert (await finished.get()).reason is CloseReason.CONNECT_TIMEOUT
         attempt = FakeAttempt(now)
@@ -90,14 +90,14 @@
 
 
 @on_limiter_loop
-async def test_nothing_is_sent_for_answered_operations_or_to_departing_servers():
+async def test_nothing_is_sent_for_answered_operations_or_to_removed_servers():
     server = await FakeServer().open()
     pool, finished, now = new_pool(server.port)
-    over, leaving = FakeAttempt(now), FakeAttempt(now)
-    pool.send(over)
-    over.operation.handle.client = None
+    answered, to_removed_server = FakeAttempt(now), FakeAttempt(now)
+    pool.send(answered)
+    answered.operation.handle.client = None
     assert (await finished.get()).reason is CloseReason.NOT_SENT
-    pool.send(leaving)
+    pool.send(to_removed_server)
     pool.update_addresses({"s": None})
     assert (await finished.get()).reason is CloseReason.NOT_SENT
     assert not server.received
@@ -106,7 +106,7 @@
 
 @on_limiter_loop
 async def test_idle_connections_are_closed_before_the_server_closes_them():
-    """What is written to a connection that the server has closed may have run, for all that we know."""
+    """An attempt written to a connection that the server has closed may have run, so it can't be retried."""
     server = await FakeServer().open()
     pool, finished, now = new_pool(server.port, idle=1.6)
     for wait, connections in [(0.0, 1), (0.0, 1), (0.65, 2)]:
@@ -114,9 +114,9 @@
         pool.send(FakeAttempt(now))
         assert (await finished.get()).reason is CloseReason.ANSWERED
         assert pool.metrics.upstream_connections_opened == connections
-    await wait_until(server.writers[0].is_closing)  # by us, with nothing more to send
+    await wait_until(server.writers[0].is_closing)  # closed by the pool, without another attempt
     server.abort_connections()
-    await asyncio.sleep(0)  # it is closed, and its end is not yet read
+    await asyncio.sleep(0)  # the connection is closed, but its end is not yet read
     pool.send(FakeAttempt(now))
     assert (await finished.get()).reason is CloseReason.ANSWERED
     assert pool.metrics.upstream_connections_opened == 3
@@ -124,8 +124,8 @@
 
 
 @on_limiter_loop
-async def test_a_second_response_on_a_connection_belongs_to_no_request():
-    """It lies read by asyncio, but not by us, when the connection is wanted for the next attempt."""
+async def test_an_unsolicited_second_response_is_not_used_for_the_next_attempt():
+    """Asyncio has received the second response, but the connection has not read it, at the next attempt."""
     server = await FakeServer().open()
     pool, finished, now = new_pool(server.port)
     pool.send(FakeAttempt(now))
@@ -150,7 +150,7 @@
     pool, finished, now = new_pool(server.port)
     pool.send(FakeAttempt(now))
     assert (await finished.get()).reason is CloseReason.ANSWERED
-    pool.update_addresses({"new": ("127.0.0.1", server.port)})  # before the old one is told to be gone
+    pool.update_addresses({"new": ("127.0.0.1", server.port)})  # before the old one is removed
     pool.send(FakeAttempt(now))
     assert (await finished.get()).reason is CloseReason.NOT_SENT
     pool.send(FakeAttempt(now, server="new"))
@@ -180,36 +180,37 @@
 @on_limiter_loop
 async def test_a_response_received_while_the_process_was_suspended_is_not_timed_out():
     async with LimiterSite() as site:
-        got, finished = asyncio.Queue(), asyncio.Queue()
+        replies, finished = asyncio.Queue(), asyncio.Queue()
         address = ("127.0.0.1", site.counter.port)
-        calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 100_000, 100_000)
+        client = CounterClient(replies.put_nowait, lambda text: None, NetMetrics(), address, 100_000, 100_000)
         pool, finished, now = new_pool(site.servers[0].port)
         for _ in range(2):  # the first ones open the connections
-            calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
+            client.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
             pool.send(FakeAttempt(now, lasts=0.2))
-            assert (await got.get()).reason is CloseReason.ANSWERED
+            assert (await replies.get()).reason is CloseReason.ANSWERED
             assert (await finished.get()).reason is CloseReason.ANSWERED
-        site.counter.block_once_s = site.servers[0].block_once_s = (
-            0.4  # each answers, and we do not look for so long
-        )
-        calls.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
-        assert (await got.get()).reason is CloseReason.ANSWERED
+        # Each peer replies, then the process is blocked for longer than the time-outs.
+        site.counter.block_once_s = site.servers[0].block_once_s = 0.4
+        client.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
+        assert (await replies.get()).reason is CloseReason.ANSWERED
         pool.send(FakeAttempt(now, lasts=0.2))
         assert (await finished.get()).reason is CloseReason.ANSWERED
 
 
 @on_limiter_loop
 async def test_a_partially_written_request_has_not_run():
-    """A server that stops reading and dies: the last byte never left this machine."""
+    """The server stops reading and then crashes, so the last byte of the request is never sent."""
 
-    async def deaf(reader, writer):
+    async def stop_reading_and_abort(reader, writer):
         reader._transport.pause_reading()
         await asyncio.sleep(0.2)
         writer.transport.abort()
 
-    server = await asyncio.start_server(deaf, "127.0.0.1", 0, limit=1024)
+    server = await asyncio.start_server(stop_reading_and_abort, "127.0.0.1", 0, limit=1024)
     pool, finished, now = new_pool(server.sockets[0].getsockname()[1])
-    pool.send(FakeAttempt(now, body=bytes(30_000_000), lasts=5.0))  # the server dies long before its end
+    pool.send(
+        FakeAttempt(now, body=bytes(30_000_000), lasts=5.0)
+    )  # the server aborts long before the deadline
     event = await finished.get()
     assert event.reason is CloseReason.INCOMPLETE_WRITE
     assert event.reason.outcome.never_ran
@@ -226,7 +227,7 @@
     reasons = [(await finished.get()).reason for _ in range(5)]
     assert reasons.count(CloseReason.NOT_SENT) == 1
     assert reasons.count(CloseReason.ANSWERED) == 4
-    pool.send(FakeAttempt(now, server="s4"))  # the one idle for longest makes room
+    pool.send(FakeAttempt(now, server="s4"))  # the longest idle connection is closed for it
     assert (await finished.get()).reason is CloseReason.ANSWERED
     for each in peers:
         each.close()
--- a/tests/net/test_counter_client.py
+++ b/tests/net/test_counter_client.py
@@ -1,4 +1,4 @@
-"""Calls to the counter service, which may be silent, busy or wrong."""
+"""Calls to a counter service that is unresponsive, overloaded or sends malformed replies."""
 
 import asyncio
 from types import SimpleNamespace
@@ -13,29 +13,29 @@
 
 
 @on_limiter_loop
-async def test_each_close_reason_of_a_counter_call_and_no_reply_for_another():
-    """An answer that comes too late is not taken for the next call's."""
+async def test_counter_calls_report_their_outcome_and_late_replies_do_not_answer_later_calls():
+    """A reply that arrives after its call's time-out must not be assigned to the next call."""
     async with LimiterSite() as site:
-        got = asyncio.Queue()
+        replies = asyncio.Queue()
         address = ("127.0.0.1", site.counter.port)
-        calls = CounterClient(got.put_nowait, lambda text: None, NetMetrics(), address, 250_000, 100_000)
+        client = CounterClient(replies.put_nowait, lambda text: None, NetMetrics(), address, 250_000, 100_000)
 
-        async def tell(amount, behavior):
+        async def add(amount, behavior):
             site.counter.behavior = behavior
-            calls.add(SimpleNamespace(), AddToCounter(7, amount, 45_000_000))
-            event = await got.get()
+            client.add(SimpleNamespace(), AddToCounter(7, amount, 45_000_000))
+            event = await replies.get()
             return event.reason.counter_outcome, event.total
 
-        assert await tell(2.0, Behavior.NORMAL) == (CounterOutcome.ADDED, 2.0)
+        assert await add(2.0, Behavior.NORMAL) == (CounterOutcome.ADDED, 2.0)
         assert site.counter.received[-1] == [b"INCRTTL", b"7", b"2.000000", b"45000"]
-        assert await tell(1.0, Behavior.BUSY) == (CounterOutcome.REJECTED, 0.0)
-        assert await tell(3.0, 0.4) == (CounterOutcome.TIMED_OUT, 0.0)
+        assert await add(1.0, Behavior.BUSY) == (CounterOutcome.REJECTED, 0.0)
+        assert await add(3.0, 0.4) == (CounterOutcome.TIMED_OUT, 0.0)
         await asyncio.sleep(0.2)
-        assert await tell(-1.0, Behavior.NORMAL) == (CounterOutcome.ADDED, 4.0)
-        assert await tell(1.0, Behavior.CLOSE) == (CounterOutcome.TIMED_OUT, 0.0)
-        assert await tell(1.0, Behavior.SILENT) == (CounterOutcome.TIMED_OUT, 0.0)
-        assert await tell(1.0, Behavior.NORMAL) == (CounterOutcome.ADDED, 5.0)  # on a new connection
-        for spoilt in [
+        assert await add(-1.0, Behavior.NORMAL) == (CounterOutcome.ADDED, 4.0)
+        assert await add(1.0, Behavior.CLOSE) == (CounterOutcome.TIMED_OUT, 0.0)
+        assert await add(1.0, Behavior.SILENT) == (CounterOutcome.TIMED_OUT, 0.0)
+        assert await add(1.0, Behavior.NORMAL) == (CounterOutcome.ADDED, 5.0)  # on a new connection
+        for malformed_reply in [
             b"$3\r\nnan\r\n",
             b"$4\r\n1e99",
             b"$4\r\nmany\r\n",
@@ -46,7 +46,7 @@
             b"$-1\r\n",
             b"-" + bytes(999),
         ]:
-            assert await tell(1.0, spoilt) == (CounterOutcome.TIMED_OUT, 0.0)
+            assert await add(1.0, malformed_reply) == (CounterOutcome.TIMED_OUT, 0.0)
         site.counter.close()
         await asyncio.sleep(0.01)
-        assert await tell(1.0, Behavior.NORMAL) == (CounterOutcome.REJECTED, 0.0)
+        assert await add(1.0, Behavior.NORMAL) == (CounterOutcome.REJECTED, 0.0)
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The watch of the server list: what it applies, and how it goes on when the agent fails."""
+"""The watch of the server list: updates it applies, and retries when the agent fails."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 @on_limiter_loop
-async def test_the_watch_continues_and_a_departing_server_gets_no_new_requests():
+async def test_the_watch_is_renewed_and_a_draining_server_gets_no_new_requests():
     async with LimiterSite() as site:
         await asyncio.sleep(0.7)
         paths = [path for path, _ in site.discovery.calls]
@@ -27,11 +27,11 @@
         before = len(site.discovery.calls)
         site.discovery.abort_connections()
         await asyncio.sleep(0.18)
-        assert len(site.discovery.calls) > before  # within 200 ms
+        assert len(site.discovery.calls) > before  # reconnected within 200 ms
         site.discovery.behavior, before = Behavior.EMPTY_REPLIES, len(site.discovery.calls)
         await wait_until(lambda: len(site.discovery.calls) > before + 4)
-        times = [when for _, when in site.discovery.calls[-4:]]
-        assert 0.25 < times[-1] - times[0] < 0.6  # each within 200 ms, and no more often than it takes
+        times = [time for _, time in site.discovery.calls[-4:]]
+        assert 0.25 < times[-1] - times[0] < 0.6  # each call within 200 ms, but not more often than needed
 
 
 @on_limiter_loop
@@ -41,7 +41,7 @@
         await asyncio.sleep(1.0)
         before = len(site.discovery.calls)
         await asyncio.sleep(1.0)
-        assert len(site.discovery.calls) - before <= 5  # ten if it came back at once
+        assert len(site.discovery.calls) - before <= 5  # without backoff there would be ten
         site.discovery.behavior = Behavior.NORMAL
         site.discovery.change(s0="terminating")
         await wait_until(lambda: "s0" not in site.service.host.pool.addresses)
--- a/tests/net/test_metrics.py
+++ b/tests/net/test_metrics.py
@@ -1,10 +1,10 @@
-"""What the transports count, by the names that the log says."""
+"""Names and values of the network metrics in the log."""
 
 from lapisgrade.net.close_reason import CloseReason
 from lapisgrade.net.metrics import NetMetrics
 
 
-def test_only_what_was_counted_is_named_and_reasons_and_statuses_each():
+def test_nonzero_metrics_are_reported_with_one_name_per_reason_and_status():
     metrics = NetMetrics()
     assert metrics.nonzero() == {}
     metrics.attempts += 2
@@ -19,7 +19,7 @@
     }
 
 
-def test_each_reason_has_a_name_of_its_own_without_spaces():
+def test_close_reasons_have_unique_names_without_spaces():
     names = [each.value for each in CloseReason]
     assert len(set(names)) == len(CloseReason)
     assert not any(" " in name for name in names)
--- a/tests/net/test_random_faults.py
+++ b/tests/net/test_random_faults.py
@@ -1,4 +1,4 @@
-"""The rules on sockets, by chance."""
+"""The rules for operations on real sockets under random faults."""
 
 import asyncio
 from collections import Counter
@@ -11,14 +11,14 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_rules_hold_on_sockets_under_chance(seed):
-    run_on_limiter_loop(chance(Random(seed)))
+def test_operation_rules_hold_under_random_faults(seed):
+    run_on_limiter_loop(run_random_faults(Random(seed)))
 
 
-async def chance(random):
+async def run_random_faults(random):
     async with LimiterSite(servers=4) as site:
         time, done = asyncio.get_running_loop().time, {}
-        ways = [Behavior.NORMAL] * 6 + [
+        server_behaviors = [Behavior.NORMAL] * 6 + [
             0.05,
             0.2,
             Behavior.ERROR,
@@ -30,7 +30,7 @@
             Behavior.CHUNKED,
         ]
         for each in site.servers:
-            each.behavior = lambda: random.choice(ways)
+            each.behavior = lambda: random.choice(server_behaviors)
         site.counter.behavior = lambda: random.choice(
             [Behavior.NORMAL] * 6 + [0.04, Behavior.BUSY, Behavior.CLOSE]
         )
@@ -38,30 +38,32 @@
         async def client(name):
             connection = None
             for turn in range(14):
-                number, kind = f"{name}-{turn}", random.choice(["look", "file", "burn"])
+                request_id, request_class = f"{name}-{turn}", random.choice(["look", "file", "burn"])
                 connection = connection or await site.connect()
                 started, time_out = time(), random.choice([0.1, 0.5, 0.9])
 
-                async def ask(*args, **more):
-                    return *await site.request(*args, **more), time()
+                async def timed_request(*args, **kwargs):
+                    return *await site.request(*args, **kwargs), time()
 
-                asking = asyncio.create_task(ask(kind, number, connection=connection, timeout=str(time_out)))
+                request_task = asyncio.create_task(
+                    timed_request(request_class, request_id, connection=connection, timeout=str(time_out))
+                )
                 if random.random() < 0.1:
                     await asyncio.sleep(random.random() * 0.2)
-                    if not asking.done():
-                        asking.cancel()
+                    if not request_task.done():
+                        request_task.cancel()
                         connection[1].transport.abort()
-                        connection, done[number] = None, (kind, None, time())
+                        connection, done[request_id] = None, (request_class, None, time())
                         continue
-                status, headers, body, ended = await asyncio.wait_for(asking, 5)
-                assert ended - started < time_out + 0.3, "rule 1: answered late"
-                done[number] = kind, status, ended
+                status, headers, body, ended = await asyncio.wait_for(request_task, 5)
+                assert ended - started < time_out + 0.3, "rule 1: answered more than 0.3 s after the time-out"
+                done[request_id] = request_class, status, ended
                 assert status in (200, 429, 502)
                 assert body == (b"for " if status == 200 else b"")
                 if "connection" in headers:
                     connection = None
 
-        async def trouble():
+        async def inject_faults():
             for _ in range(25):
                 await asyncio.sleep(random.random() * 0.15)
                 peer = random.choice([*site.servers, site.counter, site.discovery])
@@ -70,14 +72,20 @@
                     states = ["in_service", "in_service", "terminating"]
                     site.discovery.change(**{f"s{random.randrange(4)}": random.choice(states)})
 
-        await asyncio.gather(trouble(), *(client(str(i)) for i in range(12)))
-        for number, (kind, status, ended) in done.items():
-            hops = site.attempts(number)
-            assert all(hop[3] < ended + 0.3 for hop in hops), "rule 1: sent after its answer"
-            may_have_run = [hop for hop in hops if hop[4] != Behavior.OVERLOADED]
-            if kind == "burn":
-                assert len(may_have_run) <= 1, "rule 2"
-                assert not (status == 429 and may_have_run), "rule 2"
+        await asyncio.gather(inject_faults(), *(client(str(i)) for i in range(12)))
+        for request_id, (request_class, status, ended) in done.items():
+            attempts = site.attempts(request_id)
+            assert all(attempt[3] < ended + 0.3 for attempt in attempts), (
+                "rule 1: attempt sent after the final answer"
+            )
+            may_have_run = [attempt for attempt in attempts if attempt[4] != Behavior.OVERLOADED]
+            if request_class == "burn":
+                assert len(may_have_run) <= 1, (
+                    "rule 2: non-idempotent operation sent again after it may have run"
+                )
+                assert not (status == 429 and may_have_run), (
+                    "rule 2: the client was asked to retry an operation that may have run"
+                )
         statuses = Counter(status for _, status, _ in done.values())
         assert statuses[200] > 60
         assert len(done) == 12 * 14
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -1,4 +1,4 @@
-"""The end of a limiter, and a new configuration under open work."""
+"""Shutdown of a limiter, and configuration reload while operations are in flight."""
 
 import asyncio
 import contextlib
@@ -25,40 +25,39 @@
         for each in site.servers:
             each.behavior = 0.6
         idle, busy = await site.connect(), await site.connect()
-        asked = asyncio.create_task(site.request("burn", "1", connection=busy))
+        in_flight = asyncio.create_task(site.request("burn", "1", connection=busy))
         await asyncio.sleep(0.05)
         site.service.shut_down()
         await asyncio.sleep(0.1)
-        late = asyncio.create_task(site.request("burn", "2"))  # still comes, on a new connection
-        silent = await site.connect()  # and asks nothing: it is not waited for
+        late = asyncio.create_task(site.request("burn", "2"))  # still accepted, on a new connection
+        unused = await site.connect()  # sends no request and does not delay the shutdown
 
-        async def insist():  # one that never stops to ask whether it is up, on a new connection each time
-            seen = set()
+        async def poll_readiness():  # a new connection for each check
+            statuses = set()
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                 while True:
                     reader, writer = await asyncio.open_connection("127.0.0.1", site.port)
                     writer.write(site.encode_request(path="/up"))
-                    seen.add((await read_message(reader))[0].split(" ")[1])
-            return seen
+                    statuses.add((await read_message(reader))[0].split(" ")[1])
+            return statuses
 
-        insisting = asyncio.create_task(insist())
-        assert (await site.request("look", "3", connection=idle, timeout="0.1"))[
-            0
-        ] == 502  # or on one that was kept
-        assert (await asked)[0] == 200
+        readiness_poll = asyncio.create_task(poll_readiness())
+        # A request on an existing connection is also still accepted.
+        assert (await site.request("look", "3", connection=idle, timeout="0.1"))[0] == 502
+        assert (await in_flight)[0] == 200
         assert (await late)[0] == 200
         assert (await late)[1]["connection"] == "close"
         assert await idle[0].read() == b""
         await asyncio.wait_for(site.service_task, 1)
-        assert await insisting == {"503"}
-        assert await silent[0].read() == b""
+        assert await readiness_poll == {"503"}
+        assert await unused[0].read() == b""
         closed = site.service.metrics.client_connections_closed
-        # The others by their answers, or as idle.
+        # The other connections close after a response or as idle.
         assert closed[CloseReason.ANSWERED] >= 2
         assert closed[CloseReason.IDLE] >= 2
 
 
-def test_the_process_reports_errors_and_prints_its_counters(tmp_path):
+def test_the_process_reports_configuration_errors_and_logs_its_counters(tmp_path):
     configuration_file = tmp_path / "config.json"
 
     def run():
@@ -89,10 +88,10 @@
     configuration_file.write_text(json.dumps(site.configuration()))
     process = run()
 
-    async def ask():
+    async def request_statuses():
         return (await site.request(path="/up"))[0], (await site.request())[0]
 
-    assert asyncio.run(asyncio.wait_for(ask(), 10)) == (200, 429)  # no server is known
+    assert asyncio.run(asyncio.wait_for(request_statuses(), 10)) == (200, 429)  # the server list is empty
     for text in [
         "{",
         json.dumps({**site.configuration(), "counter": "nowhere"}),
@@ -100,7 +99,7 @@
     ]:
         configuration_file.write_text(text)
         process.send_signal(signal.SIGHUP)
-        assert asyncio.run(asyncio.wait_for(ask(), 10)) == (200, 429)
+        assert asyncio.run(asyncio.wait_for(request_statuses(), 10)) == (200, 429)
     process.send_signal(signal.SIGTERM)
     _, errors = process.communicate(timeout=5)
     assert process.returncode == 0
@@ -112,16 +111,16 @@
 
 
 @on_limiter_loop
-async def test_a_reload_moves_discovery_and_counter_under_open_operations():
-    # also a busy machine answers the open call in time
+async def test_a_reload_switches_discovery_and_counter_while_operations_are_in_flight():
+    # The long time-out lets the call in flight finish even on a busy machine.
     async with LimiterSite(counter_timeout_ms=5000.0) as site:
         pool, rows = site.service.host.pool, site.discovery.rows
         discovery, counter = await FakeDiscovery(rows).open(), await FakeCounter().open()
         with pytest.raises(MalformedInputError):
             site.service.reload({**site.configuration(), "counter": 7})
-        site.service.reload({**site.configuration(), "discovery": "127.0.0.1:1"})  # nobody listens there yet
+        site.service.reload({**site.configuration(), "discovery": "127.0.0.1:1"})  # not listening yet
         site.discovery.change(s0="terminating")
-        await wait_until(lambda: list(pool.addresses) == ["s1"])  # so the one before is still followed
+        await wait_until(lambda: list(pool.addresses) == ["s1"])  # the previous agent is still watched
         site.counter.behavior = site.servers[1].behavior = 0.02
         early = [asyncio.create_task(site.request("burn", f"early-{i}")) for i in range(4)]
         await wait_until(lambda: site.counter.received)
@@ -133,7 +132,7 @@
             }
         )
         for each in (site.discovery, site.counter):
-            each.server.close()  # takes no new connections; open ones stay
+            each.server.close()  # accepts no new connections; open ones remain
         assert [(await each)[0] for each in early] == [200] * 4
         assert site.service.metrics.counter_calls_finished[CloseReason.ANSWERED] >= 1
         await wait_until(lambda: discovery.calls)
--- a/tests/support/event_loop.py
+++ b/tests/support/event_loop.py
@@ -1,4 +1,4 @@
-"""Coroutines of tests on the limiter's own kind of event loop."""
+"""Runs tests that are coroutines on the limiter's type of event loop."""
 
 import asyncio
 import functools
@@ -12,7 +12,7 @@
 
 
 def on_limiter_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run a test that is a coroutine function on the limiter's event loop, for a limited time."""
+    """Decorate a coroutine function to run as a test on the limiter's event loop, with a time-out."""
 
     @functools.wraps(test)
     def run(**kwargs: Any) -> None:
@@ -22,10 +22,10 @@
 
 
 def run_on_limiter_loop(coroutine: Coroutine[Any, Any, None]) -> None:
-    """Run the coroutine to its end.
+    """Run a coroutine until it completes.
 
     Raises:
-        TimeoutError: It takes longer than `TIMEOUT_S`.
+        TimeoutError: The coroutine takes longer than `TIMEOUT_S`.
     """
     with asyncio.Runner(loop_factory=event_loop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(coroutine, TIMEOUT_S))
--- a/tests/support/fake_peers.py
+++ b/tests/support/fake_peers.py
@@ -1,6 +1,6 @@
-"""Fakes on loopback of all that a limiter talks to: servers, the counter and discovery.
+"""Fakes on loopback of a limiter's peers: servers, the counter service and discovery.
 
-Each serves the operators' protocol, and misbehaves as its `behavior` says.
+Each implements the operators' protocol, with the faults that its `behavior` selects.
 """
 
 import asyncio
@@ -12,35 +12,35 @@
 from typing import Any, Self
 
 NO_RESPONSE_S = 30.0  # longer than any time-out under test
-WATCH_TIMEOUT_S = 0.3  # how long discovery holds a watch open without a change
+WATCH_TIMEOUT_S = 0.3  # maximum time that a watch of discovery stays open without a change
 
 
 class Behavior(enum.Enum):
-    """How a fake answers; not every fake knows every one."""
+    """Behaviour of a fake; each fake supports some of these."""
 
     NORMAL = enum.auto()
-    SILENT = enum.auto()  # takes the message and never answers
-    CLOSE = enum.auto()  # closes the connection in place of an answer
-    BUSY = enum.auto()  # counter and discovery: refuses the call
-    EMPTY_REPLIES = enum.auto()  # discovery: answers a watch at once, with no changes
+    SILENT = enum.auto()  # reads the message and never replies
+    CLOSE = enum.auto()  # closes the connection instead of replying
+    BUSY = enum.auto()  # counter and discovery: rejects the call
+    EMPTY_REPLIES = enum.auto()  # discovery: answers a watch immediately, without changes
     CHUNKED = enum.auto()  # servers, from here on: a chunked body
     EARLY_HINTS = enum.auto()  # an interim response before the final one
-    UNTIL_CLOSE = enum.auto()  # a body without a length, which ends with the connection
-    TRUNCATED = enum.auto()  # the connection ends within the body
+    UNTIL_CLOSE = enum.auto()  # a body without a length, terminated by closing the connection
+    TRUNCATED = enum.auto()  # the connection closes within the body
     ERROR = enum.auto()  # status 500
-    LOAD_REPORT = enum.auto()  # status 500 with the server's load
-    OVERLOADED = enum.auto()  # status 503 that says that nothing was processed
-    UNAVAILABLE = enum.auto()  # status 503 that does not say so
+    LOAD_REPORT = enum.auto()  # status 500 with a load report
+    OVERLOADED = enum.auto()  # status 503 with X-Not-Processed
+    UNAVAILABLE = enum.auto()  # status 503 without X-Not-Processed
     BAD_REQUEST = enum.auto()  # status 400
-    MALFORMED = enum.auto()  # no HTTP
+    MALFORMED = enum.auto()  # not HTTP
 
 
-# One behaviour, seconds that a normal answer takes, or (the counter alone) the bytes of the reply.
+# A behaviour, the delay of a normal reply in seconds, or (counter only) the bytes of the reply.
 AnyBehavior = Behavior | float | bytes
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """One HTTP message: its first line, its headers by lower-case name, and its body."""
+    """Read one HTTP message; returns its start line, its headers by lower-case name, and its body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     fields = (line.partition(": ") for line in head[1:-2])
     headers = {name.lower(): value for name, _, value in fields}
@@ -48,46 +48,46 @@
 
 
 class FakePeer:
-    """A listener that serves one message after another on each connection.
+    """A listener that handles the messages of each connection sequentially.
 
-    `behavior` is one behaviour for all messages, or a function that is called for each.
+    `behavior` is a behaviour for all messages, or a function that returns the behaviour for each message.
     """
 
     def __init__(self, behavior: AnyBehavior | Callable[[], AnyBehavior] = Behavior.NORMAL) -> None:
         self.behavior = behavior
-        self.received: list[Any] = []  # each message, in order
+        self.received: list[Any] = []  # all messages, in order
         self.port = 0
-        self.block_once_s = 0.0  # blocks the whole process for so long, after the next answer
-        self.writers: list[asyncio.StreamWriter] = []  # of every connection so far
+        self.block_once_s = 0.0  # seconds for which the whole process is blocked after the next reply
+        self.writers: list[asyncio.StreamWriter] = []  # one per accepted connection
 
     async def open(self) -> Self:
-        """Listen at a free port."""
+        """Listen on a free port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     def abort_connections(self) -> None:
-        """Reset every connection, as a process that dies does."""
+        """Reset all connections, as a process crash does."""
         for writer in self.writers:
             writer.transport.abort()
         self.writers.clear()
 
     def close(self) -> None:
-        """Stop listening, and reset every connection."""
+        """Stop listening, and reset all connections."""
         self.abort_connections()
         self.server.close()
 
     def next_behavior(self) -> AnyBehavior:
-        """How to answer the message at hand."""
+        """Return the behaviour for the current message."""
         return self.behavior() if callable(self.behavior) else self.behavior
 
     def block_if_requested(self) -> None:
-        """Keep this process from its sockets, once."""
+        """Block the whole process once for `block_once_s`."""
         seconds, self.block_once_s = self.block_once_s, 0.0
         time.sleep(seconds)
 
     async def serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Read and answer one message; whether the connection goes on."""
+        """Read and answer one message; returns whether the connection stays open."""
         raise NotImplementedError
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -99,7 +99,7 @@
 
 
 def encode_response(behavior: Behavior, body: bytes) -> bytes:
-    """What a server with that behaviour answers to a request with that body; nothing where it closes."""
+    """Encode a server's response to a request with this body; empty if the server closes instead."""
     echo = b"for " + body
     chunk = b"%x\r\n%b\r\n" % (len(body), body) if body else b""
     complete = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(echo), echo)
@@ -123,7 +123,7 @@
 
 
 class FakeServer(FakePeer):
-    """A server; `received` has first line, headers, body, time and behaviour of each request."""
+    """A server; `received` has the request line, headers, body, time and behaviour of each request."""
 
     async def serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Answer one request."""
@@ -143,7 +143,7 @@
 
 
 class FakeCounter(FakePeer):
-    """The counter; `received` has the words of each command."""
+    """The counter service; `received` has the arguments of each command."""
 
     def __init__(self, behavior: AnyBehavior | Callable[[], AnyBehavior] = Behavior.NORMAL) -> None:
         super().__init__(behavior)
@@ -151,8 +151,8 @@
 
     async def serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Answer one command."""
-        words = await self._read_command(reader)
-        self.received.append(words)
+        arguments = await self._read_command(reader)
+        self.received.append(arguments)
         behavior = self.next_behavior()
         if isinstance(behavior, float):
             await asyncio.sleep(behavior)
@@ -163,19 +163,19 @@
         elif isinstance(behavior, bytes):
             writer.write(behavior)
         elif behavior is not Behavior.CLOSE:
-            await self._add(words[1], float(words[2]), writer)
+            await self._add(arguments[1], float(arguments[2]), writer)
         return behavior is not Behavior.CLOSE
 
     @staticmethod
     async def _read_command(reader: asyncio.StreamReader) -> list[bytes]:
-        words = []
+        arguments = []
         for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
             size = int((await reader.readuntil(b"\r\n"))[1:])
-            words.append((await reader.readexactly(size + 2))[:-2])
-        return words
+            arguments.append((await reader.readexactly(size + 2))[:-2])
+        return arguments
 
     async def _add(self, name: bytes, amount: float, writer: asyncio.StreamWriter) -> None:
-        """Count, and reply the new total in three fragments."""
+        """Add to a count, and send the new total in three fragments."""
         self.counts[name] = self.counts.get(name, 0.0) + amount
         total = b"%.3f" % self.counts[name]
         for fragment in (b"$%d\r" % len(total), b"\n" + total[:1], total[1:] + b"\r\n"):
@@ -185,7 +185,7 @@
 
 
 class FakeDiscovery(FakePeer):
-    """Discovery; `calls` has path and time of each call."""
+    """The discovery agent; `calls` has the path and time of each call."""
 
     def __init__(self, rows: list[dict[str, Any]]) -> None:
         super().__init__()
@@ -194,18 +194,18 @@
         self._changed = asyncio.Event()
 
     def change(self, **states: str) -> None:
-        """Give servers a new lifecycle state, and answer the watches that wait."""
+        """Change the lifecycle state of servers, and answer the open watches."""
         for row in self.rows:
             row["lifecycle"] = states.get(row["instanceId"], row["lifecycle"])
         self.generation += 1
         self._changed.set()
 
     def endpoint_list(self, reset: bool = True) -> dict[str, Any]:
-        """The reply with every server."""
+        """Return the reply that lists all servers."""
         return {"generation": self.generation, "reset": reset, "instances": self.rows}
 
     async def serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Answer one call; a watch without news waits for them."""
+        """Answer one call; a watch waits for a change if there is none."""
         first, _, _ = await read_message(reader)
         self.calls.append((first.split(" ")[1], asyncio.get_running_loop().time()))
         if self.behavior is Behavior.NORMAL and f"since={self.generation}&" in first:
--- a/tests/support/limiter_settings.py
+++ b/tests/support/limiter_settings.py
@@ -1,4 +1,4 @@
-"""The categories, plans and rules of the limiters under test."""
+"""Categories, plans and server rules of the limiters under test."""
 
 from lapisgrade.interface import (
     Category,
--- a/tests/support/limiter_simulation.py
+++ b/tests/support/limiter_simulation.py
@@ -1,4 +1,4 @@
-"""Real limiters among simulated clients, counter and servers, on a clock that the test moves."""
+"""Real limiters with simulated clients, counter and servers, on simulated time."""
 
 import heapq
 from collections.abc import Callable
@@ -25,20 +25,20 @@
 OUTCOME_WEIGHTS = (70, 8, 6, 6, 5, 5)
 ALWAYS_OK = (1, 0, 0, 0, 0, 0)
 MEAN_LATENCY_US = 120_000
-ANSWER_LEEWAY_US = 8_000  # that an answer may be later than the operation's deadline
+ANSWER_LEEWAY_US = 8_000  # maximum time from an operation's deadline to its answer
 
 
 class LimiterSimulation:
-    """Simulated time, and all that limiters talk to.
+    """Simulated time, and simulated peers of the limiters.
 
     Attributes:
-        limiters: The hosts of the limiters, by index.
-        endpoints: Every server's entry in the list, by name.
-        counts: The counter's data.
-        is_counter_silent: The counter answers nothing.
-        counter_loss: The share of the counter's replies that are lost, once it has counted.
-        attempts: Every attempt that was sent.
-        replies: Operation, final answer and its time, of each that has one.
+        limiters: Hosts of the limiters, by index.
+        endpoints: Entry of each server in the server list, by name.
+        counts: Totals in the counter, by id.
+        is_counter_silent: The counter does not reply to calls.
+        counter_loss: Share of the counter's replies that are lost after the count is changed.
+        attempts: All attempts sent.
+        replies: Operation, final answer and time of the answer, for each answered operation.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
             f"s{i}": ServerEndpoint(f"s{i}", ServerState.READY, f"z{i % 2}", i % 3, 1.0)
             for i in range(servers)
         }
-        self.rate_limits: dict[str, tuple[float, int]] = {}  # by customer: level, and when
+        self.rate_limits: dict[str, tuple[float, int]] = {}  # bucket level and its time, by customer
         self.attempts: list[SimulatedAttempt] = []
         self.replies: list[tuple[Operation, Any, int]] = []
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -68,16 +68,16 @@
             self.start_limiter(i)
 
     def schedule(self, delay_us: float, call: Callable[..., None], *args: Any) -> None:
-        """Call it after that time; calls of one moment come in the order that they were scheduled in."""
+        """Schedule a call; calls due at the same time run in the order in which they were scheduled."""
         self._scheduled += 1
         heapq.heappush(self._events, (self.now + max(1, int(delay_us)), self._scheduled, call, args))
 
     def start_limiter(self, i: int) -> None:
-        """Start that limiter, or replace it by a new process."""
+        """Start a limiter, or replace it by a new process."""
         self.limiters[i] = LimiterHost(self, i)
 
     def set_states(self, **states: ServerState) -> None:
-        """Give servers, by name, a new state in the list that every limiter has."""
+        """Change the state of servers, by name, in the server lists of all limiters."""
         for name, state in states.items():
             old = self.endpoints[name]
             restarted = state is ServerState.READY and old.state is not ServerState.READY
@@ -97,7 +97,7 @@
         units: int = 1,
         timeout_us: int | None = None,
     ) -> Operation:
-        """A client's operation arrives at that limiter."""
+        """Submit a client's operation to a limiter."""
         kind = CATEGORIES[category]
         host, deadline_us = self.limiters[i], self.now + (timeout_us or kind.timeout_us)
         operation = Operation(customer, PLANS[plan], kind, units, self.now, deadline_us, self.limiter_count)
@@ -108,13 +108,13 @@
         return operation
 
     def run(self, until_us: int) -> None:
-        """Move the clock, and do all that is due by then."""
+        """Advance the clock, and run all events that are due."""
         while self._events and self._events[0][0] <= until_us:
             self.now, _, call, args = heapq.heappop(self._events)
             owner = getattr(call, "__self__", None)
             if isinstance(owner, LimiterHost):
                 if self.limiters[owner.index] is not owner:
-                    continue  # of a process that was replaced
+                    continue  # event of a replaced process
                 owner.clock.now_us = self.now
                 owner.engine.run_due_timers()
             call(*args)
@@ -124,6 +124,6 @@
             host.engine.run_due_timers()
 
     def draw_outcome(self) -> tuple[AttemptOutcome | None, float]:
-        """How an attempt ends, and after how many us; no outcome for no response."""
+        """Return a random outcome of an attempt, None for no response, and its delay in microseconds."""
         outcome = self.random.choices(OUTCOMES, self.outcome_weights)[0]
         return outcome, self.random.expovariate(1 / MEAN_LATENCY_US) + 1_000
--- a/tests/support/limiter_site.py
+++ b/tests/support/limiter_site.py
@@ -1,4 +1,4 @@
-"""One limiter on loopback among fakes of all that it talks to."""
+"""One limiter on loopback, with fakes of its peers."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 
 class LimiterSite:
-    """`async with LimiterSite() as site:` starts the fakes and the limiter, and ends them in turn."""
+    """Async context manager that starts and stops the limiter and its fake peers."""
 
     def __init__(self, servers: int = 2, sockets: int = 1024, counter_timeout_ms: float = 30.0) -> None:
         self.servers = [FakeServer() for _ in range(servers)]
@@ -41,7 +41,7 @@
             fake.close()
 
     def configuration(self) -> dict[str, Any]:
-        """What the limiter is started with."""
+        """Return the limiter's configuration."""
         return {
             "name": "n0",
             "listen": f"127.0.0.1:{self.port}",
@@ -54,7 +54,7 @@
         }
 
     async def connect(self) -> Connection:
-        """A client's connection, as soon as the limiter listens."""
+        """Open a client connection; retries until the limiter listens."""
         while True:
             with contextlib.suppress(OSError):
                 return await asyncio.open_connection("127.0.0.1", self.port)
@@ -69,7 +69,7 @@
         timeout: str = "0.800",
         **extra_headers: str | None,
     ) -> bytes:
-        """A request of that class and id; `extra_headers` adds headers, or leaves those out that are None."""
+        """Encode a request; `extra_headers` sets headers, and removes those set to None."""
         headers: dict[str, str | None] = {
             "Host": "api.internal",
             "X-Request-ID": request_id,
@@ -92,7 +92,7 @@
     async def request(
         self, *args: Any, connection: Connection | None = None, **extra_headers: Any
     ) -> tuple[int, dict[str, str], bytes]:
-        """One request on a connection, its own if none is given; status, headers and body of the response."""
+        """Send a request, by default on a new connection; returns status, headers and body."""
         reader, writer = connection or await self.connect()
         writer.write(self.encode_request(*args, **extra_headers))
         first, headers, body = await read_message(reader)
@@ -101,7 +101,7 @@
         return int(first.split(" ")[1]), headers, body
 
     def attempts(self, request_id: str) -> list[Any]:
-        """The attempts of a request that reached servers complete."""
+        """Return the attempts of a request that servers received completely."""
         return [
             each
             for server in self.servers
@@ -111,7 +111,7 @@
 
 
 def endpoint_row(name: str, port: int) -> dict[str, Any]:
-    """A server in discovery's list."""
+    """Return a server's entry in the list of discovery."""
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{port}",
@@ -124,7 +124,7 @@
 
 
 def limiter_settings(counter_timeout_ms: float) -> dict[str, Any]:
-    """The operators' settings of the limiter."""
+    """Return the operators' settings of the limiter."""
     return {
         "SelfIndex": 0,
         "NInstances": 1,
--- a/tests/support/loopback_network.py
+++ b/tests/support/loopback_network.py
@@ -1,9 +1,9 @@
 """Reservation of loopback networks, for tests whose machines listen at fixed ports.
 
-A deployment's ports are the same on each machine, so such a test gives each machine an address of its own in
-127.N.0.0/16 and needs an N that nobody else uses meanwhile: no other test of this worker, no other worker of
-this run, no other run on the same host. A reservation is a bound socket, which the kernel takes back when its
-process ends, however it ends.
+A deployment uses the same ports on each machine, so such a test gives each machine its own address in
+127.N.0.0/16. While it runs, N must not be used by any other test of this worker, other worker of this run or
+other run on the same host. A reservation is a bound socket, which the kernel releases when the process exits
+for any reason.
 """
 
 import contextlib
@@ -14,16 +14,18 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-# The laboratory's plays and `make system-demo` use networks from 127.77 on, by default.
+# Laboratory runs and `make system-demo` use networks from 127.77 on by default.
 FIRST_NETWORK = 1
 MAX_NETWORKS = 75
-RESERVATION_PORT = 8999  # below the ports that the system hands out itself
-# A server's port; a machine's HTTP, readiness and control port; and those that machines call each other at.
+RESERVATION_PORT = 8999  # below the system's ephemeral ports
+# Port of a server; HTTP, readiness and control ports of a machine; ports of calls between machines.
 CHECKED_PORTS = (8080, 8405, 8406, 8407, *range(7660, 7676))
 CHECKED_HOSTS = range(1, 10)
 RETRY_INTERVAL_S = 0.1
 
-_next_network = itertools.count(os.getpid() * 13)  # processes that start together begin apart
+_next_network = itertools.count(
+    os.getpid() * 13
+)  # processes that start together try different networks first
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,20 +35,20 @@
     number: int
 
     def host(self, number: int) -> str:
-        """The address of the machine of that number."""
+        """Return the address of a machine, by its number."""
         return f"127.{self.number}.0.{number}"
 
 
 class NoFreeNetworkError(Exception):
-    """Every loopback network is reserved or in use."""
+    """No loopback network is available."""
 
 
 @contextlib.contextmanager
 def reserve_loopback_network() -> Iterator[LoopbackNetwork]:
-    """Reserve a network that nobody uses, until the context ends.
+    """Reserve an unused network until the context exits.
 
     Raises:
-        NoFreeNetworkError: All of them are reserved or in use.
+        NoFreeNetworkError: All networks are reserved or in use.
     """
     for _ in range(MAX_NETWORKS):
         network = LoopbackNetwork(FIRST_NETWORK + next(_next_network) % MAX_NETWORKS)
@@ -54,15 +56,15 @@
             if is_reserved:
                 yield network
                 return
-    raise NoFreeNetworkError(f"none of {MAX_NETWORKS} loopback networks is free")
+    raise NoFreeNetworkError(f"all {MAX_NETWORKS} loopback networks are reserved or in use")
 
 
 @contextlib.contextmanager
 def wait_for_loopback_network(number: int, within_s: float = 120.0) -> Iterator[LoopbackNetwork]:
-    """Reserve the one network that stored data names, once nobody uses it, until the context ends.
+    """Wait for the network that stored data refers to, and reserve it until the context exits.
 
     Raises:
-        NoFreeNetworkError: It was in use all the time.
+        NoFreeNetworkError: The network did not become available in time.
     """
     network, deadline = LoopbackNetwork(number), time.monotonic() + within_s
     while time.monotonic() < deadline:
@@ -71,12 +73,12 @@
                 yield network
                 return
         time.sleep(RETRY_INTERVAL_S)
-    raise NoFreeNetworkError(f"127.{number} was in use for {within_s:g} s")
+    raise NoFreeNetworkError(f"network 127.{number}.0.0/16 did not become free within {within_s:g} s")
 
 
 @contextlib.contextmanager
 def _reservation(network: LoopbackNetwork) -> Iterator[bool]:
-    """Whether the network could be reserved; it is released when the context ends."""
+    """Try to reserve a network and yield whether this succeeded; released when the context exits."""
     with socket.socket() as reservation:
         try:
             reservation.bind((f"127.{network.number}.255.254", RESERVATION_PORT))
@@ -87,9 +89,9 @@
 
 
 def _is_idle(network: LoopbackNetwork) -> bool:
-    """Whether nobody listens there.
+    """Return whether no process listens on the network.
 
-    (Guards against processes that outlived their test, and listeners that a cancelled start left open.)
+    A process may have outlived its test, or a cancelled start may have left a listener open.
     """
     probes = itertools.product((socket.SOCK_STREAM, socket.SOCK_DGRAM), (0, 1), CHECKED_HOSTS, CHECKED_PORTS)
     for kind, subnet, host, port in probes:
