--- a/lapisgrade/net/client_listener.py
+++ b/lapisgrade/net/client_listener.py
@@ -55,7 +55,7 @@
             log: Writes one log line.
             metrics: Counters to update.
             parser: Parses requests; None if a subclass overrides `parse_request`.
-            max_connections: Number of connections from which on others are evicted or rejected.
+            max_connections: Number of connections beyond which others are evicted or requests rejected.
         """
         self.enqueue = enqueue
         self.log = log
@@ -95,7 +95,10 @@
         self._server.close()
 
     def close_idle(self) -> None:
-        """Close connections after their next response, and now those idle since the last call."""
+        """Close connections after their next response, and now those idle since the last call.
+
+        The service calls this repeatedly while it drains.
+        """
         self.closes_after_response = True
         for client in self._idle_at_last_close:
             if client in self.awaiting_first_request or client in self.idle:
--- a/lapisgrade/net/counter_client.py
+++ b/lapisgrade/net/counter_client.py
@@ -73,7 +73,7 @@
         self.in_flight: deque[CounterCall] = deque()  # written, without a reply
         self._reader: CountingStreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
-        self._last_received_s = 0.0  # or the time of the last write with no call in flight
+        self._last_received_s = 0.0  # last read, or last write with no call in flight
         self._buffer = b""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
@@ -202,8 +202,8 @@
         self._address = address
         self._timeout_s = timeout_us / SECOND
         self.connect_timeout_s = connect_timeout_us / SECOND
-        self._current: CounterConnection | None = None  # used for new calls
-        self._retiring: list[CounterConnection] = []  # to a previous address, until their calls finish
+        self._current: CounterConnection | None = None  # connection for new calls
+        self._retiring: list[CounterConnection] = []  # connections to a previous address, with open calls
 
     def add(self, task: Task, add: AddToCounter) -> None:
         """Call the counter service; the task waits for the total."""
--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -70,7 +70,7 @@
         self._pool = pool
         self._address = address
         self._backoff = PollBackoff(random, limiters)
-        self._version: int | None = None  # of the last applied list; None: request the complete one
+        self._version: int | None = None  # version of the last applied list; None requests a complete one
         self._watches: list[asyncio.Task[None]] = []  # newest last
 
     def start(self) -> None:
--- a/lapisgrade/peers/udp.py
+++ b/lapisgrade/peers/udp.py
@@ -82,9 +82,8 @@
             return
         # asyncio's datagram transports have this method, but their declared type lacks it.
         if self._transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:  # type: ignore[attr-defined]
-            self.counts["peer frames unsent"] += (
-                1  # the send buffer is full, and a late frame would be useless
-            )
+            # The send buffer is full, and a late frame would be useless.
+            self.counts["peer frames unsent"] += 1
             return
         try:
             data = self._codec.encode(self._name, self._incarnation(), message)
@@ -116,9 +115,8 @@
 
     def error_received(self, exc: Exception) -> None:
         """Count a datagram rejected by the receiver's machine."""
-        self.counts["peer sends refused"] += (
-            1  # no process listens there; the failure detector finds out anyway
-        )
+        # No process listens there. The failure detector notices it by its own probes.
+        self.counts["peer sends refused"] += 1
 
     def _is_within_rate(self, address: str) -> bool:
         """Count a frame, and return whether its address is within the rate limit for this second."""
