--- a/lapisgrade/members/__init__.py
+++ b/lapisgrade/members/__init__.py
@@ -1,11 +1,12 @@
-"""Which limiters are alive, by SWIM with Lifeguard's additions, for installations where limiters may talk.
+"""Peer-to-peer membership of limiters: SWIM with Lifeguard's extensions.
 
-There are two membership packages, as they serve two programs. Here the limiter (`lapisgrade serve --site`)
-finds by itself who lives, without anybody who decides: SWIM's failure detector. In `gateway.membership` the
-controllers decide by consensus which proxies live, and a proxy only keeps a sample of them to ask for the
-leader (Cyclon), and divides the committed membership into subsets. Both send datagrams through
-`lapisgrade.peers`.
+There are two membership packages, one for each program. The limiter (`lapisgrade serve --site`) uses this
+one: limiters detect failed members among themselves with SWIM's failure detector, without a coordinator. In
+the gateway the controllers decide by consensus which proxies are live; `gateway.membership` gives a proxy
+only a partial view of the others (Cyclon), through which it finds the leader, and divides the committed
+membership into subsets. Both packages send datagrams through `lapisgrade.peers`.
 
-`messages`, `timing`, `dissemination`, `failure_detector` and `core` are pure; `host` is the shell round them,
-`site` the operator's file, `sim` a simulated network. Off, and not imported, in `python -m lapisgrade`.
+`messages`, `timing`, `table`, `health`, `dissemination`, `failure_detector` and `core` are pure. `host` does
+the I/O, `site` reads the operator's file, and `sim` simulates a network. `python -m lapisgrade` does not
+import this package.
 """
--- a/lapisgrade/members/__main__.py
+++ b/lapisgrade/members/__main__.py
@@ -1,7 +1,7 @@
-"""One member as a process of its own: `python -m lapisgrade.members NAME HOST:PORT [SEED...]`.
+"""One member in its own process: `python -m lapisgrade.members NAME HOST:PORT [SEED...]`.
 
-Prints its address, then a JSON line for each change that it learns of; SIGTERM ends it. For trying a network
-out, and for the tests; a limiter hosts its membership itself.
+Prints its address, then a JSON line for each state change it observes, until SIGTERM. It serves tests and
+network trials; a limiter runs its member in its own process.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 def printed_counts(metrics: MemberMetrics) -> dict[str, int]:
-    """Return the counters by the keys that this command prints."""
+    """Return the counters under the keys that this command prints."""
     return {
         "sent": metrics.sent,
         "heard": metrics.received,
@@ -36,7 +36,7 @@
 
 
 async def run(name: str, listen: str, reached_at: str, seeds: list[str], random_seed: int) -> None:
-    """Be a member until SIGTERM."""
+    """Run a member until SIGTERM."""
 
     def on_change(update: Update) -> None:
         state = MemberState(update.state).name.lower()
@@ -62,14 +62,14 @@
 @click.argument("name")
 @click.argument("listen")
 @click.argument("seeds", nargs=-1)
-@click.option("--at", "reached_at", default="", help="where others reach it, where that is not LISTEN")
-@click.option("--seed", "random_seed", type=int, default=0, help="of its chance")
+@click.option("--at", "reached_at", default="", help="address at which others reach it, if not LISTEN")
+@click.option("--seed", "random_seed", type=int, default=0, help="random seed")
 def main(name: str, listen: str, seeds: tuple[str, ...], reached_at: str, random_seed: int) -> None:
-    """One member NAME at LISTEN, met through SEEDS (host:port each)."""
+    """Run the member NAME at LISTEN; it joins through SEEDS (host:port each)."""
     try:
         asyncio.run(run(name, listen, reached_at, list(seeds), random_seed))
-    except (OSError, MalformedInputError) as wrong:
-        click.echo(f"the member could not start: {wrong}", err=True)
+    except (OSError, MalformedInputError) as error:
+        click.echo(f"the member could not start: {error}", err=True)
         sys.exit(2)
 
 
--- a/lapisgrade/members/core.py
+++ b/lapisgrade/members/core.py
@@ -1,20 +1,20 @@
-"""One limiter's view of which limiters live: pure, driven by messages and a clock.
+"""One limiter's view of the live limiters. Pure: driven by messages and a clock.
 
-SWIM (Das, Gupta, Motivala 2002): each period one member is probed, in a shuffled round; one that does not
-answer is probed through a few others; one that nobody reaches is suspected, and dead once nothing refuted
-that in time. Updates on members are sent along with the probes and their answers. Lifeguard (Dadgar,
-Phillips, Currey 2017): a member that misses answers lowers its own health, and is slower to judge; a
-suspicion runs out sooner the more members share it.
+The protocol is SWIM (Das, Gupta, Motivala 2002). Each period one member is probed, in shuffled rounds. A
+member that does not acknowledge is probed indirectly through a few others; if that fails too, it is
+suspected, and declared dead unless it refutes the suspicion in time. Updates are piggybacked on probes and
+acks. Lifeguard (Dadgar, Phillips, Currey 2017) adds two things: a member that misses acks lowers its own
+health and lengthens its time-outs, and a suspicion times out sooner the more members share it.
 
-    ALIVE <-----------------(ALIVE, of a higher incarnation)-----------------------+
-      |                                                     |                      |
-      +--(nobody reaches it, or another suspects it)--> SUSPECT --(not refuted)--> DEAD --> forgotten
+    ALIVE <------------------(ALIVE with a higher incarnation)------------------------+
+      |                                                        |                      |
+      +--(probes fail, or another member suspects it)--> SUSPECT --(not refuted)--> DEAD --> removed
 
-A suspicion ends at `MemberTable.suspicion_ends_us`; a dead member is kept for `dead_retention_us`.
+A suspicion times out at `MemberTable.suspicion_ends_us`; a dead member is kept for `dead_retention_us`.
 
-The shell hands each message to `on_message`, calls `on_timer` at `wakes_us` or later, and sends what both
-return. Times are whole microseconds of its own clock; nothing here needs clocks to agree. Randomness comes
-from the `random.Random` that is handed in: the same events give the same messages.
+The host passes each message to `on_message`, calls `on_timer` at `next_wakeup_us` or later, and sends the
+messages that both return. Times are integer microseconds of the local clock; clocks need not be
+synchronized. All randomness comes from the `random.Random` argument, so equal events give equal messages.
 """
 
 from dataclasses import dataclass
@@ -30,26 +30,27 @@
 from lapisgrade.members.timing import Timing
 
 MAX_NAME_LENGTH = 64  # characters
-MAX_INCARNATION = 1 << 62  # an update may name any: one that leaves no room above it is ignored
+# Updates that give this member this incarnation or a higher one are ignored, as a refutation needs one above.
+MAX_INCARNATION = 1 << 62
 
 
 @dataclass(slots=True)
 class MemberMetrics:
-    """Counters of one member since its start, in messages or updates."""
+    """Counters of one member since its start."""
 
     sent: int = 0  # messages
     received: int = 0  # messages
-    refuted: int = 0  # updates that held this member suspect or dead, or spoke of an earlier incarnation
-    suspected: int = 0  # members that came to be suspected here
-    died: int = 0  # members that came to be held dead here
-    invalid: int = 0  # updates out of bounds
+    refuted: int = 0  # updates that called this member suspect or dead, or named a later incarnation of it
+    suspected: int = 0  # transitions of other members to SUSPECT
+    died: int = 0  # transitions of other members to DEAD
+    invalid: int = 0  # updates with values out of range
 
 
 class Members:
-    """The members that one limiter knows.
+    """The membership state of one limiter.
 
-    `alive()` is who is thought to live, this one among them; `changed` holds what changed since it was last
-    emptied by the shell.
+    `alive()` returns the members considered alive, including this one. `unreported_changes` collects state
+    changes until the host clears it.
     """
 
     def __init__(
@@ -61,21 +62,21 @@
         random: Random,
         timing: Timing | None = None,
     ) -> None:
-        """Begin alone.
+        """Start as the only member.
 
         Args:
-            name: this member's.
-            address: where others reach it.
-            incarnation: higher than in any earlier process of the name, as a start time in ms is.
-            now_us: the time.
-            random: the source of all randomness.
-            timing: the protocol's times, the same at all members.
+            name: Name of this member.
+            address: Address at which others reach this member.
+            incarnation: Must exceed that of every earlier process of this name; a start time in ms does.
+            now_us: Current time.
+            random: Source of all randomness.
+            timing: Protocol parameters; must be the same at all members.
         """
         self.name = name
         self.address = address
         self.incarnation = incarnation
         self.timing = timing or Timing()
-        self.changed: list[Update] = []
+        self.unreported_changes: list[Update] = []
         self.metrics = MemberMetrics()
         self.table = MemberTable(self.timing)
         self.health = LocalHealth(self.timing)
@@ -88,41 +89,41 @@
         self._next_sync_us = now_us + round(random.random() * self.timing.sync_interval_us)
         self._seeds: list[str] = []
 
-    # ---- what the shell calls
+    # ---- called by the host
 
     def join(self, addresses: list[str]) -> list[Send]:
-        """Contact the members at these addresses; again now and then until one has answered."""
+        """Contact the members at these addresses, and retry periodically those not yet in the table."""
         self._seeds = [each for each in addresses if each != self.address]
         return [self._sync(each, False) for each in self._seeds]
 
     def alive(self) -> list[str]:
-        """Return the names of those that live or are only suspected, this one among them, in order."""
-        return sorted([self.name, *self.table.not_dead()])
+        """Return the sorted names of all members that are alive or suspected, including this one."""
+        return sorted([self.name, *self.table.not_dead_names()])
 
-    def holds_dead(self, name: str) -> bool:
-        """Return whether that member is known and held dead."""
+    def considers_dead(self, name: str) -> bool:
+        """Return whether the member is known and its state is DEAD."""
         member = self.table.by_name.get(name)
         return member is not None and member.state is MemberState.DEAD
 
     @property
-    def wakes_us(self) -> int:
-        """When `on_timer` is to be called next, at the latest."""
+    def next_wakeup_us(self) -> int:
+        """Time at which `on_timer` is due next."""
         suspects = self.table.with_state(MemberState.SUSPECT)
         times = [self._next_sync_us, *self.failure_detector.wake_times_us()]
         return min(times + [self.table.suspicion_ends_us(member) for member in suspects])
 
     def on_timer(self, now_us: int) -> list[Send]:
-        """Do what is due at `now_us`."""
+        """Run the probes, time-outs and syncs that are due at `now_us`."""
         self._now_us = max(self._now_us, now_us)
-        out = self.failure_detector.on_timer(self._now_us)
+        sends = self.failure_detector.on_timer(self._now_us)
         self._expire_members()
-        out += self.failure_detector.expire_relayed(self._now_us)
+        sends += self.failure_detector.expire_relayed(self._now_us)
         if self._now_us >= self._next_sync_us:
-            out += self._begin_sync()
-        return out
+            sends += self._start_sync()
+        return sends
 
     def on_message(self, now_us: int, source: str, message: Message) -> list[Send]:
-        """Take in a message from the address `source`."""
+        """Handle a message received from the address `source`."""
         self._now_us = max(self._now_us, now_us)
         self.metrics.received += 1
         incarnation = self.incarnation
@@ -135,11 +136,12 @@
             return self.failure_detector.on_ping_request(self._now_us, source, message)
         if isinstance(message, Ack):
             return self.failure_detector.on_ack(message)
-        # One that holds us dead learns at once that we live: partitions that meet again need no second round.
+        # Also answer a reply that made this member refute its death: the sender learns at once that it is
+        # alive, so two healed partitions need no second exchange.
         is_refuted = self.incarnation != incarnation
         return [self._sync(source, True)] if not message.is_reply or is_refuted else []
 
-    # ---- time
+    # ---- timers
 
     def _expire_members(self) -> None:
         for member in list(self.table):
@@ -155,13 +157,13 @@
 
     def _is_retention_over(self, member: Member) -> bool:
         is_dead = member.state is MemberState.DEAD
-        return is_dead and self._now_us - member.since_us > self.timing.dead_retention_us
+        return is_dead and self._now_us - member.state_since_us > self.timing.dead_retention_us
 
-    def _begin_sync(self) -> list[Send]:
+    def _start_sync(self) -> list[Send]:
         interval_us = self.timing.sync_interval_us
         self._next_sync_us = self._now_us + round(interval_us * (0.5 + self._random.random()))
-        # Dead ones too, and seeds never met: two sides of a partition that is healed meet this way, and two
-        # groups whose seeds were not up yet when they started.
+        # Candidates include dead members, so that the sides of a healed partition find each other, and seeds
+        # not yet in the table, so that groups started before their seeds find each other.
         known = [member.address for member in self.table]
         unmet = [each for each in self._seeds if each not in known]
         addresses = unmet if unmet and (not known or self._random.random() < 0.5) else known
@@ -173,11 +175,11 @@
         self._report(member, MemberState.SUSPECT)
 
     def _report(self, member: Member, state: MemberState) -> None:
-        """Take in this member's own judgement of another."""
+        """Apply this member's own verdict on another member."""
         self._apply(Update(member.name, member.address, member.incarnation, state, self.name))
 
     def _apply(self, update: Update) -> None:
-        """Take in what somebody reports of a member (SWIM, section 4.2)."""
+        """Apply an update on a member (SWIM, section 4.2)."""
         is_named = 0 < len(update.name) <= MAX_NAME_LENGTH
         if not is_named or update.state not in (0, 1, 2) or update.incarnation < 0:
             self.metrics.invalid += 1
@@ -188,7 +190,7 @@
         known = self.table.by_name.get(update.name)
         if known is None:
             if update.state == MemberState.DEAD or len(self.table.by_name) >= MAX_MEMBERS:
-                return  # nothing is known that it could end
+                return  # an unknown member cannot die, and a full table accepts no new one
         elif self._is_same_suspicion(known, update):
             self._add_suspecter(known, update)
             return
@@ -197,7 +199,7 @@
         self._replace(known, update)
 
     def _replace(self, known: Member | None, update: Update) -> None:
-        """Begin a member's new state or incarnation."""
+        """Store a new state or incarnation of a member, and queue the update for dissemination."""
         state = MemberState(update.state)
         member = Member(update.name, update.address, update.incarnation, state, self._now_us)
         if state is MemberState.SUSPECT:
@@ -207,7 +209,7 @@
             self.metrics.died += 1
         self.table.by_name[update.name] = member
         if known is None or known.state is not state or known.incarnation != update.incarnation:
-            self.changed.append(update)
+            self.unreported_changes.append(update)
         self._updates.put(update)
 
     @staticmethod
@@ -225,7 +227,7 @@
             self._updates.put(update)
 
     def _refute(self, update: Update) -> None:
-        """Answer an update that holds this member suspect or dead, or names a later incarnation of it."""
+        """Refute an update that calls this member suspect or dead, or names a later incarnation of it."""
         is_doubted = update.state != MemberState.ALIVE and update.incarnation >= self.incarnation
         if not is_doubted and update.incarnation <= self.incarnation:
             return
@@ -247,10 +249,13 @@
         updates = self._updates.take(len(self.table.by_name) + 1)
         return Send(to, msgspec.structs.replace(message, updates=updates))
 
-    def _sync(self, to: str, answer: bool) -> Send:
-        """Return this member itself and a random part of the table, dead ones too: none is revived by it."""
+    def _sync(self, to: str, is_reply: bool) -> Send:
+        """Return a Sync with this member and a random sample of the table.
+
+        The sample includes dead members, so that the receiver does not revive them.
+        """
         self.metrics.sent += 1
         known = sorted(self.table.by_name)
         picked = self._random.sample(known, min(self.timing.sync_members, len(known)))
         part = [self.table.by_name[name].as_update() for name in picked]
-        return Send(to, Sync(answer, [self._own_update(), *part]))
+        return Send(to, Sync(is_reply, [self._own_update(), *part]))
--- a/lapisgrade/members/dissemination.py
+++ b/lapisgrade/members/dissemination.py
@@ -1,36 +1,36 @@
-"""Updates that wait to be sent along with other messages (SWIM, section 4.1). Pure."""
+"""Queue of updates to piggyback on other messages (SWIM, section 4.1). Pure."""
 
 import math
 
 from lapisgrade.members.messages import Update
-from lapisgrade.members.timing import Timing, log_members
+from lapisgrade.members.timing import Timing, log_member_count
 
 
 class UpdateQueue:
-    """The newest update on each member, with how often it was sent."""
+    """The newest update on each member, with its number of transmissions."""
 
     def __init__(self, timing: Timing) -> None:
         self._timing = timing
-        self._pending: dict[str, tuple[Update, int]] = {}  # by member: the update, and how often it was sent
+        self._pending: dict[str, tuple[Update, int]] = {}  # member name to (update, transmissions)
 
     def put(self, update: Update) -> None:
-        """Send this update from now on, in place of what there was on the member.
+        """Queue an update; it replaces any queued update on the same member.
 
-        One suspecter of a member takes another's place too: what is known of a member is one update.
+        A suspicion by one member thus also replaces the suspicion of the same member by another.
         """
         self._pending[update.name] = (update, 0)
 
     def discard(self, name: str) -> None:
-        """Send nothing more on that member."""
+        """Remove the queued update on a member, if any."""
         self._pending.pop(name, None)
 
     def take(self, members: int) -> list[Update]:
-        """Return the updates for one message, those that were sent least first.
+        """Return the updates for one message, least transmitted first.
 
         Args:
-            members: how many there are: an update is sent more often among many.
+            members: Number of members; the retransmission limit grows with its logarithm.
         """
-        limit = math.ceil(self._timing.retransmit_multiplier * log_members(members))
+        limit = math.ceil(self._timing.retransmit_multiplier * log_member_count(members))
         chosen = sorted(self._pending, key=lambda name: (self._pending[name][1], name))
         taken = []
         for name in chosen[: self._timing.updates_per_message]:
--- a/lapisgrade/members/failure_detector.py
+++ b/lapisgrade/members/failure_detector.py
@@ -1,10 +1,10 @@
-"""SWIM's failure detector: probes of one member a period, in a shuffled round (sections 3.1 and 4.3). Pure.
+"""SWIM's failure detector: one probe per period, in shuffled rounds (sections 3.1 and 4.3). Pure.
 
-idle --(the next member is due)--> direct probe --(no answer in `probe_timeout_us`)--> indirect probes
-  ^                                     |                                                  |
-  +------------(an answer came)---------+--------------------------------------------------+
-  |                                                                                        |
-  +-------------------(no answer by the end of the period: it is suspected)----------------+
+idle --(next probe is due)--> direct probe --(no ack in `probe_timeout_us`)--> indirect probes
+  ^                                |                                               |
+  +---------(ack received)---------+-----------------------------------------------+
+  |                                                                                |
+  +------------(no ack by the end of the period: the target is suspected)----------+
 """
 
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 from lapisgrade.members.table import Member, MemberTable
 from lapisgrade.members.timing import Timing
 
-MAX_RELAYED = 64  # probes for others in progress at once
-NUMBERS = 1 << 31  # of probes
+MAX_RELAYED = 64  # maximum number of concurrent probes on behalf of other members
+PROBE_NUMBER_COUNT = 1 << 31  # probe numbers wrap around at this value
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to an address."""
+    """A message to be sent to an address."""
 
     to: str
     message: Message
@@ -30,30 +30,30 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A probe in progress."""
+    """A probe in progress, of a member by this one."""
 
     target: str
     number: int
-    indirect_at_us: int  # when others are asked; past that, 0
-    ends_us: int
-    requests: int = 0  # members that were asked
-    missed: int = 0  # of those asked, who replied that they got no answer either
+    indirect_at_us: int  # time of the indirect probes; 0 once they are sent
+    deadline_us: int
+    indirect_requests: int = 0  # members asked to probe the target
+    negative_acks: int = 0  # how many of those replied that the target did not answer
 
 
 @dataclass(slots=True)
 class RelayedProbe:
-    """A probe made for another."""
+    """A probe on behalf of another member."""
 
     requester: str  # address
-    number: int  # the requester's
-    ends_us: int
+    number: int  # probe number of the requester
+    deadline_us: int
 
 
 class FailureDetector:
     """The probes of one member, and those that it relays for others.
 
-    Driven by `on_timer` at `wakes_us` or later, and by `on_ping_request` and `on_ack`. A member that nobody
-    reaches is reported by `suspect`.
+    Call `on_timer` at the earliest of `wake_times_us()` or later, and `on_ping_request` and `on_ack` for the
+    messages received. A member whose probes all fail is passed to the `suspect` callback.
     """
 
     def __init__(
@@ -72,30 +72,30 @@
         self._random = random
         self._send = send
         self._suspect = suspect
-        self.relayed: dict[int, RelayedProbe] = {}  # by this member's number
-        self._round: list[str] = []  # the members that this round has not come to yet
+        self.relayed: dict[int, RelayedProbe] = {}  # by probe number of this member
+        self._round: list[str] = []  # members left to probe in this round
         self._probe: Probe | None = None
         self._number = random.getrandbits(31)
         self._next_probe_us = now_us + round(random.random() * timing.probe_interval_us)
 
     def wake_times_us(self) -> list[int]:
-        """Return when something is due."""
+        """Return the times at which `on_timer` has work to do."""
         times = [self._next_probe_us]
         if self._probe is not None:
-            times.append(self._probe.indirect_at_us or self._probe.ends_us)
-        return times + [each.ends_us for each in self.relayed.values()]
+            times.append(self._probe.indirect_at_us or self._probe.deadline_us)
+        return times + [each.deadline_us for each in self.relayed.values()]
 
     def on_timer(self, now_us: int) -> list[Send]:
-        """Ask others, judge and begin the next probe, as far as each is due."""
-        out: list[Send] = []
+        """Send indirect probes, fail the current probe and start the next one, as far as each is due."""
+        sends: list[Send] = []
         probe = self._probe
         if probe is not None and probe.indirect_at_us and now_us >= probe.indirect_at_us:
-            out += self._probe_indirectly(probe)
-        if probe is not None and now_us >= probe.ends_us:
-            self._give_up(probe)
+            sends += self._probe_indirectly(probe)
+        if probe is not None and now_us >= probe.deadline_us:
+            self._fail_probe(probe)
         if now_us >= self._next_probe_us:
-            out += self._begin(now_us)
-        return out
+            sends += self._start_probe(now_us)
+        return sends
 
     def _probe_indirectly(self, probe: Probe) -> list[Send]:
         probe.indirect_at_us = 0
@@ -103,26 +103,26 @@
         others = [each for each in self._table.with_state(MemberState.ALIVE) if each.name != probe.target]
         if target is None:
             return []
-        out = []
+        sends = []
         for other in self._random.sample(others, min(self._timing.indirect_probes, len(others))):
-            probe.requests += 1
-            out.append(self._send(other.address, PingRequest(probe.number, target.name, target.address)))
-        # Once more itself: one lost datagram is no sign.
-        out.append(self._send(target.address, Ping(probe.number, target.name)))
-        return out
+            probe.indirect_requests += 1
+            sends.append(self._send(other.address, PingRequest(probe.number, target.name, target.address)))
+        # Repeat the direct probe too: its first datagram may have been lost.
+        sends.append(self._send(target.address, Ping(probe.number, target.name)))
+        return sends
 
-    def _give_up(self, probe: Probe) -> None:
+    def _fail_probe(self, probe: Probe) -> None:
         self._probe = None
         target = self._table.by_name.get(probe.target)
-        # Those asked who did not even reply that they got no answer: it is this member that is cut off or
-        # slow.
-        unanswered = probe.requests - probe.missed
-        self._health.adjust(unanswered if probe.requests else 1)
-        # Where others suspect it already, this is one suspecter more.
+        # A helper that sends neither an ack nor a negative ack suggests that this member itself is slow or
+        # cut off.
+        unanswered = probe.indirect_requests - probe.negative_acks
+        self._health.adjust(unanswered if probe.indirect_requests else 1)
+        # If the target is already suspected, this adds one more suspecter.
         if target is not None and target.state is not MemberState.DEAD:
             self._suspect(target)
 
-    def _begin(self, now_us: int) -> list[Send]:
+    def _start_probe(self, now_us: int) -> list[Send]:
         self._next_probe_us = now_us + self._health.scale(self._timing.probe_interval_us)
         target = self._next_target()
         if target is None or self._probe is not None:
@@ -137,14 +137,14 @@
         return [self._send(target.address, Ping(number, target.name))]
 
     def _next_number(self) -> int:
-        self._number = (self._number + 1) % NUMBERS
+        self._number = (self._number + 1) % PROBE_NUMBER_COUNT
         return self._number
 
     def _next_target(self) -> Member | None:
-        """Return the next of a shuffled round over those not dead: each is probed once a round."""
+        """Return the next target. Each round covers every member that is not dead once, in random order."""
         while True:
             if not self._round:
-                self._round = sorted(self._table.not_dead())
+                self._round = sorted(self._table.not_dead_names())
                 self._random.shuffle(self._round)
                 if not self._round:
                     return None
@@ -155,17 +155,17 @@
     # ---- messages
 
     def on_ping_request(self, now_us: int, source: str, message: PingRequest) -> list[Send]:
-        """Probe a member for another one."""
+        """Probe a member on behalf of another."""
         if len(self.relayed) >= MAX_RELAYED:
             return []
         number = self._next_number()
-        # The reply that it missed must come before the requester's own time-out.
+        # The negative ack must arrive before the requester's own time-out.
         wait_us = self._timing.probe_timeout_us * 4 // 5
         self.relayed[number] = RelayedProbe(source, message.number, now_us + wait_us)
         return [self._send(message.address, Ping(number, message.name))]
 
     def on_ack(self, message: Ack) -> list[Send]:
-        """Take in an answer to a probe, or pass it on to the member for which it was made."""
+        """Complete this member's own probe, or forward the ack of a relayed probe to its requester."""
         relayed = self.relayed.pop(message.number, None)
         if relayed is not None:
             return [self._send(relayed.requester, Ack(relayed.number))]
@@ -173,17 +173,17 @@
         if probe is None or message.number != probe.number:
             return []
         if message.missed:
-            probe.missed += 1
+            probe.negative_acks += 1
         else:
             self._probe = None
             self._health.adjust(-1)
         return []
 
     def expire_relayed(self, now_us: int) -> list[Send]:
-        """Tell the members for which a probe was made that it got no answer in time."""
-        out = []
+        """Send a negative ack to the requester of each relayed probe that has timed out."""
+        sends = []
         for number, relayed in list(self.relayed.items()):
-            if now_us >= relayed.ends_us:
+            if now_us >= relayed.deadline_us:
                 del self.relayed[number]
-                out.append(self._send(relayed.requester, Ack(relayed.number, True)))
-        return out
+                sends.append(self._send(relayed.requester, Ack(relayed.number, True)))
+        return sends
--- a/lapisgrade/members/health.py
+++ b/lapisgrade/members/health.py
@@ -4,16 +4,20 @@
 
 
 class LocalHealth:
-    """A score that rises with each answer that this member misses; it slows the judgement of others."""
+    """A score that rises with each ack that this member misses.
+
+    A higher score lengthens this member's probe intervals and time-outs, so that a slow or isolated member
+    suspects others later.
+    """
 
     def __init__(self, timing: Timing) -> None:
-        self.score = 0  # 0 is healthy
+        self.score = 0  # 0 means healthy
         self._timing = timing
 
     def adjust(self, change: int) -> None:
-        """Raise or lower the score, within its bounds."""
+        """Add `change` to the score, clamped to 0 and `max_health_score`."""
         self.score = max(0, min(self._timing.max_health_score, self.score + change))
 
     def scale(self, duration_us: int) -> int:
-        """Return the time that a member of this health allows in place of `duration_us`."""
+        """Return `duration_us` scaled by the health score."""
         return duration_us * (1 + self.score)
--- a/lapisgrade/members/host.py
+++ b/lapisgrade/members/host.py
@@ -1,4 +1,4 @@
-"""The shell round a member: one socket, one timer, and a callback for each change."""
+"""The I/O of a member: one UDP socket, one timer, and a callback for each state change."""
 
 import asyncio
 import time
@@ -17,33 +17,33 @@
 
 
 def now_us() -> int:
-    """Return the monotonic time."""
+    """Return the monotonic time in us."""
     return time.monotonic_ns() // 1000
 
 
-def _ignore(update: Update) -> None:
-    """Do nothing with a change."""
+def _ignore_change(update: Update) -> None:
+    """Do nothing; the default `on_change`."""
 
 
 class Host:
-    """One member from start to end: `await open(...)`, then `core.alive()`, and `close()` at the end."""
+    """One running member: `await open(...)`, query `core.alive()`, then `close()`."""
 
     def __init__(
         self,
         name: str,
         log_line: Callable[[str], None],
-        on_change: Callable[[Update], None] = _ignore,
+        on_change: Callable[[Update], None] = _ignore_change,
         seed: int = 0,
         timing: Timing | None = None,
     ) -> None:
         """Prepare a member.
 
         Args:
-            name: the member's.
-            log_line: is called with what an operator should know, one line each.
-            on_change: is called for each change of another member.
-            seed: of its randomness.
-            timing: the protocol's times, the same at all members.
+            name: Name of the member.
+            log_line: Called with each log line.
+            on_change: Called for each state change of another member.
+            seed: Random seed.
+            timing: Protocol parameters; must be the same at all members.
         """
         self.name = name
         self.core: Members | None = None
@@ -60,46 +60,46 @@
         """Listen, and contact the members at `seeds`.
 
         Args:
-            host: to listen at.
-            port: to listen at; 0 for any.
-            seeds: addresses of other members.
-            reached_at: where others reach this one, if that is not where it listens.
+            host: Host to listen on.
+            port: Port to listen on; 0 for any free port.
+            seeds: Addresses of other members.
+            reached_at: Address at which others reach this member, if not the one it listens on.
 
         Returns:
-            The address that is sent to the others.
+            The address that is advertised to the other members.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is in use or not available.
         """
         listens_at = await self.udp.open(host, port)
         address = reached_at or listens_at
-        # Higher than in any earlier process of this name, on one machine.
+        # The start time in ms exceeds that of any earlier process of this name on the same machine.
         incarnation = time.time_ns() // 1_000_000
         self.core = Members(self.name, address, incarnation, now_us(), self._random, self._timing)
-        self._carry_out(self.core, self.core.join(seeds))
+        self._apply_output(self.core, self.core.join(seeds))
         return address
 
     def close(self) -> None:
-        """Stop; the others are not notified."""
+        """Stop without notifying the other members."""
         if self._timer is not None:
             self._timer.cancel()
         self.udp.close()
 
     def _on_frame(self, source: str, received: frame.Frame[Any]) -> None:
         if self.core is not None and received.name != self.name:
-            self._carry_out(self.core, self.core.on_message(now_us(), source, received.message))
+            self._apply_output(self.core, self.core.on_message(now_us(), source, received.message))
 
     def _on_timer(self, core: Members) -> None:
-        self._carry_out(core, core.on_timer(now_us()))
+        self._apply_output(core, core.on_timer(now_us()))
 
-    def _carry_out(self, core: Members, sends: list[Send]) -> None:
+    def _apply_output(self, core: Members, sends: list[Send]) -> None:
         for send in sends:
             self.udp.send(send.to, send.message)
-        changed = core.changed
-        core.changed = []
+        changed = core.unreported_changes
+        core.unreported_changes = []
         for update in changed:
             self._on_change(update)
         if self._timer is not None:
             self._timer.cancel()
-        delay_s = max(0, core.wakes_us - now_us()) / SECOND
+        delay_s = max(0, core.next_wakeup_us - now_us()) / SECOND
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer, core)
--- a/lapisgrade/members/messages.py
+++ b/lapisgrade/members/messages.py
@@ -1,6 +1,6 @@
-"""What members send each other, as msgspec arrays: SWIM's messages (Das, Gupta, Motivala 2002, section 3.1).
+"""Messages between members, encoded as msgspec arrays (SWIM: Das, Gupta, Motivala 2002, section 3.1).
 
-Every message carries updates on members: gossip rides on the failure detector's own messages (section 4.1).
+Every message carries updates on members, piggybacked on the failure detector's messages (section 4.1).
 """
 
 from enum import IntEnum
@@ -9,7 +9,7 @@
 
 
 class MemberState(IntEnum):
-    """Of one incarnation, the later overrides the earlier (SWIM, section 4.2)."""
+    """State of a member. Within one incarnation a higher value overrides a lower one (SWIM, section 4.2)."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -17,17 +17,20 @@
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True):
-    """What one member reports of another."""
+    """The state of a member as another one reports it."""
 
     name: str
     address: str
     incarnation: int
-    state: int  # a MemberState; another number is refused by the receiver
-    reporter: str = ""  # who suspects it; an update of a death names who first reported it
+    state: int  # a MemberState; receivers reject other values
+    reporter: str = ""  # member that suspects it, or that first reported its death
 
 
 class Ping(msgspec.Struct, array_like=True, tag="p", frozen=True):
-    """Answer this; `name` is who is meant, as a process may have taken over another's address."""
+    """A probe.
+
+    `name` is the intended receiver; a process that has taken over the address under another name ignores it.
+    """
 
     number: int
     name: str
@@ -35,7 +38,7 @@
 
 
 class PingRequest(msgspec.Struct, array_like=True, tag="q", frozen=True):
-    """Probe that member for me, and pass its answer on (SWIM's ping-req)."""
+    """A request to probe a member on the sender's behalf and to forward its ack (SWIM's ping-req)."""
 
     number: int
     name: str
@@ -44,15 +47,15 @@
 
 
 class Ack(msgspec.Struct, array_like=True, tag="a", frozen=True):
-    """I live, or the one that you asked about does."""
+    """The reply to a Ping or a PingRequest."""
 
     number: int
-    missed: bool = False  # an indirect probe got no answer in time (Lifeguard's nack)
+    missed: bool = False  # the indirect probe timed out (Lifeguard's nack)
     updates: list[Update] = []
 
 
 class Sync(msgspec.Struct, array_like=True, tag="s", frozen=True):
-    """A part of the sender's table; the receiver replies with a part of its own, unless this is the reply."""
+    """A sample of the sender's table. The receiver replies with a sample of its own unless `is_reply`."""
 
     is_reply: bool
     updates: list[Update] = []
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -1,14 +1,14 @@
-"""Membership beside a limiter, as an operator's file says.
+"""Membership in the process of a limiter, configured by the operator's file.
 
 `lapisgrade serve CONFIG --site deploy/peers.toml`, with a file such as:
 
     [peers]
     listen = "127.0.0.1:7400"      # UDP
-    reached_at = ""                # where others reach it, if that is not `listen`
-    seeds = ["127.0.0.1:7401"]     # some other limiters, to meet the rest by
+    reached_at = ""                # address at which others reach it, if not `listen`
+    seeds = ["127.0.0.1:7401"]     # some other limiters, to contact at start
 
-The limiter's own counters then have `members alive` and how many frames of the peers were read and refused;
-its log says who came and went.
+The limiter's counters then include `members alive` and the peer frames read and refused; its log has a line
+for each state change of another limiter.
 """
 
 import contextlib
@@ -24,7 +24,7 @@
 from lapisgrade.net.service import Service
 from lapisgrade.settings import MalformedInputError, parse_address
 
-ALIVE_COUNTER = "members alive"  # among the limiter's counters: members thought to live, itself included
+ALIVE_COUNTER = "members alive"  # limiter counter: members considered alive, including itself
 STATE_PHRASES = {
     MemberState.ALIVE: "lives",
     MemberState.SUSPECT: "is suspected",
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeersSettings:
-    """The table [peers] of the operator's file."""
+    """The [peers] table of the operator's file."""
 
     listen: tuple[str, int]
     reached_at: str
@@ -46,7 +46,7 @@
     """Read the operator's file.
 
     Raises:
-        MalformedInputError: It can't be read, or holds something wrong; one line says what.
+        MalformedInputError: The file can't be read or is invalid; the message is one line.
     """
     table = _read_table(path)
     unknown = sorted(set(table) - KNOWN_KEYS)
@@ -78,17 +78,17 @@
 def member_service(
     settings: PeersSettings, name: str
 ) -> Callable[[Service], contextlib.AbstractAsyncContextManager[None]]:
-    """Return what `serve` runs beside the limiter of that name: a member, from its start to its end."""
+    """Return a context manager factory that runs a member alongside the limiter `name`."""
 
     @contextlib.asynccontextmanager
     async def run_member(service: Service) -> AsyncIterator[None]:
-        """Be a member beside a limiter."""
+        """Run a member while the limiter runs."""
 
         def on_change(update: Update) -> None:
             service.log(f"limiter {update.name} {STATE_PHRASES[MemberState(update.state)]}")
             service.peer_counts[ALIVE_COUNTER] = len(host.core.alive()) if host.core is not None else 1
 
-        # Randomness of its own, the same for the same name: what the decisions draw is not touched.
+        # A separate generator, seeded from the name, leaves the limiter's own random decisions unaffected.
         host = Host(name[:MAX_NAME_LENGTH], service.log, on_change, zlib.crc32(name.encode()))
         host.udp.counts = service.peer_counts
         try:
--- a/lapisgrade/members/table.py
+++ b/lapisgrade/members/table.py
@@ -1,14 +1,14 @@
-"""The other members as this one sees them, and how long a suspicion lasts. Pure."""
+"""The other members as this one sees them, and the suspicion time-out. Pure."""
 
 import math
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from lapisgrade.members.messages import MemberState, Update
-from lapisgrade.members.timing import Timing, log_members
+from lapisgrade.members.timing import Timing, log_member_count
 
-MAX_MEMBERS = 10_000  # a flood of invented names is not kept beyond it
-MAX_SUSPECTERS = 64  # of one member
+MAX_MEMBERS = 10_000  # bounds the memory that a flood of invented names can take
+MAX_SUSPECTERS = 64  # maximum number recorded per member
 
 
 @dataclass(slots=True)
@@ -19,17 +19,17 @@
     address: str
     incarnation: int
     state: MemberState
-    since_us: int  # when it came to this state, here
-    suspecters: set[str] = field(default_factory=set)  # who suspects it, as far as known
+    state_since_us: int  # local time of the last state or incarnation change
+    suspecters: set[str] = field(default_factory=set)  # names of members known to suspect it
 
     def as_update(self) -> Update:
-        """Return what is known of it, as a message carries it."""
+        """Return this member's entry as an Update."""
         by = min(self.suspecters, default="")
         return Update(self.name, self.address, self.incarnation, self.state, by)
 
 
 class MemberTable:
-    """Members by name, without this one itself."""
+    """All known members except this one, by name."""
 
     def __init__(self, timing: Timing) -> None:
         self.by_name: dict[str, Member] = {}
@@ -39,28 +39,28 @@
         return iter(self.by_name.values())
 
     def log_size(self) -> float:
-        """Return log10 of the members, this one among them, 1 at least."""
-        return log_members(len(self.by_name) + 1)
+        """Return log10 of the number of members including this one, at least 1."""
+        return log_member_count(len(self.by_name) + 1)
 
     def with_state(self, state: MemberState) -> list[Member]:
-        """Return the members in that state."""
+        """Return all members in the given state."""
         return [member for member in self if member.state is state]
 
-    def not_dead(self) -> list[str]:
-        """Return the names of the members that live or are only suspected."""
+    def not_dead_names(self) -> list[str]:
+        """Return the names of the members that are alive or suspected."""
         return [member.name for member in self if member.state is not MemberState.DEAD]
 
     def suspicion_ends_us(self, member: Member) -> int:
-        """Return when a suspicion becomes a death, here: the sooner the more share it.
+        """Return the time at which a suspected member is declared dead, earlier the more members suspect it.
 
-        Lifeguard's dynamic suspicion timeout (Dadgar, Phillips, Currey 2017, section IV.B).
+        This is Lifeguard's dynamic suspicion time-out (Dadgar, Phillips, Currey 2017, section IV.B).
         """
         timing = self._timing
-        least_us = timing.suspicion_multiplier * self.log_size() * timing.probe_interval_us
-        # So many suspecters beside the first make it certain.
+        min_timeout_us = timing.suspicion_multiplier * self.log_size() * timing.probe_interval_us
+        # Number of further suspecters that reduces the time-out to its minimum.
         expected = max(1, min(timing.indirect_probes, len(self.by_name) - 2))
         shared = 0.0
         if member.suspecters:
             shared = math.log(len(member.suspecters)) / math.log(expected + 1)
         factor = timing.max_suspicion_factor - (timing.max_suspicion_factor - 1) * shared
-        return member.since_us + round(max(least_us, least_us * factor))
+        return member.state_since_us + round(max(min_timeout_us, min_timeout_us * factor))
--- a/lapisgrade/members/timing.py
+++ b/lapisgrade/members/timing.py
@@ -1,4 +1,4 @@
-"""The protocol's times and limits, and the bounds on detection that follow from them. Pure."""
+"""Protocol parameters, and the bounds on detection time that follow from them. Pure."""
 
 import math
 from dataclasses import dataclass
@@ -8,44 +8,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Times in us. With the defaults a member of ten is found dead within a second or two."""
+    """Protocol parameters; times in us. The defaults detect a dead member of ten in one to two seconds."""
 
     probe_interval_us: int = 200_000
-    probe_timeout_us: int = 80_000  # after which others are asked to probe; below the interval
-    indirect_probes: int = 3  # members that are asked to probe instead
-    # Probe intervals x log10 of the members (1 at least): the least that a suspicion lasts.
+    probe_timeout_us: int = 80_000  # before indirect probes start; must be below the interval
+    indirect_probes: int = 3  # members asked to probe a target that does not answer
+    # Minimum suspicion time-out, in probe intervals x log10 of the number of members (at least 1).
     suspicion_multiplier: float = 4.0
-    max_suspicion_factor: float = 6.0  # times the least: a suspicion that nobody shares lasts that
-    max_health_score: int = 8  # Lifeguard's bound on the local health score
-    retransmit_multiplier: float = 4.0  # times log10 of the members: how often an update is sent
-    updates_per_message: int = 8  # a datagram holds them
-    sync_interval_us: int = 2 * SECOND  # between exchanges of a part of the table
-    sync_members: int = 24  # members in one exchange
-    dead_retention_us: int = (
-        120 * SECOND
-    )  # a dead member is contacted now and then for so long: partitions meet
-
-
-def log_members(members: int) -> float:
-    """Return log10 of so many members, 1 at least: how times and retransmissions grow with them."""
+    max_suspicion_factor: float = 6.0  # time-out of an unshared suspicion, as a multiple of the minimum
+    max_health_score: int = 8  # upper bound of Lifeguard's local health score
+    retransmit_multiplier: float = 4.0  # transmissions per update, times log10 of the number of members
+    updates_per_message: int = 8  # fits one datagram
+    sync_interval_us: int = 2 * SECOND  # mean time between exchanges of table samples
+    sync_members: int = 24  # maximum number of members in one exchange
+    # Dead members are kept and contacted occasionally for this long, so that healed partitions merge.
+    dead_retention_us: int = 120 * SECOND
+
+
+def log_member_count(members: int) -> float:
+    """Return log10 of `members`, at least 1: the growth of time-outs and retransmissions with the fleet."""
     return max(1.0, math.log10(max(1, members)))
 
 
-def detection_bounds_us(timing: Timing, members: int, lost: float = 0.0, slow: int = 0) -> dict[str, float]:
-    """Return the stated bounds of docs/design/membership.md, in us, for a member that dies.
+def detection_bounds_us(
+    timing: Timing, members: int, loss_ratio: float = 0.0, worst_health_score: int = 0
+) -> dict[str, float]:
+    """Return the bounds of docs/design/membership.md, in us from the death of a member.
 
     Args:
-        timing: of all members.
-        members: how many there are, with the one that dies.
-        lost: share of datagrams that are lost, from 0 to 1.
-        slow: the worst health score of a live member.
+        timing: Protocol parameters of all members.
+        members: Number of members, including the one that dies.
+        loss_ratio: Share of datagrams that are lost, from 0 to 1.
+        worst_health_score: Highest health score of a live member.
 
     Returns:
-        `suspected`: some member's round has come to it, at the latest; `known`: every live member that
-        receives updates holds it dead.
+        `suspected`: latest time at which some member has probed it without an answer.
+        `known`: latest time at which every live member that receives updates considers it dead.
     """
-    interval = timing.probe_interval_us * (1 + slow)
+    interval = timing.probe_interval_us * (1 + worst_health_score)
     suspected = (2 * members - 3) * interval + interval
-    least = timing.suspicion_multiplier * max(1.0, math.log10(members)) * timing.probe_interval_us
-    spreads = math.ceil(math.log(members) / math.log(2 - lost)) * interval + timing.probe_interval_us
-    return {"suspected": suspected, "known": suspected + timing.max_suspicion_factor * least + spreads}
+    min_timeout = timing.suspicion_multiplier * max(1.0, math.log10(members)) * timing.probe_interval_us
+    dissemination = (
+        math.ceil(math.log(members) / math.log(2 - loss_ratio)) * interval + timing.probe_interval_us
+    )
+    return {
+        "suspected": suspected,
+        "known": suspected + timing.max_suspicion_factor * min_timeout + dissemination,
+    }
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -1,5 +1,7 @@
-"""Members as processes: killed, stopped, cut off through relays; held to the bounds of
-docs/design/membership.md."""
+"""Members as processes that are killed, paused and partitioned by relays.
+
+Detection must stay within the bounds of docs/design/membership.md.
+"""
 
 import asyncio
 import sys
@@ -17,18 +19,18 @@
 from lapisgrade.peers import frame
 from lapisgrade.peers.udp import MAX_FRAMES_PER_SECOND
 
-BUSY = 3.0  # times the stated bound: what a machine busy with other work may add
+BUSY_FACTOR = 3.0  # multiple of the documented bound that is allowed on a busy machine
 
 
 class Node:
-    """One member's process, what it holds of the others, and the relay that others reach it through."""
+    """One member's process, its view of the others, and the relay through which they reach it."""
 
     def __init__(self, name: str, folder) -> None:
         self.name, self.folder, self.port = name, folder, free_port()
         self.relay: UdpRelay | None = None
         self.process: Process | None = None
-        self.holds: dict[str, str] = {}
-        self.last: dict = {}
+        self.states: dict[str, str] = {}
+        self.last_report: dict = {}
         self._reading: asyncio.Task | None = None
 
     async def start(self, supervisor: Supervisor, seeds: list[str], link: Link) -> None:
@@ -44,7 +46,7 @@
             "--at",
             self.relay.address,
         ]
-        self.holds = {}
+        self.states = {}
         self.process = Process(self.name, args, self.folder / f"{self.name}.log", piped=True)
         await supervisor.start(self.process)
         self._reading = asyncio.create_task(self._read(self.process.child.stdout))
@@ -53,14 +55,14 @@
         while line := await stdout.readline():
             report = msgspec.json.decode(line)
             if "name" in report:
-                self.holds[report["name"]] = report["state"]
+                self.states[report["name"]] = report["state"]
             else:
-                self.last = report
+                self.last_report = report
 
     async def end(self) -> dict:
         await self.process.end()
         await self._reading
-        return self.last
+        return self.last_report
 
 
 class Fleet:
@@ -77,8 +79,8 @@
         await self.until(lambda: self.agree(set(self.nodes)), 30)
         return self
 
-    async def __aexit__(self, *wrong):
-        await self.supervisor.__aexit__(*wrong)
+    async def __aexit__(self, *exception):
+        await self.supervisor.__aexit__(*exception)
         for node in self.nodes.values():
             await node.relay.close()
 
@@ -93,64 +95,67 @@
     def agree(self, names: set[str], among: set[str] | None = None) -> bool:
         for node in self.live():
             if among is None or node.name in among:
-                known = {name for name, state in node.holds.items() if state != "dead"}
+                known = {name for name, state in node.states.items() if state != "dead"}
                 if known != names - {node.name}:
                     return False
         return True
 
     async def until(self, condition, within_s: float) -> None:
-        """Wait for it; an AssertionError where it does not come about."""
-        ends = time.monotonic() + within_s
-        # Those that run now are to run on: one that ended by itself is told at once, with its last words.
+        """Wait for the condition; raise AssertionError if it does not hold in time or a process ends."""
+        deadline_s = time.monotonic() + within_s
+        # Members that run now must keep running; if one ends, the assertion shows the end of its log.
         running = [
             node for node in self.nodes.values() if node.process is not None and node.process.is_running
         ]
         while not condition():
             for node in running:
                 assert node.process.is_running, f"{node.name} ended: {node.process.log.read_text()[-500:]}"
-            known = {node.name: node.holds for node in self.live()}
-            assert time.monotonic() < ends, known
+            known = {node.name: node.states for node in self.live()}
+            assert time.monotonic() < deadline_s, known
             await asyncio.sleep(0.02)
 
 
-def within(count: int, lost: float = 0.0) -> float:
-    return BUSY * detection_bounds_us(Timing(), count, lost, 1)["known"] / 1e6
+def detection_limit_s(count: int, lost: float = 0.0) -> float:
+    return BUSY_FACTOR * detection_bounds_us(Timing(), count, lost, 1)["known"] / 1e6
 
 
-async def test_killed_paused_and_restarted_members_are_detected_everywhere(tmp_path):
+async def test_all_members_detect_killed_paused_and_restarted_ones(tmp_path):
     async with Fleet(tmp_path, 5) as fleet:
-        everybody = set(fleet.nodes)
+        all_names = set(fleet.nodes)
         for name in ("m0", "m1"):
             await fleet.nodes[name].process.kill()
-        await fleet.until(lambda: fleet.agree(everybody - {"m0", "m1"}), within(5))
+        await fleet.until(lambda: fleet.agree(all_names - {"m0", "m1"}), detection_limit_s(5))
         await fleet.nodes["m0"].start(fleet.supervisor, [fleet.nodes["m3"].relay.address], fleet.link)
-        await fleet.until(lambda: fleet.agree(everybody - {"m1"}), within(5))
+        await fleet.until(lambda: fleet.agree(all_names - {"m1"}), detection_limit_s(5))
         fleet.nodes["m2"].process.pause()
-        await fleet.until(lambda: fleet.agree(everybody - {"m1", "m2"}), within(5))
+        await fleet.until(lambda: fleet.agree(all_names - {"m1", "m2"}), detection_limit_s(5))
         fleet.nodes["m2"].process.resume()
-        await fleet.until(lambda: fleet.agree(everybody - {"m1"}), within(5))
+        await fleet.until(lambda: fleet.agree(all_names - {"m1"}), detection_limit_s(5))
         report = [await node.end() for node in fleet.live()]
         assert all(each["counts"]["refuted"] >= 0 and each["counts"]["sent"] for each in report)
 
 
 @pytest.mark.parametrize("link", [Link(), Link(loss=0.2, twice=0.1, swap=0.1)], ids=["sound", "lossy"])
-async def test_a_partitioned_member_is_dead_to_the_rest_and_returns_when_healed(link, tmp_path):
+async def test_a_partitioned_member_is_declared_dead_and_is_alive_again_after_the_partition_heals(
+    link, tmp_path
+):
     async with Fleet(tmp_path, 5, link) as fleet:
-        everybody, lone = set(fleet.nodes), fleet.nodes["m4"]
-        rest = everybody - {"m4"}
-        lone.relay.link = Link(cut=frozenset({THERE, BACK}))
+        all_names, isolated = set(fleet.nodes), fleet.nodes["m4"]
+        rest = all_names - {"m4"}
+        isolated.relay.link = Link(cut=frozenset({THERE, BACK}))
         for name in rest:
-            fleet.nodes[name].relay.deaf.add(lone.port)
+            fleet.nodes[name].relay.deaf.add(isolated.port)
         await fleet.until(
-            lambda: fleet.agree(rest, rest) and fleet.agree({"m4"}, {"m4"}), 2 * within(5, link.loss)
+            lambda: fleet.agree(rest, rest) and fleet.agree({"m4"}, {"m4"}),
+            2 * detection_limit_s(5, link.loss),
         )
-        lone.relay.link = link
+        isolated.relay.link = link
         for name in rest:
             fleet.nodes[name].relay.deaf.clear()
-        await fleet.until(lambda: fleet.agree(everybody), 60)
+        await fleet.until(lambda: fleet.agree(all_names), 60)
 
 
-async def test_a_flood_a_foreign_version_and_noise_have_a_bounded_cost(tmp_path):
+async def test_a_flood_of_valid_foreign_version_and_malformed_frames_is_limited_and_logged_once(tmp_path):
     async with Fleet(tmp_path, 3) as fleet:
         one = fleet.nodes["m0"]
         loop = asyncio.get_running_loop()
@@ -174,7 +179,7 @@
         assert "Traceback" not in log
 
 
-async def test_a_member_that_cannot_listen_reports_it_in_one_line(tmp_path):
+async def test_a_member_with_an_invalid_listen_address_reports_it_and_exits_with_2(tmp_path):
     child = Process("m", [sys.executable, "-m", "lapisgrade.members", "m", "nowhere"], tmp_path / "log")
     async with Supervisor() as supervisor:
         await supervisor.start(child)
@@ -183,16 +188,16 @@
 
 
 def test_frames_fit_a_datagram_and_malformed_ones_are_rejected():
-    news = [
+    updates = [
         messages.Update(f"limiter-with-a-long-name-{i:03}", f"127.0.0.1:{10_000 + i}", 1 << 40, 0)
         for i in range(40)
     ]
-    data = CODEC.encode("m0", 5, messages.Sync(True, news))
-    got = CODEC.decode(data)
+    data = CODEC.encode("m0", 5, messages.Sync(True, updates))
+    decoded = CODEC.decode(data)
     assert len(data) <= frame.MAX_FRAME_BYTES
-    assert 10 < len(got.message.updates) < 40
-    assert got.name == "m0"
-    for bad, why in (
+    assert 10 < len(decoded.message.updates) < 40
+    assert decoded.name == "m0"
+    for malformed, reason in (
         (b"", "not a frame"),
         (b"x" * 2000, "longer"),
         (msgspec.msgpack.encode([2, "a"]), "version 2"),
@@ -200,5 +205,5 @@
         (msgspec.msgpack.encode([1, "a", 1, ["z", 1]]), "not a frame"),
         (msgspec.msgpack.encode({"a": 1}), "not a frame"),
     ):
-        with pytest.raises(frame.FrameError, match=why):
-            CODEC.decode(bad)
+        with pytest.raises(frame.FrameError, match=reason):
+            CODEC.decode(malformed)
