--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -59,7 +59,7 @@
     async with Site(options.plan) as site:
         for line in site.listening_lines():
             print_line(line)
-        load = client.Client(site.listens, options.plan.seed)
+        load = client.Client(site.limiter_addresses, options.plan.seed)
         with _interrupts(load, stopping, print_line):
             started_s = time.monotonic()
             tasks = [asyncio.create_task(print_counts(site, load, print_line, stopping))]
@@ -119,7 +119,7 @@
         print_line(
             f"sent {load.tally.sent}: finished {counts['finished']}, turned back {counts['turned back']}, "
             f"given up {counts['given up']}; servers took {servers.requests}, "
-            f"counter calls {site.counter.tally.calls}"
+            f"counter calls {site.counter.stats.calls}"
         )
 
 
@@ -149,7 +149,7 @@
         violations.append(f"{len(late)} operations came to a draining server past the grace")
     print_line(
         f"servers: took {servers.requests}, finished {servers.completed}, erred {servers.errors}, "
-        f"turned away {servers.rejected}; counter: {site.counter.tally.added} additions"
+        f"turned away {servers.rejected}; counter: {site.counter.stats.added} additions"
     )
     for line in violations:
         print_line(f"RULE BROKEN: {line}")
--- a/lapisgrade/fakes/__init__.py
+++ b/lapisgrade/fakes/__init__.py
@@ -1,5 +1,5 @@
-"""Fakes of what a limiter talks to: the counter, discovery and the servers.
+"""Fakes of the services that a limiter connects to: the counter, discovery and the servers.
 
-Written from the platform's published protocol (RESP2 for the counter, HTTP/1.1 for discovery and servers),
-each runnable alone (`lapisgrade standins`) and embeddable in tests. Nothing on the bench's path imports them.
+They implement the platform's published protocol (RESP2 for the counter, HTTP/1.1 for discovery and servers),
+run on their own (`lapisgrade standins`) or inside tests. The bench does not import them.
 """
--- a/lapisgrade/fakes/counter/__init__.py
+++ b/lapisgrade/fakes/counter/__init__.py
@@ -1,6 +1,24 @@
-"""The fake counter: RESP2 on loopback (`server`), its counts apart from any socket (`store`)."""
+"""The fake counter: a RESP2 server on loopback (`server`) and its counts, without I/O (`store`)."""
 
 from lapisgrade.fakes.counter.server import Counter, CounterMode
-from lapisgrade.fakes.counter.store import Count, Split, Store, Tally, answer, heal, split
+from lapisgrade.fakes.counter.store import (
+    Count,
+    CounterStats,
+    SplitStore,
+    Store,
+    execute_command,
+    heal,
+    split,
+)
 
-__all__ = ["Count", "Counter", "CounterMode", "Split", "Store", "Tally", "answer", "heal", "split"]
+__all__ = [
+    "Count",
+    "Counter",
+    "CounterMode",
+    "CounterStats",
+    "SplitStore",
+    "Store",
+    "execute_command",
+    "heal",
+    "split",
+]
--- a/lapisgrade/fakes/counter/server.py
+++ b/lapisgrade/fakes/counter/server.py
@@ -1,11 +1,11 @@
 """A counter that speaks RESP2 on loopback: `INCRTTL NAME AMOUNT LIFE_MS`, `PING`, `CLIENT`, `SELECT`.
 
-Counts are kept per name with a life from their first addition, as the platform's counter keeps them.
-Its mode can be changed while it runs, so that tests and the demo can script its faults: slow, silent,
-busy, refusing connections, stale or spoilt answers, connections cut, restarted empty, split into two halves
-that each take writes, and healed. A swap is a second `Counter` at another address.
+Like the platform's counter it keeps one count per name, with a lifetime from the first addition. Tests and
+the demo script its faults while it runs: slow, unresponsive, busy, refusing connections, stale or corrupt
+replies, reset connections, a restart with empty state, a split into two halves that both accept writes, and
+the heal of that split. To replace the counter, start a second `Counter` at another address.
 
-RESP2 is read with hiredis (the well-known parser of the protocol), never by hand.
+RESP2 is parsed by hiredis, an established parser, and not by own code.
 """
 
 import asyncio
@@ -14,72 +14,75 @@
 
 import hiredis
 
-from lapisgrade.fakes.counter.store import Split, Store, Tally, answer, heal, split
+from lapisgrade.fakes.counter.store import CounterStats, SplitStore, Store, execute_command, heal, split
 from lapisgrade.fakes.listener import Listener
 
-MAX_CONNECTIONS = 32  # the protocol's figure: connections held at one address; further ones are reset
-IDLE_TIMEOUT_S = 10.0  # the protocol's figure: a connection idle for this long is closed
-READ_BYTES = 16_384  # one read; a call is far shorter
-MAX_BUFFERED_BYTES = 1 << 20  # of unanswered calls on one connection before it is closed (guards a flood)
+MAX_CONNECTIONS = 32  # set by the protocol: open connections per address; further ones are reset
+IDLE_TIMEOUT_S = 10.0  # set by the protocol: an idle connection is closed after this time
+READ_BYTES = 16_384  # maximum bytes per read; a call is far shorter
+MAX_BUFFERED_BYTES = 1 << 20  # buffered calls per connection; beyond that it is closed, against floods
 
 
 class CounterMode(Enum):
-    """How the counter answers from now on."""
+    """How the counter replies."""
 
     NORMAL = "well"
-    SLOW = "slow"  # answers after `delay_s`
-    SILENT = "silent"  # reads calls and never answers
-    BUSY = "busy"  # turns every call away with -BUSY, adds nothing
-    REFUSING = "refusing"  # closes each new connection at once
-    STALE = "stale"  # adds, but answers with the total as it stood at the moment it turned stale
-    SPOILT = "spoilt"  # adds, and answers with a bulk string that is no number
+    SLOW = "slow"  # replies after `delay_s`
+    SILENT = "silent"  # reads calls and never replies
+    BUSY = "busy"  # rejects every call with -BUSY and adds nothing
+    REFUSING = "refusing"  # closes each new connection immediately
+    STALE = "stale"  # adds, but replies with the total from when this mode was set
+    SPOILT = "spoilt"  # adds, but replies with a bulk string that is not a number
 
 
 class Counter(Listener):
-    """The fake counter on one loopback port. `await open()`, then `mode`, `delay_s`, `restart()`."""
+    """The fake counter on one loopback port.
+
+    After `await open()`, inject faults with `set_mode()`, `delay_s`, `restart()`, `split()` and `heal()`.
+    """
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0, max_connections: int = MAX_CONNECTIONS):
         super().__init__(host, port)
         self.max_connections = max_connections
-        self.store, self.tally = Store(), Tally()
+        self.store, self.stats = Store(), CounterStats()
         self.mode, self.delay_s = CounterMode.NORMAL, 0.0
-        self.partition: Split | None = None  # while split, the halves; each connection keeps to one
+        self.split_store: SplitStore | None = None  # the halves while split; a connection uses one of them
         self._accepted = 0
-        self._stale: dict[bytes, float] = {}
+        self._stale_totals: dict[bytes, float] = {}
 
     def restart(self) -> None:
-        """Come back empty, as a counter that lost its memory: connections cut, every count forgotten."""
+        """Reset all connections and drop all counts, like a counter process that restarts."""
         self.reset_connections()
-        self.store, self.partition = Store(), None
+        self.store, self.split_store = Store(), None
 
     def split(self) -> None:
-        """Partition into two halves that each take writes and believe themselves complete.
+        """Split into two halves that each accept writes as if they were the only counter.
 
-        Connections from now on go to the halves in turn; those open now are reset, so that every caller meets
-        one half or the other.
+        Open connections are reset, and new ones are assigned to the halves in turn, so that every client
+        uses one half or the other.
         """
         self.reset_connections()
-        self.partition = split(self.store)
+        self.split_store = split(self.store)
 
     def heal(self) -> None:
-        """One counter again, holding the base and what each half added since the split."""
-        if self.partition is not None:
+        """Merge the halves: the counts at the split plus the additions of both halves since."""
+        if self.split_store is not None:
             self.reset_connections()
-            self.store, self.partition = heal(self.partition), None
+            self.store, self.split_store = heal(self.split_store), None
 
     def set_mode(self, mode: CounterMode) -> None:
-        """Answer in `mode` from now on; a stale counter keeps the totals as they stand now."""
+        """Set the mode. STALE also saves the current totals, to reply with them."""
         if mode is CounterMode.STALE:
-            self._stale = {name: count.total for name, count in self.store.counts.items()}
+            self._stale_totals = {name: count.total for name, count in self.store.counts.items()}
         self.mode = mode
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.mode is CounterMode.REFUSING or self.connections > self.max_connections:
-            self.tally.reset_connections += 1
+            self.stats.reset_connections += 1
             return
         half = self._accepted % 2
         self._accepted += 1
-        parser, mute = hiredis.Reader(), False
+        parser, owes_replies = hiredis.Reader(), False
         try:
             while True:
                 async with asyncio.timeout(IDLE_TIMEOUT_S):
@@ -90,30 +93,31 @@
                 if parser.len() > MAX_BUFFERED_BYTES:
                     break
                 if self.mode is CounterMode.SILENT:
-                    mute = True  # reads on, so that it sees its caller go (guards the room for connections)
+                    # Keep reading, to notice when the client disconnects and free its connection.
+                    owes_replies = True
                     parser = hiredis.Reader()
                     continue
-                if mute:
-                    break  # it owes answers that will not come: none may be taken for a later call's
-                while (words := parser.gets()) is not False:
-                    writer.write(await self._answer(words, half))
+                if owes_replies:
+                    break  # earlier calls got no reply, so a reply now would be matched to the wrong call
+                while (command := parser.gets()) is not False:
+                    writer.write(await self._answer(command, half))
                 await writer.drain()
         except (OSError, TimeoutError, hiredis.ProtocolError, asyncio.CancelledError):
-            pass  # a cancelled handler that re-raised would be logged by asyncio's streams as an error
+            pass  # asyncio's streams log an error for a handler that re-raises its cancellation
 
-    async def _answer(self, words, half: int) -> bytes:
+    async def _answer(self, command, half: int) -> bytes:
         if self.mode is CounterMode.SLOW:
             await asyncio.sleep(self.delay_s)
         if self.mode is CounterMode.BUSY:
-            self.tally.calls += 1
-            self.tally.busy += 1
+            self.stats.calls += 1
+            self.stats.busy += 1
             return b"-BUSY try later\r\n"
-        store = self.store if self.partition is None else self.partition.halves[half]
-        words = words if isinstance(words, list) else [words]
-        said = answer(store, self.tally, words, time.monotonic())
-        if self.mode is CounterMode.SPOILT and said.startswith(b"$"):
+        store = self.store if self.split_store is None else self.split_store.halves[half]
+        command = command if isinstance(command, list) else [command]
+        reply = execute_command(store, self.stats, command, time.monotonic())
+        if self.mode is CounterMode.SPOILT and reply.startswith(b"$"):
             return b"$5\r\nfresh\r\n"
-        if self.mode is CounterMode.STALE and said.startswith(b"$"):
-            text = repr(self._stale.get(words[1], 0.0)).encode()
+        if self.mode is CounterMode.STALE and reply.startswith(b"$"):
+            text = repr(self._stale_totals.get(command[1], 0.0)).encode()
             return b"$%d\r\n%b\r\n" % (len(text), text)
-        return said
+        return reply
--- a/lapisgrade/fakes/counter/store.py
+++ b/lapisgrade/fakes/counter/store.py
@@ -1,127 +1,131 @@
-"""The counts of the fake counter and what a call does to them: pure, the clock handed in.
+"""The counts of the fake counter and the execution of calls. Pure: the clock is an argument.
 
-A split keeps the counts at the moment of the split as a base, and gives each half a copy of it that takes
-writes of its own; a heal merges the halves so that nothing is counted twice or lost: for each name, the base
-plus what each half added since.
+A split keeps the counts at that moment as a base and gives each half a copy that accepts writes. A heal
+merges the halves so that each addition counts once: for each name, the base plus what each half added.
 """
 
 from dataclasses import dataclass, field
 
-MAX_LIFETIME_MS = 60_000  # the protocol's figure: a longer life counts as this
-MAX_AMOUNT = 1e9  # the protocol's figure: the most that one call may add
-MAX_NAME_BYTES = 64  # the protocol's figure: the longest name
+MAX_LIFETIME_MS = 60_000  # set by the protocol: longer lifetimes are reduced to this
+MAX_AMOUNT = 1e9  # set by the protocol: maximum amount of one call
+MAX_NAME_BYTES = 64  # set by the protocol: maximum length of a name
 
 
 @dataclass(slots=True)
 class Count:
-    """One name's total and when it is forgotten (seconds on the monotonic clock)."""
+    """The total of one name and its expiry (seconds on the monotonic clock)."""
 
     total: float
-    until_s: float
+    expires_s: float
 
 
 @dataclass(slots=True)
-class Tally:
-    """What the counter has done; the demo and the tests read it."""
+class CounterStats:
+    """Counters of the calls, for the demo and the tests."""
 
     calls: int = 0
     added: int = 0
     busy: int = 0
     errors: int = 0
     reset_connections: int = 0
-    amounts: dict[bytes, float] = field(default_factory=dict)  # all that was ever added, per name
+    amounts: dict[bytes, float] = field(default_factory=dict)  # sum of all additions since the start, by name
 
 
 class Store:
-    """The counts, apart from any socket: what a call does to them. Pure but for the clock it is handed."""
+    """The counts by name, without I/O; the time is an argument."""
 
     __slots__ = ("counts",)
 
     def __init__(self) -> None:
         self.counts: dict[bytes, Count] = {}
 
-    def add(self, name: bytes, amount: float, life_ms: int, now_s: float) -> float:
-        """The new total of `name` after adding `amount`; a name past its life starts again from nothing."""
+    def add(self, name: bytes, amount: float, lifetime_ms: int, now_s: float) -> float:
+        """Add `amount` to `name` and return the new total; an expired count restarts at 0."""
         count = self.counts.get(name)
-        if count is None or count.until_s <= now_s:
-            count = Count(0.0, now_s + min(life_ms, MAX_LIFETIME_MS) / 1000)
+        if count is None or count.expires_s <= now_s:
+            count = Count(0.0, now_s + min(lifetime_ms, MAX_LIFETIME_MS) / 1000)
             self.counts[name] = count
         count.total = round(count.total + amount, 7)
         return count.total
 
-    def forget(self, now_s: float) -> int:
-        """Drop the names past their life; how many went."""
-        gone = [name for name, count in self.counts.items() if count.until_s <= now_s]
-        for name in gone:
+    def remove_expired(self, now_s: float) -> int:
+        """Remove the expired counts and return their number."""
+        expired = [name for name, count in self.counts.items() if count.expires_s <= now_s]
+        for name in expired:
             del self.counts[name]
-        return len(gone)
+        return len(expired)
 
 
-def answer(store: Store, tally: Tally, words: list, now_s: float) -> bytes:
-    """The RESP2 answer to one call, given as its list of words."""
-    tally.calls += 1
-    if not words or not all(isinstance(each, bytes) for each in words):
-        tally.errors += 1
+def execute_command(store: Store, stats: CounterStats, command: list, now_s: float) -> bytes:
+    """Execute one call, given as its list of arguments, and return the RESP2 reply."""
+    stats.calls += 1
+    if not command or not all(isinstance(each, bytes) for each in command):
+        stats.errors += 1
         return b"-ERR a call is an array of bulk strings\r\n"
-    verb = words[0].upper()
+    verb = command[0].upper()
     if verb == b"PING":
         return b"+PONG\r\n"
     if verb in (b"CLIENT", b"SELECT"):
         return b"+OK\r\n"
     if verb != b"INCRTTL":
-        tally.errors += 1
-        return b"-ERR unknown command '%b'\r\n" % words[0][:32]
-    if len(words) != 4:
-        tally.errors += 1
+        stats.errors += 1
+        return b"-ERR unknown command '%b'\r\n" % command[0][:32]
+    if len(command) != 4:
+        stats.errors += 1
         return b"-ERR INCRTTL takes a name, an amount and a life in milliseconds\r\n"
-    name = words[1]
+    name = command[1]
     try:
-        amount, life_ms = float(words[2]), int(words[3])
+        amount, lifetime_ms = float(command[2]), int(command[3])
     except ValueError:
-        tally.errors += 1
+        stats.errors += 1
         return b"-ERR the amount or the life is not a number\r\n"
-    if not 1 <= len(name) <= MAX_NAME_BYTES or abs(amount) > MAX_AMOUNT or amount != amount or life_ms < 1:
-        tally.errors += 1
+    if (
+        not 1 <= len(name) <= MAX_NAME_BYTES
+        or abs(amount) > MAX_AMOUNT
+        or amount != amount
+        or lifetime_ms < 1
+    ):
+        stats.errors += 1
         return b"-ERR name, amount or life out of range\r\n"
-    total = store.add(name, amount, life_ms, now_s)
-    tally.added += 1
-    tally.amounts[name] = tally.amounts.get(name, 0.0) + amount
+    total = store.add(name, amount, lifetime_ms, now_s)
+    stats.added += 1
+    stats.amounts[name] = stats.amounts.get(name, 0.0) + amount
     text = repr(total).encode()
     return b"$%d\r\n%b\r\n" % (len(text), text)
 
 
 @dataclass(slots=True)
-class Split:
-    """Two halves that each believe themselves whole, and the counts that they were split from."""
+class SplitStore:
+    """Two halves of a split counter, and the counts at the time of the split."""
 
     base: dict[bytes, Count]
     halves: tuple[Store, Store]
 
 
-def split(store: Store) -> Split:
-    """Part the counts into two halves, each starting from what was counted until now."""
-    base = {name: Count(count.total, count.until_s) for name, count in store.counts.items()}
+def split(store: Store) -> SplitStore:
+    """Return a split of the store whose halves both start from its current counts."""
+    base = {name: Count(count.total, count.expires_s) for name, count in store.counts.items()}
     halves = (Store(), Store())
     for half in halves:
-        half.counts = {name: Count(count.total, count.until_s) for name, count in base.items()}
-    return Split(base, halves)
+        half.counts = {name: Count(count.total, count.expires_s) for name, count in base.items()}
+    return SplitStore(base, halves)
 
 
-def heal(partition: Split) -> Store:
-    """One store again: for each name, the base and what each half added to it since the split."""
+def heal(split_store: SplitStore) -> Store:
+    """Merge a split: for each name, the base plus what each half added since the split."""
     healed = Store()
-    names = list(partition.base)
-    for half in partition.halves:
-        names.extend(name for name in half.counts if name not in partition.base and name not in names)
+    names = list(split_store.base)
+    for half in split_store.halves:
+        names.extend(name for name in half.counts if name not in split_store.base and name not in names)
     for name in names:
-        base = partition.base.get(name)
-        counts = [half.counts.get(name) for half in partition.halves]
+        base = split_store.base.get(name)
+        counts = [half.counts.get(name) for half in split_store.halves]
         total = base.total if base else 0.0
         for count in counts:
             if count is not None:
-                # A half whose name lived out its life and began again added all it holds.
-                same_life = base is not None and count.until_s == base.until_s
-                total += count.total - base.total if same_life else count.total
-        until = max(count.until_s for count in [base, *counts] if count is not None)
-        healed.counts[name] = Count(round(total, 7), until)
+                # A count that expired and restarted in this half consists only of its own additions.
+                same_lifetime = base is not None and count.expires_s == base.expires_s
+                total += count.total - base.total if same_lifetime else count.total
+        latest_s = max(count.expires_s for count in [base, *counts] if count is not None)
+        healed.counts[name] = Count(round(total, 7), latest_s)
     return healed
--- a/lapisgrade/fakes/discovery.py
+++ b/lapisgrade/fakes/discovery.py
@@ -1,8 +1,8 @@
-"""Discovery on loopback: the list of servers as the platform serves it, and changes of it over time.
+"""A fake discovery agent on loopback: the server list in the platform's format, and watches for changes.
 
-`GET /discovery/hosts` gives the whole list with `reset: true`; `GET /discovery/hosts?since=V&timeout_ms=T` is
-a watch that waits until there is something newer than version V, or T has passed, and then gives the changes
-since V (an empty list where there are none). A server that has left stays among the changes as `terminated`.
+`GET /discovery/hosts` returns the complete list with `reset: true`. `GET
+/discovery/hosts?since=V&timeout_ms=T` is a watch: it returns the changes since version V as soon as there
+are any, or an empty list after T. Servers that have left remain among the changes as `terminated`.
 """
 
 import asyncio
@@ -14,13 +14,13 @@
 from lapisgrade.fakes import http
 from lapisgrade.fakes.listener import Listener
 
-MAX_WATCH_MS = 60_000  # a watch waits this long at the most, whatever it asks for
-STATES = ("in_service", "terminating", "terminated")
+MAX_WATCH_MS = 60_000  # upper bound of a watch's requested timeout_ms
+LIFECYCLES = ("in_service", "terminating", "terminated")
 
 
 @dataclass(slots=True)
 class ServerEntry:
-    """One server as discovery names it; `changed` is the version at which it last changed."""
+    """One server in the list; `changed_generation` is the version of its last change."""
 
     instance_id: str
     host_port: str
@@ -29,10 +29,10 @@
     lifecycle: str = "in_service"
     weight: float = 1.0
     started_ms: int = 0
-    changed: int = 0
+    changed_generation: int = 0
 
     def to_json(self) -> dict[str, Any]:
-        """The entry as discovery encodes it."""
+        """Return the entry in the wire format of discovery."""
         return {
             "instanceId": self.instance_id,
             "hostPort": self.host_port,
@@ -45,53 +45,53 @@
 
 
 class Discovery(Listener):
-    """The fake discovery agent. `put`, `drain`, `remove` change the list and wake every watch."""
+    """The fake discovery agent. `put`, `drain` and `remove` change the list and wake all watches."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
         super().__init__(host, port)
         self.generation = 1
-        self.entries: dict[str, ServerEntry] = {}  # in the order they came
+        self.entries: dict[str, ServerEntry] = {}  # by instance id, in the order added
         self.calls = 0
         self._changed = asyncio.Event()
         self._tasks: set[asyncio.Task] = set()
 
     async def close(self) -> None:
-        """End the agent and all watches."""
+        """Stop the agent and cancel all watches."""
         self.stop_listening()
         for task in list(self._tasks):
             task.cancel()
         await super().close()
 
     def put(self, entry: ServerEntry) -> None:
-        """Name a server, or change how it is named."""
-        self._bump()
-        entry.changed = self.generation
+        """Add or replace a server."""
+        self._increment_generation()
+        entry.changed_generation = self.generation
         self.entries[entry.instance_id] = entry
 
     def drain(self, instance_id: str) -> None:
-        """The server wants nothing new and finishes what it has."""
-        self._set(instance_id, "terminating")
+        """Mark the server as terminating: it accepts no new requests."""
+        self._set_lifecycle(instance_id, "terminating")
 
     def remove(self, instance_id: str) -> None:
-        """The server is gone."""
-        self._set(instance_id, "terminated")
+        """Mark the server as terminated."""
+        self._set_lifecycle(instance_id, "terminated")
 
     def complete_list(self) -> dict[str, Any]:
-        """All servers that have not terminated."""
+        """Return the reply with all servers that have not terminated."""
         live = [entry.to_json() for entry in self.entries.values() if entry.lifecycle != "terminated"]
         return {"generation": self.generation, "reset": True, "instances": live}
 
     def changes_since(self, version: int) -> dict[str, Any]:
-        """The servers that have changed after a version."""
-        entries = [entry.to_json() for entry in self.entries.values() if entry.changed > version]
+        """Return the reply with the servers that changed after `version`."""
+        entries = [entry.to_json() for entry in self.entries.values() if entry.changed_generation > version]
         return {"generation": self.generation, "reset": False, "instances": entries}
 
-    def _set(self, instance_id: str, lifecycle: str) -> None:
+    def _set_lifecycle(self, instance_id: str, lifecycle: str) -> None:
         entry = self.entries[instance_id]
-        self._bump()
-        entry.lifecycle, entry.changed = lifecycle, self.generation
+        self._increment_generation()
+        entry.lifecycle, entry.changed_generation = lifecycle, self.generation
 
-    def _bump(self) -> None:
+    def _increment_generation(self) -> None:
         self.generation += 1
         self._changed.set()
         self._changed = asyncio.Event()
--- a/lapisgrade/fakes/http.py
+++ b/lapisgrade/fakes/http.py
@@ -1,10 +1,10 @@
-"""The HTTP/1.1 server side that the discovery and server fakes share: one request at a time on a connection.
+"""The HTTP/1.1 server of the discovery and server fakes: one request at a time per connection.
 
-It is apart from `net.http` on purpose: the fakes check what the limiter writes, so that a fault in the
-limiter's own reader must not hide itself by standing on both sides. Here h11 does all of the framing.
+It deliberately does not use `net.http`: the fakes check what the limiter writes, and a fault in shared code
+would cancel out on both sides. h11 does all of the framing.
 
-Messages are framed by h11. A peer that sends garbage gets one 400 and the connection ends; one that falls
-silent is let go after `IDLE_TIMEOUT_S`.
+A client that sends malformed data gets one 400 and the connection is closed; an idle connection is closed
+after `IDLE_TIMEOUT_S`.
 """
 
 import asyncio
@@ -14,15 +14,15 @@
 
 import h11
 
-READ_BYTES = 16_384  # one read
-MAX_HEAD_BYTES = 16_384  # bytes of a request's head that are held before it is refused
-MAX_BODY_BYTES = 1 << 20  # bytes of a request's body that are held before it is refused
-IDLE_TIMEOUT_S = 30.0  # a connection that brings nothing for this long is closed
+READ_BYTES = 16_384  # maximum bytes per read
+MAX_HEAD_BYTES = 16_384  # maximum size of a request's head; a larger one is rejected
+MAX_BODY_BYTES = 1 << 20  # maximum size of a request's body; a larger one is rejected
+IDLE_TIMEOUT_S = 30.0  # a connection that sends nothing for this long is closed
 
 
 @dataclass(slots=True)
 class Request:
-    """One request as it came: method, target, headers with lower-case names, body."""
+    """One request. Header names are in lower case."""
 
     method: str
     target: str
@@ -31,18 +31,18 @@
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without its query string."""
         return self.target.partition("?")[0]
 
     def query(self) -> dict[str, str]:
-        """The query's values by name."""
+        """Return the query parameters by name, not decoded."""
         pairs = (each.partition("=") for each in self.target.partition("?")[2].split("&") if each)
         return {name: value for name, _, value in pairs}
 
 
 @dataclass(slots=True)
 class Response:
-    """One answer; `close` ends the connection after it, `abort` breaks it without an answer."""
+    """One response; `close` closes the connection after it, `abort` resets it without a response."""
 
     status: int
     body: bytes = b""
@@ -55,7 +55,7 @@
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, handle: Handler) -> None:
-    """Answer requests on one connection until it ends; every error of the peer ends it quietly."""
+    """Serve requests on one connection until it ends. Errors of the client close it without a log line."""
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     try:
         while True:
@@ -76,7 +76,7 @@
                 return
             conn.start_next_cycle()
     except asyncio.CancelledError:
-        return  # the fake ends; a handler that re-raised would be logged by asyncio's streams as an error
+        return  # the fake stops; asyncio's streams log an error for a handler that re-raises its cancellation
     except (OSError, TimeoutError, h11.ProtocolError):
         if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             with contextlib.suppress(h11.ProtocolError):
@@ -86,7 +86,7 @@
 
 
 async def _read(reader: asyncio.StreamReader, conn: h11.Connection) -> Request | None:
-    """The next whole request, or None where the peer ended the connection between requests."""
+    """Return the next complete request, or None if the client closed the connection between requests."""
     request, body = None, bytearray()
     while True:
         event = conn.next_event()
--- a/lapisgrade/fakes/listener.py
+++ b/lapisgrade/fakes/listener.py
@@ -1,4 +1,4 @@
-"""What every fake does as a listener on loopback: listen, say where, break its connections, end."""
+"""The TCP listener that all fakes share."""
 
 import asyncio
 import contextlib
@@ -6,7 +6,7 @@
 
 
 class Listener:
-    """A TCP listener whose connections `_serve(reader, writer)` serves, and can all be broken at once."""
+    """A TCP listener whose connections are served by `_serve` and can all be reset at once."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
         self.host, self.port = host, port
@@ -15,34 +15,38 @@
         self._closed = False
 
     async def open(self) -> Self:
-        """Listen; OSError where the port is taken. Returns the fake itself."""
+        """Start listening and return the fake itself.
+
+        Raises:
+            OSError: The port is in use.
+        """
         self._server = await asyncio.start_server(self._on_connection, self.host, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
     @property
     def address(self) -> str:
-        """Where it listens, as `host:port`."""
+        """The address it listens on, as `host:port`."""
         return f"{self.host}:{self.port}"
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._writers)
 
     def reset_connections(self) -> None:
-        """Break every open connection, as a network or a process that fails."""
+        """Abort every open connection, as a network failure or a crash would."""
         for writer in list(self._writers):
             writer.transport.abort()
         self._writers.clear()
 
     def stop_listening(self) -> None:
-        """Refuse new connections; those open go on."""
+        """Refuse new connections; open ones continue."""
         if self._server is not None:
             self._server.close()
 
     async def close(self) -> None:
-        """Refuse new connections and break the open ones."""
+        """Refuse new connections and abort the open ones."""
         self._closed = True
         self.stop_listening()
         self.reset_connections()
@@ -53,8 +57,8 @@
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve a new connection.
 
-        One that was accepted just as this closed is aborted unseen (guards what its subclass writes to, which
-        may be closed by now).
+        A connection accepted while the listener was closing is aborted without reaching the subclass, whose
+        resources may already be closed.
         """
         if self._closed:
             writer.transport.abort()
--- a/lapisgrade/fakes/servers.py
+++ b/lapisgrade/fakes/servers.py
@@ -1,10 +1,10 @@
-"""A pool of HTTP/1.1 servers on loopback that answer as the platform's servers do.
+"""A pool of fake HTTP/1.1 servers on loopback that follow the platform's protocol.
 
-Each server has a capacity (operations at work at once) and a queue; a cold one starts at a share of its
-capacity and warms up over a stated time. Service times are drawn from a log-normal law; a share of operations
-end in 500. A full queue, a draining server or a request without its id is turned away with 503 and
-`X-Not-Processed: 1` (or 404 without the id), as the protocol says. A server can be drained, killed (listener
-closed, every connection broken), paused whole, or made slow, silent or failing while it runs.
+Each server has a capacity (concurrent operations) and a queue. In slow start it begins at a share of its
+capacity and grows to full capacity over `warm_s`. Service times are log-normal, and a share of operations
+ends in 500. With a full queue or while draining it rejects requests with 503 and `X-Not-Processed: 1`, and a
+request without an id with 404, as the protocol requires. A running server can be drained, killed (listener
+closed, all connections reset), paused, or made slow, silent or failing.
 """
 
 import asyncio
@@ -17,26 +17,26 @@
 from lapisgrade.fakes import http
 from lapisgrade.fakes.listener import Listener
 
-SILENCE_CHECK_INTERVAL_S = 0.05  # between a silent server's looks whether it is well again
+SILENCE_CHECK_INTERVAL_S = 0.05  # how often a silent server checks whether it still is
 
 
 @dataclass(slots=True)
 class ServerBehavior:
-    """How one server behaves. Times in seconds, shares from 0 to 1."""
+    """Behavior of one server. Times in seconds, shares from 0 to 1."""
 
-    capacity: int = 8  # operations at work at once
-    queue: int = 16  # operations waiting beyond those; one more is turned away
+    capacity: int = 8  # concurrent operations
+    queue: int = 16  # further operations that may wait; beyond that they are rejected
     median_s: float = 0.020  # median service time
-    sigma: float = 0.5  # spread of the log-normal law of service times
-    error_share: float = 0.0  # operations that end in 500
+    sigma: float = 0.5  # sigma of the log-normal service time
+    error_share: float = 0.0  # share of operations that end in 500
     cold_from: float = 1.0  # share of capacity at the start
-    warm_s: float = 0.0  # time to reach full capacity from the start
-    silent: bool = False  # takes operations and never answers
+    warm_s: float = 0.0  # duration of slow start
+    silent: bool = False  # accepts operations and never responds
 
 
 @dataclass(slots=True)
 class ServerCounts:
-    """What one server has seen."""
+    """Counters of one server."""
 
     requests: int = 0
     completed: int = 0
@@ -45,11 +45,11 @@
     without_id: int = 0
     health_checks: int = 0
     max_in_flight: int = 0
-    requests_after_drain_s: list[float] = field(default_factory=list)  # how long after the drain they came
+    requests_after_drain_s: list[float] = field(default_factory=list)  # one per request
 
 
 class Server(Listener):
-    """One fake server. `await open()`, then `drain()`, `kill()`, and `behavior` at any time."""
+    """One fake server. After `await open()`, use `drain()`, `pause()`, `kill()` or change `behavior`."""
 
     def __init__(
         self, name: str, behavior: ServerBehavior, seed: int, host: str = "127.0.0.1", port: int = 0
@@ -61,34 +61,41 @@
         self.in_flight = 0
         self.queued = 0
         self.started_s = time.monotonic()
-        self.drained_s: float | None = None
+        self.drain_started_s: float | None = None
         self.paused_until_s = 0.0
         self.is_running = False
-        self._slot = asyncio.Condition()
+        self._slot_freed = asyncio.Condition()
 
     async def open(self) -> "Server":
-        """Listen and start cold; OSError where the port is taken."""
+        """Start listening, in slow start.
+
+        Raises:
+            OSError: The port is in use.
+        """
         await super().open()
-        self.started_s, self.drained_s, self.is_running = time.monotonic(), None, True
+        self.started_s, self.drain_started_s, self.is_running = time.monotonic(), None, True
         return self
 
     def capacity_at(self, now_s: float) -> int:
-        """Operations it takes at work at once by now, warming from `cold_from` of its capacity."""
+        """Return the capacity at `now_s`; in slow start it grows from the share `cold_from`."""
         behavior = self.behavior
         warm = 1.0 if behavior.warm_s <= 0 else min(1.0, (now_s - self.started_s) / behavior.warm_s)
         share = behavior.cold_from + (1.0 - behavior.cold_from) * warm
-        return max(1, math.floor(behavior.capacity * share + 1e-9))  # rounding takes no slot away
+        return max(1, math.floor(behavior.capacity * share + 1e-9))  # 1e-9 absorbs rounding errors
 
     def pause(self, seconds: float) -> None:
-        """Stall whole for `seconds`, as a process that stops: nothing is answered until then."""
+        """Delay the responses of operations for `seconds`, like a stalled process.
+
+        Health checks and rejections are still answered.
+        """
         self.paused_until_s = time.monotonic() + seconds
 
     def drain(self) -> None:
-        """Want nothing new; finish what is at hand."""
-        self.drained_s = time.monotonic()
+        """Reject new requests; complete those in progress."""
+        self.drain_started_s = time.monotonic()
 
     async def kill(self) -> None:
-        """End at once, as a machine that vanishes: no listener, every connection broken."""
+        """Stop immediately, like a machine that fails: listener closed, all connections reset."""
         self.is_running = False
         self.stop_listening()
         self.reset_connections()
@@ -100,47 +107,47 @@
         now = time.monotonic()
         if request.path in ("/alive", "/metrics/load"):
             self.counts.health_checks += 1
-            fit = self.drained_s is None and self.in_flight < self.capacity_at(now)
+            is_healthy = self.drain_started_s is None and self.in_flight < self.capacity_at(now)
             body = self._load(now).encode() if request.path == "/metrics/load" else b""
-            return http.Response(200 if fit else 503, body)
+            return http.Response(200 if is_healthy else 503, body)
         if "x-request-id" not in request.headers:
             self.counts.without_id += 1
             return http.Response(404, b"no X-Request-ID")
         self.counts.requests += 1
-        if self.drained_s is not None:
-            self.counts.requests_after_drain_s.append(now - self.drained_s)
-        if self.drained_s is not None or (
+        if self.drain_started_s is not None:
+            self.counts.requests_after_drain_s.append(now - self.drain_started_s)
+        if self.drain_started_s is not None or (
             self.in_flight >= self.capacity_at(now) and self.queued >= self.behavior.queue
         ):
             self.on_request(request, now, False)
             self.counts.rejected += 1
             return http.Response(503, b"", (("X-Not-Processed", "1"),))
-        async with self._slot:
+        async with self._slot_freed:
             self.queued += 1
             try:
-                await self._slot.wait_for(lambda: self.in_flight < self.capacity_at(time.monotonic()))
+                await self._slot_freed.wait_for(lambda: self.in_flight < self.capacity_at(time.monotonic()))
             finally:
                 self.queued -= 1
             self.in_flight += 1
         self.on_request(request, now, True)
         self.counts.max_in_flight = max(self.counts.max_in_flight, self.in_flight)
         try:
-            return await self._work(request)
+            return await self._process(request)
         finally:
-            async with self._slot:
+            async with self._slot_freed:
                 self.in_flight -= 1
-                self._slot.notify_all()
+                self._slot_freed.notify_all()
 
-    async def _work(self, request: http.Request) -> http.Response:
+    async def _process(self, request: http.Request) -> http.Response:
         behavior = self.behavior
         if behavior.silent:
             while behavior.silent:
                 await asyncio.sleep(SILENCE_CHECK_INTERVAL_S)
-            return http.Response(500, abort=True)  # what it sat on is lost; its slot is free again
+            return http.Response(500, abort=True)  # the operation is lost, its slot is freed
         await asyncio.sleep(behavior.median_s * math.exp(behavior.sigma * self.random.gauss(0.0, 1.0)))
-        stalled = self.paused_until_s - time.monotonic()
-        if stalled > 0:
-            await asyncio.sleep(stalled)
+        remaining_s = self.paused_until_s - time.monotonic()
+        if remaining_s > 0:
+            await asyncio.sleep(remaining_s)
         load = (("X-Server-Load", "TEXT " + self._load(time.monotonic())),)
         if self.random.random() < behavior.error_share:
             self.counts.errors += 1
@@ -151,7 +158,13 @@
         )
 
     def on_request(self, request: http.Request, arrived_s: float, ran: bool) -> None:
-        """For whoever watches: a request that came at `arrived_s` was turned away, or is at work now."""
+        """Hook for subclasses: a request was rejected, or its processing starts.
+
+        Args:
+            request: The request.
+            arrived_s: Arrival time on the monotonic clock.
+            ran: Whether it is processed; False if it was rejected.
+        """
 
     def _load(self, now_s: float) -> str:
         capacity = self.capacity_at(now_s)
@@ -161,29 +174,29 @@
 
 
 class ServerPool:
-    """Servers named s0, s1, ... with one knob set, each seeded from one seed."""
+    """Servers s0, s1, ... with equal behavior and seeds derived from one seed."""
 
     def __init__(self, size: int, behavior: ServerBehavior, seed: int, host: str = "127.0.0.1") -> None:
-        chance = Random(seed)
+        random = Random(seed)
         self.servers = [
-            Server(f"s{i}", ServerBehavior(**_fields(behavior)), chance.getrandbits(48), host)
+            Server(f"s{i}", ServerBehavior(**_behavior_fields(behavior)), random.getrandbits(48), host)
             for i in range(size)
         ]
 
     async def open(self) -> "ServerPool":
-        """Start all servers; returns the pool itself."""
+        """Start all servers and return the pool itself."""
         for server in self.servers:
             await server.open()
         return self
 
     async def close(self) -> None:
-        """End all servers."""
+        """Stop all servers."""
         for server in self.servers:
             with contextlib.suppress(Exception):
                 await server.kill()
 
     def totals(self) -> ServerCounts:
-        """The counts of all servers together."""
+        """Return the counters summed over all servers; `max_in_flight` is the maximum of any one."""
         total = ServerCounts()
         for server in self.servers:
             for name in ("requests", "completed", "errors", "rejected", "without_id", "health_checks"):
@@ -193,5 +206,5 @@
         return total
 
 
-def _fields(behavior: ServerBehavior) -> dict:
+def _behavior_fields(behavior: ServerBehavior) -> dict:
     return {name: getattr(behavior, name) for name in ServerBehavior.__slots__}
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -52,7 +52,7 @@
         await asyncio.sleep(0.8)
         site.counter.set_mode(counter.CounterMode.SPOILT)
         await asyncio.sleep(0.8)
-        seen.append(site.counter.tally.added)
+        seen.append(site.counter.stats.added)
         site.counter.restart()  # an empty counter in its place, as a swap to a fresh one
         site.counter.set_mode(counter.CounterMode.NORMAL)
 
--- a/tests/fakes/test_counter.py
+++ b/tests/fakes/test_counter.py
@@ -8,7 +8,7 @@
 
 
 async def call(port, *calls):
-    """Raw RESP2 calls, pipelined on one connection; the raw bytes that came back, until they stop."""
+    """Send RESP2 calls, pipelined on one connection, and return the raw bytes of the replies."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for words in calls:
         writer.write(b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words))
@@ -22,18 +22,18 @@
     return received
 
 
-def test_a_count_expires_from_its_first_addition_and_starts_again():
+def test_a_count_expires_by_the_lifetime_of_its_first_addition_and_restarts_at_zero():
     store = counter.Store()
     assert store.add(b"c1", 2.5, 1000, 10.0) == 2.5
-    assert store.add(b"c1", -1.0, 99_000, 10.9) == 1.5  # a later life does not lengthen the first
+    assert store.add(b"c1", -1.0, 99_000, 10.9) == 1.5  # a later call does not extend the lifetime
     assert store.add(b"c1", 1.0, 1000, 11.0) == 1.0
     assert store.add(b"c2", 1.0, 10**9, 0.0) == 1.0
-    assert store.counts[b"c2"].until_s == 60.0
-    assert store.forget(61.0) == 2
+    assert store.counts[b"c2"].expires_s == 60.0
+    assert store.remove_expired(61.0) == 2
     assert not store.counts
 
 
-async def test_the_counter_adds_rejects_and_refuses_unknown_commands():
+async def test_the_counter_adds_rejects_calls_when_busy_and_rejects_invalid_commands():
     fake = await counter.Counter().open()
     received = await call(
         fake.port,
@@ -51,14 +51,14 @@
     fake.mode = counter.CounterMode.BUSY
     assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"-BUSY try later\r\n"
     assert fake.store.counts[b"k"].total == 1.5
-    assert fake.tally.busy == 1
+    assert fake.stats.busy == 1
     fake.mode = counter.CounterMode.NORMAL
-    fake.restart()  # comes back empty
+    fake.restart()  # loses its counts
     assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"9"]) == b"$3\r\n1.0\r\n"
     await fake.close()
 
 
-async def test_a_silent_counter_replies_nothing_and_a_full_one_resets_connections():
+async def test_a_silent_counter_does_not_reply_and_connections_beyond_the_limit_are_reset():
     fake = await counter.Counter(max_connections=1).open()
     fake.mode = counter.CounterMode.SILENT
     reader, writer = await asyncio.open_connection("127.0.0.1", fake.port)
@@ -67,7 +67,7 @@
         await asyncio.wait_for(reader.read(10), 0.3)
     with pytest.raises(ConnectionResetError):  # the second connection is reset
         await call(fake.port, [b"PING"])
-    assert fake.tally.reset_connections == 1
+    assert fake.stats.reset_connections == 1
     writer.transport.abort()
     await fake.close()
 
@@ -75,27 +75,27 @@
 async def test_a_silent_counter_notices_closed_connections_and_recovers():
     fake = await counter.Counter(max_connections=4).open()
     fake.mode = counter.CounterMode.SILENT
-    for _ in range(3):  # ten limiters' worth of time-outs: each gives its connection up and opens another
-        lines = [await asyncio.open_connection("127.0.0.1", fake.port) for _ in range(4)]
-        for _, writer in lines:
+    for _ in range(3):  # clients that time out, close their connections and open new ones
+        connections = [await asyncio.open_connection("127.0.0.1", fake.port) for _ in range(4)]
+        for _, writer in connections:
             writer.write(b"*1\r\n$4\r\nPING\r\n")
         await asyncio.sleep(0.02)
-        for _, writer in lines:
+        for _, writer in connections:
             writer.transport.abort()
         await asyncio.sleep(0.02)
     assert fake.connections == 0
-    assert fake.tally.reset_connections == 0
+    assert fake.stats.reset_connections == 0
     reader, writer = await asyncio.open_connection("127.0.0.1", fake.port)
     writer.write(b"*1\r\n$4\r\nPING\r\n")
     await asyncio.sleep(0.02)
     fake.mode = counter.CounterMode.NORMAL
     assert await call(fake.port, [b"PING"]) == b"+PONG\r\n"
-    writer.write(b"*1\r\n$4\r\nPING\r\n")  # the one that is owed an answer gets none for a later call
+    writer.write(b"*1\r\n$4\r\nPING\r\n")  # a connection with an unanswered call is closed, not answered
     assert await asyncio.wait_for(reader.read(10), 1.0) == b""
     await fake.close()
 
 
-async def test_an_endless_partial_command_is_cut_off_at_a_bound():
+async def test_a_connection_whose_partial_command_exceeds_the_buffer_limit_is_closed():
     fake = await counter.Counter().open()
     reader, writer = await asyncio.open_connection("127.0.0.1", fake.port)
     writer.write(b"*2\r\n$%d\r\n" % (4 << 20))
@@ -111,35 +111,35 @@
     await fake.close()
 
 
-def test_a_split_counter_accepts_writes_in_both_halves_and_a_heal_counts_each_once():
+def test_both_halves_of_a_split_accept_writes_and_a_heal_counts_each_once():
     store = counter.Store()
     store.add(b"a", 5.0, 60_000, 0.0)
-    parted = counter.split(store)
-    parted.halves[0].add(b"a", 2.0, 60_000, 1.0)
-    parted.halves[1].add(b"a", 3.0, 60_000, 1.0)
-    parted.halves[1].add(b"b", 1.0, 60_000, 1.0)
-    assert parted.halves[0].counts[b"a"].total == 7.0
-    assert parted.halves[1].counts[b"a"].total == 8.0
-    healed = counter.heal(parted)
+    halved = counter.split(store)
+    halved.halves[0].add(b"a", 2.0, 60_000, 1.0)
+    halved.halves[1].add(b"a", 3.0, 60_000, 1.0)
+    halved.halves[1].add(b"b", 1.0, 60_000, 1.0)
+    assert halved.halves[0].counts[b"a"].total == 7.0
+    assert halved.halves[1].counts[b"a"].total == 8.0
+    healed = counter.heal(halved)
     assert healed.counts[b"a"].total == 10.0
     assert healed.counts[b"b"].total == 1.0
-    late = counter.split(store)  # a half whose name lived out its life and began again
+    late = counter.split(store)  # the count expires and restarts in one half
     late.halves[0].add(b"a", 4.0, 1_000, 120.0)
     assert counter.heal(late).counts[b"a"].total == 9.0
 
 
-async def test_split_halves_reply_apart_then_as_one_and_a_stale_or_corrupt_counter_is_wrong():
+async def test_split_healed_stale_and_corrupt_counters_reply_with_the_expected_totals():
     fake = await counter.Counter().open()
     assert await call(fake.port, [b"INCRTTL", b"k", b"5", b"60000"]) == b"$3\r\n5.0\r\n"
     fake.split()
     one = await call(fake.port, [b"INCRTTL", b"k", b"1", b"60000"])
     two = await call(fake.port, [b"INCRTTL", b"k", b"2", b"60000"])
-    assert (one, two) == (b"$3\r\n6.0\r\n", b"$3\r\n7.0\r\n")  # each half believes itself whole
+    assert (one, two) == (b"$3\r\n6.0\r\n", b"$3\r\n7.0\r\n")  # each half adds only its own calls
     fake.heal()
     assert await call(fake.port, [b"INCRTTL", b"k", b"0", b"60000"]) == b"$3\r\n8.0\r\n"
     fake.set_mode(counter.CounterMode.STALE)
     assert await call(fake.port, [b"INCRTTL", b"k", b"4", b"60000"]) == b"$3\r\n8.0\r\n"
     fake.set_mode(counter.CounterMode.SPOILT)
     assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"60000"]) == b"$5\r\nfresh\r\n"
-    assert fake.store.counts[b"k"].total == 13.0  # lies told, but every addition was made
+    assert fake.store.counts[b"k"].total == 13.0  # wrong replies, but every addition was made
     await fake.close()
--- a/tests/fakes/test_discovery.py
+++ b/tests/fakes/test_discovery.py
@@ -1,4 +1,4 @@
-"""The fake discovery service: its list, and watches for changes."""
+"""The fake discovery agent: the complete list, and watches for changes."""
 
 import asyncio
 import json
@@ -16,25 +16,25 @@
     return int(head.split(b" ")[1]), body
 
 
-async def test_discovery_replies_the_full_list_and_then_changes():
+async def test_discovery_returns_the_complete_list_and_a_watch_returns_the_changes():
     fake = await discovery.Discovery().open()
     fake.put(discovery.ServerEntry("s0", "127.0.0.1:1"))
     fake.put(discovery.ServerEntry("s1", "127.0.0.1:2"))
     status, body = await get(fake.port, "/discovery/hosts")
-    whole = json.loads(body)
+    complete = json.loads(body)
     assert status == 200
-    assert whole["reset"]
-    assert [row["instanceId"] for row in whole["instances"]] == ["s0", "s1"]
-    target = f"/discovery/hosts?since={whole['generation']}&timeout_ms=5000"
+    assert complete["reset"]
+    assert [row["instanceId"] for row in complete["instances"]] == ["s0", "s1"]
+    target = f"/discovery/hosts?since={complete['generation']}&timeout_ms=5000"
     watch = asyncio.create_task(get(fake.port, target))
     await asyncio.sleep(0.1)
-    assert not watch.done()  # nothing new yet: the watch waits
+    assert not watch.done()  # no changes yet
     fake.drain("s1")
-    told = json.loads((await watch)[1])
-    assert told["reset"] is False
-    assert told["instances"][0]["lifecycle"] == "terminating"
-    quiet = await get(fake.port, f"/discovery/hosts?since={told['generation']}&timeout_ms=50")
-    assert json.loads(quiet[1])["instances"] == []
+    changes = json.loads((await watch)[1])
+    assert changes["reset"] is False
+    assert changes["instances"][0]["lifecycle"] == "terminating"
+    unchanged = await get(fake.port, f"/discovery/hosts?since={changes['generation']}&timeout_ms=50")
+    assert json.loads(unchanged[1])["instances"] == []
     fake.remove("s1")
     assert [r["instanceId"] for r in fake.complete_list()["instances"]] == ["s0"]
     assert (await get(fake.port, "/discovery/hosts?since=x"))[0] == 400
--- a/tests/fakes/test_listener.py
+++ b/tests/fakes/test_listener.py
@@ -15,12 +15,12 @@
         writer.transport.abort()
 
 
-async def test_a_connection_accepted_while_the_listener_closes_is_aborted_unseen():
+async def test_a_connection_accepted_while_the_listener_closes_is_aborted_without_being_served():
     listener = await CountingListener().open()
     await asyncio.open_connection(listener.host, listener.port)
     await asyncio.sleep(0.05)
     await listener.close()
-    # What the loop does where it accepted the connection, and ran this only after the end.
+    # The event loop may accept a connection and call the handler only after close().
     reader, writer = await asyncio.open_connection(listener.host, (await CountingListener().open()).port)
     await listener._on_connection(reader, writer)
     assert (listener.accepted, writer.transport.is_closing()) == (1, True)
