--- a/lapisgrade/cli/__init__.py
+++ b/lapisgrade/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line, `lapisgrade`: sub-commands on click. Nothing on the bench's path imports it."""
+"""The command line `lapisgrade`: click subcommands. The bench does not import it."""
--- a/lapisgrade/cli/__main__.py
+++ b/lapisgrade/cli/__main__.py
@@ -1,4 +1,4 @@
-"""python -m lapisgrade.cli: the same as the `lapisgrade` command."""
+"""Entry point of `python -m lapisgrade.cli`, equivalent to the `lapisgrade` command."""
 
 from lapisgrade.cli.main import main
 
--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -1,9 +1,8 @@
-"""The run behind `lapisgrade demo`: a whole small site on loopback, and if asked an open-loop load at it.
+"""Implementation of `lapisgrade demo`: a small site on loopback, optionally under open-loop load.
 
-Ctrl-C stops the load: nothing more is sent, what is in flight is answered, the limiters end as on SIGTERM,
-and the counts are printed. The demo checks the rules that can be seen from outside and says so: every
-operation that was sent has exactly one end, and no server took work later than the grace after it began to
-drain.
+Ctrl-C stops sending; operations in flight are answered, the limiters shut down as on SIGTERM, and the counts
+are printed. The demo checks and reports the rules that are visible from outside: every operation sent has
+exactly one outcome, and no server receives an operation later than the grace period after it starts draining.
 """
 
 import asyncio
@@ -19,10 +18,10 @@
 from lapisgrade.lab.load import client, schedule
 
 LIVE_INTERVAL_S = 1.0
-"""Between two lines of counts."""
+"""Interval between two lines of counts."""
 
 MAX_DISCOVERY_DELAY_S = 0.1
-"""How long discovery may take to tell a limiter of a drain, on loopback, on top of the grace."""
+"""Maximum delay until discovery notifies a limiter of a drain, on loopback; added to the grace period."""
 
 EXIT_OK = 0
 EXIT_RULE_BROKEN = 1
@@ -34,56 +33,56 @@
 
 @dataclass(slots=True)
 class DemoOptions:
-    """What the demo was asked for."""
+    """Options of a demo run."""
 
     plan: Plan
-    shape: schedule.Shape | None  # None: no load, serve until Ctrl-C (or `seconds`)
-    seconds: float  # 0: without end
-    leave_at_s: float | None  # when server s0 drains and then dies
+    shape: schedule.Shape | None  # None: no load, run until Ctrl-C (or for `seconds`)
+    seconds: float  # 0: no time limit
+    leave_at_s: float | None  # time at which server s0 drains; it is killed after grace_s; None for never
     grace_s: float
 
 
 async def run(
     options: DemoOptions,
     print_line: Print = click.echo,
-    during: Callable[[Site], Awaitable[None]] | None = None,
+    inject_faults: Callable[[Site], Awaitable[None]] | None = None,
 ) -> int:
-    """Run the demo; returns its exit code.
+    """Run the demo and return its exit code.
 
     Args:
-        options: what was asked for.
-        print_line: called with each line of output.
-        during: runs beside the load, for tests and scripts that bring faults on.
+        options: Options of the run.
+        print_line: Called with each line of output.
+        inject_faults: Coroutine function that runs during the load, for tests and scripts.
     """
     stopping = asyncio.Event()
     async with Site(options.plan) as site:
         for line in site.listening_lines():
             print_line(line)
         load = client.Client(site.limiter_addresses, options.plan.seed)
-        with _interrupts(load, stopping, print_line):
+        with _stop_on_interrupt(load, stopping, print_line):
             started_s = time.monotonic()
             tasks = [asyncio.create_task(print_counts(site, load, print_line, stopping))]
             if options.leave_at_s is not None:
                 tasks.append(asyncio.create_task(remove_server(site, options, print_line)))
-            if during is not None:
-                tasks.append(asyncio.ensure_future(during(site)))
-            await _drive(options, load, print_line, stopping)
+            if inject_faults is not None:
+                tasks.append(asyncio.ensure_future(inject_faults(site)))
+            await _send_load(options, load, print_line, stopping)
             stopping.set()
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
         await site.shut_down_limiters()
         wall_s = time.monotonic() - started_s
-    return verdict(site, load.tally, options, wall_s, print_line)
+    return print_results(site, load.tally, options, wall_s, print_line)
 
 
 @contextlib.contextmanager
-def _interrupts(load: client.Client, stopping: asyncio.Event, print_line: Print) -> Iterator[None]:
-    """Have Ctrl-C stop the load, where the event loop can handle signals."""
+def _stop_on_interrupt(load: client.Client, stopping: asyncio.Event, print_line: Print) -> Iterator[None]:
+    """Stop the load on Ctrl-C, if the event loop can handle signals."""
 
     def stop() -> None:
         if not stopping.is_set():
-            print_line("stopping: nothing more is sent; what is out gets its answer")
+            print_line("stopping: no new operations are sent; waiting for those in flight")
         stopping.set()
         load.stop()
 
@@ -95,10 +94,10 @@
         event_loop.remove_signal_handler(signal.SIGINT)
 
 
-async def _drive(
+async def _send_load(
     options: DemoOptions, load: client.Client, print_line: Print, stopping: asyncio.Event
 ) -> None:
-    """Send the load, or without one wait."""
+    """Send the load; without one, wait for Ctrl-C or the time limit."""
     if options.shape is None:
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(stopping.wait(), options.seconds if options.seconds > 0 else None)
@@ -112,28 +111,30 @@
 
 
 async def print_counts(site: Site, load: client.Client, print_line: Print, stopping: asyncio.Event) -> None:
-    """Print a line a second: what was sent and how it ended so far, and what the servers did."""
+    """Print a line per second: operations sent, their outcomes so far, and requests at the servers."""
     while not stopping.is_set():
         await asyncio.sleep(LIVE_INTERVAL_S)
         counts, servers = load.tally.counts, site.pool.totals()
         print_line(
             f"sent {load.tally.sent}: finished {counts['finished']}, turned back {counts['turned back']}, "
-            f"given up {counts['given up']}; servers took {servers.requests}, "
+            f"given up {counts['given up']}; servers received {servers.requests}, "
             f"counter calls {site.counter.stats.calls}"
         )
 
 
 async def remove_server(site: Site, options: DemoOptions, print_line: Print) -> None:
-    """Have the first server drain, and die after the grace."""
+    """Drain the first server and kill it after the grace period."""
     await asyncio.sleep(options.leave_at_s or 0.0)
     name = site.pool.servers[0].name
-    print_line(f"{name} drains; it dies {options.grace_s:g} s later")
+    print_line(f"{name} drains; it is killed in {options.grace_s:g} s")
     await site.drain_and_remove(0, options.grace_s)
-    print_line(f"{name} is gone")
+    print_line(f"{name} was removed")
 
 
-def verdict(site: Site, tally: client.Tally, options: DemoOptions, wall_s: float, print_line: Print) -> int:
-    """Print what came of the run; returns the exit code."""
+def print_results(
+    site: Site, tally: client.Tally, options: DemoOptions, wall_s: float, print_line: Print
+) -> int:
+    """Print the results and rule violations of the run, and return the exit code."""
     violations = []
     if options.shape is not None:
         for line in client.summary(tally, wall_s):
@@ -146,30 +147,32 @@
         if after_s > options.grace_s + MAX_DISCOVERY_DELAY_S
     ]
     if late:
-        violations.append(f"{len(late)} operations came to a draining server past the grace")
+        violations.append(f"{len(late)} operations reached a draining server after the grace period")
     print_line(
-        f"servers: took {servers.requests}, finished {servers.completed}, erred {servers.errors}, "
-        f"turned away {servers.rejected}; counter: {site.counter.stats.added} additions"
+        f"servers: received {servers.requests}, completed {servers.completed}, errors {servers.errors}, "
+        f"rejected {servers.rejected}; counter: {site.counter.stats.added} additions"
     )
     for line in violations:
         print_line(f"RULE BROKEN: {line}")
     if violations:
         return EXIT_RULE_BROKEN
-    print_line("every operation sent had exactly one end; no draining server took new work past the grace")
+    print_line(
+        "every operation had exactly one outcome; none reached a draining server after the grace period"
+    )
     return EXIT_OK
 
 
 def _load_violations(tally: client.Tally) -> list[str]:
     violations = []
     if tally.counts["lost"]:
-        violations.append(f"{tally.counts['lost']} operations got no answer in time")
+        violations.append(f"{tally.counts['lost']} operations were not answered in time")
     if sum(tally.counts.values()) != tally.sent + tally.counts["not sent"]:
-        violations.append("the counts do not add up")
+        violations.append("the outcomes do not add up to the operations sent and not sent")
     return violations
 
 
 def main(options: DemoOptions) -> int:
-    """Run the demo on the limiter's own event loop; returns its exit code."""
+    """Run the demo on the limiter's event loop implementation and return its exit code."""
     from lapisgrade.net import event_loop
 
     try:
--- a/lapisgrade/cli/fake_site.py
+++ b/lapisgrade/cli/fake_site.py
@@ -1,4 +1,4 @@
-"""`lapisgrade demo` and `lapisgrade standins`: limiters and what they talk to, on loopback."""
+"""`lapisgrade demo` and `lapisgrade standins`: limiters and fakes of their dependencies, on loopback."""
 
 import asyncio
 import signal
@@ -12,7 +12,7 @@
 
 
 @click.command()
-@click.option("--load/--no-load", default=False, help="drive an open-loop load at the limiters, then end")
+@click.option("--load/--no-load", default=False, help="send open-loop load to the limiters, then exit")
 @click.option("--limiters", type=click.IntRange(1, 16), default=2, show_default=True)
 @click.option("--servers", type=click.IntRange(1, 64), default=4, show_default=True)
 @click.option(
@@ -20,14 +20,14 @@
     type=click.IntRange(1, 10_000),
     default=8,
     show_default=True,
-    help="operations at work at once on each server",
+    help="concurrent operations per server",
 )
 @click.option(
     "--leave",
     "leave_at_s",
     type=float,
     default=None,
-    help="s into the run at which server s0 drains and then dies",
+    help="time in s at which server s0 drains; it is killed after the grace period",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @shape_options
@@ -45,7 +45,7 @@
     at_s: float,
     length_s: float,
 ) -> None:
-    """Start stand-ins and limiters in one process on loopback; with --load, drive load and report."""
+    """Start fakes and limiters in one process on loopback; with --load, send load and print the results."""
     from lapisgrade.cli import demo as demo_run
 
     behavior = ServerBehavior(capacity=capacity, cold_from=0.3, warm_s=2.0)
@@ -63,20 +63,20 @@
 @click.option("--servers", type=click.IntRange(1, 64), default=4, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 def standins(servers: int, seed: int) -> None:
-    """Counter and discovery at the sample configuration's addresses, and servers, until Ctrl-C.
+    """Run a fake counter, discovery and servers at the sample configuration's addresses until Ctrl-C.
 
-    Then `lapisgrade serve deploy/sample.json` (or `make run`) starts a limiter among them.
+    `lapisgrade serve deploy/sample.json` (or `make run`) starts a limiter that uses them.
     """
     try:
         asyncio.run(_run_fakes(servers, seed))
     except OSError as error:
-        click.echo(f"the stand-ins could not start: {error.strerror or error}", err=True)
+        click.echo(f"the fakes could not start: {error.strerror or error}", err=True)
         sys.exit(2)
-    click.echo("ended")
+    click.echo("stopped")
 
 
 async def _run_fakes(server_count: int, seed: int) -> None:
-    """Run a counter, a discovery and servers until SIGINT or SIGTERM."""
+    """Run a counter, a discovery agent and servers until SIGINT or SIGTERM."""
     from lapisgrade.fakes.counter import Counter
     from lapisgrade.fakes.discovery import Discovery, ServerEntry
     from lapisgrade.fakes.servers import ServerPool
@@ -90,7 +90,7 @@
     click.echo(f"counter    {counter.address}\ndiscovery  {discovery.address}")
     for server in pool.servers:
         click.echo(f"server     {server.name} {server.address}")
-    click.echo("Ctrl-C or SIGTERM ends them")
+    click.echo("press Ctrl-C or send SIGTERM to stop")
     ending = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, ending.set)
--- a/lapisgrade/cli/gateway.py
+++ b/lapisgrade/cli/gateway.py
@@ -1,30 +1,30 @@
-"""The gateway's subcommands of `lapisgrade`: their arguments are read by `lapisgrade.gateway.__main__`."""
+"""The gateway's subcommands of `lapisgrade`; `lapisgrade.gateway.__main__` parses their arguments."""
 
 import sys
 
 import click
 
 HELP_LINES = {
-    "proxy": "Run the role that carries requests, on every machine.",
-    "controller": "Run the role that keeps the configuration and the server registry.",
-    "check": "Check a settings file, or with conf a configuration.",
-    "plan": "Tell what a change would change, without sending it.",
-    "loss": "Tell what the loss of machines would do.",
-    "roll": "Restart machines in turn, as long as all stays well.",
+    "proxy": "Run the proxy, the role that forwards requests, on every machine.",
+    "controller": "Run the controller, the role that stores the configuration and the server registry.",
+    "check": "Validate a settings file, or with conf a configuration.",
+    "plan": "Show the effect of a configuration change without applying it.",
+    "loss": "Show the effect of losing machines.",
+    "roll": "Restart machines one after another while the system stays healthy.",
     "show": "Print the newest configuration.",
-    "diff": "Tell what leads from one configuration to another.",
-    "dump": "Tell what is on the disk of a controller that is down.",
-    "system-demo": "Run a whole small system on loopback, with some load.",
-    "tenant": "Bring a tenant in or out, and follow it to every proxy.",
-    "status": "Tell which proxies hold and act by which version.",
-    "draft": "Keep an edit where no majority can be asked.",
-    "drafts": "List the drafts that are kept, and what came of them.",
+    "diff": "Show the changes between two configurations.",
+    "dump": "Show the log and state on the disk of a stopped controller.",
+    "system-demo": "Run a complete small system on loopback under light load.",
+    "tenant": "Add or remove a tenant, and wait until every proxy has the change.",
+    "status": "Show the staged and the active configuration version of each proxy.",
+    "draft": "Store an edit as a draft while no majority is reachable.",
+    "drafts": "List the stored drafts and the results of their merges.",
 }
-"""By command, its line in the help of `lapisgrade`."""
+"""Help line of each command in `lapisgrade --help`."""
 
 
 def forwarding_command(name: str, help_line: str) -> click.Command:
-    """Return a command that hands its arguments, `--help` too, to the gateway's own reader as they are."""
+    """Return a command that passes its arguments, including `--help`, unchanged to the gateway's parser."""
 
     @click.command(
         name,
--- a/lapisgrade/cli/lab.py
+++ b/lapisgrade/cli/lab.py
@@ -1,4 +1,4 @@
-"""`lapisgrade lab`: the laboratory's commands."""
+"""`lapisgrade lab`: the laboratory commands."""
 
 import click
 
@@ -11,12 +11,12 @@
 
 
 class LaboratoryGroup(click.Group):
-    """A group that says what a command of an earlier name is called now."""
+    """A group whose error for a renamed command states the new name."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """Find a command as click does; fail with advice for an earlier name."""
+        """Resolve a command as click does; fail with the new name if it was renamed."""
         if args and args[0] in RENAMED_COMMANDS:
             ctx.fail(f"'lab {args[0]}' is now 'lab {RENAMED_COMMANDS[args[0]]}'")
         return super().resolve_command(ctx, args)
--- a/lapisgrade/cli/lab_comparisons.py
+++ b/lapisgrade/cli/lab_comparisons.py
@@ -1,4 +1,4 @@
-"""`lapisgrade lab balancing`, `capacity` and `quota`: ways compared, and what they cost."""
+"""`lapisgrade lab balancing`, `capacity` and `quota`: comparisons of algorithms and their costs."""
 
 import click
 
@@ -10,7 +10,7 @@
 
 @click.command()
 @click.option("--limiters", type=click.IntRange(1, 2000), default=100, show_default=True)
-@click.option("--servers", type=click.IntRange(1, 4000), default=None, help="default: 1.3 a limiter")
+@click.option("--servers", type=click.IntRange(1, 4000), default=None, help="default: 1.3 per limiter")
 @click.option("--load", type=click.FloatRange(0.05, 1.5), default=0.6, show_default=True)
 @click.option("--slots", type=click.IntRange(1, 64), default=2, show_default=True)
 @click.option(
@@ -22,7 +22,7 @@
 )
 @click.option("--seconds", type=click.FloatRange(1, 600), default=20.0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--choosers", default="", help="names with commas between them; default: all")
+@click.option("--choosers", default="", help="comma-separated names; default: all")
 def balancing(
     limiters: int,
     servers: int | None,
@@ -33,7 +33,7 @@
     seed: int,
     choosers: str,
 ) -> None:
-    """Compare ways to choose a server where few requests pass each limiter; a Markdown table."""
+    """Compare load balancing algorithms at few requests per limiter; print a Markdown table."""
     from lapisgrade.lab.balancing import choosers as balancing_choosers
     from lapisgrade.lab.balancing.model import Spec
     from lapisgrade.lab.balancing.play import table
@@ -54,20 +54,20 @@
 
 @click.command()
 def capacity() -> None:
-    """Measure what the control plane's parts cost by size, and their slopes: a Markdown table."""
+    """Measure the cost of the control plane's parts by fleet size; print a Markdown table with slopes."""
     from lapisgrade.lab.capacity import report
 
     report(click.echo)
 
 
 @click.command()
-@click.option("--limiters", default="10,100", show_default=True, help="sizes with commas between them")
+@click.option("--limiters", default="10,100", show_default=True, help="comma-separated numbers of limiters")
 @click.option("--rate", type=click.FloatRange(1, 10_000), default=60.0, show_default=True)
 @click.option("--burst", type=click.FloatRange(0, 10_000), default=60.0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--ways", default="", help="names with commas between them; default: all")
+@click.option("--ways", default="", help="comma-separated names; default: all")
 def quota(limiters: str, rate: float, burst: float, seed: int, ways: str) -> None:
-    """Compare ways to hold a tenant's quota among many limiters, calm and with its owner dark."""
+    """Compare ways to enforce a tenant's quota across limiters, with and without a reachable owner."""
     from lapisgrade.lab import quota_comparison
 
     names = parse_names(ways, quota_comparison.POLICIES, "way")
--- a/lapisgrade/cli/lab_emulator.py
+++ b/lapisgrade/cli/lab_emulator.py
@@ -44,17 +44,17 @@
     "--policy",
     type=click.Choice(["module", "local", "central"]),
     default=None,
-    help="in place of the scenario's: the decision module or a baseline",
+    help="overrides the scenario: the decision module or a baseline",
 )
-@click.option("--seed", type=int, default=None, help="in place of the scenario's")
-@click.option("--limiters", type=click.IntRange(1, 10_000), default=None, help="in place of the scenario's")
-@click.option("--servers", type=click.IntRange(1, 10_000), default=None, help="in place of the scenario's")
+@click.option("--seed", type=int, default=None, help="overrides the scenario")
+@click.option("--limiters", type=click.IntRange(1, 10_000), default=None, help="overrides the scenario")
+@click.option("--servers", type=click.IntRange(1, 10_000), default=None, help="overrides the scenario")
 @click.option("--customers", type=click.IntRange(1, 1_000_000), default=None)
 @click.option(
     "--out",
     type=click.Path(dir_okay=False),
     default=None,
-    help="where the result goes as JSON (default: lab-runs/NAME-POLICY-SEED.json)",
+    help="JSON file for the result (default: lab-runs/NAME-POLICY-SEED.json)",
 )
 def run(
     scenario: str,
@@ -65,17 +65,17 @@
     customers: int | None,
     out: str | None,
 ) -> None:
-    """Play SCENARIO (TOML, see docs/lab.md) and write its result; exit 1 where a rule broke."""
+    """Emulate SCENARIO (TOML, see docs/lab.md) and write its result; exit 1 if a rule was broken."""
     from lapisgrade.lab.emulator import scenario as scenarios
     from lapisgrade.lab.emulator.world import World
 
-    played = _read_scenario(scenario)
+    loaded = _read_scenario(scenario)
     scenarios.changed(
-        played,
+        loaded,
         {"policy": policy, "seed": seed, "limiters": limiters, "servers": servers, "customers": customers},
     )
-    result = World(played).run()
-    path = out or f"lab-runs/{played.name}-{played.policy}-{played.seed}.json"
+    result = World(loaded).run()
+    path = out or f"lab-runs/{loaded.name}-{loaded.policy}-{loaded.seed}.json"
     os.makedirs(os.path.dirname(path) or ".", exist_ok=True)
     with open(path, "w", encoding="utf-8") as file:
         json.dump(result.as_dict(), file)
@@ -84,13 +84,13 @@
 
 
 def _read_scenario(path: str) -> "Scenario":
-    """Read a scenario that can be emulated; ends the command where it can't be played."""
+    """Read a scenario for the emulator; exit with 2 if it is invalid or not supported."""
     from lapisgrade.lab.emulator import scenario as scenarios
 
     try:
         return scenarios.emulated(path)
     except scenarios.ScenarioError as error:
-        click.echo(f"the scenario: {error}", err=True)
+        click.echo(f"cannot load the scenario: {error}", err=True)
         sys.exit(2)
 
 
@@ -103,8 +103,8 @@
         f"counter calls {result.counter_calls}"
     )
     click.echo(
-        f"{result.events} events in {result.wall_s:.1f} s ({result.events_per_s:,.0f} a second), "
-        f"{result.peak_mb:.0f} MB at most; written to {path}"
+        f"{result.events} events in {result.wall_s:.1f} s ({result.events_per_s:,.0f} per second), "
+        f"peak {result.peak_mb:.0f} MB; written to {path}"
     )
     for breach in result.breaches[:MAX_BREACHES_SHOWN]:
         click.echo(
@@ -114,7 +114,7 @@
 
 @click.command("report")
 @click.argument("runs", nargs=-1, required=True, type=click.Path(dir_okay=False))
-@click.option("--out", default="lab-runs/report", show_default=True, help="the path, less .png/.html")
+@click.option("--out", default="lab-runs/report", show_default=True, help="output path without .png/.html")
 def report(runs: tuple[str, ...], out: str) -> None:
     """Plot one run, or several side by side, into a PNG and a self-contained HTML page."""
     from lapisgrade.lab.report import plots
@@ -122,7 +122,7 @@
     try:
         written = plots.report(list(runs), out)
     except plots.BadRun as error:
-        click.echo(f"the run: {error}", err=True)
+        click.echo(f"cannot read the run: {error}", err=True)
         sys.exit(2)
     for path in written:
         click.echo(f"written {path}")
@@ -130,15 +130,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SweepPoint:
-    """What is put in place of a scenario's own."""
+    """Values that override those of a scenario."""
 
     limiters: int
-    spread: int | None  # None: the scenario's
+    spread: int | None  # None: as in the scenario
     policy: str
-    seconds: float | None  # None: the scenario's
+    seconds: float | None  # None: as in the scenario
 
     def apply(self, scenario: "Scenario") -> None:
-        """Scale servers, customers and traffic with the limiters, and faults with the length."""
+        """Override the scenario's values.
+
+        Servers, customers and rate scale with the limiters, and the times of faults with the length.
+        """
         scale = self.limiters / scenario.limiters
         scenario.rate *= scale
         scenario.limiters = self.limiters
@@ -161,18 +164,18 @@
     "--sizes",
     default="10,100,1000",
     show_default=True,
-    help="limiters; servers as many, customers ten times as many, traffic in proportion",
+    help="comma-separated numbers of limiters; servers, customers and traffic scale in proportion",
 )
 @click.option("--policies", default="module,local,central", show_default=True)
-@click.option("--spreads", default="", help="limiters in a customer's set, each tried")
+@click.option("--spreads", default="", help="comma-separated numbers of limiters per customer")
 @click.option(
     "--seconds",
     type=float,
     default=None,
-    help="in place of the scenarios'; their faults' times are scaled alike",
+    help="overrides the scenarios; the times of their faults scale in proportion",
 )
 def sweep(scenarios: tuple[str, ...], sizes: str, policies: str, spreads: str, seconds: float | None) -> None:
-    """Play each scenario at each size, spread and policy; print a Markdown table of what they reached."""
+    """Emulate each scenario at each size, spread and policy; print a Markdown table of the results."""
     from lapisgrade.lab.emulator.world import World
 
     points = _sweep_points(sizes, policies, spreads, seconds)
@@ -186,7 +189,7 @@
 
 
 def _sweep_points(sizes: str, policies: str, spreads: str, seconds: float | None) -> list[SweepPoint]:
-    """Return each combination of the lists with commas."""
+    """Return all combinations of the comma-separated lists."""
     from lapisgrade.lab.emulator import scenario as scenarios
 
     try:
@@ -199,7 +202,7 @@
             raise ValueError
     except ValueError:
         raise click.BadParameter(
-            "sizes and spreads are whole numbers, policies among module, local, central"
+            "sizes and spreads must be positive integers, policies among module, local, central"
         ) from None
     combinations = itertools.product(limiters, spread_sizes, policy_names)
     return [SweepPoint(size, spread, policy, seconds) for size, spread, policy in combinations]
--- a/lapisgrade/cli/lab_fleet.py
+++ b/lapisgrade/cli/lab_fleet.py
@@ -1,4 +1,4 @@
-"""`lapisgrade lab fleet`: plays with real processes, and their reports."""
+"""`lapisgrade lab fleet`: scenario runs with real processes, and their reports."""
 
 import asyncio
 import sys
@@ -15,43 +15,45 @@
 RUNS_FOLDER = "fleet-runs"
 
 EXIT_INVALID_INPUT = 2
-EXIT_NOT_STARTED = 3  # processes could not be started, or ended by themselves
-EXIT_INTERRUPTED = 130  # 128 and SIGINT, as a shell says it
+EXIT_NOT_STARTED = 3  # a process could not be started or exited unexpectedly
+EXIT_INTERRUPTED = 130  # 128 + SIGINT, as in a shell
 
 
 @click.group()
 def fleet() -> None:
-    """The proving ground: real processes, faults between them, and a checker of what they did."""
+    """Scenario runs with real processes, fault injection, and a checker of the recorded history."""
 
 
 @fleet.command("run")
 @click.argument("scenario", type=click.Path(dir_okay=False))
-@click.option("--seed", type=int, default=None, help="in place of the scenario's")
-@click.option("--limiters", type=click.IntRange(1, 200), default=None, help="in place of the scenario's")
-@click.option("--out", type=FOLDER, default=None, help="folder for the play (default: fleet-runs/NAME-SEED)")
+@click.option("--seed", type=int, default=None, help="overrides the scenario")
+@click.option("--limiters", type=click.IntRange(1, 200), default=None, help="overrides the scenario")
+@click.option("--out", type=FOLDER, default=None, help="folder for the run (default: fleet-runs/NAME-SEED)")
 def run(scenario: str, seed: int | None, limiters: int | None, out: str | None) -> None:
-    """Play SCENARIO with real processes; write history and findings; exit 1 where a rule or bound broke."""
-    findings = _play(scenario, seed, limiters, Path(out) if out else None)
+    """Run SCENARIO with real processes; write history and findings; exit 1 if a rule or bound is violated."""
+    findings = _run_scenario(scenario, seed, limiters, Path(out) if out else None)
     sys.exit(0 if findings.ok else 1)
 
 
 @fleet.command("repeat")
 @click.argument("scenarios", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @click.option("--seeds", default="1,2,3,4,5", show_default=True)
-@click.option("--limiters", type=click.IntRange(1, 200), default=None, help="in place of the scenarios'")
-@click.option("--out", type=FOLDER, default=None, help="folder that holds a folder for each play")
+@click.option("--limiters", type=click.IntRange(1, 200), default=None, help="overrides the scenarios")
+@click.option("--out", type=FOLDER, default=None, help="parent folder of one folder per run")
 def repeat(scenarios: tuple[str, ...], seeds: str, limiters: int | None, out: str | None) -> None:
-    """Play each scenario with each seed; print a Markdown table of medians and the worst."""
+    """Run each scenario with each seed; print a Markdown table of medians and worst values."""
     from lapisgrade.lab.fleet import report as reports
 
     try:
-        numbers = [int(seed) for seed in seeds.split(",")]
+        seed_values = [int(seed) for seed in seeds.split(",")]
     except ValueError:
-        raise click.BadParameter("seeds are whole numbers, with commas between them") from None
-    is_single = len(numbers) == 1
+        raise click.BadParameter("seeds must be comma-separated integers") from None
+    is_single = len(seed_values) == 1
     folder = Path(out) if out and is_single else None
     runs_folder = Path(out or RUNS_FOLDER)
-    findings = [_play(path, seed, limiters, folder, runs_folder) for path in scenarios for seed in numbers]
+    findings = [
+        _run_scenario(path, seed, limiters, folder, runs_folder) for path in scenarios for seed in seed_values
+    ]
     click.echo(reports.table(findings))
     sys.exit(0 if all(each.ok for each in findings) else 1)
 
@@ -60,13 +62,13 @@
 @click.argument("folders", nargs=-1, required=True, type=FOLDER)
 @click.option("--out", default="fleet-runs/report.html", show_default=True, type=click.Path(dir_okay=False))
 def report(folders: tuple[str, ...], out: str) -> None:
-    """One HTML page, plots inside, of the plays in FOLDERS."""
+    """Write one HTML page with plots of the runs in FOLDERS."""
     from lapisgrade.lab.fleet import report as reports
 
     try:
         findings = [reports.load(f"{folder}/findings.json") for folder in folders]
     except reports.FindingsError as error:
-        click.echo(f"the findings: {error}", err=True)
+        click.echo(f"cannot read the findings: {error}", err=True)
         sys.exit(EXIT_INVALID_INPUT)
     Path(out).parent.mkdir(parents=True, exist_ok=True)
     Path(out).write_text(reports.page(findings), encoding="utf-8")
@@ -76,34 +78,34 @@
 @fleet.command("counts")
 @click.argument("logs", nargs=-1, required=True, type=click.Path())
 def counts(logs: tuple[str, ...]) -> None:
-    """Add up the counters in LOGS: limiters' logs, or folders of them (a play's, or a bench's `--logs`)."""
+    """Sum the counters in LOGS: limiter logs, or folders of them (of a run, or of the bench's `--logs`)."""
     from lapisgrade.lab.fleet import counts as fleet_counts
 
     try:
-        found = fleet_counts.read(list(logs))
+        counters = fleet_counts.read(list(logs))
     except OSError as error:
-        click.echo(f"the logs: {error}", err=True)
+        click.echo(f"cannot read the logs: {error}", err=True)
         sys.exit(EXIT_INVALID_INPUT)
-    for line in fleet_counts.lines(found):
+    for line in fleet_counts.lines(counters):
         click.echo(line)
-    sys.exit(0 if found.limiters else 1)
+    sys.exit(0 if counters.limiters else 1)
 
 
-def _play(
+def _run_scenario(
     path: str,
     seed: int | None,
     limiters: int | None,
     folder: Path | None,
     runs_folder: Path = Path(RUNS_FOLDER),
 ) -> "Findings":
-    """Play the scenario at `path`, save and print what the checker found; ends the command on an error.
+    """Run a scenario, check its history, and save and print the findings; exit the process on an error.
 
     Args:
-        path: the scenario's file.
-        seed: in place of the scenario's, None for that.
-        limiters: in place of the scenario's, None for that.
-        folder: of the play; None for one of its own in `runs_folder`.
-        runs_folder: holds a folder for each play.
+        path: File of the scenario.
+        seed: Overrides the scenario's seed; None to keep it.
+        limiters: Overrides the scenario's number of limiters; None to keep it.
+        folder: Folder of the run; None for `runs_folder`/NAME-SEED.
+        runs_folder: Parent folder of the runs.
     """
     from lapisgrade.lab.fleet import checker, history, process, test_bed
     from lapisgrade.lab.fleet import report as reports
@@ -114,10 +116,10 @@
     try:
         files = asyncio.run(test_bed.run(scenario, text, path, folder.resolve(), changes))
     except process.ProcessFailedError as error:
-        click.echo(f"the play: {error}", err=True)
+        click.echo(f"the run failed: {error}", err=True)
         sys.exit(EXIT_NOT_STARTED)
     except KeyboardInterrupt:
-        click.echo("interrupted; every process of the play has been ended", err=True)
+        click.echo("interrupted; all processes of the run were stopped", err=True)
         sys.exit(EXIT_INTERRUPTED)
     findings = checker.check(history.merged(files))
     reports.save(findings, folder / "findings.json")
@@ -127,12 +129,12 @@
 
 
 def _read_scenario(path: str, changes: dict[str, int | None]) -> tuple[str, "Scenario"]:
-    """Read a scenario's text, and the scenario with those changes; ends the command where it can't be."""
+    """Return a scenario's text and the scenario with the changes; exit with 2 if it is invalid."""
     from lapisgrade.lab.emulator import scenario as scenarios
 
     try:
         text = scenarios.text_at(path)
         return text, scenarios.changed(scenarios.parse(text, path), changes)
     except scenarios.ScenarioError as error:
-        click.echo(f"the scenario: {error}", err=True)
+        click.echo(f"cannot load the scenario: {error}", err=True)
         sys.exit(EXIT_INVALID_INPUT)
--- a/lapisgrade/cli/limiter.py
+++ b/lapisgrade/cli/limiter.py
@@ -1,4 +1,4 @@
-"""`lapisgrade serve`: one limiter, until it is told to end."""
+"""`lapisgrade serve`: run one limiter until SIGTERM."""
 
 import os
 import sys
@@ -14,10 +14,13 @@
     "--site",
     type=click.Path(dir_okay=False),
     default=None,
-    help="an operator's file (deploy/peers.toml), for limiters that may talk to one another",
+    help="operator's file (deploy/peers.toml) that enables membership between limiters",
 )
 def serve(config: str, site: str | None) -> None:
-    """Run one limiter as the file CONFIG tells it (SIGTERM ends, SIGHUP reloads, SIGUSR1 counts)."""
+    """Run one limiter with the configuration file CONFIG.
+
+    SIGTERM stops it, SIGHUP reloads the configuration, SIGUSR1 logs its counters.
+    """
     from lapisgrade.__main__ import main as run_limiter
     from lapisgrade.net.service_configuration import read_configuration
 
--- a/lapisgrade/cli/load.py
+++ b/lapisgrade/cli/load.py
@@ -1,4 +1,4 @@
-"""`lapisgrade load`: open-loop load at running limiters."""
+"""`lapisgrade load`: send open-loop load to running limiters."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
     "--trace",
     type=click.File("r"),
     default=None,
-    help="a trace in place of a shape: CSV with a header, or JSON lines, of t_s, customer, "
+    help="replay a trace instead of a shape: CSV with a header, or JSON lines, with t_s, customer, "
     "category[, plan, units, timeout_s]",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
@@ -30,7 +30,7 @@
     type=click.IntRange(1, 10_000),
     default=256,
     show_default=True,
-    help="connections to each limiter at the most",
+    help="maximum connections to each limiter",
 )
 @shape_options
 def load(
@@ -45,7 +45,7 @@
     at_s: float,
     length_s: float,
 ) -> None:
-    """Open-loop load at the limiters at TARGETS (host:port each); latency counted from when each was due."""
+    """Send open-loop load to TARGETS (host:port each); latency is measured from the scheduled send time."""
     addresses = [parse_address(target) for target in targets]
     mix = schedule.mix_of(sample_configuration()["settings"])
     if trace is not None:
@@ -71,7 +71,7 @@
 
 
 async def _run(load_client: client.Client, planned: list[schedule.Planned]) -> tuple[client.Tally, float]:
-    """Send what is planned; returns what came of it and how long it took, in s."""
+    """Send the planned operations; return the tally and the elapsed time in s."""
     event_loop = asyncio.get_running_loop()
     started_s = event_loop.time()
     with contextlib.suppress(NotImplementedError):
--- a/lapisgrade/cli/main.py
+++ b/lapisgrade/cli/main.py
@@ -1,16 +1,16 @@
 """`lapisgrade`: the command line.
 
     lapisgrade serve CONFIG            one limiter, as `python -m lapisgrade` with ROUTER_CONFIG=CONFIG
-    lapisgrade demo [--load]           stand-ins and limiters in one process on loopback
-    lapisgrade standins                the stand-ins alone, at the sample configuration's addresses
-    lapisgrade load TARGET...          open-loop load at running limiters
+    lapisgrade demo [--load]           fakes and limiters in one process on loopback
+    lapisgrade standins                the fakes alone, at the sample configuration's addresses
+    lapisgrade load TARGET...          send open-loop load to running limiters
     lapisgrade lab run SCENARIO        an emulated fleet in simulated time
-    lapisgrade lab report RUN...       plots and a page of emulated runs
-    lapisgrade lab fleet run SCENARIO  the same scenario with real processes, and a checker of what they did
+    lapisgrade lab report RUN...       plots and an HTML page of emulated runs
+    lapisgrade lab fleet run SCENARIO  the same scenario with real processes and a checker
     lapisgrade proxy|controller        the gateway's roles; check, plan, status, tenant and others operate it
 
-Arguments are read by click; those of the gateway's commands by docopt (`lapisgrade.gateway.__main__` says why
-there are two). Bad input gets one plain line and exit code 2.
+click parses the arguments, except those of the gateway's commands, which docopt parses
+(`lapisgrade.gateway.__main__` gives the reason). Invalid input prints one line and exits with code 2.
 """
 
 import click
@@ -24,7 +24,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """lapisgrade: a front door that meters many customers' use of one shared service."""
+    """lapisgrade: an API gateway that limits many customers' use of a shared service."""
 
 
 for command in (serve, demo, standins, load, lab):
--- a/lapisgrade/cli/options.py
+++ b/lapisgrade/cli/options.py
@@ -1,4 +1,4 @@
-"""Options and values that several commands share."""
+"""Options and argument parsers shared by several commands."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, TypeVar
@@ -16,18 +16,20 @@
         type=click.Choice(schedule.SHAPES),
         default="poisson",
         show_default=True,
-        help="how arrivals come",
+        help="arrival process",
     ),
-    click.option("--rate", type=float, default=40.0, show_default=True, help="operations a second"),
-    click.option("--seconds", type=float, default=10.0, show_default=True, help="length of the load"),
-    click.option("--peak", type=float, default=0.0, help="rate of the step, burst or ramp's end"),
-    click.option("--at", "at_s", type=float, default=0.0, help="s into the run: the step or burst"),
-    click.option("--length", "length_s", type=float, default=0.0, help="s that a burst lasts"),
+    click.option("--rate", type=float, default=40.0, show_default=True, help="operations per second"),
+    click.option("--seconds", type=float, default=10.0, show_default=True, help="duration of the load"),
+    click.option(
+        "--peak", type=float, default=0.0, help="rate of the step or burst, or at the end of the ramp"
+    ),
+    click.option("--at", "at_s", type=float, default=0.0, help="start of the step or burst, in s"),
+    click.option("--length", "length_s", type=float, default=0.0, help="duration of the burst, in s"),
 )
 
 
 def shape_options(command: Command) -> Command:
-    """Add the options that describe the shape of the traffic; `load_shape` reads them."""
+    """Add the options that describe the shape of the load, for `load_shape`."""
     for option in reversed(_SHAPE_OPTIONS):
         command = option(command)
     return command
@@ -36,10 +38,10 @@
 def load_shape(
     shape: str, rate: float, seconds: float, peak: float, at_s: float, length_s: float
 ) -> schedule.Shape:
-    """Return the shape that `shape_options` describe.
+    """Return the shape that the values of `shape_options` describe.
 
     Raises:
-        click.BadParameter: they don't go together.
+        click.BadParameter: A value is invalid or conflicts with another.
     """
     load = schedule.Shape(shape, rate, seconds, peak, at_s, length_s)
     try:
@@ -50,10 +52,10 @@
 
 
 def parse_address(text: str, name: str = "target") -> tuple[str, int]:
-    """Return host and port, read as a limiter reads its own addresses.
+    """Return host and port, parsed like the addresses of a limiter's configuration.
 
     Raises:
-        click.BadParameter: it is no address; `name` says whose.
+        click.BadParameter: The text is not an address; the message includes `name`.
     """
     try:
         return settings.parse_address(text, name)
@@ -61,13 +63,13 @@
         raise click.BadParameter(str(error)) from None
 
 
-def parse_names(text: str, known: Iterable[str], what: str) -> list[str]:
-    """Return the names in a list with commas, all known ones where it is empty.
+def parse_names(text: str, known: Iterable[str], kind: str) -> list[str]:
+    """Return the names in a comma-separated list, or all known ones if it is empty.
 
     Raises:
-        click.BadParameter: one isn't known; `what` says what it should be the name of.
+        click.BadParameter: A name is unknown; the message includes `kind`, what the name stands for.
     """
     names = text.split(",") if text else list(known)
     if unknown := [name for name in names if name not in known]:
-        raise click.BadParameter(f"no such {what}: {unknown[0]}; known: {', '.join(known)}")
+        raise click.BadParameter(f"no such {kind}: {unknown[0]}; known: {', '.join(known)}")
     return names
