--- a/lapisgrade/lab/explore/__init__.py
+++ b/lapisgrade/lab/explore/__init__.py
@@ -1,1 +1,1 @@
-"""The system's pure parts explored together in simulated time, seed by seed."""
+"""Randomized exploration of the system's I/O-free components in simulated time."""
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -1,10 +1,10 @@
-"""Activation of versions explored: all proxies accept or refuse a tenant from one moment on.
+"""Exploration of version activation: all proxies switch to a configuration version together.
 
-What one proxy has accepted none refuses afterwards; a tenant that is withdrawn, and refused somewhere, is
-accepted by no proxy that is in touch. The leader's watch and state machine and the proxies' routers are as
-they are, in simulated time: updates that are late or lost, proxies that freeze, start anew or are cut off,
-leaders that change, several tenants at once. A seed replays exactly. Known defects can be put in; each must
-be found.
+Once one proxy has accepted a tenant, no proxy rejects it. Once one proxy has rejected a removed tenant, no
+proxy that is in contact with the leader accepts it. The exploration runs the production code of the leader's
+watch and state machine and of the proxies' routers in simulated time, with late and lost updates, proxies
+that freeze, restart or are isolated, leader changes, and several tenants. A run is reproducible from its
+seed. Known defects can be injected, and each must be detected.
 """
 
 from collections.abc import Callable, Iterator
@@ -27,8 +27,8 @@
     Exploration,
     ExplorationResult,
     Print,
-    lines_up_to_violation,
     print_nothing,
+    transcript_up_to_violation,
 )
 from lapisgrade.lab.explore.watch_proxy import MS, Proxy, WatchCall
 
@@ -39,7 +39,7 @@
 
 
 def encode_configuration(ver: int, base: int, tenants: int | list[int]) -> bytes:
-    """Return a configuration, as JSON, with tenants of these numbers, or with so many."""
+    """Return a configuration as JSON; `tenants` is a list of tenant numbers, or a number of tenants."""
     names = [f"t{number}" for number in (range(tenants) if isinstance(tenants, int) else tenants)]
     return msgspec.json.encode(
         {
@@ -64,10 +64,10 @@
     """A leader, proxies, the network between them, and clients that call all proxies."""
 
     PROXY: type[Proxy] = Proxy
-    LEADS_EARLY = False  # a defect: a controller that was started anew leads before it has applied the log
+    LEADS_EARLY = False  # defect: a restarted controller becomes leader before it has applied the log
 
     def __init__(self, seed: int, proxies: int = 8) -> None:
-        """Start a leader and so many proxies, with a first tenant."""
+        """Start a leader, that number of proxies, and a configuration with one tenant."""
         self.random = Random(seed)
         self.sim = Sim()
         self.sim.now = 10 * SECOND
@@ -76,11 +76,11 @@
         self.last_index = 0
         self.pending: list[WatchCall] = []
         self.become_leader(1)
-        self.isolated: set[str] = set()  # proxies that reach nobody
+        self.isolated: set[str] = set()  # names of proxies that can't reach the leader
         self.tenant_count = 0
         self.withdrawn: set[int] = set()
         self.first_accepted_us: dict[int, int] = {}  # by tenant
-        self.first_refused_us: dict[int, int] = {}  # by tenant that is withdrawn
+        self.first_refused_us: dict[int, int] = {}  # by withdrawn tenant
         self.refused_after_acceptance: list[tuple[int, str, int, int]] = []
         self.accepted_after_refusal: list[tuple[int, str, int]] = []
         self.call_count = 0
@@ -91,13 +91,13 @@
     # ---- the leader
 
     def become_leader(self, term: int) -> None:
-        """Have a leader of a new term; what the one before had not committed is lost."""
+        """Start a new term; proposals that the previous leader had not committed are lost."""
         self.term = term
         self.pending = []
         self.watch = Watch(SECOND, self.sim.now)
         state = State() if self.LEADS_EARLY else self.state_machine.state
         self.watch.become_leader(self.sim.now, term, state)
-        self.note(f"a leader of term {term} begins; list of live proxies {sorted(self.watch.proxies)}")
+        self.note(f"new leader in term {term}; live proxies: {sorted(self.watch.proxies)}")
 
     def _tick(self) -> None:
         self.watch.advance(self.sim.now)
@@ -105,7 +105,7 @@
         self.sim.after(TICK_US, self._tick)
 
     def propose_due_commands(self) -> None:
-        """Have the leader propose what its watch asks for."""
+        """Propose the commands that are due in the leader's watch."""
         now, state = self.sim.now, self.state_machine.state
         for item in (self.watch.activation(now, state), self.watch.live_proxies(now, state)):
             if item is not None:
@@ -114,18 +114,19 @@
 
     def _commit(self, data: bytes, term: int) -> None:
         if term != self.term:
-            return  # what an earlier leader had not committed is lost
+            return  # a proposal of an earlier leader is lost
         self.last_index += 1
         self.state_machine.apply(self.last_index, data)
         state = self.state_machine.state
         live_proxies = sorted(state.live_proxies)
         self.note(
-            f"log: newest {state.version}, in force {state.active_version}, live proxies {live_proxies}"
+            f"log: newest version {state.version}, active version {state.active_version}, "
+            f"live proxies {live_proxies}"
         )
         self.reply_to_pending()
 
     def change(self, added: int, withdrawn: int | None = None) -> None:
-        """Commit a configuration with so many more tenants, and without one."""
+        """Commit a configuration with `added` more tenants, and without the tenant `withdrawn`."""
         self.tenant_count += added
         if withdrawn is not None:
             self.withdrawn.add(withdrawn)
@@ -139,14 +140,14 @@
         )
 
     def on_watch_request(self, call: WatchCall) -> None:
-        """Reply to a request as soon as there is an update, and after a while without."""
+        """Reply to a watch request on the next update, or when the long poll times out."""
         call.reply_by_us = self.sim.now + LONG_POLL_US
         self.pending.append(call)
         self.sim.after(LONG_POLL_US, self.reply_to_pending)
         self.reply_to_pending()
 
     def reply_to_pending(self) -> None:
-        """Reply to the requests that there is an update for, and to those that have waited long enough."""
+        """Reply to the watch requests that have an update or whose long poll has timed out."""
         pending, self.pending = self.pending, []
         for call in pending:
             state = self.state_machine.state
@@ -162,14 +163,14 @@
     # ---- network, faults and clients
 
     def deliver(self, proxy: Proxy, handler: Callable[..., None], *args: Any) -> None:
-        """Call a handler some time later, unless the proxy is cut off or the message is lost."""
+        """Call a handler after a network delay, unless the proxy is isolated or the message is lost."""
         if proxy.name not in self.isolated and self.random.random() > MESSAGE_LOSS:
             self.sim.after(self.random.choice((1, 2, 5, 40)) * MS, handler, *args)
 
     def inject_fault(self) -> None:
-        """Bring a fault on, at random."""
+        """Inject a random fault."""
         proxy, kind = self.random.choice(self.proxies), self.random.randrange(4)
-        self.note(("cut off", "frozen", "started anew", "leader changes")[kind] + f" ({proxy.name})")
+        self.note(("isolated", "frozen", "restarted", "leader change")[kind] + f" ({proxy.name})")
         match kind:
             case 0:
                 self.isolated.add(proxy.name)
@@ -182,7 +183,7 @@
                 self.become_leader(self.term + 1)
 
     def call_all_proxies(self) -> None:
-        """Have every tenant that there will be call every proxy that is able to answer."""
+        """Send a request of every tenant, also of withdrawn ones, to every proxy that isn't frozen."""
         for tenant in range(self.tenant_count):
             for proxy in self.proxies:
                 if self.sim.now >= proxy.frozen_until_us:
@@ -198,22 +199,22 @@
             self.first_refused_us.setdefault(tenant, self.sim.now)
         elif tenant in self.first_accepted_us:
             self.refused_after_acceptance.append((self.sim.now, proxy.name, tenant, status))
-            self.note(f"WRONG: {proxy.name} answers {status} to t{tenant}, taken before")
+            self.note(f"WRONG: {proxy.name} responds {status} to t{tenant}, which was accepted before")
 
     def _check_accepted(self, proxy: Proxy, tenant: int) -> None:
         self.first_accepted_us.setdefault(tenant, self.sim.now)
         may_lack_version = self.sim.now - proxy.router.tables.confirmed_us > MISSED_VERSION_AFTER_US
         if tenant in self.first_refused_us and not may_lack_version:
             self.accepted_after_refusal.append((self.sim.now, proxy.name, tenant))
-            self.note(f"WRONG: {proxy.name} takes t{tenant}, refused before")
+            self.note(f"WRONG: {proxy.name} accepts t{tenant}, which was withdrawn and refused before")
 
     def run(self, changes: int = 4) -> Self:
-        """Simulate so many changes with faults beside them, and a calm end."""
+        """Simulate `changes` configuration changes with a fault each, then a period without faults."""
         self.sim.run(self.sim.now + 3 * SECOND)
         for number in range(changes):
             self.sim.at(self.sim.now + self.random.randrange(SECOND), self.inject_fault)
             self.sim.at(self.sim.now + self.random.randrange(SECOND), self.change, 1)
-            if number == 2:  # the first tenant of all goes
+            if number == 2:  # withdraw the first tenant
                 self.sim.at(self.sim.now + self.random.randrange(SECOND), self.change, 0, 0)
             end_us = self.sim.now + self.random.choice((1, 3, 5)) * SECOND
             while self.sim.now < end_us:
@@ -225,27 +226,27 @@
 
     # ---- findings
 
-    def note(self, what: str) -> None:
+    def note(self, text: str) -> None:
         """Add a line to the transcript."""
-        self.transcript_lines.append(f"{self.sim.now / SECOND:9.3f} s  {what}")
+        self.transcript_lines.append(f"{self.sim.now / SECOND:9.3f} s  {text}")
 
     @property
-    def is_wrong(self) -> bool:
-        """Whether a tenant was refused after it had been accepted, or the other way round."""
+    def has_violation(self) -> bool:
+        """Whether a tenant was refused after it was accepted, or accepted after it was withdrawn."""
         return bool(self.refused_after_acceptance or self.accepted_after_refusal)
 
     def transcript(self) -> list[str]:
-        """What led to the first wrong answer, from the change before it on."""
-        return lines_up_to_violation(self.transcript_lines)
+        """Return the transcript lines that lead to the first violation."""
+        return transcript_up_to_violation(self.transcript_lines)
 
 
 def _match_active_only(self: router.Router, now: int, *request: str) -> Any:
-    """A proxy that may lack a version answers by the one that it has."""
+    """A proxy that may have missed a version routes by its active one."""
     return self.tables.active.match(*request) if self.tables.active else 503
 
 
 def _activate_at_once(self: Watch, now: int, state: State) -> Activate | None:
-    """A version comes into force before the proxies have staged it."""
+    """A version is activated before the proxies have staged it."""
     return Activate(state.version) if state.version > state.active_version else None
 
 
@@ -266,5 +267,5 @@
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Simulate each seed until one goes wrong; counts the calls that were made."""
+    """Simulate seeds until one has a violation; counts the calls that clients made."""
     return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/cluster.py
+++ b/lapisgrade/lab/explore/cluster.py
@@ -1,7 +1,7 @@
-"""Consensus nodes in simulated time: links that lose and are cut, kills, disks that lose what was not synced.
+"""A cluster of consensus nodes in simulated time, with message loss, partitions, crashes and wiped disks.
 
-A node here is the pure `consensus.node.Node`; this module is its shell, its disk and its network. A seed
-replays exactly.
+The nodes are instances of the I/O-free `consensus.node.Node`; this module simulates their process, disk and
+network. A crash loses records that were not synced. A run is reproducible from its seed.
 """
 
 import heapq
@@ -13,7 +13,7 @@
 from lapisgrade.gateway.consensus.messages import JoinRequest, Message
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import DurableWrite, Record, SnapshotRecord
-from lapisgrade.lab.explore.exploration import lines_up_to_violation
+from lapisgrade.lab.explore.exploration import transcript_up_to_violation
 
 SECOND = 1_000_000
 MESSAGE_LOSS = 0.02
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinAttempt:
-    """A node without a leader offers itself to all others."""
+    """A node without a leader sends a join request to all others."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class WriteCompletion:
-    """A write is on a node's disk."""
+    """A write is durable on a node's disk."""
 
     incarnation: int
     write: DurableWrite
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A message arrives, at whichever incarnation is there."""
+    """A message arrives at a node, whatever its incarnation is."""
 
     message: Message
 
@@ -57,22 +57,22 @@
 
 
 class Cluster:
-    """Some nodes by name, each of one letter, and what lies between them."""
+    """Consensus nodes with one-letter names, and the simulated network between them."""
 
     def __init__(self, seed: int, names: str = "abc") -> None:
         """Start the nodes for the first time, as each other's voters."""
         self.random = Random(seed)
         self.now_us = 0
-        self.blocked_links: set[tuple[str, str]] = set()  # from and to
-        self.nodes: dict[str, Node | None] = {}  # None: not running
-        self.disks: dict[str, list[bytes]] = {}  # records that are synced
+        self.blocked_links: set[tuple[str, str]] = set()  # source and destination
+        self.nodes: dict[str, Node | None] = {}  # None for a node that isn't running
+        self.disks: dict[str, list[bytes]] = {}  # synced records by node
         self.incarnations: dict[str, int] = {}
-        self.applied: dict[str, list[bytes]] = {}  # commands that each node has applied
-        self.acknowledged: dict[bytes, tuple[str, int]] = {}  # by command: its leader and term
+        self.applied: dict[str, list[bytes]] = {}  # applied commands by node
+        self.acknowledged: dict[bytes, tuple[str, int]] = {}  # leader and term by command
         self.leaders: dict[int, str] = {}  # by term
         self.violations: list[str] = []
         self.transcript_lines: list[str] = []
-        self._events: list[tuple[int, int, str, Event]] = []  # a heap: when, order, whose, what
+        self._events: list[tuple[int, int, str, Event]] = []  # a heap of time (us), sequence, node, event
         self._event_count = 0
         self._disk_busy_until_us: dict[str, int] = {}
         voters = {name: address_of(name) for name in names}
@@ -82,7 +82,7 @@
     # ---- nodes
 
     def start(self, name: str, voters: dict[str, str] | None = None, identity: str = "") -> None:
-        """Start a node by what is on its disk; where that is empty, by these voters and this identity."""
+        """Start a node from its disk; with an empty disk, start it with these voters and this identity."""
         address, incarnation = address_of(name), self.incarnations.get(name, 0) + 1
         self.incarnations[name] = incarnation
         self.applied[name] = []
@@ -99,39 +99,39 @@
         self._schedule(0, name, Tick(incarnation))
 
     def restart_stopped(self, names: str) -> None:
-        """Start those that don't run; an emptied disk has another identity."""
+        """Start the nodes that aren't running; a node with a wiped disk gets a new identity."""
         for name in names:
             if self.nodes[name] is None:
                 self.start(name, identity=f"{name}{self.incarnations[name]}")
 
     def kill(self, name: str, wipe: bool = False) -> None:
-        """Cut a node's power: what was not synced is lost, and with `wipe` all of it."""
-        self.note(f"{name} is killed" + (", its disk is emptied" if wipe else ""))
+        """Cut a node's power: it loses unsynced records, or with `wipe` its whole disk."""
+        self.note(f"{name} is killed" + (" and its disk wiped" if wipe else ""))
         self.nodes[name] = None
         self.incarnations[name] += 1
         if wipe:
             self.disks[name] = []
 
     def isolate(self, name: str, names: str, one_way: bool) -> None:
-        """Block the links from a node to the others; those to it too unless `one_way`."""
-        self.note(f"{name} is cut off" + (", one way" if one_way else ""))
+        """Block the links from a node to the others and, unless `one_way`, those to it."""
+        self.note(f"{name} is isolated" + (" (outbound only)" if one_way else ""))
         others = [other for other in names if other != name]
         self.blocked_links = {(name, other) for other in others}
         if not one_way:
             self.blocked_links |= {(other, name) for other in others}
 
     def leader(self) -> str:
-        """The name of the first node that is a leader, empty for none."""
+        """Return the name of the first node that is a leader, or an empty string."""
         return next((name for name, node in self.nodes.items() if node is not None and node.is_leader), "")
 
     def leader_node(self) -> Node:
-        """The node of `leader`; there must be one."""
+        """Return the leader's node; there must be one."""
         node = self.nodes[self.leader()]
         assert node is not None
         return node
 
     def propose(self, data: bytes) -> str:
-        """Propose a command at the leader; returns its name, empty for none."""
+        """Propose a command at the leader; return the leader's name, or an empty string."""
         name = self.leader()
         if name:
             node = self.leader_node()
@@ -143,7 +143,7 @@
     # ---- time
 
     def run(self, seconds: float) -> None:
-        """Carry out all events of the next seconds."""
+        """Process all events of the next `seconds`."""
         end_us = self.now_us + int(seconds * SECOND)
         while self._events and self._events[0][0] <= end_us:
             self.now_us, _, name, event = heapq.heappop(self._events)
@@ -193,12 +193,12 @@
     # ---- effects
 
     def carry_out_effects(self, name: str) -> None:
-        """Write, apply and send what a node asks for, and check that it is the only leader of its term."""
+        """Carry out a node's writes, commits and sends, and check that no term has two leaders."""
         node = self.nodes[name]
         assert node is not None
         effects = node.take_effects()
         for write in effects.writes:
-            # A disk takes one write after another.
+            # A disk processes one write after another.
             earliest_us = self._disk_busy_until_us.get(name, 0) + 1
             done_us = max(earliest_us, self.now_us + self.random.randrange(500, 6000))
             self._disk_busy_until_us[name] = done_us
@@ -216,10 +216,10 @@
         if term not in self.leaders:
             self.note(f"{name} leads term {term}")
         if self.leaders.setdefault(term, name) != name:
-            self.report_violation("two leaders in one term")
+            self.report_violation("two leaders in the same term")
 
     def send(self, source: str, destination: str, message: Message) -> None:
-        """Deliver a message some time later, unless its link is blocked or it is lost."""
+        """Deliver a message after a network delay, unless its link is blocked or it is lost."""
         is_blocked = (source, destination) in self.blocked_links
         if not is_blocked and (source == destination or self.random.random() > MESSAGE_LOSS):
             self._schedule(self.random.randrange(300, 5000), destination, Arrival(message))
@@ -227,29 +227,29 @@
     # ---- findings
 
     @property
-    def is_wrong(self) -> bool:
-        """Whether an invariant was broken."""
+    def has_violation(self) -> bool:
+        """Whether an invariant was violated."""
         return bool(self.violations)
 
-    def note(self, what: str) -> None:
+    def note(self, text: str) -> None:
         """Add a line to the transcript."""
-        self.transcript_lines.append(f"{self.now_us / SECOND:9.3f} s  {what}")
+        self.transcript_lines.append(f"{self.now_us / SECOND:9.3f} s  {text}")
 
-    def report_violation(self, what: str) -> None:
-        """Take note of a broken invariant."""
-        self.violations.append(what)
-        self.note(f"WRONG: {what}")
+    def report_violation(self, violation: str) -> None:
+        """Record a violated invariant."""
+        self.violations.append(violation)
+        self.note(f"WRONG: {violation}")
 
     def transcript(self) -> list[str]:
-        """What led to the first violation."""
-        return lines_up_to_violation(self.transcript_lines)
+        """Return the transcript lines that lead to the first violation."""
+        return transcript_up_to_violation(self.transcript_lines)
 
 
 def address_of(name: str) -> str:
-    """The address of the node of that name."""
+    """Return the address of the node with that name."""
     return f"10.0.0.{ord(name)}:1"
 
 
 def name_at(address: str) -> str:
-    """The name of the node at that address."""
+    """Return the name of the node at that address."""
     return chr(int(address.split(".")[3].split(":")[0]))
--- a/lapisgrade/lab/explore/control.py
+++ b/lapisgrade/lab/explore/control.py
@@ -1,4 +1,4 @@
-"""The control plane explored: all fault schedules of `lab/simulation` by seed, and known defects."""
+"""Exploration of the control plane with all fault schedules of `lab/simulation`, and its known defects."""
 
 from collections.abc import Iterator
 
@@ -12,14 +12,14 @@
 
 
 def schedules_for(defect: str) -> list[str]:
-    """Return the schedules to run: the one that finds that defect, or all for none."""
+    """Return the schedules to run: the one that finds the defect, or all if `defect` is empty."""
     return [
         schedule for group, schedule in control_plane_defects.SCHEDULES_BY_DEFECTS if defect in group
     ] or list(FAULT_SCHEDULES)
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Simulate each seed until one goes wrong; counts the changes that were acknowledged."""
+    """Simulate seeds until one has a violation; counts the changes that were acknowledged."""
 
     def simulations(seed: int) -> Iterator[tuple[str, ControlPlaneSimulation]]:
         for schedule in schedules_for(defect):
--- a/lapisgrade/lab/explore/data_plane.py
+++ b/lapisgrade/lab/explore/data_plane.py
@@ -1,4 +1,4 @@
-"""The data plane explored beside the control plane (`lab/simulation/data_plane.py`), and known defects."""
+"""Exploration of data plane and control plane (`lab/simulation/data_plane.py`), and known defects."""
 
 from collections.abc import Iterator
 
@@ -18,5 +18,5 @@
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Simulate each seed until one goes wrong; counts the requests that were sent to servers."""
+    """Simulate seeds until one has a violation; counts the requests that were sent to servers."""
     return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/defects.py
+++ b/lapisgrade/lab/explore/defects.py
@@ -1,4 +1,4 @@
-"""Known defects, put in on purpose: an exploration that does not find them proves nothing."""
+"""Injection of known defects, which check that an exploration is able to detect them."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -6,7 +6,7 @@
 
 
 class Defect(NamedTuple):
-    """An attribute of a module or class, and what stands in its place with the defect."""
+    """An attribute of a module or class, and its defective replacement."""
 
     owner: Any
     attribute: str
@@ -19,7 +19,7 @@
 
 @contextmanager
 def injected(defects: Defects, name: str) -> Iterator[None]:
-    """Run with the defect of that name; with none for an empty name."""
+    """Inject the defect with that name, or none if the name is empty."""
     if not name:
         yield
         return
--- a/lapisgrade/lab/explore/exploration.py
+++ b/lapisgrade/lab/explore/exploration.py
@@ -1,4 +1,4 @@
-"""The search for a seed that breaks an invariant, which all explorations share."""
+"""The search for a seed that violates an invariant, common to all explorations."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -7,10 +7,10 @@
 from lapisgrade.lab.explore.defects import Defects, injected
 
 NO_SEED = -1
-"""In place of a seed, where none went wrong."""
+"""Value of `ExplorationResult.failing_seed` if no seed has a violation."""
 
 MAX_TRANSCRIPT_LINES = 24
-"""Lines that are printed of what led to the first violation."""
+"""Maximum number of transcript lines before a violation."""
 
 Print = Callable[[str], None]
 
@@ -20,21 +20,21 @@
 
 
 class Simulation(Protocol):
-    """What happened by one seed."""
+    """The simulation of one seed."""
 
     @property
-    def is_wrong(self) -> bool:
-        """Whether an invariant was broken."""
+    def has_violation(self) -> bool:
+        """Whether an invariant was violated."""
 
     def transcript(self) -> list[str]:
-        """What led to the first violation."""
+        """Return the transcript lines that lead to the first violation."""
 
 
 class ExplorationResult(NamedTuple):
-    """What came of an exploration."""
+    """The result of an exploration."""
 
-    total: int  # of what the exploration counts (its `UNIT`)
-    wrong_seed: int  # the first one, NO_SEED for none
+    unit_count: int  # in the exploration's `UNIT`
+    failing_seed: int  # first seed with a violation, or NO_SEED
 
 
 AnySimulation = TypeVar("AnySimulation", bound=Simulation)
@@ -42,20 +42,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Exploration(Generic[AnySimulation]):
-    """What is simulated by each seed, and the defects that can be put in."""
+    """A search over seeds.
+
+    Attributes:
+        defects: The defects that can be injected.
+        simulations: Runs the simulations of a seed, and yields each with a title.
+        count: Returns the size of a simulation in the exploration's unit.
+        crashes: Exceptions that count as a violation.
+    """
 
     defects: Defects
-    simulations: Callable[[int], Iterable[tuple[str, AnySimulation]]]  # by seed: each with a title
+    simulations: Callable[[int], Iterable[tuple[str, AnySimulation]]]
     count: Callable[[AnySimulation], int]
-    crashes: tuple[type[Exception], ...] = ()  # errors that count as a violation
+    crashes: tuple[type[Exception], ...] = ()
 
     def run(self, seeds: Iterable[int], defect: str, print_line: Print) -> ExplorationResult:
-        """Simulate seeds until one breaks an invariant.
+        """Simulate seeds until one violates an invariant.
 
         Args:
-            seeds: simulated in this order.
-            defect: a known defect to put in; none where it is empty.
-            print_line: called with each line of what led to the violation.
+            seeds: The seeds in the order of their simulation.
+            defect: Name of the defect to inject; empty for none.
+            print_line: Called with each line of the violation's transcript.
         """
         count = 0
         with injected(self.defects, defect):
@@ -63,7 +70,7 @@
                 try:
                     for title, simulation in self.simulations(seed):
                         count += self.count(simulation)
-                        if simulation.is_wrong:
+                        if simulation.has_violation:
                             print_line(f"{title}:")
                             for line in simulation.transcript():
                                 print_line(line)
@@ -74,7 +81,7 @@
         return ExplorationResult(count, NO_SEED)
 
 
-def lines_up_to_violation(lines: list[str], max_before: int = MAX_TRANSCRIPT_LINES) -> list[str]:
-    """The lines before the first one that says WRONG, and that one; the last lines where none does."""
+def transcript_up_to_violation(lines: list[str], max_before: int = MAX_TRANSCRIPT_LINES) -> list[str]:
+    """Return the lines up to the first that contains WRONG, or the last lines if none does."""
     at = next((index for index, line in enumerate(lines) if "WRONG" in line), len(lines) - 1)
     return lines[max(0, at - max_before) : at + 1]
--- a/lapisgrade/lab/explore/log.py
+++ b/lapisgrade/lab/explore/log.py
@@ -1,7 +1,7 @@
-"""The replicated log explored under kills, cuts, and disks that are emptied.
+"""Exploration of the replicated log under crashes, partitions and wiped disks.
 
-What was acknowledged stays, and all logs agree. No more disks are lost at once than may be; all may lose
-power beside it.
+Acknowledged commands are never lost, and all logs agree. At most one disk is wiped at a time, which a cluster
+of three must survive, even if all nodes lose power at the same moment.
 """
 
 from collections.abc import Iterator
@@ -19,23 +19,23 @@
 
 UNIT = "changes"
 CRASHES = (KeyError, IndexError, msgspec.MsgspecError)
-"""Errors by which a node with a defect breaks off."""
+"""Exceptions that a node with an injected defect may raise."""
 
-FAULTS = ("kill", "wipe", "cut", "one way", "all", "all and a wipe")
+FAULTS = ("kill", "wipe", "isolate", "isolate one way", "kill all", "kill all and wipe one")
 
 
 class Schedule:
-    """Changes under faults, one fault at a time, and a calm end."""
+    """Commands under one fault after another, then a period without faults."""
 
     def __init__(self, seed: int, names: str = "abc") -> None:
-        """Make a schedule for a cluster of nodes with these names."""
+        """Create a cluster of nodes with these names."""
         self.random = Random(seed)
         self.names = names
         self.cluster = Cluster(seed, names)
         self._last_number = 0
 
     def run(self, fault_count: int = 8) -> Cluster:
-        """Inject so many faults, check the logs, and return the cluster."""
+        """Inject `fault_count` faults, check the logs, and return the cluster."""
         cluster = self.cluster
         cluster.run(2)
         for _ in range(fault_count):
@@ -61,16 +61,16 @@
 
     def _inject(self, fault: str, victim: str) -> None:
         cluster = self.cluster
-        if fault == "all and a wipe":
+        if fault == "kill all and wipe one":
             self._wait_for_acknowledgement()
         match fault:
-            case "all" | "all and a wipe":
+            case "kill all" | "kill all and wipe one":
                 for name in self.names:
-                    cluster.kill(name, wipe=fault != "all" and name == victim)
+                    cluster.kill(name, wipe=fault != "kill all" and name == victim)
             case "kill" | "wipe":
                 cluster.kill(victim, wipe=fault == "wipe")
             case _:
-                cluster.isolate(victim, self.names, one_way=fault == "one way")
+                cluster.isolate(victim, self.names, one_way=fault == "isolate one way")
 
     def _wait_for_acknowledgement(self) -> None:
         command = self._next_command()
@@ -85,24 +85,24 @@
 
 
 def simulate(seed: int, names: str = "abc", fault_count: int = 8) -> Cluster:
-    """Simulate the schedule of a seed."""
+    """Run the schedule of a seed."""
     return Schedule(seed, names).run(fault_count)
 
 
 def check(cluster: Cluster) -> None:
-    """Check that all logs agree, and that all that was acknowledged is in them."""
+    """Check that all logs agree and contain every acknowledged command."""
     if not cluster.leader():
-        cluster.report_violation("nobody leads after a calm end")
+        cluster.report_violation("no leader after the period without faults")
         return
     committed = _committed_commands(cluster.leader_node())
     for data, (name, term) in cluster.acknowledged.items():
         if data not in committed:
-            cluster.report_violation(f"{data!r} was acknowledged by {name} in term {term} and is gone")
+            cluster.report_violation(f"{data!r} was acknowledged by {name} in term {term} and is lost")
     for name, node in cluster.nodes.items():
         assert node is not None
-        own = _committed_commands(node)
-        if own != committed[: len(own)]:
-            cluster.report_violation(f"{name} has another log")
+        commands = _committed_commands(node)
+        if commands != committed[: len(commands)]:
+            cluster.report_violation(f"{name} has a log that differs from the leader's")
 
 
 def _committed_commands(node: Node) -> list[bytes]:
@@ -116,13 +116,13 @@
 
 
 def _lose_last_synced(self: Cluster, name: str, wipe: bool = False) -> None:
-    """A disk that reports writes as synced, and loses the last of them with the power."""
+    """A disk loses the last of its synced writes on a power failure."""
     _kill(self, name, wipe)
     self.disks[name] = self.disks[name][:1] if len(self.disks[name]) < 5 else self.disks[name][:-4]
 
 
 def _commit_alone(self: Replication) -> None:
-    """A leader commits what is on its own disk."""
+    """A leader commits entries that are on its own disk only."""
     state = self.state
     if state.durable_index > state.commit_index and state.log.term_at(state.durable_index) == state.term:
         state.commit_up_to(state.durable_index)
@@ -130,7 +130,7 @@
 
 
 def _acknowledge_unwritten(self: Follower, message: AppendEntries) -> None:
-    """A follower acknowledges what is not on its disk yet."""
+    """A follower acknowledges entries before they are on its disk."""
     state = self.state
     if message.term == state.term and message.leader == state.leader:
         reply = AppendEntriesReply(
@@ -154,5 +154,5 @@
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Simulate each seed until one goes wrong; counts the changes that were acknowledged."""
+    """Simulate seeds until one has a violation; counts the commands that were acknowledged."""
     return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/operations.py
+++ b/lapisgrade/lab/explore/operations.py
@@ -1,4 +1,4 @@
-"""Keyed operations explored (`lab/simulation/operations/`): all their fault schedules, and known defects."""
+"""Exploration of keyed operations (`lab/simulation/operations/`) with all fault schedules and defects."""
 
 from collections.abc import Iterator
 
@@ -12,12 +12,12 @@
 
 
 def schedules_for(defect: str) -> list[str]:
-    """Return the schedules to run: the one that finds that defect, or all for none."""
+    """Return the schedules to run: the one that finds the defect, or all if `defect` is empty."""
     return [operation_defects.SCHEDULE_OF_DEFECT[defect]] if defect else list(SCHEDULES)
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Simulate each seed until one goes wrong; counts the clients' tries."""
+    """Simulate seeds until one has a violation; counts the clients' tries."""
 
     def simulations(seed: int) -> Iterator[tuple[str, KeyedSimulation]]:
         for schedule in schedules_for(defect):
--- a/lapisgrade/lab/explore/quota_limiter.py
+++ b/lapisgrade/lab/explore/quota_limiter.py
@@ -1,4 +1,4 @@
-"""A limiter of the quota's exploration: a quota client and an owner, as they are, on a proxy."""
+"""A limiter of the quota exploration: a proxy with the production code of quota client and counter owner."""
 
 from collections.abc import Callable, Generator
 from typing import Any, Protocol
@@ -15,52 +15,52 @@
 
 SLO = Slo()
 TENANT = "t"
-COUNT_TIMEOUT_US = 150 * MS  # that an add may take, as at a proxy
-HAND_OVER_TIMEOUT_US = 100 * MS  # that an owner waits for the count's hand-over, as at a proxy
+COUNT_TIMEOUT_US = 150 * MS  # time-out of an add to the counter, as in a proxy
+HAND_OVER_TIMEOUT_US = 100 * MS  # time-out of the counter's hand-over, as in a proxy
 
 
 class QuotaWorld(ProxyWorld, Protocol):
-    """What a limiter needs of the world around it."""
+    """The simulated environment of a limiter."""
 
     @property
     def tenant(self) -> Tenant:
         """The tenant whose quota is explored."""
 
     def limiter_named(self, name: str) -> "Limiter | None":
-        """The limiter of that name, None for none."""
+        """Return the limiter with that name, or None."""
 
     def deliver_between(
         self, sender: "Limiter", receiver: "Limiter", handler: Callable[..., object], *args: Any
     ) -> None:
-        """Call a handler some time later, unless the message is lost."""
+        """Call a handler after a network delay, unless the message is lost."""
 
     def on_request_decided(self, is_admitted: bool) -> None:
-        """Take note of a request of the tenant."""
+        """Record the decision on a request of the tenant."""
 
     def on_granted(self, name: str, fencing_token: int) -> None:
-        """Take note of a grant by the count's owner of that name."""
+        """Check a grant of the counter's owner with that name."""
 
 
 class Limiter(Proxy):
-    """A proxy with a quota client and an owner, and the engine's host for both."""
+    """A proxy with a quota client and a counter owner; the host of the engine that runs them."""
 
     world: QuotaWorld
 
     def start(self) -> None:
-        """Begin a new incarnation, which owns nothing."""
+        """Start a new incarnation that owns no counter."""
         now = self.world.sim.now
         self.clock = Clock(now)
-        self.lease_expires_us = 0  # as an owner
+        self.lease_expires_us = 0  # end of its lease as a counter owner
         self.engine = Engine(self, self.clock)
         super().start()
         self.quota_owner = QuotaOwner(self.name, str(self.incarnation), now)
         self.quota_client = QuotaClient(self.clock, self.world.tenant, SLO, 1, now)
 
     def on_watch_reply(self, reply: rpc_messages.WatchReply, call: WatchCall) -> None:
-        """Also take over the list of live proxies, as an owner and as a client."""
-        is_heeded = self.is_awake() and self.is_pending(call)
+        """Apply a reply as a proxy does, then the list of live proxies to owner and client."""
+        is_handled = self.is_awake() and self.is_pending(call)
         super().on_watch_reply(reply, call)
-        if not is_heeded:
+        if not is_handled:
             return
         self.quota_owner.on_watch_reply(self.world.sim.now, reply)
         if reply.fencing_token == self.quota_owner.fencing_token:
@@ -73,18 +73,18 @@
         return self.world.sim.now >= self.frozen_until_us
 
     def when_awake(self, incarnation: int, handler: Callable[..., object], *args: Any) -> None:
-        """Call a handler now, or when the process wakes; never where it is another one by then."""
+        """Call a handler now or when the process wakes, unless it has restarted by then."""
         if not self.is_awake():
             self.world.sim.at(self.frozen_until_us, self.when_awake, incarnation, handler, *args)
         elif incarnation == self.incarnation:
             self.clock.now_us = max(self.clock.now_us, self.world.sim.now)
             handler(*args)
 
-    # ---- as a client of the count
+    # ---- client of the counter
 
     def request(self) -> None:
-        """Have a request of the tenant admitted or refused."""
-        unused: Any = None  # a quota client reads neither plan nor category
+        """Have the quota client admit or reject a request of the tenant."""
+        unused: Any = None  # the quota client reads neither plan nor category
         now_us = self.clock.now_us
         operation = Operation(TENANT, unused, unused, 1.0, now_us, now_us + 2 * SECOND, 1)
 
@@ -96,7 +96,7 @@
         self.engine.run(run(), operation)
 
     def add_to_counter(self, task: Any, add: Any) -> None:
-        """Ask the count's owner, as the engine's host; the first of reply and time-out counts."""
+        """Send an add to the counter's owner; the first of its reply and the time-out counts."""
         world, incarnation = self.world, self.incarnation
         owner = world.limiter_named(owner_of(TENANT, self.quota_owner.eligible_owners))
         request = self.quota_client.quota_request(self.name, self.quota_owner.fencing_token)
@@ -132,10 +132,10 @@
         return CounterReply(CounterOutcome.ADDED, reply.total)
 
     def on_counter_reply(self, task: Any, reply: CounterReply) -> None:
-        """Hand the engine what came of an add."""
+        """Pass the result of an add to the engine."""
         self.engine.counter_replied(task, reply)
 
-    # ---- as the count's owner
+    # ---- owner of the counter
 
     def _on_request_at(
         self,
@@ -151,7 +151,7 @@
         owner.when_awake(owner.incarnation, owner.after_hand_over, request, add_and_reply)
 
     def after_hand_over(self, request: rpc_messages.QuotaRequest, then: Callable[[], object]) -> None:
-        """Call `then` once the count's owner before has handed it over, or has not in time."""
+        """Call `then` once the previous owner has handed the counter over, or on a time-out."""
         world, owner, incarnation = self.world, self.quota_owner, self.incarnation
         token = owner.fencing_token
         name = owner.predecessor(world.sim.now, request.tenant) if owner.owns(request.tenant) else ""
@@ -159,7 +159,7 @@
         if predecessor is None or predecessor is self:
             then()
             return
-        calls: list[bool] = []  # the first of reply and time-out counts
+        calls: list[bool] = []  # non-empty once `then` was called, by the first of reply and time-out
 
         def call_once() -> None:
             if not calls:
@@ -183,26 +183,26 @@
         world.sim.after(HAND_OVER_TIMEOUT_US, self.when_awake, incarnation, call_once)
 
     def add(self, request: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
-        """Add to the count that this limiter owns."""
+        """Add to the counter that this limiter owns."""
         reply = self.quota_owner.add(self.world.sim.now, request, self.lease_expires_us)
         if reply.is_accepted:
             self.world.on_granted(self.name, self.quota_owner.fencing_token)
         return reply
 
-    # ---- the rest of the engine's host
+    # ---- other methods of the engine's host
 
     def schedule_wakeup(self, when_us: int) -> None:
-        """Run the engine's timers when they are due."""
+        """Run the engine's timers at that time."""
         self.world.sim.at(when_us, self.when_awake, self.incarnation, self.engine.run_due_timers, True)
 
     def reject(self, operation: Any, answer: Any) -> None:
-        """Nothing is sent to clients here."""
+        """Do nothing; clients are not simulated."""
 
     def send(self, attempt: Any) -> None:
-        """Nothing is sent to servers here."""
+        """Do nothing; servers are not simulated."""
 
     def cancel(self, attempt: Any) -> None:
-        """Nothing is sent to servers here."""
+        """Do nothing; servers are not simulated."""
 
     def log(self, text: str) -> None:
-        """Nothing is logged here."""
+        """Discard a log line."""
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -1,7 +1,7 @@
-"""Drafts explored: handed in under kills, cuts and one emptied disk at a time.
+"""Exploration of drafts that are submitted under crashes, partitions and one wiped disk at a time.
 
-None is lost that was on two disks, none is merged twice, and every controller comes to the same
-configuration: what the rule of `merge.three_way` makes of the set.
+No draft that was on two disks is lost, no draft is merged twice, and every controller reaches the
+configuration that `merge.three_way` computes from all drafts.
 """
 
 from collections.abc import Iterator
@@ -23,19 +23,19 @@
 UNIT = "entries"
 NAMES = "abc"
 ROUNDS = 16
-CALM_ROUNDS = 5  # the last of them, without faults
+CALM_ROUNDS = 5  # number of rounds without faults at the end
 DRAFT_COUNT = 4
-HAND_IN_CHANCE = 0.6  # that a holder hands a draft in, in each round
-FAULTS = ("kill", "wipe", "cut", "one way", "calm")
+SUBMISSION_RATE = 0.6  # probability that a holder submits a draft in a round
+FAULTS = ("kill", "wipe", "isolate", "isolate one way", "none")
 
 JsonObject = dict[str, Any]
 
 
 class ConfigurationRandom(Random):
-    """Configurations and edits at random, all of them valid."""
+    """A source of random valid configurations and changes."""
 
     def split(self) -> JsonObject:
-        """Return the services of a route: one, or some with weights."""
+        """Return the services of a route: one, or several with weights."""
         names = self.sample("abc", self.randrange(1, 4))
         if len(names) == 1:
             return {"Svc": names[0]}
@@ -52,7 +52,7 @@
         }
 
     def configuration(self) -> JsonObject:
-        """Return a whole configuration."""
+        """Return a complete configuration."""
         rules = [self.rule(f"r{i}") for i in range(4) if self.random() < 0.8]
         return {
             "Ver": self.randrange(1, 9),
@@ -65,7 +65,7 @@
         }
 
     def change(self) -> JsonObject:
-        """Return a change of named items; it need not fit a configuration."""
+        """Return a change of named items, which may not apply to a given configuration."""
         rules = [self.rule(f"r{self.randrange(6)}") for _ in range(self.randrange(3))]
         rules = list({each["Name"]: each for each in rules}.values())
         keys = [f"k{i}{j}" for i in (0,) for j in range(3) if self.random() < 0.6]
@@ -79,7 +79,7 @@
         return change
 
     def drafts(self, base: JsonObject, count: int) -> list[Draft]:
-        """Return so many drafts that fit a configuration."""
+        """Return `count` drafts that apply to a configuration."""
         drafts: list[Draft] = []
         while len(drafts) < count:
             try:
@@ -90,25 +90,25 @@
 
 
 class DraftHolders:
-    """Which controllers keep a draft on disk.
+    """The controllers that keep each draft on disk.
 
-    A controller drops it once a leader says that the log has it, not before.
+    A controller drops a draft only once the leader has acknowledged that it is in the log.
     """
 
-    DROPS_EARLY = False  # a defect: it drops what it has handed in
+    DROPS_EARLY = False  # defect: a controller drops a draft as it submits it
 
     def __init__(self, drafts: list[Draft], random: ConfigurationRandom) -> None:
-        """Keep each draft on two disks of its side; one may be emptied at any time."""
+        """Keep each draft on two disks, one of which may be wiped at any time."""
         self.by_draft = {draft.id: set(random.sample(NAMES, 2)) for draft in drafts}
 
     def on_disk_emptied(self, name: str) -> None:
-        """Forget what was on that disk."""
+        """Remove a controller with a wiped disk from the holders of all drafts."""
         for holders in self.by_draft.values():
-            if len(holders) > 1:  # no more disks are lost at once than may be
+            if len(holders) > 1:  # at most one of the two disks of a draft may be wiped
                 holders.discard(name)
 
-    def hand_in(self, cluster: Cluster, draft: Draft, holder: str) -> None:
-        """Have a controller offer a draft to whoever leads, where it reaches it."""
+    def submit(self, cluster: Cluster, draft: Draft, holder: str) -> None:
+        """Have a controller send a draft to the leader, if it reaches the leader."""
         command, leader = encode_command(MergeDraft(draft)), cluster.leader()
         is_blocked = {(holder, leader), (leader, holder)} & cluster.blocked_links
         if not leader or cluster.nodes[holder] is None or is_blocked:
@@ -119,10 +119,10 @@
 
 
 class Schedule:
-    """Drafts handed in round after round, a fault in each, and a calm end."""
+    """Rounds of draft submissions with a fault in each, then rounds without faults."""
 
     def __init__(self, seed: int) -> None:
-        """Put a first configuration into the log, and make drafts on it."""
+        """Commit a first configuration, and create drafts based on it."""
         self.random = ConfigurationRandom(seed)
         self.cluster = Cluster(seed)
         self.cluster.run(2)
@@ -148,35 +148,35 @@
     def _run_round(self, is_calm: bool) -> None:
         cluster, random = self.cluster, self.random
         victim = random.choice([*NAMES, cluster.leader() or "a", cluster.leader() or "a"])
-        fault = "calm" if is_calm else random.choice(FAULTS)
-        self._hand_in_some()
-        cluster.run(random.random() * 0.002)  # what was handed in is on its way as the fault comes
+        fault = "none" if is_calm else random.choice(FAULTS)
+        self._submit_some_drafts()
+        cluster.run(random.random() * 0.002)  # the fault occurs while submissions are in flight
         match fault:
             case "kill" | "wipe":
                 cluster.kill(victim, fault == "wipe")
                 if fault == "wipe":
                     self.holders.on_disk_emptied(victim)
-            case "cut" | "one way":
-                cluster.isolate(victim, NAMES, one_way=fault == "one way")
+            case "isolate" | "isolate one way":
+                cluster.isolate(victim, NAMES, one_way=fault == "isolate one way")
         cluster.run(random.random())
         cluster.blocked_links = set()
         cluster.restart_stopped(NAMES)
         cluster.run(1 + random.random())
 
-    def _hand_in_some(self) -> None:
+    def _submit_some_drafts(self) -> None:
         for draft in self.drafts:
             for holder in sorted(self.holders.by_draft[draft.id]):
-                if self.random.random() < HAND_IN_CHANCE:
-                    self.holders.hand_in(self.cluster, draft, holder)
+                if self.random.random() < SUBMISSION_RATE:
+                    self.holders.submit(self.cluster, draft, holder)
 
 
 def simulate(seed: int) -> Cluster:
-    """Simulate the schedule of a seed."""
+    """Run the schedule of a seed."""
     return Schedule(seed).run()
 
 
 def check(cluster: Cluster, base: JsonObject, drafts: list[Draft]) -> None:
-    """Check that every node has come to the configuration that the rule makes of all drafts."""
+    """Check that every node has the configuration and outcomes that merging all drafts yields."""
     expected, outcomes = merge_drafts(base, drafts)
     for name, commands in cluster.applied.items():
         state_machine = StateMachine()
@@ -184,22 +184,22 @@
             state_machine.apply(index, data)
         state = state_machine.state
         if lost := {draft.id for draft in drafts} - set(state.merged_draft_ids):
-            cluster.report_violation(f"{name}: a draft that was kept is lost: {sorted(lost)}")
+            cluster.report_violation(f"{name}: drafts are lost: {sorted(lost)}")
         elif (
             to_fields(msgspec.json.decode(state.configuration)) != to_fields(expected)
             or state.outcomes != outcomes
         ):
-            cluster.report_violation(f"{name}: the drafts came to something else")
+            cluster.report_violation(f"{name}: configuration or outcomes differ from the merge of all drafts")
 
 
-def _no_rank(self: Draft) -> tuple[()]:
-    """Drafts have no order of their own: they count as they came."""
+def _sort_key_of_arrival(self: Draft) -> tuple[()]:
+    """Drafts are merged in the order of their arrival."""
     return ()
 
 
 DEFECTS: Defects = {
     "drops-early": Defect(DraftHolders, "DROPS_EARLY", True),
-    "order-of-arrival": Defect(Draft, "sort_key", property(_no_rank)),
+    "order-of-arrival": Defect(Draft, "sort_key", property(_sort_key_of_arrival)),
 }
 
 
@@ -211,5 +211,5 @@
 
 
 def explore(seeds: range, defect: str = "", print_line: Print = print_nothing) -> ExplorationResult:
-    """Simulate each seed until one goes wrong; counts the entries that were acknowledged."""
+    """Simulate seeds until one has a violation; counts the entries that were acknowledged."""
     return EXPLORATION.run(seeds, defect, print_line)
--- a/lapisgrade/lab/explore/watch_proxy.py
+++ b/lapisgrade/lab/explore/watch_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy of the explorations: its watch requests and its router, as they are, in simulated time."""
+"""A simulated proxy: its watch requests, and the production code of its router, in simulated time."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,36 +14,36 @@
 from lapisgrade.interface import Clock
 from lapisgrade.lab.emulator.sim import Sim
 
-MS = 1_000
+MS = 1_000  # us
 WATCH_TIMEOUT_US = 900 * MS
 
 
 @dataclass(slots=True)
 class WatchCall:
-    """A watch request under way."""
+    """A pending watch request."""
 
     proxy: "Proxy"
     request: rpc_messages.WatchRequest
-    incarnation: int  # of the proxy
-    number: int  # of the proxy's requests
+    incarnation: int  # the proxy's incarnation when it sent the request
+    number: int  # sequence number of the request within the incarnation
     sent_us: int
-    reply_by_us: int = 0  # when the leader replies also without an update
+    reply_by_us: int = 0  # end of the long poll: the leader replies then even without an update
 
 
 class ProxyWorld(Protocol):
-    """What a proxy needs of the world around it."""
+    """The simulated environment of a proxy."""
 
     @property
     def sim(self) -> Sim:
-        """Time, and what happens in it."""
+        """The simulated clock and event queue."""
 
     def deliver(self, proxy: "Proxy", handler: Callable[..., None], *args: Any) -> None:
-        """Call a handler some time later, unless the message is lost."""
+        """Call a handler after a network delay, unless the message is lost."""
 
     def on_watch_request(self, call: WatchCall) -> None:
-        """Take in a watch request as the leader."""
+        """Handle a watch request as the leader."""
 
-    def note(self, what: str) -> None:
+    def note(self, text: str) -> None:
         """Add a line to the transcript."""
 
 
@@ -58,7 +58,7 @@
         self.start()
 
     def start(self) -> None:
-        """Begin a new incarnation, which knows nothing."""
+        """Start a new incarnation without any state."""
         self.incarnation += 1
         self.is_terminating = False
         self.router = router.Router(Clock(self.world.sim.now), 1, Slo(), "z", self.name)
@@ -67,11 +67,11 @@
         self.frozen_until_us = 0
         self.request_number = 0
         self.live_proxies: rpc_messages.ProxiesByName = {}
-        self.texts: dict[int, bytes] = {}  # configurations by version, on which deltas are decoded
+        self.texts: dict[int, bytes] = {}  # configurations by version: the bases of deltas
         self.send_watch_request()
 
     def send_watch_request(self) -> None:
-        """Ask for updates; once more when answered, or where no reply comes in time."""
+        """Send a watch request; the next one follows its reply or its time-out."""
         self.request_number += 1
         request = rpc_messages.WatchRequest(
             self.name,
@@ -94,11 +94,11 @@
             self.send_watch_request()
 
     def is_pending(self, call: WatchCall) -> bool:
-        """Whether that is the newest request of this incarnation."""
+        """Whether this is the newest request of the current incarnation."""
         return (call.incarnation, call.number) == (self.incarnation, self.request_number)
 
     def on_watch_reply(self, reply: rpc_messages.WatchReply, call: WatchCall) -> None:
-        """Act by a reply, once the proxy isn't frozen; a late one changes nothing."""
+        """Apply a reply once the proxy isn't frozen; the reply to an older request is ignored."""
         if self.world.sim.now < self.frozen_until_us:
             self.world.sim.at(self.frozen_until_us, self.on_watch_reply, reply, call)
             return
@@ -129,9 +129,9 @@
     def _activate(self, table: RouteTable) -> None:
         self.active_version = table.version
         self.router.activate(table)
-        self.world.note(f"{self.name} acts by version {self.active_version}")
+        self.world.note(f"{self.name} activates version {self.active_version}")
 
     def call(self, tenant: int) -> int:
-        """The status that a tenant's call gets here: 200 where it is accepted."""
+        """Return the status of a tenant's request; 200 if the router accepts it."""
         match = self.router.match(self.world.sim.now, f"t{tenant}.example", "/", f"key-t{tenant}")
         return match if isinstance(match, int) else 200
--- a/lapisgrade/lab/simulation/control_plane.py
+++ b/lapisgrade/lab/simulation/control_plane.py
@@ -134,7 +134,7 @@
         return self.cluster.invariants.violations
 
     @property
-    def is_wrong(self) -> bool:
+    def has_violation(self) -> bool:
         """Whether an invariant was violated."""
         return bool(self.violations)
 
--- a/tests/lab/explore/test_activation.py
+++ b/tests/lab/explore/test_activation.py
@@ -1,4 +1,4 @@
-"""The exploration of activation: what one proxy has served, none denies afterwards."""
+"""Exploration of version activation: proxies agree on which tenants they accept."""
 
 import pytest
 from click.testing import CliRunner
@@ -7,26 +7,26 @@
 from lapisgrade.lab.explore.activation import DEFECTS, World, explore
 
 
-def test_what_one_proxy_has_served_none_denies_through_partitions_pauses_restarts_and_new_leaders() -> None:
+def test_a_tenant_accepted_by_one_proxy_is_not_refused_by_another_under_faults() -> None:
     calls = 0
     for seed in range(24):
         world = World(seed).run()
         assert world.refused_after_acceptance == [], f"seed {seed}"
-        assert world.accepted_after_refusal == [], f"seed {seed}: withdrawn, refused, and taken again"
+        assert world.accepted_after_refusal == [], f"seed {seed}: withdrawn, refused, then accepted"
         assert 0 in world.first_refused_us
         calls += world.call_count
-        assert len(world.first_accepted_us) == world.tenant_count, f"seed {seed}: a tenant was never let in"
+        assert len(world.first_accepted_us) == world.tenant_count, f"seed {seed}: a tenant was never accepted"
     assert calls > 10_000
 
 
 @pytest.mark.parametrize("name", DEFECTS)
-def test_known_defects_in_the_activation_rule_are_detected(name: str) -> None:
-    """Known defects put in on purpose are found within the same seeds, and told with what led to them."""
+def test_an_injected_defect_of_activation_is_found_and_its_transcript_printed(name: str) -> None:
+    """The seeds of the test above are enough to find each defect."""
     lines: list[str] = []
     _, seed = explore(range(24), name, lines.append)
     assert seed >= 0, name
     assert "WRONG" in lines[-1]
-    assert explore(range(2))[1] == -1  # switched off again
+    assert explore(range(2))[1] == -1  # the defect is removed after the exploration
 
 
 def test_the_explore_command_reports_its_findings() -> None:
