--- a/lapisgrade/lab/partitions/cuts.py
+++ b/lapisgrade/lab/partitions/cuts.py
@@ -1,19 +1,23 @@
-"""A role of the system under links that can be cut: `python -m lapisgrade.lab.partitions.cuts CUTS ROLE ...`.
+"""Runs one role of the gateway with links that can be cut.
 
-The program is the real one; only its event loop is another. CUTS names a file with a JSON list of pairs of
-addresses, `[from, to]`: what goes from the one to the other is held up, as behind a cut. The file is looked
-at every `LOOK`. Whoever dials stands for both directions of its connection, so each cut is felt by both ends:
+    python -m lapisgrade.lab.partitions.cuts CUTS ROLE --settings=PATH
 
-- a new connection hangs until the cut is healed, or its caller gives it up;
-- on an open one, what is written and what has come is held, and goes on when the cut is healed, as the kernel
-  sends it again: late, and in order. A connection with bytes held for `SILENT` is lost to its dialler, as by
-  TCP_USER_TIMEOUT, and to the other end at the heal; what it held is gone;
-- a datagram is lost.
+The program is unchanged; only its event loop is replaced. CUTS is a file with a JSON list of address pairs
+`[from, to]`; traffic from the first address to the second is held back. The file is polled every
+`FILE_POLL_INTERVAL_S`. The dialling process enforces the cuts for both directions of its connections, so both
+ends see them:
 
-Differs from a real cut: the end that was dialled never loses a connection by itself while the cut lasts.
+- A new connection attempt hangs until the cut is removed or the caller gives up.
+- On an open connection, data in a cut direction is held back and delivered late and in order when the cut is
+  removed, as by TCP retransmission. If data to the peer is held back for `SEND_TIMEOUT_S`, the dialling side
+  loses the connection, as with TCP_USER_TIMEOUT; the peer loses it when the cut is removed. The held data is
+  dropped.
+- Datagrams are lost.
+
+Unlike in a real partition, the accepting end never times out a connection by itself during the cut.
 """
 
-from lapisgrade.gateway import startup  # noqa: F401  # first, as it keeps signals that come meanwhile
+from lapisgrade.gateway import startup  # noqa: F401  # first: it records signals received during startup
 
 import asyncio  # isort: skip
 import json
@@ -26,58 +30,65 @@
 from lapisgrade.gateway.rpc_connection import ACKNOWLEDGEMENT_TIMEOUT_MS
 from lapisgrade.net import event_loop
 
-SILENT = ACKNOWLEDGEMENT_TIMEOUT_MS / 1000  # s; as the program's own sockets
-LOOK = 0.01  # s between looks at the file; a play's figures are good to that
+SEND_TIMEOUT_S = ACKNOWLEDGEMENT_TIMEOUT_MS / 1000  # the TCP_USER_TIMEOUT of the gateway's own sockets
+FILE_POLL_INTERVAL_S = 0.01  # also the precision of the times that the fault scenarios measure
+
 
+class LinkCuts:
+    """The cut links from and to this machine, as read from a file.
 
-class Cuts:
-    """Which words from this machine and to it are held up."""
+    Attributes:
+        connections: Dialled connections that are open or still hold data back.
+    """
 
-    def __init__(self, path: Path, own: str) -> None:
-        self._path, self._own, self._stamp = path, own, 0
+    def __init__(self, path: Path, own_address: str) -> None:
+        self._path, self._own_address, self._mtime_ns = path, own_address, 0
         self._pairs: set[tuple[str, str]] = set()
         self._changed = asyncio.Event()
-        self.ends: set[End] = set()
-        self.read()
+        self.connections: set[CuttableConnection] = set()
+        self.reload()
 
-    def read(self) -> None:
-        """See whether the file says something else now."""
-        stamp = os.stat(self._path).st_mtime_ns
-        if stamp == self._stamp:
+    def reload(self) -> None:
+        """Read the file if it has changed, and apply the new cuts to all connections."""
+        mtime_ns = os.stat(self._path).st_mtime_ns
+        if mtime_ns == self._mtime_ns:
             return
-        self._stamp = stamp
+        self._mtime_ns = mtime_ns
         self._pairs = {(each[0], each[1]) for each in json.loads(self._path.read_text())}
         self._changed.set()
         self._changed = asyncio.Event()
-        for end in list(self.ends):
-            end.moved()
+        for connection in list(self.connections):
+            connection.on_cuts_changed()
 
-    def watch(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.read()
-        loop.call_later(LOOK, self.watch, loop)
+    def poll(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Reload the file now and every `FILE_POLL_INTERVAL_S`."""
+        self.reload()
+        loop.call_later(FILE_POLL_INTERVAL_S, self.poll, loop)
 
-    def out(self, other: str) -> bool:
-        return (self._own, other) in self._pairs
+    def is_outbound_cut(self, peer: str) -> bool:
+        """Return whether traffic to that address is cut."""
+        return (self._own_address, peer) in self._pairs
 
-    def back(self, other: str) -> bool:
-        return (other, self._own) in self._pairs
+    def is_inbound_cut(self, peer: str) -> bool:
+        """Return whether traffic from that address is cut."""
+        return (peer, self._own_address) in self._pairs
 
-    async def open(self, other: str) -> None:
-        """Until a connection there can come up, which takes both directions."""
-        while self.out(other) or self.back(other):
+    async def wait_until_connectable(self, peer: str) -> None:
+        """Wait until neither direction is cut; a TCP handshake needs both."""
+        while self.is_outbound_cut(peer) or self.is_inbound_cut(peer):
             await self._changed.wait()
 
 
-class End(asyncio.Protocol):
-    """The dialler's end of a connection: a protocol to the loop, a transport to the program's protocol."""
+class CuttableConnection(asyncio.Protocol):
+    """A dialled connection: a protocol to the event loop, and a transport to the program's protocol."""
 
-    def __init__(self, cuts: Cuts, other: str, protocol: asyncio.Protocol) -> None:
-        self._cuts, self._other, self.protocol = cuts, other, protocol
+    def __init__(self, cuts: LinkCuts, peer: str, protocol: asyncio.Protocol) -> None:
+        self._cuts, self._peer, self.protocol = cuts, peer, protocol
         self._transport: asyncio.Transport | None = None
-        self._come: list[Callable[[], None]] = []  # what the other end has said meanwhile, in order
-        self._unsent: list[Callable[[], None]] = []
-        self._silent: asyncio.TimerHandle | None = None
-        self._over = False  # the program was told that it is lost, or has closed it
+        self._held_inbound: list[Callable[[], None]] = []  # the peer's events, in order of arrival
+        self._held_outbound: list[Callable[[], None]] = []  # the program's calls, in order
+        self._send_timer: asyncio.TimerHandle | None = None
+        self._is_closed = False  # for the program: it closed the connection or was notified of its loss
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._transport, name)
@@ -86,20 +97,20 @@
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self._transport = transport
-        self._cuts.ends.add(self)
+        self._cuts.connections.add(self)
         self.protocol.connection_made(self)
 
     def data_received(self, data: bytes) -> None:
-        self._in(lambda: self.protocol.data_received(data))
+        self._receive(lambda: self.protocol.data_received(data))
 
     def eof_received(self) -> bool:
-        self._in(self._eof)
-        return True  # closed by `_eof`, once the program hears of it
+        self._receive(self._deliver_eof)
+        return True  # keeps the transport open; `_deliver_eof` closes it
 
-    def connection_lost(self, wrong: Exception | None) -> None:
-        self._in(lambda: self._lost(wrong))
-        if self._over:
-            self._cuts.ends.discard(self)
+    def connection_lost(self, error: Exception | None) -> None:
+        self._receive(lambda: self._deliver_loss(error))
+        if self._is_closed:
+            self._cuts.connections.discard(self)
 
     def pause_writing(self) -> None:
         self.protocol.pause_writing()
@@ -107,122 +118,125 @@
     def resume_writing(self) -> None:
         self.protocol.resume_writing()
 
-    def _in(self, step: Callable[[], None]) -> None:
-        if self._over:
+    def _receive(self, deliver: Callable[[], None]) -> None:
+        """Deliver an event of the peer to the program, or hold it back."""
+        if self._is_closed:
             return
-        if self._come or self._cuts.back(self._other):
-            self._come.append(step)
+        if self._held_inbound or self._cuts.is_inbound_cut(self._peer):
+            self._held_inbound.append(deliver)
         else:
-            step()
+            deliver()
 
-    def _eof(self) -> None:
+    def _deliver_eof(self) -> None:
         if not self.protocol.eof_received():
             self.close()
 
     # ---- as a transport
 
     def write(self, data: bytes) -> None:
-        if not self._over:
-            self._out(lambda: self._transport.write(data))
+        if not self._is_closed:
+            self._send(lambda: self._transport.write(data))
 
     def writelines(self, parts: list[bytes]) -> None:
         self.write(b"".join(parts))
 
     def close(self) -> None:
-        """The program is rid of it at once; the other end hears of it when words get there."""
-        if not self._over:
-            self._out(self._transport.close)
-            asyncio.get_running_loop().call_soon(self._lost, None)
+        """Close the connection for the program at once, and for the peer when the link to it is not cut."""
+        if not self._is_closed:
+            self._send(self._transport.close)
+            asyncio.get_running_loop().call_soon(self._deliver_loss, None)
 
     def abort(self) -> None:
-        if not self._over:
-            self._unsent.clear()
-            self._out(self._transport.abort)
-            asyncio.get_running_loop().call_soon(self._lost, None)
+        if not self._is_closed:
+            self._held_outbound.clear()
+            self._send(self._transport.abort)
+            asyncio.get_running_loop().call_soon(self._deliver_loss, None)
 
     def is_closing(self) -> bool:
-        return self._over or self._transport.is_closing()
-
-    def _out(self, step: Callable[[], None]) -> None:
-        if not self._unsent and not self._cuts.out(self._other):
-            return step()
-        self._unsent.append(step)
-        if self._silent is None:
-            self._silent = asyncio.get_running_loop().call_later(SILENT, self._given_up)
-
-    def _given_up(self) -> None:
-        self._unsent = [self._transport.abort]
-        self._lost(TimeoutError())
-
-    def _lost(self, wrong: Exception | None) -> None:
-        if not self._over:
-            self._over = True
-            self._come.clear()
-            self.protocol.connection_lost(wrong)
-
-    def moved(self) -> None:
-        """Cuts have come or gone."""
-        if not self._cuts.out(self._other):
-            if self._silent is not None:
-                self._silent.cancel()
-                self._silent = None
-            steps, self._unsent = self._unsent, []
-            for step in steps:
+        return self._is_closed or self._transport.is_closing()
+
+    def _send(self, transmit: Callable[[], None]) -> None:
+        """Pass a call of the program on to the socket, or hold it back."""
+        if not self._held_outbound and not self._cuts.is_outbound_cut(self._peer):
+            return transmit()
+        self._held_outbound.append(transmit)
+        if self._send_timer is None:
+            self._send_timer = asyncio.get_running_loop().call_later(SEND_TIMEOUT_S, self._on_send_timeout)
+
+    def _on_send_timeout(self) -> None:
+        self._held_outbound = [self._transport.abort]
+        self._deliver_loss(TimeoutError())
+
+    def _deliver_loss(self, error: Exception | None) -> None:
+        if not self._is_closed:
+            self._is_closed = True
+            self._held_inbound.clear()
+            self.protocol.connection_lost(error)
+
+    def on_cuts_changed(self) -> None:
+        """Release what is held back in each direction that is no longer cut."""
+        if not self._cuts.is_outbound_cut(self._peer):
+            if self._send_timer is not None:
+                self._send_timer.cancel()
+                self._send_timer = None
+            released, self._held_outbound = self._held_outbound, []
+            for step in released:
                 step()
-        if not self._cuts.back(self._other):
-            steps, self._come = self._come, []
-            for step in steps:
-                self._in(step)
-        if self._over and not self._unsent:
-            self._cuts.ends.discard(self)
+        if not self._cuts.is_inbound_cut(self._peer):
+            released, self._held_inbound = self._held_inbound, []
+            for step in released:
+                self._receive(step)
+        if self._is_closed and not self._held_outbound:
+            self._cuts.connections.discard(self)
 
 
-class Words:
-    """A datagram socket that loses what would go through a cut; the sender's side does it for both."""
+class CuttableDatagramTransport:
+    """A datagram socket that drops what it would send over a cut link; each sender applies its own cuts."""
 
-    def __init__(self, cuts: Cuts, transport: asyncio.DatagramTransport) -> None:
+    def __init__(self, cuts: LinkCuts, transport: asyncio.DatagramTransport) -> None:
         self._cuts, self._transport = cuts, transport
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._transport, name)
 
     def sendto(self, data: bytes, address: tuple | None = None) -> None:
-        if address is None or not self._cuts.out(address[0]):
+        if address is None or not self._cuts.is_outbound_cut(address[0]):
             self._transport.sendto(data, address)
 
 
-class Loop(asyncio.SelectorEventLoop):
-    """The limiter's loop, behind cuts."""
+class CuttableEventLoop(asyncio.SelectorEventLoop):
+    """An event loop whose dialled connections and datagram sockets obey `cuts`."""
 
-    cuts: Cuts
+    cuts: LinkCuts
 
-    async def create_connection(self, protocol_factory, host=None, port=None, **more):
+    async def create_connection(self, protocol_factory, host=None, port=None, **options):
         if host is None:
-            return await super().create_connection(protocol_factory, host, port, **more)
-        await self.cuts.open(host)
-        end = End(self.cuts, host, protocol_factory())
-        await super().create_connection(lambda: end, host, port, **more)
-        return end, end.protocol
+            return await super().create_connection(protocol_factory, host, port, **options)
+        await self.cuts.wait_until_connectable(host)
+        connection = CuttableConnection(self.cuts, host, protocol_factory())
+        await super().create_connection(lambda: connection, host, port, **options)
+        return connection, connection.protocol
 
-    async def create_datagram_endpoint(self, protocol_factory, **more):
-        transport, protocol = await super().create_datagram_endpoint(protocol_factory, **more)
-        return Words(self.cuts, transport), protocol
+    async def create_datagram_endpoint(self, protocol_factory, **options):
+        transport, protocol = await super().create_datagram_endpoint(protocol_factory, **options)
+        return CuttableDatagramTransport(self.cuts, transport), protocol
 
 
 def main() -> int:
+    """Run the gateway's command line on a `CuttableEventLoop`."""
     from lapisgrade.gateway import __main__ as gateway_main
     from lapisgrade.gateway import settings
 
-    cuts, path = Path(sys.argv.pop(1)), sys.argv[-1].partition("=")[2]
-    own = settings.read(path).ip
+    cuts_path, settings_path = Path(sys.argv.pop(1)), sys.argv[-1].partition("=")[2]
+    own_address = settings.read(settings_path).ip
 
-    def new() -> Loop:
-        made = Loop(event_loop.BatchingSelector())
-        made.cuts = Cuts(cuts, own)
-        made.cuts.watch(made)
-        return made
+    def new_event_loop() -> CuttableEventLoop:
+        loop = CuttableEventLoop(event_loop.BatchingSelector())
+        loop.cuts = LinkCuts(cuts_path, own_address)
+        loop.cuts.poll(loop)
+        return loop
 
-    event_loop.new_event_loop = new
+    event_loop.new_event_loop = new_event_loop
     return gateway_main.main()
 
 
--- a/tests/lab/partitions/test_cuts.py
+++ b/tests/lab/partitions/test_cuts.py
@@ -1,4 +1,4 @@
-"""Cut links: they delay what is sent, and deliver it late and in order."""
+"""Cut links hold data back, and deliver it late and in order."""
 
 import asyncio
 import os
@@ -12,53 +12,57 @@
 from lapisgrade.lab.partitions import cuts
 
 
-class Heard(asyncio.Protocol):
-    """One end of a connection; what came, when, and whether it was lost."""
+class RecordingProtocol(asyncio.Protocol):
+    """One end of a connection; records what it received and whether the connection was lost."""
 
     def __init__(self) -> None:
-        self.got, self.lost, self.transport = b"", False, None
+        self.received, self.is_lost, self.transport = b"", False, None
 
     def connection_made(self, transport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.got += data
+        self.received += data
 
-    def connection_lost(self, wrong) -> None:
-        self.lost = True
+    def connection_lost(self, error) -> None:
+        self.is_lost = True
 
 
 class CutLinks:
-    """What the plays rest on: cuts that hold words up, and let them through late and in order."""
+    """Two addresses, a file of cuts between them, and an event loop that obeys it."""
 
     def __init__(self, loopback_network: LoopbackNetwork, tmp_path: Path) -> None:
         self.here, self.there = loopback_network.host(1), loopback_network.host(2)
         self.file = tmp_path / "cuts.json"
 
-    def played(self, steps) -> None:
+    def run(self, steps) -> None:
+        """Run the coroutine function `steps` with a server at `there` and a client at `here`."""
         self.file.write_text("[]")
-        loop = cuts.Loop()
-        loop.cuts = self.cuts = cuts.Cuts(self.file, self.here)
-
-        async def run() -> None:
-            ends: list[Heard] = []
-            server = await loop.create_server(lambda: ends.append(Heard()) or ends[-1], self.there, 0)
+        loop = cuts.CuttableEventLoop()
+        loop.cuts = self.cuts = cuts.LinkCuts(self.file, self.here)
+
+        async def run_steps() -> None:
+            accepted: list[RecordingProtocol] = []
+            server = await loop.create_server(
+                lambda: accepted.append(RecordingProtocol()) or accepted[-1], self.there, 0
+            )
             async with asyncio.timeout(10.0):
-                await steps(loop, self.there, server.sockets[0].getsockname()[1], ends)
+                await steps(loop, self.there, server.sockets[0].getsockname()[1], accepted)
             server.close()
 
         try:
-            loop.run_until_complete(run())
+            loop.run_until_complete(run_steps())
         finally:
             loop.close()
 
     def cut(self, *pairs: tuple[str, str]) -> None:
+        """Cut these links, one direction each, and restore all others."""
         self.file.write_text(msgspec.json.encode(pairs).decode())
-        os.utime(self.file, ns=(self.cuts._stamp + 1, self.cuts._stamp + 1))
-        self.cuts.read()
+        os.utime(self.file, ns=(self.cuts._mtime_ns + 1, self.cuts._mtime_ns + 1))
+        self.cuts.reload()
 
-    async def until(self, holds) -> None:
-        while not holds():
+    async def wait_until(self, condition) -> None:
+        while not condition():
             await asyncio.sleep(0)
 
 
@@ -68,36 +72,46 @@
 
 
 def test_a_cut_delays_both_directions_and_keeps_the_order(links: CutLinks) -> None:
-    async def steps(loop, host, port, ends) -> None:
-        here, own = await loop.create_connection(Heard, host, port)
-        here.write(b"1")
-        await links.until(lambda: ends and ends[0].got == b"1")
+    async def steps(loop, host, port, accepted) -> None:
+        transport, client = await loop.create_connection(RecordingProtocol, host, port)
+        transport.write(b"1")
+        await links.wait_until(lambda: accepted and accepted[0].received == b"1")
         links.cut((links.here, links.there), (links.there, links.here))
-        here.write(b"2"), here.write(b"3"), ends[0].transport.write(b"a")
-        dialling = loop.create_task(loop.create_connection(Heard, host, port))
-        await links.until(lambda: links.cuts.ends and next(iter(links.cuts.ends))._come)
-        assert (own.got, ends[0].got, dialling.done()) == (b"", b"1", False)
+        transport.write(b"2"), transport.write(b"3"), accepted[0].transport.write(b"a")
+        dialling = loop.create_task(loop.create_connection(RecordingProtocol, host, port))
+        await links.wait_until(
+            lambda: links.cuts.connections and next(iter(links.cuts.connections))._held_inbound
+        )
+        assert (client.received, accepted[0].received, dialling.done()) == (b"", b"1", False)
         links.cut()
-        await links.until(lambda: own.got == b"a" and ends[0].got == b"123" and dialling.done())
-        links.cut((links.there, links.here))  # one way: what we say gets there, what comes back doesn't
-        here.write(b"4"), ends[0].transport.write(b"b")
-        await links.until(lambda: ends[0].got == b"1234" and any(each._come for each in links.cuts.ends))
-        assert own.got == b"a"
-
-    links.played(steps)
-
-
-def test_a_connection_cut_too_long_is_lost_here_at_once_and_there_at_the_heal(links: CutLinks) -> None:
-    async def steps(loop, host, port, ends) -> None:
-        here, own = await loop.create_connection(Heard, host, port)
-        await links.until(lambda: ends)
+        await links.wait_until(
+            lambda: client.received == b"a" and accepted[0].received == b"123" and dialling.done()
+        )
+        links.cut((links.there, links.here))  # one way: only data from the server is held back
+        transport.write(b"4"), accepted[0].transport.write(b"b")
+        await links.wait_until(
+            lambda: (
+                accepted[0].received == b"1234" and any(each._held_inbound for each in links.cuts.connections)
+            )
+        )
+        assert client.received == b"a"
+
+    links.run(steps)
+
+
+def test_a_send_timeout_closes_the_local_end_at_once_and_the_remote_end_after_the_heal(
+    links: CutLinks,
+) -> None:
+    async def steps(loop, host, port, accepted) -> None:
+        transport, client = await loop.create_connection(RecordingProtocol, host, port)
+        await links.wait_until(lambda: accepted)
         links.cut((links.here, links.there), (links.there, links.here))
-        here.write(b"late")
-        await links.until(lambda: own.lost)
-        assert not ends[0].lost
+        transport.write(b"late")
+        await links.wait_until(lambda: client.is_lost)
+        assert not accepted[0].is_lost
         links.cut()
-        await links.until(lambda: ends[0].lost)
-        assert (ends[0].got, own.got) == (b"", b"")
+        await links.wait_until(lambda: accepted[0].is_lost)
+        assert (accepted[0].received, client.received) == (b"", b"")
 
-    with mock.patch.object(cuts, "SILENT", 0.02):
-        links.played(steps)
+    with mock.patch.object(cuts, "SEND_TIMEOUT_S", 0.02):
+        links.run(steps)
