--- a/lapisgrade/lab/partitions/control.py
+++ b/lapisgrade/lab/partitions/control.py
@@ -1,8 +1,10 @@
-"""Plays of the control plane's worst days with real processes: a leader that is cut off, killed or emptied
-right after an acknowledgement, a member that is away for hundreds of changes. The history of orders and reads
-is judged as that of one register (`lab/simulation/linearizability.py`).
+"""Failures of the control plane with real processes.
 
-    found = await run_case("cut", net=141, folder=folder, chance=Random(1))
+A leader is partitioned, or is killed or loses its disk right after an acknowledgement; a member is down
+during hundreds of changes. The history of changes and reads is checked as that of one register
+(`lab/simulation/linearizability.py`).
+
+    result = await run_case("cut", net=141, folder=folder, random=Random(1))
 """
 
 import asyncio
@@ -22,252 +24,311 @@
 from lapisgrade.lab.simulation.linearizability import UNANSWERED, Event, first_violation
 from lapisgrade.net.http import MalformedMessageError
 
-LONG = 20.0  # s that a leader is cut off
-CHANGES = 500  # while a member is away
-PATIENCE = 1.0  # s that an operator waits for an answer
-STEP_TIMEOUT_S = 30.0  # s that anything may take; a play that takes longer has failed
-RIGHT_AFTER = 0.005  # s after an acknowledgement in which its machine is struck
-ENDS = (400, 409, 412, 413, 422)
-NET, NETS = 160, 40  # 127.160 to 127.199 are the plays' machines
-CALM = 0.5  # s of orders before and after
+PARTITION_S = 20.0  # duration of a leader's partition
+CHANGES = 500  # while a member is down
+REQUEST_TIMEOUT_S = 1.0  # of an operator's request
+STEP_TIMEOUT_S = 30.0  # maximum duration of any step; a case that takes longer has failed
+MAX_KILL_DELAY_S = 0.005  # from an acknowledgement until the controller that sent it is killed
+FINAL_STATUSES = (400, 409, 412, 413, 422)  # the change was rejected
+FIRST_NETWORK, NETWORKS = 160, 40  # cases run in 127.160 to 127.199
+CALM_S = 0.5  # of load before and after the fault
 
 
 @dataclass(slots=True)
 class CaseResult:
-    """What a play showed. Times in s."""
+    """Measurements and violations of one run of a case.
+
+    Attributes:
+        case: Name of the case.
+        acknowledged: Acknowledged changes.
+        refused: Changes that were rejected with a final status.
+        unknown_outcomes: Changes without a final response.
+        reads: Successful reads.
+        max_latency_s: Longest time of a change until its final response or until it was given up, among
+            operators that reach all machines.
+        catch_up_s: Time from the restart of a member that was down until it serves reads.
+        violations: Descriptions of everything that must not happen.
+    """
 
     case: str
     acknowledged: int = 0
     refused: int = 0
-    unclear: int = 0
+    unknown_outcomes: int = 0
     reads: int = 0
-    max_latency_s: float = 0.0  # until an order was answered clearly, by callers that reach all machines
-    catch_up_s: float = 0.0  # until a member that was away had all changes
+    max_latency_s: float = 0.0
+    catch_up_s: float = 0.0
     violations: list[str] = field(default_factory=list)
 
 
 class Operator:
-    """Sends orders to one machine after another, or to one alone, and notes what it was told."""
+    """Sends changes and reads to all controllers in turn, or only to one, and records the responses.
+
+    Attributes:
+        fleet: Fleet that it operates.
+        name: Its name, part of the pools that its changes add.
+        only: The one machine that it reaches, or empty.
+        events: Its history, for the linearizability check.
+        acknowledged: Versions that were acknowledged.
+        pools_by_version: The pool that each of its acknowledged versions adds.
+        newest_version: Newest version that it has seen.
+        max_latency_s: Longest time until a change got a final response or was given up.
+        refused: Number of rejected changes.
+    """
 
     def __init__(self, fleet: Fleet, name: str, only: str = "") -> None:
         self.fleet, self.name, self.only = fleet, name, only
         self.events: list[Event] = []
         self.acknowledged: set[int] = set()
-        self.marks: dict[int, str] = {}  # of its own versions: what tells them apart
-        self.known, self.longest, self.refused = 1, 0.0, 0
+        self.pools_by_version: dict[int, str] = {}
+        self.newest_version, self.max_latency_s, self.refused = 1, 0.0, 0
 
-    async def work(self) -> None:
+    async def run(self) -> None:
+        """Send reads and changes until cancelled."""
         while True:
-            await (self.read() if self.fleet.chance.random() < 0.3 else self.change())
+            await (self.read() if self.fleet.random.random() < 0.3 else self.change())
             await asyncio.sleep(0.01)
 
-    def place(self, turn: int) -> Address:
-        ctl = self.fleet.controller_addresses
-        return Address((self.fleet.ip[self.only], ctl[0][1])) if self.only else ctl[turn % len(ctl)]
+    def target(self, turn: int) -> Address:
+        """Return the controller address for this turn."""
+        addresses = self.fleet.controller_addresses
+        return (
+            Address((self.fleet.ip[self.only], addresses[0][1]))
+            if self.only
+            else addresses[turn % len(addresses)]
+        )
 
     async def call(self, turn: int, call: str, body: bytes) -> tuple[int, bytes]:
-        """Status and body; 0 for no answer."""
+        """Send a request; return the status and body, or status 0 without a response."""
         try:
-            async with asyncio.timeout(PATIENCE):
-                got = await send_request(self.place(turn), "POST", f"/-/rpc?call={call}", body)
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
+                response = await send_request(self.target(turn), "POST", f"/-/rpc?call={call}", body)
         except (OSError, TimeoutError, MalformedMessageError):
             return 0, b""
-        return got.head.status_code, b"".join(got.body)
+        return response.head.status_code, b"".join(response.body)
 
     async def change(self) -> bool:
-        """One order, sent until its answer is clear; whether it was taken."""
-        base, ver = self.known, self.known + 1 + self.fleet.chance.randrange(2)
-        mark = f"mark-{self.name}-{len(self.events)}"
-        body = msgspec.json.encode({"Ver": ver, "Base": base, "Upsert": {"Pools": [{"Name": mark}]}})
-        began, turn, status = time.monotonic(), self.fleet.chance.randrange(3), 0
-        called, at = round(began * 1e6), len(self.events)
-        self.events.append(Event("change", called, UNANSWERED, ver, base))  # should this be ended midway
-        while status != 200 and status not in ENDS:
-            if time.monotonic() - began > (STEP_TIMEOUT_S if not self.only else PATIENCE):
+        """Send a change until it gets a final response; return whether it was accepted."""
+        base, ver = self.newest_version, self.newest_version + 1 + self.fleet.random.randrange(2)
+        pool = f"mark-{self.name}-{len(self.events)}"
+        body = msgspec.json.encode({"Ver": ver, "Base": base, "Upsert": {"Pools": [{"Name": pool}]}})
+        started_s, turn, status = time.monotonic(), self.fleet.random.randrange(3), 0
+        called, index = round(started_s * 1e6), len(self.events)
+        self.events.append(Event("change", called, UNANSWERED, ver, base))  # in case of a cancellation
+        while status != 200 and status not in FINAL_STATUSES:
+            if time.monotonic() - started_s > (STEP_TIMEOUT_S if not self.only else REQUEST_TIMEOUT_S):
                 break
             turn += 1
             status, _ = await self.call(turn, "conf.update", body)
-            if status != 200 and status not in ENDS:
+            if status != 200 and status not in FINAL_STATUSES:
                 await asyncio.sleep(0.05)
-        clear = status == 200 or status in ENDS
-        ended = time.monotonic()
-        self.longest = max(self.longest, ended - began)
-        taken = status == 200 if clear else None
-        returned = round(ended * 1e6) if clear else UNANSWERED
-        self.events[at] = Event("change", called, returned, ver, base, taken)
-        if taken:
+        is_final = status == 200 or status in FINAL_STATUSES
+        ended_s = time.monotonic()
+        self.max_latency_s = max(self.max_latency_s, ended_s - started_s)
+        is_accepted = status == 200 if is_final else None
+        returned = round(ended_s * 1e6) if is_final else UNANSWERED
+        self.events[index] = Event("change", called, returned, ver, base, is_accepted)
+        if is_accepted:
             self.acknowledged.add(ver)
-            self.marks[ver], self.known = mark, max(self.known, ver)
+            self.pools_by_version[ver], self.newest_version = pool, max(self.newest_version, ver)
         else:
-            self.refused += clear
+            self.refused += is_final
             await self.read()
-        return bool(taken)
+        return bool(is_accepted)
 
     async def read(self, turn: int | None = None) -> int:
-        """The version that a machine shows, 0 for none."""
+        """Return the newest version by one controller, or 0 without a successful response."""
         called = round(time.monotonic() * 1e6)
-        turn = self.fleet.chance.randrange(3) if turn is None else turn
+        turn = self.fleet.random.randrange(3) if turn is None else turn
         status, body = await self.call(turn, "conf.show", b"")
         if status != 200:
             return 0
         ver = msgspec.json.decode(body)["Ver"]
         self.events.append(Event("read", called, round(time.monotonic() * 1e6), ver))
-        self.known = max(self.known, ver)
+        self.newest_version = max(self.newest_version, ver)
         return ver
 
 
 class CaseRun:
-    """A fleet and its operators; `judge` says what was wrong."""
+    """One run of a case: a fleet and its operators."""
 
-    def __init__(self, fleet: Fleet, chance: Random, found: CaseResult) -> None:
-        self.fleet, self.chance, self.found = fleet, chance, found
-        fleet.chance = chance
+    def __init__(self, fleet: Fleet, random: Random, result: CaseResult) -> None:
+        self.fleet, self.random, self.result = fleet, random, result
+        fleet.random = random
         self.operators = [Operator(fleet, "a"), Operator(fleet, "b")]
         self.tasks: list[asyncio.Task] = []
 
-    def begin(self, *more: Operator) -> None:
-        self.operators += more
-        self.tasks += [asyncio.create_task(each.work()) for each in (more or self.operators)]
+    def start_operators(self, *added: Operator) -> None:
+        """Start these operators, or the first ones if none are given."""
+        self.operators += added
+        self.tasks += [asyncio.create_task(each.run()) for each in (added or self.operators)]
 
-    async def end(self) -> None:
+    async def stop_operators(self) -> None:
+        """Cancel all running operators."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def judge(self) -> None:
-        found, operators = self.found, self.operators
+    async def check(self) -> None:
+        """Check the history and fill in the result.
+
+        Raises:
+            TimeoutError: No further change is accepted within `STEP_TIMEOUT_S`.
+        """
+        result, operators = self.result, self.operators
         last = Operator(self.fleet, "last")
         async with asyncio.timeout(STEP_TIMEOUT_S):
             while not await last.change():
                 pass
         operators.append(last)
-        _, shown = await last.call(0, "conf.show", b"")
-        names = {each["Name"] for each in msgspec.json.decode(shown)["Pools"]}
+        _, configuration = await last.call(0, "conf.show", b"")
+        names = {each["Name"] for each in msgspec.json.decode(configuration)["Pools"]}
         for each in operators:
-            found.violations += [
-                f"version {ver} was acknowledged and is gone"
-                for ver in each.marks
-                if each.marks[ver] not in names
+            result.violations += [
+                f"version {ver} was acknowledged, but its change is missing from the configuration"
+                for ver in each.pools_by_version
+                if each.pools_by_version[ver] not in names
             ]
         events = [event for each in operators for event in each.events]
-        found.acknowledged = sum(bool(each.is_accepted) for each in events)
-        found.refused = sum(each.refused for each in operators)
-        found.unclear = sum(each.kind == "change" and each.is_accepted is None for each in events)
-        found.reads = sum(each.kind == "read" for each in events)
-        found.max_latency_s = max(each.longest for each in operators if not each.only)
+        result.acknowledged = sum(bool(each.is_accepted) for each in events)
+        result.refused = sum(each.refused for each in operators)
+        result.unknown_outcomes = sum(each.kind == "change" and each.is_accepted is None for each in events)
+        result.reads = sum(each.kind == "read" for each in events)
+        result.max_latency_s = max(each.max_latency_s for each in operators if not each.only)
         if (at := first_violation(events, 1)) is not None:
-            found.violations.append(f"the history up to {at / 1e6:.3f} s can't be explained")
+            result.violations.append(f"the history up to {at / 1e6:.3f} s is not linearizable")
 
-    async def struck(self, wipe: bool) -> None:
-        """The machine that acknowledges an order loses its process right after, and with `wipe` its disk."""
+    async def kill_after_acknowledgement(self, wipe: bool) -> None:
+        """Kill the leader right after it acknowledges a change, delete its data if `wipe`, and restart it."""
         leader = await self.fleet.leader()
-        one = Operator(self.fleet, "struck", leader)
-        one.known = await one.read() or 1
-        self.operators.append(one)
+        operator = Operator(self.fleet, "struck", leader)
+        operator.newest_version = await operator.read() or 1
+        self.operators.append(operator)
         async with asyncio.timeout(STEP_TIMEOUT_S):
-            while not await one.change():
-                one.known = await one.read() or one.known
-        await asyncio.sleep(RIGHT_AFTER * self.chance.random())
+            while not await operator.change():
+                operator.newest_version = await operator.read() or operator.newest_version
+        await asyncio.sleep(MAX_KILL_DELAY_S * self.random.random())
         await self.fleet.kill("controller", leader)
         if wipe:
             shutil.rmtree(os.path.join(self.fleet.folder, leader))
-        await asyncio.sleep(self.chance.random())
+        await asyncio.sleep(self.random.random())
         await self.fleet.start("controller", leader)
 
 
-async def cut(run: CaseRun, seconds: float, one_way: str = "") -> None:
-    """The leader is cut off from the other machines; orders and questions come to both sides."""
+async def partition_leader(run: CaseRun, duration_s: float, direction: str = "") -> None:
+    """Cut the leader's links to all other machines, while operators use both sides.
+
+    Args:
+        run: The run of this case.
+        duration_s: Duration of the partition.
+        direction: "out" to cut only what the leader sends, "in" to cut only what it receives; empty for both.
+    """
     fleet = run.fleet
     leader = await fleet.leader()
     others = [each for each in fleet.ip if each != leader]
-    await asyncio.sleep(CALM)
-    pairs = [(leader, each) for each in others] if one_way != "in" else []
-    pairs += [(each, leader) for each in others] if one_way != "out" else []
-    fleet.cut(*pairs)
-    alone = Operator(fleet, "alone", leader)
-    run.begin(alone)
+    await asyncio.sleep(CALM_S)
+    pairs = [(leader, each) for each in others] if direction != "in" else []
+    pairs += [(each, leader) for each in others] if direction != "out" else []
+    fleet.set_cuts(*pairs)
+    isolated = Operator(fleet, "alone", leader)
+    run.start_operators(isolated)
     await asyncio.sleep(2.0)
-    before = len([each for each in alone.events if each.is_accepted])
-    await asyncio.sleep(max(0.0, seconds - 2.0))
-    confirmed = len([each for each in alone.events if each.is_accepted]) - before
-    if confirmed and not one_way:
-        run.found.violations.append(f"a leader that was cut off confirmed {confirmed} orders")
-    fleet.cut()
-    await asyncio.sleep(2.0 + CALM)
+    before = len([each for each in isolated.events if each.is_accepted])
+    await asyncio.sleep(max(0.0, duration_s - 2.0))
+    acknowledged = len([each for each in isolated.events if each.is_accepted]) - before
+    if acknowledged and not direction:
+        run.result.violations.append(f"a partitioned leader acknowledged {acknowledged} changes")
+    fleet.set_cuts()
+    await asyncio.sleep(2.0 + CALM_S)
 
 
-async def acknowledged(run: CaseRun, wipe: bool) -> None:
-    """Three times: struck right after an acknowledgement."""
+async def kill_leader(run: CaseRun, wipe: bool) -> None:
+    """Kill the leader right after an acknowledgement, three times."""
     for _ in range(3):
-        await asyncio.sleep(CALM)
-        await run.struck(wipe)
+        await asyncio.sleep(CALM_S)
+        await run.kill_after_acknowledgement(wipe)
         await asyncio.sleep(2.5)
 
 
-async def away(run: CaseRun, changes: int) -> None:
-    """One member is away for so many changes, comes back while they go on, and is asked once it leads."""
+async def stop_member(run: CaseRun, changes: int) -> None:
+    """Stop a member during so many changes, restart it under load, and kill the leader once it caught up."""
     fleet = run.fleet
     leader = await fleet.leader()
     member = next(each for each in fleet.controllers if each != leader)
     await fleet.kill("controller", member)
-    wanted = sum(len(each.acknowledged) for each in run.operators) + changes
+    goal = sum(len(each.acknowledged) for each in run.operators) + changes
     async with asyncio.timeout(STEP_TIMEOUT_S + changes / 4):
-        while sum(len(each.acknowledged) for each in run.operators) < wanted:
+        while sum(len(each.acknowledged) for each in run.operators) < goal:
             await asyncio.sleep(0.05)
-    began = time.monotonic()
+    started_s = time.monotonic()
     await fleet.start("controller", member)
-    one = Operator(fleet, "asked", member)
-    run.operators.append(one)
+    operator = Operator(fleet, "asked", member)
+    run.operators.append(operator)
     async with asyncio.timeout(STEP_TIMEOUT_S):
-        while not await one.read():
+        while not await operator.read():
             await asyncio.sleep(0.05)
-    run.found.catch_up_s = time.monotonic() - began
+    run.result.catch_up_s = time.monotonic() - started_s
     await asyncio.sleep(1.0)
-    await fleet.kill("controller", leader)  # the member and one other are a majority now
+    await fleet.kill("controller", leader)  # the restarted member and one other now form the quorum
     async with asyncio.timeout(STEP_TIMEOUT_S):
-        while not await one.change():
-            one.known = await one.read() or one.known
+        while not await operator.change():
+            operator.newest_version = await operator.read() or operator.newest_version
     await fleet.start("controller", leader)
-    await asyncio.sleep(CALM)
+    await asyncio.sleep(CALM_S)
 
 
-Case = Callable[[CaseRun, float], Awaitable[None]]
+Case = Callable[[CaseRun, float], Awaitable[None]]  # the second argument is `scale` of `run_case`
 CASES: dict[str, Case] = {
-    "cut": lambda run, part: cut(run, LONG * part),
-    "cut one way, not heard": lambda run, part: cut(run, LONG * part, "out"),
-    "cut one way, hears nobody": lambda run, part: cut(run, LONG * part, "in"),
-    "killed right after": lambda run, part: acknowledged(run, False),
-    "emptied right after": lambda run, part: acknowledged(run, True),
-    "away": lambda run, part: away(run, round(CHANGES * part)),
+    "cut": lambda run, scale: partition_leader(run, PARTITION_S * scale),
+    "cut one way, not heard": lambda run, scale: partition_leader(run, PARTITION_S * scale, "out"),
+    "cut one way, hears nobody": lambda run, scale: partition_leader(run, PARTITION_S * scale, "in"),
+    "killed right after": lambda run, scale: kill_leader(run, False),
+    "emptied right after": lambda run, scale: kill_leader(run, True),
+    "away": lambda run, scale: stop_member(run, round(CHANGES * scale)),
 }
 
 
-async def run_case(case: str, net: int, folder: str, chance: Random, part: float = 1.0) -> CaseResult:
-    """One play; `part` of the long cuts and of the changes."""
-    found = CaseResult(case)
+async def run_case(case: str, net: int, folder: str, random: Random, scale: float = 1.0) -> CaseResult:
+    """Run one case.
+
+    Args:
+        case: Name of the case.
+        net: Second number of the machines' addresses, in 127/8.
+        folder: Folder for the fleet's files.
+        random: Source of all random choices.
+        scale: Factor for the duration of the long partitions and for the number of changes.
+
+    Raises:
+        TimeoutError: The fleet didn't start, or accepted no change at the end.
+    """
+    result = CaseResult(case)
     async with Fleet(net, folder) as fleet:
-        one = CaseRun(fleet, chance, found)
-        one.begin()
+        run = CaseRun(fleet, random, result)
+        run.start_operators()
         try:
-            await CASES[case](one, part)
+            await CASES[case](run, scale)
         except TimeoutError:
-            found.violations.append("something took too long")
-        await one.end()
-        await one.judge()
-    return found
-
-
-async def print_table(names: list[str], seeds: range, say: Callable[[str], None], part: float = 1.0) -> bool:
-    """A row a play; whether nothing wrong was seen."""
-    say("| case | seed | acknowledged | refused | unclear | reads | longest wait s | caught up s | wrong |")
-    say("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    sound = True
+            result.violations.append("a step of the case timed out")
+        await run.stop_operators()
+        await run.check()
+    return result
+
+
+async def print_table(
+    names: list[str], seeds: range, echo: Callable[[str], None], scale: float = 1.0
+) -> bool:
+    """Run each case with each seed and print a Markdown table; return whether there were no violations."""
+    echo(
+        "| case | seed | acknowledged | refused | unknown | reads | max latency s | catch-up s | violations |"
+    )
+    echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+    is_sound = True
     for turn, (name, seed) in enumerate((name, seed) for name in names for seed in seeds):
         with tempfile.TemporaryDirectory() as folder:
-            found = await run_case(name, NET + turn % NETS, folder, Random(seed), part)
-        sound = sound and not found.violations
-        say(
-            f"| {name} | {seed} | {found.acknowledged} | {found.refused} | {found.unclear} | {found.reads} | "
-            f"{found.max_latency_s:.2f} | {found.catch_up_s:.2f} | {'; '.join(found.violations) or '-'} |"
+            result = await run_case(name, FIRST_NETWORK + turn % NETWORKS, folder, Random(seed), scale)
+        is_sound = is_sound and not result.violations
+        echo(
+            f"| {name} | {seed} | {result.acknowledged} | {result.refused} | {result.unknown_outcomes} | "
+            f"{result.reads} | {result.max_latency_s:.2f} | {result.catch_up_s:.2f} | "
+            f"{'; '.join(result.violations) or '-'} |"
         )
-    return sound
+    return is_sound
--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -1,5 +1,7 @@
-"""The system as the deploy file starts it, on loopback: a process for each role of each machine, a stand-in
-server that beats, and clients. Each machine has its own address in 127/8."""
+"""The gateway on loopback as the deploy file starts it: one process for each role of each machine.
+
+A stand-in server sends heartbeats, and each machine has its own address in 127/8.
+"""
 
 import asyncio
 import json
@@ -18,25 +20,44 @@
 from lapisgrade.lab.fleet.process import ROOT, prepare_child
 from lapisgrade.net.http import MalformedMessageError
 
-BEAT = 0.25  # s between a stand-in's beats
-POLL_INTERVAL_S = 0.01  # s between a client's calls, and between looks at what is waited for
+HEARTBEAT_INTERVAL_S = 0.25  # of each stand-in server
+POLL_INTERVAL_S = 0.01  # between checks of an awaited condition, and between a client's requests
 
 
 class RunCounter(Counter):
-    """What a server ran, and when it began."""
+    """The requests that a server executed, by Try-Id.
+
+    Attributes:
+        started_s: Time of each request's first execution, monotonic.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.at: dict[str, float] = {}
+        self.started_s: dict[str, float] = {}
 
     def __setitem__(self, name: str, count: int) -> None:
-        self.at.setdefault(name, time.monotonic())
+        self.started_s.setdefault(name, time.monotonic())
         super().__setitem__(name, count)
 
 
 class Fleet:
-    """Machines, each with a controller and a proxy as processes of their own; links between them can be
-    cut."""
+    """Machines with a proxy process each, some also with a controller process; links between them can be cut.
+
+    `async with` starts it, applies the sample configuration and waits until all proxies serve requests.
+
+    Attributes:
+        folder: Settings, logs and data of all processes.
+        bootstrap: Whether started processes may bootstrap the cluster; true only for the first start.
+        grace: Shutdown grace period of all processes, as in the settings file.
+        sample: Configuration that is applied at the start.
+        ip: Address of each machine.
+        controllers: Machines that run a controller.
+        cuts_path: File of the links that are cut, read by all processes.
+        running: Latest process of each role and machine.
+        server: Stand-in server of the sample configuration's service.
+        controller_addresses: Control addresses of all controllers.
+        tasks: Background tasks, cancelled on exit.
+    """
 
     def __init__(
         self,
@@ -47,27 +68,36 @@
         tenants: list[dict] | None = None,
         grace: str = "3s",
     ) -> None:
-        """Controllers on the first so many machines, 0 for all of them."""
-        self.folder, self.first, self.grace = folder, True, grace
+        """Prepare the fleet; `async with` starts it.
+
+        Args:
+            net: Second number of all addresses.
+            folder: Folder for settings, logs and data.
+            machines: Number of machines.
+            controllers: Number of machines that also run a controller; 0 for all of them.
+            tenants: Tenants of the configuration; by default those of the sample.
+            grace: Shutdown grace period.
+        """
+        self.folder, self.bootstrap, self.grace = folder, True, grace
         self.sample = SAMPLE if tenants is None else {**SAMPLE, "Tenants": tenants}
         self.ip = {f"m{number}": f"127.{net}.0.{number}" for number in range(1, machines + 1)}
         self.controllers = list(self.ip)[: controllers or machines]
-        self.cuts = os.path.join(folder, "cuts.json")
-        self.cut()
+        self.cuts_path = os.path.join(folder, "cuts.json")
+        self.set_cuts()
         self.running: dict[tuple[str, str], asyncio.subprocess.Process] = {}
         self.server = FakeServer("i-1", "garantie", (f"127.{net}.1.1", 8080), slots=64)
         self.controller_addresses = [Address((self.ip[name], CTL)) for name in self.controllers]
         self.tasks: list[asyncio.Task] = []
-        self.number = 0
+        self._request_count = 0
 
     def write_settings(self, role: str, name: str, peers: list[str] | None = None) -> str:
-        """Write a process's settings file, by default with the first three machines as peers; its path."""
+        """Write the settings file of a process, with three peers by default, and return its path."""
         ip, path = self.ip[name], os.path.join(self.folder, f"{name}-{role}.json")
         bind = {"Http": f"{ip}:{HTTP}", "Readyz": f"{ip}:{READY}", "Ctl": f"{ip}:{CTL}"}
         hosts = [self.ip[each] for each in peers or list(self.ip)[:3]]
         settings = {
             "Hostname": name, "Ip": ip, "Az": "z", "Bind": bind, "Portrange": [INNER, INNER + 15],
-            "Peers": [f"{each}:{CTL}" for each in hosts], "Bootstrap": self.first,
+            "Peers": [f"{each}:{CTL}" for each in hosts], "Bootstrap": self.bootstrap,
             "Datadir": os.path.join(self.folder, name), "Heartbeat": "300ms", "Slo": {"Grace": self.grace},
         }  # fmt: skip
         with open(f"{path}.new", "w") as file:
@@ -76,38 +106,42 @@
         return path
 
     async def start(self, role: str, name: str) -> None:
+        """Start a process; its standard error is appended to its log file."""
         path = self.write_settings(role, name)
         with open(os.path.join(self.folder, f"{name}-{role}.log"), "ab") as log:
             self.running[role, name] = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "lapisgrade.lab.partitions.cuts", self.cuts, role, f"--settings={path}",
-                cwd=ROOT, stderr=log, preexec_fn=prepare_child,
+                sys.executable, "-m", "lapisgrade.lab.partitions.cuts", self.cuts_path, role,
+                f"--settings={path}", cwd=ROOT, stderr=log, preexec_fn=prepare_child,
             )  # fmt: skip
 
     async def kill(self, role: str, name: str) -> None:
+        """Kill a process and wait for its end."""
         self.send_signal(role, name, signal.SIGKILL)
         await self.running[role, name].wait()
 
-    def cut(self, *pairs: tuple[str, str]) -> None:
-        """From now on nothing gets from the first of each pair to the second, and all else gets through."""
-        with open(f"{self.cuts}.new", "w") as file:
-            json.dump([(self.ip[here], self.ip[there]) for here, there in pairs], file)
-        os.replace(f"{self.cuts}.new", self.cuts)
+    def set_cuts(self, *pairs: tuple[str, str]) -> None:
+        """Cut the link from the first to the second machine of each pair, and restore all other links."""
+        with open(f"{self.cuts_path}.new", "w") as file:
+            json.dump([(self.ip[source], self.ip[target]) for source, target in pairs], file)
+        os.replace(f"{self.cuts_path}.new", self.cuts_path)
 
-    def part(self, *sides: set[str]) -> None:
-        """Nothing gets from one side to another."""
+    def partition(self, *sides: set[str]) -> None:
+        """Cut all links between machines of different sides."""
         side = {name: number for number, names in enumerate(sides) for name in names}
-        self.cut(*((here, there) for here in side for there in side if side[here] != side[there]))
+        self.set_cuts(
+            *((source, target) for source in side for target in side if side[source] != side[target])
+        )
 
     async def __aenter__(self) -> "Fleet":
         for name in self.controllers:
             await self.start("controller", name)
         for name in self.ip:
             await self.start("proxy", name)
-        self.first = False
+        self.bootstrap = False
         await self.server.start()
-        self.tasks.append(asyncio.create_task(self.beats(self.server)))
-        await self.wait_until(self.put)
-        await self.wait_until(self.ready)
+        self.tasks.append(asyncio.create_task(self.send_heartbeats(self.server)))
+        await self.wait_until(self.apply_sample)
+        await self.wait_until(self.is_ready)
         return self
 
     async def __aexit__(self, *_) -> None:
@@ -120,7 +154,8 @@
                 await each.wait()
         self.server.close()
 
-    async def put(self) -> bool:
+    async def apply_sample(self) -> bool:
+        """Send the sample configuration; return whether it was accepted."""
         return (
             await post_to_any(
                 self.controller_addresses, "/-/rpc?call=conf.replace", msgspec.json.encode(self.sample)
@@ -128,7 +163,8 @@
             == 200
         )
 
-    async def ready(self) -> bool:
+    async def is_ready(self) -> bool:
+        """Return whether every proxy is ready and serves a request."""
         for ip in self.ip.values():
             try:
                 if (await send_request((ip, READY), "GET", "/-/readyz")).head.status_code != 200:
@@ -137,25 +173,31 @@
                 return False
         return all([await self.call(name, "a.example", "/stock/1", "key-of-sfax") == 200 for name in self.ip])
 
-    async def wait_until(self, holds, within: float = 30.0) -> None:
-        async with asyncio.timeout(within):
-            while not await holds():
+    async def wait_until(self, condition, timeout_s: float = 30.0) -> None:
+        """Poll a coroutine function until it returns true.
+
+        Raises:
+            TimeoutError: The condition is still false after `timeout_s`.
+        """
+        async with asyncio.timeout(timeout_s):
+            while not await condition():
                 await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def beats(self, server: FakeServer) -> None:
+    async def send_heartbeats(self, server: FakeServer) -> None:
+        """Send a server's heartbeats until cancelled, to each controller in turn."""
         turn = 0
         while True:
             turn += 1
             await server.send_heartbeat(
                 self.controller_addresses[turn % len(self.controller_addresses) :] + self.controller_addresses
             )
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def call(self, name: str, host: str, path: str, key: str) -> int:
-        """The status of one request at one proxy; 0 for none."""
-        self.number += 1
+        """Send one request to a proxy; return its status, or 0 without a response."""
+        self._request_count += 1
         fields = {
-            "Host": host, "Try-Id": f"{self.number:016x}", "Deadline-Ms": "900",
+            "Host": host, "Try-Id": f"{self._request_count:016x}", "Deadline-Ms": "900",
             "Authorization": f"Bearer {key}",
         }  # fmt: skip
         try:
@@ -164,14 +206,15 @@
             return 0
 
     async def leader(self) -> str:
-        """The machine whose controller said last that it leads."""
-        found = []
+        """Return the leader's machine according to the logs; of several, the one with the highest term."""
+        leaders = []
         for name in self.controllers:
             with open(os.path.join(self.folder, f"{name}-controller.log")) as file:
-                said = [line for line in file if "term" in line and ("leads" in line or "follows" in line)]
-            if said and "leads" in said[-1]:
-                found.append((int(said[-1].split("term ")[1].split(":")[0]), name))
-        return max(found)[1]
-
-    def send_signal(self, role: str, name: str, what: signal.Signals) -> None:
-        self.running[role, name].send_signal(what)
+                lines = [line for line in file if "term" in line and ("leads" in line or "follows" in line)]
+            if lines and "leads" in lines[-1]:
+                leaders.append((int(lines[-1].split("term ")[1].split(":")[0]), name))
+        return max(leaders)[1]
+
+    def send_signal(self, role: str, name: str, signal_number: signal.Signals) -> None:
+        """Send a signal to a process."""
+        self.running[role, name].send_signal(signal_number)
--- a/lapisgrade/lab/partitions/operations.py
+++ b/lapisgrade/lab/partitions/operations.py
@@ -149,7 +149,7 @@
         server = OperationServer(f"i-{number}", address, history, random, case.slots, case.is_unruly)
         server.manner = case.manner
         await server.start()
-        fleet.tasks.append(asyncio.create_task(fleet.beats(server)))
+        fleet.tasks.append(asyncio.create_task(fleet.send_heartbeats(server)))
         servers.append(server)
     fleet.server.state = "drain"
 
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -1,7 +1,7 @@
 """Plays of a tenant's quota with real processes: one that asks for far more than its limit, and one beside it
 that stays inside, while the proxy that holds both counts is cut off, frozen or killed.
 
-    found = await run_case("owner-cut", net=101, folder=folder, chance=Random(1))
+    found = await run_case("owner-cut", net=101, folder=folder, random=Random(1))
 
 What ran is judged at the server, over all proxies, against what QUOTA allows in any window.
 """
@@ -66,8 +66,8 @@
 
 
 class CaseRun:
-    def __init__(self, fleet: Fleet, hot: str, calm: str, holds: list[str], chance: Random) -> None:
-        self.fleet, self.hot, self.calm, self.holds, self.chance = fleet, hot, calm, holds, chance
+    def __init__(self, fleet: Fleet, hot: str, calm: str, holds: list[str], random: Random) -> None:
+        self.fleet, self.hot, self.calm, self.holds, self.random = fleet, hot, calm, holds, random
         self.calls: Counter[int] = Counter()  # the calm one's, by status
         self._tasks: set[asyncio.Task] = set()
 
@@ -75,10 +75,10 @@
         """An open loop: each request at its own time, at any proxy."""
         names, due, number = list(self.fleet.ip), time.monotonic(), 0
         while True:
-            due += self.chance.expovariate(a_second)
+            due += self.random.expovariate(a_second)
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             number += 1
-            task = asyncio.create_task(self.one(tenant, f"{tenant} {number}", self.chance.choice(names)))
+            task = asyncio.create_task(self.one(tenant, f"{tenant} {number}", self.random.choice(names)))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -118,25 +118,25 @@
 async def owner_cut(run: CaseRun) -> None:
     """The owner reaches nobody, and clients go on at it."""
     one = run.holds[0]
-    run.fleet.part({one}, set(run.fleet.ip) - {one})
+    run.fleet.partition({one}, set(run.fleet.ip) - {one})
     await asyncio.sleep(FAULT)
-    run.fleet.cut()
+    run.fleet.set_cuts()
 
 
 async def owner_deaf(run: CaseRun) -> None:
     """The owner says what it did, and hears nobody."""
     one = run.holds[0]
-    run.fleet.cut(*((other, one) for other in run.fleet.ip if other != one))
+    run.fleet.set_cuts(*((other, one) for other in run.fleet.ip if other != one))
     await asyncio.sleep(FAULT)
-    run.fleet.cut()
+    run.fleet.set_cuts()
 
 
 async def half_cut(run: CaseRun) -> None:
     """All controllers and the owner's successor on one side, the owner and the rest on the other."""
     side = {run.holds[0], run.holds[2]}
-    run.fleet.part(side, set(run.fleet.ip) - side)
+    run.fleet.partition(side, set(run.fleet.ip) - side)
     await asyncio.sleep(FAULT)
-    run.fleet.cut()
+    run.fleet.set_cuts()
 
 
 async def owner_frozen(run: CaseRun) -> None:
@@ -163,11 +163,11 @@
 async def cut_and_killed(run: CaseRun) -> None:
     """The owner is cut off, and while it is, all others are killed and come back."""
     one = run.holds[0]
-    run.fleet.part({one}, set(run.fleet.ip) - {one})
+    run.fleet.partition({one}, set(run.fleet.ip) - {one})
     await asyncio.sleep(LEASE_US / SECOND / 3)
     await run.again(*(set(run.fleet.ip) - {one}))
     await asyncio.sleep(FAULT - LEASE_US / SECOND / 3)
-    run.fleet.cut()
+    run.fleet.set_cuts()
 
 
 CASES = {"none": none, "owner-cut": owner_cut, "owner-deaf": owner_deaf, "half-cut": half_cut,
@@ -186,11 +186,11 @@
     return found
 
 
-async def run_case(case: str, net: int, folder: str, chance: Random) -> CaseResult:
+async def run_case(case: str, net: int, folder: str, random: Random) -> CaseResult:
     """One case on machines of 127.`net`; TimeoutError where the fleet never came up."""
     names = [f"m{number}" for number in range(1, MACHINES + 1)]
     core = names[:CONTROLLERS]
-    hot = f"hot{chance.randrange(1000)}"
+    hot = f"hot{random.randrange(1000)}"
     holds = owners(hot, names, core)
     calm = next(each for each in (f"calm{number}" for number in range(1000))
                 if owners(each, names, core)[:2] == holds[:2])  # fmt: skip
@@ -198,7 +198,7 @@
     tenants += SAMPLE["Tenants"]
     async with Fleet(net, folder, MACHINES, CONTROLLERS, tenants) as fleet:
         fleet.server.ran, fleet.server.slots = RunCounter(), 256
-        one = CaseRun(fleet, hot, calm, holds, chance)
+        one = CaseRun(fleet, hot, calm, holds, random)
         began = time.monotonic()
         loads = [asyncio.create_task(one.load(*each)) for each in ((hot, HOT * RATE), (calm, CALM * RATE))]
         try:
@@ -210,7 +210,7 @@
                 each.cancel()
             await one.end()
         took = time.monotonic() - began
-        at = [when for id, when in fleet.server.ran.at.items() if id.startswith(hot)]
+        at = [when for id, when in fleet.server.ran.started_s.items() if id.startswith(hot)]
         found = CaseResult(case, max_in_window(at, SLO.quota_win / SECOND), len(at) / (RATE * took + BURST))
         found.asked, found.refused = sum(one.calls.values()), one.calls[429]
         found.failed = found.asked - one.calls[200] - found.refused
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -1,6 +1,6 @@
 """Plays of a break and its heal with real processes whose links are cut, and what their history must show.
 
-    found = await run_case("edge", net=101, folder=folder, chance=Random(1))
+    found = await run_case("edge", net=101, folder=folder, random=Random(1))
 
 A route for claims is edited on each side of the break; claims (what may run once) and urgent look-ups come to
 every proxy all the while. `breaches` is pure: it judges the history of the claims alone.
@@ -65,7 +65,7 @@
     proxies that were `away` and could not know."""
     said: list[str] = []
     runs: Counter[int] = Counter()
-    first = min((new.at[name] for name in tries if name in new), default=float("inf"))
+    first = min((new.started_s[name] for name in tries if name in new), default=float("inf"))
     for name, each in tries.items():
         ran = old[name] + new[name] if name in old or name in new else 0
         runs[each.claim] += ran
@@ -151,8 +151,8 @@
 class CaseRun:
     """One play: what the cases do with it."""
 
-    def __init__(self, fleet: Fleet, chance: Random) -> None:
-        self.fleet, self.chance = fleet, chance
+    def __init__(self, fleet: Fleet, random: Random) -> None:
+        self.fleet, self.random = fleet, random
         self.away: set[str] = set()  # proxies that could not know of the merge
         self.healed = 0.0
 
@@ -210,10 +210,10 @@
         await self.wait_until(kept)
 
     async def broken(self) -> None:
-        await asyncio.sleep(self.chance.uniform(*BROKEN))
+        await asyncio.sleep(self.random.uniform(*BROKEN))
 
     def heal(self) -> None:
-        self.fleet.cut()
+        self.fleet.set_cuts()
         self.healed = time.monotonic()
 
     async def in_log(self, *names: str) -> None:
@@ -249,7 +249,7 @@
 async def edge(run: CaseRun, side: set[str] = frozenset({"m3"})) -> None:
     """One machine is cut off, and its people edit the route that the others edit too."""
     rest = set(run.fleet.ip) - side
-    run.fleet.part(rest, side)
+    run.fleet.partition(rest, side)
     name = min(side)
     await run.drafted(name, claim_rule_edit(Action={"Svc": NEW}), len(side))
     await run.acknowledged(6, 2, claim_rule_edit(Action={"Timeout": "1500ms"}), *sorted(rest))
@@ -263,7 +263,7 @@
 
 async def one_way(run: CaseRun) -> None:
     """It hears the others, and nothing that it says gets out."""
-    run.fleet.cut(("m3", "m1"), ("m3", "m2"))
+    run.fleet.set_cuts(("m3", "m1"), ("m3", "m2"))
     await run.drafted("m3", claim_rule_edit(Action={"Svc": NEW}))
     await run.acknowledged(6, 2, claim_rule_edit(Action={"Timeout": "1500ms"}), "m1", "m2")
     await run.broken()
@@ -272,7 +272,7 @@
 
 async def three_sides(run: CaseRun) -> None:
     """Nobody reaches anybody, and each edits the route."""
-    run.fleet.part({"m1"}, {"m2"}, {"m3"})
+    run.fleet.partition({"m1"}, {"m2"}, {"m3"})
     for name, change in (
         ("m1", claim_rule_edit(Prio=4)),
         ("m2", claim_rule_edit(Action={"Svc": NEW})),
@@ -286,10 +286,10 @@
 async def opens_again(run: CaseRun) -> None:
     """The break opens again as soon as the draft is in the log; the merge goes on without that side."""
     await edge(run)
-    run.fleet.cut()
+    run.fleet.set_cuts()
     await run.in_log("m1", "m2")
     run.away = {"m3"}
-    run.fleet.part({"m1", "m2"}, {"m3"})
+    run.fleet.partition({"m1", "m2"}, {"m3"})
     await asyncio.sleep(REOPENED)
     run.heal()
 
@@ -318,17 +318,17 @@
 MACHINES = {"wiped": 5}  # else three; a side of two without a majority needs five
 
 
-async def run_case(case: str, net: int, folder: str, chance: Random) -> CaseResult:
+async def run_case(case: str, net: int, folder: str, random: Random) -> CaseResult:
     """One case on machines of 127.`net`; TimeoutError where something never came to be."""
     tenants = [{**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}]
     async with Fleet(net, folder, MACHINES.get(case, 3), tenants=tenants) as fleet:
         second = FakeServer("i-2", NEW, (f"127.{net}.1.2", 8080), slots=64)
         await second.start()
-        fleet.tasks.append(asyncio.create_task(fleet.beats(second)))
+        fleet.tasks.append(asyncio.create_task(fleet.send_heartbeats(second)))
         fleet.server.ran, second.ran = RunCounter(), RunCounter()
         clients = None
         try:
-            one = CaseRun(fleet, chance)
+            one = CaseRun(fleet, random)
             await one.settled()
             pools = {"Upsert": {"Pools": [*SAMPLE["Pools"], {"Name": NEW}]}}
             await one.acknowledged(2, 1, pools)
--- a/tests/gateway/controller/test_partitions.py
+++ b/tests/gateway/controller/test_partitions.py
@@ -24,11 +24,11 @@
     """A function that runs one case, and checks the results that all cases must have."""
 
     async def run(case: str) -> control.CaseResult:
-        found = await control.run_case(case, loopback_network.number, str(tmp_path), Random(7), SCALE)
-        assert found.violations == []
-        assert found.acknowledged > 10
-        assert found.reads > 10
-        return found
+        result = await control.run_case(case, loopback_network.number, str(tmp_path), Random(7), SCALE)
+        assert result.violations == []
+        assert result.acknowledged > 10
+        assert result.reads > 10
+        return result
 
     return run
 
@@ -36,8 +36,8 @@
 async def test_a_partitioned_leader_acknowledges_nothing_and_the_others_continue(
     run_case: RunCase,
 ) -> None:
-    found = await run_case("cut")
-    assert found.max_latency_s < control.STEP_TIMEOUT_S
+    result = await run_case("cut")
+    assert result.max_latency_s < control.STEP_TIMEOUT_S
 
 
 async def test_the_history_is_linearizable_when_a_leaders_messages_are_lost(run_case: RunCase) -> None:
@@ -57,5 +57,5 @@
 
 
 async def test_a_member_that_was_down_catches_up_and_leads(run_case: RunCase) -> None:
-    found = await run_case("away")
-    assert found.catch_up_s < control.STEP_TIMEOUT_S
+    result = await run_case("away")
+    assert result.catch_up_s < control.STEP_TIMEOUT_S
--- a/tests/lab/partitions/test_rejoin.py
+++ b/tests/lab/partitions/test_rejoin.py
@@ -29,7 +29,7 @@
         made = RunCounter()
         for name, when in at.items():
             made[name] += 1
-            made.at[name] = when
+            made.started_s[name] = when
         return made
 
     assert rejoin.breaches(tries, ran(a=1.0), ran(c=2.1)) == []
