--- a/lapisgrade/lab/balancing/__init__.py
+++ b/lapisgrade/lab/balancing/__init__.py
@@ -1,5 +1,5 @@
-"""Choosers of servers compared: many limiters, few slots a server, loads told late. Simulated time.
+"""Comparison of load balancers for many limiters and servers with few slots, in simulated time.
 
-The system's own chooser (`gateway/routing/balancer.py` beside `gateway/subsets`) stands among textbook ones
-and one with full sight, on the same arrivals.
+The gateway's own balancer (`gateway/routing/balancer.py` with `gateway/membership/subsets.py`) is compared
+with textbook algorithms and with one that knows the state of all servers, on the same arrivals.
 """
--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -1,7 +1,8 @@
-"""Ways to choose a server, each as one limiter's: `choose` names one, `sent` and `landed` say the rest.
+"""Load balancers, one instance for each limiter.
 
-Textbook ways: random; round robin; least outstanding of the own; the better of two by what was last told
-(Mitzenmacher, 2001); join-idle-queue (Lu et al., 2011). `FullSight` knows every queue and all speeds at once.
+Textbook algorithms: random; round robin; least outstanding requests of this limiter; the better of two random
+servers by the last reported load (Mitzenmacher, 2001); join-idle-queue (Lu et al., 2011). `FullKnowledge`
+knows all queues and speeds without delay.
 """
 
 from dataclasses import dataclass, field
@@ -17,104 +18,123 @@
 
 
 class Chooser(Protocol):
-    def choose(self, now: int, tried: list[int]) -> int | None:
-        """A server's number, None where all are taken up."""
+    """A load balancer of one limiter. All times are in microseconds."""
 
-    def sent(self, now: int, server: int) -> object: ...
+    def choose(self, now_us: int, tried: list[int]) -> int | None:
+        """Return the number of a server for an attempt, or None if no server is available.
 
-    def landed(
-        self, now: int, token: object, took: int, outcome: AttemptOutcome, load: tuple[int, int]
-    ) -> None: ...
+        Args:
+            now_us: Current time.
+            tried: Servers that the request's previous attempts were sent to.
+        """
 
+    def on_sent(self, now_us: int, server: int) -> object:
+        """Record that an attempt was sent; return a token for `on_response`."""
+        ...
 
-class Blind:
-    """By chance; what others build on."""
+    def on_response(
+        self, now_us: int, token: object, latency_us: int, outcome: AttemptOutcome, load: tuple[int, int]
+    ) -> None:
+        """Record the end of an attempt; `load` is the server's number of running and queued requests."""
+        ...
+
+
+class RandomChooser:
+    """Chooses a server at random; base class of the other textbook algorithms."""
 
     def __init__(self, spec: Spec, servers: list[Server], random: Random, number: int) -> None:
         self.spec, self.servers, self.random, self.number = spec, servers, random, number
-        self.out = [0] * len(servers)
+        self.in_flight = [0] * len(servers)
 
-    def choose(self, now: int, tried: list[int]) -> int | None:
-        fit = [each for each in range(len(self.servers)) if each not in tried]
-        return self.pick(now, fit) if fit else None
+    def choose(self, now_us: int, tried: list[int]) -> int | None:
+        candidates = [each for each in range(len(self.servers)) if each not in tried]
+        return self.pick(now_us, candidates) if candidates else None
 
-    def pick(self, now: int, fit: list[int]) -> int:
-        return self.random.choice(fit)
+    def pick(self, now_us: int, candidates: list[int]) -> int:
+        return self.random.choice(candidates)
 
-    def sent(self, now: int, server: int) -> int:
-        self.out[server] += 1
+    def on_sent(self, now_us: int, server: int) -> int:
+        self.in_flight[server] += 1
         return server
 
-    def landed(
-        self, now: int, server: int, took: int, outcome: AttemptOutcome, load: tuple[int, int]
+    def on_response(
+        self, now_us: int, server: int, latency_us: int, outcome: AttemptOutcome, load: tuple[int, int]
     ) -> None:
-        self.out[server] -= 1
+        self.in_flight[server] -= 1
 
 
-class RoundRobin(Blind):
+class RoundRobin(RandomChooser):
+    """Chooses the servers in turn; each limiter starts at another one."""
+
     turn = 0
 
-    def pick(self, now: int, fit: list[int]) -> int:
+    def pick(self, now_us: int, candidates: list[int]) -> int:
         self.turn += 1
-        return fit[(self.number + self.turn) % len(fit)]
+        return candidates[(self.number + self.turn) % len(candidates)]
+
 
+class LeastOutstanding(RandomChooser):
+    """Chooses the server with the fewest requests in flight from this limiter."""
 
-class LeastOut(Blind):
-    def pick(self, now: int, fit: list[int]) -> int:
-        return min(fit, key=lambda each: (self.out[each], self.random.random()))
+    def pick(self, now_us: int, candidates: list[int]) -> int:
+        return min(candidates, key=lambda each: (self.in_flight[each], self.random.random()))
 
 
-class TwoChoices(Blind):
-    """The better of two by its own word in its last answer to us, and by what we have out."""
+class TwoChoices(RandomChooser):
+    """Chooses the better of two random servers by reported load plus this limiter's requests in flight."""
 
     def __init__(self, *args) -> None:
         super().__init__(*args)
-        self.told = [0] * len(self.servers)
+        self.reported_load = [0] * len(self.servers)
 
-    def pick(self, now: int, fit: list[int]) -> int:
+    def pick(self, now_us: int, candidates: list[int]) -> int:
         return min(
-            self.random.sample(fit, min(2, len(fit))), key=lambda each: self.told[each] + self.out[each]
+            self.random.sample(candidates, min(2, len(candidates))),
+            key=lambda each: self.reported_load[each] + self.in_flight[each],
         )
 
-    def landed(
-        self, now: int, server: int, took: int, outcome: AttemptOutcome, load: tuple[int, int]
+    def on_response(
+        self, now_us: int, server: int, latency_us: int, outcome: AttemptOutcome, load: tuple[int, int]
     ) -> None:
-        super().landed(now, server, took, outcome, load)
-        self.told[server] = sum(load)
+        super().on_response(now_us, server, latency_us, outcome, load)
+        self.reported_load[server] = sum(load)
 
 
-class JoinIdle(Blind):
-    """Servers with a free slot put themselves on one limiter's list; where that is empty, by chance."""
+class JoinIdleQueue(RandomChooser):
+    """Chooses a server from the limiter's queue of idle servers, which join it; at random if it is empty."""
 
     def __init__(self, *args) -> None:
         super().__init__(*args)
         self.idle: dict[int, None] = {}
 
-    def pick(self, now: int, fit: list[int]) -> int:
+    def pick(self, now_us: int, candidates: list[int]) -> int:
         for each in list(self.idle):
             del self.idle[each]
-            if each in fit:
+            if each in candidates:
                 return each
-        return self.random.choice(fit)
+        return self.random.choice(candidates)
 
 
-class FullSight(Blind):
-    """Knows what is at every server and on its way there, all speeds, and who is ill, at no cost."""
+class FullKnowledge(RandomChooser):
+    """Chooses by the current outstanding requests, speed and health of all servers, at no cost."""
 
-    def pick(self, now: int, fit: list[int]) -> int:
+    def pick(self, now_us: int, candidates: list[int]) -> int:
         zone = self.spec.zone(self.number)
 
-        def takes(each: int) -> float:
+        def expected_us(each: int) -> float:
             server = self.servers[each]
-            wait = max(0, server.present + 1 - self.spec.slots) / self.spec.slots
-            far = 2 * (self.spec.far_us if server.zone != zone else self.spec.near_us)
-            return server.speed * self.spec.work_us * (1 + wait) * (10 if server.ill else 1) + far
+            wait = max(0, server.outstanding + 1 - self.spec.slots) / self.spec.slots
+            network_us = 2 * (self.spec.far_us if server.zone != zone else self.spec.near_us)
+            return (
+                server.slowdown * self.spec.work_us * (1 + wait) * (10 if server.is_unhealthy else 1)
+                + network_us
+            )
 
-        return min(fit, key=lambda each: (takes(each), self.random.random()))
+        return min(candidates, key=lambda each: (expected_us(each), self.random.random()))
 
 
-class Own:
-    """The system's chooser."""
+class GatewayChooser:
+    """The gateway's own balancer."""
 
     def __init__(self, spec: Spec, servers: list[Server], random: Random, number: int) -> None:
         self.spec, self.number = spec, number
@@ -123,7 +143,7 @@
             {spec.name(each): ("", "", spec.zone(each)) for each in range(spec.limiters)}
         )
         self.cluster = UpstreamCluster(random, spec.zone(number), self.subsets)
-        self.latency = self.cluster.latency("r", spec.aim_us)
+        self.latency = self.cluster.latency("r", spec.latency_target_us)
         self.numbers = {each.name: each.number for each in servers}
         for each in servers:
             self.cluster.update(
@@ -131,37 +151,48 @@
             )
         self.names = [each.name for each in servers]
 
-    def choose(self, now: int, tried: list[int]) -> int | None:
-        already = [self.cluster.servers[self.names[each]] for each in tried]
-        server = self.cluster.choose(now, self.latency.mean(now), already)
+    def choose(self, now_us: int, tried: list[int]) -> int | None:
+        tried_servers = [self.cluster.servers[self.names[each]] for each in tried]
+        server = self.cluster.choose(now_us, self.latency.mean(now_us), tried_servers)
         return None if server is None else self.numbers[server.address]
 
-    def sent(self, now: int, server: int) -> Attempt:
-        attempt = Attempt(None, self.cluster.servers[self.names[server]], 0, now)
-        self.cluster.on_attempt_started(now, attempt)
+    def on_sent(self, now_us: int, server: int) -> Attempt:
+        attempt = Attempt(None, self.cluster.servers[self.names[server]], 0, now_us)
+        self.cluster.on_attempt_started(now_us, attempt)
         return attempt
 
-    def landed(
-        self, now: int, attempt: Attempt, took: int, outcome: AttemptOutcome, load: tuple[int, int]
+    def on_response(
+        self, now_us: int, attempt: Attempt, latency_us: int, outcome: AttemptOutcome, load: tuple[int, int]
     ) -> None:
-        told = {"running": load[0], "waiting": load[1], "slots": self.spec.slots}
-        self.cluster.on_attempt_finished(now, attempt, AttemptResult(outcome, took, told), self.latency)
+        reported = {"running": load[0], "waiting": load[1], "slots": self.spec.slots}
+        self.cluster.on_attempt_finished(
+            now_us, attempt, AttemptResult(outcome, latency_us, reported), self.latency
+        )
 
 
 @dataclass(slots=True)
-class Named:
+class ChooserKind:
+    """A load balancer and what it needs from the simulation.
+
+    Attributes:
+        make: Its class.
+        exchanges_loads: Whether neighbouring limiters report their requests in flight to each other.
+        uses_idle_queue: Whether idle servers join a limiter's queue.
+        description: Short description.
+    """
+
     make: type
-    talks: bool = False  # neighbours tell each other what they have out
-    joins: bool = False  # idle servers join a limiter's list
-    what: str = field(default="")
+    exchanges_loads: bool = False
+    uses_idle_queue: bool = False
+    description: str = field(default="")
 
 
 CHOOSERS = {
-    "random": Named(Blind, what="by chance"),
-    "round-robin": Named(RoundRobin, what="one after another"),
-    "least-out": Named(LeastOut, what="fewest of its own out"),
-    "two-choices": Named(TwoChoices, what="the better of two by their last word"),
-    "join-idle": Named(JoinIdle, joins=True, what="idle servers come to a list"),
-    "own": Named(Own, talks=True, what="the system's"),
-    "full-sight": Named(FullSight, what="knows all at once"),
+    "random": ChooserKind(RandomChooser, description="random"),
+    "round-robin": ChooserKind(RoundRobin, description="round robin"),
+    "least-out": ChooserKind(LeastOutstanding, description="least outstanding requests of this limiter"),
+    "two-choices": ChooserKind(TwoChoices, description="better of two by last reported load"),
+    "join-idle": ChooserKind(JoinIdleQueue, uses_idle_queue=True, description="join-idle-queue"),
+    "own": ChooserKind(GatewayChooser, exchanges_loads=True, description="the gateway's own"),
+    "full-sight": ChooserKind(FullKnowledge, description="knows all servers without delay"),
 }
