--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -1,9 +1,10 @@
-"""Plays of a tenant's quota with real processes: one that asks for far more than its limit, and one beside it
-that stays inside, while the proxy that holds both counts is cut off, frozen or killed.
+"""A tenant's quota with real processes, while the proxy that owns its count is cut off, frozen or killed.
 
-    found = await run_case("owner-cut", net=101, folder=folder, random=Random(1))
+One tenant sends far more than its limit; another, whose count has the same owner, stays within its limit.
 
-What ran is judged at the server, over all proxies, against what QUOTA allows in any window.
+    result = await run_case("owner-cut", net=101, folder=folder, random=Random(1))
+
+The requests that the server ran, from all proxies, are checked against the bound of QUOTA in every window.
 """
 
 import asyncio
@@ -26,147 +27,170 @@
 from lapisgrade.lab.partitions.fleet import Fleet, RunCounter
 from lapisgrade.net.http import MalformedMessageError
 
-MACHINES, CONTROLLERS = 6, 3  # counts are held away from controllers
-RATE = BURST = 60  # of both tenants
-HOT = 7.5  # times its rate that the one asks for, as the deployments' hot tenants do
-CALM = 1 / 1.6  # of its rate that the other asks for, as on the deployments' common days
-BEFORE, AFTER = 3.0, 6.0  # s of load before the fault, and after it: more than a window
-FAULT = 4.5  # s; a lease and a half
-AGAIN = 0.2  # s after which a process that was killed is started again
-NET, NETS = 120, 100
+MACHINES, CONTROLLERS = 6, 3  # counts are owned by proxies on machines without a controller
+RATE = BURST = 60  # of both tenants; requests per second, requests
+HOT_LOAD = 7.5  # load of the first tenant as a multiple of its rate, as in the deployments
+CALM_LOAD = 1 / 1.6  # load of the second tenant as a fraction of its rate, as in the deployments on most days
+LOAD_BEFORE_S, LOAD_AFTER_S = 3.0, 6.0  # the load after the fault lasts longer than a window
+FAULT_S = 4.5  # duration of the faults, one and a half leases
+RESTART_DELAY_S = 0.2  # after a kill
+FIRST_NETWORK, NETWORKS = 120, 100  # cases run in 127.120 to 127.219
 SLO = Slo()
 
 
 @dataclass(slots=True)
 class CaseResult:
-    """What a play showed."""
+    """Measurements and violations of one run of a case.
+
+    Attributes:
+        case: Name of the case.
+        max_in_window: Runs of the hot tenant in the window with the most.
+        rate_share: Runs of the hot tenant in the whole case, divided by its rate and burst.
+        calm_requests: Requests of the calm tenant.
+        calm_rejected: Its requests that were answered 429.
+        calm_failed: Its requests that ended neither with 200 nor with 429.
+        violations: Descriptions of everything that must not happen.
+    """
 
     case: str
-    worst: int = 0  # runs of the hot tenant in its worst window
-    used: float = 0.0  # of its rate, over the whole play
-    asked: int = 0  # by the calm one
-    refused: int = 0  # of those, 429
-    failed: int = 0  # of those, any other end but 200
+    max_in_window: int = 0
+    rate_share: float = 0.0
+    calm_requests: int = 0
+    calm_rejected: int = 0
+    calm_failed: int = 0
     violations: list[str] = field(default_factory=list)
 
 
 def quota_bound(slo: Slo, rate: float, burst: float) -> float:
-    """Runs in any QuotaWin, by RULES."""
+    """Return the most runs that QUOTA allows in any window of `quota_win`."""
     return (rate * slo.quota_win / SECOND + burst) * (1 + slo.quota_excess) + slo.quota_extra
 
 
-def max_in_window(at: list[float], window: float) -> int:
-    """The most of those times in any window of that length."""
-    at, found, first = sorted(at), 0, 0
-    for last, when in enumerate(at):
-        while at[first] <= when - window:
+def max_in_window(times: list[float], window: float) -> int:
+    """Return the largest number of these times in any window of that length."""
+    times, found, first = sorted(times), 0, 0
+    for last, time_ in enumerate(times):
+        while times[first] <= time_ - window:
             first += 1
         found = max(found, last - first + 1)
     return found
 
 
 class CaseRun:
-    def __init__(self, fleet: Fleet, hot: str, calm: str, holds: list[str], random: Random) -> None:
-        self.fleet, self.hot, self.calm, self.holds, self.random = fleet, hot, calm, holds, random
-        self.calls: Counter[int] = Counter()  # the calm one's, by status
+    """One run of a case: a fleet and the load of the two tenants.
+
+    Attributes:
+        fleet: The fleet under test.
+        hot: Tenant that exceeds its quota.
+        calm: Tenant that stays within its quota.
+        owners: The proxy that owns both counts, then its successors in order.
+        random: Source of all random choices.
+        calm_statuses: Responses of the calm tenant by status; 0 for none.
+    """
+
+    def __init__(self, fleet: Fleet, hot: str, calm: str, owners: list[str], random: Random) -> None:
+        self.fleet, self.hot, self.calm, self.owners, self.random = fleet, hot, calm, owners, random
+        self.calm_statuses: Counter[int] = Counter()
         self._tasks: set[asyncio.Task] = set()
 
-    async def load(self, tenant: str, a_second: float) -> None:
-        """An open loop: each request at its own time, at any proxy."""
-        names, due, number = list(self.fleet.ip), time.monotonic(), 0
+    async def send_load(self, tenant: str, rate_s: float) -> None:
+        """Send requests to random proxies at random times, without waiting for responses, until cancelled."""
+        names, due_s, number = list(self.fleet.ip), time.monotonic(), 0
         while True:
-            due += self.random.expovariate(a_second)
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
+            due_s += self.random.expovariate(rate_s)
+            await asyncio.sleep(max(0.0, due_s - time.monotonic()))
             number += 1
-            task = asyncio.create_task(self.one(tenant, f"{tenant} {number}", self.random.choice(names)))
+            task = asyncio.create_task(self.send_one(tenant, f"{tenant} {number}", self.random.choice(names)))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def one(self, tenant: str, id: str, name: str) -> None:
+    async def send_one(self, tenant: str, id: str, name: str) -> None:
+        """Send one request to a proxy; count its status if the tenant is the calm one."""
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900"}
         fields["Authorization"] = f"Bearer {tenant}"
-        status, place = 0, (self.fleet.ip[name], HTTP)
+        status, address = 0, (self.fleet.ip[name], HTTP)
         with contextlib.suppress(OSError, TimeoutError, MalformedMessageError):
-            status = (await send_request(place, "GET", "/stock/1", fields=fields)).head.status_code
+            status = (await send_request(address, "GET", "/stock/1", fields=fields)).head.status_code
         if tenant == self.calm:
-            self.calls[status] += 1
+            self.calm_statuses[status] += 1
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
+        """Cancel all pending requests."""
         for each in self._tasks:
             each.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def again(self, *names: str) -> None:
-        """Those proxies are killed at one moment, and started again."""
+    async def kill_and_restart(self, *names: str) -> None:
+        """Kill these proxies at the same moment, and restart them."""
         for name in names:
             self.fleet.send_signal("proxy", name, signal.SIGKILL)
         for name in names:
             await self.fleet.running["proxy", name].wait()
-        await asyncio.sleep(AGAIN)
+        await asyncio.sleep(RESTART_DELAY_S)
         for name in names:
             await self.fleet.start("proxy", name)
 
 
-# ---- the cases; `holds` names the owner and those after it
+# ---- the cases
 
 
 async def none(run: CaseRun) -> None:
-    """Nothing but load."""
-    await asyncio.sleep(FAULT)
+    """No fault."""
+    await asyncio.sleep(FAULT_S)
 
 
 async def owner_cut(run: CaseRun) -> None:
-    """The owner reaches nobody, and clients go on at it."""
-    one = run.holds[0]
-    run.fleet.partition({one}, set(run.fleet.ip) - {one})
-    await asyncio.sleep(FAULT)
+    """The owner is isolated from all other machines; its clients still reach it."""
+    owner = run.owners[0]
+    run.fleet.partition({owner}, set(run.fleet.ip) - {owner})
+    await asyncio.sleep(FAULT_S)
     run.fleet.set_cuts()
 
 
 async def owner_deaf(run: CaseRun) -> None:
-    """The owner says what it did, and hears nobody."""
-    one = run.holds[0]
-    run.fleet.set_cuts(*((other, one) for other in run.fleet.ip if other != one))
-    await asyncio.sleep(FAULT)
+    """The owner's messages arrive, but it receives none."""
+    owner = run.owners[0]
+    run.fleet.set_cuts(*((other, owner) for other in run.fleet.ip if other != owner))
+    await asyncio.sleep(FAULT_S)
     run.fleet.set_cuts()
 
 
 async def half_cut(run: CaseRun) -> None:
-    """All controllers and the owner's successor on one side, the owner and the rest on the other."""
-    side = {run.holds[0], run.holds[2]}
+    """The owner and its second successor are partitioned from its first successor and all controllers."""
+    side = {run.owners[0], run.owners[2]}
     run.fleet.partition(side, set(run.fleet.ip) - side)
-    await asyncio.sleep(FAULT)
+    await asyncio.sleep(FAULT_S)
     run.fleet.set_cuts()
 
 
 async def owner_frozen(run: CaseRun) -> None:
-    """The owner is stopped for a lease and a half, and wakes with all it knew."""
-    run.fleet.send_signal("proxy", run.holds[0], signal.SIGSTOP)
-    await asyncio.sleep(FAULT)
-    run.fleet.send_signal("proxy", run.holds[0], signal.SIGCONT)
+    """The owner is stopped for one and a half leases, and continues with its old state."""
+    run.fleet.send_signal("proxy", run.owners[0], signal.SIGSTOP)
+    await asyncio.sleep(FAULT_S)
+    run.fleet.send_signal("proxy", run.owners[0], signal.SIGCONT)
 
 
 async def owners_killed(run: CaseRun) -> None:
-    """The owner is killed, and its successor a moment after it took over."""
-    for name in run.holds[:2]:
-        await run.again(name)
-        await asyncio.sleep(FAULT / 2)
+    """The owner is killed, and then its successor shortly after it became the owner."""
+    for name in run.owners[:2]:
+        await run.kill_and_restart(name)
+        await asyncio.sleep(FAULT_S / 2)
 
 
 async def all_killed(run: CaseRun) -> None:
-    """Every proxy at one moment, twice."""
+    """All proxies are killed at the same moment, twice."""
     for _ in range(2):
-        await run.again(*run.fleet.ip)
-        await asyncio.sleep(FAULT / 2)
+        await run.kill_and_restart(*run.fleet.ip)
+        await asyncio.sleep(FAULT_S / 2)
 
 
 async def cut_and_killed(run: CaseRun) -> None:
-    """The owner is cut off, and while it is, all others are killed and come back."""
-    one = run.holds[0]
-    run.fleet.partition({one}, set(run.fleet.ip) - {one})
+    """The owner is isolated, and during that time all other proxies are killed and restarted."""
+    owner = run.owners[0]
+    run.fleet.partition({owner}, set(run.fleet.ip) - {owner})
     await asyncio.sleep(LEASE_US / SECOND / 3)
-    await run.again(*(set(run.fleet.ip) - {one}))
-    await asyncio.sleep(FAULT - LEASE_US / SECOND / 3)
+    await run.kill_and_restart(*(set(run.fleet.ip) - {owner}))
+    await asyncio.sleep(FAULT_S - LEASE_US / SECOND / 3)
     run.fleet.set_cuts()
 
 
@@ -175,72 +199,87 @@
          "cut-and-killed": cut_and_killed}  # fmt: skip
 
 
-def owners(tenant: str, names: list[str], core: list[str]) -> list[str]:
-    """Who holds its count, and who would after each is gone."""
-    left, found = dict.fromkeys(names), []
-    while kept := eligible_owners(left, core):
-        found.append(owner_of(tenant, kept))
-        del left[found[-1]]
-        if not left:
+def owner_succession(tenant: str, names: list[str], controllers: list[str]) -> list[str]:
+    """Return the owner of a tenant's count, followed by the successor after each loss of an owner."""
+    remaining, found = dict.fromkeys(names), []
+    while eligible := eligible_owners(remaining, controllers):
+        found.append(owner_of(tenant, eligible))
+        del remaining[found[-1]]
+        if not remaining:
             break
     return found
 
 
 async def run_case(case: str, net: int, folder: str, random: Random) -> CaseResult:
-    """One case on machines of 127.`net`; TimeoutError where the fleet never came up."""
+    """Run one case.
+
+    Args:
+        case: Name of the case.
+        net: Second number of the machines' addresses, in 127/8.
+        folder: Folder for the fleet's files.
+        random: Source of all random choices.
+
+    Raises:
+        TimeoutError: The fleet didn't start.
+    """
     names = [f"m{number}" for number in range(1, MACHINES + 1)]
-    core = names[:CONTROLLERS]
+    controllers = names[:CONTROLLERS]
     hot = f"hot{random.randrange(1000)}"
-    holds = owners(hot, names, core)
+    owners = owner_succession(hot, names, controllers)
     calm = next(each for each in (f"calm{number}" for number in range(1000))
-                if owners(each, names, core)[:2] == holds[:2])  # fmt: skip
+                if owner_succession(each, names, controllers)[:2] == owners[:2])  # fmt: skip
     tenants = [{"Name": each, "Apikeys": [each], "RateS": RATE, "Burst": BURST} for each in (hot, calm)]
     tenants += SAMPLE["Tenants"]
     async with Fleet(net, folder, MACHINES, CONTROLLERS, tenants) as fleet:
         fleet.server.ran, fleet.server.slots = RunCounter(), 256
-        one = CaseRun(fleet, hot, calm, holds, random)
-        began = time.monotonic()
-        loads = [asyncio.create_task(one.load(*each)) for each in ((hot, HOT * RATE), (calm, CALM * RATE))]
+        run = CaseRun(fleet, hot, calm, owners, random)
+        started_s = time.monotonic()
+        loads = [asyncio.create_task(run.send_load(*each))
+                 for each in ((hot, HOT_LOAD * RATE), (calm, CALM_LOAD * RATE))]  # fmt: skip
         try:
-            await asyncio.sleep(BEFORE)
-            await CASES[case](one)
-            await asyncio.sleep(AFTER)
+            await asyncio.sleep(LOAD_BEFORE_S)
+            await CASES[case](run)
+            await asyncio.sleep(LOAD_AFTER_S)
         finally:
             for each in loads:
                 each.cancel()
-            await one.end()
-        took = time.monotonic() - began
-        at = [when for id, when in fleet.server.ran.started_s.items() if id.startswith(hot)]
-        found = CaseResult(case, max_in_window(at, SLO.quota_win / SECOND), len(at) / (RATE * took + BURST))
-        found.asked, found.refused = sum(one.calls.values()), one.calls[429]
-        found.failed = found.asked - one.calls[200] - found.refused
-        if found.worst > (bound := quota_bound(SLO, RATE, BURST)):
-            found.violations.append(f"{found.worst} runs in a window, {bound:g} allowed")
-        return found
-
-
-async def print_table(cases: list[str], seeds: range, say: Callable[[str], None]) -> bool:
-    """A Markdown table, a row a case; whether every play kept to the rule."""
+            await run.stop()
+        duration_s = time.monotonic() - started_s
+        run_times_s = [at_s for id, at_s in fleet.server.ran.started_s.items() if id.startswith(hot)]
+        result = CaseResult(case, max_in_window(run_times_s, SLO.quota_win / SECOND),
+                            len(run_times_s) / (RATE * duration_s + BURST))  # fmt: skip
+        result.calm_requests, result.calm_rejected = sum(run.calm_statuses.values()), run.calm_statuses[429]
+        result.calm_failed = result.calm_requests - run.calm_statuses[200] - result.calm_rejected
+        if result.max_in_window > (bound := quota_bound(SLO, RATE, BURST)):
+            result.violations.append(
+                f"{result.max_in_window} runs in a window, at most {bound:g} are allowed"
+            )
+        return result
+
+
+async def print_table(cases: list[str], seeds: range, echo: Callable[[str], None]) -> bool:
+    """Run each case with each seed and print a Markdown table; return whether there were no violations."""
     bound = quota_bound(SLO, RATE, BURST)
-    say(f"Allowed in a window: {bound:g}.")
-    say("")
-    say("| case | plays | worst window, median and most | of what is allowed | of its rate "
-        "| inside its quota: asked | 429 | other ends |")  # fmt: skip
-    say("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    wrong: list[str] = []
+    echo(f"Maximum number of runs in a window: {bound:g}.")
+    echo("")
+    echo("| case | runs | most in a window, median and max | share of the bound | share of the rate "
+         "| tenant within its quota: requests | 429 | failed |")  # fmt: skip
+    echo("| --- | --- | --- | --- | --- | --- | --- | --- |")
+    violations: list[str] = []
     for case in cases:
-        rows = []
+        results = []
         for seed in seeds:
             with tempfile.TemporaryDirectory() as folder:
-                rows.append(await run_case(case, NET + seed % NETS, folder, Random(seed)))
-            wrong += [f"{case}, seed {seed}: {each}" for each in rows[-1].violations]
-        worst = max(each.worst for each in rows)
-        say(
-            f"| {case} | {len(rows)} | {median(each.worst for each in rows):g}, {worst} "
-            f"| {worst / bound:.2f} | {median(each.used for each in rows):.2f} "
-            f"| {sum(each.asked for each in rows)} | {sum(each.refused for each in rows)} "
-            f"| {sum(each.failed for each in rows)} |"
+                results.append(await run_case(case, FIRST_NETWORK + seed % NETWORKS, folder, Random(seed)))
+            violations += [f"{case}, seed {seed}: {each}" for each in results[-1].violations]
+        worst = max(each.max_in_window for each in results)
+        echo(
+            f"| {case} | {len(results)} | {median(each.max_in_window for each in results):g}, {worst} "
+            f"| {worst / bound:.2f} | {median(each.rate_share for each in results):.2f} "
+            f"| {sum(each.calm_requests for each in results)} "
+            f"| {sum(each.calm_rejected for each in results)} "
+            f"| {sum(each.calm_failed for each in results)} |"
         )
-    for each in wrong:
-        say(each)
-    return not wrong
+    for each in violations:
+        echo(each)
+    return not violations
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -1,9 +1,10 @@
-"""Plays of a break and its heal with real processes whose links are cut, and what their history must show.
+"""Edits on both sides of a network partition and their merge, with real processes whose links are cut.
 
-    found = await run_case("edge", net=101, folder=folder, random=Random(1))
+    result = await run_case("cut-off", net=101, folder=folder, random=Random(1))
 
-A route for claims is edited on each side of the break; claims (what may run once) and urgent look-ups come to
-every proxy all the while. `breaches` is pure: it judges the history of the claims alone.
+The route of the claims is edited on each side of the partition, while every proxy receives claims
+(non-idempotent requests) and urgent look-ups. `find_violations` is a pure function that checks the history of
+the claims.
 """
 
 import asyncio
@@ -28,285 +29,351 @@
 from lapisgrade.lab.partitions.fleet import POLL_INTERVAL_S, Fleet, RunCounter
 from lapisgrade.net.http import MalformedMessageError
 
-CALM = 1.5  # s of calls before the break, to compare with
-BROKEN = (0.5, 3.0)  # s that the break lasts once both sides are edited
-AFTER = 1.0  # s of calls after the moment
-REOPENED = 1.5  # s of a break that opens again
-STEP_TIMEOUT_S = 20.0  # s that anything may take; a play that takes longer has failed
-NET, NETS = 120, 100  # 127.120 to 127.219 are the plays' machines
-CLAIM = SAMPLE["Ports"][0]["Policy"][1]
-KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
-NEW = "reparation"  # the service that the claims' route moves to
-HELD = {200: "ran", 503: "promised", 429: "promised"}  # any other answer says neither
+CALM_S = 1.5  # of load before the partition, for comparison
+PARTITION_S = (0.5, 3.0)  # shortest and longest time that the partition lasts once both sides are edited
+LOAD_AFTER_MERGE_S = 1.0
+SECOND_PARTITION_S = 1.5  # of the case in which the partition recurs
+STEP_TIMEOUT_S = 20.0  # maximum duration of any step; a case that takes longer has failed
+FIRST_NETWORK, NETWORKS = 120, 100  # cases run in 127.120 to 127.219
+CLAIM_RULE = SAMPLE["Ports"][0]["Policy"][1]
+AUTHORIZATION = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
+NEW_SERVICE = "reparation"  # the service that the claims' route is moved to
+OUTCOME_BY_STATUS = {200: "ran", 503: "not run", 429: "not run"}  # after any other status it is unknown
 
 
-def claim_rule_edit(**more) -> dict:
-    """An edit of the claims' route: its fields, and those of its Action."""
-    action = {**CLAIM["Action"], **more.pop("Action", {})}
-    return {"Upsert": {"Ports": [{"Vhost": "a.example", "Policy": [{**CLAIM, **more, "Action": action}]}]}}
+def claim_rule_edit(**fields) -> dict:
+    """Return a change of the claims' rule: of its fields, and of the fields of its Action."""
+    action = {**CLAIM_RULE["Action"], **fields.pop("Action", {})}
+    return {
+        "Upsert": {"Ports": [{"Vhost": "a.example", "Policy": [{**CLAIM_RULE, **fields, "Action": action}]}]}
+    }
 
 
 @dataclass(slots=True)
-class Try:
-    """One try of one claim."""
+class Attempt:
+    """One attempt of one claim or look-up.
+
+    Attributes:
+        claim: Number of the claim; 0 for a look-up.
+        proxy: Machine of the proxy that it is sent to.
+        sent_s: Time of sending, monotonic.
+        status: Status of the response; 0 without one.
+        latency_s: Time until the response or failure; 0 while it is pending.
+    """
 
     claim: int
     proxy: str
-    sent: float  # s, monotonic
-    status: int = 0  # 0 for none
-    took: float = 0.0
+    sent_s: float
+    status: int = 0
+    latency_s: float = 0.0
 
 
-def breaches(
-    tries: dict[str, Try], old: RunCounter, new: RunCounter, away: set[str] = frozenset()
+def find_violations(
+    attempts: dict[str, Attempt],
+    old: RunCounter,
+    new: RunCounter,
+    isolated_proxies: set[str] = frozenset(),
 ) -> list[str]:
-    """What must not be, over all tries by id: a claim that ran twice; a promise that was not kept; a success
-    that no server ran; a claim by the old route that was sent after one went by the merged one, but for
-    proxies that were `away` and could not know."""
-    said: list[str] = []
+    """Check the attempts of all claims.
+
+    Violations are a claim that ran twice, an attempt that ran despite a response that excludes it, a success
+    that no server ran, and an attempt that took the old route although it was sent after the first run on the
+    merged one.
+
+    Args:
+        attempts: All attempts of claims, by id.
+        old: Runs at the old route's server.
+        new: Runs at the merged route's server.
+        isolated_proxies: Proxies that may use the old route because the merge can't have reached them.
+    """
+    found: list[str] = []
     runs: Counter[int] = Counter()
-    first = min((new.started_s[name] for name in tries if name in new), default=float("inf"))
-    for name, each in tries.items():
-        ran = old[name] + new[name] if name in old or name in new else 0
-        runs[each.claim] += ran
-        held = HELD.get(each.status)
-        if held == "promised" and ran:
-            said.append(f"{name}: answered {each.status}, and ran")
-        if held == "ran" and not ran:
-            said.append(f"{name}: answered {each.status}, and nobody ran it")
-        if name in old and each.sent > first and each.proxy not in away:
-            said.append(f"{name}: by the old route at {each.proxy}, {each.sent - first:.3f} s late")
-    return said + [f"claim {number}: ran {count} times" for number, count in runs.items() if count > 1]
+    first_new_s = min((new.started_s[name] for name in attempts if name in new), default=float("inf"))
+    for name, each in attempts.items():
+        run_count = old[name] + new[name] if name in old or name in new else 0
+        runs[each.claim] += run_count
+        outcome = OUTCOME_BY_STATUS.get(each.status)
+        if outcome == "not run" and run_count:
+            found.append(f"{name}: answered {each.status}, but a server ran it")
+        if outcome == "ran" and not run_count:
+            found.append(f"{name}: answered {each.status}, but no server ran it")
+        if name in old and each.sent_s > first_new_s and each.proxy not in isolated_proxies:
+            found.append(
+                f"{name}: used the old route at {each.proxy} {each.sent_s - first_new_s:.3f} s after the "
+                "first run on the new one"
+            )
+    return found + [f"claim {number}: ran {count} times" for number, count in runs.items() if count > 1]
 
 
-def p99(took: list[float]) -> float:
-    return sorted(took)[int(0.99 * (len(took) - 1))] if took else 0.0
+def p99(values: list[float]) -> float:
+    """Return the 99th percentile, or 0 without values."""
+    return sorted(values)[int(0.99 * (len(values) - 1))] if values else 0.0
 
 
 @dataclass(slots=True)
 class CaseResult:
-    """What a play showed."""
+    """Measurements and violations of one run of a case.
+
+    Attributes:
+        case: Name of the case.
+        merge_s: Time from the last heal until the merged version is active at every proxy.
+        claims: Claims sent.
+        rejected: Attempts of claims that were rejected as not run, sent after the last heal.
+        unknown_outcomes: Claims of which the client can't know whether they ran.
+        calm_p99_s: 99th percentile of the look-ups' latency before the partition.
+        rejoin_p99_s: The same after the last heal.
+        urgent_failed: Look-ups that failed after the last heal.
+        violations: Descriptions of everything that must not happen.
+    """
 
     case: str
-    merged: float = 0.0  # s from the (last) heal to the merged version in force at every proxy
+    merge_s: float = 0.0
     claims: int = 0
-    promised: int = 0  # tries told to come back, from the first heal on
-    unclear: int = 0  # claims whose client can't know
-    calm_p99: float = 0.0  # s, urgent look-ups
-    rejoin_p99: float = 0.0
+    rejected: int = 0
+    unknown_outcomes: int = 0
+    calm_p99_s: float = 0.0
+    rejoin_p99_s: float = 0.0
     urgent_failed: int = 0
     violations: list[str] = field(default_factory=list)
 
 
 class Clients:
-    """A claims' client and an urgent one at every proxy. A claim that was promised not to have run is sent
-    again, with an id of its own, when its answer says; one whose answer says neither is left."""
+    """Two clients at every proxy: one sends claims, one sends look-ups.
+
+    A claim that is rejected as not run is retried with a new Try-Id after the Retry-After of the response. A
+    claim with an unknown outcome is not retried.
+
+    Attributes:
+        fleet: Fleet that receives the load.
+        attempts: Attempts of claims by Try-Id.
+        lookups: Completed look-ups.
+        unknown_outcomes: Claims with an unknown outcome.
+        claims: Claims sent.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.tries: dict[str, Try] = {}
-        self.urgent: list[Try] = []
-        self.unclear = self.claims = 0
-        self._tasks = [asyncio.create_task(doing(name)) for name in fleet.ip
-                       for doing in (self._claims, self._look_ups)]  # fmt: skip
-
-    async def _one(self, each: Try, path: str, id: str) -> float:
-        fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
-        back = 0.0
+        self.attempts: dict[str, Attempt] = {}
+        self.lookups: list[Attempt] = []
+        self.unknown_outcomes = self.claims = 0
+        self._tasks = [asyncio.create_task(client(name)) for name in fleet.ip
+                       for client in (self._send_claims, self._send_lookups)]  # fmt: skip
+
+    async def _send(self, attempt: Attempt, path: str, id: str) -> float:
+        """Send an attempt and record its end; return the Retry-After of the response in seconds, or 0."""
+        fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": AUTHORIZATION}
+        retry_after_s = 0.0
         try:
-            got = await send_request((self.fleet.ip[each.proxy], HTTP), "GET", path, fields=fields)
-            each.status, back = got.head.status_code, float(got.headers().get(b"retry-after", b"0"))
+            response = await send_request((self.fleet.ip[attempt.proxy], HTTP), "GET", path, fields=fields)
+            attempt.status, retry_after_s = (
+                response.head.status_code,
+                float(response.headers().get(b"retry-after", b"0")),
+            )
         except (OSError, TimeoutError, MalformedMessageError):
             pass
-        each.took = time.monotonic() - each.sent
-        return back
+        attempt.latency_s = time.monotonic() - attempt.sent_s
+        return retry_after_s
 
-    async def _claims(self, name: str) -> None:
+    async def _send_claims(self, name: str) -> None:
         while True:
             self.claims += 1
-            number, again = self.claims, True
-            while again:
-                id = f"c{len(self.tries):015x}"
-                each = self.tries[id] = Try(number, name, time.monotonic())
-                back = await self._one(each, "/claim/1", id)
-                again = HELD.get(each.status) == "promised"
-                if again:
-                    await asyncio.sleep(back)
-            self.unclear += each.status not in HELD
+            number, is_due = self.claims, True
+            while is_due:
+                id = f"c{len(self.attempts):015x}"
+                attempt = self.attempts[id] = Attempt(number, name, time.monotonic())
+                retry_after_s = await self._send(attempt, "/claim/1", id)
+                is_due = OUTCOME_BY_STATUS.get(attempt.status) == "not run"
+                if is_due:
+                    await asyncio.sleep(retry_after_s)
+            self.unknown_outcomes += attempt.status not in OUTCOME_BY_STATUS
             await asyncio.sleep(2 * POLL_INTERVAL_S)
 
-    async def _look_ups(self, name: str) -> None:
+    async def _send_lookups(self, name: str) -> None:
         while True:
-            each = Try(0, name, time.monotonic())
-            await self._one(each, "/stock/1", f"u{len(self.urgent):015x}{name}")
-            self.urgent.append(each)
+            attempt = Attempt(0, name, time.monotonic())
+            await self._send(attempt, "/stock/1", f"u{len(self.lookups):015x}{name}")
+            self.lookups.append(attempt)
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
+        """Cancel all clients."""
         for each in self._tasks:
             each.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 class CaseRun:
-    """One play: what the cases do with it."""
+    """The steps that the cases consist of; each wait raises TimeoutError after `STEP_TIMEOUT_S`.
+
+    Attributes:
+        fleet: The fleet under test.
+        random: Source of all random choices.
+        isolated_proxies: Proxies that the merge couldn't reach at once.
+        healed_s: Time of the last heal, monotonic.
+    """
 
     def __init__(self, fleet: Fleet, random: Random) -> None:
         self.fleet, self.random = fleet, random
-        self.away: set[str] = set()  # proxies that could not know of the merge
-        self.healed = 0.0
+        self.isolated_proxies: set[str] = set()
+        self.healed_s = 0.0
 
-    async def wait_until(self, holds: Callable[[], Awaitable[bool]]) -> None:
-        await self.fleet.wait_until(holds, STEP_TIMEOUT_S)
+    async def wait_until(self, condition: Callable[[], Awaitable[bool]]) -> None:
+        """Poll a coroutine function until it returns true."""
+        await self.fleet.wait_until(condition, STEP_TIMEOUT_S)
 
     def controllers(self, *names: str) -> list:
+        """Return the control addresses of these machines, or of all."""
         return [
             self.fleet.controller_addresses[list(self.fleet.ip).index(name)]
             for name in names or self.fleet.ip
         ]
 
-    async def settled(self) -> None:
-        """Every controller votes, and every proxy is known."""
+    async def wait_for_members(self) -> None:
+        """Wait until every controller is a voter and every proxy is registered."""
         client, names = OperatorClient(self.controllers(), lambda line: None), set(self.fleet.ip)
 
-        async def known() -> bool:
-            status, where = await client.call("conf.status")
-            return status == 200 and len(where["Voters"]) == len(names) == len(where["Proxies"])
+        async def has_all_members() -> bool:
+            status, members = await client.call("conf.status")
+            return status == 200 and len(members["Voters"]) == len(names) == len(members["Proxies"])
 
-        await self.wait_until(known)
+        await self.wait_until(has_all_members)
 
-    async def acknowledged(self, ver: int, base: int, change: dict, *names: str) -> None:
+    async def apply_change(self, ver: int, base: int, change: dict, *names: str) -> None:
+        """Send a change to these controllers, or to all, until it is accepted."""
         body = msgspec.json.encode({"Ver": ver, "Base": base, **change})
 
-        async def taken() -> bool:
+        async def is_accepted() -> bool:
             return await post_to_any(self.controllers(*names), "/-/rpc?call=conf.update", body) == 200
 
-        await self.wait_until(taken)
+        await self.wait_until(is_accepted)
 
-    async def alone(self, name: str) -> None:
-        """The cut is felt: that controller reaches no leader."""
+    async def wait_until_leaderless(self, name: str) -> None:
+        """Wait until this controller reaches no leader."""
         client = OperatorClient(self.controllers(name), lambda line: None)
 
-        async def none_reached() -> bool:
-            status, known = await client.call("conf.drafts")
-            return status == 200 and not known["Leader"]
+        async def has_no_leader() -> bool:
+            status, drafts = await client.call("conf.drafts")
+            return status == 200 and not drafts["Leader"]
 
-        await self.wait_until(none_reached)
+        await self.wait_until(has_no_leader)
 
-    async def drafted(self, name: str, change: dict, disks: int = 1) -> None:
-        """Kept at that controller, once it is alone, and on so many disks."""
-        await self.alone(name)
-        said: list[str] = []
-        client = DraftClient(self.controllers(name), said.append)
+    async def store_draft(self, name: str, change: dict, disks: int = 1) -> None:
+        """Store a draft at this controller once it has no leader, with copies on so many disks."""
+        await self.wait_until_leaderless(name)
+        lines: list[str] = []
+        client = DraftClient(self.controllers(name), lines.append)
 
-        async def kept() -> bool:
-            said.clear()
+        async def is_stored() -> bool:
+            lines.clear()
             try:
-                done = await client.send(msgspec.json.encode(change), name) == 0
+                is_done = await client.send(msgspec.json.encode(change), name) == 0
             except InvalidInputError:
                 return False
-            return done and (disks == 1 or f"kept on {disks} disks" in said[0])
+            return is_done and (disks == 1 or f"kept on {disks} disks" in lines[0])
 
-        await self.wait_until(kept)
+        await self.wait_until(is_stored)
 
-    async def broken(self) -> None:
-        await asyncio.sleep(self.random.uniform(*BROKEN))
+    async def stay_partitioned(self) -> None:
+        """Wait for a random time within `PARTITION_S`."""
+        await asyncio.sleep(self.random.uniform(*PARTITION_S))
 
     def heal(self) -> None:
+        """Restore all links."""
         self.fleet.set_cuts()
-        self.healed = time.monotonic()
+        self.healed_s = time.monotonic()
 
-    async def in_log(self, *names: str) -> None:
-        """A draft has been handed in."""
+    async def wait_for_delivered_draft(self, *names: str) -> None:
+        """Wait until these controllers show a draft that was delivered to the leader."""
         client = OperatorClient(self.controllers(*names), lambda line: None)
 
-        async def merged() -> bool:
-            status, known = await client.call("conf.drafts")
-            return status == 200 and any(each["State"] != "kept" for each in known["Drafts"])
+        async def is_delivered() -> bool:
+            status, drafts = await client.call("conf.drafts")
+            return status == 200 and any(each["State"] != "kept" for each in drafts["Drafts"])
 
-        await self.wait_until(merged)
+        await self.wait_until(is_delivered)
 
-    async def merged(self, timeout: str = "1500ms") -> None:
-        """One version with both edits, in force at every proxy."""
+    async def wait_until_merged(self, timeout: str = "1500ms") -> None:
+        """Wait until a version with both edits is active at every proxy."""
         client = OperatorClient(self.controllers(), lambda line: None)
 
-        async def everywhere() -> bool:
+        async def is_active_everywhere() -> bool:
             try:
-                conf, where = await client.fetch_newest()
+                conf, members = await client.fetch_newest()
             except InvalidInputError:
                 return False
             rule = next(each for each in conf["Ports"][0]["Policy"] if each["Name"] == "r-claim")
-            both = (rule["Action"].get("Svc"), rule["Action"]["Timeout"]) == (NEW, timeout)
-            names = {each["Name"] for each in where["Proxies"]}
-            return both and names == set(self.fleet.ip) and not lagging_proxies(where, conf["Ver"])
+            has_both = (rule["Action"].get("Svc"), rule["Action"]["Timeout"]) == (NEW_SERVICE, timeout)
+            names = {each["Name"] for each in members["Proxies"]}
+            return has_both and names == set(self.fleet.ip) and not lagging_proxies(members, conf["Ver"])
 
-        await self.wait_until(everywhere)
+        await self.wait_until(is_active_everywhere)
 
 
 # ---- the cases
 
 
-async def edge(run: CaseRun, side: set[str] = frozenset({"m3"})) -> None:
-    """One machine is cut off, and its people edit the route that the others edit too."""
-    rest = set(run.fleet.ip) - side
-    run.fleet.partition(rest, side)
-    name = min(side)
-    await run.drafted(name, claim_rule_edit(Action={"Svc": NEW}), len(side))
-    await run.acknowledged(6, 2, claim_rule_edit(Action={"Timeout": "1500ms"}), *sorted(rest))
-    await run.broken()
+async def edit_both_sides(run: CaseRun, minority: set[str] = frozenset({"m3"})) -> None:
+    """Partition a minority and edit the claims' route on both sides."""
+    majority = set(run.fleet.ip) - minority
+    run.fleet.partition(majority, minority)
+    name = min(minority)
+    await run.store_draft(name, claim_rule_edit(Action={"Svc": NEW_SERVICE}), len(minority))
+    await run.apply_change(6, 2, claim_rule_edit(Action={"Timeout": "1500ms"}), *sorted(majority))
+    await run.stay_partitioned()
 
 
 async def cut_off(run: CaseRun) -> None:
-    await edge(run)
+    """A partition of one machine, which then heals."""
+    await edit_both_sides(run)
     run.heal()
 
 
 async def one_way(run: CaseRun) -> None:
-    """It hears the others, and nothing that it says gets out."""
+    """One machine receives from the others, but nothing that it sends arrives."""
     run.fleet.set_cuts(("m3", "m1"), ("m3", "m2"))
-    await run.drafted("m3", claim_rule_edit(Action={"Svc": NEW}))
-    await run.acknowledged(6, 2, claim_rule_edit(Action={"Timeout": "1500ms"}), "m1", "m2")
-    await run.broken()
+    await run.store_draft("m3", claim_rule_edit(Action={"Svc": NEW_SERVICE}))
+    await run.apply_change(6, 2, claim_rule_edit(Action={"Timeout": "1500ms"}), "m1", "m2")
+    await run.stay_partitioned()
     run.heal()
 
 
 async def three_sides(run: CaseRun) -> None:
-    """Nobody reaches anybody, and each edits the route."""
+    """All machines are isolated from each other, and the route is edited at each."""
     run.fleet.partition({"m1"}, {"m2"}, {"m3"})
     for name, change in (
         ("m1", claim_rule_edit(Prio=4)),
-        ("m2", claim_rule_edit(Action={"Svc": NEW})),
+        ("m2", claim_rule_edit(Action={"Svc": NEW_SERVICE})),
         ("m3", claim_rule_edit(Action={"Timeout": "1500ms"})),
-    ):  # fmt: skip
-        await run.drafted(name, change)
-    await run.broken()
+    ):
+        await run.store_draft(name, change)
+    await run.stay_partitioned()
     run.heal()
 
 
 async def opens_again(run: CaseRun) -> None:
-    """The break opens again as soon as the draft is in the log; the merge goes on without that side."""
-    await edge(run)
+    """The partition recurs as soon as the draft is delivered; the merge continues without that machine."""
+    await edit_both_sides(run)
     run.fleet.set_cuts()
-    await run.in_log("m1", "m2")
-    run.away = {"m3"}
+    await run.wait_for_delivered_draft("m1", "m2")
+    run.isolated_proxies = {"m3"}
     run.fleet.partition({"m1", "m2"}, {"m3"})
-    await asyncio.sleep(REOPENED)
+    await asyncio.sleep(SECOND_PARTITION_S)
     run.heal()
 
 
 async def leader_lost(run: CaseRun) -> None:
-    """The controller that leads is killed as soon as a draft is in the log, and started again."""
-    await edge(run)
+    """The leader is killed as soon as the draft is delivered, and restarted."""
+    await edit_both_sides(run)
     run.heal()
-    await run.in_log("m1", "m2")
+    await run.wait_for_delivered_draft("m1", "m2")
     leader = await run.fleet.leader()
     await run.fleet.kill("controller", leader)
     await run.fleet.start("controller", leader)
 
 
 async def wiped(run: CaseRun) -> None:
-    """The machine that took the draft loses its disk; a neighbour of its side has a copy."""
-    await edge(run, {"m4", "m5"})
+    """The controller that stored the draft loses its disk; another one on its side has a copy."""
+    await edit_both_sides(run, {"m4", "m5"})
     await run.fleet.kill("controller", "m4")
     shutil.rmtree(Path(run.fleet.folder) / "m4")
     await run.fleet.start("controller", "m4")
@@ -315,81 +382,96 @@
 
 CASES = {"cut-off": cut_off, "one-way": one_way, "three-sides": three_sides, "opens-again": opens_again,
          "leader-lost": leader_lost, "wiped": wiped}  # fmt: skip
-MACHINES = {"wiped": 5}  # else three; a side of two without a majority needs five
+MACHINES = {"wiped": 5}  # all others have 3; a minority of two machines needs five
 
 
 async def run_case(case: str, net: int, folder: str, random: Random) -> CaseResult:
-    """One case on machines of 127.`net`; TimeoutError where something never came to be."""
+    """Run one case.
+
+    Args:
+        case: Name of the case.
+        net: Second number of the machines' addresses, in 127/8.
+        folder: Folder for the fleet's files.
+        random: Source of all random choices.
+
+    Raises:
+        TimeoutError: A step took longer than its time-out.
+    """
     tenants = [{**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}]
     async with Fleet(net, folder, MACHINES.get(case, 3), tenants=tenants) as fleet:
-        second = FakeServer("i-2", NEW, (f"127.{net}.1.2", 8080), slots=64)
-        await second.start()
-        fleet.tasks.append(asyncio.create_task(fleet.send_heartbeats(second)))
-        fleet.server.ran, second.ran = RunCounter(), RunCounter()
+        new_server = FakeServer("i-2", NEW_SERVICE, (f"127.{net}.1.2", 8080), slots=64)
+        await new_server.start()
+        fleet.tasks.append(asyncio.create_task(fleet.send_heartbeats(new_server)))
+        fleet.server.ran, new_server.ran = RunCounter(), RunCounter()
         clients = None
         try:
-            one = CaseRun(fleet, random)
-            await one.settled()
-            pools = {"Upsert": {"Pools": [*SAMPLE["Pools"], {"Name": NEW}]}}
-            await one.acknowledged(2, 1, pools)
+            run = CaseRun(fleet, random)
+            await run.wait_for_members()
+            pools = {"Upsert": {"Pools": [*SAMPLE["Pools"], {"Name": NEW_SERVICE}]}}
+            await run.apply_change(2, 1, pools)
             await OperatorClient(fleet.controller_addresses, lambda line: None).wait_until_active(
                 2, STEP_TIMEOUT_S
             )
-            clients, began = Clients(fleet), time.monotonic()
-            await asyncio.sleep(CALM)
-            cut = time.monotonic()
-            await CASES[case](one)
-            await one.merged()
-            found = CaseResult(case, time.monotonic() - one.healed)
-            await asyncio.sleep(AFTER)
+            clients, started_s = Clients(fleet), time.monotonic()
+            await asyncio.sleep(CALM_S)
+            partitioned_s = time.monotonic()
+            await CASES[case](run)
+            await run.wait_until_merged()
+            result = CaseResult(case, time.monotonic() - run.healed_s)
+            await asyncio.sleep(LOAD_AFTER_MERGE_S)
         finally:
             if clients is not None:
-                await clients.end()
-            second.close()
-        ended = {name: each for name, each in clients.tries.items() if each.took}
-        calm = [each for each in clients.urgent if began + 0.2 < each.sent < cut]
-        rejoin = [each for each in clients.urgent if each.sent > one.healed]
-        found.claims, found.unclear = clients.claims, clients.unclear
-        found.promised = sum(HELD.get(each.status) == "promised" for each in ended.values()
-                             if each.sent > one.healed)  # fmt: skip
-        found.calm_p99, found.rejoin_p99 = (p99([each.took for each in some]) for some in (calm, rejoin))
-        found.urgent_failed = sum(each.status != 200 for each in rejoin)
-        found.violations = breaches(ended, fleet.server.ran, second.ran, one.away)
-        if not any(name in second.ran for name in ended):
-            found.violations.append("no claim went by the merged route")
-        return found
-
-
-async def print_table(cases: list[str], seeds: range, say: Callable[[str], None]) -> bool:
-    """A Markdown table, a row a case; whether nothing was seen that must not be."""
-    say("| case | plays | to one version, s: least, median, most | claims | told to come back | unclear "
-        "| look-ups, p99 calm and after, ms | failed | wrong |")  # fmt: skip
-    say("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    wrong: list[str] = []
+                await clients.stop()
+            new_server.close()
+        completed = {name: each for name, each in clients.attempts.items() if each.latency_s}
+        calm = [each for each in clients.lookups if started_s + 0.2 < each.sent_s < partitioned_s]
+        rejoin = [each for each in clients.lookups if each.sent_s > run.healed_s]
+        result.claims, result.unknown_outcomes = clients.claims, clients.unknown_outcomes
+        result.rejected = sum(OUTCOME_BY_STATUS.get(each.status) == "not run" for each in completed.values()
+                              if each.sent_s > run.healed_s)  # fmt: skip
+        result.calm_p99_s, result.rejoin_p99_s = (
+            p99([each.latency_s for each in lookups]) for lookups in (calm, rejoin)
+        )
+        result.urgent_failed = sum(each.status != 200 for each in rejoin)
+        result.violations = find_violations(completed, fleet.server.ran, new_server.ran, run.isolated_proxies)
+        if not any(name in new_server.ran for name in completed):
+            result.violations.append("no claim used the merged route")
+        return result
+
+
+async def print_table(cases: list[str], seeds: range, echo: Callable[[str], None]) -> bool:
+    """Run each case with each seed and print a Markdown table; return whether there were no violations."""
+    echo("| case | runs | time to merge, s: min, median, max | claims | rejected as not run | unknown "
+         "| look-ups, p99 before and after, ms | failed | violations |")  # fmt: skip
+    echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+    violations: list[str] = []
     for case in cases:
-        rows = []
+        results = []
         for seed in seeds:
             with tempfile.TemporaryDirectory() as folder:
                 try:
-                    rows.append(await run_case(case, NET + seed % NETS, folder, Random(seed)))
+                    results.append(
+                        await run_case(case, FIRST_NETWORK + seed % NETWORKS, folder, Random(seed))
+                    )
                 except TimeoutError:
-                    rows.append(
+                    results.append(
                         CaseResult(
                             case,
                             STEP_TIMEOUT_S,
-                            violations=[f"never one version within {STEP_TIMEOUT_S:g} s"],
+                            violations=[f"a step took longer than {STEP_TIMEOUT_S:g} s"],
                         )
                     )
-            wrong += [f"{case}, seed {seed}: {each}" for each in rows[-1].violations]
-        took = [each.merged for each in rows]
-        calm, after = (median(getattr(each, name) * 1000 for each in rows)
-                       for name in ("calm_p99", "rejoin_p99"))  # fmt: skip
-        say(
-            f"| {case} | {len(rows)} | {min(took):.2f}, {median(took):.2f}, {max(took):.2f} "
-            f"| {sum(each.claims for each in rows)} | {sum(each.promised for each in rows)} "
-            f"| {sum(each.unclear for each in rows)} | {calm:.0f}, {after:.0f} "
-            f"| {sum(each.urgent_failed for each in rows)} | {sum(len(each.violations) for each in rows)} |"
+            violations += [f"{case}, seed {seed}: {each}" for each in results[-1].violations]
+        merge_s = [each.merge_s for each in results]
+        calm_ms, rejoin_ms = (median(getattr(each, name) * 1000 for each in results)
+                       for name in ("calm_p99_s", "rejoin_p99_s"))  # fmt: skip
+        echo(
+            f"| {case} | {len(results)} | {min(merge_s):.2f}, {median(merge_s):.2f}, {max(merge_s):.2f} "
+            f"| {sum(each.claims for each in results)} | {sum(each.rejected for each in results)} "
+            f"| {sum(each.unknown_outcomes for each in results)} | {calm_ms:.0f}, {rejoin_ms:.0f} "
+            f"| {sum(each.urgent_failed for each in results)} "
+            f"| {sum(len(each.violations) for each in results)} |"
         )
-    for each in wrong:
-        say(each)
-    return not wrong
+    for each in violations:
+        echo(each)
+    return not violations
--- a/tests/lab/partitions/test_quota.py
+++ b/tests/lab/partitions/test_quota.py
@@ -1,4 +1,4 @@
-"""The bound on a quota with real processes that are cut off, frozen and killed."""
+"""The bound on a quota, with real processes that are partitioned, frozen and killed."""
 
 import subprocess
 import sys
@@ -12,13 +12,13 @@
 from lapisgrade.lab.fleet.process import ROOT
 from lapisgrade.lab.partitions import quota as partitioned
 
-# The command line, with the plays' machines on the network that its first argument names.
+# The command line; the first argument is the loopback network of the machines.
 CLI_ON_NETWORK = """
 import sys
 from unittest import mock
 from lapisgrade.cli.main import main
 from lapisgrade.lab.partitions import quota
-with mock.patch.multiple(quota, NET=int(sys.argv.pop(1)), NETS=1):
+with mock.patch.multiple(quota, FIRST_NETWORK=int(sys.argv.pop(1)), NETWORKS=1):
     main()
 """
 
@@ -27,7 +27,7 @@
 def test_the_bound_holds_over_cuts_and_kills_of_processes(
     seed: int, case: str, loopback_network: LoopbackNetwork
 ) -> None:
-    """An owner behind a cut grants until its lease has run out, while all others start anew."""
+    """A partitioned owner grants until its lease expires, while the restarted others grant too."""
     command = [
         sys.executable,
         "-c",
@@ -45,12 +45,12 @@
     assert float(row[5]) > 0.5, "the load was not carried"
 
 
-def test_the_worst_window_is_found():
+def test_max_in_window_counts_the_window_with_the_most_runs():
     assert partitioned.max_in_window([0.0, 1.0, 5.0, 5.1, 9.0], 5.0) == 3
     assert (partitioned.max_in_window([], 5.0), round(partitioned.quota_bound(SLO, 60, 60))) == (0, 416)
 
 
-def test_the_command_names_its_cases():
+def test_an_unknown_case_is_refused_with_the_list_of_cases():
     done = CliRunner().invoke(cli, ["lab", "partitions", "quota", "--cases", "nobody"])
     assert done.exit_code == 2
     assert "no such case: nobody; known: none, owner-cut" in done.output
