--- a/lapisgrade/lab/baselines/__init__.py
+++ b/lapisgrade/lab/baselines/__init__.py
@@ -1,8 +1,8 @@
-"""Baseline policies for the laboratory, to set the decision module against: never used in service.
+"""Baseline policies of the laboratory, for comparison with the gateway's policy; never used in production.
 
-- `local`: a token bucket per customer in each limiter, a share of the quota each; no counter.
-- `central`: a call to the shared counter for every operation, in windows of one second.
+- `local`: a token bucket per customer in each limiter, with an equal share of the quota; no shared counter.
+- `central`: a call to the shared counter for every operation, with windows of one second.
 
-Both send each operation once, to a ready server by chance, and keep the rules on their own: a hop that may
-have run is never followed by a turn-back unless the operation is idempotent.
+Both send each operation once, to a random ready server. After an attempt that may have run, they let the
+client retry only if the operation is idempotent.
 """
--- a/lapisgrade/lab/baselines/central.py
+++ b/lapisgrade/lab/baselines/central.py
@@ -1,4 +1,4 @@
-"""A call to the shared counter for every operation: a count per customer and window of one second."""
+"""Rate limit with a call to the shared counter for every operation; one count per customer and second."""
 
 from collections.abc import Generator
 from hashlib import blake2b
@@ -7,21 +7,21 @@
 from lapisgrade.lab.baselines.common import BaselinePolicy
 
 SECOND = 1_000_000
-WINDOW = SECOND  # us; a count's window: a quota's rate for a second, and its burst on top
-LIFE = 2 * SECOND  # us a window's count lives at the counter, past its end
+WINDOW_US = SECOND  # a window admits the quota's rate for one second plus its burst
+COUNT_TTL_US = 2 * SECOND  # how long the counter keeps a window's count, longer than the window
 
 
 class CentralCounterPolicy(BaselinePolicy):
-    """Asks the counter before each operation; a counter that does not answer turns the operation back."""
+    """Calls the counter before each operation; rejects the operation if the counter does not reply."""
 
     def handle(self, op: Operation) -> Generator:
-        window = self.clock.now_us // WINDOW
+        window = self.clock.now_us // WINDOW_US
         name = int.from_bytes(blake2b(f"{op.customer}/{window}".encode(), digest_size=6).digest(), "big")
-        total = yield AddToCounter(name, float(op.units), LIFE)
-        if total.outcome is not CounterOutcome.ADDED:
-            yield Reject(RejectReason.RETRY_LATER, WINDOW)
+        reply = yield AddToCounter(name, float(op.units), COUNT_TTL_US)
+        if reply.outcome is not CounterOutcome.ADDED:
+            yield Reject(RejectReason.RETRY_LATER, WINDOW_US)
             return
-        if total.total > op.plan.rate * WINDOW / SECOND + op.plan.burst:
-            yield Reject(RejectReason.RETRY_LATER, WINDOW - self.clock.now_us % WINDOW)
+        if reply.total > op.plan.rate * WINDOW_US / SECOND + op.plan.burst:
+            yield Reject(RejectReason.RETRY_LATER, WINDOW_US - self.clock.now_us % WINDOW_US)
             return
         yield from self.send(op)
--- a/lapisgrade/lab/baselines/common.py
+++ b/lapisgrade/lab/baselines/common.py
@@ -1,4 +1,4 @@
-"""What both baselines do once an operation is let in: one hop to a ready server, and its end told."""
+"""The part that both baseline policies share: sending an admitted operation to one ready server."""
 
 from collections.abc import Generator
 from dataclasses import dataclass
@@ -18,23 +18,31 @@
     Sleep,
 )
 
-END_MARGIN = 6_000  # us before the hard stop at which a hop still out is called off
-COME_BACK = 1_000_000  # us a client is told to wait where nothing better is known
+CANCEL_MARGIN_US = 6_000  # how long before the deadline an unfinished attempt is cancelled
+RETRY_AFTER_US = 1_000_000  # retry delay for clients where no better one is known
 
 
 @dataclass(slots=True)
 class BaselineServer:
+    """The server of an attempt."""
+
     address: str
 
 
 @dataclass(slots=True)
 class BaselineAttempt:
+    """One attempt of an operation at one server."""
+
     operation: Operation
     server: BaselineServer
 
 
 class BaselinePolicy:
-    """The part of a baseline policy that sends: servers as listed, one hop each, no second tries."""
+    """A policy without `handle`: keeps the list of ready servers and sends one attempt, without retries.
+
+    Attributes:
+        ready: Addresses of the ready servers, sorted.
+    """
 
     def __init__(self, clock: Clock, seed: int) -> None:
         self.clock = clock
@@ -42,31 +50,33 @@
         self.ready: list[str] = []
         self._states: dict[str, ServerState] = {}
 
-    def update_servers(self, entries: list[ServerEndpoint], whole: bool) -> None:
-        if whole:
+    def update_servers(self, entries: list[ServerEndpoint], is_complete: bool) -> None:
+        """Apply changes of the server list, or a complete list."""
+        if is_complete:
             self._states = {}
         for entry in entries:
             self._states[entry.address] = entry.state
         self.ready = sorted(name for name, state in self._states.items() if state is ServerState.READY)
 
-    def on_attempt_finished(self, hop: BaselineAttempt, report) -> None:
-        """Nothing is learnt from a hop's end."""
+    def on_attempt_finished(self, attempt: BaselineAttempt, report) -> None:
+        """Ignore the result."""
 
     def send(self, op: Operation) -> Generator:
+        """Send an admitted operation; on a failure, reject it, as retryable only if that is safe."""
         if not self.ready:
-            yield Reject(RejectReason.RETRY_LATER, COME_BACK)
+            yield Reject(RejectReason.RETRY_LATER, RETRY_AFTER_US)
             return
-        hop = BaselineAttempt(op, BaselineServer(self.random.choice(self.ready)))
-        yield Send(hop)
-        ended = yield Sleep(op.deadline_us - END_MARGIN)
-        if isinstance(ended, AttemptFinished) and ended.result.outcome.name == "OK":
-            return  # the server's answer is the final one
-        if isinstance(ended, AttemptFinished) and ended.result.outcome.never_ran:
-            yield Reject(RejectReason.RETRY_LATER, COME_BACK)
+        attempt = BaselineAttempt(op, BaselineServer(self.random.choice(self.ready)))
+        yield Send(attempt)
+        event = yield Sleep(op.deadline_us - CANCEL_MARGIN_US)
+        if isinstance(event, AttemptFinished) and event.result.outcome.name == "OK":
+            return  # the server's response is forwarded
+        if isinstance(event, AttemptFinished) and event.result.outcome.never_ran:
+            yield Reject(RejectReason.RETRY_LATER, RETRY_AFTER_US)
             return
-        if not isinstance(ended, AttemptFinished):
-            yield Cancel(hop)
-        repeatable = op.category.repeat_safety is RepeatSafety.IDEMPOTENT
-        verdict = RejectReason.RETRY_LATER if repeatable else RejectReason.FAILED
+        if not isinstance(event, AttemptFinished):
+            yield Cancel(attempt)
+        is_repeatable = op.category.repeat_safety is RepeatSafety.IDEMPOTENT
+        reason = RejectReason.RETRY_LATER if is_repeatable else RejectReason.FAILED
         if not op.is_abandoned:
-            yield Reject(verdict, COME_BACK if verdict is RejectReason.RETRY_LATER else 0)
+            yield Reject(reason, RETRY_AFTER_US if reason is RejectReason.RETRY_LATER else 0)
--- a/lapisgrade/lab/baselines/local.py
+++ b/lapisgrade/lab/baselines/local.py
@@ -1,4 +1,4 @@
-"""A token bucket per customer in each limiter, holding the customer's quota divided among its limiters."""
+"""Rate limit with a token bucket per customer in each limiter, without a shared counter."""
 
 from collections.abc import Generator
 
@@ -9,21 +9,25 @@
 
 
 class LocalBucketPolicy(BaselinePolicy):
-    """No counter: each limiter admits its share, `rate / gateways` a second, `burst / gateways` at once."""
+    """Gives each limiter an equal share of the quota: `rate / gateway_count` and `burst / gateway_count`.
+
+    Attributes:
+        buckets: Tokens and the time of their last update, in us, by customer.
+    """
 
     def __init__(self, clock: Clock, seed: int) -> None:
         super().__init__(clock, seed)
         self.buckets: dict[str, tuple[float, int]] = {}
 
     def handle(self, op: Operation) -> Generator:
-        now, share = self.clock.now_us, max(1, op.gateway_count)
-        rate, burst = op.plan.rate / share, op.plan.burst / share
-        level, at = self.buckets.get(op.customer, (burst, now))
-        level = min(burst, level + rate * (now - at) / SECOND)
-        if level < op.units:
-            self.buckets[op.customer] = (level, now)
-            wait = round((op.units - level) / rate * SECOND) if rate > 0 else SECOND
-            yield Reject(RejectReason.RETRY_LATER, wait)
+        now_us, count = self.clock.now_us, max(1, op.gateway_count)
+        rate, burst = op.plan.rate / count, op.plan.burst / count
+        tokens, updated_us = self.buckets.get(op.customer, (burst, now_us))
+        tokens = min(burst, tokens + rate * (now_us - updated_us) / SECOND)
+        if tokens < op.units:
+            self.buckets[op.customer] = (tokens, now_us)
+            retry_after_us = round((op.units - tokens) / rate * SECOND) if rate > 0 else SECOND
+            yield Reject(RejectReason.RETRY_LATER, retry_after_us)
             return
-        self.buckets[op.customer] = (level - op.units, now)
+        self.buckets[op.customer] = (tokens - op.units, now_us)
         yield from self.send(op)
