--- a/lapisgrade/fakes/servers.py
+++ b/lapisgrade/fakes/servers.py
@@ -17,7 +17,7 @@
 from lapisgrade.fakes import http
 from lapisgrade.fakes.listener import Listener
 
-SILENCE_CHECK_INTERVAL_S = 0.05  # how often a silent server checks whether it still is
+SILENCE_CHECK_INTERVAL_S = 0.05  # interval at which a silent server checks whether `silent` was cleared
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
     without_id: int = 0
     health_checks: int = 0
     max_in_flight: int = 0
-    requests_after_drain_s: list[float] = field(default_factory=list)  # one per request
+    requests_after_drain_s: list[float] = field(default_factory=list)  # time since the drain, per request
 
 
 class Server(Listener):
--- a/lapisgrade/members/core.py
+++ b/lapisgrade/members/core.py
@@ -165,8 +165,8 @@
         # Candidates include dead members, so that the sides of a healed partition find each other, and seeds
         # not yet in the table, so that groups started before their seeds find each other.
         known = [member.address for member in self.table]
-        unmet = [each for each in self._seeds if each not in known]
-        addresses = unmet if unmet and (not known or self._random.random() < 0.5) else known
+        pending_seeds = [each for each in self._seeds if each not in known]
+        addresses = pending_seeds if pending_seeds and (not known or self._random.random() < 0.5) else known
         return [self._sync(self._random.choice(addresses), False)] if addresses else []
 
     # ---- updates
--- a/lapisgrade/members/failure_detector.py
+++ b/lapisgrade/members/failure_detector.py
@@ -37,7 +37,7 @@
     indirect_at_us: int  # time of the indirect probes; 0 once they are sent
     deadline_us: int
     indirect_requests: int = 0  # members asked to probe the target
-    negative_acks: int = 0  # how many of those replied that the target did not answer
+    negative_acks: int = 0  # members among those that reported no answer from the target
 
 
 @dataclass(slots=True)
--- a/tests/fakes/test_counter.py
+++ b/tests/fakes/test_counter.py
@@ -10,8 +10,10 @@
 async def call(port, *calls):
     """Send RESP2 calls, pipelined on one connection, and return the raw bytes of the replies."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    for words in calls:
-        writer.write(b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words))
+    for arguments in calls:
+        writer.write(
+            b"*%d\r\n" % len(arguments) + b"".join(b"$%d\r\n%b\r\n" % (len(each), each) for each in arguments)
+        )
     received = b""
     while received.count(b"\r\n") < len(calls):
         chunk = await asyncio.wait_for(reader.read(4096), 2)
