--- a/lapisgrade/lab/explore/control.py
+++ b/lapisgrade/lab/explore/control.py
@@ -14,7 +14,7 @@
 def schedules_for(defect: str) -> list[str]:
     """Return the schedules to run: the one that finds the defect, or all if `defect` is empty."""
     return [
-        schedule for group, schedule in control_plane_defects.SCHEDULES_BY_DEFECTS if defect in group
+        schedule for group, schedule in control_plane_defects.DEFECTS_AND_SCHEDULES if defect in group
     ] or list(FAULT_SCHEDULES)
 
 
--- a/lapisgrade/lab/simulation/__init__.py
+++ b/lapisgrade/lab/simulation/__init__.py
@@ -1,5 +1,6 @@
-"""Real processes of the control plane and the data plane, shells and all, in simulated time.
+"""Deterministic simulation of the control plane and the data plane.
 
-One event loop, a network, disks and machines that fail; a seed replays exactly. The approach is that of Zhou
-et al., "FoundationDB: A Distributed Unbundled Transactional Key Value Store", 2021.
+The production code of the processes, including its I/O layer, runs in simulated time on one event loop, with
+a network, disks and machines that fail. A run is reproducible from its seed. The approach is that of Zhou et
+al., "FoundationDB: A Distributed Unbundled Transactional Key Value Store", 2021.
 """
--- a/lapisgrade/lab/simulation/claims.py
+++ b/lapisgrade/lab/simulation/claims.py
@@ -1,8 +1,8 @@
-"""Proxies that claim operation keys of the simulated control plane, while faults are injected into it.
+"""Proxies that claim operation keys from the simulated control plane, under faults.
 
-Each client sends a claim until it is answered or given up, runs the operation where its attempt holds the
+Each client sends a claim until it gets a reply or gives up. It runs the operation if its attempt owns the
 key, and otherwise takes the key over from an attempt that is known never to run. No operation may run twice,
-and the table's clock may never count more time than has passed.
+and the operation table's clock may never count more time than has passed.
 """
 
 import asyncio
@@ -19,67 +19,69 @@
 CLAIM_CLIENTS = 4
 CLAIM_TIMEOUT_S = 0.6
 CLAIM_RETRY_DELAY_S = 0.05
-MAX_SENDS = 8  # of one claim; then the attempt gives up and never runs
+MAX_CLAIM_SENDS = 8  # maximum number of sends of a claim; then the attempt never runs
 MAX_TAKE_OVERS = 3
 MAX_PAUSE_S = 0.1
-NOT_RUN_RATE = 0.4  # of the attempts that hold their key
-KEYS = 6  # that are claimed at the same time
-KEY_LIFETIME_US = 1_000_000  # after which others are claimed; far below the window
+NEVER_RUN_RATE = 0.4  # fraction of the attempts that own their key and still never run
+KEYS = 6  # number of keys that are claimed concurrently
+KEY_LIFETIME_US = 1_000_000  # time until a new set of keys is claimed; far below the idempotency window
 
 
-class ClaimBook:
-    """What all clients know together: which operations ran, and which attempts never will."""
+class ClaimHistory:
+    """The common knowledge of all clients: which operations ran, and which attempts never run."""
 
     def __init__(self) -> None:
         self.runs: dict[str, str] = {}  # attempt by key
-        self.not_run: set[str] = set()
-        self.answered = 0  # claims
+        self.never_run: set[str] = set()
+        self.answered = 0  # number of claims with a reply
 
     def run(self, cluster: Cluster, key: str, attempt: str) -> None:
-        """Run an operation, which no other attempt may have run."""
+        """Record the run of an operation, and check that no other attempt ran it."""
         first = self.runs.setdefault(key, attempt)
         if first != attempt:
-            cluster.invariants.report_violation(f"{key} is run by {first} and by {attempt}")
+            cluster.invariants.report_violation(f"{key} is run by attempt {first} and by attempt {attempt}")
 
 
 class ClaimClient(Client):
-    """A proxy that is sent requests with operation keys, the same as the other clients."""
+    """A proxy that receives requests with the same operation keys as the other clients."""
 
-    def __init__(self, cluster: Cluster, number: int, book: ClaimBook) -> None:
+    def __init__(self, cluster: Cluster, number: int, claim_history: ClaimHistory) -> None:
         super().__init__(cluster, f"claimer {number}", f"10.3.0.{number}")
         self.number = number
-        self.book = book
+        self.claim_history = claim_history
         self.leader_address = ""
         self._attempts = 0
 
     async def run(self) -> None:
-        """Claim keys for ever."""
+        """Claim keys in an endless loop."""
         while True:
             await asyncio.sleep(self.random.random() * MAX_PAUSE_S)
             self._check_clocks()
-            period = self.loop.now_us // KEY_LIFETIME_US
-            await self._attempt(f"k-{period}-{self.random.randrange(KEYS)}")
+            key_period = self.loop.now_us // KEY_LIFETIME_US
+            await self._attempt(f"k-{key_period}-{self.random.randrange(KEYS)}")
 
     async def _attempt(self, key: str) -> None:
-        """Make one attempt at an operation, as often in place of another as one never runs."""
+        """Attempt an operation; take its key over if the attempt that owns the key never runs."""
         self._attempts += 1
         attempt = f"{self.number}-{self._attempts}"
-        replaces = ""
+        replaced_attempt = ""
         for _ in range(MAX_TAKE_OVERS):
-            holder = await self._claim(Claim("sfax", key, attempt, f"10.3.0.{self.number}:7600", replaces))
-            if holder == attempt and self.random.random() >= NOT_RUN_RATE:
-                return self.book.run(self.cluster, key, attempt)
-            if holder not in self.book.not_run or holder == attempt:
+            holder = await self._claim(
+                Claim("sfax", key, attempt, f"10.3.0.{self.number}:7600", replaced_attempt)
+            )
+            if holder == attempt and self.random.random() >= NEVER_RUN_RATE:
+                return self.claim_history.run(self.cluster, key, attempt)
+            if holder not in self.claim_history.never_run or holder == attempt:
                 break
-            replaces = holder
-        self.book.not_run.add(attempt)
+            replaced_attempt = holder
+        self.claim_history.never_run.add(attempt)
 
     async def _claim(self, claim: Claim) -> str:
-        """Return the attempt that holds the key; empty where that isn't known."""
-        for _ in range(MAX_SENDS):
+        """Return the attempt that owns the key, or an empty string if it isn't known."""
+        for _ in range(MAX_CLAIM_SENDS):
             reply = await self._send(claim)
             if reply.is_known:
-                self.book.answered += 1
+                self.claim_history.answered += 1
                 return reply.attempt
             await asyncio.sleep(CLAIM_RETRY_DELAY_S)
         return ""
@@ -102,16 +104,18 @@
         for machine in self.cluster.running_machines():
             counted_us = machine.controller.state_machine.state.operations.clock_us
             if counted_us > self.loop.now_us - self.cluster.started_us:
-                self.cluster.invariants.report_violation(f"{machine.name} has counted {counted_us} us")
+                self.cluster.invariants.report_violation(
+                    f"{machine.name}: the clock of operations is ahead of real time: {counted_us} us"
+                )
 
 
 class ClaimSimulation(ControlPlaneSimulation):
     """The control plane with clients that claim operation keys."""
 
-    def __init__(self, seed: int, size: int, tolerate: int) -> None:
-        super().__init__(seed, size, tolerate, operators=1)
-        self.book = ClaimBook()
-        self.claim_clients = [ClaimClient(self.cluster, i, self.book) for i in range(CLAIM_CLIENTS)]
+    def __init__(self, seed: int, size: int, max_lost: int) -> None:
+        super().__init__(seed, size, max_lost, operators=1)
+        self.claim_history = ClaimHistory()
+        self.claim_clients = [ClaimClient(self.cluster, i, self.claim_history) for i in range(CLAIM_CLIENTS)]
         for client in self.claim_clients:
             client.start_task(client.run())
 
@@ -122,11 +126,11 @@
 
 
 def simulate_claims(seed: int) -> ClaimSimulation:
-    """Run a simulation whose size and faults the seed draws, with short logs, so that snapshots occur."""
+    """Run a simulation with a random cluster size, random faults, and short logs, so that snapshots occur."""
     random = Random(seed)
-    size, tolerate = random.choice(((3, 1), (5, 1), (6, 2)))
+    size, max_lost = random.choice(((3, 1), (5, 1), (6, 2)))
     with log_limits(random.choice((2, 6, 24)), random.choice((300, 65_536))):
-        simulation = ClaimSimulation(seed, size, tolerate)
+        simulation = ClaimSimulation(seed, size, max_lost)
         simulation.start()
         simulation.inject_random_faults(random.randrange(4, 8))
         simulation.finish()
--- a/lapisgrade/lab/simulation/clients.py
+++ b/lapisgrade/lab/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Operators of the simulated control plane, and the history of the replies they had."""
+"""Operators of the simulated control plane, and the history of their operations."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -13,13 +13,13 @@
 from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, Process
 
 REPLY_TIMEOUT_S = 1.0
-MAX_ATTEMPTS = 40  # of one change; then its outcome stays unknown
-FINAL_STATUSES = (400, 409, 412, 413, 422)  # of a change that is rejected for good
+MAX_ATTEMPTS = 40  # maximum attempts to send a change, whose outcome then remains unknown
+REJECTED_STATUSES = (400, 409, 412, 413, 422)  # final statuses, which end the retries of a change
 FIRST_BACKOFF_S = 0.03
 MAX_BACKOFF_S = 0.5
 BACKOFF_FACTOR = 1.6
 READ_RATE = 0.4
-SAME_LAYOUT_RATE = 0.7
+SAME_FORMAT_RATE = 0.7
 DELTA_RATE = 0.7
 MAX_RESEND_DELAY_S = 3
 UPDATE_CALL = "conf.update"
@@ -28,19 +28,19 @@
 
 @dataclass(slots=True)
 class Operation:
-    """One change or read, as its caller saw it."""
+    """One change or read, as observed by its caller."""
 
     kind: str  # "change" or "read"
     called_us: int
-    returned_us: int | None = None  # None while no final reply came
+    returned_us: int | None = None  # None until a final reply
     status: int = 0
     version: int = 0
     base: int = 0
-    text: bytes = b""  # the change, or the configuration that was read
+    text: bytes = b""  # the body of the change, or the configuration that was read
 
 
 async def call_any(cluster: Cluster, endpoint: Endpoint, call: str, body: bytes) -> CallReply | None:
-    """Call a random machine that was not removed; None for no reply."""
+    """Call a random machine, except removed ones; return None if there is no reply."""
     machines = [each for each in cluster.machines.values() if not each.is_removed]
     machine = cluster.loop.random.choice(machines)
     result = await endpoint.call((machine.ip, OPERATOR_PORT), OperatorCall(call, "", body), REPLY_TIMEOUT_S)
@@ -49,7 +49,7 @@
 
 
 class Client:
-    """A process on a host of its own that no partition affects."""
+    """A client process on its own host, which no partition affects."""
 
     def __init__(self, cluster: Cluster, name: str, host: str) -> None:
         self.cluster = cluster
@@ -63,7 +63,7 @@
         return None
 
     async def run(self) -> None:
-        """Run the client's work."""
+        """Run the client."""
         raise NotImplementedError
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task:
@@ -76,7 +76,15 @@
 
 
 class Operator(Client):
-    """Sends changes based on the newest version it knows, each until a final reply; reads between them."""
+    """Sends changes based on the newest version it has seen, and reads between them.
+
+    A change is retried until a final reply.
+
+    Attributes:
+        lost_reply_rate: Fraction of the replies to changes that the operator ignores.
+        max_consecutive_reads: Maximum number of reads between two changes; None for no limit.
+        resend_rate: Fraction of the changes that are sent again some time after their final reply.
+    """
 
     def __init__(
         self,
@@ -84,24 +92,32 @@
         number: int,
         history: list[Operation],
         routes: int = 3,
-        pause: float = 0.4,
+        max_pause_s: float = 0.4,
     ) -> None:
-        """Create an operator with at most `pause` s between its calls, and `routes` rules in its changes."""
+        """Create an operator.
+
+        Args:
+            cluster: The cluster that it calls.
+            number: Its number, which its address contains.
+            history: Receives its operations.
+            routes: Number of rules in its complete configurations.
+            max_pause_s: Maximum seconds between its calls.
+        """
         super().__init__(cluster, f"operator {number}", f"10.1.0.{number}")
         self.number = number
         self.history = history
         self.routes = routes
         self.known_version = 0
-        self.pause = pause
+        self.max_pause_s = max_pause_s
         self.lost_reply_rate = 0.2
-        self.max_consecutive_reads: int | None = None  # before a change comes; None: no bound
-        self.resend_rate = 0.2  # of the changes that are sent again some time after their reply
+        self.max_consecutive_reads: int | None = None
+        self.resend_rate = 0.2
 
     async def run(self) -> None:
-        """Send changes and reads for ever."""
+        """Send changes and reads in an endless loop."""
         reads = 0
         while True:
-            await asyncio.sleep(self.random.random() * self.pause)
+            await asyncio.sleep(self.random.random() * self.max_pause_s)
             if self.random.random() < READ_RATE and reads != self.max_consecutive_reads:
                 reads += 1
                 await self.read()
@@ -110,7 +126,7 @@
                 await self.change()
 
     def make_change(self, version: int, base: int) -> tuple[str, bytes]:
-        """Return the call and body of a change that differs from any other of that version."""
+        """Return the call and body of a change, which differs from any other change to that version."""
         services = [{"Name": "svc"}, {"Name": f"mark-{self.number}-{self.loop.now_us}"}]
         if base and self.random.random() < DELTA_RATE:
             delta = {"Ver": version, "Base": base, "Upsert": {"Pools": services[1:]}}
@@ -128,7 +144,7 @@
         return REPLACE_CALL, msgspec.json.encode(configuration)
 
     async def change(self) -> None:
-        """Send a change until a final reply, or too often without one."""
+        """Send a change until a final reply, at most `MAX_ATTEMPTS` times."""
         base = self.known_version
         version = base + 1 + self.random.randrange(2)
         call, body = self.make_change(version, base)
@@ -138,7 +154,11 @@
         for _ in range(MAX_ATTEMPTS):
             reply = await call_any(self.cluster, self.endpoint, call, self.reformat(body))
             is_lost = self.random.random() < self.lost_reply_rate
-            if reply is not None and not is_lost and (reply.status == 200 or reply.status in FINAL_STATUSES):
+            if (
+                reply is not None
+                and not is_lost
+                and (reply.status == 200 or reply.status in REJECTED_STATUSES)
+            ):
                 await self._on_final_reply(operation, call, body, reply.status)
                 return
             await asyncio.sleep(backoff_s)
@@ -156,29 +176,29 @@
             await self.resend(operation, call, body)
 
     def reformat(self, body: bytes) -> bytes:
-        """Return the same change, at times laid out in another way."""
-        if self.random.random() < SAME_LAYOUT_RATE:
+        """Return the same change, sometimes with another order of keys and other white space."""
+        if self.random.random() < SAME_FORMAT_RATE:
             return body
         fields = msgspec.json.decode(body)
         return msgspec.json.format(msgspec.json.encode(dict(reversed(fields.items()))), indent=1)
 
     async def resend(self, operation: Operation, call: str, body: bytes) -> None:
-        """Send a change again some time after its reply, and check that the reply is the same."""
+        """Send a change again some time after its reply, and check that the outcome is the same."""
         await asyncio.sleep(self.random.random() * MAX_RESEND_DELAY_S)
         reply = await call_any(self.cluster, self.endpoint, call, self.reformat(body))
         if reply is None or reply.status >= 500:
             return
         if operation.status == 200 and reply.status != 200:
             self.cluster.invariants.report_violation(
-                f"version {operation.version} was taken, and is refused when sent again: {reply.status}"
+                f"version {operation.version} was accepted, and is rejected when sent again: {reply.status}"
             )
         if operation.status != 200 and reply.status == 200:
             self.cluster.invariants.report_violation(
-                f"version {operation.version} was refused, and is taken when sent again"
+                f"version {operation.version} was rejected, and is accepted when sent again"
             )
 
     async def read(self) -> None:
-        """Read the configuration; only a reply goes into the history."""
+        """Read the configuration; a read without a reply is not added to the history."""
         operation = Operation("read", self.loop.now_us)
         reply = await call_any(self.cluster, self.endpoint, "conf.show", b"")
         if reply is None or reply.status not in (200, 404):
--- a/lapisgrade/lab/simulation/cluster.py
+++ b/lapisgrade/lab/simulation/cluster.py
@@ -1,6 +1,6 @@
-"""A cluster of simulated machines that run controllers: started, partitioned, healed, replaced.
+"""A cluster of simulated machines that run controllers, with partitions and replacement of machines.
 
-The invariants are checked at each step of each controller by `invariants.Invariants`.
+`invariants.Invariants` checks the invariants at each step of each controller.
 """
 
 from lapisgrade.gateway.consensus.node import Node
@@ -10,11 +10,11 @@
 from lapisgrade.lab.simulation.operator_call import Message
 from lapisgrade.lab.simulation.virtual_loop import SECOND, Process, VirtualLoop
 
-SEEDS = 3  # machines whose addresses the settings name
+SEED_COUNT = 3  # number of machines that are listed as seeds in the settings
 
 
 class Cluster:
-    """Machines by name; `seeds` are the addresses that settings name."""
+    """Machines by name; `seeds` are the addresses in the settings of new processes."""
 
     def __init__(self, loop: VirtualLoop, size: int) -> None:
         self.loop = loop
@@ -27,45 +27,45 @@
         self._machine_count = 0
         for _ in range(size):
             self.add()
-        self.seeds = [each.ip for each in list(self.machines.values())[:SEEDS]]
+        self.seeds = [each.ip for each in list(self.machines.values())[:SEED_COUNT]]
         for machine in self.machines.values():
             machine.start(bootstrap=True)
 
     @property
     def checks(self) -> Invariants:
-        """The checks made at each step of a controller."""
+        """The checks at each step of a controller."""
         return self.invariants
 
     def add(self) -> Machine:
-        """Add a machine at an address of its own, with an empty disk."""
+        """Add a machine with a new address and an empty disk."""
         self._machine_count += 1
         machine = Machine(self, f"m{self._machine_count}", f"10.0.0.{self._machine_count}")
         self.machines[machine.name] = machine
         return machine
 
     def remove(self, machine: Machine) -> None:
-        """Remove a machine for good, and name others as seeds."""
-        self.note(f"{machine.name} is taken away")
+        """Remove a machine permanently, and update the seeds."""
+        self.note(f"{machine.name} is removed")
         if machine.process is not None:
             machine.process.is_alive = False
         machine.is_removed = True
-        self.seeds = [each.ip for each in self.machines.values() if not each.is_removed][:SEEDS]
+        self.seeds = [each.ip for each in self.machines.values() if not each.is_removed][:SEED_COUNT]
 
-    def note(self, what: str) -> None:
+    def note(self, text: str) -> None:
         """Add a line to the transcript."""
-        self.transcript_lines.append(f"{self.loop.now_us / SECOND:9.3f} s  {what}")
+        self.transcript_lines.append(f"{self.loop.now_us / SECOND:9.3f} s  {text}")
 
     def running_machines(self) -> list[Machine]:
         """Return the machines whose processes are alive."""
         return [each for each in self.machines.values() if each.is_running]
 
     def nodes(self) -> list[Node]:
-        """Return the consensus nodes of the machines that run."""
+        """Return the consensus nodes of the running machines."""
         controllers = [each.controller for each in self.running_machines()]
         return [each.node for each in controllers if each.node is not None]
 
     def leader(self) -> Machine | None:
-        """Return the machine that leads in the newest term."""
+        """Return the leader of the newest term, or None."""
         leading = [
             each
             for each in self.running_machines()
@@ -79,8 +79,8 @@
         return leader is not None and leader.controller.node.has_committed_in_term
 
     def partition(self, names: list[str], one_way: bool = False) -> None:
-        """Block the links from those machines to the others and, unless `one_way`, back."""
-        self.note(f"cut off{', one way' if one_way else ''}: {', '.join(names)}")
+        """Block the links from these machines to the others and, unless `one_way`, those to them."""
+        self.note(f"partitioned{', outbound only' if one_way else ''}: {', '.join(names)}")
         inside = {self.machines[each].ip for each in names}
         outside = {each.ip for each in self.machines.values()} - inside
         self.network.blocked_links |= {(a, b) for a in inside for b in outside}
@@ -89,5 +89,5 @@
 
     def heal(self) -> None:
         """Unblock all links."""
-        self.note("the links are whole again")
+        self.note("all links are unblocked")
         self.network.heal()
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -1,13 +1,13 @@
-"""A simulation of the data plane beside the control plane.
+"""A simulation of the data plane together with the control plane.
 
-Real shells of proxies and controllers, servers that send heartbeats and drain, a tenant beyond its limit, and
-faults of all of them. Invariants, beside those of the control plane:
+It runs the production code of proxies and controllers, with servers that send heartbeats and drain, a tenant
+that exceeds its limit, and faults of all of them. Invariants, in addition to those of the control plane:
 
-- No proxy activates a version that the log does not contain, nor an older one than it had active.
-- One owner at a time adds to a counter, and none under an older fencing token once one has under a newer.
+- No proxy activates a version that the log does not contain, or one older than its active version.
+- Each fencing token has one owner that adds to the counter, and the tokens of adds never decrease.
 - The quota holds in every window, over all proxies.
-- A proxy sends a server nothing once a watch request was answered that it sent after the server's drain or
-  end was acknowledged.
+- A proxy sends no request to a server after the reply to a watch request that it sent after the server's
+  drain or deregistration was acknowledged.
 """
 
 from random import Random
@@ -33,9 +33,9 @@
 
 PROXIES = 5
 SERVERS = 4
-TENANT_OPERATOR = 9  # its number
-OPERATOR_PAUSE_S = 0.6  # so that a change comes in the 5 s that a simulation waits for one at its end
-MAX_DEPARTURE_WAIT_S = 8.0  # for a server's departure, before a fault comes without it
+TENANT_OPERATOR_NUMBER = 9
+OPERATOR_PAUSE_S = 0.6  # short enough for a change within the 5 s that a simulation waits for one at its end
+DEPARTURE_TIMEOUT_S = 8.0  # maximum wait for a server's departure before the leader is killed without one
 QUOTA_WINDOW_S = 5.0
 DEPARTURE_FAULT_RATE = 0.2
 CONTROLLER_FAULT_RATE = 0.3
@@ -44,36 +44,36 @@
 class DataPlaneSimulation(ControlPlaneSimulation):
     """A control plane with proxies, servers, and a tenant's clients."""
 
-    def __init__(self, seed: int, clock: SimulatedClock, load: TenantLoad, pause: float = 1.5) -> None:
-        super().__init__(seed, operators=1, pause=pause)
+    def __init__(self, seed: int, clock: SimulatedClock, load: TenantLoad, max_pause_s: float = 1.5) -> None:
+        super().__init__(seed, operators=1, max_pause_s=max_pause_s)
         self.clock = clock
         clock.loop = self.loop
         self.load = load
-        self._replace_operators(pause)
+        self._replace_operators(max_pause_s)
         self.machines = [ProxyMachine(self, number) for number in range(1, PROXIES + 1)]
         self.proxy_faults = ProxyFaultInjector(
             self.cluster, self.random, self.machines, self.faults.call_after
         )
         self.servers: dict[str, SimulatedServer] = {}
-        self.sent_us: list[int] = []  # when each of the tenant's requests was sent to a server
+        self.sent_us: list[int] = []  # times at which the tenant's requests were sent to a server
         self.counter_adds = 0
-        self.newest_fencing_token = 0  # that was added to a counter under
-        self.counter_owner = ""  # the proxy that added under it
-        self.rejections: dict[int, int] = {}
-        self._busy_until_us = 0  # when the tenant is idle for a while
+        self.newest_fencing_token = 0  # token of the last add to the counter
+        self.counter_owner = ""  # proxy that made the last add
+        self.rejections: dict[int, int] = {}  # count by status
+        self._busy_until_us = 0  # end of the tenant's busy period
         for machine in self.machines:
             machine.start()
         for _ in range(SERVERS):
             self.add_server()
         self.loop.schedule(2 * SECOND, None, self._send_requests)
 
-    def _replace_operators(self, pause: float) -> None:
-        """Have one operator only, which configures the tenant."""
+    def _replace_operators(self, max_pause_s: float) -> None:
+        """Replace the operators by one that configures the tenant."""
         operator = TenantOperator(
-            self.cluster, TENANT_OPERATOR, self.history, pause=min(pause, OPERATOR_PAUSE_S)
+            self.cluster, TENANT_OPERATOR_NUMBER, self.history, max_pause_s=min(max_pause_s, OPERATOR_PAUSE_S)
         )
         operator.load = self.load
-        # A simulation ends with the wait for a change, which reads in a row could prevent.
+        # A simulation waits for a change at its end, which consecutive reads could delay too long.
         operator.max_consecutive_reads = 1
         for each in self.operators:
             each.process.is_alive = False
@@ -82,11 +82,11 @@
 
     @property
     def invariants(self) -> Invariants:
-        """Those of the control plane, which hold the violations."""
+        """The control plane's invariants, which also collect the violations of the data plane."""
         return self.cluster.invariants
 
     def add_server(self) -> None:
-        """Start a server at an address of its own; another one follows it when it ends."""
+        """Start a server at a new address; another one is started when it ends."""
         server = SimulatedServer(self.cluster, len(self.servers) + 1, self.add_server)
         self.servers[server.id] = server
         server.start_task(server.run())
@@ -98,7 +98,7 @@
             path = f"/p{self.random.randrange(3)}/1"
             self.loop.schedule(0, machine.process, machine.proxy.request, path, KEY)
         load = self.load
-        pause_s = self.random.expovariate(load.pressure * load.rate)
+        pause_s = self.random.expovariate(load.demand_factor * load.rate)
         if any(load.idle_s) and self.loop.now_us >= self._busy_until_us:
             pause_s += self.random.uniform(*load.idle_s)
             busy_s = pause_s + self.random.uniform(*load.busy_s)
@@ -108,34 +108,34 @@
     # ---- reports of the proxies
 
     def on_request_sent(self, proxy: SimulatedProxy, attempt: Attempt) -> bool:
-        """Check a request that goes to a server; return whether that server still runs."""
+        """Check a request that is sent to a server; return whether that server is still running."""
         server = self.servers[attempt.server.address]
         self.sent_us.append(self.loop.now_us)
         last_watch_us = proxy.last_watch_us - proxy.process.skew_us
-        if server.departed_us and last_watch_us > server.departed_us:
+        if server.departure_acknowledged_us and last_watch_us > server.departure_acknowledged_us:
             self.invariants.report_violation(
-                f"{proxy.settings.hostname} sends to {server.id}, told that it leaves"
+                f"{proxy.settings.hostname} sends to {server.id} after an update about its departure"
             )
         return not server.has_ended
 
     def on_request_rejected(self, proxy: SimulatedProxy, status: int) -> None:
-        """Check a request that is not allowed by what the proxy knows."""
+        """Check a request that the proxy rejects."""
         self.rejections[status] = self.rejections.get(status, 0) + 1
         if status != 503 and proxy.active_version:
             self.invariants.report_violation(
-                f"{proxy.settings.hostname} answers {status} to what all versions allow"
+                f"{proxy.settings.hostname} responds {status} to a request that all versions allow"
             )
 
     def on_version_activated(self, proxy: SimulatedProxy, before: int) -> None:
-        """Check a version that a proxy has activated, after version `before`."""
+        """Check the version that a proxy has activated; `before` is the previously active version."""
         name = proxy.settings.hostname
         if proxy.active_version not in self.invariants.versions:
             self.invariants.report_violation(
-                f"{name} acts by version {proxy.active_version}, which the log does not hold"
+                f"{name} activates version {proxy.active_version}, which is not in the log"
             )
         if proxy.active_version < before:
             self.invariants.report_violation(
-                f"{name} goes back from version {before} to {proxy.active_version}"
+                f"{name} activates an older version than {before}: {proxy.active_version}"
             )
 
     def observe_quota_owner(self, proxy: SimulatedProxy) -> None:
@@ -158,19 +158,19 @@
         token, name = self.newest_fencing_token, self.counter_owner
         if owner.fencing_token < token:
             self.invariants.report_violation(
-                f"{owner.name} adds under fence {owner.fencing_token}, after {name} under {token}"
+                f"{owner.name} adds with fencing token {owner.fencing_token}, after {name} with {token}"
             )
         elif owner.fencing_token == token and owner.name != name:
-            self.invariants.report_violation(f"{owner.name} and {name} add under fence {token}")
+            self.invariants.report_violation(f"{owner.name} and {name} both add with fencing token {token}")
         self.newest_fencing_token = owner.fencing_token
         self.counter_owner = owner.name
 
     # ---- faults
 
     def lose_leader_after_departure(self) -> None:
-        """The leader loses power just after it acknowledged a server's departure."""
+        """Cut the leader's power right after it has acknowledged a server's departure."""
         before = self._acknowledged_departures()
-        self.loop.run_until(lambda: self._acknowledged_departures() > before, MAX_DEPARTURE_WAIT_S, 0.002)
+        self.loop.run_until(lambda: self._acknowledged_departures() > before, DEPARTURE_TIMEOUT_S, 0.002)
         leader = self.cluster.leader()
         if leader is None or not self.faults.can_lose_another():
             return
@@ -179,10 +179,10 @@
         self.faults.call_after(1.5, leader.start)
 
     def _acknowledged_departures(self) -> int:
-        return sum(each.departed_us > 0 for each in self.servers.values())
+        return sum(each.departure_acknowledged_us > 0 for each in self.servers.values())
 
     def finish(self) -> None:
-        """Run a quiet period, and check what must hold after it, and the quota over all the time."""
+        """Run a quiet period, then check the recovery, and the quota over the whole simulation."""
         for machine in self.machines:
             machine.start()
         super().finish()
@@ -190,12 +190,12 @@
         worst = most([each / SECOND for each in self.sent_us], QUOTA_WINDOW_S)
         if worst > allowed:
             self.invariants.report_violation(
-                f"{worst} of the tenant's requests in a window, {allowed:g} are allowed"
+                f"{worst} requests of the tenant in a window, {allowed:g} are allowed"
             )
 
 
 def simulate(seed: int) -> DataPlaneSimulation:
-    """Run a simulation whose faults the seed draws, at proxies and controllers."""
+    """Run a simulation with random faults of proxies and controllers."""
     random = Random(seed)
     simulation = DataPlaneSimulation(seed, SimulatedClock(), BURSTY if seed % 2 else STEADY)
     simulation.start()
--- a/lapisgrade/lab/simulation/defects/__init__.py
+++ b/lapisgrade/lab/simulation/defects/__init__.py
@@ -1,1 +1,1 @@
-"""Known defects of the control plane and the data plane, each of which a simulation must find."""
+"""Known defects of the control plane and the data plane, which simulations must detect."""
--- a/lapisgrade/lab/simulation/defects/changes.py
+++ b/lapisgrade/lab/simulation/defects/changes.py
@@ -10,7 +10,7 @@
 
 
 def _load_without_applied_changes(self: StateMachine, data: bytes) -> None:
-    """A snapshot's record of applied changes is lost."""
+    """Loading a snapshot loses its record of applied changes."""
     _load(self, data)
     self.state.applied_changes = {}
 
@@ -20,7 +20,7 @@
 
 
 def _apply_new_version_on_any_base(self: StateMachine, item: NewVersion) -> ApplyResult:
-    """A version is accepted on top of any other."""
+    """A version is accepted on any base."""
     if (
         item.encoded.version <= self.state.version
         or self.state.applied_changes.get(item.encoded.version) == item.change_digest
@@ -34,17 +34,17 @@
 
 
 def _digest_of_bytes(body: bytes) -> bytes:
-    """The same change laid out in another way is another change."""
+    """The digest depends on the JSON formatting of a change, not only on its contents."""
     return configuration_change.blake2b(body, digest_size=16).digest()
 
 
 async def _propose_confirming_at_once(self: ConsensusDriver, data: bytes) -> ApplyResult | None:
-    """A change is acknowledged as it is appended to the log."""
+    """A change is acknowledged when it is appended to the log."""
     return None if self.node.propose(data) is None else ApplyResult(200)
 
 
 async def _propose_rejecting_unknown(self: ConsensusDriver, data: bytes) -> ApplyResult | None:
-    """A change that no majority has yet is rejected."""
+    """A change whose outcome is unknown is rejected."""
     answer = await _propose(self, data)
     return ApplyResult(412, "no majority") if answer is None else answer
 
@@ -53,18 +53,18 @@
 
 
 def _validate_without_digest(self: StateMachine, change: ConfigurationChange) -> ValidatedChange:
-    """A change that was applied is validated as if it were new."""
-    taken, self.state.applied_changes = self.state.applied_changes, {}
+    """A change that was already applied is validated as a new one."""
+    applied_changes, self.state.applied_changes = self.state.applied_changes, {}
     try:
         return _validate(self, change)
     finally:
-        self.state.applied_changes = taken
+        self.state.applied_changes = applied_changes
 
 
 _validate = StateMachine.validate
 
 
-CHANGES: Defects = {
+CHANGE_DEFECTS: Defects = {
     "digests-lost-in-snapshot": Defect(StateMachine, "load", _load_without_applied_changes),
     "taken-on-any-base": Defect(StateMachine, "apply_new_version", _apply_new_version_on_any_base),
     "digest-of-the-bytes": Defect(configuration_change, "digest", _digest_of_bytes),
--- a/lapisgrade/lab/simulation/defects/data_plane.py
+++ b/lapisgrade/lab/simulation/defects/data_plane.py
@@ -17,7 +17,7 @@
 
 
 def _apply_live_proxies_without_new_token(self: StateMachine, index: int, item: LiveProxies) -> None:
-    """A new list of live proxies has the fencing token of the previous one."""
+    """A new list of live proxies keeps the previous fencing token."""
     state = self.state
     state.fencing_token = state.fencing_token or index
     state.live_proxies = item.members
@@ -28,7 +28,7 @@
 
 
 def _update_servers_ignoring_drain(self: Router, servers: list[Server], is_complete: bool) -> None:
-    """A draining server is sent requests like any other."""
+    """A draining server receives requests like any other."""
     for each in servers:
         if each.state == "drain":
             each.state = "up"
@@ -36,7 +36,7 @@
 
 
 async def _commit_without_departures(self: LeaderCalls, item: Any) -> rpc_messages.ForwardCallReply:
-    """A server's departure is acknowledged though only the leader's memory has it."""
+    """A server's departure is acknowledged though it is only in the leader's memory."""
     if not isinstance(item, ServerLeaving):
         return await _commit(self, item)
     self.watch_service.watch.registry.mark_left(self.clock(), item.server, item.is_gone)
@@ -45,11 +45,11 @@
 
 
 def _update_departed_servers_to_none(self: watch.Watch, now_us: int, departed: dict[str, bool]) -> None:
-    """A new leader goes by heartbeats alone."""
+    """A new leader ignores the departures in the log, and relies on heartbeats only."""
     self.departed_servers = {}
 
 
-# The first seed, and how many from it on find each defect; 0 and 12 for all others.
+# First seed and number of seeds that find a defect; 0 and 12 for all others.
 FIRST_SEED_AND_COUNT = {"asks-nobody": (24, 12), "forgets-leases": (24, 12), "old-fence": (20, 12)}
 QUOTA_DEFECTS = ("never-expires", "any-fence", "asks-nobody", "forgets-leases", "undivided")
 DEFECTS: Defects = {
--- a/lapisgrade/lab/simulation/defects/leader.py
+++ b/lapisgrade/lab/simulation/defects/leader.py
@@ -1,4 +1,4 @@
-"""Defects of the leader, its lease and elections."""
+"""Defects of the leader, its lease, and elections."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 
 
 def _is_leader_without_lease(self: ConsensusDriver) -> bool:
-    """Calls are answered without a check of the lease."""
+    """A leader replies to calls without a check of its lease."""
     if self.is_established:
         self.observer.on_lease_confirmed()
     return self.is_established
@@ -33,14 +33,14 @@
 
 
 def _on_append_reply_renewing_lease_at_receipt(self: Replication, reply: AppendEntriesReply) -> None:
-    """The lease runs from the reply's arrival, not from when its request was sent."""
+    """The lease starts when the reply arrives, not when its request was sent."""
     _on_append_reply(self, reply)
     if reply.follower in self.followers:
         self.followers[reply.follower].acked_us = self.state.now_us
 
 
 def _has_no_leader_contact(self: Voter) -> bool:
-    """A voter votes although it was in contact with a leader."""
+    """A voter votes although it has recent contact with a leader."""
     return False
 
 
@@ -48,14 +48,14 @@
 
 
 def _recover_without_restart_guard(cls: type, *args: Any) -> Node:
-    """A restarted node forgets that a lease may rest on its earlier replies."""
+    """A restarted node ignores that a leader's lease may depend on its earlier replies."""
     node = _recover(cls, *args)
     node.voter.restart_guard_until_us = 0
     return node
 
 
 def _on_pre_vote_granting_as_leader(self: Voter, request: RequestVote) -> None:
-    """A leader out of contact with a majority, and a candidate, report that they have no lease."""
+    """A leader without contact to a majority, or a candidate, grants a pre-vote and reports no lease."""
     state = self.state
     granted = request.term > state.term and not self.has_leader_contact() and self.log_is_current(request)
     if not granted:
@@ -70,13 +70,13 @@
 
 
 def _on_vote_reply_of_any_round(self: Election, reply: RequestVoteReply) -> None:
-    """A pre-vote of an earlier round counts in this one."""
+    """A pre-vote of an earlier round counts in the current round."""
     if reply.pre_vote and reply.granted and reply.term == self.state.term + 1:
         reply = msgspec.structs.replace(reply, pre_vote_round=self.pre_vote_round)
     _on_vote_reply(self, reply)
 
 
-LEADER: Defects = {
+LEADER_DEFECTS: Defects = {
     "lease-never-ends": Defect(Node, "has_lease", _has_lease_forever),
     "serves-without-lease": Defect(ConsensusDriver, "is_leader", _is_leader_without_lease),
     "lease-from-receipt": Defect(Replication, "on_append_reply", _on_append_reply_renewing_lease_at_receipt),
--- a/lapisgrade/lab/simulation/defects/log.py
+++ b/lapisgrade/lab/simulation/defects/log.py
@@ -22,7 +22,7 @@
 
 
 def _recover_as_durable(cls: type, *args: Any) -> Node:
-    """What a start reads counts as synced."""
+    """Entries read at the start count as synced."""
     node = _recover(cls, *args)
     node.state.durable_index = node.log.last_index
     return node
@@ -39,9 +39,9 @@
 
 
 def _put_sending_before_sync(self: LogWriter, write: DurableWrite) -> None:
-    """Messages that should wait for the disk are sent at once."""
-    then, write.sends_when_durable = write.sends_when_durable, []
-    self._node.state.effects.sends += then
+    """Messages that must wait for a sync are sent immediately."""
+    sends, write.sends_when_durable = write.sends_when_durable, []
+    self._node.state.effects.sends += sends
     _put(self, write)
 
 
@@ -49,14 +49,14 @@
 
 
 def _advance_commit_of_any_term(self: Replication) -> None:
-    """An entry of an earlier term is committed by counting its copies."""
+    """An entry of an earlier term is committed by counting replicas."""
     state = self.state
-    have = [
+    match_indexes = [
         self.followers[name].match_index if name in self.followers else state.durable_index
         for name in state.voters
     ]
-    have.sort(reverse=True)
-    index = have[len(have) // 2] if have else 0
+    match_indexes.sort(reverse=True)
+    index = match_indexes[len(match_indexes) // 2] if match_indexes else 0
     if index > state.commit_index:
         state.commit_up_to(index)
         self.send_to_all(heartbeat=True)
@@ -68,39 +68,39 @@
 
 
 def _truncate_nothing(self: ReplicatedLog, last: int) -> None:
-    """Entries that another leader replaced stay."""
+    """Entries that conflict with a new leader's log are kept."""
 
 
 _dump = StateMachine.dump
 
 
 def _dump_of_earlier_state(self: StateMachine) -> bytes:
-    """A snapshot contains the state before the last one's."""
+    """A snapshot contains the state of the previous snapshot."""
     earlier = getattr(self, "_earlier", b"")
     self._earlier = _dump(self)
     return earlier or self._earlier
 
 
 def _load_nothing(self: StateMachine, data: bytes) -> None:
-    """A snapshot is received and not loaded."""
+    """A received snapshot is not loaded."""
 
 
 def _add_as_complete(self: Any, piece: Any) -> bytes | None:
-    """Every chunk of a snapshot is taken for the complete snapshot."""
+    """Each chunk of a snapshot is used as the complete snapshot."""
     return piece.data
 
 
-LOG: Defects = {
+LOG_DEFECTS: Defects = {
     "durable-as-read": Defect(Node, "recover", classmethod(_recover_as_durable)),
     "acknowledged-before-sync": Defect(Follower, "acknowledge", _acknowledge_before_sync),
     "any-log-may-lead": Defect(Voter, "log_is_current", _is_any_log_current),
     "conflict-kept": Defect(ReplicatedLog, "truncate", _truncate_nothing),
     "vote-before-sync": Defect(LogWriter, "put", _put_sending_before_sync),
 }
-TERMS: Defects = {
+TERM_DEFECTS: Defects = {
     "old-term-committed": Defect(Replication, "advance_commit", _advance_commit_of_any_term),
 }
-SNAPSHOTS: Defects = {
+SNAPSHOT_DEFECTS: Defects = {
     "stale-snapshot": Defect(StateMachine, "dump", _dump_of_earlier_state),
     "snapshot-not-loaded": Defect(StateMachine, "load", _load_nothing),
     "piece-taken-for-all": Defect(SnapshotAssembly, "add", _add_as_complete),
--- a/lapisgrade/lab/simulation/defects/operations.py
+++ b/lapisgrade/lab/simulation/defects/operations.py
@@ -22,16 +22,16 @@
 from lapisgrade.lab.simulation.defects import log, membership
 from lapisgrade.net.http import Message
 
-UPTIME_US = 3_600_000_000  # of the machines, by whose steady clock a defect counts
+TIME_SINCE_BOOT_US = 3_600_000_000  # time that `_elapsed_since_boot` counts for a new leader
 RETENTION_US = 75_000_000
-NO_MARGIN_US = -20_000_000  # a retention that is shorter than the window
+NEGATIVE_MARGIN_US = -20_000_000  # makes the retention shorter than the idempotency window
 
 
 # ---- the leader
 
 
 async def _propose_without_waiting(self: OperationClaims, claims: list[Claim]) -> list[ClaimResult] | None:
-    """A claim is granted as soon as its entry is in the leader's own log."""
+    """A claim is granted when its entry is in the leader's log, before it is committed."""
     node = self._consensus.started_node
     command = ClaimOperations(0, RETENTION_US, claims)
     if not self._consensus.is_leader() or node.propose(encode_command(command)) is None:
@@ -45,7 +45,7 @@
 
 
 async def _propose_granting_unknown(self: OperationClaims, claims: list[Claim]) -> list[ClaimResult] | None:
-    """A leader that is cut off, and learns of no commit, answers by its own table."""
+    """An isolated leader, which learns of no commit, replies from its own table."""
     results = await _propose(self, claims)
     if results is not None:
         return results
@@ -54,8 +54,8 @@
 
 
 def _elapsed_since_boot(self: LeadershipClock, now_us: int, term: int) -> int:
-    """A new leader counts from its machine's boot on."""
-    elapsed_us = now_us - self._batch_us if self._batch_us else UPTIME_US
+    """A new leader counts the time since its machine's boot."""
+    elapsed_us = now_us - self._batch_us if self._batch_us else TIME_SINCE_BOOT_US
     self._term, self._batch_us = term, now_us
     return elapsed_us
 
@@ -64,7 +64,7 @@
 
 
 def _claim_without_compare(self: OperationTable, claim: Claim) -> ClaimResult:
-    """Any claim that takes over a key gets it, whoever holds it by now."""
+    """A claim that takes over a key is granted regardless of the current owner."""
     name = table.record_id(claim.tenant, claim.key)
     record = self.records.get(name)
     if record is not None and not claim.replaces:
@@ -75,7 +75,7 @@
 
 
 def _record_id_of_key(tenant: str, key: str) -> str:
-    """The key alone names an operation, whoever its tenant is."""
+    """Operations are identified by their key without the tenant."""
     return key
 
 
@@ -83,7 +83,7 @@
 
 
 def _load_without_records(self: StateMachine, data: bytes) -> None:
-    """A snapshot has no records of operations."""
+    """Loading a snapshot loses the records of operations."""
     _load(self, data)
     self.state.operations = OperationTable()
 
@@ -92,7 +92,7 @@
 
 
 def _outcome_not_run_without_response(self: KeyedRequest, sending: RequestAttempts) -> Outcome:
-    """An attempt without a response counts as one that never ran."""
+    """An attempt without a response counts as not run."""
     return self._request.response or NOT_RUN
 
 
@@ -100,13 +100,13 @@
 
 
 async def _fetch_unknown_as_not_run(self: OperationTransport, call: FetchOutcome) -> Outcome:
-    """An attempt of which nothing is known, as its proxy was restarted, counts as one that never ran."""
+    """An attempt with an unknown outcome, because its proxy has restarted, counts as not run."""
     outcome = await _fetch_outcome(self, call)
     return NOT_RUN if outcome.state is OutcomeState.UNKNOWN else outcome
 
 
 def _kept_response_with_request_id(message: Message) -> Outcome:
-    """The first try's id is among the header lines that a repeat is answered."""
+    """The first try's id is among the header fields of the response to a repeated try."""
     lines = upstream_protocol.forwarded_headers(message, upstream_protocol.HOP_BY_HOP_HEADERS)
     return Outcome(OutcomeState.ANSWERED, message.head.status_code, lines, b"".join(message.body))
 
@@ -115,17 +115,17 @@
 
 
 def _kept_response_cut_short(message: Message) -> Outcome:
-    """The last byte of the body is not kept."""
+    """The kept response lacks the last byte of its body."""
     outcome = _kept_response(message)
     return msgspec.structs.replace(outcome, body=outcome.body[:-1])
 
 
 def _refuse_always(self: RequestAttempts) -> Respond:
-    """503 says that nothing has run, also where a server may have."""
+    """The response is 503, which promises that nothing ran, even if a server may have run the request."""
     return Respond(RejectReason.RETRY_LATER, 0, 503)
 
 
-SCHEDULES_BY_DEFECTS: list[tuple[Defects, str]] = [
+DEFECTS_AND_SCHEDULES: list[tuple[Defects, str]] = [
     (
         {
             "granted-before-committed": Defect(OperationClaims, "_propose", _propose_without_waiting),
@@ -136,12 +136,12 @@
     (
         {
             "snapshot-without-records": Defect(StateMachine, "load", _load_without_records),
-            "acknowledged-before-sync": log.LOG["acknowledged-before-sync"],
+            "acknowledged-before-sync": log.LOG_DEFECTS["acknowledged-before-sync"],
         },
         "power-and-disks",
     ),
     (
-        {"retention-too-short": Defect(operation_claims, "RETENTION_MARGIN_US", NO_MARGIN_US)},
+        {"retention-too-short": Defect(operation_claims, "RETENTION_MARGIN_US", NEGATIVE_MARGIN_US)},
         "window",
     ),
     (
@@ -164,16 +164,16 @@
         "owner-lost",
     ),
 ]
-"""The defects, and the fault schedule that finds them."""
+"""Groups of defects, each with the fault schedule that finds them."""
 
-DEFECTS: Defects = {name: defect for group, _ in SCHEDULES_BY_DEFECTS for name, defect in group.items()}
-SCHEDULE_OF_DEFECT = {name: schedule for group, schedule in SCHEDULES_BY_DEFECTS for name in group}
+DEFECTS: Defects = {name: defect for group, _ in DEFECTS_AND_SCHEDULES for name, defect in group.items()}
+SCHEDULE_OF_DEFECT = {name: schedule for group, schedule in DEFECTS_AND_SCHEDULES for name in group}
 FIRST_SEED = {"granted-while-deposed": 2, "snapshot-without-records": 3}
-"""From which the defects are found, where that is not 0."""
+"""First seeds of the search for defects, where it doesn't start at 0."""
 
-NOT_FOUND_YET: Defects = {
-    "emptied-disk-votes": membership.EMPTIED["emptied-disk-votes"],
+UNDETECTED_DEFECTS: Defects = {
+    "emptied-disk-votes": membership.WIPED_DISK_DEFECTS["emptied-disk-votes"],
     "counts-unmeasured-time": Defect(LeadershipClock, "elapsed_us", _elapsed_since_boot),
 }
-"""Defects that `power-and-disks` did not find: the first within seeds 0 to 4 (from 5 on it ran without end),
-the second within seeds 0 to 2. The control plane's `wiped-after-ack` finds the first."""
+"""Defects that `power-and-disks` did not find: the first in seeds 0 to 4 (from 5 on it did not terminate),
+the second in seeds 0 to 2. The control plane's schedule `wiped-after-ack` finds the first."""
--- a/lapisgrade/lab/simulation/disk.py
+++ b/lapisgrade/lab/simulation/disk.py
@@ -1,7 +1,7 @@
-"""A simulated disk with one log on it.
+"""A simulated disk that stores one log.
 
-What was written and not synced may be there, missing or torn after a loss of power, and stays after a kill.
-The disk may be slow, stall, refuse every write, or be wiped.
+A kill of the process keeps records that were written but not synced; after a loss of power, the last of them
+may be missing. The disk may be slow, stall, reject every write as a full disk does, or be wiped.
 """
 
 import asyncio
@@ -14,27 +14,35 @@
 from lapisgrade.gateway.consensus.records import EntriesRecord, HardState, Record, SnapshotRecord
 from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, VirtualLoop
 
-_RECORD = msgspec.msgpack.Decoder(Record)
+_RECORD_DECODER = msgspec.msgpack.Decoder(Record)
 MIN_SYNC_US = 500
 MAX_SYNC_US = 6_000
 
 
 class Disk:
-    """The log store of one machine, and the executor that runs its blocking calls."""
+    """The log store of one machine, and the executor that runs its blocking calls.
+
+    Attributes:
+        records: Written records of the newest generation.
+        synced_count: Number of those records that are durable.
+        previous_records: Records of the previous generation, None once the newest is durable.
+        is_full: Whether writes fail with an `OSError`.
+        stalled_until_us: End of a stall; calls start only after it.
+        slowdown: Factor on the duration of calls.
+        contents_before_wipe: The contents that the last wipe destroyed, for the invariant checks.
+    """
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.records: list[bytes] = []  # of the newest generation, written
-        self.synced_count = 0  # how many of them are durable
-        self.previous_records: list[bytes] | None = (
-            None  # the previous generation, until the newest is durable
-        )
+        self.records: list[bytes] = []
+        self.synced_count = 0
+        self.previous_records: list[bytes] | None = None
         self.is_full = False
-        self.stalled_until_us = 0  # us
+        self.stalled_until_us = 0
         self.slowdown = 1.0
         self.contents_before_wipe: Disk | None = None
         self._busy_until_us = 0
-        self._write: Callable[[], None] | None = None  # what takes effect when the sync ends
+        self._on_synced: Callable[[], None] | None = None  # called at the end of the current call's sync
 
     # ---- the interface of the controller's log store
 
@@ -43,21 +51,21 @@
         return list(self.records)
 
     def start_generation(self, beginning: bytes) -> None:
-        """Begin a new generation with that record."""
+        """Start a new generation with this record."""
         self._check_space()
         if self.synced_count:
             self.previous_records = self.records[: self.synced_count]
         self.records, self.synced_count = [beginning], 0
-        self._write = self._finish_sync
+        self._on_synced = self._finish_sync
 
     def append(self, records: list[bytes]) -> None:
         """Write records to the newest generation."""
         self._check_space()
         self.records = [*self.records, *records]
-        self._write = self._finish_sync
+        self._on_synced = self._finish_sync
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing."""
 
     def _check_space(self) -> None:
         if self.is_full:
@@ -70,39 +78,51 @@
     # ---- the interface of an executor
 
     def submit_to(self, loop: VirtualLoop, func: Callable, args: tuple) -> asyncio.Future:
-        """Run a blocking call; its future ends when the disk is done."""
+        """Run a blocking call; the future is resolved when the disk has finished."""
         future = loop.create_future()
-        takes = round(self.random.randrange(MIN_SYNC_US, MAX_SYNC_US) * self.slowdown)
-        begins = max(loop.now_us, self._busy_until_us, self.stalled_until_us)
-        self._busy_until_us = begins + takes
+        duration_us = round(self.random.randrange(MIN_SYNC_US, MAX_SYNC_US) * self.slowdown)
+        start_us = max(loop.now_us, self._busy_until_us, self.stalled_until_us)
+        self._busy_until_us = start_us + duration_us
         process = CURRENT_PROCESS.get()
-        # The call is made as the disk takes it up, and what it wrote is synced as it ends.
-        loop.schedule(begins - loop.now_us, process, self._begin, loop, func, args, future, takes)
+        # The call is made when the disk starts on it, and its writes are durable when the disk has finished.
+        loop.schedule(
+            start_us - loop.now_us, process, self._start_call, loop, func, args, future, duration_us
+        )
         return future
 
-    def _begin(
-        self, loop: VirtualLoop, func: Callable, args: tuple, future: asyncio.Future, takes: int
+    def _start_call(
+        self, loop: VirtualLoop, func: Callable, args: tuple, future: asyncio.Future, duration_us: int
     ) -> None:
-        self._write = None
+        self._on_synced = None
         try:
-            value, wrong = func(*args), None
+            value, failure = func(*args), None
         except OSError as error:
-            value, wrong = None, error
-        loop.schedule(takes, CURRENT_PROCESS.get(), self._end, future, value, wrong, self._write)
+            value, failure = None, error
+        loop.schedule(
+            duration_us,
+            CURRENT_PROCESS.get(),
+            self._finish_call,
+            future,
+            value,
+            failure,
+            self._on_synced,
+        )
 
-    def _end(self, future: asyncio.Future, value: Any, wrong: OSError | None, write: Any) -> None:
-        if write is not None:
-            write()
+    def _finish_call(
+        self, future: asyncio.Future, value: Any, failure: OSError | None, on_synced: Any
+    ) -> None:
+        if on_synced is not None:
+            on_synced()
         if not future.done():
-            future.set_exception(wrong) if wrong is not None else future.set_result(value)
+            future.set_exception(failure) if failure is not None else future.set_result(value)
 
     def shutdown(self, wait: bool = True, cancel_futures: bool = False) -> None:
-        """Shut nothing down."""
+        """Do nothing."""
 
     # ---- faults
 
     def lose_power(self) -> None:
-        """Keep some of the first records that were not synced; a new generation may be missing."""
+        """Drop a random suffix of the unsynced records; a generation without a sync may be lost entirely."""
         self._busy_until_us = 0
         if self.previous_records is not None and self.random.random() < 0.5:
             self.records = self.previous_records
@@ -113,11 +133,11 @@
         self.previous_records = None
 
     def kill(self) -> None:
-        """Kill the process during its writes, which stay in the page cache."""
+        """Kill the process; its writes remain, as they are in the page cache."""
         self._busy_until_us = 0
 
     def wipe(self) -> None:
-        """Lose all records; `contents_before_wipe` keeps them for checks of messages sent before."""
+        """Lose all records; `contents_before_wipe` keeps them to check messages sent before the wipe."""
         contents = Disk(self.random)
         contents.records = self.records
         contents.synced_count = self.synced_count
@@ -130,15 +150,15 @@
 
     def _durable_records(self) -> list[Record]:
         records = self.records[: self.synced_count] if self.synced_count else (self.previous_records or [])
-        return [_RECORD.decode(each) for each in records]
+        return [_RECORD_DECODER.decode(each) for each in records]
 
     def has_synced_vote(self, term: int, candidate: str) -> bool:
-        """Whether a vote in that term, or a later term, is durable."""
+        """Whether a vote for the candidate in that term, or any later term, is durable."""
         states = [each for each in self._durable_records() if not isinstance(each, EntriesRecord)]
         return any(each.term > term or (each.term, each.voted_for) == (term, candidate) for each in states)
 
     def has_synced(self, index: int, term: int) -> bool:
-        """Whether an entry is durable, itself or within a snapshot."""
+        """Whether an entry is durable, in the log or in a snapshot."""
         found = False
         for record in self._durable_records():
             if isinstance(record, HardState):
--- a/lapisgrade/lab/simulation/fault_schedules.py
+++ b/lapisgrade/lab/simulation/fault_schedules.py
@@ -1,6 +1,6 @@
-"""Fault schedules of the control plane by name, each drawn in its timing by a seed.
+"""Fault schedules of the control plane by name, whose timing a seed determines.
 
-A schedule runs a simulation to its end; the operators' worst days are among them.
+A schedule runs a complete simulation.
 """
 
 from collections.abc import Callable
@@ -19,35 +19,35 @@
     killed_before_sync,
     lagging_voter,
     newcomers_on_one_side,
-    overlapping_losses,
-    replaced_twice,
+    replaced_with_leader_loss,
     slow_voter_changes,
     voted_before_sync,
     wiped_after_acknowledgement,
+    wiped_during_partition,
 )
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
 LONG_PARTITION_S = 20.0
-ABSENCE_S = 20.0  # that a member is away; some hundred changes
-CATCH_UP_TIMEOUT_S = 4.0  # in which it catches up while changes go on
-MAX_IN_FLIGHT = 8  # entries that may be missing of one that has caught up
-UNLIMITED = 1 << 30
+DOWNTIME_S = 20.0  # downtime of a member; long enough to miss hundreds of changes
+CATCH_UP_TIMEOUT_S = 4.0  # maximum time to catch up while changes continue
+MAX_IN_FLIGHT = 8  # maximum lag, in entries, of a member that counts as caught up
+UNLIMITED_ENTRIES = 1 << 30
 
 
 STEPS = (
     wiped_after_acknowledgement,
     newcomers_on_one_side,
-    overlapping_losses,
-    replaced_twice,
+    wiped_during_partition,
+    replaced_with_leader_loss,
     lagging_voter,
 )
-SIZES = ((3, 1), (4, 1), (5, 1), (6, 2), (8, 2))  # voters, and how many may be lost at once
+CLUSTER_SIZES = ((3, 1), (4, 1), (5, 1), (6, 2), (8, 2))  # voters, and machines that may be lost at once
 
 
 def leader_partition(seed: int) -> ControlPlaneSimulation:
-    """A leader is partitioned for 20 s, both ways or one way, while clients call both sides.
+    """The leader is partitioned for up to 20 s, in both directions or one, while clients call both sides.
 
-    Or in short: with late replies, with a follower that is restarted, or all from all.
+    Other variants are short: late replies, a follower that is restarted, or a partition between all machines.
     """
     simulation = start_simulation(seed)
     for _ in range(3):
@@ -63,10 +63,10 @@
 
 
 def _long_partition(simulation: ControlPlaneSimulation) -> None:
-    """The leader is partitioned, both ways, or so that it only sends or only receives."""
+    """The leader is partitioned in both directions, or can only send, or can only receive."""
     leader, others = leader_and_others(simulation)
     direction = simulation.random.randrange(3)
-    if direction == 1:  # it receives nothing
+    if direction == 1:  # the leader receives nothing
         simulation.cluster.partition([each.name for each in others], one_way=True)
     else:
         simulation.cluster.partition([leader.name], one_way=direction == 2)
@@ -74,7 +74,7 @@
 
 
 def _partition_and_restart(simulation: ControlPlaneSimulation) -> None:
-    """The leader's lease rests on a follower that restarts and then reaches the other one only."""
+    """The leader's lease depends on a follower that restarts, and then reaches only the other follower."""
     leader, (first, *rest) = leader_and_others(simulation)
     block_links(simulation, [leader], rest)
     simulation.loop.run_for(0.1 + 0.3 * simulation.random.random())
@@ -85,26 +85,26 @@
 
 
 def _late_replies(simulation: ControlPlaneSimulation) -> None:
-    """Followers' replies are delayed until they are out of date as they arrive."""
+    """Followers' replies are delayed so long that they are stale when they arrive."""
     leader, others = leader_and_others(simulation)
-    late = round((0.2 + 0.18 * simulation.random.random()) * SECOND)
-    simulation.cluster.network.extra_delay_us = {(each.ip, leader.ip): late for each in others}
+    delay_us = round((0.2 + 0.18 * simulation.random.random()) * SECOND)
+    simulation.cluster.network.extra_delay_us = {(each.ip, leader.ip): delay_us for each in others}
     simulation.loop.run_for(0.5)
     simulation.cluster.partition([leader.name])
     simulation.loop.run_for(1.2)
 
 
 def _partial_partition(simulation: ControlPlaneSimulation) -> None:
-    """One follower reaches the leader, with late replies, and the other doesn't."""
+    """One follower reaches the leader, with late replies, and the others don't."""
     leader, (first, *rest) = leader_and_others(simulation)
-    late = round((0.1 + 0.1 * simulation.random.random()) * SECOND)
-    simulation.cluster.network.extra_delay_us = {(first.ip, leader.ip): late}
+    delay_us = round((0.1 + 0.1 * simulation.random.random()) * SECOND)
+    simulation.cluster.network.extra_delay_us = {(first.ip, leader.ip): delay_us}
     block_links(simulation, [leader], rest)
     simulation.loop.run_for(2.0)
 
 
 def _full_partition(simulation: ControlPlaneSimulation) -> None:
-    """Nobody reaches anybody for about an election time-out, several times."""
+    """All links are blocked for about an election time-out, several times."""
     for _ in range(6):
         machines = simulation.cluster.running_machines()
         block_links(simulation, machines, machines)
@@ -113,10 +113,10 @@
         simulation.loop.run_for(0.02 + 0.2 * simulation.random.random())
 
 
-def orders_resent(seed: int) -> ControlPlaneSimulation:
-    """Eight operators at once, most replies lost, while leaders change and all restart."""
+def changes_resent(seed: int) -> ControlPlaneSimulation:
+    """Eight concurrent operators lose most replies while leaders change and all machines restart."""
     with log_limits(max_log_entries := 6 + seed % 3 * 20, 400):
-        simulation = start_simulation(seed, max_log_entries % 2 + 3, pause=0.2, operators=8)
+        simulation = start_simulation(seed, max_log_entries % 2 + 3, max_pause_s=0.2, operators=8)
         for operator in simulation.operators:
             operator.lost_reply_rate = 0.6
             operator.resend_rate = 0.5
@@ -134,7 +134,7 @@
 
 
 def _stall_all_disks(simulation: ControlPlaneSimulation) -> None:
-    """All disks stall for longer than an operator waits: its changes are committed, but late."""
+    """All disks stall for longer than an operator's time-out: its changes are committed, but late."""
     for machine in simulation.cluster.running_machines():
         machine.disk.stalled_until_us = simulation.loop.now_us + round(
             (1.0 + simulation.random.random()) * SECOND
@@ -143,24 +143,24 @@
 
 
 def second_loss(seed: int) -> ControlPlaneSimulation:
-    """A loss right after a repair or a replacement, at each of its steps."""
-    size, tolerate = SIZES[seed // len(STEPS) % len(SIZES)]
+    """A machine is lost right after a repair or a replacement, or in the middle of it."""
+    size, max_lost = CLUSTER_SIZES[seed // len(STEPS) % len(CLUSTER_SIZES)]
     with log_limits(6 if seed % 3 else 128, 300):
-        return repeat_step(start_simulation(seed, size, tolerate), STEPS[seed % len(STEPS)], 5.0)
+        return repeat_step(start_simulation(seed, size, max_lost), STEPS[seed % len(STEPS)], 5.0)
 
 
 def churn(seed: int) -> ControlPlaneSimulation:
-    """Random partitions in quick succession, and one entry in each message.
+    """Random partitions in quick succession, with one entry in each message.
 
-    Five members lead with entries of several terms that nobody has committed.
+    New leaders among the five members have uncommitted entries of several terms.
     """
-    with log_limits(UNLIMITED, 300, 1):
-        simulation = start_simulation(seed, 5, 2, pause=0.05, operators=3)
+    with log_limits(UNLIMITED_ENTRIES, 300, 1):
+        simulation = start_simulation(seed, 5, 2, max_pause_s=0.05, operators=3)
         for _ in range(24):
             machines = simulation.cluster.running_machines()
             simulation.random.shuffle(machines)
-            some = simulation.random.randrange(1, 4)
-            block_links(simulation, machines[:some], machines[some:])
+            size = simulation.random.randrange(1, 4)
+            block_links(simulation, machines[:size], machines[size:])
             simulation.loop.run_for(0.02 + 0.9 * simulation.random.random())
             if simulation.random.random() < 0.5:
                 simulation.cluster.network.blocked_links = set()
@@ -169,14 +169,14 @@
 
 
 def hundreds_of_changes(seed: int) -> ControlPlaneSimulation:
-    """A member misses hundreds of changes, and catches up, at times on a slow link, while they go on."""
+    """A member misses hundreds of changes, and catches up, sometimes on a slow link, while they continue."""
     with log_limits(16, 500):
-        simulation = start_simulation(seed, pause=0.05, operators=4)
+        simulation = start_simulation(seed, max_pause_s=0.05, operators=4)
         for operator in simulation.operators:
             operator.lost_reply_rate, operator.routes = 0.0, 12
         _, (member, *_) = leader_and_others(simulation)
         member.kill(power=seed % 2 == 0, wipe=seed % 4 == 3)
-        simulation.loop.run_for(ABSENCE_S)
+        simulation.loop.run_for(DOWNTIME_S)
         member.start()
         if seed % 3 == 0:
             simulation.cluster.network.bytes_per_second = {
@@ -184,12 +184,11 @@
             }
         if not simulation.loop.run_until(lambda: _has_caught_up(simulation, member), CATCH_UP_TIMEOUT_S):
             simulation.cluster.invariants.report_violation(
-                f"{member.name} has not caught up in {CATCH_UP_TIMEOUT_S} s"
+                f"{member.name} has not caught up within {CATCH_UP_TIMEOUT_S} s after its start"
             )
         simulation.loop.run_for(0.5)
-        for machine in (
-            simulation.cluster.running_machines()
-        ):  # the others stand still: it may lead only with one of them
+        # With the leader frozen the member may become leader, which takes the vote of another voter.
+        for machine in simulation.cluster.running_machines():
             if machine is not member and machine is simulation.cluster.leader():
                 machine.freeze(3.0)
         simulation.loop.run_for(4.0)
@@ -198,7 +197,7 @@
 
 
 def _has_caught_up(simulation: ControlPlaneSimulation, machine: Machine) -> bool:
-    """Whether it has all but what is in flight."""
+    """Whether the machine lags behind the leader by at most the entries in flight."""
     leader = simulation.cluster.leader()
     if leader is None or machine.controller.node is None:
         return False
@@ -206,16 +205,16 @@
 
 
 def unsynced(seed: int) -> ControlPlaneSimulation:
-    """Slow disks, and processes that are killed or lose power between a write and its sync."""
+    """Disks are slow, and processes are killed or lose power between a write and its sync."""
     step = (killed_before_sync, voted_before_sync)[seed % 2]
     return repeat_step(start_simulation(seed), step, 2.0)
 
 
 def schedule_of_step(
-    step: Callable[[ControlPlaneSimulation], None], pause: float
+    step: Callable[[ControlPlaneSimulation], None], pause_s: float
 ) -> Callable[[int], ControlPlaneSimulation]:
-    """Return a schedule of that step alone, on three members."""
-    return lambda seed: repeat_step(start_simulation(seed), step, pause)
+    """Return a schedule that repeats a single step on three members."""
+    return lambda seed: repeat_step(start_simulation(seed), step, pause_s)
 
 
 FAULT_SCHEDULES: dict[str, Callable[[int], ControlPlaneSimulation]] = {
@@ -226,7 +225,7 @@
     "lagging-partner": schedule_of_step(lagging_voter, 3.0),
     "vote-unsynced": schedule_of_step(voted_before_sync, 2.0),
     "leader-cut": leader_partition,
-    "orders-resent": orders_resent,
+    "orders-resent": changes_resent,
     "second-loss": second_loss,
     "churn": churn,
     "hundreds-of-changes": hundreds_of_changes,
--- a/lapisgrade/lab/simulation/faults.py
+++ b/lapisgrade/lab/simulation/faults.py
@@ -1,7 +1,7 @@
-"""Faults of simulated machines, drawn at random: crashes, partitions, stalled disks, replacements.
+"""Random faults of simulated machines: crashes, partitions, stalled disks, replacements.
 
-A `FaultInjector` never has more machines lost at once than the cluster must tolerate. A machine counts as
-lost from its fault until it had time to recover.
+A `FaultInjector` never lets more machines be lost at once than the cluster must tolerate. A machine counts as
+lost from its fault until it has had time to recover.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from lapisgrade.lab.simulation.machine import Machine
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
-RECOVERY_S = 4.0  # that a machine counts as lost after it is back
+RECOVERY_S = 4.0  # time for which a machine still counts as lost after its fault has ended
 SLOW_LINK_BYTES_PER_SECOND = 250_000.0  # 2 Mbit/s
 LEADER_FAULT_RATE = 0.4
 CRASH_DURATIONS_S = (0.05, 0.5, 1.5, 4.0)
@@ -25,28 +25,28 @@
 
 
 class FaultInjector:
-    """Injects faults into a cluster's machines, `tolerate` of them lost at the most at any time."""
+    """Injects faults into a cluster's machines, at most `max_lost` of which are lost at any time."""
 
-    def __init__(self, cluster: Cluster, random: Random, tolerate: int) -> None:
+    def __init__(self, cluster: Cluster, random: Random, max_lost: int) -> None:
         self.cluster = cluster
         self.loop = cluster.loop
         self.random = random
-        self.tolerate = tolerate
+        self.max_lost = max_lost
 
     def lost_machines(self) -> list[Machine]:
-        """Return the machines that count as lost now."""
+        """Return the machines that currently count as lost."""
         now_us = self.loop.now_us
         machines = self.cluster.machines.values()
         return [each for each in machines if not each.is_removed and each.lost_until_us > now_us]
 
     def can_lose_another(self) -> bool:
-        """Whether one more machine may be lost now."""
-        return len(self.lost_machines()) < self.tolerate
+        """Whether another machine may be lost now."""
+        return len(self.lost_machines()) < self.max_lost
 
     def choose_victim(self) -> Machine | None:
-        """Choose a machine that may be lost now, often the leader; None where no more may be."""
+        """Choose a machine that may be lost now, often the leader; None if no other may be lost."""
         lost = self.lost_machines()
-        if len(lost) >= self.tolerate:
+        if len(lost) >= self.max_lost:
             return None
         running = self.cluster.running_machines()
         candidates = [each for each in running if each not in lost and not each.is_removed]
@@ -56,19 +56,19 @@
         return self.random.choice(candidates) if candidates else None
 
     def mark_lost(self, machine: Machine, seconds: float) -> None:
-        """Count a machine as lost for so many seconds, and as long as it needs to recover."""
+        """Count a machine as lost for `seconds` and its recovery."""
         machine.lost_until_us = self.loop.now_us + round((seconds + RECOVERY_S) * SECOND)
 
     def call_after(self, seconds: float, callback: Callable[..., object], *args: Any) -> None:
-        """Call `callback` in so many simulated seconds, outside all processes."""
+        """Call `callback` after that many simulated seconds, outside all processes."""
         self.loop.schedule(round(seconds * SECOND), None, callback, *args)
 
     def choose(self) -> "Fault":
-        """Choose a random kind of fault, to be called with this injector."""
+        """Choose a random fault; call it with this injector to inject it."""
         return self.random.choice(RANDOM_FAULTS)
 
     def crash(self, power: bool = False, wipe: bool = False) -> None:
-        """Kill a process, with `power` or the whole disk lost, and start it again."""
+        """Kill a process, with a loss of `power` or of the disk (`wipe`), and restart it."""
         machine = self.choose_victim()
         if machine is None:
             return
@@ -78,7 +78,7 @@
         self.call_after(seconds, machine.start)
 
     def crash_all(self, power: bool, wipe_one: bool = False) -> None:
-        """Crash all at once; their disks stay, but for one where that may be lost."""
+        """Crash all machines at once; with `wipe_one`, one loses its disk if that is tolerable."""
         wiped = self.choose_victim() if wipe_one else None
         if wiped is not None:
             self.mark_lost(wiped, 1.0)
@@ -87,7 +87,7 @@
             self.call_after(0.2 + self.random.random(), machine.start)
 
     def partition(self, one_way: bool = False) -> None:
-        """Block the links of a machine, both ways or one way."""
+        """Block the links of a machine, in both directions or one."""
         machine = self.choose_victim()
         if machine is None:
             return
@@ -95,13 +95,13 @@
         self.mark_lost(machine, seconds)
         if one_way and self.random.random() < 0.5:
             others = [each for each in self.cluster.machines if each != machine.name]
-            self.cluster.partition(others, one_way=True)  # the machine sends, and receives nothing
+            self.cluster.partition(others, one_way=True)  # the machine sends but receives nothing
         else:
             self.cluster.partition([machine.name], one_way)
         self.call_after(seconds, self.cluster.heal)
 
     def freeze(self) -> None:
-        """Freeze a process for some time."""
+        """Freeze a process temporarily."""
         machine = self.choose_victim()
         if machine is not None:
             seconds = self.random.choice(FREEZE_DURATIONS_S)
@@ -109,33 +109,33 @@
             machine.freeze(seconds)
 
     def stall_disk(self, full: bool) -> None:
-        """Have a disk refuse writes (`full`) or stall for some time."""
+        """Make a disk reject writes (`full`) or stall temporarily."""
         machine = self.choose_victim()
         if machine is None:
             return
         seconds = self.random.choice(STALL_DURATIONS_S)
         self.mark_lost(machine, seconds)
         if full:
-            self.cluster.note(f"{machine.name}: its disk is full for {seconds} s")
+            self.cluster.note(f"{machine.name}: disk full for {seconds} s")
             machine.disk.is_full = True
             self.call_after(seconds, setattr, machine.disk, "is_full", False)
         else:
-            self.cluster.note(f"{machine.name}: its disk stalls for {seconds} s")
+            self.cluster.note(f"{machine.name}: disk stalls for {seconds} s")
             machine.disk.stalled_until_us = self.loop.now_us + round(seconds * SECOND)
 
     def slow_link(self) -> None:
-        """Limit the bandwidth out of a machine for some time."""
+        """Limit the outbound bandwidth of a machine temporarily."""
         machine = self.choose_victim()
         if machine is None:
             return
-        self.cluster.note(f"{machine.name}: a slow link for 5 s")
+        self.cluster.note(f"{machine.name}: slow link for 5 s")
         self.mark_lost(machine, SLOW_LINK_DURATION_S)
         bandwidths = self.cluster.network.bytes_per_second
         bandwidths[machine.ip] = SLOW_LINK_BYTES_PER_SECOND
         self.call_after(SLOW_LINK_DURATION_S, bandwidths.pop, machine.ip, None)
 
     def restart(self) -> None:
-        """Shut a process down gracefully, and start it again with its disk."""
+        """Shut a process down gracefully, and restart it on its disk."""
         machine = self.choose_victim()
         if machine is None:
             return
@@ -148,7 +148,7 @@
             machine.start()
 
     def replace(self, planned: bool) -> None:
-        """Remove a machine for good and add an empty one; `planned`, the new one starts first."""
+        """Replace a machine by an empty one; if `planned`, the new one starts first."""
         machine = self.choose_victim()
         if machine is None:
             return
@@ -171,7 +171,7 @@
             self.cluster.remove(machine)
 
     def return_removed(self) -> None:
-        """Start a machine that was replaced, with its old disk."""
+        """Restart a machine that was replaced, on its old disk."""
         removed = [each for each in self.cluster.machines.values() if each.is_removed]
         if removed:
             machine = self.random.choice(removed)
@@ -200,4 +200,4 @@
     partial(FaultInjector.replace, planned=False),
     FaultInjector.return_removed,
 )
-"""Every kind of fault, each as likely as any other."""
+"""All kinds of faults, with equal probability."""
--- a/lapisgrade/lab/simulation/linearizability.py
+++ b/lapisgrade/lab/simulation/linearizability.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-UNANSWERED = 1 << 62  # us; later than every reply
-MAX_STATES = 400_000  # after which the search gives up
+UNANSWERED = 1 << 62  # us; the return time of an operation without a final reply
+MAX_STATES = 400_000  # maximum number of states before the search is abandoned
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,18 +21,18 @@
 
     kind: str  # "change" or "read"
     called_us: int
-    returned_us: int  # UNANSWERED where no final reply came
+    returned_us: int  # UNANSWERED without a final reply
     version: int
     base: int = 0
-    is_accepted: bool | None = None  # of a change; None where no final reply came
+    is_accepted: bool | None = None  # of a change; None without a final reply
 
 
 class HistoryTooLargeError(Exception):
-    """The search gave up: the history is neither shown to be linearizable nor not."""
+    """The search was abandoned, so it is unknown whether the history is linearizable."""
 
 
 def apply_event(event: Event, value: int) -> int | None:
-    """Return the register's value after the event, None where the event could not have occurred."""
+    """Return the register's value after the event, or None if the event could not have occurred."""
     if event.kind == "read":
         return value if value == event.version else None
     if event.is_accepted:
@@ -42,7 +42,7 @@
 
 
 def _next_states(events: list[Event], done: int, value: int) -> Iterator[tuple[int, int]]:
-    """Yield the states after each event that may be next: no other open one returned before its call."""
+    """Yield the states after each possible next event: one called before any remaining event returned."""
     first_return_us = UNANSWERED
     for i, event in enumerate(events):
         if done >> i & 1:
@@ -51,7 +51,7 @@
             return
         first_return_us = min(first_return_us, event.returned_us)
         if event.kind == "change" and event.is_accepted is None:
-            if value == event.base:  # it may have been accepted here; or it never is
+            if value == event.base:  # it may have been accepted at this point, or never
                 yield done | 1 << i, event.version
             continue
         following = apply_event(event, value)
@@ -65,40 +65,45 @@
     all_done = (1 << len(events)) - 1
     seen: set[tuple[int, int]] = set()
     stack = [(0, start)]
-    optional = sum(1 << i for i, each in enumerate(events) if each.returned_us == UNANSWERED)
+    unanswered = sum(1 << i for i, each in enumerate(events) if each.returned_us == UNANSWERED)
     while stack:
         done, value = stack.pop()
-        if done | optional == all_done:
+        if done | unanswered == all_done:
             return True
         if (done, value) in seen:
             continue
         seen.add((done, value))
         if len(seen) > MAX_STATES:
-            raise HistoryTooLargeError(f"{len(events)} events")
+            raise HistoryTooLargeError(f"{len(events)} events: search abandoned")
         stack.extend(_next_states(events, done, value))
     return False
 
 
 def first_violation(events: list[Event], start: int = 0) -> int | None:
-    """Return the time (us) up to which the history can't be explained, None where all of it can."""
+    """Return the end (us) of the shortest prefix that isn't linearizable, or None if all of it is."""
     if linearizable(events, start):
         return None
-    ends = sorted({each.returned_us for each in events if each.returned_us != UNANSWERED})
-    low, high = 0, len(ends) - 1
-    while low < high:  # the shortest beginning of the history that is wrong
+    return_times_us = sorted({each.returned_us for each in events if each.returned_us != UNANSWERED})
+    low, high = 0, len(return_times_us) - 1
+    while low < high:  # binary search for the shortest prefix that isn't linearizable
         middle = (low + high) // 2
-        part = [_until(each, ends[middle]) for each in events if each.called_us <= ends[middle]]
+        part = [
+            _as_known_at(each, return_times_us[middle])
+            for each in events
+            if each.called_us <= return_times_us[middle]
+        ]
         if linearizable(part, start):
             low = middle + 1
         else:
             high = middle
-    return ends[low]
+    return return_times_us[low]
 
 
-def _until(event: Event, end_us: int) -> Event:
-    """Return the event as it was known at that time."""
+def _as_known_at(event: Event, end_us: int) -> Event:
+    """Return the event as its caller knew it at that time."""
     if event.returned_us <= end_us:
         return event
     if event.kind == "read":
-        return Event("change", event.called_us, UNANSWERED, -1, -2)  # an open read explains nothing
+        # A pending read explains nothing; this change stands for it, and can never take effect.
+        return Event("change", event.called_us, UNANSWERED, -1, -2)
     return Event("change", event.called_us, UNANSWERED, event.version, event.base)
--- a/lapisgrade/lab/simulation/log_limits.py
+++ b/lapisgrade/lab/simulation/log_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the replicated log, lowered for a simulation so that snapshots and small messages occur often."""
+"""Lower limits of the replicated log for a simulation, so that snapshots and small messages are frequent."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,12 +10,12 @@
 def log_limits(
     max_log_entries: int, chunk_bytes: int, max_append_bytes: int = replication.MAX_APPEND_BYTES
 ) -> Iterator[None]:
-    """Run with these limits in all simulated controllers.
+    """Set the limits of all simulated controllers within the context.
 
     Args:
-        max_log_entries: entries after which a node takes a snapshot.
-        chunk_bytes: bytes of a snapshot in one message.
-        max_append_bytes: bytes of entries in one message.
+        max_log_entries: Number of entries after which a node takes a snapshot.
+        chunk_bytes: Size of a snapshot chunk in one message.
+        max_append_bytes: Maximum size of the entries in one message.
     """
     original = compaction.MAX_LOG_ENTRIES, snapshots.CHUNK_BYTES, replication.MAX_APPEND_BYTES
     compaction.MAX_LOG_ENTRIES = max_log_entries
--- a/lapisgrade/lab/simulation/machine.py
+++ b/lapisgrade/lab/simulation/machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine: a disk, and one controller process at a time, with the controller's real shell."""
+"""A simulated machine: a disk, and at most one process, which runs the production code of a controller."""
 
 from random import Random
 from typing import Protocol
@@ -17,13 +17,13 @@
 
 
 class ControllerChecks(Protocol):
-    """Checks made at each step of a controller."""
+    """Invariant checks at each step of a controller."""
 
     def on_started(self, controller: "SimulatedController") -> None:
-        """Check a controller that has read its disk."""
+        """Check a controller that has recovered from its disk."""
 
     def on_lease_confirmed(self, controller: "SimulatedController") -> None:
-        """Check a controller that is about to answer as the leader."""
+        """Check a controller that is about to reply as the leader."""
 
     def on_entry_applied(self, controller: "SimulatedController", entry: Entry) -> None:
         """Check an entry that a controller has applied."""
@@ -33,7 +33,7 @@
 
 
 class Environment(Protocol):
-    """What a machine needs of the cluster that it belongs to."""
+    """The cluster that a machine belongs to."""
 
     loop: VirtualLoop
     network: Network
@@ -42,38 +42,38 @@
 
     @property
     def checks(self) -> ControllerChecks:
-        """The checks made at each step of a controller."""
+        """The checks at each step of a controller."""
 
-    def note(self, what: str) -> None:
+    def note(self, text: str) -> None:
         """Add a line to the transcript."""
 
 
 class NoDrafts:
-    """A draft store that keeps none."""
+    """A draft store without drafts."""
 
     def __init__(self) -> None:
         self.drafts: dict = {}
 
     async def load(self) -> None:
-        """Load nothing."""
+        """Do nothing."""
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing."""
 
 
 class InvariantObserver(ConsensusObserver):
-    """Has the invariants checked at each step of a controller."""
+    """Runs the invariant checks at each step of a controller."""
 
     def __init__(self, controller: "SimulatedController", checks: ControllerChecks) -> None:
         self._controller = controller
         self._checks = checks
 
     def on_started(self) -> None:
-        """Check a node that was restored from its disk."""
+        """Check a node that has recovered from its disk."""
         self._checks.on_started(self._controller)
 
     def on_lease_confirmed(self) -> None:
-        """Check a leader that is about to answer."""
+        """Check a leader that is about to reply."""
         self._checks.on_lease_confirmed(self._controller)
 
     def on_entry_applied(self, entry: Entry) -> None:
@@ -86,7 +86,7 @@
 
 
 class SimulatedController(Controller):
-    """A controller in a simulated environment, which takes operators' calls beside its own RPC."""
+    """A controller in a simulated environment, which also handles operators' calls over the network."""
 
     def __init__(self, machine: "Machine", settings: Settings, process: Process) -> None:
         cluster = machine.cluster
@@ -112,7 +112,7 @@
         )
 
     async def run(self) -> None:
-        """Listen for operators' calls too, and run until the shutdown is complete."""
+        """Listen for operators' calls, and run the controller until its shutdown is complete."""
         await self.calls.listen((self.settings.ip, OPERATOR_PORT))
         await super().run()
 
@@ -124,7 +124,12 @@
 
 
 class Machine:
-    """A host for one controller process at a time, with a disk."""
+    """A host with a disk and at most one controller process.
+
+    Attributes:
+        identity: Identity of the node on its disk at its last start.
+        lost_until_us: End of its downtime and recovery, until when it counts as lost.
+    """
 
     def __init__(self, cluster: Environment, name: str, ip: str) -> None:
         self.cluster = cluster
@@ -133,8 +138,8 @@
         self.disk = Disk(cluster.loop.random)
         self.process: Process | None = None
         self.controller: SimulatedController | None = None
-        self.identity = ""  # of the node on its disk, as it started last
-        self.lost_until_us = 0  # counted as lost while it is down, and for a time after
+        self.identity = ""
+        self.lost_until_us = 0
         self.is_removed = False
 
     @property
@@ -158,17 +163,17 @@
 
     async def _run(self, controller: SimulatedController, process: Process) -> None:
         await controller.run()
-        self.cluster.note(f"{self.name} has ended")
+        self.cluster.note(f"{self.name} has exited")
         controller.calls.close()
         process.is_alive = False
 
     def stop(self) -> None:
-        """Begin a graceful shutdown, as SIGTERM does."""
-        self.cluster.note(f"{self.name} is told to end")
+        """Start a graceful shutdown, as on SIGTERM."""
+        self.cluster.note(f"{self.name} starts a graceful shutdown")
         self.cluster.loop.schedule(0, self.process, self.controller.end)
 
     def kill(self, power: bool = False, wipe: bool = False) -> None:
-        """Kill the process, as SIGKILL, a loss of `power` or of the disk (`wipe`) does."""
+        """Kill the process as on SIGKILL, or with a loss of `power` or of the disk (`wipe`)."""
         self.cluster.note(f"{self.name}: " + ("disk lost" if wipe else "power lost" if power else "killed"))
         if self.process is not None:
             self.process.is_alive = False
@@ -180,8 +185,8 @@
             self.disk.kill()
 
     def freeze(self, seconds: float) -> None:
-        """Have the process run nothing for so many seconds."""
-        self.cluster.note(f"{self.name} stands still for {seconds:.1f} s")
+        """Suspend the process for `seconds`."""
+        self.cluster.note(f"{self.name} is frozen for {seconds:.1f} s")
         self.process.frozen_until_us = self.cluster.loop.now_us + round(seconds * SECOND)
 
 
--- a/lapisgrade/lab/simulation/network.py
+++ b/lapisgrade/lab/simulation/network.py
@@ -1,7 +1,7 @@
 """The network between simulated processes: delay, loss, duplicates, one-way partitions, slow links.
 
-Every message is encoded and decoded, so no two processes share an object. Messages may overtake each other
-and come twice, which TCP's don't: what holds here holds there.
+Every message is encoded and decoded, so processes never share an object. Unlike with TCP, messages may be
+reordered and duplicated, so that the checks cover more than TCP allows.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 MAX_DELAY_US = 5_000
 LOSS_RATE = 0.01
 DUPLICATE_RATE = 0.01
-RETRANSMIT_RATE = 0.5  # of the messages on a blocked link that arrive when it is unblocked soon
-MAX_RETRANSMIT_US = 1_500_000  # that a connection transmits again
-MAX_LATE_COPY_US = 30_000_000  # that another copy of a message may come after it
+RETRANSMIT_RATE = 0.5  # fraction of messages on a blocked link that are retransmitted if it is unblocked soon
+MAX_RETRANSMIT_US = 1_500_000  # maximum age of a message at its retransmission
+MAX_LATE_DUPLICATE_US = 30_000_000  # maximum delay of a late duplicate
 
 Address = tuple[str, int]
 OnCall = Callable[[Any], Awaitable[Any]]
@@ -31,11 +31,11 @@
     """Links between hosts.
 
     Attributes:
-        blocked_links: pairs of hosts whose first can't reach the second.
-        bytes_per_second: the bandwidth out of a host, where it is limited.
-        extra_delay_us: the delay from a host to another beyond the usual.
-        listening: the endpoints by address.
-        late_copy_rate: messages of which another copy arrives long after.
+        blocked_links: Pairs of hosts of which the first can't reach the second.
+        bytes_per_second: Outbound bandwidth by host, for hosts with a limit.
+        extra_delay_us: Additional delay by source and destination.
+        listening: Endpoints by address.
+        late_duplicate_rate: Fraction of messages that are delivered again much later.
     """
 
     def __init__(self, loop: VirtualLoop, union: Any) -> None:
@@ -44,46 +44,46 @@
         self.blocked_links: set[tuple[str, str]] = set()
         self.bytes_per_second: dict[str, float] = {}
         self.extra_delay_us: dict[tuple[str, str], int] = {}
-        self.late_copy_rate = 0.0
+        self.late_duplicate_rate = 0.0
         self.bytes_sent = 0
-        self._link_free_us: dict[str, int] = {}  # when a host's slow link is free
+        self._link_free_us: dict[str, int] = {}  # end of the last transfer out of each host with a limit
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(union)
         self.listening: dict[Address, Endpoint] = {}
-        self._delayed: list[tuple[int, Callable[[], None]]] = []  # since when, and what
+        self._delayed: list[tuple[int, Callable[[], None]]] = []  # time sent (us) and delivery
 
-    def transmit(self, source: str, to: str, message: Any, deliver: Callable[[Any], None]) -> None:
-        """Transmit a message from one host to another, or lose it."""
+    def transmit(self, source: str, destination: str, message: Any, deliver: Callable[[Any], None]) -> None:
+        """Transmit a message from one host to another, unless it is lost."""
         data = self._encoder.encode(message)
         self.bytes_sent += len(data)
 
         def arrive() -> None:
             deliver(self._decoder.decode(data))
 
-        if (source, to) in self.blocked_links:
+        if (source, destination) in self.blocked_links:
             if self.random.random() < RETRANSMIT_RATE:
                 self._delayed.append((self.loop.now_us, arrive))
             return
-        if source != to and self.random.random() < LOSS_RATE:
+        if source != destination and self.random.random() < LOSS_RATE:
             return
         for _ in range(1 + (self.random.random() < DUPLICATE_RATE)):
             transfer_us = self._transfer_us(source, len(data))
-            delay_us = transfer_us + self.extra_delay_us.get((source, to), 0)
+            delay_us = transfer_us + self.extra_delay_us.get((source, destination), 0)
             self.loop.schedule(delay_us, None, arrive)
-        if self.late_copy_rate and self.random.random() < self.late_copy_rate:
-            self.loop.schedule(self.random.randrange(MAX_LATE_COPY_US), None, arrive)
+        if self.late_duplicate_rate and self.random.random() < self.late_duplicate_rate:
+            self.loop.schedule(self.random.randrange(MAX_LATE_DUPLICATE_US), None, arrive)
 
     def _transfer_us(self, source: str, size: int) -> int:
         delay = self.random.randrange(MIN_DELAY_US, MAX_DELAY_US)
         rate = self.bytes_per_second.get(source)
         if rate is None:
             return delay
-        begins = max(self.loop.now_us, self._link_free_us.get(source, 0))
-        self._link_free_us[source] = begins + round(size / rate * SECOND)
+        start_us = max(self.loop.now_us, self._link_free_us.get(source, 0))
+        self._link_free_us[source] = start_us + round(size / rate * SECOND)
         return self._link_free_us[source] - self.loop.now_us + delay
 
     def heal(self) -> None:
-        """Unblock all links; messages that TCP would transmit again arrive now."""
+        """Unblock all links, and deliver the recent messages that TCP would retransmit."""
         self.blocked_links = set()
         delayed, self._delayed = self._delayed, []
         for since_us, arrive in delayed:
@@ -107,7 +107,7 @@
         self._pending_calls: dict[int, asyncio.Future] = {}
 
     async def listen(self, address: Address) -> None:
-        """Take messages and calls at that address."""
+        """Receive messages and calls at that address."""
         self._address = (address[0], address[1])
         self._network.listening[self._address] = self
 
@@ -119,22 +119,22 @@
     def post(self, address: Address, message: Any) -> None:
         """Send a message that has no reply."""
         self._network.transmit(
-            self.host, address[0], message, lambda got: self._deliver_message(address, got)
+            self.host, address[0], message, lambda decoded: self._deliver_message(address, decoded)
         )
 
     def _deliver_message(self, address: Address, message: Any) -> None:
-        other = self._network.listening.get((address[0], address[1]))
-        if other is not None and other.process.is_alive:
-            self._network.loop.schedule(0, other.process, other.on_message, message)
+        receiver = self._network.listening.get((address[0], address[1]))
+        if receiver is not None and receiver.process.is_alive:
+            self._network.loop.schedule(0, receiver.process, receiver.on_message, message)
 
     async def call(self, address: Address, message: Any, timeout_s: float) -> Result[Any, CallFailure]:
-        """As `gateway.rpc.RpcEndpoint.call`."""
+        """Make a call as `gateway.rpc.RpcEndpoint.call` does."""
         self._last_number += 1
         number = self._last_number
         future = asyncio.get_running_loop().create_future()
         self._pending_calls[number] = future
         self._network.transmit(
-            self.host, address[0], message, lambda got: self._deliver_call(address, number, got)
+            self.host, address[0], message, lambda decoded: self._deliver_call(address, number, decoded)
         )
         try:
             async with asyncio.timeout(timeout_s):
@@ -145,27 +145,29 @@
             self._pending_calls.pop(number, None)
 
     def _deliver_call(self, address: Address, number: int, message: Any) -> None:
-        other = self._network.listening.get((address[0], address[1]))
-        if other is None or not other.process.is_alive:
+        receiver = self._network.listening.get((address[0], address[1]))
+        if receiver is None or not receiver.process.is_alive:
             return self._refuse_call(address[0], number, Failure(CallFailure.NOT_RUN))
         loop = self._network.loop
-        loop.schedule(0, other.process, lambda: loop.create_task(other.handle_call(self, number, message)))
+        loop.schedule(
+            0, receiver.process, lambda: loop.create_task(receiver.handle_call(self, number, message))
+        )
 
     async def handle_call(self, caller: "Endpoint", number: int, message: Any) -> None:
         """Handle a call, and send its reply to the caller."""
         reply = await self.on_call(message)
         if reply is not None:
             self._network.transmit(
-                self.host, caller.host, reply, lambda got: caller.deliver_reply(number, Success(got))
+                self.host, caller.host, reply, lambda decoded: caller.deliver_reply(number, Success(decoded))
             )
 
     def _refuse_call(self, source: str, number: int, result: Result) -> None:
-        """Refuse a connection, as fast as the network allows."""
+        """Refuse a connection after the minimum network delay."""
         if (source, self.host) not in self._network.blocked_links:
             self._network.loop.schedule(MIN_DELAY_US, None, self.deliver_reply, number, result)
 
     def deliver_reply(self, number: int, result: Result) -> None:
-        """Resolve the call of that number in the caller's process."""
+        """Resolve the pending call with that number in the caller's process."""
         if self.process.is_alive:
             self._network.loop.schedule(0, self.process, self._resolve, number, result)
 
--- a/lapisgrade/lab/simulation/operations/__init__.py
+++ b/lapisgrade/lab/simulation/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Keyed operations in simulated time: clients that repeat keys, servers that record runs, and a checker."""
+"""Simulation of keyed operations: clients that repeat keys, servers that record runs, and a checker."""
--- a/lapisgrade/lab/simulation/operations/clients.py
+++ b/lapisgrade/lab/simulation/operations/clients.py
@@ -1,4 +1,4 @@
-"""Clients of keyed operations: they repeat keys after failures, after good answers, at their window's end."""
+"""Clients of keyed operations, which repeat keys after failures, successes, and near the window's end."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,20 +15,21 @@
 
 TENANTS = ("ana", "ben")
 ANSWER_TIMEOUT_S = REQUEST_DEADLINE_MS / 1000 + 0.2
-MAX_TRIES = 5  # in a row, of one operation
-MAX_PAUSE_S = 0.8  # before a repeat
+MAX_TRIES = 5  # maximum number of consecutive tries of an operation
+MAX_PAUSE_S = 0.8  # maximum pause before a repeated try
 REPEAT_AFTER_SUCCESS_RATE = 0.4
-SAME_PROXY_RATE = 0.3  # of the repeats
-AT_ONCE_RATE = 0.1  # of the operations whose first two tries are sent together
-LEAVE_RATE = 0.08  # of the tries whose client leaves before the answer
-MAX_STAY_S = 0.3  # until it leaves
-OTHER_BODY_RATE = 0.05  # of the tries that bear another body than the others of their key
-SHARED_KEY_RATE = 0.15  # of the keys that both tenants use
-LATE_REPEAT_PARTS = (0.5, 0.9, 0.97, 0.998, 1.02, 1.3)  # of the window, since the first try was sent
+SAME_PROXY_RATE = 0.3  # fraction of repeated tries that go to the same proxy
+CONCURRENT_TRIES_RATE = 0.1  # fraction of operations whose first two tries are sent concurrently
+DISCONNECT_RATE = 0.08  # fraction of tries whose client disconnects before the response
+MAX_TIME_TO_DISCONNECT_S = 0.3
+OTHER_BODY_RATE = 0.05  # fraction of tries whose body differs from the others with their key
+SHARED_KEY_RATE = 0.15  # fraction of keys that both tenants use
+# Times of late repeats since the first try, as fractions of the window.
+LATE_REPEAT_TIMES = (0.5, 0.9, 0.97, 0.998, 1.02, 1.3)
 
 
 def api_key_of(tenant: str) -> str:
-    """Return the API key that a tenant's clients bear."""
+    """Return the API key of a tenant's clients."""
     return f"key-of-{tenant}"
 
 
@@ -36,9 +37,9 @@
     """All clients, on hosts that no fault affects.
 
     Attributes:
-        keys_per_second: How many new operations begin.
-        late_repeat_rate: The part of them that is repeated near the end of the window.
-        is_open: Whether new operations begin, and old ones are repeated late.
+        keys_per_second: Rate of new operations.
+        late_repeat_rate: Fraction of operations that are repeated near the end of the window.
+        is_open: Whether new operations start, and late repeats are sent.
     """
 
     def __init__(self, simulation: "KeyedSimulation", random: Random) -> None:
@@ -62,7 +63,7 @@
             CURRENT_PROCESS.reset(token)
 
     async def run(self) -> None:
-        """Begin one operation after another."""
+        """Start operations at random intervals."""
         while self.is_open:
             await asyncio.sleep(self.random.expovariate(self.keys_per_second))
             key = self.new_key()
@@ -71,12 +72,12 @@
                 self.start_task(self._operate((tenant, key)))
 
     def new_key(self) -> str:
-        """Return a key that was not used before."""
+        """Return an unused key."""
         self._key_count += 1
         return f"k-{self._key_count}"
 
     def repeat_recent(self, count: int) -> None:
-        """Send so many of the operations that were tried last once more, each at another moment."""
+        """Repeat the `count` most recent operations, each after a random delay."""
         recent = list(dict.fromkeys(each.operation for each in self.simulation.operations.tries.values()))
         for operation in recent[-count:]:
             self.start_task(self._repeat_soon(operation))
@@ -86,15 +87,15 @@
         await self.send(operation, self.random.choice(self.simulation.machines))
 
     async def crowd(self, operation: OperationId, size: int) -> None:
-        """Send so many tries of one operation at once."""
+        """Send `size` concurrent tries of one operation."""
         tries = [self.send(operation, self.random.choice(self.simulation.machines)) for _ in range(size)]
         await asyncio.gather(*tries)
 
     async def _operate(self, operation: OperationId) -> None:
-        """Send an operation's tries until one has succeeded, and at times again."""
+        """Send tries of an operation until one succeeds, and sometimes more."""
         first_sent_us = self.loop.now_us
         machine = self.random.choice(self.simulation.machines)
-        if self.random.random() < AT_ONCE_RATE:
+        if self.random.random() < CONCURRENT_TRIES_RATE:
             self.start_task(self.send(operation, self.random.choice(self.simulation.machines)))
         for _ in range(MAX_TRIES):
             answer = await self.send(operation, machine)
@@ -108,22 +109,22 @@
             await self._repeat_late(operation, first_sent_us)
 
     async def _repeat_late(self, operation: OperationId, first_sent_us: int) -> None:
-        """Send a try so long after the first one."""
-        part = self.random.choice(LATE_REPEAT_PARTS)
+        """Send a try at one of `LATE_REPEAT_TIMES` after the first one."""
+        part = self.random.choice(LATE_REPEAT_TIMES)
         due_us = first_sent_us + round(part * self.simulation.operations.window_us)
         await asyncio.sleep(max(0, due_us - self.loop.now_us) / SECOND)
         if self.is_open:
             await self.send(operation, self.random.choice(self.simulation.machines))
 
     def is_alive(self, try_id: str) -> bool:
-        """Return whether the process that took a try still runs."""
+        """Whether the proxy process that received a try is still running."""
         process = self._exchanges[try_id].process
         return process is not None and process.is_alive
 
     async def send(
-        self, operation: OperationId, machine: KeyedProxyMachine, may_leave: bool = True
+        self, operation: OperationId, machine: KeyedProxyMachine, may_disconnect: bool = True
     ) -> Answer | None:
-        """Send one try, and wait for its answer; None for none, or for a client that left."""
+        """Send one try; return its response, or None on a time-out, disconnect or broken connection."""
         self._try_count += 1
         is_changed = self.random.random() < OTHER_BODY_RATE
         body = f"order {operation[1]}{' in blue' if is_changed else ''}".encode()
@@ -132,13 +133,13 @@
         history.on_sent(sent)
         exchange = Exchange(self.loop, machine, sent, api_key_of(operation[0]))
         self._exchanges[sent.try_id] = exchange
-        leaves = may_leave and self.random.random() < LEAVE_RATE
-        timeout_s = MAX_STAY_S * self.random.random() if leaves else ANSWER_TIMEOUT_S
+        disconnects = may_disconnect and self.random.random() < DISCONNECT_RATE
+        timeout_s = MAX_TIME_TO_DISCONNECT_S * self.random.random() if disconnects else ANSWER_TIMEOUT_S
         try:
             async with asyncio.timeout(timeout_s):
                 answer = await asyncio.shield(exchange.answer)
         except TimeoutError:
-            exchange.leave()
+            exchange.disconnect()
             return None
         if answer is not None:
             history.on_answer(sent, answer)
--- a/lapisgrade/lab/simulation/operations/exchange.py
+++ b/lapisgrade/lab/simulation/operations/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client to a proxy: the proxy's real `ClientConnection`, without a socket."""
+"""One request of a client to a proxy, through the proxy's `ClientConnection` but without a socket."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,12 +12,12 @@
 from lapisgrade.net.client_connection import ClientConnection
 from lapisgrade.net.http import MessageParser
 
-MIN_WAY_US, MAX_WAY_US = 300, 8_000  # between a client and a proxy
+MIN_DELAY_US, MAX_DELAY_US = 300, 8_000  # network delay between a client and a proxy
 REQUEST_DEADLINE_MS = 2_000
 
 
 class ReceivedBytes:
-    """A `StreamWriter` whose bytes go to a simulated client."""
+    """A substitute for a `StreamWriter` that sends the bytes to a simulated client."""
 
     def __init__(
         self, loop: VirtualLoop, reader: asyncio.StreamReader, on_bytes: Callable[[bytes], None]
@@ -37,7 +37,7 @@
         self.write(b"".join(bytes(each) for each in chunks))
 
     def get_write_buffer_size(self) -> int:
-        """All that was written is out."""
+        """Return 0: writes are sent immediately."""
         return 0
 
     def is_closing(self) -> bool:
@@ -45,7 +45,7 @@
         return self._is_closing
 
     def close(self) -> None:
-        """Close the connection: the reader sees its end, and the client that nothing more comes."""
+        """Close the connection on both sides."""
         if not self._is_closing:
             self._is_closing = True
             self._loop.call_soon(self._reader.feed_eof)
@@ -55,7 +55,12 @@
 
 
 class Exchange:
-    """A try on its way; `answer` ends with what the client received, None for nothing whole."""
+    """A try in flight.
+
+    Attributes:
+        answer: Resolved with the response, or with None if the client gets no complete response.
+        process: The proxy process that received the try.
+    """
 
     def __init__(self, loop: VirtualLoop, machine: KeyedProxyMachine, sent: Try, api_key: str) -> None:
         self.answer: asyncio.Future[Answer | None] = loop.create_future()
@@ -64,22 +69,22 @@
         self._sent = sent
         self._client = machine.simulation.client_process
         self._reader: asyncio.StreamReader | None = None
-        self.process: Process | None = None  # that took it
+        self.process: Process | None = None
         self._parser = MessageParser(h11.CLIENT)
-        loop.schedule(self._way_us(), None, self._arrive, encode_request(sent, api_key))
+        loop.schedule(self._delay_us(), None, self._arrive, encode_request(sent, api_key))
 
-    def leave(self) -> None:
-        """Close the client's side."""
+    def disconnect(self) -> None:
+        """Disconnect the client."""
         self._resolve(None)
         if self._reader is not None and self.process is not None:
-            self._loop.schedule(self._way_us(), self.process, self._reader.feed_eof)
+            self._loop.schedule(self._delay_us(), self.process, self._reader.feed_eof)
 
     def reset(self) -> None:
-        """The proxy's process has ended: the client sees its connection break."""
-        self._loop.schedule(self._way_us(), self._client, self._resolve, None)
+        """Break the client's connection, because the proxy's process has ended."""
+        self._loop.schedule(self._delay_us(), self._client, self._resolve, None)
 
-    def _way_us(self) -> int:
-        return self._loop.random.randrange(MIN_WAY_US, MAX_WAY_US)
+    def _delay_us(self) -> int:
+        return self._loop.random.randrange(MIN_DELAY_US, MAX_DELAY_US)
 
     def _arrive(self, request: bytes) -> None:
         if not self._machine.is_running:
@@ -99,7 +104,7 @@
         self._loop.create_task(connection.run(self._reader))
 
     def _send_to_client(self, data: bytes) -> None:
-        self._loop.schedule(self._way_us(), self._client, self._on_bytes, data)
+        self._loop.schedule(self._delay_us(), self._client, self._on_bytes, data)
 
     def _on_bytes(self, data: bytes) -> None:
         if self.answer.done():
@@ -119,7 +124,7 @@
 
 
 def encode_request(sent: Try, api_key: str) -> bytes:
-    """Return a try as it stands on the wire."""
+    """Return the HTTP request of a try."""
     _, key = sent.operation
     head = (
         f"POST /keyed/1 HTTP/1.1\r\nHost: {HOST}\r\nTry-Id: {sent.try_id}\r\nOp-Key: {key}\r\n"
--- a/lapisgrade/lab/simulation/operations/history.py
+++ b/lapisgrade/lab/simulation/operations/history.py
@@ -1,10 +1,9 @@
-"""What clients and servers saw of keyed operations, and the rules that it is checked against. Pure.
+"""The history of keyed operations as clients and servers observe it, and the rules it is checked against.
 
-- TWICE: two tries of one tenant's key both run, the second one sent less than the window after the first; or
-  one try runs twice.
-- MIXED: a success that is not the whole answer of that key's run, or that names another try.
-- REFUSED: a try is answered with a status that promises that it has not run and never will, and has run.
-- UNASKED: a run of what no client sent.
+- TWICE: Two tries of one tenant's key ran and were sent less than the window apart, or one try ran twice.
+- MIXED: A success isn't the complete response of that key's run, or contains the id of another try.
+- REFUSED: A try was answered with a status that promises that it did not run and never will, but it ran.
+- UNASKED: A server ran a request that no client sent.
 """
 
 from collections.abc import Callable, Iterator
@@ -12,7 +11,7 @@
 
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # they promise that the try has not run and never will
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # promise that the try has not run and never will
 OK = 200
 
 OperationId = tuple[str, str]
@@ -21,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A server began to work on a request.
+    """A run of a request at a server.
 
     Attributes:
-        operation: Whose key it bore.
-        try_id: Of the client's try that it came from.
-        started_us: When.
-        request_body: What it was asked.
-        status: That the server answers, whether or not anyone receives it.
-        body: That the server answers.
-        seal: Of the answer; no other run has it.
+        operation: Operation of the request's key.
+        try_id: Id of the client's try.
+        started_us: Start time.
+        request_body: Body of the request.
+        status: Status of the server's response, which may be lost.
+        body: Body of the server's response.
+        seal: Seal of the server's response, unique to the run.
     """
 
     operation: OperationId
@@ -44,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a client received.
+    """A response as a client received it.
 
     Attributes:
         status: The HTTP status.
-        try_ids: The tries that it names; it should be the client's own, once at the most.
-        seal: The server's, empty for none.
-        body: All of it.
+        try_ids: The try ids in its header; at most one is allowed, that of the client's own try.
+        seal: The server's seal, empty if there is none.
+        body: The complete body.
     """
 
     status: int
@@ -64,11 +63,11 @@
     """One request of a client.
 
     Attributes:
-        operation: Whose key it bears.
-        try_id: Its own id.
-        sent_us: When.
-        body: What it asks; the tries of one operation may differ.
-        answer: None while there is none.
+        operation: Operation of its key.
+        try_id: Its id.
+        sent_us: Send time.
+        body: Its body, which may differ between the tries of one operation.
+        answer: The response, or None.
     """
 
     operation: OperationId
@@ -80,14 +79,14 @@
 
 @dataclass(slots=True)
 class OperationHistory:
-    """Tries, answers and runs, checked as they come.
+    """Tries, responses and runs, each checked when it is recorded.
 
     Attributes:
-        window_us: In which a key may run once.
-        report: Is told each violation.
-        tries: By id.
-        runs: By operation, in order.
-        runs_by_seal: The same runs.
+        window_us: Idempotency window, in which a key may run once.
+        report: Called with each violation.
+        tries: Tries by id.
+        runs: Runs by operation, in order of their start.
+        runs_by_seal: The same runs by seal.
     """
 
     window_us: int
@@ -97,11 +96,11 @@
     runs_by_seal: dict[str, Run] = field(default_factory=dict)
 
     def on_sent(self, each: Try) -> None:
-        """Note a try that leaves its client."""
+        """Record a try that a client sends."""
         self.tries[each.try_id] = each
 
     def on_run(self, run: Run) -> None:
-        """Note a run, and check it against the runs and answers before it."""
+        """Record a run, and check it against earlier runs and responses."""
         sent = self.tries.get(run.try_id)
         if sent is None or (sent.operation, sent.body) != (run.operation, run.request_body):
             return self.report(f"UNASKED: a run of {run.operation} as try {run.try_id}")
@@ -118,10 +117,10 @@
             self._report_refused(sent, "runs later")
 
     def on_answer(self, each: Try, answer: Answer) -> None:
-        """Note an answer that its client received, and check it."""
+        """Record a response that a client received, and check it."""
         each.answer = answer
         if any(try_id != each.try_id for try_id in answer.try_ids) or len(answer.try_ids) > 1:
-            self.report(f"MIXED: try {each.try_id} is answered as {answer.try_ids}")
+            self.report(f"MIXED: the response to try {each.try_id} has try ids {answer.try_ids}")
         if answer.status // 100 == 2:
             self._check_success(each, answer)
         has_run = any(run.try_id == each.try_id for run in self.runs.get(each.operation, []))
@@ -131,18 +130,20 @@
     def _check_success(self, each: Try, answer: Answer) -> None:
         run = self.runs_by_seal.get(answer.seal)
         if run is None:
-            self.report(f"MIXED: try {each.try_id} has a success that no server gave")
+            self.report(f"MIXED: try {each.try_id} has a success with the seal of no run")
         elif run.operation != each.operation:
-            self.report(f"MIXED: try {each.try_id} of {each.operation} has the answer of {run.operation}")
+            self.report(f"MIXED: try {each.try_id} of {each.operation} has the response of {run.operation}")
         elif (run.status, run.body) != (answer.status, answer.body):
-            self.report(f"MIXED: try {each.try_id} has another status or body than its run {run.try_id}")
+            self.report(
+                f"MIXED: try {each.try_id} has a status or body that differs from its run {run.try_id}"
+            )
 
-    def _report_refused(self, each: Try, what: str) -> None:
+    def _report_refused(self, each: Try, run_text: str) -> None:
         status = each.answer.status if each.answer is not None else 0
-        self.report(f"REFUSED: try {each.try_id} of {each.operation} is answered {status} and {what}")
+        self.report(f"REFUSED: try {each.try_id} of {each.operation} has response {status} and {run_text}")
 
     def known_answers(self, since_us: int) -> Iterator[tuple[OperationId, Run]]:
-        """Return the operations tried since then whose success a client has, and their runs."""
+        """Yield the operations with a success for a try sent since then, and their runs."""
         for each in self.tries.values():
             if each.sent_us < since_us or each.answer is None or each.answer.status != OK:
                 continue
--- a/lapisgrade/lab/simulation/operations/proxy.py
+++ b/lapisgrade/lab/simulation/operations/proxy.py
@@ -1,4 +1,4 @@
-"""Proxies of the simulation of keyed operations: their real shells, with clients' connections."""
+"""Proxies of the simulation of keyed operations, with clients' connections."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -14,7 +14,7 @@
 
 
 class KeyedProxy(SimulatedProxy):
-    """A proxy whose servers record runs, and that answers what it has taken before it ends."""
+    """A proxy whose servers record runs, and which drains its requests on a graceful shutdown."""
 
     simulation: "KeyedSimulation"
 
@@ -23,7 +23,7 @@
         self.router.random.seed(simulation.loop.random.getrandbits(64))
 
     def make_pool(self, max_connections: int) -> RecordedPool:
-        """The recording servers."""
+        """Return a pool of connections to the recording servers."""
         return RecordedPool(self.simulation.recording_servers, self)
 
     async def work(self) -> None:
@@ -36,25 +36,25 @@
         self.rpc.close()
         for task in tasks:
             task.cancel()
-        self.simulation.cluster.note(f"{self.settings.hostname} has ended")
+        self.simulation.cluster.note(f"{self.settings.hostname} has exited")
         self.process.is_alive = False
 
 
 class KeyedProxyMachine(ProxyMachine):
-    """A host for one such process at a time."""
+    """A host with at most one `KeyedProxy` process."""
 
     simulation: "KeyedSimulation"
 
     def __init__(self, simulation: "KeyedSimulation", number: int) -> None:
         super().__init__(simulation, number)
-        self.exchanges: list[Exchange] = []  # with the process that runs
+        self.exchanges: list[Exchange] = []  # of the running process
 
     def make_proxy(self, settings: Settings, process: Process) -> KeyedProxy:
-        """Create the process's shell."""
+        """Create the proxy of a process."""
         return KeyedProxy(self.simulation, settings, process)
 
     def kill(self) -> None:
-        """Kill the process; its clients' connections break."""
+        """Kill the process, and break its clients' connections."""
         super().kill()
         exchanges, self.exchanges = self.exchanges, []
         for exchange in exchanges:
--- a/lapisgrade/lab/simulation/operations/schedules.py
+++ b/lapisgrade/lab/simulation/operations/schedules.py
@@ -1,4 +1,4 @@
-"""Fault schedules of keyed operations by name, each drawn in its timing by a seed."""
+"""Fault schedules of keyed operations by name, whose timing a seed determines."""
 
 from collections.abc import Callable
 from random import Random
@@ -8,31 +8,31 @@
 from lapisgrade.lab.simulation.operations.simulation import KeyedSimulation
 
 NEXT_RUN_TIMEOUT_S = 1.0
-LATE_RATHER_THAN_CUT_RATE = 0.25
-OVERLOAD_S = 0.4  # at the most
-REPEATED_KEYS = 40  # that are sent again after a fault
-CROWD_SIZE = 400  # tries of one key at once
+DELAY_RATHER_THAN_PARTITION_RATE = 0.25
+MAX_OVERLOAD_S = 0.4
+REPEATED_KEYS = 40  # number of recent keys that are sent again after a fault
+CROWD_SIZE = 400  # number of concurrent tries of one key
 WINDOW_KEYS_PER_SECOND = 3.0
 PAUSES_S = (0.02, 0.3, 1.2, 3.0)
-CLUSTER_SIZES = ((3, 1), (5, 1), (6, 2))  # controllers, and how many may be lost at once
-SHORT_LOG, SHORT_MESSAGE = 8, 2_000  # entries before a snapshot, and its pieces in bytes
+CLUSTER_SIZES = ((3, 1), (5, 1), (6, 2))  # controllers, and controllers that may be lost at once
+SHORT_LOG, SHORT_MESSAGE = 8, 2_000  # log entries before a snapshot, and bytes per snapshot chunk
 LONG_LOG, LONG_MESSAGE = 512, 65_536
 
 
-def start_simulation(seed: int, size: int = 3, tolerate: int = 1) -> KeyedSimulation:
-    """Start a simulation, and run it until keys are served."""
-    simulation = KeyedSimulation(seed, size, tolerate)
+def start_simulation(seed: int, size: int = 3, max_lost: int = 1) -> KeyedSimulation:
+    """Start a simulation, and run it until the proxies serve keyed requests."""
+    simulation = KeyedSimulation(seed, size, max_lost)
     simulation.start()
     return simulation
 
 
 def random_faults(seed: int) -> KeyedSimulation:
-    """Faults of all kinds, at proxies and controllers, some just after a request began to run."""
+    """Faults of all kinds at proxies and controllers, some right after the start of a run."""
     random = Random(seed)
-    size, tolerate = random.choice(CLUSTER_SIZES)
+    size, max_lost = random.choice(CLUSTER_SIZES)
     limits = random.choice(((SHORT_LOG, SHORT_MESSAGE), (LONG_LOG, LONG_MESSAGE)))
     with log_limits(*limits):
-        simulation = start_simulation(seed, size, tolerate)
+        simulation = start_simulation(seed, size, max_lost)
         for _ in range(random.randrange(5, 9)):
             if random.random() < 0.5:
                 simulation.run_until_next_run(NEXT_RUN_TIMEOUT_S)
@@ -47,7 +47,7 @@
 
 
 def power_and_disks(seed: int) -> KeyedSimulation:
-    """All machines lose power just after a request began to run; of six disks, two are lost with it."""
+    """All machines lose power right after the start of a run, and up to two of six disks are wiped."""
     limits = (SHORT_LOG, SHORT_MESSAGE) if seed % 2 else (LONG_LOG, LONG_MESSAGE)
     with log_limits(*limits):
         simulation = start_simulation(seed, 6, 2)
@@ -64,14 +64,14 @@
 
 
 def leader_cut(seed: int) -> KeyedSimulation:
-    """The leader is cut off with some of the proxies, both ways or one way, or what it sends is late."""
+    """The leader is partitioned with some of the proxies, in one or both directions, or sends late."""
     simulation = start_simulation(seed, *CLUSTER_SIZES[seed % 2])
     for _ in range(3):
         simulation.loop.run_until(simulation.cluster.has_established_leader, 6.0)
-        if simulation.random.random() < LATE_RATHER_THAN_CUT_RATE:
+        if simulation.random.random() < DELAY_RATHER_THAN_PARTITION_RATE:
             simulation.keyed_faults.delay_leader()
         else:
-            simulation.keyed_faults.cut_leader()
+            simulation.keyed_faults.partition_leader()
         simulation.loop.run_for(simulation.random.choice((0.3, 1.0, 2.5, 5.0)))
         if simulation.random.random() < 0.3:
             simulation.keyed_faults.inject_at_proxy()
@@ -83,7 +83,7 @@
 
 
 def owner_lost(seed: int) -> KeyedSimulation:
-    """The proxy that runs an operation is killed, stopped, frozen or cut off, again and again."""
+    """The proxy that runs an operation is repeatedly killed, stopped, frozen or partitioned."""
     simulation = start_simulation(seed)
     for _ in range(8):
         simulation.run_until_next_run(NEXT_RUN_TIMEOUT_S)
@@ -95,7 +95,7 @@
 
 
 def rolling(seed: int) -> KeyedSimulation:
-    """All proxies are restarted one after another as SIGTERM does, while a voter is replaced."""
+    """Rolling restart of all proxies with SIGTERM, while a voter is replaced."""
     with log_limits(SHORT_LOG, SHORT_MESSAGE):
         simulation = start_simulation(seed)
         simulation.faults.replace(planned=bool(seed % 2))
@@ -111,7 +111,7 @@
 
 
 def disks(seed: int) -> KeyedSimulation:
-    """Most disks stall or are full for a while, and machines are killed or lose power meanwhile."""
+    """A majority of the disks stall or are full, while machines are killed or lose power."""
     simulation = start_simulation(seed)
     for _ in range(4):
         simulation.keyed_faults.stall_disks(is_full=simulation.random.random() < 0.5)
@@ -133,8 +133,8 @@
         simulation.clients.keys_per_second = WINDOW_KEYS_PER_SECOND
         for machine in (*simulation.machines, *simulation.cluster.running_machines()):
             simulation.keyed_faults.change_pace(machine.process)
-        ends_us = simulation.loop.now_us + round(1.4 * simulation.operations.window_us)
-        while simulation.loop.now_us < ends_us:
+        end_us = simulation.loop.now_us + round(1.4 * simulation.operations.window_us)
+        while simulation.loop.now_us < end_us:
             fault = simulation.random.choice(
                 (
                     simulation.faults.crash,
@@ -150,13 +150,13 @@
 
 
 def crowd(seed: int) -> KeyedSimulation:
-    """Hundreds of tries of one key come at once, as servers turn all away or the key's proxy is lost."""
+    """Hundreds of concurrent tries of one key, while servers reject all requests or the owner is lost."""
     simulation = start_simulation(seed)
     for _ in range(3):
         operation = (simulation.random.choice(TENANTS), simulation.clients.new_key())
         simulation.recording_servers.is_overloaded = simulation.random.random() < 0.5
         simulation.clients.start_task(simulation.clients.crowd(operation, CROWD_SIZE))
-        simulation.loop.run_for(OVERLOAD_S * simulation.random.random())
+        simulation.loop.run_for(MAX_OVERLOAD_S * simulation.random.random())
         simulation.recording_servers.is_overloaded = False
         if simulation.random.random() < 0.5:
             simulation.keyed_faults.inject_at_proxy()
--- a/lapisgrade/lab/simulation/operations/simulation.py
+++ b/lapisgrade/lab/simulation/operations/simulation.py
@@ -1,12 +1,12 @@
 """A simulation of keyed operations: controllers, proxies, clients that repeat keys, servers that record runs.
 
-The shells of controllers and proxies are the real ones, as are the clients' connections and the protocol
-towards servers; sockets, disks and the clock are simulated. The rules are checked all the time (`history`),
-and after a calm time at the end:
+It runs the production code of controllers and proxies, including clients' connections and the protocol
+towards servers; sockets, disks and the clock are simulated. The rules in `history` are checked continuously.
+After a quiet period at the end:
 
-- a new key is answered 200 by each proxy, and its repeat elsewhere has the same answer;
-- an operation whose answer a client has gets that answer again, where its proxy's process still runs;
-- all controllers hold the same records.
+- Each proxy responds 200 to a new key, and another proxy gives the same response to a repeat.
+- A repeat of an operation with a known response gets the same response if its proxy's process still runs.
+- All controllers have the same records.
 """
 
 from random import Random
@@ -31,22 +31,22 @@
 SERVERS = 3
 OPERATOR_NUMBER = 9
 OPERATOR_PAUSE_S = 1.0
-READY_TIMEOUT_S = 6.0  # in which all proxies can serve after the start
+READY_TIMEOUT_S = 6.0  # maximum time until all proxies are ready after the start
 KEY_WINDOW_US = 60 * SECOND
-NEW_KEY_TRIES = 3  # at rest, until a new key is answered by a success
-ASK_TIMEOUT_S = 3.0  # of one of them
-KNOWN_ANSWERS_ASKED = 6  # at rest
-LATE_COPY_RATE = 0.005  # of all messages between proxies and controllers
-SILENCE_S = 3.0  # after which the last claims are applied everywhere
-RETENTION_S = 80.0  # after which no record is owed any more
-KNOWN_PART = 0.8  # of the window in which an answer must still be known at rest
+MAX_CHECK_TRIES = 3  # maximum tries to get a success after the quiet period
+CHECK_TIMEOUT_S = 3.0  # time-out of each of those tries
+CHECKED_ANSWERS = 6  # number of known responses that are checked after the quiet period
+LATE_DUPLICATE_RATE = 0.005  # fraction of all messages between proxies and controllers
+LAST_CLAIMS_S = 3.0  # time after which the last claims are applied at all controllers
+RETENTION_S = 80.0  # time after which all records may be dropped
+KNOWN_PART = 0.8  # fraction of the window in which responses must still be known after the quiet period
 
 
 class KeyedOperator(Operator):
     """An operator whose configurations have a keyed route and two tenants."""
 
     def make_change(self, version: int, base: int) -> tuple[str, bytes]:
-        """Return a change as any operator's, with route and tenants in each complete configuration."""
+        """Return a change like any operator's, with route and tenants in each complete configuration."""
         call, body = super().make_change(version, base)
         if call != REPLACE_CALL:
             return call, body
@@ -65,11 +65,11 @@
 class KeyedSimulation(ControlPlaneSimulation):
     """A control plane with proxies, servers, and clients of keyed operations."""
 
-    def __init__(self, seed: int, size: int = 3, tolerate: int = 1) -> None:
-        super().__init__(seed, size, tolerate, operators=0)
+    def __init__(self, seed: int, size: int = 3, max_lost: int = 1) -> None:
+        super().__init__(seed, size, max_lost, operators=0)
         self.clock = SimulatedClock()
         self.clock.loop = self.loop
-        self.cluster.network.late_copy_rate = LATE_COPY_RATE
+        self.cluster.network.late_duplicate_rate = LATE_DUPLICATE_RATE
         self.client_process = Process("clients")
         self.cluster.processes.append(self.client_process)
         self.operations = OperationHistory(KEY_WINDOW_US, self.cluster.invariants.report_violation)
@@ -77,7 +77,7 @@
         self.machines = [KeyedProxyMachine(self, number) for number in range(1, PROXIES + 1)]
         self.keyed_faults = KeyedFaults(self, self.random)
         self.clients = KeyedClients(self, Random(seed + 2))
-        self.lasts_beyond_retention = False  # whether the end waits until all records are out of date
+        self.lasts_beyond_retention = False  # whether the end waits until all records have expired
         self._last_sender = self.machines[0]
         self.servers: dict[str, SimulatedServer] = {}
         for machine in self.machines:
@@ -87,22 +87,22 @@
         self._start_operator()
 
     def _start_operator(self) -> None:
-        operator = KeyedOperator(self.cluster, OPERATOR_NUMBER, self.history, pause=OPERATOR_PAUSE_S)
+        operator = KeyedOperator(self.cluster, OPERATOR_NUMBER, self.history, max_pause_s=OPERATOR_PAUSE_S)
         operator.max_consecutive_reads = 1
         self.operators.append(operator)
         operator.start_task(operator.run())
 
     def _add_server(self) -> None:
-        """Start a server's heartbeats; another one follows it when it ends."""
+        """Start a server that sends heartbeats; another one is started when it ends."""
         server = SimulatedServer(self.cluster, len(self.servers) + 1, self._add_server)
         self.servers[server.id] = server
         server.start_task(server.run())
 
     def start(self) -> None:
-        """Run until the proxies know a configuration and the servers; then the clients begin."""
+        """Run until the proxies have a configuration and the servers, then start the clients."""
         super().start()
         if not self.loop.run_until(self._is_ready, READY_TIMEOUT_S):
-            self.cluster.invariants.report_violation("the proxies are not ready after the start")
+            self.cluster.invariants.report_violation("the proxies are not ready in time after the start")
         self.clients.start_task(self.clients.run())
         self.loop.run_for(1.0)
 
@@ -110,36 +110,36 @@
         return all(machine.proxy.ready for machine in self.machines if machine.is_running)
 
     def run_until_next_run(self, timeout_s: float) -> bool:
-        """Run until a server begins to work on a request; return whether one did."""
+        """Run until a server starts to run a request; return False on a time-out."""
         before = self.recording_servers.run_count
         return self.loop.run_until(lambda: self.recording_servers.run_count > before, timeout_s, 0.0005)
 
     def last_sender(self) -> KeyedProxyMachine:
-        """Return the machine whose proxy sent a request to a server last."""
+        """Return the machine whose proxy sent the last request to a server."""
         return self._last_sender
 
     # ---- reports of the proxies
 
     def on_request_sent(self, proxy: SimulatedProxy, attempt: Attempt) -> bool:
-        """Note who sends; the servers that answer take no part in drains."""
+        """Record the sender; the recording servers never drain."""
         names = {machine.name: machine for machine in self.machines}
         self._last_sender = names[proxy.settings.hostname]
         return True
 
     def on_request_rejected(self, proxy: SimulatedProxy, status: int) -> None:
-        """Ignore it: the clients judge what they are answered."""
+        """Do nothing; the responses to the clients are checked."""
 
     def on_version_activated(self, proxy: SimulatedProxy, before: int) -> None:
-        """Ignore it: the data plane's simulation checks versions."""
+        """Do nothing; the data plane simulation checks versions."""
 
     def observe_quota_owner(self, proxy: SimulatedProxy) -> None:
-        """Ignore it: the tenants have no quota."""
+        """Do nothing; the tenants have no quota."""
 
     # ---- the end
 
     def finish(self) -> None:
-        """Run a quiet period, and check what must hold after it."""
-        self.recording_servers.is_calm = True
+        """Run a quiet period, then check that the system has recovered."""
+        self.recording_servers.always_succeeds = True
         for machine in self.machines:
             machine.start()
         super().finish()
@@ -153,41 +153,45 @@
             self.expect_bounded_records()
 
     def _expect_new_keys(self) -> None:
-        """Check that each proxy has a new key run, and that a repeat elsewhere has its answer."""
+        """Check that each proxy runs a new key, and that a repeat at a random proxy gets its response."""
         for machine in self.machines:
             operation = (TENANTS[0], self.clients.new_key())
-            first = self._ask(operation, machine, NEW_KEY_TRIES)
+            first = self._send_until_success(operation, machine, MAX_CHECK_TRIES)
             if first is None or first.status != OK:
-                self.cluster.invariants.report_violation(f"{machine.name} has no answer to a new key at rest")
+                self.cluster.invariants.report_violation(
+                    f"{machine.name} gives no success to a new key after the quiet period"
+                )
                 continue
             self._expect_answer(operation, first.seal)
 
     def _expect_known_answers(self) -> None:
-        """Check that the answers which proxies still know are given again."""
+        """Check that repeats get the responses that proxies still know."""
         since_us = self.loop.now_us - round(KNOWN_PART * self.operations.window_us)
         known = [
             (operation, run.seal)
             for operation, run in self.operations.known_answers(since_us)
             if self.clients.is_alive(run.try_id)
         ]
-        for operation, seal in self.random.sample(known, min(len(known), KNOWN_ANSWERS_ASKED)):
+        for operation, seal in self.random.sample(known, min(len(known), CHECKED_ANSWERS)):
             self._expect_answer(operation, seal)
 
     def _expect_answer(self, operation: OperationId, seal: str) -> None:
         machine = self.random.choice(self.machines)
-        answer = self._ask(operation, machine, NEW_KEY_TRIES)
+        answer = self._send_until_success(operation, machine, MAX_CHECK_TRIES)
         if answer is None or answer.seal != seal:
-            got = answer.status if answer is not None else "nothing"
+            received = answer.status if answer is not None else "nothing"
             self.cluster.invariants.report_violation(
-                f"{machine.name} answers {got} to {operation}, whose answer is known"
+                f"{machine.name} responds {received} to {operation}, whose response is known"
             )
 
-    def _ask(self, operation: OperationId, machine: KeyedProxyMachine, tries: int) -> Answer | None:
-        """Send an operation until it is answered by a success; return the last answer."""
+    def _send_until_success(
+        self, operation: OperationId, machine: KeyedProxyMachine, tries: int
+    ) -> Answer | None:
+        """Send an operation until a success, at most `tries` times; return the last response."""
         answer = None
         for _ in range(tries):
-            task = self.clients.start_task(self.clients.send(operation, machine, may_leave=False))
-            self.loop.run_until(task.done, ASK_TIMEOUT_S)
+            task = self.clients.start_task(self.clients.send(operation, machine, may_disconnect=False))
+            self.loop.run_until(task.done, CHECK_TIMEOUT_S)
             answer = task.result() if task.done() else None
             if answer is not None and answer.status == OK:
                 break
@@ -195,29 +199,29 @@
         return answer
 
     def _expect_equal_records(self) -> None:
-        """Check that all controllers have the same records, once the clients are silent."""
+        """Stop the clients, and check that all controllers have the same records."""
         self.clients.is_open = False
-        self.loop.run_for(SILENCE_S)
+        self.loop.run_for(LAST_CLAIMS_S)
         leader = self.cluster.leader()
         for machine in self.cluster.running_machines():
             if leader is not None and _records(machine) != _records(leader):
                 self.cluster.invariants.report_violation(
                     f"{machine.name} has {len(_records(machine))} records, "
-                    f"the leader {len(_records(leader))}, or others"
+                    f"the leader has {len(_records(leader))}, or their contents differ"
                 )
 
     def expect_bounded_records(self) -> None:
-        """Check that records beyond their retention are given back, once there are claims again."""
+        """Check that new claims make the controllers drop the records beyond their retention."""
         self.clients.is_open = False
         self.loop.run_for(RETENTION_S)
         for machine in self.machines:
-            self._ask((TENANTS[0], self.clients.new_key()), machine, NEW_KEY_TRIES)
+            self._send_until_success((TENANTS[0], self.clients.new_key()), machine, MAX_CHECK_TRIES)
         leader = self.cluster.leader()
         count = len(_records(leader)) if leader is not None else 0
         if count > len(self.machines):
-            self.cluster.invariants.report_violation(f"{count} records are kept beyond their retention")
+            self.cluster.invariants.report_violation(f"{count} records remain after their retention")
 
 
 def _records(machine: Machine) -> list[tuple[str, OperationRecord]]:
-    """Return a controller's records in their order."""
+    """Return a controller's operation records in order."""
     return list(machine.controller.state_machine.state.operations.records.items())
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -1,7 +1,7 @@
-"""Proxies on simulated machines, each with its real shell but for the sockets.
+"""Proxies on simulated machines, which run the production code except for sockets.
 
-Their watch, activation, server registry, quota and routing are the real ones. Clients' requests come without
-sockets, and a request that is forwarded is reported to the simulation and answered after a while.
+This includes watch, activation, server registry, quota and routing. Clients' requests are passed in directly.
+A forwarded request is reported to the simulation, and gets a response after a fixed time.
 """
 
 import asyncio
@@ -35,27 +35,27 @@
 
 
 class ProxyEnvironment(Protocol):
-    """What a proxy needs of its simulation, and what it reports to it."""
+    """The simulation that a proxy runs in and reports to."""
 
     cluster: Cluster
     clock: "SimulatedClock"
     loop: VirtualLoop
 
     def on_request_sent(self, proxy: "SimulatedProxy", attempt: Attempt) -> bool:
-        """Check a request that goes to a server; return whether that server still runs."""
+        """Check a request that is sent to a server; return whether that server is still running."""
 
     def on_request_rejected(self, proxy: "SimulatedProxy", status: int) -> None:
-        """Check a request that the proxy does not allow."""
+        """Check a request that the proxy rejects."""
 
-    def on_version_activated(self, proxy: "SimulatedProxy", before: int) -> None:
-        """Check a configuration version that the proxy has activated."""
+    def on_version_activated(self, proxy: "SimulatedProxy", previous_version: int) -> None:
+        """Check the configuration version that the proxy has activated."""
 
     def observe_quota_owner(self, proxy: "SimulatedProxy") -> None:
         """Check each add to a counter that this proxy owns."""
 
 
 class ProxyEndpoint(Endpoint):
-    """An endpoint that knows, as `rpc.RpcEndpoint.peer`, whether the last call to an address was refused."""
+    """An endpoint that tells, like `RpcEndpoint.peer`, whether the last call to an address was refused."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -64,7 +64,7 @@
     async def call(
         self, address: tuple[str, int], message: Any, timeout_s: float
     ) -> Result[Any, CallFailure]:
-        """As `gateway.rpc.RpcEndpoint.call`."""
+        """Make a call as `gateway.rpc.RpcEndpoint.call` does."""
         result = await super().call(address, message, timeout_s)
         if result.value_or(None) is None and result.failure() is CallFailure.NOT_RUN:
             self._refused.add(tuple(address))
@@ -73,7 +73,7 @@
         return result
 
     def peer(self, address: tuple[str, int]) -> SimpleNamespace:
-        """Return whether that address refuses calls."""
+        """Return the state of a peer: whether it refuses calls."""
         return SimpleNamespace(is_refusing=tuple(address) in self._refused)
 
 
@@ -85,16 +85,16 @@
 
 
 class SimulatedUpstreams:
-    """A pool of connections whose servers answer every request, unless they have ended."""
+    """A connection pool whose servers respond to every request, unless they have ended."""
 
     def __init__(self, proxy: "SimulatedProxy") -> None:
         self._proxy = proxy
 
     def update_addresses(self, addresses: dict) -> None:
-        """Ignore the servers' addresses."""
+        """Do nothing."""
 
     def send(self, attempt: Attempt) -> None:
-        """Have a server process the request."""
+        """Process the attempt at a simulated server."""
         proxy = self._proxy
         if proxy.simulation.on_request_sent(proxy, attempt):
             closed = AttemptClosed(attempt, CloseReason.ANSWERED, RESPONSE_EVENTS)
@@ -103,32 +103,32 @@
         asyncio.get_running_loop().call_later(SERVICE_TIME_US / SECOND, proxy.host.enqueue, closed)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Ignore that nobody waits for an attempt."""
+        """Do nothing; the attempt completes at its server."""
 
     def cancel_operation(self, request: RoutedRequest) -> None:
-        """Ignore that a client has disconnected."""
+        """Do nothing; the attempts complete at their servers."""
 
 
 class SimulatedProxy(Proxy):
-    """A proxy's shell, with the clock and the network of the simulation."""
+    """A proxy with the clock and the network of the simulation."""
 
-    def __init__(self, plane: ProxyEnvironment, settings: Settings, process: Process) -> None:
-        self.simulation, self.process = plane, process
-        super().__init__(settings, plane.clock.now_us)
-        self.context.random.seed(plane.loop.random.getrandbits(64))
+    def __init__(self, simulation: ProxyEnvironment, settings: Settings, process: Process) -> None:
+        self.simulation, self.process = simulation, process
+        super().__init__(settings, simulation.clock.now_us)
+        self.context.random.seed(simulation.loop.random.getrandbits(64))
         self.context.incarnation = f"{self.context.random.getrandbits(64):016x}"
         self.quota_owner.ownership.incarnation = self.context.incarnation
-        self.last_watch_us = 0  # when the last watch request was sent that a leader answered
+        self.last_watch_us = 0  # send time of the last watch request with a leader's reply
         self._request_count = 0
-        plane.observe_quota_owner(self)
+        simulation.observe_quota_owner(self)
 
     def make_rpc(self) -> ProxyEndpoint:
-        """Calls over the simulated network."""
+        """Return an endpoint of the simulated network."""
         network = self.simulation.cluster.network
         return ProxyEndpoint(network, self.process, self.settings.ip, self.answer, self.on_message)
 
     def make_pool(self, max_connections: int) -> SimulatedUpstreams:
-        """The simulated servers."""
+        """Return a pool of connections to the simulated servers."""
         return SimulatedUpstreams(self)
 
     async def work(self) -> None:
@@ -144,12 +144,12 @@
         self.process.is_alive = False
 
     def apply_update(self, reply: rpc_messages.WatchReply, sent_us: int) -> None:
-        """Apply an update as a proxy does; report each version that it activates."""
-        before = self.active_version
+        """Apply an update as a proxy does, and report each version that it activates."""
+        previous_version = self.active_version
         super().apply_update(reply, sent_us)
         self.last_watch_us = max(self.last_watch_us, sent_us)
-        if self.active_version != before:
-            self.simulation.on_version_activated(self, before)
+        if self.active_version != previous_version:
+            self.simulation.on_version_activated(self, previous_version)
 
     def request(self, path: str, key: str) -> None:
         """Handle a client's request."""
@@ -176,10 +176,10 @@
 
 
 class ProxyMachine:
-    """A host for one proxy process at a time."""
+    """A host with at most one proxy process."""
 
-    def __init__(self, plane: ProxyEnvironment, number: int) -> None:
-        self.simulation, self.name, self.ip = plane, f"p{number}", f"10.3.0.{number}"
+    def __init__(self, simulation: ProxyEnvironment, number: int) -> None:
+        self.simulation, self.name, self.ip = simulation, f"p{number}", f"10.3.0.{number}"
         self.process: Process | None = None
         self.proxy: SimulatedProxy | None = None
 
@@ -189,11 +189,11 @@
         return self.process is not None and self.process.is_alive
 
     def make_proxy(self, settings: Settings, process: Process) -> SimulatedProxy:
-        """Create the process's shell."""
+        """Create the proxy of a process."""
         return SimulatedProxy(self.simulation, settings, process)
 
     def start(self, skew_us: int = 0) -> None:
-        """Start a process whose steady clock is ahead of the loop's by `skew_us`."""
+        """Start a process whose steady clock is `skew_us` ahead of the loop's."""
         if self.is_running:
             return
         cluster = self.simulation.cluster
@@ -210,30 +210,30 @@
         cluster.note(f"{self.name} starts")
 
     def kill(self) -> None:
-        """Kill the process, as SIGKILL does."""
+        """Kill the process, as on SIGKILL."""
         self.simulation.cluster.note(f"{self.name} is killed")
         if self.process is not None:
             self.process.is_alive = False
 
     def stop(self) -> None:
-        """Begin a graceful shutdown, as SIGTERM does."""
+        """Start a graceful shutdown, as on SIGTERM."""
         if self.is_running:
-            self.simulation.cluster.note(f"{self.name} is told to end")
+            self.simulation.cluster.note(f"{self.name} starts a graceful shutdown")
             self.simulation.loop.schedule(0, self.process, self.proxy.end)
 
     def freeze(self, seconds: float) -> None:
-        """Have the process run nothing for so many seconds."""
-        self.simulation.cluster.note(f"{self.name} stands still for {seconds:.1f} s")
+        """Suspend the process for `seconds`."""
+        self.simulation.cluster.note(f"{self.name} is frozen for {seconds:.1f} s")
         self.process.frozen_until_us = self.simulation.loop.now_us + round(seconds * SECOND)
 
 
 class SimulatedClock:
-    """The proxies' steady clock: the loop's, with each process's own skew."""
+    """The proxies' steady clock: the loop's time, with the skew of each process."""
 
     def __init__(self) -> None:
         self.loop: VirtualLoop | None = None
 
     def now_us(self) -> int:
-        """Return the time in the process whose callback runs."""
+        """Return the time of the process whose callback is running."""
         process = CURRENT_PROCESS.get()
         return process.clock_us(self.loop.now_us) if process is not None else self.loop.now_us
--- a/lapisgrade/lab/simulation/proxy_faults.py
+++ b/lapisgrade/lab/simulation/proxy_faults.py
@@ -1,4 +1,4 @@
-"""Faults of simulated proxies, at the owner of the tenant's counter more often than not."""
+"""Faults of simulated proxies, mostly at the owner of the tenant's counter."""
 
 from collections.abc import Callable
 from random import Random
@@ -9,9 +9,9 @@
 
 OWNER_FAULT_RATE = 0.6
 FAULT_DURATIONS_S = (0.3, 1.0, 2.4, 4.0)
-RESTART_DELAY_S = 3.0  # after a graceful shutdown began
-OWNER_SWAP_S = 2.6  # of a partition that makes the owner lose its role
-NEXT_OWNER_SWAP_S = 2.2
+RESTART_DELAY_S = 3.0  # minimum time from the start of a graceful shutdown to the restart
+OWNER_PARTITION_S = 2.6  # long enough for a partitioned proxy to lose its ownership
+NEXT_OWNER_PARTITION_S = 2.2
 MAX_SKEW_US = 500 * SECOND
 
 
@@ -31,7 +31,7 @@
         self.call_after = call_after
 
     def inject_random(self, owner_name: str) -> None:
-        """Inject a random fault; `owner_name` is the proxy that owns the tenant's counter."""
+        """Inject a random fault; `owner_name` is the owner of the tenant's counter."""
         running = [each for each in self.machines if each.is_running]
         if not running:
             return
@@ -53,8 +53,8 @@
         fault(machine, self.random.choice(FAULT_DURATIONS_S))
 
     def partition(self, machine: ProxyMachine, seconds: float) -> None:
-        """Block a proxy's links to all machines but its clients."""
-        self.cluster.note(f"{machine.name} is cut off for {seconds} s")
+        """Block a proxy's links to all machines except its clients."""
+        self.cluster.note(f"{machine.name} is isolated for {seconds} s")
         everyone = (*self.machines, *self.cluster.machines.values())
         others = [each.ip for each in everyone if each is not machine]
         outbound = {(machine.ip, ip) for ip in others}
@@ -67,29 +67,29 @@
         machine.freeze(seconds)
 
     def kill(self, machine: ProxyMachine, seconds: float) -> None:
-        """Kill a proxy, and start it again."""
+        """Kill a proxy, and restart it."""
         machine.kill()
         self.call_after(self.random.choice((0.3, seconds)), machine.start)
 
     def stop(self, machine: ProxyMachine, seconds: float) -> None:
-        """Shut a proxy down gracefully, and start it again."""
+        """Shut a proxy down gracefully, and restart it."""
         machine.stop()
         self.call_after(RESTART_DELAY_S + seconds, machine.start)
 
     def kill_all(self, machine: ProxyMachine, seconds: float) -> None:
-        """Kill all proxies, and start them again."""
+        """Kill all proxies, and restart them."""
         for each in self.machines:
             each.kill()
             self.call_after(0.2 + self.random.random() * 0.5, each.start)
 
     def skew_clock(self, machine: ProxyMachine, seconds: float) -> None:
-        """Restart a proxy with another steady clock, as a machine has after a boot."""
+        """Restart a proxy with a different steady clock, as after a reboot of its machine."""
         machine.kill()
         machine.start(self.random.randrange(MAX_SKEW_US))
 
     def swap_owners(self, machine: ProxyMachine, seconds: float) -> None:
-        """Partition a proxy until it counts as unresponsive; as it returns, partition another."""
-        self.partition(machine, OWNER_SWAP_S)
+        """Isolate a proxy until it counts as lost, and isolate another when its links are restored."""
+        self.partition(machine, OWNER_PARTITION_S)
         others = [each for each in self.machines if each.is_running and each is not machine]
         if others:
-            self.call_after(2.61, self.partition, self.random.choice(others), NEXT_OWNER_SWAP_S)
+            self.call_after(2.61, self.partition, self.random.choice(others), NEXT_OWNER_PARTITION_S)
--- a/lapisgrade/lab/simulation/schedule_common.py
+++ b/lapisgrade/lab/simulation/schedule_common.py
@@ -1,4 +1,4 @@
-"""What all fault schedules of the control plane begin and end with."""
+"""Common setup and teardown of the control plane's fault schedules."""
 
 from collections.abc import Callable
 
@@ -7,17 +7,17 @@
 
 
 def start_simulation(
-    seed: int, size: int = 3, tolerate: int = 1, pause: float = 0.1, operators: int = 2
+    seed: int, size: int = 3, max_lost: int = 1, max_pause_s: float = 0.1, operators: int = 2
 ) -> ControlPlaneSimulation:
-    """Start a cluster, and run it for up to a second more."""
-    simulation = ControlPlaneSimulation(seed, size, tolerate, operators, pause=pause)
+    """Start a cluster, and run it for up to another second."""
+    simulation = ControlPlaneSimulation(seed, size, max_lost, operators, max_pause_s=max_pause_s)
     simulation.start()
     simulation.loop.run_for(simulation.random.random())
     return simulation
 
 
 def leader_and_others(simulation: ControlPlaneSimulation) -> tuple[Machine, list[Machine]]:
-    """Wait for an established leader; return it and the others in random order."""
+    """Wait for an established leader; return it, and the other running machines in random order."""
     simulation.loop.run_until(simulation.cluster.has_established_leader, 6.0)
     leader = simulation.cluster.leader() or simulation.cluster.running_machines()[0]
     others = [each for each in simulation.cluster.running_machines() if each is not leader]
@@ -25,16 +25,16 @@
     return leader, others
 
 
-def block_links(simulation: ControlPlaneSimulation, some: list[Machine], others: list[Machine]) -> None:
-    """Block all links, both ways, between some machines and others."""
-    links = {(a.ip, b.ip) for a in some for b in others if a is not b}
+def block_links(simulation: ControlPlaneSimulation, group: list[Machine], others: list[Machine]) -> None:
+    """Block all links between two groups of machines, in both directions."""
+    links = {(a.ip, b.ip) for a in group for b in others if a is not b}
     simulation.cluster.network.blocked_links |= links | {(b, a) for a, b in links}
 
 
 def repeat_step(
-    simulation: ControlPlaneSimulation, step: Callable[[ControlPlaneSimulation], None], pause: float
+    simulation: ControlPlaneSimulation, step: Callable[[ControlPlaneSimulation], None], pause_s: float
 ) -> ControlPlaneSimulation:
-    """Run a step three times, with `pause` s to repair between, and finish the simulation."""
+    """Run a step three times, each followed by a repair and `pause_s`, and finish the simulation."""
     for _ in range(3):
         step(simulation)
         simulation.cluster.heal()
@@ -42,6 +42,6 @@
             machine.disk.slowdown = 1.0
             if not machine.is_running and not machine.is_removed:
                 machine.start()
-        simulation.loop.run_for(pause)
+        simulation.loop.run_for(pause_s)
     simulation.finish()
     return simulation
--- a/lapisgrade/lab/simulation/schedule_steps.py
+++ b/lapisgrade/lab/simulation/schedule_steps.py
@@ -1,4 +1,4 @@
-"""Steps of fault schedules: each brings a started cluster into one dangerous situation."""
+"""Steps of fault schedules, each of which puts a running cluster into one critical situation."""
 
 from lapisgrade.lab.simulation.control_plane import ControlPlaneSimulation
 from lapisgrade.lab.simulation.machine import Machine
@@ -7,61 +7,61 @@
 
 
 def wiped_after_acknowledgement(simulation: ControlPlaneSimulation) -> None:
-    """All lose power right after an acknowledgement, and a machine that has that entry loses its disk.
+    """All machines lose power right after an acknowledgement, and one that has the entry loses its disk.
 
-    Of the rest, those without the entry come back first. One has a slow disk, so there is one without it.
+    Of the rest, those without the entry restart first. A slow disk ensures that at least one is without it.
     """
     _, others = leader_and_others(simulation)
     others[0].disk.slowdown = 50.0
     simulation.run_until_acknowledgement(3.0, 0.0003)
     machines = simulation.cluster.running_machines()
-    holding = [each for each in machines if _is_newest_entry_durable(simulation, each)]
-    wiped = simulation.random.choice(holding or machines)
+    holders = [each for each in machines if _is_newest_entry_durable(simulation, each)]
+    wiped = simulation.random.choice(holders or machines)
     for machine in machines:
         machine.disk.slowdown = 1.0
         machine.kill(power=True, wipe=machine is wiped)
     for machine in machines:
-        late = machine in holding and machine is not wiped
+        starts_late = machine in holders and machine is not wiped
         simulation.faults.call_after(
-            0.2 + 0.3 * simulation.random.random() + (1.2 if late else 0.0), machine.start
+            0.2 + 0.3 * simulation.random.random() + (1.2 if starts_late else 0.0), machine.start
         )
     simulation.loop.run_for(4.0)
 
 
 def _is_newest_entry_durable(simulation: ControlPlaneSimulation, machine: Machine) -> bool:
-    """Whether the newest committed entry is on that machine's disk."""
+    """Whether the newest committed entry is durable on the machine's disk."""
     index = max(simulation.cluster.invariants.entries, default=0)
     return index == 0 or machine.disk.has_synced(index, simulation.cluster.invariants.entries[index].term)
 
 
 def newcomers_on_one_side(simulation: ControlPlaneSimulation) -> None:
-    """Two new machines ask to join, and are at that moment on the leader's side of a partition."""
+    """Two new machines join, and are at that moment on the leader's side of a partition."""
     leader, others = leader_and_others(simulation)
-    new = [simulation.cluster.add(), simulation.cluster.add()]
+    newcomers = [simulation.cluster.add(), simulation.cluster.add()]
     seeds, simulation.cluster.seeds = simulation.cluster.seeds, [leader.ip]
-    for machine in new:
+    for machine in newcomers:
         machine.start()
     node = leader.controller.node
     simulation.loop.run_until(
         lambda: not node.is_leader or set(node.followers) > set(node.voters), 1.0, 0.001
     )
-    block_links(simulation, [leader, *new], others)
+    block_links(simulation, [leader, *newcomers], others)
     simulation.loop.run_for(2.0 + 2 * simulation.random.random())
     simulation.cluster.seeds = seeds
 
 
 def slow_voter_changes(simulation: ControlPlaneSimulation) -> None:
-    """All replies are delayed, so that a change of voters is in flight for long, while two machines join.
+    """Two machines join while all replies are delayed, so that a change of voters is pending for long.
 
-    At times the leader is lost meanwhile.
+    In half of the runs the leader is killed during the change.
     """
     leader, others = leader_and_others(simulation)
     machines = [leader, *others]
-    late = round((0.1 + 0.15 * simulation.random.random()) * SECOND)
-    simulation.cluster.network.extra_delay_us = {(a.ip, leader.ip): late for a in others}
+    delay_us = round((0.1 + 0.15 * simulation.random.random()) * SECOND)
+    simulation.cluster.network.extra_delay_us = {(a.ip, leader.ip): delay_us for a in others}
     if simulation.random.random() < 0.5:
         simulation.cluster.network.extra_delay_us = {
-            (a.ip, b.ip): late // 2 for a in machines for b in machines if a is not b
+            (a.ip, b.ip): delay_us // 2 for a in machines for b in machines if a is not b
         }
         leader.kill()
         simulation.faults.call_after(0.4, leader.start)
@@ -72,9 +72,9 @@
 
 
 def lagging_voter(simulation: ControlPlaneSimulation) -> None:
-    """A disk stalls while the others go on; then one of those is partitioned, and a new machine joins."""
-    _, (behind, *rest) = leader_and_others(simulation)
-    behind.disk.stalled_until_us = simulation.loop.now_us + 6 * SECOND
+    """A disk stalls while the other voters continue; then one of those is isolated, and a machine joins."""
+    _, (lagging, *rest) = leader_and_others(simulation)
+    lagging.disk.stalled_until_us = simulation.loop.now_us + 6 * SECOND
     simulation.loop.run_for(0.5)
     block_links(simulation, rest[: len(rest) // 2 + 1], simulation.cluster.running_machines())
     simulation.loop.run_for(1.7)
@@ -82,23 +82,23 @@
     simulation.loop.run_for(3.0)
 
 
-def overlapping_losses(simulation: ControlPlaneSimulation) -> None:
-    """A machine loses its disk and comes back while others are partitioned.
+def wiped_during_partition(simulation: ControlPlaneSimulation) -> None:
+    """A machine loses its disk and restarts while others are partitioned.
 
-    No more voters than the live ones may be counted on.
+    The new voters must not need a majority that includes unreachable machines.
     """
     _leader, others = leader_and_others(simulation)
     wiped, *rest = others
-    away = rest[: len(others) // 2]
-    block_links(simulation, away, simulation.cluster.running_machines())
+    partitioned = rest[: len(others) // 2]
+    block_links(simulation, partitioned, simulation.cluster.running_machines())
     wiped.kill(wipe=True)
     simulation.loop.run_for(0.3)
     wiped.start()
     simulation.loop.run_for(1.0 + 2 * simulation.random.random())
 
 
-def replaced_twice(simulation: ControlPlaneSimulation) -> None:
-    """A machine is replaced as planned, and the leader is lost at a step of it."""
+def replaced_with_leader_loss(simulation: ControlPlaneSimulation) -> None:
+    """A machine is replaced as planned, and the leader loses power during the replacement."""
     simulation.faults.replace(planned=True)
     simulation.loop.run_for(2.5 * simulation.random.random())
     leader, _ = leader_and_others(simulation)
@@ -108,7 +108,7 @@
 
 
 def killed_before_sync(simulation: ControlPlaneSimulation) -> None:
-    """One of two is killed between write and sync, and starts again with a disk that stalls."""
+    """One of two connected voters is killed between write and sync, and restarts with a stalling disk."""
     _, (first, *rest) = leader_and_others(simulation)
     block_links(simulation, rest, simulation.cluster.running_machines())
     first.disk.slowdown = 40.0
@@ -122,7 +122,7 @@
 
 
 def voted_before_sync(simulation: ControlPlaneSimulation) -> None:
-    """A machine votes with a slow disk, loses power, and is asked for its vote in the same term again."""
+    """A machine with a slow disk votes, loses power, and is asked to vote in the same term again."""
     leader, (first, *rest) = leader_and_others(simulation)
     term = leader.controller.node.term
     block_links(simulation, [leader], simulation.cluster.running_machines())
--- a/lapisgrade/lab/simulation/server.py
+++ b/lapisgrade/lab/simulation/server.py
@@ -1,4 +1,4 @@
-"""A simulated server: it registers with heartbeats, drains, and deregisters."""
+"""A simulated server, which registers with heartbeats, drains and deregisters."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,45 +12,45 @@
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
 HEARTBEAT_INTERVAL_S = 1.3
-DRAIN_S = 3.0  # that a server goes on once its drain is acknowledged
-LATE_HEARTBEAT_RATE = 0.1  # of the heartbeats that arrive once more, late
-MAX_HEARTBEAT_DELAY_S = 3.0
-SILENT_RATE = 0.3  # of the servers that deregister without draining
+DRAIN_DURATION_S = 3.0  # time from the acknowledgement of a server's drain to its end
+LATE_DUPLICATE_RATE = 0.1  # fraction of the heartbeats that arrive a second time, late
+MAX_DUPLICATE_DELAY_S = 3.0
+NO_DRAIN_RATE = 0.3  # fraction of the servers that deregister without draining
 MIN_LIFETIME_S = 4.0
 LIFETIME_SPREAD_S = 30
 
 
 class SimulatedServer(Client):
-    """Sends heartbeats, drains, and ends once its departure was acknowledged."""
+    """A server that sends heartbeats, drains, and ends after its departure is acknowledged."""
 
     def __init__(self, cluster: Cluster, number: int, on_ended: Callable[[], None]) -> None:
         super().__init__(cluster, f"server {number}", f"10.4.0.{number}")
         self.id = f"i-{number}"
-        self.departed_us = 0  # when its drain or deregistration was first acknowledged
+        self.departure_acknowledged_us = 0  # first acknowledgement of a drain or deregistration
         self.has_ended = False
         self._on_ended = on_ended
         self._sequence = 0
 
     async def run(self) -> None:
-        """Run one process from its registration to its end."""
+        """Run the server from its registration to its end."""
         lifetime_s = MIN_LIFETIME_S + self.random.random() * LIFETIME_SPREAD_S
         started_us = self.loop.now_us
         while self.loop.now_us - started_us < lifetime_s * SECOND:
             await self.call("servers.heartbeat", "up")
             await asyncio.sleep(HEARTBEAT_INTERVAL_S * (0.9 + 0.2 * self.random.random()))
-        is_silent = self.random.random() < SILENT_RATE
-        while not await self.call("servers.deregister" if is_silent else "servers.heartbeat", "drain"):
+        skips_drain = self.random.random() < NO_DRAIN_RATE
+        while not await self.call("servers.deregister" if skips_drain else "servers.heartbeat", "drain"):
             await asyncio.sleep(0.2)
-        self.departed_us = self.loop.now_us
-        self.cluster.note(f"{self.id}: its leaving is acknowledged")
-        await asyncio.sleep(DRAIN_S)
-        if not is_silent:
+        self.departure_acknowledged_us = self.loop.now_us
+        self.cluster.note(f"{self.id}: departure acknowledged")
+        await asyncio.sleep(DRAIN_DURATION_S)
+        if not skips_drain:
             await self.call("servers.deregister", "drain")
         self.has_ended = True
         self._on_ended()
 
     async def call(self, name: str, state: str) -> bool:
-        """Call any controller; return whether it acknowledged."""
+        """Call a random controller; return whether it acknowledged the call."""
         self._sequence += 1
         body = {
             "Svc": "svc",
@@ -64,15 +64,15 @@
         }
         machine = self.random.choice([each for each in self.cluster.machines.values() if not each.is_removed])
         message = OperatorCall(name, self.id, msgspec.json.encode(body))
-        if self.random.random() < LATE_HEARTBEAT_RATE:
-            delay_us = round(self.random.random() * MAX_HEARTBEAT_DELAY_S * SECOND)
-            self.loop.schedule(delay_us, None, self._deliver_again, machine, message)
+        if self.random.random() < LATE_DUPLICATE_RATE:
+            delay_us = round(self.random.random() * MAX_DUPLICATE_DELAY_S * SECOND)
+            self.loop.schedule(delay_us, None, self._deliver_duplicate, machine, message)
         result = await self.endpoint.call((machine.ip, OPERATOR_PORT), message, REPLY_TIMEOUT_S)
         reply = result.value_or(None)
         return isinstance(reply, CallReply) and reply.status == 200
 
-    def _deliver_again(self, machine: Machine, message: OperatorCall) -> None:
-        """Deliver a copy of a heartbeat late; nobody waits for the reply."""
+    def _deliver_duplicate(self, machine: Machine, message: OperatorCall) -> None:
+        """Deliver a late duplicate of a heartbeat, and ignore the reply."""
         self.start_task(self._send_once(machine, message))
 
     async def _send_once(self, machine: Machine, message: OperatorCall) -> None:
--- a/lapisgrade/lab/simulation/tenant_load.py
+++ b/lapisgrade/lab/simulation/tenant_load.py
@@ -1,4 +1,4 @@
-"""The tenant of a data plane simulation: its limit, its load, and an operator that configures it."""
+"""The tenant of a data plane simulation: its rate limit, its load, and the operator that configures it."""
 
 from dataclasses import dataclass
 
@@ -14,16 +14,24 @@
 
 @dataclass(frozen=True)
 class TenantLoad:
-    """A tenant's limit, and its load: `pressure` times its rate while busy, nothing while idle."""
+    """A tenant's limit and load.
 
-    rate: int  # a second
+    Attributes:
+        rate: Limit in requests per second.
+        burst: Burst in requests.
+        demand_factor: Request rate during a busy period, as a multiple of `rate`.
+        busy_s: Minimum and maximum length of a busy period.
+        idle_s: Minimum and maximum length of an idle period, in which the token bucket refills.
+    """
+
+    rate: int
     burst: int
-    pressure: float
+    demand_factor: float
     busy_s: tuple[float, float] = (1.0, 6.0)
-    idle_s: tuple[float, float] = (0.0, 0.0)  # in which its token bucket fills up
+    idle_s: tuple[float, float] = (0.0, 0.0)
 
 
-# A steady load finds leaks of the refill, a bursty one those of a full bucket.
+# A steady load detects excess refill of the token bucket; a bursty load detects excess use of a full bucket.
 STEADY = TenantLoad(20, 30, 5.0)
 BURSTY = TenantLoad(40, 160, 4.0, idle_s=(0.5, 5.0))
 
@@ -34,7 +42,7 @@
     load = STEADY
 
     def make_change(self, version: int, base: int) -> tuple[str, bytes]:
-        """Return a change as any operator's, with the tenant in each complete configuration."""
+        """Return a change like any operator's, with the tenant in each complete configuration."""
         call, body = super().make_change(version, base)
         if call != REPLACE_CALL:
             return call, body
@@ -43,5 +51,5 @@
 
 
 def allowed_in_a_window(load: TenantLoad) -> float:
-    """Return how many requests the quota lets the tenant send in a window."""
+    """Return the number of requests that the quota allows the tenant in a window."""
     return allowed(Slo(), load.rate, load.burst)
--- a/lapisgrade/lab/simulation/virtual_loop.py
+++ b/lapisgrade/lab/simulation/virtual_loop.py
@@ -1,7 +1,7 @@
-"""An asyncio event loop in simulated time that knows whose callback it runs.
+"""An asyncio event loop in simulated time that assigns each callback to a simulated process.
 
-Every callback belongs to the process in whose context it was scheduled. One of a process that was killed is
-dropped, and one of a frozen process waits.
+A callback belongs to the process in whose context it was scheduled. Callbacks of a killed process are
+dropped, and those of a frozen process are delayed until it is thawed.
 """
 
 import asyncio
@@ -16,24 +16,24 @@
 
 
 class Process:
-    """One simulated process, from its start to its end."""
+    """One simulated process, from its start to its exit."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.is_alive = True
         self.frozen_until_us = 0
-        self.skew_us = 0  # its steady clock ahead of the loop's
+        self.skew_us = 0  # offset of its steady clock from the loop's
         self.tasks: list[asyncio.Task] = []
-        self._pace = 1.0  # of its steady clock against the loop's
+        self._pace = 1.0  # rate of its steady clock relative to the loop's
         self._pace_since_us = 0
 
     def set_pace(self, pace: float, now_us: int) -> None:
-        """Have the steady clock run at that pace from now on; it makes no step."""
+        """Change the rate of the steady clock from now on, without a step in its time."""
         self.skew_us = self.clock_us(now_us) - now_us
         self._pace, self._pace_since_us = pace, now_us
 
     def clock_us(self, now_us: int) -> int:
-        """Return the process's steady time when the loop's is `now_us`."""
+        """Return the time of the process's steady clock when the loop's is `now_us`."""
         gained_us = round((self._pace - 1.0) * (now_us - self._pace_since_us))
         return now_us + self.skew_us + gained_us
 
@@ -42,14 +42,14 @@
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """Runs so many simulated seconds (`run_for`); errors that nobody handles are kept in `errors`."""
+    """An event loop in simulated time; `errors` collects the unhandled exceptions."""
 
     def __init__(self, random: Random) -> None:
         self.now_us = 10 * SECOND
         self.random = random
         self.errors: list[str] = []
-        self.callback_count = 0  # that were run; what a simulation costs
-        self._order = 0
+        self.callback_count = 0  # number of callbacks run, a measure of the simulation's cost
+        self._event_count = 0
         self._events: list[tuple[int, int, asyncio.Handle, Process | None]] = []
         self._tasks: list[asyncio.Task] = []
 
@@ -60,15 +60,15 @@
         return self.now_us / SECOND
 
     def get_debug(self) -> bool:
-        """Asyncio's debug mode is off."""
+        """Return False: asyncio's debug mode is off."""
         return False
 
     def is_running(self) -> bool:
-        """The loop always runs."""
+        """Return True."""
         return True
 
     def is_closed(self) -> bool:
-        """The loop is never closed."""
+        """Return False."""
         return False
 
     def create_future(self) -> asyncio.Future:
@@ -83,15 +83,15 @@
         return task
 
     def call_soon(self, callback: Callable, *args: Any, context: Any = None) -> asyncio.Handle:
-        """Have the callback run at once."""
+        """Schedule a callback for the current time."""
         return self._schedule(asyncio.Handle(callback, args, self, context), self.now_us)
 
     def call_later(self, delay: float, callback: Callable, *args: Any, context: Any = None) -> asyncio.Handle:
-        """Have the callback run in `delay` s."""
+        """Schedule a callback in `delay` s."""
         return self.call_at(self.time() + delay, callback, *args, context=context)
 
     def call_at(self, when: float, callback: Callable, *args: Any, context: Any = None) -> asyncio.Handle:
-        """Have the callback run at that time (s)."""
+        """Schedule a callback at the time `when` (s)."""
         handle = asyncio.TimerHandle(when, callback, args, self, context)
         return self._schedule(handle, max(self.now_us, round(when * SECOND)))
 
@@ -99,11 +99,11 @@
         pass
 
     def run_in_executor(self, executor: Any, func: Callable, *args: Any) -> asyncio.Future:
-        """Run it on a simulated `executor`, which decides how long it takes."""
+        """Run a blocking call on a simulated `executor`, which determines its duration."""
         return executor.submit_to(self, func, args)
 
     def call_exception_handler(self, context: dict) -> None:
-        """Keep an error that nobody handled."""
+        """Record an unhandled exception."""
         error = context.get("exception")
         if error is not None or "destroyed" not in context.get("message", ""):
             self.errors.append(f"{context.get('message')}: {error!r}")
@@ -113,28 +113,28 @@
     def schedule(
         self, delay_us: int, process: Process | None, callback: Callable, *args: Any
     ) -> asyncio.Handle:
-        """Have `callback` run in the context of `process`."""
+        """Schedule a callback in `delay_us`, in the context of `process`."""
         context = copy_context()
         context.run(CURRENT_PROCESS.set, process)
         handle = asyncio.Handle(callback, args, self, context)
         return self._schedule(handle, self.now_us + delay_us)
 
     def _schedule(self, handle: asyncio.Handle, at_us: int) -> asyncio.Handle:
-        self._order += 1
-        process = handle._context.get(CURRENT_PROCESS)  # asyncio keeps no public name for it
-        heapq.heappush(self._events, (at_us, self._order, handle, process))
+        self._event_count += 1
+        process = handle._context.get(CURRENT_PROCESS)  # asyncio has no public attribute for it
+        heapq.heappush(self._events, (at_us, self._event_count, handle, process))
         return handle
 
     def run_for(self, seconds: float) -> None:
-        """Run so many simulated seconds."""
-        ends = self.now_us + round(seconds * SECOND)
+        """Run for that many simulated seconds."""
+        end_us = self.now_us + round(seconds * SECOND)
         asyncio._set_running_loop(self)
         try:
-            while self._events and self._events[0][0] <= ends:
+            while self._events and self._events[0][0] <= end_us:
                 self._run_next()
         finally:
             asyncio._set_running_loop(None)
-        self.now_us = ends
+        self.now_us = end_us
 
     def _run_next(self) -> None:
         at, _, handle, process = heapq.heappop(self._events)
@@ -144,30 +144,30 @@
         if process is not None:
             if not process.is_alive:
                 return
-            late = process.frozen_until_us - self.now_us
-            if late > 0:
-                self._order += 1
-                heapq.heappush(self._events, (process.frozen_until_us, self._order, handle, process))
+            frozen_us = process.frozen_until_us - self.now_us
+            if frozen_us > 0:
+                self._event_count += 1
+                heapq.heappush(self._events, (process.frozen_until_us, self._event_count, handle, process))
                 return
         self.callback_count += 1
         handle._run()
 
-    def run_until(self, done: Callable[[], bool], timeout_s: float, step: float = 0.01) -> bool:
-        """Run until `done`, so many seconds at the most; return whether it was."""
-        ends = self.now_us + round(timeout_s * SECOND)
-        while not done():
-            if self.now_us >= ends:
+    def run_until(self, condition: Callable[[], bool], timeout_s: float, step: float = 0.01) -> bool:
+        """Run until the condition holds; return False after `timeout_s` without it."""
+        end_us = self.now_us + round(timeout_s * SECOND)
+        while not condition():
+            if self.now_us >= end_us:
                 return False
             self.run_for(step)
         return True
 
     def finish(self, processes: list[Process]) -> None:
-        """Close all tasks of processes that are no longer alive, at the end of a simulation."""
+        """Kill the processes and close all tasks, at the end of a simulation."""
         self._events.clear()
         for process in processes:
             process.is_alive = False
         for task in [*self._tasks, *(each for process in processes for each in process.tasks)]:
             task._log_destroy_pending = False
             if not task.done():
-                with contextlib.suppress(RuntimeError, ValueError):  # it waits while it ends, or is running
+                with contextlib.suppress(RuntimeError, ValueError):  # it awaits in close(), or is running
                     task.get_coro().close()
--- a/lapisgrade/lab/simulation/watch_client.py
+++ b/lapisgrade/lab/simulation/watch_client.py
@@ -1,4 +1,4 @@
-"""A client of the simulated control plane that watches the configuration as a proxy does."""
+"""A client of the simulated control plane that watches the configuration like a proxy."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class WatchClient(Client):
-    """Watches the configuration as a proxy does, and checks that nothing goes back."""
+    """Watches the configuration, and checks that versions and fencing tokens never decrease."""
 
     def __init__(self, cluster: Cluster, number: int) -> None:
         super().__init__(cluster, f"limiter {number}", f"10.2.0.{number}")
@@ -27,15 +27,15 @@
         self.leader_address = ""
         self.term = 0
         self.needs_full_version = False
-        self.last_contact_us = 0  # when the last watch request was sent that was answered
+        self.last_contact_us = 0  # send time of the last watch request that was applied
 
     async def run(self) -> None:
-        """Send watch requests for ever."""
+        """Send watch requests in an endless loop."""
         while True:
             await self.poll()
 
     async def poll(self) -> None:
-        """Send one watch request, to the leader where it is known, and apply the reply."""
+        """Send a watch request to the leader, or to a random machine if it isn't known; apply the reply."""
         address = self.leader_address or self._random_address()
         host, _, port = address.rpartition(":")
         sent_us = self.loop.now_us
@@ -83,7 +83,7 @@
         except InvalidInputError as error:
             if self.needs_full_version:
                 self.cluster.invariants.report_violation(
-                    f"limiter {self.number} can't read a version: {error}"
+                    f"limiter {self.number} can't decode a full version: {error}"
                 )
             self.needs_full_version = True
             return False
@@ -91,7 +91,7 @@
         return True
 
     def on_reply(self, reply: rpc_messages.WatchReply) -> None:
-        """Store the configurations of a leader's reply, and check that no version or token goes back."""
+        """Store the configurations in a leader's reply; check that version and token don't decrease."""
         invariants = self.cluster.invariants
         if reply.active_configuration is not None:
             self.store_version(reply.active_configuration)
@@ -101,11 +101,11 @@
         version = reply.active_version
         if version < self.active_version:
             invariants.report_violation(
-                f"limiter {self.number} is told version {version} after {self.active_version}"
+                f"limiter {self.number} receives active version {version} after {self.active_version}"
             )
         if reply.fencing_token < self.fencing_token:
             invariants.report_violation(
-                f"limiter {self.number} is told fence {reply.fencing_token} after {self.fencing_token}"
+                f"limiter {self.number} receives token {reply.fencing_token} after {self.fencing_token}"
             )
         if version > self.active_version:
             if version in self.configurations:
@@ -115,11 +115,11 @@
             }
 
     def store_version(self, encoded: EncodedVersion) -> None:
-        """Decode a configuration, and check it against the log's."""
+        """Decode a configuration, and check that it equals the one in the log."""
         text = decode(encoded, self.configurations.get(encoded.base, b""))
         self.configurations[encoded.version] = text
         logged = self.cluster.invariants.versions.get(encoded.version)
         if logged is None or logged[1] != text:
             self.cluster.invariants.report_violation(
-                f"limiter {self.number} has another version {encoded.version}"
+                f"limiter {self.number} has a configuration unlike the log's version {encoded.version}"
             )
--- a/tests/lab/simulation/test_claims.py
+++ b/tests/lab/simulation/test_claims.py
@@ -1,26 +1,26 @@
-"""Claims of operation keys under random faults, and wrong versions to find."""
+"""Claims of operation keys under random faults, and injected defects that must be found."""
 
 import pytest
 
 from lapisgrade.lab.explore.defects import injected
 from lapisgrade.lab.simulation.claims import simulate_claims
-from lapisgrade.lab.simulation.defects.claims import CLAIMS
+from lapisgrade.lab.simulation.defects.claims import CLAIM_DEFECTS
 
 SEEDS = 10
-DEFECT_SEEDS = 30  # in which a wrong version must be found
+DEFECT_SEEDS = 30  # number of seeds that must find an injected defect
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
 
-def test_no_operation_runs_twice_whatever_is_lost(subtests: pytest.Subtests) -> None:
+def test_no_operation_runs_twice_under_faults(subtests: pytest.Subtests) -> None:
     for seed in range(SEEDS):
         with subtests.test(seed=seed):
             simulation = simulate_claims(seed)
             assert simulation.violations == [], "\n".join(simulation.transcript())
-            assert len(simulation.book.runs) > 50
+            assert len(simulation.claim_history.runs) > 50
 
 
-@pytest.mark.parametrize("name", CLAIMS)
-def test_each_wrong_version_is_found(name: str) -> None:
-    with injected(CLAIMS, name):
+@pytest.mark.parametrize("name", CLAIM_DEFECTS)
+def test_an_injected_defect_of_claims_is_found(name: str) -> None:
+    with injected(CLAIM_DEFECTS, name):
         assert any(simulate_claims(seed).violations for seed in range(DEFECT_SEEDS))
--- a/tests/lab/simulation/test_data_plane.py
+++ b/tests/lab/simulation/test_data_plane.py
@@ -1,4 +1,4 @@
-"""Proxies beside controllers, their real shells in simulated time, and wrong versions that must be found."""
+"""Proxies and controllers in simulated time, and injected defects that must be found."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
 
-def test_versions_counts_quotas_and_departures_survive_faults(
+def test_versions_counters_quotas_and_departures_are_correct_under_faults(
     subtests: pytest.Subtests,
 ) -> None:
     sent = grants = 0
@@ -34,14 +34,14 @@
 
 
 @pytest.mark.parametrize("name", explored.DEFECTS)
-def test_each_wrong_version_is_found(name: str) -> None:
-    begin, many = data_plane_defects.FIRST_SEED_AND_COUNT.get(name, (0, 12))
+def test_an_injected_defect_of_the_data_plane_is_found(name: str) -> None:
+    first, count = data_plane_defects.FIRST_SEED_AND_COUNT.get(name, (0, 12))
     with injected(explored.DEFECTS, name):
-        found = next((seed for seed in range(begin, begin + many) if simulate(seed).violations), None)
-        assert found is not None, f"{name} survived {many} seeds from {begin} on"
+        found = next((seed for seed in range(first, first + count) if simulate(seed).violations), None)
+        assert found is not None, f"{name} was not found in {count} seeds from {first} on"
 
 
-def test_the_exploration_reports_what_led_to_a_violation() -> None:
+def test_the_exploration_prints_the_transcript_up_to_a_violation() -> None:
     lines: list[str] = []
     first, _ = data_plane_defects.FIRST_SEED_AND_COUNT["old-fence"]
     _, seed = explored.explore(range(first, first + 3), "old-fence", lines.append)
--- a/tests/lab/simulation/test_fault_schedules.py
+++ b/tests/lab/simulation/test_fault_schedules.py
@@ -1,7 +1,4 @@
-"""The control plane's real shell in simulated time under fault schedules, and wrong versions to find.
-
-A schedule that finds none of the wrong versions proves nothing.
-"""
+"""The control plane in simulated time under fault schedules, and injected defects that must be found."""
 
 import pytest
 
@@ -9,8 +6,8 @@
 from lapisgrade.lab.simulation.defects import control_plane as control_plane_defects
 from lapisgrade.lab.simulation.fault_schedules import FAULT_SCHEDULES
 
-SEEDS = 8  # of each schedule
-DEFECT_SEEDS = 30  # in which a wrong version must be found
+SEEDS = 8  # number of seeds per schedule
+DEFECT_SEEDS = 30  # number of seeds that must find an injected defect
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
@@ -18,27 +15,29 @@
 @pytest.mark.parametrize(
     ("schedule", "seeds"),
     [
-        pytest.param("leader-cut", SEEDS, id="a_leader_that_is_cut_off_serves_and_confirms_nothing"),
+        pytest.param("leader-cut", SEEDS, id="an_isolated_leader_serves_and_acknowledges_nothing"),
         pytest.param(
-            "orders-resent", SEEDS, id="orders_sent_again_are_answered_alike_and_no_two_on_one_base_are_taken"
+            "orders-resent",
+            SEEDS,
+            id="a_change_sent_again_has_the_same_outcome_and_each_base_has_one_version",
         ),
-        pytest.param("second-loss", 15, id="a_second_loss_after_a_repair_or_replacement_costs_nothing"),
+        pytest.param("second-loss", 15, id="a_second_loss_after_a_repair_or_replacement_loses_no_change"),
         pytest.param(
-            "wiped-after-ack", SEEDS, id="one_that_holds_an_acknowledgement_is_emptied_and_all_lose_power"
+            "wiped-after-ack", SEEDS, id="power_loss_and_one_wiped_disk_right_after_an_acknowledgement"
         ),
-        pytest.param("slow-changes", SEEDS, id="changes_of_voters_under_late_answers"),
-        pytest.param("newcomers", SEEDS, id="two_newcomers_on_the_cut_off_leader_s_side"),
+        pytest.param("slow-changes", SEEDS, id="voter_changes_with_delayed_replies"),
+        pytest.param("newcomers", SEEDS, id="two_machines_join_on_an_isolated_leader_s_side"),
         pytest.param(
             "hundreds-of-changes",
             12,
-            id="a_member_that_missed_hundreds_of_changes_catches_up_while_they_go_on",
+            id="a_member_that_missed_hundreds_of_changes_catches_up_under_load",
         ),
-        pytest.param("unsynced", SEEDS, id="what_was_not_synced_counts_for_nothing"),
-        pytest.param("churn", SEEDS, id="leaders_with_entries_of_several_terms"),
-        pytest.param("drawn", 20, id="drawn_troubles"),
+        pytest.param("unsynced", SEEDS, id="unsynced_writes_are_not_acknowledged"),
+        pytest.param("churn", SEEDS, id="leaders_with_uncommitted_entries_of_several_terms"),
+        pytest.param("drawn", 20, id="random_faults"),
     ],
 )
-def test_no_guarantee_is_broken(schedule: str, seeds: int, subtests: pytest.Subtests) -> None:
+def test_no_invariant_is_violated(schedule: str, seeds: int, subtests: pytest.Subtests) -> None:
     acknowledged = 0
     for seed in range(seeds):
         with subtests.test(schedule=schedule, seed=seed):
@@ -56,11 +55,11 @@
 
 @pytest.mark.parametrize(
     ("name", "schedule"),
-    [(name, schedule) for group, schedule in control_plane_defects.SCHEDULES_BY_DEFECTS for name in group],
+    [(name, schedule) for group, schedule in control_plane_defects.DEFECTS_AND_SCHEDULES for name in group],
 )
-def test_each_wrong_version_is_found(name: str, schedule: str) -> None:
+def test_an_injected_defect_of_the_control_plane_is_found(name: str, schedule: str) -> None:
     with injected(control_plane_defects.CONTROL_PLANE_DEFECTS, name):
         found = next(
             (seed for seed in range(DEFECT_SEEDS) if FAULT_SCHEDULES[schedule](seed).violations), None
         )
-        assert found is not None, f"{name} survived {DEFECT_SEEDS} seeds of {schedule}"
+        assert found is not None, f"{name} was not found in {DEFECT_SEEDS} seeds of {schedule}"
