--- a/tests/lab/simulation/test_operations.py
+++ b/tests/lab/simulation/test_operations.py
@@ -1,4 +1,4 @@
-"""Keyed operations on the real shells in simulated time, the rules they are judged by, and wrong versions."""
+"""Keyed operations in simulated time, the rules they are checked against, and injected defects."""
 
 import pytest
 
@@ -8,15 +8,17 @@
 from lapisgrade.lab.simulation.operations.schedules import SCHEDULES
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
-SEEDS = 2  # of each schedule
-DEFECT_SEEDS = 3  # in which a wrong version must be found, from its first seed on
+SEEDS = 2  # number of seeds per schedule
+DEFECT_SEEDS = 3  # number of seeds that must find an injected defect
 KEY = ("ana", "k-1")
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
 
 @pytest.mark.parametrize("schedule", SCHEDULES)
-def test_each_key_runs_once_and_repeats_get_its_answer(schedule: str, subtests: pytest.Subtests) -> None:
+def test_each_key_runs_once_and_repeats_get_the_same_response(
+    schedule: str, subtests: pytest.Subtests
+) -> None:
     served = 0
     for seed in range(SEEDS):
         with subtests.test(seed=seed):
@@ -34,11 +36,11 @@
 
 
 @pytest.mark.parametrize("name", explored.DEFECTS)
-def test_each_wrong_version_is_found(name: str) -> None:
+def test_an_injected_defect_of_keyed_operations_is_found(name: str) -> None:
     first = operation_defects.FIRST_SEED.get(name, 0)
     lines: list[str] = []
     _, seed = explored.explore(range(first, first + DEFECT_SEEDS), name, lines.append)
-    assert seed >= 0, f"{name} survived {DEFECT_SEEDS} seeds from {first} on"
+    assert seed >= 0, f"{name} was not found in {DEFECT_SEEDS} seeds from {first} on"
     assert "WRONG" in lines[-1]
 
 
@@ -56,18 +58,18 @@
             self.history.on_sent(each)
 
     def run(self, number: int, status: int = 200) -> None:
-        """A server runs that try."""
+        """Record a run of that try."""
         self.history.on_run(Run(KEY, str(number), 0, b"order", status, b"done", f"seal-{number}"))
 
     def answer(
         self, number: int, status: int, seal: str = "", body: bytes = b"", try_id: str | None = None
     ) -> None:
-        """The client of that try is answered."""
-        named = (try_id if try_id is not None else str(number),)
-        self.history.on_answer(self.tries[number - 1], Answer(status, named, seal, body))
+        """Record a response to that try."""
+        try_ids = (try_id if try_id is not None else str(number),)
+        self.history.on_answer(self.tries[number - 1], Answer(status, try_ids, seal, body))
 
 
-def test_one_run_whose_answer_repeats_get_breaks_no_rule() -> None:
+def test_one_run_and_a_repeat_with_its_response_violate_no_rule() -> None:
     observed = Observed()
     observed.answer(2, 409)
     observed.run(1)
@@ -77,7 +79,7 @@
 
 
 @pytest.mark.parametrize(("apart_s", "count"), [(59.9, 1), (60.1, 0)])
-def test_a_second_run_inside_the_window_is_found(apart_s: float, count: int) -> None:
+def test_a_second_run_within_the_window_is_reported(apart_s: float, count: int) -> None:
     observed = Observed(apart_s)
     observed.run(1)
     observed.run(2)
@@ -85,7 +87,7 @@
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
-def test_a_refusal_of_what_has_run_or_runs_later_is_found(status: int) -> None:
+def test_a_not_run_status_for_a_try_that_runs_is_reported(status: int) -> None:
     before, after = Observed(), Observed()
     before.run(1)
     before.answer(1, status)
@@ -104,7 +106,7 @@
         (200, "seal-1", b"done", "1"),
     ],
 )
-def test_a_success_that_is_not_the_run_s_is_found(
+def test_a_success_that_differs_from_the_run_s_response_is_reported(
     status: int, seal: str, body: bytes, try_id: str | None
 ) -> None:
     observed = Observed()
@@ -113,7 +115,7 @@
     assert [each.split(":")[0] for each in observed.violations] == ["MIXED"]
 
 
-def test_a_run_that_no_client_asked_for_is_found() -> None:
+def test_a_run_of_a_request_that_no_client_sent_is_reported() -> None:
     observed = Observed()
     observed.history.on_run(Run(("ben", "k-1"), "1", 0, b"order", 200, b"done", "seal-9"))
     observed.history.on_run(Run(KEY, "1", 0, b"another order", 200, b"done", "seal-10"))
