--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -26,7 +26,7 @@
 from lapisgrade.lab.explore.quota_defects import DEFECTS
 from lapisgrade.lab.explore.quota_limiter import SLO, TENANT, Limiter
 from lapisgrade.lab.explore.watch_proxy import MS, Proxy
-from lapisgrade.lab.partitions.quota import allowed, most
+from lapisgrade.lab.partitions.quota import max_in_window, quota_bound
 
 UNIT = "requests"
 ISOLATION_US = 2600 * MS  # long enough for the leader to remove an isolated limiter from the live proxies
@@ -184,12 +184,12 @@
     @property
     def max_allowed(self) -> float:
         """Maximum number of requests per window that the QUOTA guarantee allows."""
-        return allowed(SLO, self.tenant.rate_s, self.tenant.burst)
+        return quota_bound(SLO, self.tenant.rate_s, self.tenant.burst)
 
     @property
     def max_admitted(self) -> int:
         """Number of requests that were admitted in the worst window."""
-        return most(self.admitted_us, SLO.quota_win)
+        return max_in_window(self.admitted_us, SLO.quota_win)
 
     @property
     def has_violation(self) -> bool:
