--- a/lapisgrade/lab/partitions/operations.py
+++ b/lapisgrade/lab/partitions/operations.py
@@ -52,7 +52,7 @@
         faults: Relative frequency of each fault.
         has_server_faults: Whether servers fail some requests.
         slots: Requests that a server runs at once.
-        manner: Behavior of overloaded servers, as `FakeServer.manner`.
+        manner: Behavior of overloaded servers, as `FakeServer.fault`.
         machines: Number of machines, each with a proxy.
         controllers: Number of machines that also have a controller.
     """
@@ -173,7 +173,7 @@
     for number in range(2, SERVER_COUNT + 2):
         address = (f"{fleet.server.address[0].rsplit('.', 1)[0]}.{number}", fleet.server.address[1])
         server = OperationServer(f"i-{number}", address, history, random, case.slots, case.has_server_faults)
-        server.manner = case.manner
+        server.fault = case.manner
         await server.start()
         fleet.tasks.append(asyncio.create_task(fleet.send_heartbeats(server)))
         servers.append(server)
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -20,7 +20,7 @@
 
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.http_client import send_request
-from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
+from lapisgrade.gateway.local_cluster import HTTP_PORT, SAMPLE
 from lapisgrade.gateway.quota.count import LEASE_US
 from lapisgrade.gateway.quota.ownership import eligible_owners, owner_of
 from lapisgrade.gateway.settings import Slo
@@ -108,7 +108,7 @@
         """Send one request to a proxy; count its status if the tenant is the calm one."""
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900"}
         fields["Authorization"] = f"Bearer {tenant}"
-        status, address = 0, (self.fleet.ip[name], HTTP)
+        status, address = 0, (self.fleet.ip[name], HTTP_PORT)
         with contextlib.suppress(OSError, TimeoutError, MalformedMessageError):
             status = (await send_request(address, "GET", "/stock/1", fields=fields)).head.status_code
         if tenant == self.calm:
@@ -231,7 +231,7 @@
     tenants = [{"Name": each, "Apikeys": [each], "RateS": RATE, "Burst": BURST} for each in (hot, calm)]
     tenants += SAMPLE["Tenants"]
     async with Fleet(net, folder, MACHINES, CONTROLLERS, tenants) as fleet:
-        fleet.server.ran, fleet.server.slots = RunCounter(), 256
+        fleet.server.run_counts, fleet.server.slots = RunCounter(), 256
         run = CaseRun(fleet, hot, calm, owners, random)
         started_s = time.monotonic()
         loads = [asyncio.create_task(run.send_load(*each))
@@ -245,7 +245,7 @@
                 each.cancel()
             await run.stop()
         duration_s = time.monotonic() - started_s
-        run_times_s = [at_s for id, at_s in fleet.server.ran.started_s.items() if id.startswith(hot)]
+        run_times_s = [at_s for id, at_s in fleet.server.run_counts.started_s.items() if id.startswith(hot)]
         result = CaseResult(case, max_in_window(run_times_s, SLO.quota_win / SECOND),
                             len(run_times_s) / (RATE * duration_s + BURST))  # fmt: skip
         result.calm_requests, result.calm_rejected = sum(run.calm_statuses.values()), run.calm_statuses[429]
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -25,7 +25,7 @@
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.fake_server import FakeServer
 from lapisgrade.gateway.http_client import post_to_any, send_request
-from lapisgrade.gateway.local_cluster import HTTP, SAMPLE
+from lapisgrade.gateway.local_cluster import HTTP_PORT, SAMPLE
 from lapisgrade.lab.partitions.fleet import POLL_INTERVAL_S, Fleet, RunCounter
 from lapisgrade.net.http import MalformedMessageError
 
@@ -164,7 +164,9 @@
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": AUTHORIZATION}
         retry_after_s = 0.0
         try:
-            response = await send_request((self.fleet.ip[attempt.proxy], HTTP), "GET", path, fields=fields)
+            response = await send_request(
+                (self.fleet.ip[attempt.proxy], HTTP_PORT), "GET", path, fields=fields
+            )
             attempt.status, retry_after_s = (
                 response.head.status_code,
                 float(response.headers().get(b"retry-after", b"0")),
@@ -402,7 +404,7 @@
         new_server = FakeServer("i-2", NEW_SERVICE, (f"127.{net}.1.2", 8080), slots=64)
         await new_server.start()
         fleet.tasks.append(asyncio.create_task(fleet.send_heartbeats(new_server)))
-        fleet.server.ran, new_server.ran = RunCounter(), RunCounter()
+        fleet.server.run_counts, new_server.run_counts = RunCounter(), RunCounter()
         clients = None
         try:
             run = CaseRun(fleet, random)
@@ -433,8 +435,10 @@
             p99([each.latency_s for each in lookups]) for lookups in (calm, rejoin)
         )
         result.urgent_failed = sum(each.status != 200 for each in rejoin)
-        result.violations = find_violations(completed, fleet.server.ran, new_server.ran, run.isolated_proxies)
-        if not any(name in new_server.ran for name in completed):
+        result.violations = find_violations(
+            completed, fleet.server.run_counts, new_server.run_counts, run.isolated_proxies
+        )
+        if not any(name in new_server.run_counts for name in completed):
             result.violations.append("no claim used the merged route")
         return result
 
