--- a/lapisgrade/cli/lab_emulator.py
+++ b/lapisgrade/cli/lab_emulator.py
@@ -70,7 +70,7 @@
     from lapisgrade.lab.emulator.world import World
 
     played = _read_scenario(scenario)
-    scenarios.changed(
+    scenarios.override(
         played,
         {"policy": policy, "seed": seed, "limiters": limiters, "servers": servers, "customers": customers},
     )
@@ -88,7 +88,7 @@
     from lapisgrade.lab.emulator import scenario as scenarios
 
     try:
-        return scenarios.emulated(path)
+        return scenarios.read_for_emulator(path)
     except scenarios.ScenarioError as error:
         click.echo(f"the scenario: {error}", err=True)
         sys.exit(2)
@@ -150,7 +150,11 @@
             time_scale = self.seconds * SECOND_US / scenario.seconds_us
             scenario.seconds_us = round(self.seconds * SECOND_US)
             scenario.faults = [
-                replace(fault, at_us=round(fault.at_us * time_scale), for_us=round(fault.for_us * time_scale))
+                replace(
+                    fault,
+                    at_us=round(fault.at_us * time_scale),
+                    duration_us=round(fault.duration_us * time_scale),
+                )
                 for fault in scenario.faults
             ]
 
--- a/lapisgrade/cli/lab_fleet.py
+++ b/lapisgrade/cli/lab_fleet.py
@@ -131,8 +131,8 @@
     from lapisgrade.lab.emulator import scenario as scenarios
 
     try:
-        text = scenarios.text_at(path)
-        return text, scenarios.changed(scenarios.parse(text, path), changes)
+        text = scenarios.read_text(path)
+        return text, scenarios.override(scenarios.parse(text, path), changes)
     except scenarios.ScenarioError as error:
         click.echo(f"the scenario: {error}", err=True)
         sys.exit(EXIT_INVALID_INPUT)
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -99,7 +99,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class ClientRequest:
     """One try of a client, and what it was told; status 0 where nothing came or the client left."""
 
     once: bool  # whether it may run once alone
@@ -109,12 +109,12 @@
 
 
 @dataclass(slots=True)
-class Found:
-    tries: dict[str, Try] = field(default_factory=dict)
+class Findings:
+    tries: dict[str, ClientRequest] = field(default_factory=dict)
     ran: Counter[str] = field(default_factory=Counter)
     arrived: Counter[str] = field(default_factory=Counter)
 
-    def wrong(self) -> list[str]:
+    def violations(self) -> list[str]:
         """What must not be."""
         out = []
         for name, each in self.tries.items():
@@ -134,12 +134,12 @@
 
 
 async def client(
-    site: LocalCluster, name: str, chance: Random, found: Found, goes_on: Callable[[], bool]
+    site: LocalCluster, name: str, chance: Random, found: Findings, goes_on: Callable[[], bool]
 ) -> None:
     """One client's requests, one after another."""
     while goes_on():
         once, id = chance.random() < 0.5, f"{chance.getrandbits(64):016x}"
-        one = found.tries[id] = Try(once)
+        one = found.tries[id] = ClientRequest(once)
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
         sent = send_request(
             site.http_address(name),
@@ -157,10 +157,10 @@
         await asyncio.sleep(0.002)
 
 
-async def play(seed: int, net: int, seconds: float = 2.0, servers: int = 3) -> Found:
+async def run_requests(seed: int, net: int, seconds: float = 2.0, servers: int = 3) -> Findings:
     """So many seconds of requests at a site of one machine; on a machine that is busy as many more as it
     takes for enough of them."""
-    chance, found = Random(seed), Found()
+    chance, found = Random(seed), Findings()
     unmetered = {**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}
     async with LocalCluster(1, 1, net) as site:
         unruly = [
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -74,7 +74,7 @@
     return {"Ver": ver, "Tenants": people, "Ports": ports, "Pools": pools}
 
 
-def changed(base: int) -> ConfigurationChange:
+def sample_change(base: int) -> ConfigurationChange:
     rule = {
         "Name": "r-00001", "Match": {"Pfx": "/p00001/"},
         "Action": {"Svc": "svc1", "Timeout": f"{base}ms"},
@@ -111,7 +111,7 @@
             ConfigurationChange(True, msgspec.json.encode({**sample_configuration(size, size), "Base": 0}))
         ),
     )
-    text, change = state_machine.state.configuration, changed(7)
+    text, change = state_machine.state.configuration, sample_change(7)
     version = state_machine.prepare(change).command
     entry = encode_command(version)
     whole, delta = feed.version(7, text, 0), feed.version(8, decode(version.encoded, text), 7)
--- a/lapisgrade/lab/emulator/metrics.py
+++ b/lapisgrade/lab/emulator/metrics.py
@@ -77,7 +77,7 @@
         self._this_second["arrived"] += 1
         op = record.op
         self.possible += op.category.value * op.units
-        self.quota(op).asked(op.units, op.arrived_us)
+        self.quota(op).on_arrival(op.units, op.arrived_us)
 
     def quota(self, op) -> quota.Quota:
         kept = self.quotas.get(op.customer)
@@ -85,9 +85,9 @@
             kept = self.quotas[op.customer] = quota.Quota(op.plan.rate, op.plan.burst, SECOND)
         return kept
 
-    def let_in(self, record, now_us: int) -> None:
+    def on_admission(self, record, now_us: int) -> None:
         """Its first hop goes out."""
-        self.quota(record.op).let_in(record.op.units, now_us)
+        self.quota(record.op).on_admission(record.op.units, now_us)
 
     def end(self, name: str) -> None:
         self.ends[name] += 1
--- a/lapisgrade/lab/emulator/scenario.py
+++ b/lapisgrade/lab/emulator/scenario.py
@@ -75,18 +75,18 @@
     at_us: int
     kind: str
     target: str = "all"
-    for_us: int = 0  # undone after this long; 0: not undone
+    duration_us: int = 0  # undone after this long; 0: not undone
     factor: float = 1.0
     link: str = ""  # of LINKS, from the target's limiters; "": all of them
     delay_us: int = 0  # of a slow link
     jitter_us: int = 0
     rate: float = 0.0  # bytes a second of a slow link; 0: no bound
-    wave_us: int = 0  # between one of the target and the next; 0: all at once
+    wave_interval_us: int = 0  # between one of the target and the next; 0: all at once
     line: int = 0  # where it stands in the file
 
 
 @dataclass(frozen=True, slots=True)
-class Party:
+class PartitionGroup:
     """Limiters and servers that a partition cuts off together from all the rest."""
 
     name: str
@@ -127,23 +127,25 @@
     rate: float = 500.0  # operations a second from all clients together
     policy: str = "module"
     spread: int = 2  # limiters in a customer's set
-    most_units: int = 2
+    max_units: int = 2
     skew: float = SKEW
     retry_share: float = 0.5  # of turned-back operations that their clients send again, once
     leave_share: float = 0.01  # of operations whose clients leave before their hard stop
     discovery_lag_us: int = 200 * MS
-    calls: bool = True
-    count_limit_us: int = 50 * MS
+    uses_shared_counter: bool = True
+    counter_timeout_us: int = 50 * MS
     server: ServerKnobs = field(default_factory=ServerKnobs)
     counter: CounterKnobs = field(default_factory=CounterKnobs)
     categories: list[Category] = field(default_factory=list)
     category_shares: list[float] = field(default_factory=list)
     plans: list[Plan] = field(default_factory=list)
     plan_shares: list[float] = field(default_factory=list)
-    duties: ServerRules = field(default_factory=lambda: ServerRules(250 * MS, 5 * SECOND, 0.3, SECOND, 3.0))
-    leave: Permissions = field(default_factory=lambda: Permissions(3, True, True, False, 2 * SECOND))
+    server_rules: ServerRules = field(
+        default_factory=lambda: ServerRules(250 * MS, 5 * SECOND, 0.3, SECOND, 3.0)
+    )
+    permissions: Permissions = field(default_factory=lambda: Permissions(3, True, True, False, 2 * SECOND))
     faults: list[Fault] = field(default_factory=list)
-    parties: dict[str, Party] = field(default_factory=dict)
+    partition_groups: dict[str, PartitionGroup] = field(default_factory=dict)
     peers: bool = False  # the limiters know of one another (processes only)
     clock_offset_ms: float = 0.0  # the limiters' clocks lie evenly within so much to either side
     over_bound: float | None = None  # units over, of any customer in any window, that the scenario allows
@@ -273,10 +275,10 @@
 
 def read(path: str) -> Scenario:
     """The scenario in the file at `path`; ScenarioError where it can't be read."""
-    return parse(text_at(path), path)
+    return parse(read_text(path), path)
 
 
-def emulated(path: str) -> Scenario:
+def read_for_emulator(path: str) -> Scenario:
     """The scenario in the file at `path`; ScenarioError for a fault that the emulator can't play."""
     sc = read(path)
     if sc.peers:
@@ -285,12 +287,12 @@
         at = f"{path}:{fault.line}: the emulator can't play"
         if fault.kind in PROCESS_KINDS:
             raise ScenarioError(f"{at} the fault {fault.kind!r}: it needs processes (lab fleet run)")
-        if fault.wave_us or fault.target.startswith("group:"):
+        if fault.wave_interval_us or fault.target.startswith("group:"):
             raise ScenarioError(f"{at} faults that come in waves or to a group: they need processes")
     return sc
 
 
-def text_at(path: str) -> str:
+def read_text(path: str) -> str:
     """The text of a scenario's file; ScenarioError where there is none."""
     try:
         with open(path, "rb") as file:
@@ -299,7 +301,7 @@
         raise ScenarioError(f"{path}: {wrong.strerror or wrong}") from None
 
 
-def changed(sc: Scenario, changes: dict[str, Any]) -> Scenario:
+def override(sc: Scenario, changes: dict[str, Any]) -> Scenario:
     """The scenario with other values of its fields, those that are not None; the same one."""
     for name, value in changes.items():
         if value is not None:
@@ -325,7 +327,7 @@
     sc.rate = run.number("rate", 500, 0.001, 1_000_000)
     sc.policy = run.text_of("policy", "module", POLICIES)
     sc.spread = run.whole("spread", 2, 1, 10_000)
-    sc.most_units = run.whole("most_units", 2, 1, 1000)
+    sc.max_units = run.whole("most_units", 2, 1, 1000)
     sc.skew = run.number("skew", SKEW, 0, 100)
     sc.peers = run.flag("peers", False)
     sc.clock_offset_ms = run.number("clock_offset_ms", 0, 0, 3_600_000)
@@ -352,21 +354,21 @@
         counter.number("sigma", 0.3, 0, 3),
         counter.number("calls_per_s", 20_000, 1, 1e8),
     )
-    sc.calls = counter.flag("shared", True)
-    sc.count_limit_us = round(counter.number("time_out_ms", 50, 1, 60_000) * MS)
+    sc.uses_shared_counter = counter.flag("shared", True)
+    sc.counter_timeout_us = round(counter.number("time_out_ms", 50, 1, 60_000) * MS)
     counter.done()
     discovery = Reader(path, text, top.table.pop("discovery", {}), "discovery.")
     sc.discovery_lag_us = round(discovery.number("lag_ms", 200, 0, 600_000) * MS)
     discovery.done()
     rules = Reader(path, text, top.table.pop("rules", {}), "rules.")
-    sc.duties = ServerRules(
+    sc.server_rules = ServerRules(
         round(rules.number("drain_grace_ms", 250, 0, 600_000) * MS),
         sc.server.warm_us,
         sc.server.cold_from,
         round(rules.number("fall_ms", 1000, 0, 600_000) * MS),
         rules.number("fall_multiple", 3.0, 1, 100),
     )
-    sc.leave = Permissions(
+    sc.permissions = Permissions(
         rules.whole("hops", 3, 1, 10),
         rules.flag("cancel", True),
         rules.flag("second_copies", True),
@@ -418,7 +420,7 @@
         for key, side in zip(("limiters", "servers"), sides, strict=True):
             if side and not re.fullmatch(r"\d+(-\d+)?", side):
                 raise party.wrong(key, f"{side!r} is neither N nor N-M")
-        sc.parties[name] = Party(name, *sides, party.flag("counter", False))
+        sc.partition_groups[name] = PartitionGroup(name, *sides, party.flag("counter", False))
         party.done()
     for i, row in enumerate(top.table.pop("fault", [])):
         fault = Reader(path, text, row, f"fault[{i}].")
@@ -426,7 +428,7 @@
         target = fault.text_of("target", "all")
         if not TARGET.fullmatch(target):
             raise fault.wrong("target", f"{target!r} is none of all, N, N-M, share:F, group:NAME")
-        if target.startswith("group:") and target[6:] not in sc.parties:
+        if target.startswith("group:") and target[6:] not in sc.partition_groups:
             raise fault.wrong("target", f"there is no [[party]] named {target[6:]!r}")
         if kind == "partition" and not target.startswith("group:"):
             raise fault.wrong("target", "a partition cuts off a group: group:NAME")
--- a/lapisgrade/lab/emulator/world.py
+++ b/lapisgrade/lab/emulator/world.py
@@ -42,7 +42,7 @@
         self.sim.now = SECOND  # the module's clocks start well past zero, as real ones do
         chance = Random(sc.seed)
         self.random = Random(chance.getrandbits(64))
-        self.rules = rules.Rules(sc.duties)
+        self.rules = rules.Rules(sc.server_rules)
         self.metrics = Metrics(sc)
         self.counter = model.Counter(sc.counter, chance.getrandbits(64))
         self.servers: dict[str, model.Server] = {}
@@ -77,10 +77,10 @@
             clock,
             seed,
             post,
-            CounterSettings(sc.calls, sc.count_limit_us),
+            CounterSettings(sc.uses_shared_counter, sc.counter_timeout_us),
             sc.categories,
-            sc.duties,
-            sc.leave,
+            sc.server_rules,
+            sc.permissions,
         )
 
     def local(self, clock, index: int):
@@ -126,7 +126,7 @@
         spread = min(sc.spread, sc.limiters)
         live = [self.gates[(first + k) % sc.limiters] for k in range(spread)]
         live = [gate for gate in live if gate.alive]
-        units = self.random.randint(1, sc.most_units)
+        units = self.random.randint(1, sc.max_units)
         op = Operation(
             customer.name,
             customer.plan,
@@ -175,7 +175,7 @@
         self.rules.now, self.rules.step = sim.now, sim.events
         if record is not None:
             if not record.hops:
-                self.metrics.let_in(record, sim.now)
+                self.metrics.on_admission(record, sim.now)
             self.rules.sent(record, seen, gate.told.get(name, (ServerState.READY, 0)))
         self.metrics.hop()
         self.hops[id(hop)] = (gate, seen, None)
@@ -277,7 +277,7 @@
     def add(self, gate: Gate, task, add) -> None:
         if abs(add.amount) > 1e9:
             self.metrics.counter_refused += 1
-        now, waits = self.sim.now, self.scenario.count_limit_us
+        now, waits = self.sim.now, self.scenario.counter_timeout_us
         came, tally, total = self.counter.call(gate.index, add.counter_id, add.amount, add.ttl_us, now)
         if came < 0 or came - now > waits:
             # As the host on sockets does: past its time-out a call is told silent; a late total is dropped.
@@ -326,11 +326,11 @@
                 FAULTS_OF_SERVERS[kind](self, server, fault)
         elif kind in ("limiter_kill", "limiter_restart"):
             for gate in self.pick_limiters(fault):
-                self.kill_gate(gate, fault.for_us if kind == "limiter_kill" else 1)
+                self.kill_gate(gate, fault.duration_us if kind == "limiter_kill" else 1)
         else:
             FAULTS_ELSEWHERE[kind](self, fault)
-        if fault.for_us and kind in UNDONE:
-            self.sim.after(fault.for_us, UNDONE[kind], self, fault)
+        if fault.duration_us and kind in UNDONE:
+            self.sim.after(fault.duration_us, UNDONE[kind], self, fault)
 
     def pick_servers(self, fault: Fault) -> list[model.Server]:
         """The servers a fault names; the same ones again when it is undone."""
@@ -395,7 +395,7 @@
 def _drain(world: World, server: model.Server, fault: Fault) -> None:
     server.state = ServerState.DRAINING
     world.tell([server])
-    world.sim.after(world.scenario.duties.drain_grace_us * 4, _gone, world, server)
+    world.sim.after(world.scenario.server_rules.drain_grace_us * 4, _gone, world, server)
 
 
 def _gone(world: World, server: model.Server) -> None:
--- a/lapisgrade/lab/fleet/checker.py
+++ b/lapisgrade/lab/fleet/checker.py
@@ -113,7 +113,7 @@
         self._processes: dict[int, ProcessStatus] = {}
         self._notified: dict[tuple[int, str], h.ServerStateNotified] = {}
         self._departed_us: dict[str, int] = {}  # server: since when it is leaving or gone
-        self._rate_limits: dict[str, quota.Store] = {}
+        self._rate_limits: dict[str, quota.Bucket] = {}
         self._quotas: dict[str, quota.Quota] = {}
         self._plan_of: dict[str, str] = {}
         self._open_faults: dict[tuple[str, str], FaultSeen] = {}
@@ -145,7 +145,7 @@
         while self._deadlines:
             self._close_attempt(self._deadlines.popleft()[1])
         found = self.found
-        found.over = {name: each.over for name, each in self._quotas.items()}
+        found.over = {name: each.max_excess for name, each in self._quotas.items()}
         for plan in self._plans:
             mine = [each for name, each in self._quotas.items() if self._plan_of[name] == plan]
             if mine:
@@ -215,7 +215,7 @@
         each.is_excused = record_event is not None and (record_event.is_down or record_event.is_paused)
         self._deadlines.append((event.ends + GRACE_US + self._leeway_us, event.op))
         self.found.share[event.limiter] = self.found.share.get(event.limiter, 0) + 1
-        self._quota(event).asked(event.units, event.at)
+        self._quota(event).on_arrival(event.units, event.at)
 
     def _quota(self, sent: h.AttemptSent) -> quota.Quota:
         kept = self._quotas.get(sent.customer)
@@ -235,7 +235,7 @@
         each.answered = event
         if event.how == "finished":
             self._count(self.found.goodput, event.at)
-            self._quota(each.sent).let_in(each.sent.units, event.at)
+            self._quota(each.sent).on_admission(each.sent.units, event.at)
 
     def _on_received(self, event: h.RequestReceived) -> None:
         self._count_call("servers", event.at)
@@ -315,7 +315,7 @@
             # The slack, and what came late by the leeway, is room below nothing.
             room = plan.rate_limit_slack + plan.rate_limit_per_s * (self._leeway_us - AFTER_US) / SECOND
             full = plan.rate_limit_burst + room
-            store = self._rate_limits[sent.customer] = quota.Store(
+            store = self._rate_limits[sent.customer] = quota.Bucket(
                 plan.rate_limit_per_s, full, full, self._started_us
             )
         if not store.take(sent.units, at):
--- a/lapisgrade/lab/fleet/faults.py
+++ b/lapisgrade/lab/fleet/faults.py
@@ -79,9 +79,9 @@
 
     async def _wait_duration(self, fault: Fault) -> bool:
         """Wait for the fault's duration; return whether it has an end."""
-        if fault.for_us:
-            await asyncio.sleep(fault.for_us / h.SECOND)
-        return bool(fault.for_us)
+        if fault.duration_us:
+            await asyncio.sleep(fault.duration_us / h.SECOND)
+        return bool(fault.duration_us)
 
     def _select(self, fault: Fault, count: int) -> list[int]:
         target = fault.target
@@ -95,14 +95,16 @@
         picked = [self.limiters[i] for i in self._select_limiters(fault)]
 
         async def one(place: int, limiter: Limiter) -> None:
-            await asyncio.sleep(place * fault.wave_us / h.SECOND)
+            await asyncio.sleep(place * fault.wave_interval_us / h.SECOND)
             await self._inject_into_limiter(fault, limiter)
 
         await asyncio.gather(*(one(place, each) for place, each in enumerate(picked)))
 
     def _select_limiters(self, fault: Fault) -> list[int]:
         if fault.target.startswith("group:"):
-            return parse_range(self.scenario.parties[fault.target[6:]].limiters, self.scenario.limiters)
+            return parse_range(
+                self.scenario.partition_groups[fault.target[6:]].limiters, self.scenario.limiters
+            )
         return self._select(fault, self.scenario.limiters)
 
     async def _inject_into_limiter(self, fault: Fault, limiter: Limiter) -> None:
@@ -143,13 +145,13 @@
             for i in which:
                 self._change_server_state("terminating", i)
             await self.servers.request(do="drain", which=which)
-            await asyncio.sleep(4 * self.scenario.duties.drain_grace_us / h.SECOND)
+            await asyncio.sleep(4 * self.scenario.server_rules.drain_grace_us / h.SECOND)
             for i in which:
                 self._change_server_state("terminated", i)
             await self.servers.request(do="kill", which=which)
         elif kind == "kill":
             await self.servers.request(do="kill", which=which)
-            back = fault.for_us / h.SECOND
+            back = fault.duration_us / h.SECOND
             await asyncio.sleep(min(DISCOVERY_DELAY_S, back) if back else DISCOVERY_DELAY_S)
             for i in which:
                 self._change_server_state("terminated", i)
@@ -206,7 +208,7 @@
             )
             members = [self.limiters[i] for i in self._select_limiters(fault)]
             return [relay for each in members for kind in kinds for relay, _ in each.links[kind]]
-        party = self.scenario.parties[fault.target[6:]]
+        party = self.scenario.partition_groups[fault.target[6:]]
         inside = set(parse_range(party.limiters, self.scenario.limiters))
         servers = set(parse_range(party.servers, self.scenario.servers))
         made = []
@@ -275,7 +277,7 @@
     if fault.kind == "link_slow":
         return fault.delay_us + fault.jitter_us
     if fault.kind == "partition" or fault.kind.startswith("link_cut"):
-        return fault.for_us or scenario.seconds_us
+        return fault.duration_us or scenario.seconds_us
     return 0
 
 
--- a/lapisgrade/lab/fleet/load.py
+++ b/lapisgrade/lab/fleet/load.py
@@ -44,7 +44,7 @@
     while True:
         rate = scenario.rate
         for each in surges:
-            over = each.at_us + (each.for_us or scenario.seconds_us)
+            over = each.at_us + (each.duration_us or scenario.seconds_us)
             rate *= each.factor if each.at_us <= at < over else 1.0
         at += random.expovariate(rate) * h.SECOND
         if at >= scenario.seconds_us:
@@ -56,7 +56,7 @@
             int(customer.name, 16),
             customer.plan.name,
             category.name,
-            random.randint(1, scenario.most_units),
+            random.randint(1, scenario.max_units),
             category.timeout_us,
         )
         made.append(Due(planned, category, customer.first))
@@ -157,7 +157,7 @@
     async def do_open(
         self, history: str, scenario: str, path: str, changes: dict[str, Any], targets: list[str]
     ) -> dict[str, Any]:
-        self.scenario = scenarios.changed(scenarios.parse(scenario, path), changes)
+        self.scenario = scenarios.override(scenarios.parse(scenario, path), changes)
         self.writer = h.Writer(history)
         where = [(host, int(port)) for host, _, port in (each.rpartition(":") for each in targets)]
         self.clients, self.dues = Clients(where, self.scenario, self.writer), schedule(self.scenario)
--- a/lapisgrade/lab/quota.py
+++ b/lapisgrade/lab/quota.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Store:
+class Bucket:
     """A bucket that opens full."""
 
     rate: float  # units a second
@@ -47,37 +47,37 @@
         "_held",
         "admitted",
         "burst",
-        "inside",
-        "over",
-        "owing",
+        "entitled",
+        "max_excess",
         "rate",
+        "within_quota",
     )
 
     def __init__(self, rate: float, burst: float, now_us: int) -> None:
         self.rate, self.burst = rate, burst
-        self._held = Store(rate, burst, burst, now_us)
-        self._asked = Store(rate, burst, burst, now_us)
+        self._held = Bucket(rate, burst, burst, now_us)
+        self._asked = Bucket(rate, burst, burst, now_us)
         self._debt, self._debt_us = 0.0, now_us
-        self.admitted = self.inside = self.owing = 0.0
-        self.over = -burst
+        self.admitted = self.within_quota = self.entitled = 0.0
+        self.max_excess = -burst
 
-    def asked(self, units: float, now_us: int) -> None:
+    def on_arrival(self, units: float, now_us: int) -> None:
         """An operation arrives, whatever becomes of it."""
         if self._asked.take(units, now_us):
-            self.owing += units
+            self.entitled += units
 
-    def let_in(self, units: float, now_us: int) -> None:
+    def on_admission(self, units: float, now_us: int) -> None:
         """An operation was let in: its first hop went out, or it is known to have finished."""
         self.admitted += units
         if self._held.take(units, now_us):
-            self.inside += units
+            self.within_quota += units
         self._debt = max(0.0, self._debt - self.rate * max(0, now_us - self._debt_us) / SECOND) + units
         self._debt_us = max(self._debt_us, now_us)
-        self.over = max(self.over, self._debt - self.burst)
+        self.max_excess = max(self.max_excess, self._debt - self.burst)
 
     @property
-    def short(self) -> float:
-        return max(0.0, self.owing - self.inside)
+    def shortfall(self) -> float:
+        return max(0.0, self.entitled - self.within_quota)
 
 
 def summary(quotas: list[Quota], seconds: float) -> dict[str, float]:
@@ -85,19 +85,19 @@
     kept = [each for each in quotas if each.rate > 0]
     if not kept:
         return dict.fromkeys(FIGURES, 0.0)
-    over = [max(0.0, each.over) for each in kept]
+    over = [max(0.0, each.max_excess) for each in kept]
     allowed = [each.rate * seconds for each in kept]
     return {
         "over_worst": max(over),
         "over_mean": sum(over) / len(over),
         "over_share": max(o / a for o, a in zip(over, allowed, strict=True)),
-        "beyond_share": sum(each.admitted - each.inside for each in kept) / sum(allowed),
-        "short_share": sum(each.short for each in kept) / sum(allowed),
+        "beyond_share": sum(each.admitted - each.within_quota for each in kept) / sum(allowed),
+        "short_share": sum(each.shortfall for each in kept) / sum(allowed),
     }
 
 
 @dataclass(frozen=True, slots=True)
-class Bound:
+class ExcessBound:
     """The most units over that docs/design/counter-loss.md states, for one customer of `limiters` limiters
     whose operations take `units` at the most; `slices` is the module's SLICE, `knock_s` its breaker's wait.
     """
@@ -128,10 +128,10 @@
         over += limiters * self.units
         return over - (self.rate * seconds if limiters == self.limiters else 0.0)
 
-    def emptied(self, times: int = 1) -> float:
+    def counter_emptied(self, times: int = 1) -> float:
         """The counter forgets everything, or another takes its place: at worst nobody who knew is left."""
         return times * self.burst
 
-    def split(self, halves: int, seconds: float) -> float:
+    def counter_split(self, halves: int, seconds: float) -> float:
         """So many halves each believe themselves whole for so long."""
         return (halves - 1) * (self.rate * (seconds + self.knock_s) + self.burst)
--- a/tests/gateway/proxy/test_answers.py
+++ b/tests/gateway/proxy/test_answers.py
@@ -6,7 +6,7 @@
 import pytest
 from support.loopback_network import LoopbackNetwork
 
-from lapisgrade.lab.answers import MUTANTS, Found, Try, play
+from lapisgrade.lab.answers import MUTANTS, ClientRequest, Findings, run_requests
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
@@ -15,8 +15,8 @@
 async def test_a_response_ends_its_own_request_and_non_idempotent_requests_run_once(
     seed: int, loopback_network: LoopbackNetwork
 ) -> None:
-    findings = await play(seed, loopback_network.number)
-    assert findings.wrong() == []
+    findings = await run_requests(seed, loopback_network.number)
+    assert findings.violations() == []
     statuses = [each.status for each in findings.tries.values()]
     assert statuses.count(200) > 50
 
@@ -26,26 +26,26 @@
     with ExitStack() as stack:
         for owner, attribute, replacement in MUTANTS[name]:
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
-        findings = await play(9, loopback_network.number)
-        assert len(findings.wrong()) > 0, f"{name} was not detected"
+        findings = await run_requests(9, loopback_network.number)
+        assert len(findings.violations()) > 0, f"{name} was not detected"
 
 
 def test_each_kind_of_violation_is_reported(subtests: pytest.Subtests) -> None:
-    valid = Try(True, 200, b"/claim/1 a", True)
+    valid = ClientRequest(True, 200, b"/claim/1 a", True)
     for record, ran, arrived in (
         (valid, 2, 2),
-        (Try(True, 503), 1, 1),
-        (Try(False, 200, b"/stock/1 b", True), 1, 1),
-        (Try(False, 200, b"/stock/1 a", False), 1, 1),
+        (ClientRequest(True, 503), 1, 1),
+        (ClientRequest(False, 200, b"/stock/1 b", True), 1, 1),
+        (ClientRequest(False, 200, b"/stock/1 a", False), 1, 1),
         (valid, 0, 1),
-        (Try(False, 502), 1, 3),
+        (ClientRequest(False, 502), 1, 3),
     ):
         with subtests.test(record=record, ran=ran):
-            findings = Found({"a": record})
+            findings = Findings({"a": record})
             findings.ran["a"], findings.arrived["a"] = ran, arrived
-            assert len(findings.wrong()) == 1
-    findings = Found({"a": valid})
+            assert len(findings.violations()) == 1
+    findings = Findings({"a": valid})
     findings.ran["a"] = findings.arrived["a"] = 1
-    assert findings.wrong() == []
+    assert findings.violations() == []
     findings.arrived["z"] = 1
-    assert findings.wrong() == ["z came to a server, and no client sent it"]
+    assert findings.violations() == ["z came to a server, and no client sent it"]
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -15,7 +15,7 @@
 from lapisgrade.gateway.errors import InvalidInputError
 from lapisgrade.gateway.membership.partial_view import PartialView
 from lapisgrade.gateway.proxy.watch_target import WatchTarget
-from lapisgrade.lab.capacity import changed, sample_configuration
+from lapisgrade.lab.capacity import sample_change, sample_configuration
 
 
 def text(routes: int, ver: int = 7) -> bytes:
@@ -41,7 +41,7 @@
                 ConfigurationChange(True, msgspec.json.encode({**sample_configuration(routes, 5), "Base": 0}))
             ),
         )
-        sizes.append(len(encode_command(state_machine.prepare(changed(7)).command)))
+        sizes.append(len(encode_command(state_machine.prepare(sample_change(7)).command)))
     assert max(sizes) < 400
     assert abs(sizes[0] - sizes[1]) < 40
 
@@ -167,7 +167,7 @@
 
 def test_the_log_stores_what_the_operator_sent(version_log: VersionLog) -> None:
     assert msgspec.json.decode(version_log.state_machine.state.configuration) == sample_configuration(5, 2)
-    assert isinstance(version_log.state_machine.prepare(changed(7)).command, NewVersion)
+    assert isinstance(version_log.state_machine.prepare(sample_change(7)).command, NewVersion)
 
 
 def news(term: int) -> rpc_messages.WatchReply:
--- a/tests/lab/fleet/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -11,7 +11,7 @@
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.emulator.world import World
 from lapisgrade.lab.fleet import checker, history, test_bed
-from lapisgrade.lab.quota import Bound
+from lapisgrade.lab.quota import ExcessBound
 from lapisgrade.policy.account import LOCAL_SHARE_FACTOR
 from lapisgrade.policy.counter_breaker import PROBE_INTERVAL_US
 
@@ -71,8 +71,8 @@
     return made + "".join(faults)
 
 
-def bound(rate: float, burst: float, limiters: int) -> Bound:
-    return Bound(rate, burst, limiters, UNITS, LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US / 1e6)
+def bound(rate: float, burst: float, limiters: int) -> ExcessBound:
+    return ExcessBound(rate, burst, limiters, UNITS, LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US / 1e6)
 
 
 def most(case: str, seconds: float, limiters: int, lasts: float) -> dict[str, float]:
@@ -85,8 +85,8 @@
             + {
                 "lost": each.cut_off(limiters, lasts),
                 "half": each.cut_off(limiters // 2, lasts),
-                "emptied": each.emptied(2),
-                "split": each.split(2, lasts),
+                "emptied": each.counter_emptied(2),
+                "split": each.counter_split(2, lasts),
                 "lies": each.cut_off(limiters, lasts),
             }[case]
         )
--- a/tests/lab/test_quota.py
+++ b/tests/lab/test_quota.py
@@ -66,20 +66,20 @@
 def test_the_worst_window_is_found_whatever_its_length():
     each = quota.Quota(10.0, 5.0, 0)
     for at_s in (0, 1, 2, 3):  # 12 a second: each second two more than the rate
-        each.let_in(12, at_s * SECOND)
-    assert each.over == pytest.approx(4 * 12 - 3 * 10 - 5)
-    each.let_in(1, 100 * SECOND)  # long idle: the worst stays the worst
-    assert each.over == pytest.approx(13)
+        each.on_admission(12, at_s * SECOND)
+    assert each.max_excess == pytest.approx(4 * 12 - 3 * 10 - 5)
+    each.on_admission(1, 100 * SECOND)  # long idle: the worst stays the worst
+    assert each.max_excess == pytest.approx(13)
     assert each.admitted == 49
-    assert each.inside == 1
+    assert each.within_quota == 1
 
 
 def test_the_shortfall_is_what_a_single_bucket_would_have_admitted():
     each = quota.Quota(1.0, 4.0, 0)
     for _ in range(3):
-        each.asked(2, 0)
-    each.let_in(2, 0)
-    assert each.owing == 4
-    assert each.short == 2
+        each.on_arrival(2, 0)
+    each.on_admission(2, 0)
+    assert each.entitled == 4
+    assert each.shortfall == 2
     assert quota.summary([each], 10)["short_share"] == pytest.approx(0.2)
     assert quota.summary([], 10)["over_worst"] == 0
