--- a/lapisgrade/lab/emulator/__init__.py
+++ b/lapisgrade/lab/emulator/__init__.py
@@ -1,6 +1,6 @@
 """The emulator: servers, counter, discovery and clients in simulated time around the real decision module.
 
-Discrete events on one queue (`sim`), models without I/O (`model`), the limiters' host (`gate`), the clients
-(`clients`), the rules checked at every step (`rules`), what is measured (`metrics`), scenarios from TOML
-(`scenario`) and the whole assembled (`world`). Same scenario and seed, same result.
+The modules are the event queue (`sim`), models of servers and counter without I/O (`model`), the limiters
+(`limiter`), the rules checked at every step (`rules`), the metrics (`metrics`), scenarios in TOML
+(`scenario`), and the fleet with its clients (`world`). The same scenario and seed give the same result.
 """
--- a/lapisgrade/lab/emulator/metrics.py
+++ b/lapisgrade/lab/emulator/metrics.py
@@ -1,8 +1,8 @@
-"""What an emulated run measures, second by second and in total, and the result it hands back.
+"""Metrics of an emulated run, per second and in total, and its result.
 
-Latency of finished operations goes into an HdrHistogram (the `hdrhistogram` package), in microseconds. The
-payoff share is what was earned (payoff in the quoted time, late payoff by the hard stop) over what all
-operations could have earned.
+Latencies of finished operations go into an HdrHistogram (the `hdrhistogram` package), in microseconds. The
+payoff share is the value earned (full value within the latency target, late value until the deadline) over
+the value that all operations could have earned.
 """
 
 from dataclasses import asdict, dataclass, field
@@ -19,7 +19,19 @@
 
 @dataclass(slots=True)
 class Result:
-    """One run, in plain values (JSON as it is)."""
+    """Result of one run, in values that JSON can represent.
+
+    Attributes:
+        ends: Number of operations by how they ended.
+        nearest_ceiling: Largest use of a rate limit's slack, as a share of it.
+        most_cold_share: Largest load of a cold server, as a share of its overload limit.
+        overshoot: Customers' units finished beyond their quotas, as shares of the quotas.
+        quotas: Excess and shortfall over all windows; see `lab/quota.py`.
+        spread: Operations of the busiest limiter over the mean.
+        advised: Rejections with a Retry-After time.
+        series: Arrivals and ends, by name, for each second.
+        faults: Time in microseconds, kind and target of each fault.
+    """
 
     name: str
     policy: str
@@ -36,14 +48,14 @@
     broken: int
     nearest_ceiling: float
     most_cold_share: float
-    overshoot: dict[str, float]  # of customers' quotas: admitted units beyond them, as shares
-    quotas: dict[str, float]  # over all windows, and short of quota: see lab/quota.py
+    overshoot: dict[str, float]
+    quotas: dict[str, float]
     counter_calls: int
     counter_unanswered: int
     hops: int
-    spread: float  # operations of the busiest limiter over the mean
-    advised: int  # turn-backs that said when to come back
-    series: dict[str, list[int]]  # each second: arrivals and each end
+    spread: float
+    advised: int
+    series: dict[str, list[int]]
     faults: list[tuple[int, str, str]]
     events: int
     wall_s: float
@@ -56,88 +68,100 @@
 
 @dataclass(slots=True)
 class Metrics:
+    """Counters of a running emulation.
+
+    Attributes:
+        earned_value: Value of the operations finished in time.
+        possible_value: Value of all operations if all had met their latency targets.
+        retry_after_count: Rejections with a Retry-After time.
+        oversized_add_count: Additions to the counter of more than 1e9 units.
+        operations_by_limiter: Operations received, by the limiter's index.
+        quotas: Quota use by customer, counting operations when their first attempt is sent.
+        finished_units: Units of finished operations, by customer.
+    """
+
     scenario: Any
     latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 600 * SECOND, 3))
     ends: dict[str, int] = field(default_factory=lambda: dict.fromkeys(ENDS, 0))
-    earned: float = 0.0
-    possible: float = 0.0
-    operations: int = 0
-    hops: int = 0
-    advised: int = 0
-    counter_refused: int = 0
-    by_limiter: dict[int, int] = field(default_factory=dict)
-    quotas: dict[str, quota.Quota] = field(default_factory=dict)  # by customer, as sent on
-    admitted: dict[str, float] = field(default_factory=dict)  # units finished, per customer
+    earned_value: float = 0.0
+    possible_value: float = 0.0
+    operation_count: int = 0
+    attempt_count: int = 0
+    retry_after_count: int = 0
+    oversized_add_count: int = 0
+    operations_by_limiter: dict[int, int] = field(default_factory=dict)
+    quotas: dict[str, quota.Quota] = field(default_factory=dict)
+    finished_units: dict[str, float] = field(default_factory=dict)
     series: dict[str, list[int]] = field(default_factory=lambda: {name: [] for name in ("arrived", *ENDS)})
     _this_second: dict[str, int] = field(default_factory=lambda: dict.fromkeys(("arrived", *ENDS), 0))
     faults: list = field(default_factory=list)
 
-    def arrived(self, record) -> None:
-        self.operations += 1
+    def on_arrival(self, record) -> None:
+        self.operation_count += 1
         self._this_second["arrived"] += 1
         op = record.op
-        self.possible += op.category.value * op.units
-        self.quota(op).on_arrival(op.units, op.arrived_us)
+        self.possible_value += op.category.value * op.units
+        self.quota_of(op).on_arrival(op.units, op.arrived_us)
 
-    def quota(self, op) -> quota.Quota:
-        kept = self.quotas.get(op.customer)
-        if kept is None:
-            kept = self.quotas[op.customer] = quota.Quota(op.plan.rate, op.plan.burst, SECOND)
-        return kept
+    def quota_of(self, op) -> quota.Quota:
+        known = self.quotas.get(op.customer)
+        if known is None:
+            known = self.quotas[op.customer] = quota.Quota(op.plan.rate, op.plan.burst, SECOND)
+        return known
 
     def on_admission(self, record, now_us: int) -> None:
-        """Its first hop goes out."""
-        self.quota(record.op).on_admission(record.op.units, now_us)
+        """Count the operation as admitted when its first attempt is sent."""
+        self.quota_of(record.op).on_admission(record.op.units, now_us)
 
-    def end(self, name: str) -> None:
+    def count_end(self, name: str) -> None:
         self.ends[name] += 1
         self._this_second[name] += 1
 
-    def taken(self, index: int) -> None:
-        self.by_limiter[index] = self.by_limiter.get(index, 0) + 1
+    def on_operation_routed(self, index: int) -> None:
+        self.operations_by_limiter[index] = self.operations_by_limiter.get(index, 0) + 1
 
-    def hop(self) -> None:
-        self.hops += 1
+    def on_attempt(self) -> None:
+        self.attempt_count += 1
 
-    def finished(self, record, now_us: int) -> None:
+    def on_finished(self, record, now_us: int) -> None:
         op = record.op
-        took = now_us - op.arrived_us
-        self.end("finished")
-        self.latency.record_value(max(1, min(took, 600 * SECOND)))
-        if took <= op.category.latency_target_us:
-            self.earned += op.category.value * op.units
-        elif took <= op.category.timeout_us:
-            self.earned += op.category.late_value * op.units
-        self.admitted[op.customer] = self.admitted.get(op.customer, 0.0) + op.units
-
-    def answered(self, record, turned_back: bool, advised: bool) -> None:
-        self.end("turned back" if turned_back else "given up")
-        self.advised += advised and turned_back
-
-    def lost(self, record) -> None:
-        self.end("lost")
-
-    def left(self, record) -> None:
-        self.end("left")
-
-    def front(self, record) -> None:
-        """Its limiter died, or none of its set is alive; the front answered it."""
-        self.end("front")
-
-    def second(self, world) -> None:
+        latency_us = now_us - op.arrived_us
+        self.count_end("finished")
+        self.latency.record_value(max(1, min(latency_us, 600 * SECOND)))
+        if latency_us <= op.category.latency_target_us:
+            self.earned_value += op.category.value * op.units
+        elif latency_us <= op.category.timeout_us:
+            self.earned_value += op.category.late_value * op.units
+        self.finished_units[op.customer] = self.finished_units.get(op.customer, 0.0) + op.units
+
+    def on_rejected(self, record, is_retryable: bool, has_retry_after: bool) -> None:
+        self.count_end("turned back" if is_retryable else "given up")
+        self.retry_after_count += has_retry_after and is_retryable
+
+    def on_unanswered(self, record) -> None:
+        self.count_end("lost")
+
+    def on_abandoned(self, record) -> None:
+        self.count_end("left")
+
+    def on_front_end_answer(self, record) -> None:
+        """Count an operation whose limiter died, or whose limiters are all dead; the front end answers it."""
+        self.count_end("front")
+
+    def end_second(self, world) -> None:
         for name, count in self._this_second.items():
             self.series[name].append(count)
             self._this_second[name] = 0
 
     def overshoot(self, world) -> dict[str, float]:
-        """Per customer, units finished beyond its quota over the run (burst and rate), as shares of it."""
-        seconds = world.scenario.seconds_us / SECOND + 5  # the last arrivals end within the longest hard stop
+        """Return how far finished units exceed customers' quotas over the run, as shares of them."""
+        seconds = world.scenario.seconds_us / SECOND + 5  # margin for the latest deadlines
         shares = []
         for customer in world.customers.all:
-            quota = customer.plan.burst + customer.plan.rate * seconds
-            used = self.admitted.get(customer.name, 0.0)
-            if quota > 0 and used:
-                shares.append(max(0.0, used - quota) / quota)
+            allowed = customer.plan.burst + customer.plan.rate * seconds
+            used = self.finished_units.get(customer.name, 0.0)
+            if allowed > 0 and used:
+                shares.append(max(0.0, used - allowed) / allowed)
         shares.sort()
         if not shares:
             return {"customers": 0, "p50": 0.0, "p99": 0.0, "max": 0.0}
@@ -152,8 +176,8 @@
         sc = world.scenario
         latency = {f"p{p:g}": self.latency.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
         latency["max"] = self.latency.get_max_value() / 1000
-        taken = list(self.by_limiter.values()) or [0]
-        mean = sum(taken) / len(taken)
+        operation_counts = list(self.operations_by_limiter.values()) or [0]
+        mean = sum(operation_counts) / len(operation_counts)
         events = world.sim.events
         return Result(
             sc.name,
@@ -163,21 +187,21 @@
             sc.servers,
             sc.customers,
             sc.seconds_us / SECOND,
-            self.operations,
+            self.operation_count,
             dict(self.ends),
-            self.earned / self.possible if self.possible else 0.0,
+            self.earned_value / self.possible_value if self.possible_value else 0.0,
             latency,
             [asdict(each) for each in world.rules.breaches],
-            world.rules.broken,
+            world.rules.breach_count,
             world.rules.nearest_ceiling,
             world.rules.most_cold_share,
             self.overshoot(world),
             quota.summary(list(self.quotas.values()), sc.seconds_us / SECOND),
             world.counter.counts["calls"],
             world.counter.counts["unanswered"],
-            self.hops,
-            max(taken) / mean if mean else 0.0,
-            self.advised,
+            self.attempt_count,
+            max(operation_counts) / mean if mean else 0.0,
+            self.retry_after_count,
             self.series,
             self.faults,
             events,
--- a/lapisgrade/lab/emulator/scenario.py
+++ b/lapisgrade/lab/emulator/scenario.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lapisgrade.interface import Category, DeduplicationScope, Permissions, Plan, RepeatSafety, ServerRules
-from lapisgrade.lab.emulator.model import CounterKnobs, ServerKnobs
+from lapisgrade.lab.emulator.model import CounterParameters, ServerParameters
 
 SECOND = 1_000_000
 MS = 1_000
@@ -134,8 +134,8 @@
     discovery_lag_us: int = 200 * MS
     uses_shared_counter: bool = True
     counter_timeout_us: int = 50 * MS
-    server: ServerKnobs = field(default_factory=ServerKnobs)
-    counter: CounterKnobs = field(default_factory=CounterKnobs)
+    server: ServerParameters = field(default_factory=ServerParameters)
+    counter: CounterParameters = field(default_factory=CounterParameters)
     categories: list[Category] = field(default_factory=list)
     category_shares: list[float] = field(default_factory=list)
     plans: list[Plan] = field(default_factory=list)
@@ -339,7 +339,7 @@
     sc.leave_share = clients.number("leave_share", 0.01, 0, 1)
     clients.done()
     servers = Reader(path, text, top.table.pop("servers", {}), "servers.")
-    sc.server = ServerKnobs(
+    sc.server = ServerParameters(
         capacity=servers.whole("capacity", 16, 1, 100_000),
         queue=servers.whole("queue", 32, 0, 1_000_000),
         median_us=round(servers.number("median_ms", 20, 0.001, 60_000) * MS),
@@ -349,7 +349,7 @@
     )
     servers.done()
     counter = Reader(path, text, top.table.pop("counter", {}), "counter.")
-    sc.counter = CounterKnobs(
+    sc.counter = CounterParameters(
         round(counter.number("median_ms", 1, 0.001, 60_000) * MS),
         counter.number("sigma", 0.3, 0, 3),
         counter.number("calls_per_s", 20_000, 1, 1e8),
--- a/lapisgrade/lab/emulator/sim.py
+++ b/lapisgrade/lab/emulator/sim.py
@@ -1,4 +1,4 @@
-"""One queue of events in simulated time; whole microseconds; ties go in the order they were set."""
+"""An event queue in simulated time, in whole microseconds; simultaneous events run in scheduling order."""
 
 import heapq
 from collections.abc import Callable
@@ -6,7 +6,13 @@
 
 
 class Sim:
-    """`at(when, call, *args)` sets an event; `run(until)` carries them out in order of time."""
+    """`at(when, call, *args)` schedules an event; `run(until)` runs the events in order of time.
+
+    Attributes:
+        now: Current simulated time, us.
+        events: Number of the current event, from 1.
+        after_each: Called after every event.
+    """
 
     __slots__ = ("_order", "_queue", "after_each", "events", "now")
 
@@ -15,7 +21,7 @@
         self.events = 0
         self._order = 0
         self._queue: list[tuple[int, int, Callable, tuple]] = []
-        self.after_each: Callable[[], None] | None = None  # the rules' look, after every event
+        self.after_each: Callable[[], None] | None = None
 
     def at(self, when_us: int, call: Callable[..., Any], *args: Any) -> None:
         self._order += 1
@@ -25,13 +31,13 @@
         self.at(self.now + max(0, round(delay_us)), call, *args)
 
     def run(self, until_us: int) -> None:
-        queue, look = self._queue, self.after_each
+        queue, after_each = self._queue, self.after_each
         while queue and queue[0][0] <= until_us:
             self.now, _, call, args = heapq.heappop(queue)
-            self.events += 1  # the step being carried out, numbered from 1
+            self.events += 1
             call(*args)
-            if look is not None:
-                look()
+            if after_each is not None:
+                after_each()
         self.now = max(self.now, until_us)
 
     def __len__(self) -> int:
--- a/lapisgrade/lab/emulator/world.py
+++ b/lapisgrade/lab/emulator/world.py
@@ -1,7 +1,7 @@
-"""A whole fleet in simulated time: clients, limiters (gates), servers, the counter and discovery, and faults.
+"""A fleet in simulated time: clients, limiters, servers, the shared counter, discovery, and faults.
 
-`World(scenario).run()` plays the scenario and returns its `Result`. The limiters run the real decision module
-through the real engine (or a baseline policy through the same engine); nothing of theirs is re-implemented.
+`World(scenario).run()` runs the scenario and returns its `Result`. The limiters run the real decision module,
+or a baseline policy, in the real engine; none of their logic is reimplemented.
 """
 
 import resource
@@ -20,75 +20,90 @@
     ServerState,
 )
 from lapisgrade.lab.emulator import model, rules
-from lapisgrade.lab.emulator.gate import Gate
+from lapisgrade.lab.emulator.limiter import EmulatedLimiter
 from lapisgrade.lab.emulator.metrics import Metrics, Result
 from lapisgrade.lab.emulator.scenario import Fault, Scenario
 from lapisgrade.lab.emulator.sim import Sim
 from lapisgrade.policy import Limiter
 
 SECOND = 1_000_000
-LAG_SPREAD = 0.5  # of the discovery lag, drawn evenly, that each limiter hears later than the lag itself
-CANCEL_US = 2 * model.WIRE_US  # a cancelled hop is told as ended after a round trip
-COME_BACK_LEAST_US = 100_000  # a client that is told nothing sooner comes back after this
-NOTICE_US = 2 * SECOND  # discovery tells of a server that vanished this long after
+DISCOVERY_LAG_JITTER = 0.5  # largest extra lag of a limiter, as a share of the discovery lag; uniform
+CANCEL_DELAY_US = 2 * model.NETWORK_DELAY_US  # a cancelled attempt ends after a round trip
+MIN_CLIENT_RETRY_DELAY_US = 100_000  # before a client retries a rejected operation
+REMOVAL_DETECTION_US = 2 * SECOND  # until discovery removes a server that was killed
 
 
 class World:
-    """The fleet of one scenario. Chance comes from one seed, split among the parts in a fixed order."""
-
-    def __init__(self, scenario: Scenario, make=None) -> None:
+    """The fleet of one scenario.
+
+    All random numbers derive from the scenario's seed, which is split among the parts in a fixed order.
+
+    Attributes:
+        limiters: The current incarnation of each limiter, by index.
+        records: Operations whose answer is not yet overdue, by the operation's `id()`.
+        attempts: Attempts in flight by `id()`: the limiter, the attempt as observed, and its job at a server.
+        operation_count: Operations that clients have sent.
+        rate_factor: Factor on the scenario's request rate; above 1 during a surge.
+        accepts_arrivals: Clients send operations; false once the scenario's time is over.
+        is_discovery_stale: Discovery withholds server list updates because of a fault.
+        withheld_updates: Server list updates to send once that fault ends.
+        fault_servers: Servers that each fault selected, by the fault's `id()`.
+    """
+
+    def __init__(self, scenario: Scenario, make_policy=None) -> None:
         self.scenario = sc = scenario
         self.sim = Sim()
-        self.sim.now = SECOND  # the module's clocks start well past zero, as real ones do
-        chance = Random(sc.seed)
-        self.random = Random(chance.getrandbits(64))
-        self.rules = rules.Rules(sc.server_rules)
+        self.sim.now = SECOND  # real clocks don't start at zero either
+        seeds = Random(sc.seed)
+        self.random = Random(seeds.getrandbits(64))
+        self.rules = rules.RuleChecker(sc.server_rules)
         self.metrics = Metrics(sc)
-        self.counter = model.Counter(sc.counter, chance.getrandbits(64))
+        self.counter = model.Counter(sc.counter, seeds.getrandbits(64))
         self.servers: dict[str, model.Server] = {}
         for i in range(sc.servers):
             name = f"s{i}"
-            self.servers[name] = model.Server(
-                name, sc.zone_of(i), i % 4, sc.server, chance.getrandbits(64), 0
-            )
-        self.make = make or {"module": self.module, "local": self.local, "central": self.central}[sc.policy]
-        self.gates: list[Gate] = []
+            self.servers[name] = model.Server(name, sc.zone_of(i), i % 4, sc.server, seeds.getrandbits(64), 0)
+        self.make_policy = (
+            make_policy
+            or {"module": self.make_module, "local": self.make_local, "central": self.make_central}[sc.policy]
+        )
+        self.limiters: list[EmulatedLimiter] = []
         for i in range(sc.limiters):
-            self.gates.append(Gate(self, i, 0, self.make))
-            self.gates[i].listed(self.entries(), True)
-        self.records: dict[int, rules.Record] = {}
-        self.hops: dict[int, tuple[Gate, rules.Hop, model.Job | None]] = {}
-        self.number = 0
-        self.surge = 1.0
-        self.arriving = True  # clients send until the scenario's time is up
-        self.held_news = False  # discovery holds what changes, while it lags wrongly
-        self.news: list[ServerEndpoint] = []
-        self.picked: dict[int, list] = {}  # what each fault hit, by the fault's id
-        self._batches: dict[int, list[model.Server]] = {}  # news of servers, by the instant they changed
-        self.customers = sc.customer_table(chance.getrandbits(64))
+            self.limiters.append(EmulatedLimiter(self, i, 0, self.make_policy))
+            self.limiters[i].on_server_list(self.server_list(), True)
+        self.records: dict[int, rules.OperationRecord] = {}
+        self.attempts: dict[int, tuple[EmulatedLimiter, rules.ObservedAttempt, model.Job | None]] = {}
+        self.operation_count = 0
+        self.rate_factor = 1.0
+        self.accepts_arrivals = True
+        self.is_discovery_stale = False
+        self.withheld_updates: list[ServerEndpoint] = []
+        self.fault_servers: dict[int, list] = {}
+        self._changed_servers: dict[int, list[model.Server]] = {}  # changed servers, by time of change
+        self.customers = sc.customer_table(seeds.getrandbits(64))
         for fault in sc.faults:
-            self.sim.at(SECOND + fault.at_us, self.fault, fault)
+            self.sim.at(SECOND + fault.at_us, self.apply_fault, fault)
 
-    def module(self, clock, index: int):
+    def make_module(self, clock, index: int):
         sc = self.scenario
-        post = Placement(index, sc.limiters, sc.zone_of(index))
+        placement = Placement(index, sc.limiters, sc.zone_of(index))
         seed = (sc.seed * 1_000_003 + index * 7_919 + clock.now_us) % (1 << 48)
         return Limiter(
             clock,
             seed,
-            post,
+            placement,
             CounterSettings(sc.uses_shared_counter, sc.counter_timeout_us),
             sc.categories,
             sc.server_rules,
             sc.permissions,
         )
 
-    def local(self, clock, index: int):
+    def make_local(self, clock, index: int):
         from lapisgrade.lab.baselines.local import LocalBucketPolicy
 
         return LocalBucketPolicy(clock, self.scenario.seed * 7_919 + index)
 
-    def central(self, clock, index: int):
+    def make_central(self, clock, index: int):
         from lapisgrade.lab.baselines.central import CentralCounterPolicy
 
         return CentralCounterPolicy(clock, self.scenario.seed * 7_919 + index)
@@ -97,35 +112,37 @@
 
     def run(self) -> Result:
         sc, sim = self.scenario, self.sim
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         end = SECOND + sc.seconds_us
-        sim.at(SECOND, self.arrive)
-        sim.at(SECOND + SECOND, self.second)
+        sim.at(SECOND, self.send_next_operation)
+        sim.at(SECOND + SECOND, self.on_second)
         sim.run(end)
-        self.arriving = False
-        longest = max(each.timeout_us for each in sc.categories)
-        sim.run(end + longest + rules.GRACE_US + SECOND)
-        wall = time.perf_counter() - began
-        peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024  # the process's, in bytes on Linux
+        self.accepts_arrivals = False
+        max_timeout_us = max(each.timeout_us for each in sc.categories)
+        sim.run(end + max_timeout_us + rules.ANSWER_GRACE_US + SECOND)
+        wall = time.perf_counter() - started_s
+        peak = (
+            resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
+        )  # peak of the process; Linux reports KiB
         return self.metrics.result(self, wall, peak)
 
-    def arrive(self) -> None:
-        """One operation from a client, and the next set by the clock."""
-        if not self.arriving:
+    def send_next_operation(self) -> None:
+        """Send an operation from a random customer, and schedule the next one."""
+        if not self.accepts_arrivals:
             return
         sc, random, now = self.scenario, self.random, self.sim.now
         customer = self.customers.pick(random)
-        self.take(customer, random.choices(sc.categories, sc.category_shares)[0], False)
-        self.sim.after(random.expovariate(sc.rate * self.surge) * SECOND, self.arrive)
+        self.send_operation(customer, random.choices(sc.categories, sc.category_shares)[0], False)
+        self.sim.after(random.expovariate(sc.rate * self.rate_factor) * SECOND, self.send_next_operation)
         if now - SECOND >= self.scenario.seconds_us:
-            self.arriving = False
+            self.accepts_arrivals = False
 
-    def take(self, customer, category, retried: bool) -> None:
+    def send_operation(self, customer, category, is_client_retry: bool) -> None:
         sc, now = self.scenario, self.sim.now
         first = customer.first
         spread = min(sc.spread, sc.limiters)
-        live = [self.gates[(first + k) % sc.limiters] for k in range(spread)]
-        live = [gate for gate in live if gate.alive]
+        alive = [self.limiters[(first + k) % sc.limiters] for k in range(spread)]
+        alive = [limiter for limiter in alive if limiter.is_alive]
         units = self.random.randint(1, sc.max_units)
         op = Operation(
             customer.name,
@@ -136,238 +153,261 @@
             now + category.timeout_us,
             spread,
             first,
-            retried,
+            is_client_retry,
         )
-        self.number += 1
-        record = rules.Record(op, self.number)
-        self.metrics.arrived(record)
-        if not live:
-            self.metrics.front(record)  # no limiter of its set is alive: the front answers it
+        self.operation_count += 1
+        record = rules.OperationRecord(op, self.operation_count)
+        self.metrics.on_arrival(record)
+        if not alive:  # the front end answers if all limiters of the set are down
+            self.metrics.on_front_end_answer(record)
             return
-        gate = live[self.random.randrange(len(live))]
+        limiter = alive[self.random.randrange(len(alive))]
         self.records[id(op)] = record
-        self.sim.at(op.deadline_us + rules.GRACE_US, self.due, record)
+        self.sim.at(op.deadline_us + rules.ANSWER_GRACE_US, self.on_answer_overdue, record)
         if sc.leave_share and self.random.random() < sc.leave_share:
-            self.sim.after(self.random.random() * category.timeout_us, gate.leave, record)
-        self.metrics.taken(gate.index)
-        gate.take(record)
-
-    def due(self, record: rules.Record) -> None:
-        self.rules.now, self.rules.step = self.sim.now, self.sim.events
-        self.rules.due(record)
-        if not record.answers and not record.exempt:
-            self.metrics.lost(record)
+            self.sim.after(self.random.random() * category.timeout_us, limiter.on_client_disconnected, record)
+        self.metrics.on_operation_routed(limiter.index)
+        limiter.on_operation(record)
+
+    def on_answer_overdue(self, record: rules.OperationRecord) -> None:
+        self.rules.now_us, self.rules.step = self.sim.now, self.sim.events
+        self.rules.on_answer_overdue(record)
+        if not record.answer_count and not record.is_exempt:
+            self.metrics.on_unanswered(record)
         self.records.pop(id(record.op), None)
 
-    def second(self) -> None:
-        self.metrics.second(self)
-        self.counter.forget(self.sim.now)
-        if self.arriving or self.records:
-            self.sim.after(SECOND, self.second)
+    def on_second(self) -> None:
+        self.metrics.end_second(self)
+        self.counter.delete_expired(self.sim.now)
+        if self.accepts_arrivals or self.records:
+            self.sim.after(SECOND, self.on_second)
 
-    # ---- what the gates ask for
+    # ---- requests of the limiters
 
-    def send(self, gate: Gate, hop) -> None:
-        sim, record = self.sim, self.records.get(id(hop.operation))
-        name = hop.server.address
+    def send(self, limiter: EmulatedLimiter, attempt) -> None:
+        sim, record = self.sim, self.records.get(id(attempt.operation))
+        name = attempt.server.address
         server = self.servers[name]
-        seen = rules.Hop(name, server.zone, server.cell, sim.now)
-        self.rules.now, self.rules.step = sim.now, sim.events
+        observed = rules.ObservedAttempt(name, server.zone, server.cell, sim.now)
+        self.rules.now_us, self.rules.step = sim.now, sim.events
         if record is not None:
-            if not record.hops:
+            if not record.attempts:
                 self.metrics.on_admission(record, sim.now)
-            self.rules.sent(record, seen, gate.told.get(name, (ServerState.READY, 0)))
-        self.metrics.hop()
-        self.hops[id(hop)] = (gate, seen, None)
-        sim.after(model.WIRE_US, self.reach, gate, hop)
-        sim.at(hop.operation.deadline_us, self.time_out, gate, hop)
-
-    def reach(self, gate: Gate, hop) -> None:
-        kept = self.hops.get(id(hop))
-        if kept is None:
+            self.rules.on_attempt_sent(
+                record, observed, limiter.notified_states.get(name, (ServerState.READY, 0))
+            )
+        self.metrics.on_attempt()
+        self.attempts[id(attempt)] = (limiter, observed, None)
+        sim.after(model.NETWORK_DELAY_US, self.on_attempt_arrived, limiter, attempt)
+        sim.at(attempt.operation.deadline_us, self.on_attempt_timeout, limiter, attempt)
+
+    def on_attempt_arrived(self, limiter: EmulatedLimiter, attempt) -> None:
+        in_flight = self.attempts.get(id(attempt))
+        if in_flight is None:
             return
-        server, now = self.servers[hop.server.address], self.sim.now
-        refused = model.outcome_at_server(server, now)
-        if refused is not None:
-            counted = "no connection" if refused is AttemptOutcome.CONNECT_FAILED else "turned away"
-            server.counts[counted if refused is not AttemptOutcome.ERROR else "errors"] += 1
+        server, now = self.servers[attempt.server.address], self.sim.now
+        rejection = model.immediate_outcome(server, now)
+        if rejection is not None:
+            count_name = "connect failed" if rejection is AttemptOutcome.CONNECT_FAILED else "rejected"
+            server.counts[count_name if rejection is not AttemptOutcome.ERROR else "errors"] += 1
             delay = {
-                AttemptOutcome.CONNECT_FAILED: model.NO_CONNECTION_US,
-                AttemptOutcome.ERROR: model.FAST_ERROR_US,
+                AttemptOutcome.CONNECT_FAILED: model.CONNECT_FAILURE_DELAY_US,
+                AttemptOutcome.ERROR: model.FAST_ERROR_DELAY_US,
             }
-            self.sim.after(delay.get(refused, model.REFUSE_US), self.land, gate, hop, refused)
+            self.sim.after(
+                delay.get(rejection, model.REJECT_DELAY_US), self.finish_attempt, limiter, attempt, rejection
+            )
             return
-        job = model.Job(hop, gate, now)
-        self.hops[id(hop)] = (gate, kept[1], job)
-        server.counts["taken"] += 1
-        if server.at_work < server.room(now):
-            self.start(server, job)
+        job = model.Job(attempt, limiter, now)
+        self.attempts[id(attempt)] = (limiter, in_flight[1], job)
+        server.counts["accepted"] += 1
+        if server.running < server.capacity(now):
+            self.start_job(server, job)
         else:
-            server.waiting.append(job)
-        held = server.held()
-        server.most_held = max(server.most_held, held)
-        self.rules.now, self.rules.step = now, self.sim.events
-        self.rules.held(server.name, held, server.room(now), server.cold(now))
-
-    def start(self, server: model.Server, job: model.Job) -> None:
-        server.at_work += 1
+            server.queued.append(job)
+        load = server.load()
+        server.peak_load = max(server.peak_load, load)
+        self.rules.now_us, self.rules.step = now, self.sim.events
+        self.rules.on_server_load(server.name, load, server.capacity(now), server.is_cold(now))
+
+    def start_job(self, server: model.Server, job: model.Job) -> None:
+        server.running += 1
         if server.mode is model.Mode.SILENT:
-            return  # it holds the work and never answers; its hop times out
-        self.sim.after(server.service_us(), self.done, server, job, server.started_us)
+            return  # the job keeps its slot; the attempt times out
+        self.sim.after(server.draw_service_time_us(), self.on_job_done, server, job, server.started_us)
 
-    def done(self, server: model.Server, job: model.Job, life: int) -> None:
-        if server.started_us != life or server.state is ServerState.REMOVED:
-            return  # of an earlier life of the server
-        server.at_work -= 1
+    def on_job_done(self, server: model.Server, job: model.Job, server_started_us: int) -> None:
+        if server.started_us != server_started_us or server.state is ServerState.REMOVED:
+            return  # the server has restarted or was removed since the job started
+        server.running -= 1
         now = self.sim.now
-        while server.waiting and server.at_work < server.room(now):
-            waiting = server.waiting.popleft()
-            if not waiting.cancelled:
-                self.start(server, waiting)
-        outcome = AttemptOutcome.ERROR if server.ends_in_error() else AttemptOutcome.OK
-        server.counts["finished" if outcome is AttemptOutcome.OK else "errors"] += 1
-        if not job.cancelled:
-            self.sim.after(model.WIRE_US, self.land, job.done, job.hop, outcome)
-
-    def time_out(self, gate: Gate, hop) -> None:
-        if id(hop) in self.hops:
-            self.land(gate, hop, AttemptOutcome.TIMED_OUT)
-
-    def cancel(self, gate: Gate, hop) -> None:
-        kept = self.hops.get(id(hop))
-        if kept is not None and kept[2] is not None:
-            kept[2].cancelled = True
-        self.sim.after(CANCEL_US, self.land, gate, hop, AttemptOutcome.CANCELLED)
-
-    def land(self, gate: Gate, hop, outcome: AttemptOutcome) -> None:
-        kept = self.hops.pop(id(hop), None)
-        if kept is None or not gate.alive:
+        while server.queued and server.running < server.capacity(now):
+            next_job = server.queued.popleft()
+            if not next_job.is_cancelled:
+                self.start_job(server, next_job)
+        outcome = AttemptOutcome.ERROR if server.draw_is_error() else AttemptOutcome.OK
+        server.counts["completed" if outcome is AttemptOutcome.OK else "errors"] += 1
+        if not job.is_cancelled:
+            self.sim.after(model.NETWORK_DELAY_US, self.finish_attempt, job.limiter, job.attempt, outcome)
+
+    def on_attempt_timeout(self, limiter: EmulatedLimiter, attempt) -> None:
+        if id(attempt) in self.attempts:
+            self.finish_attempt(limiter, attempt, AttemptOutcome.TIMED_OUT)
+
+    def cancel(self, limiter: EmulatedLimiter, attempt) -> None:
+        in_flight = self.attempts.get(id(attempt))
+        if in_flight is not None and in_flight[2] is not None:
+            in_flight[2].is_cancelled = True
+        self.sim.after(CANCEL_DELAY_US, self.finish_attempt, limiter, attempt, AttemptOutcome.CANCELLED)
+
+    def finish_attempt(self, limiter: EmulatedLimiter, attempt, outcome: AttemptOutcome) -> None:
+        in_flight = self.attempts.pop(id(attempt), None)
+        if in_flight is None or not limiter.is_alive:
             return
-        seen = kept[1]
-        seen.ended = outcome
-        record = self.records.get(id(hop.operation))
-        closed = outcome is AttemptOutcome.OK or record is None or id(hop.operation) not in gate.owed
-        gate.landed(hop, AttemptResult(outcome, self.sim.now - seen.sent_us, closed))
-
-    def finished(self, gate: Gate, record: rules.Record) -> None:
-        """A server's answer went through to the client: the operation is finished."""
-        self.rules.now, self.rules.step = self.sim.now, self.sim.events
-        self.rules.answered(record, False)
-        self.metrics.finished(record, self.sim.now)
-
-    def answered(self, gate: Gate, record: rules.Record, turned_back: bool, come_back_us: int) -> None:
-        self.rules.now, self.rules.step = self.sim.now, self.sim.events
-        self.rules.answered(record, turned_back)
-        self.metrics.answered(record, turned_back, come_back_us > 0)
+        observed = in_flight[1]
+        observed.outcome = outcome
+        record = self.records.get(id(attempt.operation))
+        is_final = (
+            outcome is AttemptOutcome.OK or record is None or id(attempt.operation) not in limiter.unanswered
+        )
+        limiter.on_attempt_finished(
+            attempt, AttemptResult(outcome, self.sim.now - observed.sent_us, is_final)
+        )
+
+    def on_operation_finished(self, limiter: EmulatedLimiter, record: rules.OperationRecord) -> None:
+        """Record a server's response that was passed to the client."""
+        self.rules.now_us, self.rules.step = self.sim.now, self.sim.events
+        self.rules.on_answer(record, False)
+        self.metrics.on_finished(record, self.sim.now)
+
+    def on_operation_rejected(
+        self, limiter: EmulatedLimiter, record: rules.OperationRecord, is_retryable: bool, retry_after_us: int
+    ) -> None:
+        """Record a rejection; the client may retry it once, after the Retry-After time."""
+        self.rules.now_us, self.rules.step = self.sim.now, self.sim.events
+        self.rules.on_answer(record, is_retryable)
+        self.metrics.on_rejected(record, is_retryable, retry_after_us > 0)
         sc = self.scenario
         if (
-            turned_back
-            and self.arriving
+            is_retryable
+            and self.accepts_arrivals
             and self.random.random() < sc.retry_share
             and not record.op.is_client_retry
         ):
-            wait = max(come_back_us, COME_BACK_LEAST_US)
+            wait = max(retry_after_us, MIN_CLIENT_RETRY_DELAY_US)
             customer = self.customers.by_name[record.op.customer]
-            self.sim.after(wait, self.take, customer, record.op.category, True)
+            self.sim.after(wait, self.send_operation, customer, record.op.category, True)
 
-    def left(self, record: rules.Record) -> None:
-        record.exempt = True
-        self.metrics.left(record)
+    def on_operation_abandoned(self, record: rules.OperationRecord) -> None:
+        record.is_exempt = True
+        self.metrics.on_abandoned(record)
 
-    def add(self, gate: Gate, task, add) -> None:
+    def add_to_counter(self, limiter: EmulatedLimiter, task, add) -> None:
         if abs(add.amount) > 1e9:
-            self.metrics.counter_refused += 1
-        now, waits = self.sim.now, self.scenario.counter_timeout_us
-        came, tally, total = self.counter.call(gate.index, add.counter_id, add.amount, add.ttl_us, now)
-        if came < 0 or came - now > waits:
-            # As the host on sockets does: past its time-out a call is told silent; a late total is dropped.
-            self.sim.after(waits, gate.counted, task, CounterReply(CounterOutcome.TIMED_OUT, 0.0))
+            self.metrics.oversized_add_count += 1
+        now, timeout_us = self.sim.now, self.scenario.counter_timeout_us
+        reply_at_us, outcome, total = self.counter.call(
+            limiter.index, add.counter_id, add.amount, add.ttl_us, now
+        )
+        if reply_at_us < 0 or reply_at_us - now > timeout_us:
+            # Like the socket-based host, report a time-out and drop a late reply.
+            self.sim.after(
+                timeout_us, limiter.on_counter_reply, task, CounterReply(CounterOutcome.TIMED_OUT, 0.0)
+            )
         else:
-            self.sim.at(came, gate.counted, task, CounterReply(tally, total))
+            self.sim.at(reply_at_us, limiter.on_counter_reply, task, CounterReply(outcome, total))
 
     # ---- discovery
 
-    def entries(self) -> list[ServerEndpoint]:
-        return [entry(server) for server in self.servers.values()]
+    def server_list(self) -> list[ServerEndpoint]:
+        return [server_endpoint(server) for server in self.servers.values()]
 
-    def tell(self, servers: list[model.Server]) -> None:
-        """Discovery tells of these servers: with all others that change at the same instant, in one list."""
+    def publish(self, servers: list[model.Server]) -> None:
+        """Publish changed servers, in one update with all others that change at the same time."""
         now = self.sim.now
-        batch = self._batches.get(now)
+        batch = self._changed_servers.get(now)
         if batch is None:
-            batch = self._batches[now] = []
-            self.sim.at(now, self._flush, now)
+            batch = self._changed_servers[now] = []
+            self.sim.at(now, self._publish_batch, now)
         batch.extend(servers)
 
-    def _flush(self, when: int) -> None:
-        self._send_news(self._batches.pop(when))
+    def _publish_batch(self, changed_us: int) -> None:
+        self._send_update(self._changed_servers.pop(changed_us))
 
-    def _send_news(self, servers: list[model.Server]) -> None:
-        """Discovery tells every limiter of these servers, each after the lag and a little more."""
-        entries = [entry(server) for server in servers]
-        if self.held_news:
-            self.news.extend(entries)
+    def _send_update(self, servers: list[model.Server]) -> None:
+        """Send changed servers to every limiter, after the discovery lag and a random jitter."""
+        entries = [server_endpoint(server) for server in servers]
+        if self.is_discovery_stale:
+            self.withheld_updates.extend(entries)
             return
         lag = self.scenario.discovery_lag_us
-        for gate in self.gates:
-            self.sim.after(lag * (1 + LAG_SPREAD * self.random.random()), self._told, gate, entries)
+        for limiter in self.limiters:
+            self.sim.after(
+                lag * (1 + DISCOVERY_LAG_JITTER * self.random.random()),
+                self._deliver_update,
+                limiter,
+                entries,
+            )
 
-    def _told(self, gate: Gate, entries: list[ServerEndpoint]) -> None:
-        if gate.alive:
-            gate.listed(entries, False)
+    def _deliver_update(self, limiter: EmulatedLimiter, entries: list[ServerEndpoint]) -> None:
+        if limiter.is_alive:
+            limiter.on_server_list(entries, False)
 
     # ---- faults
 
-    def fault(self, fault: Fault) -> None:
+    def apply_fault(self, fault: Fault) -> None:
         self.metrics.faults.append((self.sim.now - SECOND, fault.kind, fault.target))
         kind = fault.kind
-        if kind in FAULTS_OF_SERVERS:
-            for server in self.pick_servers(fault):
-                FAULTS_OF_SERVERS[kind](self, server, fault)
+        if kind in SERVER_FAULTS:
+            for server in self.select_servers(fault):
+                SERVER_FAULTS[kind](self, server, fault)
         elif kind in ("limiter_kill", "limiter_restart"):
-            for gate in self.pick_limiters(fault):
-                self.kill_gate(gate, fault.duration_us if kind == "limiter_kill" else 1)
+            for limiter in self.select_limiters(fault):
+                self.kill_limiter(limiter, fault.duration_us if kind == "limiter_kill" else 1)
         else:
-            FAULTS_ELSEWHERE[kind](self, fault)
-        if fault.duration_us and kind in UNDONE:
-            self.sim.after(fault.duration_us, UNDONE[kind], self, fault)
-
-    def pick_servers(self, fault: Fault) -> list[model.Server]:
-        """The servers a fault names; the same ones again when it is undone."""
-        if id(fault) not in self.picked:
-            self.picked[id(fault)] = pick(list(self.servers.values()), fault.target, self.random)
-        return self.picked[id(fault)]
-
-    def pick_limiters(self, fault: Fault) -> list[Gate]:
-        return pick([gate for gate in self.gates if gate.alive], fault.target, self.random)
-
-    def kill_gate(self, gate: Gate, back_after_us: int) -> None:
-        gate.alive = False
-        for record in gate.owed.values():
-            record.exempt = True
-            self.metrics.front(record)
-        gate.owed.clear()
-        for key, (owner, _, _) in list(self.hops.items()):
-            if owner is gate:
-                del self.hops[key]
-        if back_after_us:
-            self.sim.after(back_after_us, self.restart_gate, gate.index)
-
-    def restart_gate(self, index: int) -> None:
-        old = self.gates[index]
-        gate = Gate(self, index, old.life + 1, self.make)
-        self.gates[index] = gate
-        gate.listed(self.entries(), True)
-
-
-def entry(server: model.Server) -> ServerEndpoint:
-    """A server as discovery lists it."""
+            OTHER_FAULTS[kind](self, fault)
+        if fault.duration_us and kind in FAULT_REVERSALS:
+            self.sim.after(fault.duration_us, FAULT_REVERSALS[kind], self, fault)
+
+    def select_servers(self, fault: Fault) -> list[model.Server]:
+        """Return the servers that a fault targets; the same ones when the fault is reverted."""
+        if id(fault) not in self.fault_servers:
+            self.fault_servers[id(fault)] = select_targets(
+                list(self.servers.values()), fault.target, self.random
+            )
+        return self.fault_servers[id(fault)]
+
+    def select_limiters(self, fault: Fault) -> list[EmulatedLimiter]:
+        return select_targets(
+            [limiter for limiter in self.limiters if limiter.is_alive], fault.target, self.random
+        )
+
+    def kill_limiter(self, limiter: EmulatedLimiter, restart_after_us: int) -> None:
+        limiter.is_alive = False
+        for record in limiter.unanswered.values():
+            record.is_exempt = True
+            self.metrics.on_front_end_answer(record)
+        limiter.unanswered.clear()
+        for key, (owner, _, _) in list(self.attempts.items()):
+            if owner is limiter:
+                del self.attempts[key]
+        if restart_after_us:
+            self.sim.after(restart_after_us, self.restart_limiter, limiter.index)
+
+    def restart_limiter(self, index: int) -> None:
+        old = self.limiters[index]
+        limiter = EmulatedLimiter(self, index, old.incarnation + 1, self.make_policy)
+        self.limiters[index] = limiter
+        limiter.on_server_list(self.server_list(), True)
+
+
+def server_endpoint(server: model.Server) -> ServerEndpoint:
+    """Return the server's entry in the discovery list."""
     return ServerEndpoint(server.name, server.state, server.zone, server.cell, 1.0, "", server.started_us)
 
 
-def pick(items: list, target: str, random: Random) -> list:
-    """The items a fault's target names: `all`, `N` (one), `N-M` (a range), or `share:F` (a share by
-    chance)."""
+def select_targets(items: list, target: str, random: Random) -> list:
+    """Select the items of a fault's target: `all`, `N`, `N-M` (inclusive), or `share:F` (a random share)."""
     if target == "all":
         return items
     if target.startswith("share:"):
@@ -378,116 +418,116 @@
 
 
 def _set_mode(mode: model.Mode):
-    def act(world: World, server: model.Server, fault: Fault) -> None:
+    def apply(world: World, server: model.Server, fault: Fault) -> None:
         server.mode, server.factor = mode, fault.factor
 
-    return act
+    return apply
 
 
-def _vanish(world: World, server: model.Server, fault: Fault) -> None:
-    """Gone without a word; discovery tells after a while."""
+def _kill_server(world: World, server: model.Server, fault: Fault) -> None:
+    """Remove the server without draining; discovery detects it after `REMOVAL_DETECTION_US`."""
     server.state = ServerState.REMOVED
-    server.at_work = 0
-    server.waiting.clear()
-    world.sim.after(NOTICE_US, world.tell, [server])
+    server.running = 0
+    server.queued.clear()
+    world.sim.after(REMOVAL_DETECTION_US, world.publish, [server])
 
 
-def _drain(world: World, server: model.Server, fault: Fault) -> None:
+def _drain_server(world: World, server: model.Server, fault: Fault) -> None:
     server.state = ServerState.DRAINING
-    world.tell([server])
-    world.sim.after(world.scenario.server_rules.drain_grace_us * 4, _gone, world, server)
+    world.publish([server])
+    world.sim.after(world.scenario.server_rules.drain_grace_us * 4, _remove_drained_server, world, server)
 
 
-def _gone(world: World, server: model.Server) -> None:
+def _remove_drained_server(world: World, server: model.Server) -> None:
     if server.state is ServerState.DRAINING:
         server.state = ServerState.REMOVED
-        world.tell([server])
+        world.publish([server])
 
 
-def _restart(world: World, server: model.Server, fault: Fault | None = None) -> None:
+def _restart_server(world: World, server: model.Server, fault: Fault | None = None) -> None:
     server.restart(world.sim.now)
-    world.tell([server])
+    world.publish([server])
 
 
-FAULTS_OF_SERVERS = {
-    "server_kill": _vanish,
-    "server_drain": _drain,
-    "server_restart": _restart,
+SERVER_FAULTS = {
+    "server_kill": _kill_server,
+    "server_drain": _drain_server,
+    "server_restart": _restart_server,
     "server_slow": _set_mode(model.Mode.SLOW),
     "server_failing": _set_mode(model.Mode.FAILING),
     "server_fast_errors": _set_mode(model.Mode.FAST_ERRORS),
     "server_silent": _set_mode(model.Mode.SILENT),
-    "server_well": _set_mode(model.Mode.WELL),
+    "server_well": _set_mode(model.Mode.NORMAL),
 }
 
 
-def _counter(attribute: str, value):
-    def act(world: World, fault: Fault) -> None:
+def _set_counter(attribute: str, value):
+    def apply(world: World, fault: Fault) -> None:
         setattr(world.counter, attribute, value)
 
-    return act
+    return apply
 
 
-def _counter_restart(world: World, fault: Fault) -> None:
+def _restart_counter(world: World, fault: Fault) -> None:
     world.counter.restart()
 
 
-def _counter_cut(world: World, fault: Fault) -> None:
-    world.counter.cut = {gate.index for gate in world.pick_limiters(fault)}
+def _cut_off_counter(world: World, fault: Fault) -> None:
+    world.counter.unreachable_from = {limiter.index for limiter in world.select_limiters(fault)}
 
 
-def _split(world: World, fault: Fault) -> None:
-    world.counter.split = world.scenario.limiters // 2
+def _split_counter(world: World, fault: Fault) -> None:
+    world.counter.split_from = world.scenario.limiters // 2
     world.counter.stores = [world.counter.stores[0], dict(world.counter.stores[0])]
 
 
-def _surge(world: World, fault: Fault) -> None:
-    world.surge = fault.factor
+def _start_surge(world: World, fault: Fault) -> None:
+    world.rate_factor = fault.factor
 
 
-def _hold_news(world: World, fault: Fault) -> None:
-    world.held_news = True
+def _withhold_updates(world: World, fault: Fault) -> None:
+    world.is_discovery_stale = True
 
 
-def _release_news(world: World, fault: Fault) -> None:
-    world.held_news = False
-    news, world.news = world.news, []
-    if news:
-        for gate in world.gates:
-            world.sim.after(world.scenario.discovery_lag_us, world._told, gate, news)
+def _release_updates(world: World, fault: Fault) -> None:
+    world.is_discovery_stale = False
+    updates, world.withheld_updates = world.withheld_updates, []
+    if updates:
+        for limiter in world.limiters:
+            world.sim.after(world.scenario.discovery_lag_us, world._deliver_update, limiter, updates)
 
 
-FAULTS_ELSEWHERE = {
-    "counter_lost": _counter("down", True),
-    "counter_back": _counter("down", False),
-    "counter_slow": _counter("mode", model.Mode.SLOW),
-    "counter_well": _counter("mode", model.Mode.WELL),
-    "counter_restart": _counter_restart,
-    "counter_cut": _counter_cut,
-    "counter_split": _split,
-    "surge": _surge,
-    "discovery_stale": _hold_news,
+OTHER_FAULTS = {
+    "counter_lost": _set_counter("is_down", True),
+    "counter_back": _set_counter("is_down", False),
+    "counter_slow": _set_counter("mode", model.Mode.SLOW),
+    "counter_well": _set_counter("mode", model.Mode.NORMAL),
+    "counter_restart": _restart_counter,
+    "counter_cut": _cut_off_counter,
+    "counter_split": _split_counter,
+    "surge": _start_surge,
+    "discovery_stale": _withhold_updates,
 }
 
 
-def _undo_servers(world: World, fault: Fault) -> None:
-    for server in world.pick_servers(fault):
+def _restore_servers(world: World, fault: Fault) -> None:
+    for server in world.select_servers(fault):
         if fault.kind == "server_kill":
-            _restart(world, server)
+            _restart_server(world, server)
         else:
-            server.mode, server.factor = model.Mode.WELL, 1.0
-
-
-UNDONE = {
-    "server_kill": _undo_servers,
-    "server_slow": _undo_servers,
-    "server_failing": _undo_servers,
-    "server_fast_errors": _undo_servers,
-    "server_silent": _undo_servers,
-    "counter_lost": FAULTS_ELSEWHERE["counter_back"],
-    "counter_slow": FAULTS_ELSEWHERE["counter_well"],
-    "counter_cut": lambda world, fault: setattr(world.counter, "cut", set()),
-    "counter_split": lambda world, fault: setattr(world.counter, "split", None),
-    "surge": lambda world, fault: setattr(world, "surge", 1.0),
-    "discovery_stale": _release_news,
+            server.mode, server.factor = model.Mode.NORMAL, 1.0
+
+
+FAULT_REVERSALS = {
+    "server_kill": _restore_servers,
+    "server_slow": _restore_servers,
+    "server_failing": _restore_servers,
+    "server_fast_errors": _restore_servers,
+    "server_silent": _restore_servers,
+    "counter_lost": OTHER_FAULTS["counter_back"],
+    "counter_slow": OTHER_FAULTS["counter_well"],
+    "counter_cut": lambda world, fault: setattr(world.counter, "unreachable_from", set()),
+    "counter_split": lambda world, fault: setattr(world.counter, "split_from", None),
+    "surge": lambda world, fault: setattr(world, "rate_factor", 1.0),
+    "discovery_stale": _release_updates,
 }
--- a/tests/lab/emulator/test_emulator.py
+++ b/tests/lab/emulator/test_emulator.py
@@ -1,4 +1,4 @@
-"""The laboratory's emulator, baselines and reports: seeded runs with each fault, and rules that do catch."""
+"""The emulator, baselines and reports: seeded runs with each fault, and detection of rule breaches."""
 
 import json
 
@@ -22,15 +22,15 @@
 seed = 3
 policy = "{policy}"
 """
-RUNNING = ("wall_s", "events_per_s", "peak_mb")
+HOST_DEPENDENT_FIELDS = ("wall_s", "events_per_s", "peak_mb")
 
 
-def counted(world, name: str) -> int:
+def server_count(world, name: str) -> int:
     return sum(server.counts[name] for server in world.servers.values())
 
 
-def play(text: str, make=None):
-    return World(scenario.parse(text, "test.toml"), make).run()
+def run_scenario(text: str, make_policy=None):
+    return World(scenario.parse(text, "test.toml"), make_policy).run()
 
 
 def fault(kind: str, target: str = "all", at_s: float = 1.0, for_s: float = 1.5, factor: float = 1.0) -> str:
@@ -42,41 +42,43 @@
 
 def test_the_same_scenario_and_seed_give_the_same_run():
     text = SMALL.format(policy="module") + fault("server_kill", "share:0.5")
-    one, two = play(text).as_dict(), play(text).as_dict()
-    for name in RUNNING:
-        one.pop(name), two.pop(name)
-    assert one == two
-    other = play(text.replace("seed = 3", "seed = 4")).as_dict()
-    assert other["ends"] != one["ends"]
+    first_run, second_run = run_scenario(text).as_dict(), run_scenario(text).as_dict()
+    for name in HOST_DEPENDENT_FIELDS:
+        first_run.pop(name), second_run.pop(name)
+    assert first_run == second_run
+    other_seed = run_scenario(text.replace("seed = 3", "seed = 4")).as_dict()
+    assert other_seed["ends"] != first_run["ends"]
 
 
 @pytest.mark.parametrize("policy", ["module", "local", "central"])
 @pytest.mark.parametrize(
-    ("kind", "target", "factor", "seen"),
+    ("kind", "target", "factor", "has_effect"),
     [
-        ("server_kill", "share:0.5", 1.0, lambda r, w: counted(w, "no connection")),
+        ("server_kill", "share:0.5", 1.0, lambda r, w: server_count(w, "connect failed")),
         ("server_drain", "0-1", 1.0, lambda r, w: r.ends["finished"]),
         ("server_slow", "all", 20.0, lambda r, w: r.latency_ms["max"] > 300),
-        ("server_failing", "all", 0.5, lambda r, w: counted(w, "errors")),
-        ("server_fast_errors", "0-2", 1.0, lambda r, w: counted(w, "errors")),
+        ("server_failing", "all", 0.5, lambda r, w: server_count(w, "errors")),
+        ("server_fast_errors", "0-2", 1.0, lambda r, w: server_count(w, "errors")),
         ("server_silent", "0", 1.0, lambda r, w: r.ends["finished"]),
         ("limiter_kill", "share:0.5", 1.0, lambda r, w: r.ends["front"]),
         ("counter_lost", "all", 1.0, lambda r, w: r.counter_unanswered or r.policy == "local"),
         ("counter_cut", "0-1", 1.0, lambda r, w: r.counter_unanswered or r.policy == "local"),
-        ("counter_split", "all", 1.0, lambda r, w: w.counter.split is None),
+        ("counter_split", "all", 1.0, lambda r, w: w.counter.split_from is None),
         ("counter_restart", "all", 1.0, lambda r, w: r.ends["finished"]),
         ("surge", "all", 3.0, lambda r, w: max(r.series["arrived"]) > 300),
-        ("discovery_stale", "all", 1.0, lambda r, w: not w.held_news),
+        ("discovery_stale", "all", 1.0, lambda r, w: not w.is_discovery_stale),
     ],
 )
-def test_each_fault_has_an_effect_and_every_rule_holds(policy, kind, target, factor, seen):
+def test_each_fault_has_an_effect_and_every_rule_holds(policy, kind, target, factor, has_effect):
     world = World(scenario.parse(SMALL.format(policy=policy) + fault(kind, target, factor=factor), "t.toml"))
     result = world.run()
-    # The module keeps every rule; a baseline knows no ceiling, and is held to the other four.
-    kept = result.breaches if policy == "module" else [each for each in result.breaches if each["rule"] != 5]
-    assert not kept, kept[:3]
+    # The module keeps every rule; the baselines don't implement rate limits (rule 5).
+    breaches = (
+        result.breaches if policy == "module" else [each for each in result.breaches if each["rule"] != 5]
+    )
+    assert not breaches, breaches[:3]
     assert result.ends["lost"] == 0
-    assert seen(result, world), kind
+    assert has_effect(result, world), kind
     assert sum(result.ends.values()) == result.operations
 
 
@@ -90,8 +92,8 @@
     assert 0 < result.most_cold_share <= 1.0
 
 
-class Twice(BaselinePolicy):
-    """A careless policy: sends every operation to two servers at once, and answers the second time too."""
+class DuplicatingPolicy(BaselinePolicy):
+    """Incorrect policy: sends every operation to two servers at once and answers it twice."""
 
     def handle(self, op):
         for name in self.ready[:2]:
@@ -100,8 +102,8 @@
         yield Reject(RejectReason.RETRY_LATER, 0)
 
 
-class Mute(BaselinePolicy):
-    """A careless policy: takes every operation, waits past its hard stop, and never answers."""
+class SilentPolicy(BaselinePolicy):
+    """Incorrect policy: waits past the deadline of every operation and never answers it."""
 
     def handle(self, op):
         yield Sleep(op.deadline_us + 1_000_000)
@@ -109,20 +111,20 @@
 
 def test_the_checker_names_the_operation_and_step_of_a_violation():
     text = SMALL.format(policy="module")
-    twice = play(text, lambda clock, index: Twice(clock, index))
-    rules = {breach["rule"] for breach in twice.breaches}
+    duplicating = run_scenario(text, lambda clock, index: DuplicatingPolicy(clock, index))
+    rules = {breach["rule"] for breach in duplicating.breaches}
     assert {1, 2} <= rules
-    assert twice.broken > 0
-    first = twice.breaches[0]
+    assert duplicating.broken > 0
+    first = duplicating.breaches[0]
     assert first["step"] > 0
     assert first["operation"].startswith("#")
-    mute = play(text, lambda clock, index: Mute(clock, index))
-    assert any("no final answer" in breach["what"] for breach in mute.breaches)
-    assert mute.ends["lost"] > 0
+    silent = run_scenario(text, lambda clock, index: SilentPolicy(clock, index))
+    assert any("no final answer" in breach["what"] for breach in silent.breaches)
+    assert silent.ends["lost"] > 0
 
 
-class Open(BaselinePolicy):
-    """A policy with no limit at all: it passes every ceiling."""
+class UnlimitedPolicy(BaselinePolicy):
+    """Incorrect policy: admits everything and so exceeds every rate limit."""
 
     def handle(self, op):
         yield from self.send(op)
@@ -130,12 +132,12 @@
 
 def test_the_checker_detects_a_rate_limit_exceeded_by_all_limiters_together():
     text = SMALL.format(policy="module").replace("rate = 150", "rate = 600")
-    result = play(text, lambda clock, index: Open(clock, index))
+    result = run_scenario(text, lambda clock, index: UnlimitedPolicy(clock, index))
     assert any(breach["rule"] == 5 for breach in result.breaches)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_start"),
     [
         ("[run]\nseconds = 'long'\n", "test.toml:2: run.seconds: not a number"),
         ("[run]\nlimiters = 4\n\n[servers]\ncapacty = 3\n", "test.toml:5: servers.capacty: no such key"),
@@ -145,14 +147,14 @@
         ("[run]\nrate = -5\n", "test.toml:2: run.rate: -5 is outside"),
     ],
 )
-def test_an_invalid_scenario_is_one_line_with_its_place(text, said):
+def test_an_invalid_scenario_gives_a_one_line_error_with_file_and_line(text, expected_start):
     with pytest.raises(scenario.ScenarioError) as caught:
         scenario.parse(text, "test.toml")
-    assert str(caught.value).startswith(said)
+    assert str(caught.value).startswith(expected_start)
     assert "\n" not in str(caught.value)
 
 
-def test_lab_run_and_report_on_the_command_line(tmp_path):
+def test_lab_run_and_report_commands_write_files_and_reject_an_invalid_scenario(tmp_path):
     path = tmp_path / "s.toml"
     path.write_text(SMALL.format(policy="local"))
     runner = CliRunner()
