--- a/lapisgrade/lab/emulator/scenario.py
+++ b/lapisgrade/lab/emulator/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios in TOML (read by tomllib): the fleet, its traffic and the faults at given times.
+"""Scenarios in TOML: the fleet, its traffic, and the faults with their times.
 
-The format is documented in docs/lab.md. Every key has a default: a scenario says only what it changes.
-What can't be read is one `ScenarioError` naming the file, the line where it can be found, and what is wrong.
+docs/lab.md documents the format. Every key has a default, so a scenario sets only what differs. An invalid
+scenario raises one `ScenarioError` with the file, the line and the reason.
 """
 
 import re
@@ -15,12 +15,16 @@
 
 SECOND = 1_000_000
 MS = 1_000
-REPEATS = {
+REPEAT_SAFETY = {
     "idempotent": RepeatSafety.IDEMPOTENT,
     "deduplicated": RepeatSafety.DEDUPLICATED,
     "unrepeatable": RepeatSafety.NON_IDEMPOTENT,
 }
-GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
 POLICIES = ("module", "local", "central")
 FAULT_KINDS = (
     "server_kill",
@@ -43,8 +47,8 @@
     "surge",
     "discovery_stale",
 )
-# What only real processes have (`lapisgrade lab fleet run`).
-PROCESS_KINDS = (
+# Faults that need real processes (`lapisgrade lab fleet run`).
+PROCESS_FAULT_KINDS = (
     "limiter_term",
     "limiter_pause",
     "counter_swap",
@@ -63,49 +67,85 @@
 )
 LINKS = ("counter", "discovery", "server", "peer")
 TARGET = re.compile(r"all|\d+(-\d+)?|share:(0(\.\d+)?|1(\.0+)?)|group:[\w-]+")
-SKEW = 1.2  # Pareto shape of the customers' weights: a few send several times the mean; 0: all alike
+DEFAULT_SKEW = 1.2  # Pareto shape of customers' weights: a few send several times the mean; 0: equal weights
 
 
 class ScenarioError(ValueError):
-    """A scenario that can't be played; its text is the one line to show."""
+    """A scenario is invalid or can't be run; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
+    """A fault at a given time.
+
+    Attributes:
+        at_us: Start, from the start of the run.
+        kind: One of FAULT_KINDS or PROCESS_FAULT_KINDS.
+        target: Servers or limiters: `all`, `N`, `N-M`, `share:F` or `group:NAME`.
+        duration_us: Time until the fault is reverted; 0: it isn't.
+        factor: Factor of a slowdown or surge, or share of failing operations.
+        link: Affected links of the target's limiters, one of LINKS; empty: all of them.
+        delay_us: Added delay of a slow link.
+        jitter_us: Largest random extra delay of a slow link.
+        rate: Bandwidth of a slow link in bytes per second; 0: unlimited.
+        wave_interval_us: Time between one member of the target and the next; 0: all at once.
+        line: Line in the scenario file.
+    """
+
     at_us: int
     kind: str
     target: str = "all"
-    duration_us: int = 0  # undone after this long; 0: not undone
+    duration_us: int = 0
     factor: float = 1.0
-    link: str = ""  # of LINKS, from the target's limiters; "": all of them
-    delay_us: int = 0  # of a slow link
+    link: str = ""
+    delay_us: int = 0
     jitter_us: int = 0
-    rate: float = 0.0  # bytes a second of a slow link; 0: no bound
-    wave_interval_us: int = 0  # between one of the target and the next; 0: all at once
-    line: int = 0  # where it stands in the file
+    rate: float = 0.0
+    wave_interval_us: int = 0
+    line: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class PartitionGroup:
-    """Limiters and servers that a partition cuts off together from all the rest."""
+    """Limiters and servers that a partition separates from all others.
+
+    Attributes:
+        name: Name, as in the target `group:NAME`.
+        limiters: Limiters, `N` or `N-M`; empty: none.
+        servers: Servers, `N` or `N-M`; empty: none.
+        counter: The counter and discovery belong to the group.
+    """
 
     name: str
     limiters: str
     servers: str
-    counter: bool  # whether the counter and discovery are on its side
+    counter: bool
 
 
 @dataclass(slots=True)
 class Customer:
+    """A customer.
+
+    Attributes:
+        name: Name.
+        plan: Plan.
+        first: Index of the first limiter of its set.
+        weight: Relative request rate.
+    """
+
     name: str
     plan: Plan
-    first: int  # the first limiter of its set
+    first: int
     weight: float
 
 
 @dataclass(slots=True)
 class Customers:
-    """Who sends: drawn by weight, a heavy few and many light."""
+    """All customers, to be drawn by weight.
+
+    Attributes:
+        cumulative: Cumulative weights, in the order of `all`.
+    """
 
     all: list[Customer]
     by_name: dict[str, Customer]
@@ -117,6 +157,26 @@
 
 @dataclass(slots=True)
 class Scenario:
+    """A fleet, its traffic and its faults.
+
+    Attributes:
+        rate: Operations per second from all clients together.
+        policy: One of POLICIES.
+        spread: Number of limiters in a customer's set.
+        max_units: Largest cost of an operation; costs are uniform from 1.
+        skew: Pareto shape of the customers' weights; 0: equal weights.
+        retry_share: Share of retryable rejections after which the client retries, once.
+        leave_share: Share of operations whose clients disconnect before the deadline.
+        discovery_lag_us: Delay of server list updates.
+        uses_shared_counter: The limiters may call the shared counter.
+        counter_timeout_us: Time-out of a call to the counter.
+        server_rules: Rules for draining and cold servers.
+        permissions: What the limiters may do: attempts, cancellation, hedging, Retry-After.
+        peers: The limiters exchange membership messages; needs processes.
+        clock_offset_ms: The limiters' clocks are spread evenly within this offset in both directions.
+        over_bound: Largest excess over a quota, in units, of any customer in any window; None: unchecked.
+    """
+
     name: str = "scenario"
     seed: int = 1
     seconds_us: int = 30 * SECOND
@@ -124,13 +184,13 @@
     servers: int = 20
     zones: int = 2
     customers: int = 200
-    rate: float = 500.0  # operations a second from all clients together
+    rate: float = 500.0
     policy: str = "module"
-    spread: int = 2  # limiters in a customer's set
+    spread: int = 2
     max_units: int = 2
-    skew: float = SKEW
-    retry_share: float = 0.5  # of turned-back operations that their clients send again, once
-    leave_share: float = 0.01  # of operations whose clients leave before their hard stop
+    skew: float = DEFAULT_SKEW
+    retry_share: float = 0.5
+    leave_share: float = 0.01
     discovery_lag_us: int = 200 * MS
     uses_shared_counter: bool = True
     counter_timeout_us: int = 50 * MS
@@ -146,23 +206,23 @@
     permissions: Permissions = field(default_factory=lambda: Permissions(3, True, True, False, 2 * SECOND))
     faults: list[Fault] = field(default_factory=list)
     partition_groups: dict[str, PartitionGroup] = field(default_factory=dict)
-    peers: bool = False  # the limiters know of one another (processes only)
-    clock_offset_ms: float = 0.0  # the limiters' clocks lie evenly within so much to either side
-    over_bound: float | None = None  # units over, of any customer in any window, that the scenario allows
+    peers: bool = False
+    clock_offset_ms: float = 0.0
+    over_bound: float | None = None
 
     def zone_of(self, index: int) -> str:
         return f"z{index % max(1, self.zones)}"
 
     def customer_table(self, seed: int) -> Customers:
-        chance = Random(seed)
-        made, total, cumulative = [], 0.0, []
+        random = Random(seed)
+        customers, total, cumulative = [], 0.0, []
         for i in range(self.customers):
-            plan = chance.choices(self.plans, self.plan_shares)[0]
-            weight = chance.paretovariate(self.skew) if self.skew else 1.0
-            made.append(Customer(f"{i + 1:016x}", plan, i % self.limiters, weight))
+            plan = random.choices(self.plans, self.plan_shares)[0]
+            weight = random.paretovariate(self.skew) if self.skew else 1.0
+            customers.append(Customer(f"{i + 1:016x}", plan, i % self.limiters, weight))
             total += weight
             cumulative.append(total)
-        return Customers(made, {each.name: each for each in made}, cumulative)
+        return Customers(customers, {each.name: each for each in customers}, cumulative)
 
 
 DEFAULT_CATEGORIES = [
@@ -209,63 +269,72 @@
 
 
 class Reader:
-    """Takes values out of one table, names what is wrong, and finds where in the text it stands."""
+    """Takes validated values from one table; errors name the key and its line.
 
-    def __init__(self, path: str, text: str, table: dict[str, Any], at: str) -> None:
-        self.path, self.text, self.table, self.at = path, text, dict(table), at
+    Attributes:
+        path: File name, for messages.
+        text: Text of the file, to find lines.
+        table: Values that were not taken yet.
+        prefix: Name of the table with a dot, such as `run.` or `fault[0].`; empty for the top level.
+    """
 
-    def wrong(self, key: str, what: str) -> ScenarioError:
-        return ScenarioError(f"{self.path}:{line_of(self.text, self.at, key)}: {self.at}{key}: {what}")
+    def __init__(self, path: str, text: str, table: dict[str, Any], prefix: str) -> None:
+        self.path, self.text, self.table, self.prefix = path, text, dict(table), prefix
 
-    def number(self, key: str, default: float, low: float = 0.0, high: float = float("inf")) -> float:
+    def invalid(self, key: str, reason: str) -> ScenarioError:
+        return ScenarioError(
+            f"{self.path}:{line_of(self.text, self.prefix, key)}: {self.prefix}{key}: {reason}"
+        )
+
+    def number(self, key: str, default: float, minimum: float = 0.0, maximum: float = float("inf")) -> float:
         value = self.table.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise self.wrong(key, f"not a number: {value!r}")
-        if not low <= value <= high:
-            raise self.wrong(key, f"{value} is outside {low:g} to {high:g}")
+            raise self.invalid(key, f"not a number: {value!r}")
+        if not minimum <= value <= maximum:
+            raise self.invalid(key, f"{value} is outside {minimum:g} to {maximum:g}")
         return float(value)
 
-    def whole(self, key: str, default: int, low: int = 0, high: int = 10**9) -> int:
+    def integer(self, key: str, default: int, minimum: int = 0, maximum: int = 10**9) -> int:
         value = self.table.get(key, default)
         if isinstance(value, float | bool):
-            raise self.wrong(key, f"not a whole number: {value!r}")
-        return int(self.number(key, default, low, high))
+            raise self.invalid(key, f"not an integer: {value!r}")
+        return int(self.number(key, default, minimum, maximum))
 
-    def text_of(self, key: str, default: str, among: tuple[str, ...] | dict | None = None) -> str:
+    def string(self, key: str, default: str, choices: tuple[str, ...] | dict | None = None) -> str:
         value = self.table.pop(key, default)
         if not isinstance(value, str):
-            raise self.wrong(key, f"not text: {value!r}")
-        if among is not None and value not in among:
-            raise self.wrong(key, f"{value!r} is not one of {', '.join(among)}")
+            raise self.invalid(key, f"not a string: {value!r}")
+        if choices is not None and value not in choices:
+            raise self.invalid(key, f"{value!r} is not one of {', '.join(choices)}")
         return value
 
-    def flag(self, key: str, default: bool) -> bool:
+    def boolean(self, key: str, default: bool) -> bool:
         value = self.table.pop(key, default)
         if not isinstance(value, bool):
-            raise self.wrong(key, f"neither true nor false: {value!r}")
+            raise self.invalid(key, f"not true or false: {value!r}")
         return value
 
-    def done(self) -> None:
+    def reject_unknown_keys(self) -> None:
         if self.table:
             key = next(iter(self.table))
-            raise self.wrong(key, "no such key")
+            raise self.invalid(key, "unknown key")
 
 
-def line_of(text: str, at: str, key: str) -> int:
-    """The line where `key` is set (after the table `at` is opened, where it can be found), or 1."""
+def line_of(text: str, prefix: str, key: str) -> int:
+    """Return the line that sets `key` in the table `prefix`, or the table's line, or 1."""
     lines = text.splitlines()
     start = 0
-    table = at.rstrip(".").split("[")[0]
+    table = prefix.rstrip(".").split("[")[0]
     if table:
         for number, line in enumerate(lines):
             if re.match(rf"\s*\[\[?\s*{re.escape(table)}\s*\]\]?", line):
                 start = number
-                if "[" in at:
-                    index = int(at.split("[")[1].split("]")[0])
-                    seen = [
+                if "[" in prefix:
+                    index = int(prefix.split("[")[1].split("]")[0])
+                    table_lines = [
                         n for n, each in enumerate(lines) if re.match(rf"\s*\[\[\s*{re.escape(table)}", each)
                     ]
-                    start = seen[index] if index < len(seen) else number
+                    start = table_lines[index] if index < len(table_lines) else number
                 break
     for number in range(start, len(lines)):
         if re.match(rf"\s*{re.escape(key)}\s*=", lines[number]):
@@ -274,35 +343,49 @@
 
 
 def read(path: str) -> Scenario:
-    """The scenario in the file at `path`; ScenarioError where it can't be read."""
+    """Read a scenario file.
+
+    Raises:
+        ScenarioError: The file can't be read or is invalid.
+    """
     return parse(read_text(path), path)
 
 
 def read_for_emulator(path: str) -> Scenario:
-    """The scenario in the file at `path`; ScenarioError for a fault that the emulator can't play."""
+    """Read a scenario file for the emulator.
+
+    Raises:
+        ScenarioError: The file can't be read, is invalid, or needs real processes.
+    """
     sc = read(path)
     if sc.peers:
-        raise ScenarioError(f"{path}: the emulator can't play run.peers: it needs processes (lab fleet run)")
+        raise ScenarioError(f"{path}: the emulator doesn't support run.peers; use `lapisgrade lab fleet run`")
     for fault in sc.faults:
-        at = f"{path}:{fault.line}: the emulator can't play"
-        if fault.kind in PROCESS_KINDS:
-            raise ScenarioError(f"{at} the fault {fault.kind!r}: it needs processes (lab fleet run)")
+        location = f"{path}:{fault.line}: the emulator can't play"
+        if fault.kind in PROCESS_FAULT_KINDS:
+            raise ScenarioError(f"{location} fault kind {fault.kind!r}; use `lapisgrade lab fleet run`")
         if fault.wave_interval_us or fault.target.startswith("group:"):
-            raise ScenarioError(f"{at} faults that come in waves or to a group: they need processes")
+            raise ScenarioError(
+                f"{location} faults with wave_ms or a group target; use `lapisgrade lab fleet run`"
+            )
     return sc
 
 
 def read_text(path: str) -> str:
-    """The text of a scenario's file; ScenarioError where there is none."""
+    """Return the text of a scenario file.
+
+    Raises:
+        ScenarioError: The file can't be read.
+    """
     try:
         with open(path, "rb") as file:
             return file.read().decode("utf-8", "replace")
-    except OSError as wrong:
-        raise ScenarioError(f"{path}: {wrong.strerror or wrong}") from None
+    except OSError as error:
+        raise ScenarioError(f"{path}: {error.strerror or error}") from None
 
 
 def override(sc: Scenario, changes: dict[str, Any]) -> Scenario:
-    """The scenario with other values of its fields, those that are not None; the same one."""
+    """Set the fields in `changes` whose value is not None, in place, and return the scenario."""
     for name, value in changes.items():
         if value is not None:
             setattr(sc, name, value)
@@ -310,56 +393,61 @@
 
 
 def parse(text: str, path: str = "scenario") -> Scenario:
+    """Parse the text of a scenario file; `path` is for messages and the default name.
+
+    Raises:
+        ScenarioError: The text is invalid.
+    """
     try:
         tree = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as wrong:
-        raise ScenarioError(f"{path}: {wrong}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise ScenarioError(f"{path}: {error}") from None
     top = Reader(path, text, tree, "")
     sc = Scenario()
     run = Reader(path, text, top.table.pop("run", {}), "run.")
-    sc.name = run.text_of("name", path.rsplit("/", 1)[-1].removesuffix(".toml"))
-    sc.seed = run.whole("seed", 1, 0, 2**63)
+    sc.name = run.string("name", path.rsplit("/", 1)[-1].removesuffix(".toml"))
+    sc.seed = run.integer("seed", 1, 0, 2**63)
     sc.seconds_us = round(run.number("seconds", 30, 0.001, 3600) * SECOND)
-    sc.limiters = run.whole("limiters", 10, 1, 10_000)
-    sc.servers = run.whole("servers", 20, 1, 10_000)
-    sc.zones = run.whole("zones", 2, 1, 64)
-    sc.customers = run.whole("customers", 200, 1, 1_000_000)
+    sc.limiters = run.integer("limiters", 10, 1, 10_000)
+    sc.servers = run.integer("servers", 20, 1, 10_000)
+    sc.zones = run.integer("zones", 2, 1, 64)
+    sc.customers = run.integer("customers", 200, 1, 1_000_000)
     sc.rate = run.number("rate", 500, 0.001, 1_000_000)
-    sc.policy = run.text_of("policy", "module", POLICIES)
-    sc.spread = run.whole("spread", 2, 1, 10_000)
-    sc.max_units = run.whole("most_units", 2, 1, 1000)
-    sc.skew = run.number("skew", SKEW, 0, 100)
-    sc.peers = run.flag("peers", False)
+    sc.policy = run.string("policy", "module", POLICIES)
+    sc.spread = run.integer("spread", 2, 1, 10_000)
+    sc.max_units = run.integer("most_units", 2, 1, 1000)
+    sc.skew = run.number("skew", DEFAULT_SKEW, 0, 100)
+    sc.peers = run.boolean("peers", False)
     sc.clock_offset_ms = run.number("clock_offset_ms", 0, 0, 3_600_000)
     bound = run.number("over_bound", -1, -1, 1e9)
     sc.over_bound = bound if bound >= 0 else None
-    run.done()
+    run.reject_unknown_keys()
     clients = Reader(path, text, top.table.pop("clients", {}), "clients.")
     sc.retry_share = clients.number("retry_share", 0.5, 0, 1)
     sc.leave_share = clients.number("leave_share", 0.01, 0, 1)
-    clients.done()
+    clients.reject_unknown_keys()
     servers = Reader(path, text, top.table.pop("servers", {}), "servers.")
     sc.server = ServerParameters(
-        capacity=servers.whole("capacity", 16, 1, 100_000),
-        queue=servers.whole("queue", 32, 0, 1_000_000),
+        capacity=servers.integer("capacity", 16, 1, 100_000),
+        queue=servers.integer("queue", 32, 0, 1_000_000),
         median_us=round(servers.number("median_ms", 20, 0.001, 60_000) * MS),
         sigma=servers.number("sigma", 0.5, 0, 3),
         cold_from=servers.number("cold_from", 0.3, 0.01, 1),
         warm_us=round(servers.number("warm_s", 5, 0, 3600) * SECOND),
     )
-    servers.done()
+    servers.reject_unknown_keys()
     counter = Reader(path, text, top.table.pop("counter", {}), "counter.")
     sc.counter = CounterParameters(
         round(counter.number("median_ms", 1, 0.001, 60_000) * MS),
         counter.number("sigma", 0.3, 0, 3),
         counter.number("calls_per_s", 20_000, 1, 1e8),
     )
-    sc.uses_shared_counter = counter.flag("shared", True)
+    sc.uses_shared_counter = counter.boolean("shared", True)
     sc.counter_timeout_us = round(counter.number("time_out_ms", 50, 1, 60_000) * MS)
-    counter.done()
+    counter.reject_unknown_keys()
     discovery = Reader(path, text, top.table.pop("discovery", {}), "discovery.")
     sc.discovery_lag_us = round(discovery.number("lag_ms", 200, 0, 600_000) * MS)
-    discovery.done()
+    discovery.reject_unknown_keys()
     rules = Reader(path, text, top.table.pop("rules", {}), "rules.")
     sc.server_rules = ServerRules(
         round(rules.number("drain_grace_ms", 250, 0, 600_000) * MS),
@@ -369,37 +457,37 @@
         rules.number("fall_multiple", 3.0, 1, 100),
     )
     sc.permissions = Permissions(
-        rules.whole("hops", 3, 1, 10),
-        rules.flag("cancel", True),
-        rules.flag("second_copies", True),
+        rules.integer("hops", 3, 1, 10),
+        rules.boolean("cancel", True),
+        rules.boolean("second_copies", True),
         False,
         round(rules.number("longest_advice_ms", 2000, 0, 600_000) * MS),
     )
-    rules.done()
+    rules.reject_unknown_keys()
     sc.categories, sc.category_shares = [], []
     for i, row in enumerate(top.table.pop("category", DEFAULT_CATEGORIES)):
         kind = Reader(path, text, row, f"category[{i}].")
-        hard_stop = kind.number("hard_stop_ms", 1000, 1, 600_000)
+        timeout_ms = kind.number("hard_stop_ms", 1000, 1, 600_000)
         sc.categories.append(
             Category(
-                kind.text_of("name", f"c{i}"),
-                REPEATS[kind.text_of("repeat", "idempotent", REPEATS)],
-                round(kind.number("quoted_ms", hard_stop / 2, 1, hard_stop) * MS),
-                round(hard_stop * MS),
+                kind.string("name", f"c{i}"),
+                REPEAT_SAFETY[kind.string("repeat", "idempotent", REPEAT_SAFETY)],
+                round(kind.number("quoted_ms", timeout_ms / 2, 1, timeout_ms) * MS),
+                round(timeout_ms * MS),
                 kind.number("payoff", 1.0, 0, 1e6),
                 kind.number("late_payoff", 0.0, 0, 1e6),
-                GROUPS[kind.text_of("group", "all", GROUPS)],
+                DEDUPLICATION_SCOPES[kind.string("group", "all", DEDUPLICATION_SCOPES)],
                 round(kind.number("remembered_ms", 0, 0, 600_000) * MS),
             )
         )
         sc.category_shares.append(kind.number("share", 1.0, 0, 1e6))
-        kind.done()
+        kind.reject_unknown_keys()
     sc.plans, sc.plan_shares = [], []
     for i, row in enumerate(top.table.pop("plan", DEFAULT_PLANS)):
         plan = Reader(path, text, row, f"plan[{i}].")
         sc.plans.append(
             Plan(
-                plan.text_of("name", f"p{i}"),
+                plan.string("name", f"p{i}"),
                 plan.number("rate", 1.0, 0, 1e9),
                 plan.number("burst", 1.0, 0, 1e9),
                 overage_value=plan.number("beyond_earns", 0, 0, 1e6),
@@ -410,28 +498,28 @@
             )
         )
         sc.plan_shares.append(plan.number("share", 1.0, 0, 1e6))
-        plan.done()
+        plan.reject_unknown_keys()
     if not sc.categories or not sc.plans:
         raise ScenarioError(f"{path}: a scenario needs at least one category and one plan")
     for i, row in enumerate(top.table.pop("party", [])):
         party = Reader(path, text, row, f"party[{i}].")
-        name = party.text_of("name", f"p{i}")
-        sides = [party.text_of(key, "") for key in ("limiters", "servers")]
+        name = party.string("name", f"p{i}")
+        sides = [party.string(key, "") for key in ("limiters", "servers")]
         for key, side in zip(("limiters", "servers"), sides, strict=True):
             if side and not re.fullmatch(r"\d+(-\d+)?", side):
-                raise party.wrong(key, f"{side!r} is neither N nor N-M")
-        sc.partition_groups[name] = PartitionGroup(name, *sides, party.flag("counter", False))
-        party.done()
+                raise party.invalid(key, f"{side!r} is not N or N-M")
+        sc.partition_groups[name] = PartitionGroup(name, *sides, party.boolean("counter", False))
+        party.reject_unknown_keys()
     for i, row in enumerate(top.table.pop("fault", [])):
         fault = Reader(path, text, row, f"fault[{i}].")
-        kind = fault.text_of("kind", "", FAULT_KINDS + PROCESS_KINDS)
-        target = fault.text_of("target", "all")
+        kind = fault.string("kind", "", FAULT_KINDS + PROCESS_FAULT_KINDS)
+        target = fault.string("target", "all")
         if not TARGET.fullmatch(target):
-            raise fault.wrong("target", f"{target!r} is none of all, N, N-M, share:F, group:NAME")
+            raise fault.invalid("target", f"{target!r} is not one of all, N, N-M, share:F, group:NAME")
         if target.startswith("group:") and target[6:] not in sc.partition_groups:
-            raise fault.wrong("target", f"there is no [[party]] named {target[6:]!r}")
+            raise fault.invalid("target", f"there is no [[party]] named {target[6:]!r}")
         if kind == "partition" and not target.startswith("group:"):
-            raise fault.wrong("target", "a partition cuts off a group: group:NAME")
+            raise fault.invalid("target", "the target of a partition must be group:NAME")
         sc.faults.append(
             Fault(
                 round(fault.number("at_s", 0, 0, 3600) * SECOND),
@@ -439,7 +527,7 @@
                 target,
                 round(fault.number("for_s", 0, 0, 3600) * SECOND),
                 fault.number("factor", 1.0, 0, 1e6),
-                fault.text_of("link", "", ("", *LINKS)),
+                fault.string("link", "", ("", *LINKS)),
                 round(fault.number("delay_ms", 0, 0, 600_000) * MS),
                 round(fault.number("jitter_ms", 0, 0, 600_000) * MS),
                 fault.number("rate", 0, 0, 1e12),
@@ -447,6 +535,6 @@
                 line_of(text, f"fault[{i}].", "kind"),
             )
         )
-        fault.done()
-    top.done()
+        fault.reject_unknown_keys()
+    top.reject_unknown_keys()
     return sc
--- a/tests/lab/emulator/test_emulator.py
+++ b/tests/lab/emulator/test_emulator.py
@@ -140,7 +140,7 @@
     ("text", "expected_start"),
     [
         ("[run]\nseconds = 'long'\n", "test.toml:2: run.seconds: not a number"),
-        ("[run]\nlimiters = 4\n\n[servers]\ncapacty = 3\n", "test.toml:5: servers.capacty: no such key"),
+        ("[run]\nlimiters = 4\n\n[servers]\ncapacty = 3\n", "test.toml:5: servers.capacty: unknown key"),
         ('[[fault]]\nat_s = 1\nkind = "melt"\n', "test.toml:3: fault[0].kind: 'melt' is not one of"),
         ('[[fault]]\nkind = "surge"\ntarget = "most"\n', "test.toml:3: fault[0].target"),
         ("[run\nseconds = 3\n", "test.toml: "),
