--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -103,7 +103,7 @@
             await asyncio.wait_for(stopping.wait(), options.seconds if options.seconds > 0 else None)
         return
     settings = (options.plan.template or sample_configuration())["settings"]
-    planned = schedule.plan(options.shape, schedule.mix_of(settings), options.plan.seed)
+    planned = schedule.plan(options.shape, schedule.default_mix(settings), options.plan.seed)
     print_line(
         f"load: {len(planned)} operations over {options.shape.seconds:g} s, shape {options.shape.kind}"
     )
--- a/lapisgrade/cli/lab_emulator.py
+++ b/lapisgrade/cli/lab_emulator.py
@@ -121,7 +121,7 @@
 
     try:
         written = plots.report(list(runs), out)
-    except plots.BadRun as error:
+    except plots.RunFileError as error:
         click.echo(f"cannot read the run: {error}", err=True)
         sys.exit(2)
     for path in written:
--- a/lapisgrade/cli/load.py
+++ b/lapisgrade/cli/load.py
@@ -47,7 +47,7 @@
 ) -> None:
     """Send open-loop load to TARGETS (host:port each); latency is measured from the scheduled send time."""
     addresses = [parse_address(target) for target in targets]
-    mix = schedule.mix_of(sample_configuration()["settings"])
+    mix = schedule.default_mix(sample_configuration()["settings"])
     if trace is not None:
         planned = _read_trace(trace, mix)
     else:
@@ -58,7 +58,7 @@
     sys.exit(1 if tally.counts["lost"] else 0)
 
 
-def _read_trace(trace: TextIO, mix: schedule.Mix) -> list[schedule.Planned]:
+def _read_trace(trace: TextIO, mix: schedule.Mix) -> list[schedule.PlannedOperation]:
     rows: list[dict[str, Any]]
     try:
         if trace.name.endswith(".csv"):
@@ -66,11 +66,13 @@
         else:
             rows = [json.loads(line) for line in trace if line.strip()]
         return schedule.from_trace(rows, mix)
-    except (ValueError, schedule.BadShape) as error:
+    except (ValueError, schedule.ScheduleError) as error:
         raise click.BadParameter(str(error), param_hint="--trace") from None
 
 
-async def _run(load_client: client.Client, planned: list[schedule.Planned]) -> tuple[client.Tally, float]:
+async def _run(
+    load_client: client.Client, planned: list[schedule.PlannedOperation]
+) -> tuple[client.Tally, float]:
     """Send the planned operations; return the tally and the elapsed time in s."""
     event_loop = asyncio.get_running_loop()
     started_s = event_loop.time()
--- a/lapisgrade/cli/options.py
+++ b/lapisgrade/cli/options.py
@@ -46,7 +46,7 @@
     load = schedule.Shape(shape, rate, seconds, peak, at_s, length_s)
     try:
         load.check()
-    except schedule.BadShape as error:
+    except schedule.ScheduleError as error:
         raise click.BadParameter(str(error)) from None
     return load
 
--- a/lapisgrade/lab/fleet/faults.py
+++ b/lapisgrade/lab/fleet/faults.py
@@ -13,7 +13,7 @@
 from lapisgrade.lab.fleet.limiter import Limiter
 from lapisgrade.lab.fleet.process import Helper
 from lapisgrade.lab.fleet.recorders import RecordingCounter
-from lapisgrade.lab.fleet.relay import BACK, THERE, Link, TcpRelay, UdpRelay
+from lapisgrade.lab.fleet.relay import FROM_TARGET, TO_TARGET, Link, TcpRelay, UdpRelay
 
 DISCOVERY_DELAY_S = 2.0  # until discovery notices a server that vanished, as in the emulator
 COUNTER_CONNECTIONS = 8  # that the fake counter accepts for each limiter, old ones and new ones
@@ -234,7 +234,7 @@
                 and ((other.index in inside) != (each.index in inside) if apart else other.index in inside)
             }
             for relay, _ in each.links["peer"]:
-                relay.deaf = relay.deaf | away if on else relay.deaf - away
+                relay.blocked_sources = relay.blocked_sources | away if on else relay.blocked_sources - away
 
     async def _inject_into_counter(self, fault: Fault) -> None:
         counter, kind = self.counter, fault.kind.removeprefix("counter_")
@@ -283,11 +283,11 @@
     """Apply a fault to a link."""
     kind = fault.kind
     if kind in ("link_cut", "partition", "counter_cut"):
-        link.cut = frozenset((THERE, BACK))
+        link.cut = frozenset((TO_TARGET, FROM_TARGET))
     elif kind == "link_cut_there":
-        link.cut = frozenset((THERE,))
+        link.cut = frozenset((TO_TARGET,))
     elif kind == "link_cut_back":
-        link.cut = frozenset((BACK,))
+        link.cut = frozenset((FROM_TARGET,))
     elif kind == "link_reset":
         link.reset = True
     elif kind == "link_slow":
--- a/lapisgrade/lab/fleet/load.py
+++ b/lapisgrade/lab/fleet/load.py
@@ -16,7 +16,7 @@
 from lapisgrade.lab.fleet import history as h
 from lapisgrade.lab.fleet.process import serve_commands
 from lapisgrade.lab.load import client
-from lapisgrade.lab.load.schedule import Planned
+from lapisgrade.lab.load.schedule import PlannedOperation
 
 MAX_ATTEMPTS = 4  # of one operation, whatever becomes of them
 # a limiter that could not be reached is passed over for so long, while others of the set are not
@@ -29,7 +29,7 @@
 class Due:
     """One operation of the schedule, with the customer's set."""
 
-    planned: Planned
+    planned: PlannedOperation
     category: Category
     first: int
 
@@ -51,7 +51,7 @@
             return made
         customer = customers.pick(random)
         category = random.choices(scenario.categories, scenario.category_shares)[0]
-        planned = Planned(
+        planned = PlannedOperation(
             round(at),
             int(customer.name, 16),
             customer.plan.name,
--- a/lapisgrade/lab/fleet/relay.py
+++ b/lapisgrade/lab/fleet/relay.py
@@ -23,21 +23,21 @@
 READ_BYTES = 65_536
 MOST_HELD = 1 << 20  # bytes on their way in one direction of one connection; more waits at the sender
 MOST_PACKETS = 4096  # datagrams on their way through one relay; more are lost, as a full queue loses them
-THERE, BACK = "there", "back"  # towards the target, and from it
+TO_TARGET, FROM_TARGET = "there", "back"  # towards the target, and from it
 
 
 @dataclass(slots=True)
 class Link:
     """How a link behaves now. Times in s, shares from 0 to 1."""
 
-    cut: frozenset[str] = frozenset()  # of THERE and BACK
+    cut: frozenset[str] = frozenset()  # of TO_TARGET and FROM_TARGET
     reset: bool = False
     delay_s: float = 0.0
     jitter_s: float = 0.0
     rate: float = 0.0
-    loss: float = 0.0
-    twice: float = 0.0
-    swap: float = 0.0
+    loss_rate: float = 0.0
+    duplicate_rate: float = 0.0
+    reorder_rate: float = 0.0
 
     def heal(self) -> None:
         fresh = Link()
@@ -51,7 +51,7 @@
 
     connections: int = 0
     resets: int = 0
-    bytes: dict[str, int] = field(default_factory=lambda: {THERE: 0, BACK: 0})
+    bytes: dict[str, int] = field(default_factory=lambda: {TO_TARGET: 0, FROM_TARGET: 0})
     packets: int = 0
     lost: int = 0
 
@@ -105,12 +105,12 @@
             if self.link.reset:
                 self.passed.resets += 1
                 return
-            await self._passing(THERE)
+            await self._passing(TO_TARGET)
             far_reader, far = await asyncio.open_connection(*self.target)
             self._open.add(far)
             async with asyncio.TaskGroup() as both:
-                both.create_task(self._pump(reader, far, THERE))
-                both.create_task(self._pump(far_reader, writer, BACK))
+                both.create_task(self._pump(reader, far, TO_TARGET))
+                both.create_task(self._pump(far_reader, writer, FROM_TARGET))
         except (OSError, ExceptionGroup, asyncio.CancelledError):
             pass  # the connection's end, or the relay's; asyncio's streams would log it as an error
         finally:
@@ -182,7 +182,7 @@
     def __init__(self, target: tuple[str, int], seed: int, link: Link | None = None) -> None:
         self.target, self.link, self.random = target, link or Link(), Random(seed)
         self.passed = Passed()
-        self.deaf: set[int] = set()  # ports of sources that are cut off from the target
+        self.blocked_sources: set[int] = set()  # ports of sources that are cut off from the target
         self.port = 0
         self._near: asyncio.DatagramTransport | None = None
         self._far: dict[tuple[str, int], asyncio.DatagramTransport] = {}
@@ -209,7 +209,7 @@
                 transport.close()
 
     def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
-        if source[1] in self.deaf:
+        if source[1] in self.blocked_sources:
             self.passed.lost += 1
             return
         task = asyncio.ensure_future(self._there(data, source))
@@ -223,28 +223,33 @@
 
             class Back(asyncio.DatagramProtocol):
                 def datagram_received(self, data: bytes, _: tuple[str, int]) -> None:
-                    relay.pass_on(BACK, source, data, lambda d: relay._near.sendto(d, source))
+                    relay.pass_on(FROM_TARGET, source, data, lambda d: relay._near.sendto(d, source))
 
             loop = asyncio.get_running_loop()
             far, _ = await loop.create_datagram_endpoint(Back, remote_addr=self.target)
             self._far[source] = far
-        self.pass_on(THERE, source, data, far.sendto)
+        self.pass_on(TO_TARGET, source, data, far.sendto)
 
     def pass_on(self, way: str, source: tuple[str, int], data: bytes, send) -> None:
         """One datagram, as the link lets it."""
         link, random = self.link, self.random
         self.passed.packets += 1
-        if way in link.cut or link.reset or random.random() < link.loss or self._under_way >= MOST_PACKETS:
+        if (
+            way in link.cut
+            or link.reset
+            or random.random() < link.loss_rate
+            or self._under_way >= MOST_PACKETS
+        ):
             self.passed.lost += 1
             return
         first = self._held.pop((way, source), None)
-        if first is None and random.random() < link.swap:
+        if first is None and random.random() < link.reorder_rate:
             self._held[way, source] = data
             return
         for each in (data, first):
             if each is None:
                 continue
-            for _ in range(2 if random.random() < link.twice else 1):
+            for _ in range(2 if random.random() < link.duplicate_rate else 1):
                 self._under_way += 1
                 delay = link.delay_s + random.random() * link.jitter_s
                 asyncio.get_running_loop().call_later(delay, self._out, way, each, send)
--- a/lapisgrade/lab/load/client.py
+++ b/lapisgrade/lab/load/client.py
@@ -20,7 +20,7 @@
 import h11
 from hdrh.histogram import HdrHistogram
 
-from lapisgrade.lab.load.schedule import SECOND, Planned
+from lapisgrade.lab.load.schedule import SECOND, PlannedOperation
 
 GRACE_US = 500_000  # the protocol's figure: past its timeout an answer is late for this long, then it is lost
 MOST_US = 600 * SECOND  # the longest latency the histograms hold
@@ -140,7 +140,7 @@
         """Send nothing more; what is out still gets its end."""
         self._stopped = True
 
-    async def run(self, schedule: list[Planned]) -> Tally:
+    async def run(self, schedule: list[PlannedOperation]) -> Tally:
         loop = asyncio.get_running_loop()
         start = loop.time()
         for planned in schedule:
@@ -164,7 +164,7 @@
                 idle.pop().close()
         return self.tally
 
-    async def _one(self, planned: Planned, due: float) -> None:
+    async def _one(self, planned: PlannedOperation, due: float) -> None:
         loop = asyncio.get_running_loop()
         self.tally.lag.record_value(max(1, round((loop.time() - due) * SECOND)))
         self._number += 1
@@ -182,7 +182,7 @@
         if outcome != "lost":
             self.tally.histogram(outcome).record_value(min(took_us, MOST_US))
 
-    def _outcome(self, status: int, headers: dict[str, str], took_us: int, planned: Planned) -> str:
+    def _outcome(self, status: int, headers: dict[str, str], took_us: int, planned: PlannedOperation) -> str:
         if status > 0:
             self.tally.statuses[status] = self.tally.statuses.get(status, 0) + 1
         if status <= 0:
@@ -270,7 +270,7 @@
 
 
 def make_request(
-    planned: Planned, number: str, key: str, reads: bool, spread: int, first: int
+    planned: PlannedOperation, number: str, key: str, reads: bool, spread: int, first: int
 ) -> tuple[h11.Request, bytes]:
     """The request of one try, and its body. `number` is its id, `key` its mark against repeats, where it has
     one; its customer is known to `spread` limiters from number `first` on."""
--- a/lapisgrade/lab/load/schedule.py
+++ b/lapisgrade/lab/load/schedule.py
@@ -20,7 +20,7 @@
 MOST_OPERATIONS = 5_000_000  # a schedule longer than this is refused: it would not fit in memory for long
 
 
-class BadShape(ValueError):
+class ScheduleError(ValueError):
     """The shape asked for can't be made; says why."""
 
 
@@ -37,13 +37,13 @@
 
     def check(self) -> None:
         if self.kind not in SHAPES:
-            raise BadShape(f"shape {self.kind!r} is not one of {', '.join(SHAPES)}")
+            raise ScheduleError(f"shape {self.kind!r} is not one of {', '.join(SHAPES)}")
         if min(self.rate, self.peak, self.at_s, self.length_s) < 0 or not self.seconds > 0:
-            raise BadShape("rates, times and lengths are positive numbers")
+            raise ScheduleError("rates, times and lengths are positive numbers")
         if math.isinf(self.rate) or math.isinf(self.peak) or math.isinf(self.seconds):
-            raise BadShape("rates and times are finite")
+            raise ScheduleError("rates and times are finite")
         if max(self.rate, self.peak) * self.seconds > MOST_OPERATIONS:
-            raise BadShape(f"more than {MOST_OPERATIONS} operations")
+            raise ScheduleError(f"more than {MOST_OPERATIONS} operations")
 
     def rate_at(self, t_s: float) -> float:
         """Operations a second wanted at `t_s` seconds into the run."""
@@ -72,7 +72,7 @@
 CUSTOMERS = 3  # every third has the last plan, the others the first
 
 
-def mix_of(settings: dict) -> Mix:
+def default_mix(settings: dict) -> Mix:
     """The mix for limiters with these settings (a configuration's `settings`)."""
     kinds, plans = settings["RequestClasses"], [each["Name"] for each in settings["TiersOfService"]]
     return Mix(
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedOperation:
     """One operation of the schedule: when it is due, who sends it, what it is, how long its sender waits."""
 
     due_us: int
@@ -95,7 +95,7 @@
 
 
 def arrivals(shape: Shape, chance: Random) -> list[int]:
-    """Due times in microseconds, rising. BadShape where the shape can't be made."""
+    """Due times in microseconds, rising. ScheduleError where the shape can't be made."""
     shape.check()
     end_us, times = round(shape.seconds * SECOND), []
     if shape.kind == "constant":
@@ -116,7 +116,7 @@
             times.append(round(t * SECOND))
 
 
-def plan(shape: Shape, mix: Mix, seed: int) -> list[Planned]:
+def plan(shape: Shape, mix: Mix, seed: int) -> list[PlannedOperation]:
     """The whole schedule for one run."""
     chance = Random(seed)
     names = [name for name, _ in mix.categories]
@@ -128,16 +128,16 @@
         customer, plan_name = mix.customers[chance.randrange(len(mix.customers))]
         timeout = timeouts.get(category, 1.0) * (0.5 if chance.random() < mix.hasty else 1.0)
         made.append(
-            Planned(
+            PlannedOperation(
                 due, customer, plan_name, category, chance.randint(1, mix.most_units), round(timeout * SECOND)
             )
         )
     return made
 
 
-def from_trace(rows: list[dict], mix: Mix) -> list[Planned]:
+def from_trace(rows: list[dict], mix: Mix) -> list[PlannedOperation]:
     """A recorded trace as a schedule: rows with `t_s`, `customer`, `category`, and optionally `plan`,
-    `units`, `timeout_s`. BadShape names the first row that can't be read."""
+    `units`, `timeout_s`. ScheduleError names the first row that can't be read."""
     plans, timeouts, made = dict(mix.customers), dict(mix.timeouts_s), []
     for number, row in enumerate(rows, 1):
         try:
@@ -145,7 +145,7 @@
             timeout_s = float(row.get("timeout_s") or timeouts.get(category, 1.0))
             plan_name = str(row.get("plan") or plans.get(customer, "basic"))
             made.append(
-                Planned(
+                PlannedOperation(
                     round(float(row["t_s"]) * SECOND),
                     customer,
                     plan_name,
@@ -155,8 +155,8 @@
                 )
             )
         except (KeyError, TypeError, ValueError) as wrong:
-            raise BadShape(f"trace row {number}: {wrong!r}") from None
+            raise ScheduleError(f"trace row {number}: {wrong!r}") from None
         if made[-1].due_us < 0 or made[-1].units < 1 or made[-1].timeout_us <= 0 or not 0 <= customer < 2**33:
-            raise BadShape(f"trace row {number}: a time, customer, units or timeout out of range")
+            raise ScheduleError(f"trace row {number}: a time, customer, units or timeout out of range")
     made.sort(key=lambda each: each.due_us)
     return made
--- a/lapisgrade/lab/report/plots.py
+++ b/lapisgrade/lab/report/plots.py
@@ -33,7 +33,7 @@
 DPI = 110
 
 
-class BadRun(ValueError):
+class RunFileError(ValueError):
     """A run file that can't be read."""
 
 
@@ -42,9 +42,9 @@
         with open(path, encoding="utf-8") as file:
             run = json.load(file)
     except (OSError, ValueError) as wrong:
-        raise BadRun(f"{path}: {wrong}") from None
+        raise RunFileError(f"{path}: {wrong}") from None
     if not isinstance(run, dict) or "series" not in run or "ends" not in run:
-        raise BadRun(f"{path}: not the result of an emulated run")
+        raise RunFileError(f"{path}: not the result of an emulated run")
     return run
 
 
--- a/tests/cli/test_load.py
+++ b/tests/cli/test_load.py
@@ -6,7 +6,7 @@
 from lapisgrade.fakes.site import sample_configuration
 from lapisgrade.lab.load import schedule
 
-MIX = schedule.mix_of(sample_configuration()["settings"])
+MIX = schedule.default_mix(sample_configuration()["settings"])
 
 
 def test_invalid_arguments_exit_with_2_and_an_error_without_a_traceback():
--- a/tests/lab/emulator/test_emulator.py
+++ b/tests/lab/emulator/test_emulator.py
@@ -171,5 +171,5 @@
     assert bad.exit_code == 2
     assert "s.toml:2: run.limiters: not a number" in bad.output
     assert "Traceback" not in bad.output
-    with pytest.raises(plots.BadRun):
+    with pytest.raises(plots.RunFileError):
         plots.load(str(path))
--- a/tests/lab/fleet/test_relay.py
+++ b/tests/lab/fleet/test_relay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lapisgrade.lab.fleet.relay import BACK, THERE, Link, TcpRelay, UdpRelay
+from lapisgrade.lab.fleet.relay import FROM_TARGET, TO_TARGET, Link, TcpRelay, UdpRelay
 
 
 async def echo():
@@ -27,7 +27,7 @@
         return await asyncio.wait_for(reader.readexactly(len(words)), within_s)
 
     assert await ask(b"one") == b"one"
-    for cut in ({THERE}, {BACK}, {THERE, BACK}):
+    for cut in ({TO_TARGET}, {FROM_TARGET}, {TO_TARGET, FROM_TARGET}):
         relay.link.cut = frozenset(cut)
         relay.turn()
         with pytest.raises(TimeoutError):
@@ -90,13 +90,13 @@
     async def go():
         far, back = await one(Link(), 1)
         assert far == back == list(range(100))
-        far, _ = await one(Link(loss=0.3, twice=0.2), 5)
+        far, _ = await one(Link(loss_rate=0.3, duplicate_rate=0.2), 5)
         assert 40 < len(set(far)) < 95
         assert len(far) > len(set(far))
-        far, _ = await one(Link(swap=0.3), 5)
+        far, _ = await one(Link(reorder_rate=0.3), 5)
         assert sorted(far) != far
         assert len(far) >= 99
-        far, back = await one(Link(cut=frozenset({BACK})), 5)
+        far, back = await one(Link(cut=frozenset({FROM_TARGET})), 5)
         assert far == list(range(100))
         assert back == []
 
--- a/tests/lab/load/test_load.py
+++ b/tests/lab/load/test_load.py
@@ -16,7 +16,7 @@
 SECOND = 1_000_000
 
 
-MIX = schedule.mix_of(sample_configuration()["settings"])
+MIX = schedule.default_mix(sample_configuration()["settings"])
 
 
 def test_a_schedule_is_the_same_for_a_seed_and_keeps_its_shape():
@@ -28,9 +28,9 @@
     assert 300 < inside < 500
     assert 100 < len(one) - inside < 220
     assert len(schedule.arrivals(schedule.Shape("constant", 50, 2), None)) == 100
-    with pytest.raises(schedule.BadShape, match="not one of"):
+    with pytest.raises(schedule.ScheduleError, match="not one of"):
         schedule.arrivals(schedule.Shape("wave"), None)
-    with pytest.raises(schedule.BadShape, match="trace row 2"):
+    with pytest.raises(schedule.ScheduleError, match="trace row 2"):
         schedule.from_trace([{"t_s": 0, "customer": 1, "category": "read"}, {"t_s": "soon"}], MIX)
 
 
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -12,7 +12,7 @@
 
 from lapisgrade.fakes.site import free_port
 from lapisgrade.lab.fleet.process import Process, Supervisor
-from lapisgrade.lab.fleet.relay import BACK, THERE, Link, UdpRelay
+from lapisgrade.lab.fleet.relay import FROM_TARGET, TO_TARGET, Link, UdpRelay
 from lapisgrade.members import messages
 from lapisgrade.members.host import CODEC
 from lapisgrade.members.timing import Timing, detection_bounds_us
@@ -135,23 +135,25 @@
         assert all(each["counts"]["refuted"] >= 0 and each["counts"]["sent"] for each in report)
 
 
-@pytest.mark.parametrize("link", [Link(), Link(loss=0.2, twice=0.1, swap=0.1)], ids=["sound", "lossy"])
+@pytest.mark.parametrize(
+    "link", [Link(), Link(loss_rate=0.2, duplicate_rate=0.1, reorder_rate=0.1)], ids=["sound", "lossy"]
+)
 async def test_a_partitioned_member_is_declared_dead_and_is_alive_again_after_the_partition_heals(
     link, tmp_path
 ):
     async with Fleet(tmp_path, 5, link) as fleet:
         all_names, isolated = set(fleet.nodes), fleet.nodes["m4"]
         rest = all_names - {"m4"}
-        isolated.relay.link = Link(cut=frozenset({THERE, BACK}))
+        isolated.relay.link = Link(cut=frozenset({TO_TARGET, FROM_TARGET}))
         for name in rest:
-            fleet.nodes[name].relay.deaf.add(isolated.port)
+            fleet.nodes[name].relay.blocked_sources.add(isolated.port)
         await fleet.until(
             lambda: fleet.agree(rest, rest) and fleet.agree({"m4"}, {"m4"}),
-            2 * detection_limit_s(5, link.loss),
+            2 * detection_limit_s(5, link.loss_rate),
         )
         isolated.relay.link = link
         for name in rest:
-            fleet.nodes[name].relay.deaf.clear()
+            fleet.nodes[name].relay.blocked_sources.clear()
         await fleet.until(lambda: fleet.agree(all_names), 60)
 
 
