--- a/lapisgrade/gateway/consensus/messages.py
+++ b/lapisgrade/gateway/consensus/messages.py
@@ -103,7 +103,7 @@
 
 
 class JoinRequest(msgspec.Struct, array_like=True, tag="j", frozen=True):
-    """A node's request to join the group."""
+    """A request to the leader to add a node, which has its own disk, to the group."""
 
     node: str
     address: str
--- a/lapisgrade/gateway/registry.py
+++ b/lapisgrade/gateway/registry.py
@@ -23,7 +23,7 @@
 MISSED_HEARTBEATS = 3.3  # heartbeat intervals without a heartbeat before a server is LOST
 COMPLETE_HEARTBEATS = 2.5  # heartbeat intervals that a new leader waits before it marks any server LOST
 FORGET_HEARTBEATS = 20.0  # heartbeat intervals after which a GONE or LOST server is removed
-ADDRESS_REUSE_US = 2_000_000  # minimum time before another service may reuse a server's address
+ADDRESS_REUSE_US = 2_000_000  # minimum time from a server's end until another service uses its address
 MAX_SERVERS = 20_000  # bounds the memory that a flood of server names can occupy
 
 
@@ -85,7 +85,7 @@
         self.revision = 1
 
     def is_complete(self, now_us: int) -> bool:
-        """Return whether every live server has had time to send a heartbeat to this leader."""
+        """Return whether every live server has had time to send a heartbeat, so that a silent one is lost."""
         return now_us - self.started_us > COMPLETE_HEARTBEATS * self.heartbeat_us
 
     def on_heartbeat(self, now_us: int, server: Server) -> None:
