--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -1,4 +1,7 @@
-"""Hand-over of a count: by a reply, or by the previous owner's termination or lease expiry."""
+"""Hand-over of a count: by a reply, or by the previous owner's termination or lease expiry.
+
+Until then no proxy adds to the count.
+"""
 
 import msgspec
 import pytest
