--- a/lapisgrade/lab/explore/defects.py
+++ b/lapisgrade/lab/explore/defects.py
@@ -1,4 +1,4 @@
-"""Injection of known defects, which check that an exploration is able to detect them."""
+"""Injection of known defects: an exploration that does not find them proves nothing."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
--- a/lapisgrade/lab/simulation/defects/control_plane.py
+++ b/lapisgrade/lab/simulation/defects/control_plane.py
@@ -1,4 +1,4 @@
-"""Known defects of the control plane, which check that the simulation is able to detect violations.
+"""Known defects of the control plane: a simulation that does not find them proves nothing.
 
 A fault schedule finds each of them (`DEFECTS_AND_SCHEDULES`), except those in `FOUND_BY_UNIT_TESTS`, whose
 timing is so rare that only unit tests find them. The correct code is in `gateway/consensus/` and
--- a/lapisgrade/lab/simulation/fault_schedules.py
+++ b/lapisgrade/lab/simulation/fault_schedules.py
@@ -1,6 +1,6 @@
 """Fault schedules of the control plane by name, whose timing a seed determines.
 
-A schedule runs a complete simulation.
+A schedule runs a complete simulation. The schedules include the operators' worst days.
 """
 
 from collections.abc import Callable
--- a/lapisgrade/lab/simulation/linearizability.py
+++ b/lapisgrade/lab/simulation/linearizability.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-UNANSWERED = 1 << 62  # us; the return time of an operation without a final reply
+UNANSWERED = 1 << 62  # us; return time of an operation without a final reply, later than any reply
 MAX_STATES = 400_000  # maximum number of states before the search is abandoned
 
 
--- a/lapisgrade/lab/simulation/operations/history.py
+++ b/lapisgrade/lab/simulation/operations/history.py
@@ -1,4 +1,4 @@
-"""The history of keyed operations as clients and servers observe it, and the rules it is checked against.
+"""The history of keyed operations as clients and servers observe it, and the rules that check it. Pure.
 
 - TWICE: Two tries of one tenant's key ran and were sent less than the window apart, or one try ran twice.
 - MIXED: A success isn't the complete response of that key's run, or contains the id of another try.
--- a/lapisgrade/lab/simulation/proxy_faults.py
+++ b/lapisgrade/lab/simulation/proxy_faults.py
@@ -88,7 +88,7 @@
         machine.start(self.random.randrange(MAX_SKEW_US))
 
     def swap_owners(self, machine: ProxyMachine, seconds: float) -> None:
-        """Isolate a proxy until it counts as lost, and isolate another when its links are restored."""
+        """Isolate a proxy until it counts as unresponsive, and isolate another as its links are restored."""
         self.partition(machine, OWNER_PARTITION_S)
         others = [each for each in self.machines if each.is_running and each is not machine]
         if others:
