--- a/lapisgrade/lab/quota_comparison.py
+++ b/lapisgrade/lab/quota_comparison.py
@@ -1,7 +1,8 @@
-"""A comparison, in simulated time, of three ways to enforce a tenant's quota at many limiters.
+"""Compares, in simulated time, three ways to enforce a tenant's quota at many limiters.
 
-The program's own counter, an even share for each limiter, and a call per request. A tenant's clients load the
-limiters unevenly; a calm period is measured, then one in which the counter's owner is isolated.
+They are the program's owned counter, an even share for each limiter, and a counter call per request. A
+tenant's clients load the limiters unevenly. A period without faults is measured, then one in which the
+counter's owner is isolated at first.
 """
 
 from collections.abc import Callable
@@ -22,18 +23,18 @@
 from lapisgrade.lab.partitions.quota import max_in_window, quota_bound
 from lapisgrade.rate import TokenBucket
 
-WARM_UP_S = 8  # until all know the live proxies and have leases
-CALM_S = 8
+WARM_UP_S = 8  # until all limiters have the list of live proxies and leases
+FAULT_FREE_S = 8
 ISOLATED_S = 4
 RECOVERY_S = 4
-PARETO_SHAPE = 1.2  # of the Pareto law that clients' shares at limiters are drawn from, as in the emulator
-PROPOSAL_INTERVAL_US = 20_000  # of the leader's commands
-NETWORK_DELAY_US = 1_000  # from one machine to another
-FRAME_HEADER_BYTES = 4  # of each message
+PARETO_SHAPE = 1.2  # of the distribution of load over limiters; same as in the emulator
+PROPOSAL_INTERVAL_US = 20_000  # between two batches of the leader's commands
+NETWORK_DELAY_US = 1_000  # one way between two machines
+FRAME_HEADER_BYTES = 4  # per message
 
 
 class OwnedCounterLimiter(explored.Limiter):
-    """The program's way: one proxy owns the counter, and grants leases of allowance."""
+    """The program's design: one proxy owns the counter and grants leases of allowance."""
 
     def add_to_counter(self, task, add) -> None:
         super().add_to_counter(task, add)
@@ -57,7 +58,7 @@
 
 
 class CentralCounterLimiter(explored.Limiter):
-    """A call per request, one unit each, to an owner that decides; a call without a reply is a rejection."""
+    """Calls the owner, which decides, for each request of one unit; no reply counts as a rejection."""
 
     def start(self) -> None:
         super().start()
@@ -85,7 +86,7 @@
 
 
 class ComparisonWorld(explored.World):
-    """The explored world, without faults but for an isolated owner; it measures the calls and their bytes."""
+    """The explorer's world with an isolated owner as its only fault; measures counter calls and bytes."""
 
     def __init__(self, policy: str, limiters: int, pressure: float, seed: int, tenant: Tenant) -> None:
         self.PROXY = POLICIES[policy]
@@ -101,7 +102,7 @@
         random = Random(seed)
         self.shares = [random.paretovariate(PARETO_SHAPE) for _ in range(limiters)]
 
-    # ---- the same control plane, with work linear in the number of limiters
+    # ---- the same control plane, at a cost linear in the number of limiters
 
     def propose_due_commands(self) -> None:
         if self.sim.now >= self.next_proposal_us:
@@ -123,7 +124,7 @@
             self.deliver(call.proxy, call.proxy.on_watch_reply, reply, call)
 
     def reply_to_pending(self) -> None:
-        # The others were answered.
+        # The other calls already have replies.
         self.pending = [call for call in self.pending if call.proxy.request_number == call.number]
         super().reply_to_pending()
 
@@ -150,7 +151,7 @@
 
     def send_requests(self) -> None:
         limiter = self.random.choices(self.proxies, self.shares)[0]
-        if limiter.name not in self.isolated:  # its clients go to others
+        if limiter.name not in self.isolated:  # clients use the other limiters
             self.request_count += 1
             limiter.when_awake(limiter.incarnation, limiter.request)
         self.sim.after(
@@ -161,11 +162,11 @@
         return self.request_count, self.rejected_count, self.counter_call_count, self.sent_bytes
 
     def measure(self, seconds: float) -> "Measurement":
-        """Run for so many seconds; return what happened in them."""
+        """Run for `seconds` and return the measurements of that period."""
         started_us, totals_before, tenant = self.sim.now, self.totals(), self.tenant
         self.sim.run(started_us + int(seconds * SECOND))
         requests, rejected, calls, size_bytes = (
-            now - then for now, then in zip(self.totals(), totals_before, strict=True)
+            now - before for now, before in zip(self.totals(), totals_before, strict=True)
         )  # fmt: skip
         admitted_us = [at for at in self.admitted_us if at >= started_us]
         worst = max_in_window(admitted_us, explored.SLO.quota_win) / quota_bound(
@@ -177,11 +178,19 @@
 
 @dataclass(slots=True)
 class Measurement:
-    """What one period shows."""
-
-    worst_window: float  # of what is allowed in a window
-    used_share: float  # of the rate
-    rejected_share: float  # of the requests
+    """Measurements of one period.
+
+    Attributes:
+        worst_window: Most requests admitted in a window, as a share of the bound.
+        used_share: Requests admitted, as a share of the quota's rate.
+        rejected_share: Requests rejected, as a share of all requests.
+        calls_per_s: Counter calls per second.
+        bytes_per_s: Bytes of counter calls and replies per second.
+    """
+
+    worst_window: float
+    used_share: float
+    rejected_share: float
     calls_per_s: float
     bytes_per_s: float
 
@@ -189,16 +198,16 @@
 def simulate(
     policy: str, limiters: int, pressure: float, seed: int, rate: float, burst: float
 ) -> tuple[Measurement, Measurement]:
-    """Measure a calm period, and one with the counter's owner isolated in its first half."""
+    """Measure a period without faults, and one with the counter's owner isolated in its first half."""
     world = ComparisonWorld(policy, limiters, pressure, seed, Tenant("t", ("k",), None, rate, burst))
     world.sim.run(world.sim.now + 3 * SECOND)
     world.send_requests()
     world.measure(WARM_UP_S)
-    calm = world.measure(CALM_S)
+    fault_free = world.measure(FAULT_FREE_S)
     name = owner_of("t", world.proxies[0].quota_owner.eligible_owners)
     world.isolated.add(name)
     world.sim.after(ISOLATED_S * SECOND, world.isolated.discard, name)
-    return calm, world.measure(ISOLATED_S + RECOVERY_S)
+    return fault_free, world.measure(ISOLATED_S + RECOVERY_S)
 
 
 def table(
@@ -211,25 +220,25 @@
 ) -> None:
     """Print a Markdown table of all sizes, loads and policies."""
     print_line(
-        f"Rate {rate:g}, burst {burst:g}: {CALM_S} s calm, then {ISOLATED_S} s without the owner, "
-        f"{RECOVERY_S} s after."
+        f"Rate {rate:g}, burst {burst:g}: {FAULT_FREE_S} s without faults, then {ISOLATED_S} s with "
+        f"the owner isolated, then {RECOVERY_S} s of recovery."
     )
     print_line("")
     print_line(
-        "| limiters | way | asks for, of its rate | calm: refused | of its rate | worst window | calls/s "
-        "| bytes/s | owner dark: refused | of its rate | worst window |"
+        "| limiters | policy | demand/rate | no fault: rejected | used/rate | worst window | calls/s "
+        "| bytes/s | owner isolated: rejected | used/rate | worst window |"
     )
     print_line("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
     for limiters, pressure, policy in product(sizes, (1 / 1.6, explored.DEMAND_FACTOR), policies):
-        calm, dark = simulate(policy, limiters, pressure, seed, rate, burst)
+        fault_free, owner_isolated = simulate(policy, limiters, pressure, seed, rate, burst)
         figures = (
-            calm.rejected_share,
-            calm.used_share,
-            calm.worst_window,
-            calm.calls_per_s,
-            calm.bytes_per_s,
+            fault_free.rejected_share,
+            fault_free.used_share,
+            fault_free.worst_window,
+            fault_free.calls_per_s,
+            fault_free.bytes_per_s,
         )
-        figures += (dark.rejected_share, dark.used_share, dark.worst_window)
-        forms = (".3f", ".2f", ".2f", ".0f", ".0f", ".3f", ".2f", ".2f")
-        cells = (format(each, form) for each, form in zip(figures, forms, strict=True))
+        figures += (owner_isolated.rejected_share, owner_isolated.used_share, owner_isolated.worst_window)
+        formats = (".3f", ".2f", ".2f", ".0f", ".0f", ".3f", ".2f", ".2f")
+        cells = (format(each, spec) for each, spec in zip(figures, formats, strict=True))
         print_line(f"| {limiters} | {policy} | {pressure:.2f} | {' | '.join(cells)} |")
