--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -1,8 +1,9 @@
-"""Plays of answers and their owners: a small site in this process, on sockets, before servers that break off,
-answer late, twice, with another's answer first, without a length, or not at all, and clients that leave.
+"""Runs requests through a small cluster on sockets whose servers misbehave and whose clients disconnect.
 
-What must hold: an answer ends the request that it belongs to or none; what may run once runs once at most; a
-promise that a request has not run is kept; a success is a server's whole answer with its seal.
+The servers close connections, respond late, twice, with the response of another request first, without a
+length, or not at all. Properties checked: a response ends its own request or none; a non-idempotent request
+runs at most once; a request that is reported as not run has not run; a success is a server's complete, sealed
+response.
 """
 
 import asyncio
@@ -25,84 +26,102 @@
 from lapisgrade.net.upstream_connection import UpstreamConnection
 
 KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
-PROMISES = (408, 421, 429, 503)
-TRIES = 2  # servers that one try may be sent to, in the sample's routes
-CLIENTS = 6  # at each limiter
-ENOUGH = 250  # tries of a play
-LONGEST = 8  # times the seconds of a play that it may last for them
-LEAVES = 0.05  # part of the requests whose client leaves early
-WORK = 0.004  # s that a server works on a request
-MANNERS = {
-    "well": 12, "reset unread": 1, "runs and resets": 1, "runs and is silent": 1, "another's first": 2,
-    "twice": 1, "again late": 1, "not run": 1, "cut short": 1, "without its seal": 1, "without a length": 1,
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # tell the client that the request has not run
+MAX_ATTEMPTS = 2  # servers that a request may be sent to; Tries of the sample's routes
+CLIENTS = 6
+MIN_REQUESTS = 250  # per run; a slow machine extends the run until then
+MAX_EXTENSION_FACTOR = 8  # limits the extension, as a multiple of the run's length
+DISCONNECT_SHARE = 0.05  # of the requests; the client disconnects early
+SERVICE_TIME_S = 0.004
+BEHAVIOR_WEIGHTS = {
+    "normal": 12, "reset before run": 1, "reset after run": 1, "no response": 1, "other response first": 2,
+    "duplicate": 1, "late duplicate": 1, "not run": 1, "truncated": 1, "no seal": 1, "no length": 1,
 }  # fmt: skip
 
 
-class Unruly(FakeServer):
-    """A stand-in that answers each request in a manner drawn by chance."""
+class MisbehavingServer(FakeServer):
+    """A fake server with a random behavior for each request.
 
-    def __init__(self, *args: Any, chance: Random, **more: Any) -> None:
-        super().__init__(*args, **more)
-        self.chance = chance
-        self.arrived: Counter[str] = Counter()  # by Try-Id, run or not
-        self._lately: deque[str] = deque(maxlen=8)  # ids of others, whose answers come astray
+    Attributes:
+        arrived: Requests received by Try-Id, run or not.
+    """
+
+    def __init__(self, *args: Any, random: Random, **options: Any) -> None:
+        super().__init__(*args, **options)
+        self.random = random
+        self.arrived: Counter[str] = Counter()
+        self._recent_ids: deque[str] = deque(maxlen=8)  # recent Try-Ids, for responses to other requests
 
     async def _answer_request(self, message: Message, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request in some manner; whether the connection goes on."""
+        """Answer one request with a random behavior; return whether the connection stays open."""
         name = message.headers()[b"try-id"].decode()
         self.arrived[name] += 1
-        manner = self.chance.choices(list(MANNERS), list(MANNERS.values()))[0]
-        if manner == "reset unread":
+        behavior = self.random.choices(list(BEHAVIOR_WEIGHTS), list(BEHAVIOR_WEIGHTS.values()))[0]
+        if behavior == "reset before run":
             writer.transport.abort()
             return False
-        own = f"Try-Id: {name}\r\nServer-Load: 0,0,{self.slots}\r\n"
-        if manner == "not run":
-            writer.write(encode_response(503, b"", (own + "Not-Run: 1\r\n").encode()))
+        own_fields = f"Try-Id: {name}\r\nServer-Load: 0,0,{self.slots}\r\n"
+        if behavior == "not run":
+            writer.write(encode_response(503, b"", (own_fields + "Not-Run: 1\r\n").encode()))
             return True
         self.run_counts[name] += 1
-        await asyncio.sleep(WORK)
+        await asyncio.sleep(SERVICE_TIME_S)
         body = f"{message.head.target.decode()} {name}".encode()
-        whole = encode_response(200, body, (own + "Server-Seal: seal\r\n").encode())
-        return self._say(manner, whole, body, own, writer, name)
-
-    def _say(
-        self, manner: str, whole: bytes, body: bytes, own: str, writer: asyncio.StreamWriter, name: str
+        response_bytes = encode_response(200, body, (own_fields + "Server-Seal: seal\r\n").encode())
+        return self._respond(behavior, response_bytes, body, own_fields, writer, name)
+
+    def _respond(
+        self,
+        behavior: str,
+        response_bytes: bytes,
+        body: bytes,
+        own_fields: str,
+        writer: asyncio.StreamWriter,
+        name: str,
     ) -> bool:
-        other = self._lately[0] if self._lately else "another"
-        self._lately.append(name)
-        match manner:
-            case "runs and resets":
+        other = self._recent_ids[0] if self._recent_ids else "another"
+        self._recent_ids.append(name)
+        match behavior:
+            case "reset after run":
                 writer.transport.abort()
-            case "runs and is silent":
+            case "no response":
                 asyncio.get_running_loop().call_later(0.3, writer.transport.abort)
-            case "another's first":
-                astray = f"/astray {other}".encode()
+            case "other response first":
+                other_body = f"/astray {other}".encode()
                 writer.write(
-                    encode_response(200, astray, f"Try-Id: {other}\r\nServer-Seal: seal\r\n".encode()) + whole
+                    encode_response(200, other_body, f"Try-Id: {other}\r\nServer-Seal: seal\r\n".encode())
+                    + response_bytes
                 )
-            case "twice":
-                writer.write(whole + whole)
-            case "again late":
-                writer.write(whole)
-                asyncio.get_running_loop().call_later(0.02, writer.write, whole)
-            case "cut short":
-                writer.write(whole[:-3])
+            case "duplicate":
+                writer.write(response_bytes + response_bytes)
+            case "late duplicate":
+                writer.write(response_bytes)
+                asyncio.get_running_loop().call_later(0.02, writer.write, response_bytes)
+            case "truncated":
+                writer.write(response_bytes[:-3])
                 writer.close()
-            case "without its seal":
-                writer.write(encode_response(200, body, own.encode()))
-            case "without a length":
-                writer.write(f"HTTP/1.1 200 OK\r\n{own}\r\n".encode() + body)
+            case "no seal":
+                writer.write(encode_response(200, body, own_fields.encode()))
+            case "no length":
+                writer.write(f"HTTP/1.1 200 OK\r\n{own_fields}\r\n".encode() + body)
                 writer.transport.abort()
             case _:
-                writer.write(whole)
-        return manner not in ("runs and resets", "runs and is silent", "cut short", "without a length")
+                writer.write(response_bytes)
+        return behavior not in ("reset after run", "no response", "truncated", "no length")
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One try of a client, and what it was told; status 0 where nothing came or the client left."""
+    """A client's request and the response that it got.
+
+    Attributes:
+        once: The request is not idempotent and may run at most once.
+        status: Status code; 0 without a response, or if the client disconnected.
+        body: Body of the response.
+        sealed: The response has the server's seal.
+    """
 
-    once: bool  # whether it may run once alone
+    once: bool
     status: int = 0
     body: bytes = b""
     sealed: bool = False
@@ -110,129 +129,141 @@
 
 @dataclass(slots=True)
 class Findings:
+    """Requests of a run, and what the servers saw, by Try-Id."""
+
     tries: dict[str, ClientRequest] = field(default_factory=dict)
     ran: Counter[str] = field(default_factory=Counter)
     arrived: Counter[str] = field(default_factory=Counter)
 
     def violations(self) -> list[str]:
-        """What must not be."""
-        out = []
+        """Return a line for each violation."""
+        violations = []
         for name, each in self.tries.items():
             if each.once and self.ran[name] > 1:
-                out.append(f"{name} may run once, and ran {self.ran[name]} times")
-            if each.once and each.status in PROMISES and self.ran[name]:
-                out.append(f"{name} was promised not to have run ({each.status}), and ran")
-            if self.arrived[name] > TRIES:
-                out.append(f"{name} came to {self.arrived[name]} servers")
+                violations.append(f"{name} is not idempotent and ran {self.ran[name]} times")
+            if each.once and each.status in NOT_RUN_STATUSES and self.ran[name]:
+                violations.append(f"{name} was reported as not run (status {each.status}) but ran")
+            if self.arrived[name] > MAX_ATTEMPTS:
+                violations.append(f"{name} reached {self.arrived[name]} servers")
             if 200 <= each.status < 300:
                 if not each.body.endswith(name.encode()):
-                    out.append(f"{name} got the answer {each.body!r}")
+                    violations.append(f"{name} got the response of another request: {each.body!r}")
                 if not each.sealed or not self.ran[name]:
-                    out.append(f"{name} got a success that no server gave")
-        strange = set(self.arrived) - set(self.tries)
-        return out + [f"{name} came to a server, and no client sent it" for name in sorted(strange)]
+                    violations.append(f"{name} got a success without a seal or without having run")
+        unknown = set(self.arrived) - set(self.tries)
+        return violations + [f"{name} came to a server, and no client sent it" for name in sorted(unknown)]
 
 
 async def client(
-    site: LocalCluster, name: str, chance: Random, found: Findings, goes_on: Callable[[], bool]
+    cluster: LocalCluster, name: str, random: Random, found: Findings, should_continue: Callable[[], bool]
 ) -> None:
-    """One client's requests, one after another."""
-    while goes_on():
-        once, id = chance.random() < 0.5, f"{chance.getrandbits(64):016x}"
-        one = found.tries[id] = ClientRequest(once)
+    """Send one client's requests, one after another."""
+    while should_continue():
+        once, id = random.random() < 0.5, f"{random.getrandbits(64):016x}"
+        request = found.tries[id] = ClientRequest(once)
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
-        sent = send_request(
-            site.http_address(name),
+        pending_response = send_request(
+            cluster.http_address(name),
             "POST" if once else "GET",
             "/claim/1" if once else "/stock/1",
             fields=fields,
         )
         try:
-            async with asyncio.timeout(0.003 if chance.random() < LEAVES else 3.0):
-                got = await sent
+            async with asyncio.timeout(0.003 if random.random() < DISCONNECT_SHARE else 3.0):
+                response = await pending_response
         except (OSError, TimeoutError, MalformedMessageError):
             continue
-        one.status, one.body = got.head.status_code, b"".join(got.body)
-        one.sealed = b"server-seal" in got.headers()
+        request.status, request.body = response.head.status_code, b"".join(response.body)
+        request.sealed = b"server-seal" in response.headers()
         await asyncio.sleep(0.002)
 
 
 async def run_requests(seed: int, net: int, seconds: float = 2.0, servers: int = 3) -> Findings:
-    """So many seconds of requests at a site of one machine; on a machine that is busy as many more as it
-    takes for enough of them."""
-    chance, found = Random(seed), Findings()
+    """Send requests to a cluster of one machine for `seconds`, or longer until there are MIN_REQUESTS."""
+    random, found = Random(seed), Findings()
     unmetered = {**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}
-    async with LocalCluster(1, 1, net) as site:
-        unruly = [
-            Unruly(f"i-{i}", "garantie", (f"127.{net}.1.{i}", 8080), slots=16, chance=Random(seed + i))
+    async with LocalCluster(1, 1, net) as cluster:
+        misbehaving_servers = [
+            MisbehavingServer(
+                f"i-{i}", "garantie", (f"127.{net}.1.{i}", 8080), slots=16, random=Random(seed + i)
+            )
             for i in range(1, servers + 1)
         ]
-        for each in unruly:
+        for each in misbehaving_servers:
             await each.start()
-            site.servers[each.name] = each
-            site._tasks[each] = asyncio.get_running_loop().create_task(site._send_heartbeats(each))
-        while await site.put({**SAMPLE, "Tenants": [unmetered]}) != 200:
+            cluster.servers[each.name] = each
+            cluster._tasks[each] = asyncio.get_running_loop().create_task(cluster._send_heartbeats(each))
+        while await cluster.put({**SAMPLE, "Tenants": [unmetered]}) != 200:
             await asyncio.sleep(0.01)
-        proxy = site.proxies["m1"]
-        await site.until(lambda: proxy.ready and len(proxy.servers) == servers)
+        proxy = cluster.proxies["m1"]
+        await cluster.until(lambda: proxy.ready and len(proxy.servers) == servers)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
 
-        def goes_on() -> bool:
-            played = loop.time() - began
-            return played < seconds or (len(found.tries) < ENOUGH and played < LONGEST * seconds)
+        def should_continue() -> bool:
+            elapsed_s = loop.time() - started_s
+            return elapsed_s < seconds or (
+                len(found.tries) < MIN_REQUESTS and elapsed_s < MAX_EXTENSION_FACTOR * seconds
+            )
 
-        clients = [client(site, "m1", Random(chance.random()), found, goes_on) for _ in range(CLIENTS)]
+        clients = [
+            client(cluster, "m1", Random(random.random()), found, should_continue) for _ in range(CLIENTS)
+        ]
         await asyncio.gather(*clients)
-        await asyncio.sleep(0.5)  # what was sent may still arrive
-        for each in unruly:
+        await asyncio.sleep(0.5)  # requests in flight may still arrive
+        for each in misbehaving_servers:
             found.ran.update(each.run_counts)
             found.arrived.update(each.arrived)
     return found
 
 
-# ---- wrong versions
+# ---- mutants
 
 _classify = UpstreamProtocol.classify
 _close = UpstreamConnection.close
 _local_response = ProxyHost.local_response
 
 
-def _by_order(self: UpstreamProtocol, hop: Any, message: Message) -> bool:
-    """Whatever comes next is the answer."""
+def _accept_next_response(self: UpstreamProtocol, attempt: Any, message: Message) -> bool:
+    """Accept the next response as the response to the current request."""
     return False
 
 
-def _any_id(self: UpstreamProtocol, hop: Any, message: Message) -> CloseReason:
-    """An answer is taken whose id is another's."""
-    asked = hop.operation.handle
-    before, asked.request_id = asked.request_id, message.headers().get(b"try-id", asked.request_id)
+def _accept_any_id(self: UpstreamProtocol, attempt: Any, message: Message) -> CloseReason:
+    """Accept a response with the id of another request."""
+    request = attempt.operation.handle
+    original_id, request.request_id = request.request_id, message.headers().get(b"try-id", request.request_id)
     try:
-        return _classify(self, hop, message)
+        return _classify(self, attempt, message)
     finally:
-        asked.request_id = before
+        request.request_id = original_id
 
 
-def _unsealed(self: UpstreamProtocol, hop: Any, message: Message) -> CloseReason:
-    """A success counts without the server's seal."""
-    return CloseReason.ANSWERED if 200 <= message.head.status_code < 300 else _classify(self, hop, message)
+def _accept_unsealed(self: UpstreamProtocol, attempt: Any, message: Message) -> CloseReason:
+    """Accept a success without the server's seal."""
+    return (
+        CloseReason.ANSWERED if 200 <= message.head.status_code < 300 else _classify(self, attempt, message)
+    )
 
 
-def _broken_is_unsent(self: UpstreamConnection, reason: CloseReason) -> None:
-    """A connection that breaks off is taken for one on which nothing was sent."""
+def _treat_lost_as_unsent(self: UpstreamConnection, reason: CloseReason) -> None:
+    """Treat a lost connection as one on which nothing was sent."""
     _close(self, CloseReason.INCOMPLETE_WRITE if reason is CloseReason.CONNECTION_LOST else reason)
 
 
-def _always_promises(self: ProxyHost, answer: Any) -> LocalResponse:
-    """What may have run is told to come back."""
-    response = _local_response(self, answer)
+def _always_retryable(self: ProxyHost, rejection: Any) -> LocalResponse:
+    """Tell the client to retry a request that may have run."""
+    response = _local_response(self, rejection)
     return LocalResponse(503, b"Retry-After: 0.1\r\n") if response.status in (502, 504) else response
 
 
 MUTANTS: dict[str, list[tuple[Any, str, Any]]] = {
-    "answer-by-order": [(UpstreamProtocol, "is_stray", _by_order), (UpstreamProtocol, "classify", _any_id)],
-    "unsealed-success": [(UpstreamProtocol, "classify", _unsealed)],
-    "broken-is-unsent": [(UpstreamConnection, "close", _broken_is_unsent)],
-    "always-promises": [(ProxyHost, "local_response", _always_promises)],
+    "answer-by-order": [
+        (UpstreamProtocol, "is_stray", _accept_next_response),
+        (UpstreamProtocol, "classify", _accept_any_id),
+    ],
+    "unsealed-success": [(UpstreamProtocol, "classify", _accept_unsealed)],
+    "broken-is-unsent": [(UpstreamConnection, "close", _treat_lost_as_unsent)],
+    "always-promises": [(ProxyHost, "local_response", _always_retryable)],
     "all-never-ran": [(AttemptOutcome, "never_ran", property(lambda self: True))],
 }
