--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -1,7 +1,7 @@
-"""What the control plane's parts cost as a deployment grows: processor time, bytes and memory by size,
-measured on the program's own code in this process, and the slopes that docs/CAPACITY.md reckons with.
+"""Measures what the control plane costs by size: processor time, bytes and memory.
 
-Processor times are of one core of the machine it runs on, the best of some repeats.
+The program's own code runs in this process. docs/CAPACITY.md computes with the resulting slopes. Processor
+times are the minimum of several repetitions on one core of the machine.
 """
 
 import gc
@@ -22,41 +22,41 @@
 from lapisgrade.gateway.rpc_connection import Codec
 
 REPEATS = 5
-SIZES = (500, 2_000, 8_000)  # routes; a tenant for each, and four and a half for each at the target
-SERVERS = (500, 2_000, 8_000)
-ASKS = (100, 400, 1_500)  # limiters
+ROUTE_COUNTS = (500, 2_000, 8_000)  # with as many tenants; the target has 4.5 tenants per route
+SERVER_COUNTS = (500, 2_000, 8_000)
+LIMITER_COUNTS = (100, 400, 1_500)
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One figure at several sizes."""
+    """A figure measured at several sizes."""
 
-    what: str
+    name: str
     unit: str
     sizes: tuple[int, ...]
     values: tuple[float, ...]
 
     @property
     def slope(self) -> float:
-        """By least squares, a unit of size."""
+        """Increase per unit of size, by least squares."""
         mean_size, mean_value = sum(self.sizes) / len(self.sizes), sum(self.values) / len(self.values)
         pairs = list(zip(self.sizes, self.values, strict=True))
-        above = sum((size - mean_size) * (value - mean_value) for size, value in pairs)
-        return above / sum((size - mean_size) ** 2 for size in self.sizes)
+        covariance = sum((size - mean_size) * (value - mean_value) for size, value in pairs)
+        return covariance / sum((size - mean_size) ** 2 for size in self.sizes)
 
 
 def best_us(call: Callable[[], object], repeats: int = REPEATS) -> float:
-    """The least time that a call takes, us."""
+    """Return the minimum duration of a call, us."""
     least = float("inf")
     for _ in range(repeats):
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         call()
-        least = min(least, time.perf_counter() - began)
+        least = min(least, time.perf_counter() - started_s)
     return least * 1e6
 
 
 def sample_configuration(routes: int, tenants: int, ver: int = 7) -> dict:
-    """One as the operators send it."""
+    """Return a configuration as the operators send it."""
     rules = [
         {
             "Name": f"r-{i:05x}", "Mode": "idem", "Target_time": "600ms", "Prio": 2, "Public": False,
@@ -66,12 +66,12 @@
         for i in range(routes)
     ]  # fmt: skip
     ports = [{"Vhost": f"v{i}.example", "Policy": rules[i::16]} for i in range(16)]
-    people = [
+    tenant_rows = [
         {"Name": f"t{i}", "Apikeys": [f"{i:020x}", f"k{i:019x}"], "Prio": 1, "RateS": 80, "Burst": 80}
         for i in range(tenants)
     ]
     pools = [{"Name": f"svc{i}", "Hcheck": "/healthz", "Maxconn": 130} for i in range(370)]
-    return {"Ver": ver, "Tenants": people, "Ports": ports, "Pools": pools}
+    return {"Ver": ver, "Tenants": tenant_rows, "Ports": ports, "Pools": pools}
 
 
 def sample_change(base: int) -> ConfigurationChange:
@@ -83,27 +83,27 @@
     return ConfigurationChange(False, msgspec.json.encode(body))
 
 
-def held_bytes(make: Callable[[], object]) -> int:
-    """Memory that what it makes keeps."""
+def retained_bytes(make: Callable[[], object]) -> int:
+    """Return the memory that the result of `make` retains."""
     gc.collect()
     tracemalloc.start()
-    made = make()
-    kept = tracemalloc.get_traced_memory()[0]
+    result = make()
+    retained = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del made
-    return kept
+    del result
+    return retained
 
 
-Figures = dict[tuple[str, str], float]  # by what and its unit
+Figures = dict[tuple[str, str], float]  # by name and unit
 
 
-def of_configuration(sizes: tuple[int, ...]) -> list[Row]:
-    """By routes, with as many tenants."""
-    columns = [with_routes(size) for size in sizes]
-    return [Row(what, unit, sizes, tuple(each[what, unit] for each in columns)) for what, unit in columns[0]]
+def measure_configuration(sizes: tuple[int, ...]) -> list[Row]:
+    """Measure configurations by number of routes, with as many tenants."""
+    columns = [measure_routes(size) for size in sizes]
+    return [Row(name, unit, sizes, tuple(each[name, unit] for each in columns)) for name, unit in columns[0]]
 
 
-def with_routes(size: int) -> Figures:
+def measure_routes(size: int) -> Figures:
     state_machine, feed = StateMachine(), ConfigurationFeed()
     state_machine.apply(
         1,
@@ -116,66 +116,68 @@
     entry = encode_command(version)
     whole, delta = feed.version(7, text, 0), feed.version(8, decode(version.encoded, text), 7)
     return {
-        ("a version whole, as JSON", "bytes"): len(text),
-        ("a version whole, on the wire", "bytes"): len(whole.data),
-        ("judging a change at the leader", "us"): best_us(lambda: state_machine.prepare(change)),
-        ("a change in the log", "bytes"): len(entry),
-        ("applying it at a member", "us"): best_us(lambda: applied(state_machine, entry)),
-        ("a change to a proxy", "bytes"): len(delta.data),
-        ("reading it at a proxy", "us"): best_us(lambda: table(decode(delta, text))),
-        ("a snapshot", "bytes"): len(state_machine.dump()),
-        ("making a snapshot", "us"): best_us(state_machine.dump),
-        ("a version read, at a proxy", "bytes of memory"): held_bytes(lambda: table_alone(text)),
+        ("configuration, JSON", "bytes"): len(text),
+        ("configuration, encoded in full", "bytes"): len(whole.data),
+        ("validating a change at the leader", "us"): best_us(lambda: state_machine.prepare(change)),
+        ("change, log entry", "bytes"): len(entry),
+        ("applying a change at a member", "us"): best_us(lambda: apply_and_restore(state_machine, entry)),
+        ("change, encoded for a proxy", "bytes"): len(delta.data),
+        ("decoding a change at a proxy", "us"): best_us(lambda: route_table(decode(delta, text))),
+        ("snapshot", "bytes"): len(state_machine.dump()),
+        ("creating a snapshot", "us"): best_us(state_machine.dump),
+        ("parsed configuration at a proxy", "bytes of memory"): retained_bytes(
+            lambda: table_without_cache(text)
+        ),
     }
 
 
-def table(text: bytes) -> RouteTable:
+def route_table(text: bytes) -> RouteTable:
     return RouteTable(configuration.read(msgspec.json.decode(text)))
 
 
-def table_alone(text: bytes) -> RouteTable:
-    """With all that is remembered of it: nothing was read before."""
+def table_without_cache(text: bytes) -> RouteTable:
+    """Build the route table with an empty converter cache, to measure the cached data too."""
     configuration.converter.cache_clear()
-    return table(text)
+    return route_table(text)
 
 
-def applied(state_machine: StateMachine, entry: bytes) -> None:
-    """Take a version over, and forget it again."""
+def apply_and_restore(state_machine: StateMachine, entry: bytes) -> None:
+    """Apply a new version, and restore the previous state."""
     state = state_machine.state
     before = (state.configuration, state.version, dict(state.staged_versions), dict(state.applied_changes))
     state_machine.apply(2, entry)
     state.configuration, state.version, state.staged_versions, state.applied_changes = before
 
 
-def of_servers(sizes: tuple[int, ...]) -> list[Row]:
-    """By servers: the register at the leader, and what it tells."""
-    memory, beats, lists, sizes_of = [], [], [], []
+def measure_servers(sizes: tuple[int, ...]) -> list[Row]:
+    """Measure the leader's server registry, its heartbeats and its replies, by number of servers."""
+    memory, heartbeat_us, listing_us, encoded_bytes = [], [], [], []
     body = msgspec.json.encode(
         {"Svc": "svc1", "Addr": "10.0.0.1:80", "Az": "z", "Ver": "v1", "Slots": 4, "State": "up", "Seq": 1}
     )
     for size in sizes:
-        watch = registered(size)
-        memory.append(held_bytes(lambda size=size: registered(size)))
+        watch = registry_with(size)
+        memory.append(retained_bytes(lambda size=size: registry_with(size)))
         server = api.parse_heartbeat("i-1", body)
 
-        def beat(watch: Watch = watch, server=server) -> None:
+        def heartbeat(watch: Watch = watch, server=server) -> None:
             made = api.parse_heartbeat("i-1", body)
             made.sequence_number = server.sequence_number = server.sequence_number + 1
             watch.on_heartbeat(2_000_000, made)
 
-        beats.append(best_us(beat, 50))
+        heartbeat_us.append(best_us(heartbeat, 50))
         watch.is_registry_complete = True
-        lists.append(best_us(lambda watch=watch: watch.registry.changes_since(2_000_000, 0)))
-        sizes_of.append(len(msgspec.msgpack.encode(watch.registry.changes_since(2_000_000, 0))))
+        listing_us.append(best_us(lambda watch=watch: watch.registry.changes_since(2_000_000, 0)))
+        encoded_bytes.append(len(msgspec.msgpack.encode(watch.registry.changes_since(2_000_000, 0))))
     return [
-        Row("the register at the leader", "bytes of memory", sizes, tuple(memory)),
-        Row("a beat at the leader", "us", sizes, tuple(beats)),
-        Row("the whole register, listed", "us", sizes, tuple(lists)),
-        Row("the whole register, told", "bytes", sizes, tuple(sizes_of)),
+        Row("server registry at the leader", "bytes of memory", sizes, tuple(memory)),
+        Row("heartbeat at the leader", "us", sizes, tuple(heartbeat_us)),
+        Row("listing the full registry", "us", sizes, tuple(listing_us)),
+        Row("full registry, encoded", "bytes", sizes, tuple(encoded_bytes)),
     ]
 
 
-def registered(size: int) -> Watch:
+def registry_with(size: int) -> Watch:
     watch = Watch(1_300_000, 0)
     for i in range(size):
         body = {"Svc": f"svc{i % 370}", "Addr": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:80", "Seq": 1}
@@ -184,8 +186,8 @@
     return watch
 
 
-def of_limiters(sizes: tuple[int, ...]) -> list[Row]:
-    """By limiters: one ask without news at the leader, with its frames, and the list of who lives."""
+def measure_limiters(sizes: tuple[int, ...]) -> list[Row]:
+    """Measure, by number of limiters, an unchanged watch reply and the list of live proxies."""
     state_machine = StateMachine()
     state_machine.apply(
         1,
@@ -194,50 +196,60 @@
         ),
     )
     codec = Codec(rpc_messages.Message)
-    asks, lists = [], []
+    reply_us, list_bytes = [], []
     for size in sizes:
-        watch = registered(100)
+        watch = registry_with(100)
         for i in range(size):
-            watch.reply_if_changed(1_000_000, ask(f"edge-{i}"), state_machine.state, [])
+            watch.reply_if_changed(1_000_000, watch_request(f"edge-{i}"), state_machine.state, [])
         live_proxies = watch.live_proxies(2_000_000, state_machine.state)
-        lists.append(len(encode_command(live_proxies)))
-        frame = codec.encode(1, ask("edge-1"))
+        list_bytes.append(len(encode_command(live_proxies)))
+        frame = codec.encode(1, watch_request("edge-1"))
 
-        def answered(watch: Watch = watch, frame: bytes = frame) -> None:
-            ((number, asked),) = codec.decode(bytearray(frame))
-            news = watch.reply_if_changed(1_100_000, asked, state_machine.state, [])
-            codec.encode(number, news or watch.unchanged_reply(asked, state_machine.state, []))
+        def reply_once(watch: Watch = watch, frame: bytes = frame) -> None:
+            ((number, request),) = codec.decode(bytearray(frame))
+            reply = watch.reply_if_changed(1_100_000, request, state_machine.state, [])
+            codec.encode(number, reply or watch.unchanged_reply(request, state_machine.state, []))
 
-        asks.append(best_us(answered, 50))
+        reply_us.append(best_us(reply_once, 50))
     return [
-        Row("an ask without news at the leader", "us", sizes, tuple(asks)),
-        Row("the list of who lives", "bytes", sizes, tuple(lists)),
+        Row("unchanged watch reply at the leader", "us", sizes, tuple(reply_us)),
+        Row("live proxy list", "bytes", sizes, tuple(list_bytes)),
     ]
 
 
-def ask(name: str) -> rpc_messages.WatchRequest:
+def watch_request(name: str) -> rpc_messages.WatchRequest:
     return rpc_messages.WatchRequest(
         name, "10.0.0.1:7661", "0123456789abcdef", "zone", 7, "0+", 1 << 30, 0, staged_version=7
     )
 
 
-def of_words() -> list[Row]:
-    """A server's word that it leaves, in the log."""
+def measure_server_leaving() -> list[Row]:
+    """Measure the log entry of a server that leaves."""
     state_machine, entry = StateMachine(), encode_command(ServerLeaving("i-00000001", True))
     return [
-        Row("a leaving server in the log", "bytes", (1, 2), (len(entry), 2 * len(entry))),
-        Row("applying it", "us", (1, 2), (best_us(lambda: state_machine.apply(1, entry), 50),) * 2),
+        Row("leaving server, log entry", "bytes", (1, 2), (len(entry), 2 * len(entry))),
+        Row(
+            "applying a leaving server",
+            "us",
+            (1, 2),
+            (best_us(lambda: state_machine.apply(1, entry), 50),) * 2,
+        ),
     ]
 
 
 def rows() -> list[Row]:
-    return [*of_configuration(SIZES), *of_servers(SERVERS), *of_limiters(ASKS), *of_words()]
+    return [
+        *measure_configuration(ROUTE_COUNTS),
+        *measure_servers(SERVER_COUNTS),
+        *measure_limiters(LIMITER_COUNTS),
+        *measure_server_leaving(),
+    ]
 
 
-def report(say: Callable[[str], None]) -> None:
-    """A Markdown table of all figures and their slopes."""
-    say("| what | unit | by | values | slope a unit of size |")
-    say("| --- | --- | --- | --- | --- |")
+def report(print_line: Callable[[str], None]) -> None:
+    """Print a Markdown table of all figures and their slopes."""
+    print_line("| figure | unit | sizes | values | slope per unit of size |")
+    print_line("| --- | --- | --- | --- | --- |")
     for each in rows():
         values = ", ".join(f"{value:,.0f}" for value in each.values)
-        say(f"| {each.what} | {each.unit} | {each.sizes} | {values} | {each.slope:,.4g} |")
+        print_line(f"| {each.name} | {each.unit} | {each.sizes} | {values} | {each.slope:,.4g} |")
