--- a/lapisgrade/lab/__init__.py
+++ b/lapisgrade/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: load, and in time an emulator and reports. Nothing on the bench's path imports it."""
+"""The laboratory: load, emulator, simulations and reports. Code that the bench runs doesn't import it."""
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -28,7 +28,7 @@
 KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
 NOT_RUN_STATUSES = (408, 421, 429, 503)  # tell the client that the request has not run
 MAX_ATTEMPTS = 2  # servers that a request may be sent to; Tries of the sample's routes
-CLIENTS = 6
+CLIENTS = 6  # per limiter
 MIN_REQUESTS = 250  # per run; a slow machine extends the run until then
 MAX_EXTENSION_FACTOR = 8  # limits the extension, as a multiple of the run's length
 DISCONNECT_SHARE = 0.05  # of the requests; the client disconnects early
--- a/lapisgrade/lab/emulator/world.py
+++ b/lapisgrade/lab/emulator/world.py
@@ -53,7 +53,7 @@
     def __init__(self, scenario: Scenario, make_policy=None) -> None:
         self.scenario = sc = scenario
         self.sim = Sim()
-        self.sim.now = SECOND  # real clocks don't start at zero either
+        self.sim.now = SECOND  # the module's clocks start well past zero, like real clocks
         seeds = Random(sc.seed)
         self.random = Random(seeds.getrandbits(64))
         self.rules = rules.RuleChecker(sc.server_rules)
@@ -120,11 +120,9 @@
         self.accepts_arrivals = False
         max_timeout_us = max(each.timeout_us for each in sc.categories)
         sim.run(end + max_timeout_us + rules.ANSWER_GRACE_US + SECOND)
-        wall = time.perf_counter() - started_s
-        peak = (
-            resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
-        )  # peak of the process; Linux reports KiB
-        return self.metrics.result(self, wall, peak)
+        wall_s = time.perf_counter() - started_s
+        peak_bytes = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024  # Linux reports KiB
+        return self.metrics.result(self, wall_s, peak_bytes)
 
     def send_next_operation(self) -> None:
         """Send an operation from a random customer, and schedule the next one."""
