--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for every test: event loops, reservations, known faults, and a quiet garbage collector."""
+"""Hooks and fixtures for all tests: event loops, loopback networks, known failures and garbage collection."""
 
 import asyncio
 import gc
@@ -10,25 +10,25 @@
 from support import known_red
 from support.loopback_network import LoopbackNetwork, reserve_loopback_network
 
-TIMEOUT_S = 180.0  # of a test that is a coroutine function
+TIMEOUT_S = 180.0  # maximum duration of an async test, in seconds
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Add the option that has tests run that fail because of a known fault."""
+    """Add the option that also runs the tests with a known failure."""
     known_red.add_option(parser)
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Pass over the tests that fail because of a known fault, and print them."""
+    """Register the plugin that reports the tests with a known failure instead of running them."""
     config.pluginmanager.register(known_red.KnownRedPlugin(config), "known-red")
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Run a test that is a coroutine function on an event loop of its own, in asyncio's debug mode.
+    """Run an async test on a new event loop in asyncio's debug mode.
 
     Raises:
-        TimeoutError: It takes longer than `TIMEOUT_S`.
+        TimeoutError: The test runs longer than `TIMEOUT_S`.
     """
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
@@ -40,10 +40,10 @@
 
 @pytest.fixture(autouse=True)
 def frozen_heap() -> None:
-    """Keep what was made before this test out of the garbage collector's scans.
+    """Exclude objects created before this test from garbage collection.
 
-    (Guards against pauses of 0.1 to 0.4 s for a heap of many tests, which tests that measure time would take
-    for the code's. What earlier tests left is collected first.)
+    With the heap of many tests, a collection pauses the process for 0.1 to 0.4 s, which tests that measure
+    time would attribute to the code under test. Garbage of earlier tests is collected first.
     """
     gc.collect()
     gc.freeze()
@@ -51,14 +51,14 @@
 
 @pytest.fixture
 def loopback_network() -> Iterator[LoopbackNetwork]:
-    """A loopback network that nobody else uses, for machines at fixed ports."""
+    """Yield a loopback network reserved for this test, for machines at fixed ports."""
     with reserve_loopback_network() as network:
         yield network
 
 
 @pytest.fixture
 def silent_logging() -> Iterator[None]:
-    """No log lines of the code under test: faults played on purpose would fill the output."""
+    """Disable logging, because injected faults would flood the test output with log lines."""
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The limiter's settings as they are read at start."""
+"""Reading of the limiter's settings at start-up."""
 
 from types import SimpleNamespace
 
@@ -18,7 +18,7 @@
 )
 
 
-def test_settings_read_the_same_from_a_line_and_from_a_tree():
+def test_settings_from_a_line_equal_settings_from_a_tree():
     site = LimiterSite()
     site.port, site.discovery = 1, SimpleNamespace(port=1, endpoint_list=lambda: {})
     tree = flatten(site.configuration()["settings"])
@@ -34,6 +34,6 @@
         read_connection_settings,
     ):
         assert read(tree) == read(line)
-    assert [each.name for each in read_categories(tree)] == ["look", "file", "burn"]
+    assert [category.name for category in read_categories(tree)] == ["look", "file", "burn"]
     with pytest.raises(MalformedInputError):
         read_connection_settings(flatten({"Ceilings": {"DialTimeout": "soon"}}))
