--- a/tests/compatibility/samples.py
+++ b/tests/compatibility/samples.py
@@ -1,8 +1,8 @@
-"""One instance of each encoded type, no field of which is at its default.
+"""Sample instances of all encoded types, with no field at its default.
 
-This is the only module of these tests that names the fields of the types: a renamed field or class is
-renamed here, and the bytes in `data/` stay as they are. Each number and text stands once, so that two
-fields that change places are seen.
+This is the only module of these tests that names the fields of the types. If a field or class is renamed, it
+is renamed here and the bytes in `data/` stay unchanged. Each number and text is used only once, so that two
+swapped fields are detected.
 """
 
 from dataclasses import dataclass
@@ -31,7 +31,12 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """An instance, and the type that its bytes are decoded as (a union where they bear a tag)."""
+    """A sample of an encoded type.
+
+    Attributes:
+        instance: The value to encode.
+        decoded_as: Type to decode the bytes as; a union for tagged types.
+    """
 
     instance: Any
     decoded_as: Any
@@ -948,7 +953,7 @@
     ),
 }
 
-# Instances whose flags differ from one another, so that two flags that change places are seen.
+# Instances with differing flags, so that two swapped flags are detected.
 FLAG_VARIANTS = {
     "rpc/watch-request/flags-1": Sample(
         msgspec.structs.replace(RPC_MESSAGES["rpc/watch-request"].instance, needs_full_version=False),
@@ -1031,49 +1036,49 @@
 
 
 def rpc_frame(number: int, message: Any) -> bytes:
-    """A frame as the system's processes send it on a connection."""
+    """Return an RPC message encoded as a frame on a connection."""
     return rpc_connection.Codec(rpc_messages.Message).encode(number, message)
 
 
 def read_rpc_frames(data: bytes) -> list[tuple[int, Any]]:
-    """The numbers and messages of the frames in these bytes."""
+    """Return the call numbers and messages of the RPC frames in `data`."""
     return rpc_connection.Codec(rpc_messages.Message).decode(bytearray(data))
 
 
 def gossip_frame(name: str, incarnation: int, message: Any) -> bytes:
-    """A datagram as proxies send it to one another."""
+    """Return a gossip datagram as one proxy sends it to another."""
     return gossip.CODEC.encode(name, incarnation, message)
 
 
 def read_gossip_frame(data: bytes) -> tuple[str, int, Any]:
-    """Sender, incarnation and message of a datagram between proxies."""
+    """Return sender, incarnation and message of a gossip datagram."""
     frame = gossip.CODEC.decode(data)
     return frame.name, frame.incarnation, frame.message
 
 
 def member_frame(name: str, incarnation: int, message: Any) -> bytes:
-    """A datagram as limiters send it to one another."""
+    """Return a membership datagram as one limiter sends it to another."""
     return host.CODEC.encode(name, incarnation, message)
 
 
 def read_member_frame(data: bytes) -> tuple[str, int, Any]:
-    """Sender, incarnation and message of a datagram between limiters."""
+    """Return sender, incarnation and message of a membership datagram."""
     frame = host.CODEC.decode(data)
     return frame.name, frame.incarnation, frame.message
 
 
-def stored_record(order: int, synced_up_to: int, data: bytes) -> bytes:
-    """A record as it stands in a log's data file."""
-    return log_format.encode_record(order, synced_up_to, data)
+def stored_record(sequence: int, durable_count: int, data: bytes) -> bytes:
+    """Return a record encoded for a log's data file."""
+    return log_format.encode_record(sequence, durable_count, data)
 
 
 def read_stored_records(data: bytes) -> tuple[list[bytes], int]:
-    """The records at the start of a data file, and up to which one it says that it was synced."""
+    """Return the records of a data file before the first gap, and how many records it marks as synced."""
     contents = log_format.decode_records(data)
     return contents.records, contents.durable_count
 
 
-# A settings file with each field, none at its default, and what is read of it.
+# A settings file with every field set to a value other than its default, and the settings read from it.
 SETTINGS_FILE = {
     "Hostname": "m7",
     "Ip": "10.0.0.7",
@@ -1098,7 +1103,7 @@
         "QuotaExcess": 0.05,
         "QuotaExtra": 18.5,
     },
-    "Unknown": "is passed over",
+    "Unknown": "is ignored",
 }
 SETTINGS = settings.Settings(
     hostname="m7",
@@ -1164,11 +1169,11 @@
 
 
 def read_settings(path: str) -> settings.Settings:
-    """The settings in that file."""
+    """Read a settings file."""
     return settings.read(path)
 
 
-# A configuration with each field, none at its default, and what is read of it.
+# A configuration with every field set to a value other than its default, and the result of reading it.
 CONFIGURATION_FILE = {
     "Ver": 41,
     "Base": 40,
@@ -1199,7 +1204,7 @@
     "Pools": [{"Name": "s-1", "Hcheck": "/alive", "Maxconn": 90, "Dedup": True}, {"Name": "s-2"}],
     "Tenants": [{"Name": "t-1", "Apikeys": ["k-1", "k-2"], "Prio": 5, "RateS": 6.5, "Burst": 7.5}],
     "Caps": {"HdrBytes": 4096, "BodyBytes": 8192, "Hdr": "1s", "Idle": "2s"},
-    "Unknown": "is passed over",
+    "Unknown": "is ignored",
 }
 CONFIGURATION = configuration.Configuration(
     ver=41,
@@ -1259,5 +1264,5 @@
 
 
 def read_configuration(raw: Any) -> configuration.Configuration:
-    """A configuration as the operator sent it, read and checked."""
+    """Read and validate a configuration as sent by an operator."""
     return configuration.read(raw)
--- a/tests/compatibility/test_bench_adapter.py
+++ b/tests/compatibility/test_bench_adapter.py
@@ -1,8 +1,8 @@
-"""The bench adapter (`python -m lapisgrade.bench_adapter`) understands and says the same lines.
+"""Compatibility of the bench adapter's line protocol (`python -m lapisgrade.bench_adapter`).
 
-`data/bench/events.txt` is what a small bench of two limiters and six servers sent to revision 761b3d6, with
-each kind of message and each state code; `replies.txt` is what it answered. All chance in the adapter comes
-from `Entropy`, so the answers are the same to the byte.
+`data/bench/events.txt` records the lines that a small bench of two limiters and six servers sent to revision
+761b3d6, with every message type and state code; `replies.txt` records its replies. The adapter draws all
+random numbers from the seed `Entropy`, so its replies are reproducible byte for byte.
 """
 
 import re
@@ -23,19 +23,19 @@
     )
 
 
-def test_the_recorded_events_get_the_recorded_replies():
-    run = run_adapter((BENCH / "events.txt").read_text())
-    assert (run.returncode, run.stderr) == (0, "")
-    assert run.stdout == (BENCH / "replies.txt").read_text()
+def test_replies_to_recorded_events_are_unchanged():
+    completed = run_adapter((BENCH / "events.txt").read_text())
+    assert (completed.returncode, completed.stderr) == (0, "")
+    assert completed.stdout == (BENCH / "replies.txt").read_text()
 
 
-def test_the_recording_holds_each_message_with_these_keys():
+def test_recording_covers_every_message_and_key():
     keys: dict[str, set[str]] = {}
     for line in (*(BENCH / "events.txt").open(), *(BENCH / "replies.txt").open()):
         name, _, rest = line.strip().partition(" ")
         keys.setdefault(name, set()).update(re.findall(r"(?:^| )([\w.]+)=", rest))
     settings = keys.pop("CONFIGURE")
-    assert {each.partition(".")[0] for each in settings} == {
+    assert {key.partition(".")[0] for key in settings} == {
         "LimiterId", "Entropy", "NInstances", "SelfIndex", "Zone", "RegistryMode", "Specifics", "Ceilings",
         "Rules", "RequestClasses", "TiersOfService",
     }  # fmt: skip
--- a/tests/compatibility/test_deploy_files.py
+++ b/tests/compatibility/test_deploy_files.py
@@ -1,4 +1,4 @@
-"""The files under `deploy/` keep their keys: programs of the platform read them."""
+"""The files under `deploy/` keep their names and keys, which the platform's programs read."""
 
 import json
 import tomllib
@@ -8,12 +8,12 @@
 DEPLOY = ROOT / "deploy"
 
 
-def toml(name: str) -> dict:
+def read_toml(name: str) -> dict:
     return tomllib.loads((DEPLOY / name).read_text())
 
 
-def test_deploy_files():
-    assert {each.name for each in DEPLOY.iterdir()} == {
+def test_deploy_file_names():
+    assert {path.name for path in DEPLOY.iterdir()} == {
         "balancer.toml",
         "peers.toml",
         "sample.json",
@@ -21,8 +21,8 @@
     }
 
 
-def test_limiter():
-    deployed = toml("balancer.toml")
+def test_limiter_deployment():
+    deployed = read_toml("balancer.toml")
     assert list(deployed) == ["build", "run", "sim", "policy", "node", "packages"]
     assert deployed["run"] == "exec .venv/bin/python -m lapisgrade"
     assert deployed["packages"] == []
@@ -31,14 +31,14 @@
         assert all((ROOT / path).exists() for path in deployed[key])
 
 
-def test_the_adapter_that_the_bench_starts_is_there():
-    program, module = toml("balancer.toml")["sim"].rsplit(" ", 1)
+def test_bench_adapter_module_exists():
+    program, module = read_toml("balancer.toml")["sim"].rsplit(" ", 1)
     assert program == "exec .venv/bin/python -m"
     assert (ROOT / module.replace(".", "/") / "__main__.py").exists()
 
 
-def test_system():
-    deployed = toml("system.toml")
+def test_system_deployment():
+    deployed = read_toml("system.toml")
     assert list(deployed) == ["build", "packages", "roles"]
     assert deployed["packages"] == ["python3", "python3-pip", "ca-certificates"]
     assert deployed["roles"] == {
@@ -57,11 +57,11 @@
     }
 
 
-def test_peers():
-    assert toml("peers.toml") == {"peers": {"listen": "127.0.0.1:7400", "seeds": []}}
+def test_peer_settings():
+    assert read_toml("peers.toml") == {"peers": {"listen": "127.0.0.1:7400", "seeds": []}}
 
 
-def test_sample_of_the_limiters_settings():
+def test_sample_limiter_configuration_keys():
     sample = json.loads((DEPLOY / "sample.json").read_text())
     assert list(sample) == ["name", "listen", "discovery", "counter", "seed", "limits", "known", "settings"]
     assert list(sample["limits"]) == ["cores", "memory_mb", "sockets"]
@@ -78,7 +78,7 @@
         "Rules",
         "Specifics",
     ]
-    assert {key for each in settings["RequestClasses"] for key in each} == {
+    assert {key for entry in settings["RequestClasses"] for key in entry} == {
         "Name",
         "Idempotency",
         "Aim",
@@ -88,7 +88,7 @@
         "Group",
         "KeyTtl",
     }
-    assert {key for each in settings["TiersOfService"] for key in each} == {
+    assert {key for entry in settings["TiersOfService"] for key in entry} == {
         "Name",
         "UnitsPerS",
         "Burst",
--- a/tests/compatibility/test_dump.py
+++ b/tests/compatibility/test_dump.py
@@ -1,8 +1,8 @@
-"""`lapisgrade dump` shows folders that revision 761b3d6 wrote exactly as that revision did.
+"""`lapisgrade dump` prints data folders of revision 761b3d6 exactly as that revision did.
 
-`data/stored` holds the folders: the three controllers of a cluster, each with a snapshot and entries after
-it, the third also with two drafts that were kept while no leader could be reached; a controller that had just
-begun; and a log with each kind of entry. `data/dump` holds what was printed.
+`data/stored` contains the folders: the three controllers of a cluster, each with a snapshot and log entries
+after it, the third also with two drafts stored while no leader was reachable; a controller that had just
+started; and a log with every type of entry. `data/dump` contains the expected output.
 """
 
 import os
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def stored(tmp_path: Path) -> Path:
-    """A copy of the stored folders, and one that is empty."""
+    """Return a folder with a copy of the stored folders and an empty folder `no_log`."""
     folder = tmp_path / "stored"
     shutil.copytree(DATA / "stored", folder)
     (folder / "no_log").mkdir()
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("option", ["", "--conf", "--history"])
 @pytest.mark.parametrize("name", FOLDERS)
-def test_dump_prints_what_it_did(name, option, stored, monkeypatch, capsys):
+def test_dump_output_is_unchanged(name, option, stored, monkeypatch, capsys):
     monkeypatch.chdir(stored)
     code = main(["dump", FOLDERS[name], *([option] if option else [])])
     printed = capsys.readouterr()
@@ -50,8 +50,8 @@
     assert transcript(code, printed.out, printed.err) == expected
 
 
-def test_dump_as_a_program(stored):
-    run = subprocess.run(
+def test_dump_output_of_the_program_is_unchanged(stored):
+    completed = subprocess.run(
         [sys.executable, "-m", "lapisgrade.gateway", "dump", "cluster/m3"],
         cwd=stored,
         env={**os.environ, "PYTHONPATH": os.getcwd()},
@@ -60,10 +60,10 @@
         timeout=30,
     )
     expected = (DATA / "dump" / "m3.txt").read_text()
-    assert transcript(run.returncode, run.stdout, run.stderr) == expected
+    assert transcript(completed.returncode, completed.stdout, completed.stderr) == expected
 
 
-def test_dump_writes_nothing(stored):
+def test_dump_does_not_change_the_folders(stored):
     def contents():
         return {path.relative_to(stored): path.read_bytes() for path in stored.rglob("*") if path.is_file()}
 
--- a/tests/compatibility/test_encoded_messages.py
+++ b/tests/compatibility/test_encoded_messages.py
@@ -1,9 +1,9 @@
-"""Messages between our own processes, durable records and log entries are encoded as they always were.
+"""Compatibility of the encoding of RPC and datagram messages, durable records and log entries.
 
-`data/encoded.json` holds the bytes, in hexadecimal, that revision 761b3d6 made of each sample;
-`data/defaults.json` those that it made of the same bytes without the fields that may be left out. The bytes
-of types and fields that came later were made as they came; `data/earlier.json` holds what revision 761b3d6
-made of samples that have had a further field since.
+`data/encoded.json` contains the encoding of each sample by revision 761b3d6, in hexadecimal.
+`data/defaults.json` contains the encoding of the same samples, by that revision, after decoding them without
+their optional fields. Types and fields added later were recorded when they were added; for the samples that
+gained a field, `data/earlier.json` keeps the encoding by revision 761b3d6.
 """
 
 import json
@@ -23,7 +23,7 @@
 DEFAULTS: dict[str, dict[str, Any]] = json.loads((DATA / "defaults.json").read_text())
 
 
-def test_each_sample_has_its_bytes():
+def test_every_sample_has_golden_bytes():
     assert sorted(ENCODED) == sorted(samples.ALL_SAMPLES)
 
 
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(DEFAULTS))
-def test_fields_left_out_take_the_same_defaults(name):
+def test_defaults_of_omitted_fields_are_unchanged(name):
     decoded_as = samples.ALL_SAMPLES[name].decoded_as
     fields = msgspec.msgpack.decode(bytes.fromhex(ENCODED[name]))
     required = DEFAULTS[name]["required"]
@@ -52,24 +52,24 @@
         msgspec.msgpack.decode(msgspec.msgpack.encode(fields[: required - 1]), type=decoded_as)
 
 
-def test_bytes_of_an_earlier_revision_are_decoded_to_the_sample_without_its_later_fields():
-    whole = {name: samples.ALL_SAMPLES[name] for name in EARLIER}
-    state = msgspec.structs.replace(whole["state/state"].instance, operations=OperationTable())
-    saved = whole["state/saved-state"].instance
+def test_bytes_of_an_earlier_revision_are_decoded_with_defaults_for_later_fields():
+    current = {name: samples.ALL_SAMPLES[name] for name in EARLIER}
+    state = msgspec.structs.replace(current["state/state"].instance, operations=OperationTable())
+    saved = current["state/saved-state"].instance
     saved = msgspec.structs.replace(
         saved, state=msgspec.structs.replace(saved.state, operations=OperationTable())
     )
     for name, expected in (("state/state", state), ("state/saved-state", saved)):
-        assert msgspec.msgpack.decode(bytes.fromhex(EARLIER[name]), type=whole[name].decoded_as) == expected
+        assert msgspec.msgpack.decode(bytes.fromhex(EARLIER[name]), type=current[name].decoded_as) == expected
 
 
-def test_state_saved_without_fields_takes_the_same_defaults():
+def test_defaults_of_a_saved_state_without_fields_are_unchanged():
     decoded = msgspec.msgpack.decode(b"\x80", type=samples.ALL_SAMPLES["state/state"].decoded_as)
     expected = json.loads((DATA / "empty_state.json").read_text())
     assert msgspec.msgpack.encode(decoded).hex() == expected
 
 
-def test_state_is_saved_by_these_field_names():
+def test_field_names_of_the_saved_state_are_unchanged():
     fields = msgspec.msgpack.decode(bytes.fromhex(ENCODED["state/state"]))
     assert list(fields) == [
         "conf",
--- a/tests/compatibility/test_settings_and_configuration.py
+++ b/tests/compatibility/test_settings_and_configuration.py
@@ -1,4 +1,4 @@
-"""The settings file and the configuration keep their keys, units and defaults, and what is said of faults."""
+"""Keys, units, defaults and error messages of the settings file and the configuration are unchanged."""
 
 import json
 from pathlib import Path
@@ -13,32 +13,32 @@
 FAULTS: list[dict] = json.loads((DATA / "faults.json").read_text())
 
 
-def written(folder: Path, content) -> str:
+def write_json(folder: Path, content) -> str:
     path = folder / "file.json"
     path.write_text(json.dumps(content))
     return str(path)
 
 
-def test_settings_with_each_field(tmp_path):
-    assert samples.read_settings(written(tmp_path, samples.SETTINGS_FILE)) == samples.SETTINGS
+def test_settings_with_every_field(tmp_path):
+    assert samples.read_settings(write_json(tmp_path, samples.SETTINGS_FILE)) == samples.SETTINGS
 
 
-def test_settings_with_the_required_fields_alone(tmp_path):
-    read = samples.read_settings(written(tmp_path, samples.REQUIRED_SETTINGS_FILE))
+def test_settings_with_only_required_fields(tmp_path):
+    read = samples.read_settings(write_json(tmp_path, samples.REQUIRED_SETTINGS_FILE))
     assert read == samples.DEFAULT_SETTINGS
 
 
-def test_configuration_with_each_field():
+def test_configuration_with_every_field():
     assert samples.read_configuration(samples.CONFIGURATION_FILE) == samples.CONFIGURATION
 
 
-def test_configuration_with_the_required_field_alone():
+def test_configuration_with_only_the_required_field():
     assert samples.read_configuration({"Ver": 1}) == samples.DEFAULT_CONFIGURATION
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=[each["id"] for each in FAULTS])
-def test_faults_are_reported_in_the_same_words(fault, tmp_path, monkeypatch, capsys):
-    """`lapisgrade check`: what is given, as kept in `data/faults.json`, and what was said of it."""
+@pytest.mark.parametrize("fault", FAULTS, ids=[entry["id"] for entry in FAULTS])
+def test_error_messages_are_unchanged(fault, tmp_path, monkeypatch, capsys):
+    """`lapisgrade check` gives the exit code and output recorded in `data/faults.json` for each input."""
     monkeypatch.chdir(tmp_path)
     Path("file.json").write_text(fault["file"])
     code = main(fault["arguments"])
