--- a/lapisgrade/gateway/cli/drafts.py
+++ b/lapisgrade/gateway/cli/drafts.py
@@ -21,7 +21,7 @@
     "aside": "merged in part",
     "invalid": "invalid, not merged",
 }
-OPEN_STATES = ("aside", "invalid")
+UNRESOLVED_STATES = ("aside", "invalid")
 
 
 def read_change(text: bytes) -> JsonObject:
@@ -88,8 +88,8 @@
         for draft in drafts["Drafts"]:
             for line in describe_draft(draft):
                 self._print_line(line)
-        has_open = any(draft["State"] in OPEN_STATES for draft in drafts["Drafts"])
-        return ExitCode.OBJECTION if has_open else ExitCode.DONE
+        has_unresolved = any(draft["State"] in UNRESOLVED_STATES for draft in drafts["Drafts"])
+        return ExitCode.OBJECTION if has_unresolved else ExitCode.DONE
 
     async def settle(self, draft_id: str) -> ExitCode:
         """Apply the conflicting fields of a draft."""
--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -10,7 +10,9 @@
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
 from lapisgrade.gateway.rpc_messages import ProxiesByName, ProxyListDelta
 
-MAX_LISTS = 12  # stored lists; about two seconds' worth at the leader's highest rate
+# Stored lists; about two seconds' worth at the leader's highest rate, one per PROXY_LIST_INTERVAL_US, since
+# `earlier_owners` needs those of the last OWNERSHIP_LEASE_US.
+MAX_LISTS = 12
 
 
 class _ProxyList(msgspec.Struct, frozen=True):
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -32,7 +32,7 @@
 PROXY_TIMEOUT_US = 2_000_000
 PROXY_LIST_INTERVAL_US = 150_000  # minimum interval of lists; proxies that start together share one
 SERVER_SNAPSHOT_INTERVAL_US = 1_000_000  # minimum interval of server snapshots
-MAX_PROXIES = 4096  # bounds memory if many different proxy names are received
+MAX_PROXIES = 4096  # bounds memory against a flood of proxy names
 
 _LIVE_STATES = (ServerState.UP, ServerState.DRAIN)
 
--- a/lapisgrade/gateway/merge/fields.py
+++ b/lapisgrade/gateway/merge/fields.py
@@ -190,7 +190,8 @@
             return
         item = item.setdefault(name, {})
     if value != [] or path[-1] not in item:
-        item[path[-1]] = [] if value == [] else value  # a new list, since elements are appended to it
+        # A new list, since elements are appended to it; elements that are already there are kept.
+        item[path[-1]] = [] if value == [] else value
 
 
 # ---- changes between two versions
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -25,7 +25,7 @@
 from lapisgrade.gateway.merge.conflicts import find_conflicts
 from lapisgrade.gateway.merge.fields import FieldChange, FieldPath, Fields, Json, format_path, is_at_or_below
 
-MAX_CHANGES = 4096  # maximum number of changed fields in a draft; a configuration of several hundred routes
+MAX_CHANGES = 4096  # maximum number of changed fields in a draft; enough for several hundred routes
 MAX_AUTHOR_LENGTH = 200  # characters
 ID_BYTES = 6
 REMOVED, ABSENT = "(gone)", "(none)"  # shown in place of a missing value
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -75,9 +75,10 @@
         return self._quota_owner.add(self._now_us(), request, self._updates.ownership_ends_us)
 
     async def _add_at_owner(self, task: Task, request: rpc_messages.QuotaRequest) -> None:
-        """Call the owner, which may be this proxy, until it replies under this proxy's membership.
+        """Call the owner, which may be this proxy, until it accepts or replies under this proxy's membership.
 
-        If the memberships differ, one of the two proxies is about to be updated.
+        If the memberships differ, one of the two proxies is about to be updated. A failed call or the
+        time-out ends the repeats as well.
         """
         deadline_us = self._now_us() + int(ADD_TIMEOUT_S * SECOND)
         while True:
--- a/lapisgrade/gateway/quota/hand_over.py
+++ b/lapisgrade/gateway/quota/hand_over.py
@@ -86,9 +86,10 @@
         return release is not None and now_us < release.expires_us
 
     def answer(self, now_us: int, request: HandOverRequest) -> HandOverReply:
-        """Answer the owner of a count under an epoch at least as new as the newest here.
+        """Hand over a count to its owner under an epoch at least as new as the newest here; others must wait.
 
-        A repeated request gets the same reply again, because the first one may have been lost.
+        A repeated request of the same incarnation gets the count again, because the first reply may have been
+        lost.
         """
         ownership = self._ownership
         if not ownership.epochs:
--- a/lapisgrade/gateway/quota/ownership_history.py
+++ b/lapisgrade/gateway/quota/ownership_history.py
@@ -140,8 +140,9 @@
         """Return the time since which no other proxy can have granted units of this tenant's count.
 
         If the first membership that arrived here still listed an earlier process of this machine, that one
-        owned the count and had terminated when this process started. All refill since the start is then
-        available here, which serves clients at once when they return after all processes were killed.
+        owned the count and had terminated when this process started. No other proxy has granted units since
+        then, so the refill since this process started is available here. This serves clients at once when
+        they return after all processes were killed.
 
         Args:
             tenant: Name of the tenant.
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -65,11 +65,12 @@
 MAX_QUEUE_RATIO = 0.2
 QUEUE_POLL_US = 8_000  # interval between searches for a server while a request is queued
 RETRY_AFTER_RATIO = 0.35  # mean Retry-After of a request without a server, per target time
-# An attempt is overdue after the mean latency plus this many deviations, and at least this multiple of the
-# mean.
+# An overdue attempt takes longer than nearly all others: the mean latency plus this many deviations, and at
+# least this multiple of the mean.
 OVERDUE_DEVIATIONS = 4.0
 MIN_OVERDUE_RATIO = 2.5
-HEDGE_LATENCY_RATIO = 1.25  # latency allowed for a hedge, per mean latency
+# Time that a hedge is given to answer within the target time, as a multiple of the mean latency.
+HEDGE_LATENCY_RATIO = 1.25
 CLIENT_ROUND_TRIP_US = 20_000  # round trip between client and proxy, which is part of the target time
 MAX_UNREACHED_ATTEMPTS = 2  # attempts beyond the route's limit, for those that do not reach a server
 TIMER_SLACK_US = 1  # the deadline timer may fire this much early because of rounding
@@ -211,7 +212,8 @@
         if self._retry_budget.try_spend(now_us, is_early_hedge):
             return server
         if in_flight:
-            self._state = State.WAITING  # drops this hedge until the next timer
+            # No budget: an early hedge is tried again when the attempt is overdue, a later one is dropped.
+            self._state = State.WAITING
         return None
 
     def _needs_retry_budget(self, in_flight: int) -> bool:
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -78,7 +78,7 @@
 def member_service(
     settings: PeersSettings, name: str
 ) -> Callable[[Service], contextlib.AbstractAsyncContextManager[None]]:
-    """Return a context manager factory that runs a member alongside the limiter `name`."""
+    """Return a context manager factory for `serve`, which runs a member alongside the limiter `name`."""
 
     @contextlib.asynccontextmanager
     async def run_member(service: Service) -> AsyncIterator[None]:
--- a/lapisgrade/net/client_listener.py
+++ b/lapisgrade/net/client_listener.py
@@ -18,8 +18,10 @@
 REQUEST_TIMEOUT_S = 2.0  # time to a complete request, from connecting or from the request's first byte
 IDLE_TIMEOUT_S = 2.0  # maximum idle time after a response; clients that reuse a connection do so sooner
 IDLE_DIVISOR = 4  # the limit on connections divided by this may be idle for IDLE_TIMEOUT_S
-CHECK_INTERVAL_S = 0.2  # interval between checks of both time-outs
-EVICTION_GRACE_S = 0.2  # minimum age before eviction; active clients send their request within this time
+CHECK_INTERVAL_S = 0.2  # interval between checks of REQUEST_TIMEOUT_S and IDLE_TIMEOUT_S
+# Minimum time without a request, since connecting or since the last response, before a connection is closed
+# early. An active client sends its request within this time.
+EVICTION_GRACE_S = 0.2
 ACCEPT_BATCH = 16  # connections accepted per turn of the event loop, before others are evicted for them
 BACKLOG = 1024  # pending connections in the kernel
 
@@ -158,7 +160,7 @@
         """Evict a connection without a request, else an idle one, else reject the newest one's requests.
 
         This bounds the number of descriptors. A recently opened connection is spared, because its request may
-        already be on its way and would be lost.
+        already be on its way and would be lost. An idle connection is evicted without that grace.
         """
         oldest = next(iter(self.awaiting_first_request), newest)
         latest = asyncio.get_running_loop().time() - EVICTION_GRACE_S
--- a/lapisgrade/policy/limiter.py
+++ b/lapisgrade/policy/limiter.py
@@ -111,7 +111,7 @@
             return False
         if self.server_pool.concurrency.utilization() > MAX_OVERAGE_UTILIZATION:
             return False
-        if account.rate_limit_bucket.read(now_us) < operation.units:
+        if account.rate_limit_bucket.read(now_us) < operation.units:  # also holds beyond the quota
             return False
         account.consume(now_us, operation.units)
         return True
--- a/lapisgrade/policy/server_pool.py
+++ b/lapisgrade/policy/server_pool.py
@@ -168,6 +168,7 @@
         if outcome in RESPONSE_OUTCOMES or not server.in_flight:
             server.unresponsive_since_us = now_us if server.in_flight else 0
         if outcome is AttemptOutcome.OVERLOADED:
+            # Counted by both: the server may lack capacity for the plan or for the category.
             for name in (attempt.operation.plan.name, attempt.operation.category.name):
                 server.rejections.setdefault(name, DecayingSum(LATENCY_DECAY_US)).add(now_us, 1)
         if outcome not in HEALTH_NEUTRAL_OUTCOMES:
