--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -22,7 +22,7 @@
 
 MAX_PROBES = 16  # maximum number of proxies probed for one request
 REPLY_COST_US = 200  # upper bound of the leader's CPU time for one proxy's reply
-MAX_FAN_OUT_INTERVAL_US = 250_000  # between rounds of replies; far below all deadlines of updates
+MAX_FAN_OUT_INTERVAL_US = 250_000  # maximum time between rounds of replies; far below all update deadlines
 
 
 class WatchService:
--- a/lapisgrade/gateway/routing/idle_connections.py
+++ b/lapisgrade/gateway/routing/idle_connections.py
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         self._idle_us: dict[Any, int] = {}  # by attempt in flight, its connection's idle time
-        # By service, the shortest idle time before a reset and when the last reset occurred.
+        # By service, the shortest idle time before a reset and when the last reset occurred, both in us.
         self._reset_idle_times: dict[str, tuple[int, int]] = {}
 
     def limit_us(self, now_us: int, service: str) -> int:
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -159,7 +159,7 @@
     # ---- deadlines
 
     def _compute_queue_deadline(self, now_us: int) -> int:
-        """Return the time until which the request may be queued for its first server."""
+        """Return the time in us until which the request may be queued for its first server."""
         max_until_us = now_us + int(MAX_QUEUE_RATIO * self._request.rule.target_time)
         return min(max_until_us, self._response_deadline_us())
 
@@ -240,7 +240,7 @@
         self._state = State.WAITING
 
     def _hedge_time(self, now_us: int, usual_us: float, deviation_us: float) -> int:
-        """Return when to hedge an idempotent request whose attempt starts now.
+        """Return when to hedge an idempotent request whose attempt starts now, in us.
 
         The hedge starts early enough to be answered within the target time, unless the attempt would not have
         had its usual latency by then; in that case it starts when the attempt is overdue. This limits the
