--- a/lapisgrade/lab/load/__init__.py
+++ b/lapisgrade/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load: a schedule made ahead by a clock (`schedule`), and a client that keeps to it (`client`)."""
+"""Open-loop load: a schedule made before the run (`schedule`), and a client that sends it (`client`)."""
--- a/lapisgrade/lab/load/client.py
+++ b/lapisgrade/lab/load/client.py
@@ -1,12 +1,11 @@
-"""Sends a schedule to limiters on loopback, open-loop, and counts what comes back.
+"""Sends a schedule to limiters on loopback, open-loop, and counts the outcomes.
 
-Each operation is sent at its due time by the clock, whether or not earlier ones have been answered;
-its latency is counted from that due time, so a stall of the target shows in every operation that was
-due during it (no coordinated omission). The client's own lateness (sent later than due) is counted
-apart as its lag.
+Each operation is sent at its due time, whether or not earlier ones have been answered. Its latency counts
+from the due time, so a stall of the target shows in every operation that was due during it (no coordinated
+omission). The delay between due time and sending is the client's lag, and is recorded separately.
 
-On one connection goes one request at a time; when all are busy a new one is opened, up to `most_connections`
-for each limiter; past that an operation waits for a connection, and the wait counts in its latency.
+A connection carries one request at a time. If all are busy, a new one is opened, up to `max_connections` per
+limiter; beyond that an operation waits for a connection, and the wait counts towards its latency.
 
 Latencies go into HdrHistograms (the `hdrhistogram` package), in microseconds.
 """
@@ -22,36 +21,36 @@
 
 from lapisgrade.lab.load.schedule import SECOND, PlannedOperation
 
-GRACE_US = 500_000  # the protocol's figure: past its timeout an answer is late for this long, then it is lost
-MOST_US = 600 * SECOND  # the longest latency the histograms hold
+GRACE_US = 500_000  # defined by the protocol: an answer later than its time-out by more than this is lost
+MAX_LATENCY_US = 600 * SECOND  # highest latency in the histograms
 DIGITS = 3  # significant digits of the histograms
 READ_BYTES = 65_536
-MOST_ANSWER = 4 << 20  # bytes of one answer that are held; a longer one counts as given up
+MAX_ANSWER_BYTES = 4 << 20  # maximum bytes of an answer's body; a longer one counts as given up
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 99.99, 100.0)
 OUTCOMES = ("finished", "turned back", "given up", "lost", "not sent")
 
 
 @dataclass(slots=True)
 class Tally:
-    """What the run saw: counts and latency by outcome, the client's lag, statuses and retry advice."""
+    """Results of a run: counts and latency by outcome, the client's lag, statuses and retry advice."""
 
     counts: dict[str, int] = field(default_factory=lambda: dict.fromkeys(OUTCOMES, 0))
     latency: dict[str, HdrHistogram] = field(default_factory=dict)
-    lag: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_US, DIGITS))
+    lag: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, DIGITS))
     statuses: dict[int, int] = field(default_factory=dict)
-    advised: int = 0  # turn-backs that said when to come back
-    late: int = 0  # answers after the timeout, within the grace
-    resent: int = 0  # requests sent again on a new connection after one closed across them
+    retry_advised: int = 0  # rejections with a Retry-After header
+    late: int = 0  # answers after the time-out, within the grace
+    resent: int = 0  # requests sent again because an idle connection closed as they were sent
     by_category: dict[str, dict[str, int]] = field(default_factory=dict)
 
     def histogram(self, outcome: str) -> HdrHistogram:
         if outcome not in self.latency:
-            self.latency[outcome] = HdrHistogram(1, MOST_US, DIGITS)
+            self.latency[outcome] = HdrHistogram(1, MAX_LATENCY_US, DIGITS)
         return self.latency[outcome]
 
     def all_latency(self) -> HdrHistogram:
-        """Latency of every operation that got an answer."""
-        total = HdrHistogram(1, MOST_US, DIGITS)
+        """Return the latency of all operations that got an answer."""
+        total = HdrHistogram(1, MAX_LATENCY_US, DIGITS)
         for outcome in ("finished", "turned back", "given up"):
             if outcome in self.latency:
                 total.add(self.latency[outcome])
@@ -62,30 +61,42 @@
         return sum(self.counts.values()) - self.counts["not sent"]
 
 
-class Broken(Exception):
-    """The connection ended or went wrong before a whole answer; `heard` says whether any of it came."""
+class ConnectionBrokenError(Exception):
+    """A connection failed before the answer was complete.
 
-    def __init__(self, heard: bool) -> None:
-        super().__init__("the connection broke")
-        self.heard = heard
+    Attributes:
+        has_received: Whether any bytes of the answer arrived.
+    """
 
+    def __init__(self, has_received: bool) -> None:
+        super().__init__("the connection failed before the answer was complete")
+        self.has_received = has_received
 
-class Line:
-    """One connection to a limiter."""
 
-    __slots__ = ("conn", "fresh", "reader", "writer")
+class Connection:
+    """A connection to a limiter.
+
+    Attributes:
+        is_new: Whether no exchange has completed on it yet.
+    """
+
+    __slots__ = ("conn", "is_new", "reader", "writer")
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.conn = h11.Connection(h11.CLIENT)
-        self.fresh = True
+        self.is_new = True
 
     def close(self) -> None:
         self.writer.transport.abort()
 
     async def exchange(self, request: h11.Request, body: bytes) -> tuple[int, dict[str, str]]:
-        """Status and headers of the answer; Broken where the connection failed first."""
-        conn, heard = self.conn, False
+        """Send a request; return the status and headers of the answer.
+
+        Raises:
+            ConnectionBrokenError: The connection failed first.
+        """
+        conn, has_received = self.conn, False
         try:
             self.writer.write(
                 conn.send(request)
@@ -97,7 +108,7 @@
                 event = conn.next_event()
                 if event is h11.NEED_DATA:
                     chunk = await self.reader.read(READ_BYTES)
-                    heard = heard or bool(chunk)
+                    has_received = has_received or bool(chunk)
                     conn.receive_data(chunk)
                 elif isinstance(event, h11.InformationalResponse):
                     continue
@@ -105,31 +116,31 @@
                     response = event
                 elif isinstance(event, h11.Data):
                     size += len(event.data)
-                    if size > MOST_ANSWER:
-                        raise Broken(True)
+                    if size > MAX_ANSWER_BYTES:
+                        raise ConnectionBrokenError(True)
                 elif isinstance(event, h11.EndOfMessage) and response is not None:
                     headers = {k.decode().lower(): v.decode("latin-1") for k, v in response.headers}
                     if conn.our_state is h11.DONE and conn.their_state is h11.DONE:
                         conn.start_next_cycle()
-                        self.fresh = False
+                        self.is_new = False
                     else:
                         self.close()
                     return response.status_code, headers
                 else:
-                    raise Broken(heard)
+                    raise ConnectionBrokenError(has_received)
         except (OSError, h11.ProtocolError):
-            raise Broken(heard) from None
+            raise ConnectionBrokenError(has_received) from None
 
 
 class Client:
-    """The load tool. `await run(schedule)` returns the Tally once every operation has its end."""
+    """The load tool. `await run(schedule)` returns the tally once every operation has ended."""
 
-    def __init__(self, targets: list[tuple[str, int]], seed: int, most_connections: int = 256) -> None:
-        """`targets`: the limiters' addresses; each customer's operations are dealt among all of them."""
-        self.targets, self.most_connections = targets, most_connections
+    def __init__(self, targets: list[tuple[str, int]], seed: int, max_connections: int = 256) -> None:
+        """Initialize a client of the limiters at `targets`, which are chosen at random for each operation."""
+        self.targets, self.max_connections = targets, max_connections
         self.chance = Random(seed)
         self.tally = Tally()
-        self._idle: list[deque[Line]] = [deque() for _ in targets]
+        self._idle: list[deque[Connection]] = [deque() for _ in targets]
         self._open = [0] * len(targets)
         self._waiting: list[deque[asyncio.Future]] = [deque() for _ in targets]  # for a connection
         self._number = 0
@@ -137,7 +148,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     def stop(self) -> None:
-        """Send nothing more; what is out still gets its end."""
+        """Send no further operations; those in flight still end."""
         self._stopped = True
 
     async def run(self, schedule: list[PlannedOperation]) -> Tally:
@@ -154,7 +165,7 @@
                 if self._stopped:
                     self.tally.counts["not sent"] += 1
                     continue
-            task = asyncio.create_task(self._one(planned, due))
+            task = asyncio.create_task(self._run_operation(planned, due))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         while self._tasks:
@@ -164,23 +175,23 @@
                 idle.pop().close()
         return self.tally
 
-    async def _one(self, planned: PlannedOperation, due: float) -> None:
+    async def _run_operation(self, planned: PlannedOperation, due: float) -> None:
         loop = asyncio.get_running_loop()
         self.tally.lag.record_value(max(1, round((loop.time() - due) * SECOND)))
         self._number += 1
         number = f"{self.chance.getrandbits(64):016x}"
-        which = self.chance.randrange(len(self.targets))
+        limiter = self.chance.randrange(len(self.targets))
         key = f"{self.chance.getrandbits(128):032x}" if planned.category == "ticket" else ""
         reads = planned.category == "read"
         request, body = make_request(planned, number, key, reads, len(self.targets), 0)
         ends = due + (planned.timeout_us + GRACE_US) / SECOND
-        status, headers = await self.exchange(which, request, body, ends)
+        status, headers = await self.exchange(limiter, request, body, ends)
         took_us = max(1, round((loop.time() - due) * SECOND))
         outcome = self._outcome(status, headers, took_us, planned)
         self.tally.counts[outcome] += 1
         self.tally.by_category.setdefault(planned.category, dict.fromkeys(OUTCOMES, 0))[outcome] += 1
         if outcome != "lost":
-            self.tally.histogram(outcome).record_value(min(took_us, MOST_US))
+            self.tally.histogram(outcome).record_value(min(took_us, MAX_LATENCY_US))
 
     def _outcome(self, status: int, headers: dict[str, str], took_us: int, planned: PlannedOperation) -> str:
         if status > 0:
@@ -192,32 +203,35 @@
         if status == 200:
             return "finished"
         if status in (429, 503):
-            self.tally.advised += "retry-after" in headers
+            self.tally.retry_advised += "retry-after" in headers
             return "turned back"
         return "given up"
 
     async def exchange(
-        self, which: int, request: h11.Request, body: bytes, ends: float
+        self, limiter: int, request: h11.Request, body: bytes, ends: float
     ) -> tuple[int, dict[str, str]]:
-        """Status and headers of the limiter's answer: 0 where the connection failed, -1 where none came until
-        `ends` (the loop's time). One that was at rest and closed across the request is tried once more
-        anew."""
+        """Send a request to a limiter; return the status and headers of its answer.
+
+        The status is 0 if the connection failed, and -1 if no answer arrived before `ends` (the loop's time).
+        A request on an idle connection that closes before any byte of the answer is sent once more.
+        """
         try:
             async with asyncio.timeout_at(ends):
                 for _ in range(2):
-                    line = await self._line(which)
+                    connection = await self._acquire_connection(limiter)
                     try:
-                        answer = await line.exchange(request, body)
-                    except Broken as broken:
-                        self._lost_line(which, line)
-                        if broken.heard or line.fresh:
+                        answer = await connection.exchange(request, body)
+                    except ConnectionBrokenError as broken:
+                        self._close_connection(limiter, connection)
+                        if broken.has_received or connection.is_new:
                             return 0, {}
                         self.tally.resent += 1
                     except BaseException:
-                        self._lost_line(which, line)  # given up on with an answer still to come on it
+                        # An answer may still arrive on this connection.
+                        self._close_connection(limiter, connection)
                         raise
                     else:
-                        self._give_back(which, line)
+                        self._release_connection(limiter, connection)
                         return answer
         except TimeoutError:
             return -1, {}
@@ -225,43 +239,43 @@
             pass
         return 0, {}
 
-    async def _line(self, which: int) -> Line:
-        idle = self._idle[which]
+    async def _acquire_connection(self, limiter: int) -> Connection:
+        idle = self._idle[limiter]
         while True:
             while idle:
-                line = idle.pop()
-                if not line.reader.at_eof():
-                    return line
-                self._lost_line(which, line)
-            if self._open[which] < self.most_connections:
-                self._open[which] += 1
+                connection = idle.pop()
+                if not connection.reader.at_eof():
+                    return connection
+                self._close_connection(limiter, connection)
+            if self._open[limiter] < self.max_connections:
+                self._open[limiter] += 1
                 try:
-                    return Line(*await asyncio.open_connection(*self.targets[which]))
+                    return Connection(*await asyncio.open_connection(*self.targets[limiter]))
                 except BaseException:
-                    self._open[which] -= 1
+                    self._open[limiter] -= 1
                     raise
             waiter = asyncio.get_running_loop().create_future()
-            self._waiting[which].append(waiter)
+            self._waiting[limiter].append(waiter)
             try:
                 await waiter
             finally:
                 with contextlib.suppress(ValueError):
-                    self._waiting[which].remove(waiter)
+                    self._waiting[limiter].remove(waiter)
 
-    def _give_back(self, which: int, line: Line) -> None:
-        if line.writer.transport.is_closing():
-            self._lost_line(which, line)
+    def _release_connection(self, limiter: int, connection: Connection) -> None:
+        if connection.writer.transport.is_closing():
+            self._close_connection(limiter, connection)
             return
-        self._idle[which].append(line)
-        self._wake(which)
+        self._idle[limiter].append(connection)
+        self._wake(limiter)
 
-    def _lost_line(self, which: int, line: Line) -> None:
-        line.close()
-        self._open[which] -= 1
-        self._wake(which)
+    def _close_connection(self, limiter: int, connection: Connection) -> None:
+        connection.close()
+        self._open[limiter] -= 1
+        self._wake(limiter)
 
-    def _wake(self, which: int) -> None:
-        waiting = self._waiting[which]
+    def _wake(self, limiter: int) -> None:
+        waiting = self._waiting[limiter]
         while waiting:
             waiter = waiting.popleft()
             if not waiter.done():
@@ -272,8 +286,11 @@
 def make_request(
     planned: PlannedOperation, number: str, key: str, reads: bool, spread: int, first: int
 ) -> tuple[h11.Request, bytes]:
-    """The request of one try, and its body. `number` is its id, `key` its mark against repeats, where it has
-    one; its customer is known to `spread` limiters from number `first` on."""
+    """Return the request of an attempt, and its body.
+
+    `number` is the attempt's id and `key` its idempotency key, if any. The customer's set is the `spread`
+    limiters from number `first` on.
+    """
     headers = [
         ("Host", "api.internal"),
         ("X-Request-ID", number),
@@ -293,14 +310,14 @@
 
 
 def percentiles(histogram: HdrHistogram) -> dict[float, int]:
-    """Microseconds at each of PERCENTILES; empty for an empty histogram."""
+    """Return the values in microseconds at PERCENTILES; empty for an empty histogram."""
     if histogram.get_total_count() == 0:
         return {}
     return {p: histogram.get_value_at_percentile(p) for p in PERCENTILES}
 
 
 def summary(tally: Tally, wall_s: float | None = None) -> list[str]:
-    """Lines for a person: counts, latency percentiles in milliseconds, and the client's lag."""
+    """Return a summary as text lines: counts, latency percentiles in ms, and the client's lag."""
     counts = ", ".join(f"{name} {tally.counts[name]}" for name in OUTCOMES)
     lines = [f"sent {tally.sent}: {counts}"]
     if wall_s:
@@ -314,6 +331,6 @@
     if lag:
         lines.append(f"lag of the load tool ms: p99 {lag[99.0] / 1000:.1f}  max {lag[100.0] / 1000:.1f}")
     lines.append(
-        f"late answers {tally.late}, turn-backs with Retry-After {tally.advised}, resent {tally.resent}"
+        f"late answers {tally.late}, rejections with Retry-After {tally.retry_advised}, resent {tally.resent}"
     )
     return lines
--- a/lapisgrade/lab/report/plots.py
+++ b/lapisgrade/lab/report/plots.py
@@ -1,7 +1,7 @@
-"""Plots and a page for one or more runs of the emulator (their result JSON files).
+"""Plots and an HTML page for one or more runs of the emulator, from their JSON results.
 
-One run: operations ending each second by how they ended, and the run's figures. Several: the same side by
-side, and bars of what they reached. The page embeds the picture, so it can be mailed or opened anywhere.
+Each run has a plot of its operations per second by outcome, and its figures. Several runs are also compared
+in a bar chart. The page embeds the picture, so that it is a single file.
 """
 
 import base64
@@ -14,7 +14,7 @@
 import matplotlib
 
 matplotlib.use("Agg")
-import matplotlib.pyplot as plt  # the backend is chosen before pyplot is loaded
+import matplotlib.pyplot as plt  # imported after the backend is set
 
 SERIES = ("arrived", "finished", "turned back", "given up", "lost", "front")
 FIGURES = (
@@ -34,22 +34,22 @@
 
 
 class RunFileError(ValueError):
-    """A run file that can't be read."""
+    """A run file is missing or malformed; the message names the file and the reason."""
 
 
 def load(path: str) -> dict[str, Any]:
     try:
         with open(path, encoding="utf-8") as file:
             run = json.load(file)
-    except (OSError, ValueError) as wrong:
-        raise RunFileError(f"{path}: {wrong}") from None
+    except (OSError, ValueError) as error:
+        raise RunFileError(f"{path}: {error}") from None
     if not isinstance(run, dict) or "series" not in run or "ends" not in run:
-        raise RunFileError(f"{path}: not the result of an emulated run")
+        raise RunFileError(f"{path}: not the result of an emulator run: `series` or `ends` is missing")
     return run
 
 
 def figures(run: dict[str, Any]) -> dict[str, float]:
-    """The figures that runs are compared by."""
+    """Return the figures by which runs are compared."""
     operations = max(1, run["operations"])
     return {
         "payoff_share": run["payoff_share"],
@@ -71,7 +71,7 @@
 
 
 def draw(runs: list[dict[str, Any]]) -> bytes:
-    """A PNG: a row of series per run, and bars of the figures where there are several runs."""
+    """Return a PNG with a plot per run, and a bar chart of the figures if there are several runs."""
     rows = len(runs) + (1 if len(runs) > 1 else 0)
     fig, axes = plt.subplots(rows, 1, figsize=(10, 3.2 * rows), squeeze=False)
     for axis, run in zip(axes[:, 0], runs, strict=False):
@@ -116,7 +116,7 @@
 
 
 def page(runs: list[dict[str, Any]], png: bytes) -> str:
-    """A self-contained HTML page: the picture and a table of the figures."""
+    """Return a self-contained HTML page with the picture and a table of the figures."""
     head = "".join(f"<th>{html.escape(name)}</th>" for name in FIGURES)
     rows = []
     for run in runs:
@@ -143,7 +143,7 @@
 
 
 def report(paths: list[str], out: str) -> list[str]:
-    """Write `out`.png and `out`.html for the runs at `paths`; the files written."""
+    """Write `out`.png and `out`.html for the runs at `paths`; return the paths written."""
     runs = [load(path) for path in paths]
     png = draw(runs)
     target = Path(out)
--- a/tests/lab/load/test_load.py
+++ b/tests/lab/load/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: its schedule, and how it measures a stall."""
+"""The load tool: its schedules, and its measurement of a stall."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 MIX = schedule.default_mix(sample_configuration()["settings"])
 
 
-def test_a_schedule_is_the_same_for_a_seed_and_keeps_its_shape():
+def test_a_schedule_is_determined_by_its_seed_and_follows_its_shape():
     burst = schedule.Shape("burst", rate=20, seconds=10, peak=200, at_s=4, length_s=2)
     one, two = schedule.plan(burst, MIX, 5), schedule.plan(burst, MIX, 5)
     assert one == two
@@ -40,9 +40,9 @@
             "s0", servers.ServerBehavior(capacity=500, queue=500, median_s=0.002), 3
         ).open()
         planned = schedule.plan(schedule.Shape("constant", 100, 3), MIX, 1)
-        tool = client.Client([("127.0.0.1", server.port)], 1)
+        load_client = client.Client([("127.0.0.1", server.port)], 1)
         asyncio.get_running_loop().call_later(1.0, server.pause, 1.0)
-        tally = await tool.run(planned)
+        tally = await load_client.run(planned)
         await server.kill()
         return tally
 
@@ -51,7 +51,7 @@
     assert tally.counts["finished"] == 300
     assert tally.counts["lost"] == 0
     assert latency.get_value_at_percentile(99) >= 900_000
-    # Those due in the first half of the stall waited half a second or more: a sixth of all.
+    # Operations due in the first half of the stall, a sixth of all, waited half a second or more.
     slow = sum(
         count
         for value, count in (
@@ -60,4 +60,4 @@
         if value >= 500_000
     )
     assert slow >= 0.13 * 300
-    assert tally.lag.get_value_at_percentile(99) < 100_000  # the tool itself kept to its clock
+    assert tally.lag.get_value_at_percentile(99) < 100_000  # the tool itself was on time
