--- a/lapisgrade/lab/fleet/__init__.py
+++ b/lapisgrade/lab/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""A test bed of many real processes with faults between them, and a checker of what they did.
+"""A test bed of real processes with faults between them, and a checker of their behavior.
 
 `lapisgrade lab fleet run SCENARIO` runs a scenario of the laboratory (docs/lab.md) with real processes on
-loopback; docs/lab-fleet.md says what each figure means. Never imported by `python -m lapisgrade`.
+loopback; docs/lab-fleet.md explains the figures. Never imported by `python -m lapisgrade`.
 """
--- a/lapisgrade/lab/fleet/checker.py
+++ b/lapisgrade/lab/fleet/checker.py
@@ -1,10 +1,12 @@
-"""What a history shows: rules broken over all processes, and the figures of docs/lab-fleet.md. Pure: events
-in, `Findings` out; no clock, no I/O, and no memory of operations past their time.
+"""Checks the history of a run for rule violations and computes the figures of docs/lab-fleet.md.
 
-What only the limiter knows is not seen here: a hop counts from its arrival at the server, a list from the
-agent's answer. `AFTER_US` is the leeway for that, and for a busy machine: it is far longer than either takes,
-and far shorter than what a defect shows. A limiter that was killed or stopped answers for nothing that it
-held then.
+Pure: events in, `Findings` out; no clock and no I/O. Operations are dropped once they can no longer break a
+rule.
+
+A history doesn't show the limiter's internal state. A request counts from its arrival at the server, a server
+list from the agent's reply. `LEEWAY_US` allows for that difference and for a busy machine: it is far longer
+than either takes, and far shorter than the delays that a defect causes. A limiter that was killed or paused
+isn't held responsible for the attempts that were in flight in it at that time.
 """
 
 from collections import deque
@@ -18,18 +20,19 @@
 from lapisgrade.settings import flatten, read_categories, read_plans, read_server_rules
 
 SECOND = 1_000_000
-GRACE_US = 500_000  # the protocol's figure: past its time an answer is late for so long, then it is lost
-AFTER_US = 1 * SECOND  # between what a limiter does and what is seen of it elsewhere
-BIN_US = 100_000  # of the series: goodput and calls are counted in bins of this
-FULL_SHARE, FULL_US = 0.95, 2 * SECOND  # full service: this share of the goodput before, over this long
-BEFORE_US = 5 * SECOND  # "before the fault" is this long, or what there is
-MAX_BREACHES = 200  # breaches kept in full; the rest are counted
+GRACE_US = 500_000  # defined by the protocol: a response later than its time-out by more than this is lost
+LEEWAY_US = 1 * SECOND  # maximum delay between a limiter's action and its observation elsewhere
+BIN_US = 100_000  # bin width of the goodput and call series
+# Service is full again when goodput reaches this share of the baseline over this window.
+FULL_SERVICE_SHARE, FULL_SERVICE_WINDOW_US = 0.95, 2 * SECOND
+BASELINE_US = 5 * SECOND  # maximum length of the baseline, which ends at the first fault
+MAX_BREACHES = 200  # violations kept in full; further ones are only counted
 ENDS = ("finished", "turned back", "given up", "broken", "none")
 CALLS = ("counter", "discovery", "servers", "connections")
 
 
 class Breach(msgspec.Struct):
-    """`rule` is 1, 2, 3, 5, or 0 for a bound that the scenario states."""
+    """A rule violation: `rule` is 1, 2, 3 or 5, or 0 for a bound stated by the scenario."""
 
     rule: int
     what: str
@@ -38,8 +41,10 @@
 
 
 class FaultSeen(msgspec.Struct):
-    """A fault in s from the play's start, and s until full service after its end; None: not within the
-    play."""
+    """A fault, with times in s from the start of the run.
+
+    `full_service_s` is the time in s from the fault's end to full service; None if not reached in the run.
+    """
 
     what: str
     target: str
@@ -49,26 +54,26 @@
 
 
 class Findings(msgspec.Struct):
-    """All that was found in one run."""
+    """The violations and figures of one run."""
 
     name: str = ""
     seed: int = 0
     limiters: int = 0
     seconds: float = 0.0
     ends: dict[str, int] = msgspec.field(default_factory=lambda: dict.fromkeys(ENDS, 0))
-    exempt: int = 0  # of these, tries whose limiter was killed or stopped while it held them, without answer
+    exempt: int = 0  # unanswered attempts in flight in a limiter that was killed or paused; also in `ends`
     broken: int = 0
     breaches: list[Breach] = []
-    quotas: dict[str, dict[str, float]] = {}  # by plan: figures of lab/quota.py
-    over: dict[str, float] = {}  # by customer: worst units over in any window
+    quotas: dict[str, dict[str, float]] = {}  # by plan: the figures of lab/quota.py
+    over: dict[str, float] = {}  # by customer: maximum units over the quota in any window
     over_bound: float | None = None
     faults: list[FaultSeen] = []
-    # by kind of call: the highest 100 ms after the first fault, over the mean
+    # by kind of call: peak bin after the start of the first fault, relative to the baseline mean
     stampede: dict[str, float] = {}
-    staleness_s: float = 0.0  # the longest after a server's leaving that a hop came to it
-    goodput: list[int] = []  # finished in each bin
-    calls: dict[str, list[int]] = {}  # in each bin
-    share: dict[int, int] = {}  # tries by limiter
+    staleness_s: float = 0.0  # maximum time from a server's departure to a request that still reached it
+    goodput: list[int] = []  # operations finished, by bin
+    calls: dict[str, list[int]] = {}  # by kind: calls, by bin
+    share: dict[int, int] = {}  # attempts by limiter
 
     @property
     def ok(self) -> bool:
@@ -77,12 +82,12 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of an operation, while it can still break a rule."""
+    """An attempt of an operation, kept while it can still break a rule."""
 
     sent: h.AttemptSent
     answered: h.AttemptAnswered | None = None
     received: list[h.RequestReceived] = field(default_factory=list)
-    is_excused: bool = False  # its limiter was killed or stopped while it may have held it
+    is_excused: bool = False  # its limiter was down or paused while the attempt may have been in flight
 
 
 @dataclass(slots=True)
@@ -91,11 +96,11 @@
 
     is_down: bool = False
     is_paused: bool = False
-    resumed_us: int = 0  # when it last went on
+    resumed_us: int = 0  # time of the last resume
 
 
 class Checker:
-    """Checks a history: `see` each event by time, then `end`."""
+    """Checks a history. Call `see` for each event in order of time, then `end`."""
 
     def __init__(self) -> None:
         self.found = Findings()
@@ -104,20 +109,20 @@
         self._started_us = self._ended_us = 0
         self._grace_us = self._leeway_us = 0
         self._attempts: dict[str, Attempt] = {}
-        self._deadlines: deque[tuple[int, str]] = deque()  # (when it can go, op); nearly by time
-        # by origin: hops that ran, as long as a repeat would count
+        self._deadlines: deque[tuple[int, str]] = deque()  # (time to close, op), nearly in order of time
+        # by origin: requests that ran, kept while a repeat would break rule 2
         self._effects: dict[str, list[h.RequestReceived]] = {}
         self._effect_expiries: deque[tuple[int, str]] = deque()
-        # Tries that a stopped limiter may still read when it goes on, long after their clients have left.
+        # Closed attempts that a paused limiter may still send on after it resumes.
         self._excused_attempts: set[str] = set()
         self._processes: dict[int, ProcessStatus] = {}
         self._notified: dict[tuple[int, str], h.ServerStateNotified] = {}
-        self._departed_us: dict[str, int] = {}  # server: since when it is leaving or gone
+        self._departed_us: dict[str, int] = {}  # by server: when it started to drain or was removed
         self._rate_limits: dict[str, quota.Store] = {}
         self._quotas: dict[str, quota.Quota] = {}
         self._plan_of: dict[str, str] = {}
         self._open_faults: dict[tuple[str, str], FaultSeen] = {}
-        self._see = {
+        self._handlers = {
             h.RunStarted: self._on_run_started,
             h.AttemptSent: self._on_sent,
             h.AttemptAnswered: self._on_answered,
@@ -133,29 +138,30 @@
         }
 
     def see(self, event: h.Event) -> None:
-        """Take the next event, by time."""
+        """Process the next event in order of time."""
         while self._deadlines and self._deadlines[0][0] <= event.at:
             self._close_attempt(self._deadlines.popleft()[1])
         while self._effect_expiries and self._effect_expiries[0][0] <= event.at:
             self._effects.pop(self._effect_expiries.popleft()[1], None)
-        self._see[type(event)](event)
+        self._handlers[type(event)](event)
 
     def end(self) -> Findings:
-        """Return the findings, once every event has been seen."""
+        """Return the findings after the last event."""
         while self._deadlines:
             self._close_attempt(self._deadlines.popleft()[1])
         found = self.found
         found.over = {name: each.over for name, each in self._quotas.items()}
         for plan in self._plans:
-            mine = [each for name, each in self._quotas.items() if self._plan_of[name] == plan]
-            if mine:
-                found.quotas[plan] = quota.summary(mine, found.seconds)
+            accounts = [each for name, each in self._quotas.items() if self._plan_of[name] == plan]
+            if accounts:
+                found.quotas[plan] = quota.summary(accounts, found.seconds)
         worst = max(found.over, key=found.over.get, default="")
         if found.over_bound is not None and worst and found.over[worst] > found.over_bound:
             what = f"customer {worst} got {found.over[worst]:.1f} units over in a window"
             what += f", the stated bound is {found.over_bound:.1f}"
             found.broken += 1
-            found.breaches.insert(0, Breach(0, what, "", found.seconds))  # first: never among those left out
+            # First, so that reports don't cut it off.
+            found.breaches.insert(0, Breach(0, what, "", found.seconds))
         bins = max(1, ((self._ended_us or self._started_us) - self._started_us) // BIN_US)
         for series in (found.goodput, *found.calls.values()):
             del series[bins:]
@@ -170,13 +176,13 @@
         if not found.faults:
             return
         first = min(bins, int(min(each.began_s for each in found.faults) * SECOND / BIN_US))
-        since = max(0, first - BEFORE_US // BIN_US)
+        since = max(0, first - BASELINE_US // BIN_US)
         before = found.goodput[since:first]
-        mean, width = sum(before) / max(1, len(before)), FULL_US // BIN_US
+        mean, width = sum(before) / max(1, len(before)), FULL_SERVICE_WINDOW_US // BIN_US
         for fault in found.faults:
             starts = -(-int(fault.ended_s * SECOND) // BIN_US)
             for at in range(starts, bins - width + 1):
-                if sum(found.goodput[at : at + width]) >= FULL_SHARE * mean * width:
+                if sum(found.goodput[at : at + width]) >= FULL_SERVICE_SHARE * mean * width:
                     fault.full_service_s = max(0.0, at * BIN_US / SECOND - fault.ended_s)
                     break
         for kind, series in found.calls.items():
@@ -203,67 +209,69 @@
         found, info = self.found, flatten(event.settings)
         found.name, found.seed, found.limiters = event.name, event.seed, event.limiters
         found.seconds, found.over_bound = event.seconds, event.over_bound
-        found.calls = {kind: [] for kind in CALLS}  # what came before the play is not counted
+        found.calls = {kind: [] for kind in CALLS}  # calls before the run's start don't count
         self._categories = {each.name: each for each in read_categories(info)}
         self._plans = {each.name: each for each in read_plans(info)}
         self._started_us, self._grace_us = event.at, read_server_rules(info).drain_grace_us
-        self._leeway_us = AFTER_US + event.leeway_us
+        self._leeway_us = LEEWAY_US + event.leeway_us
 
     def _on_sent(self, event: h.AttemptSent) -> None:
-        self._attempts[event.op] = each = Attempt(event)
-        record_event = self._processes.get(event.limiter)
-        each.is_excused = record_event is not None and (record_event.is_down or record_event.is_paused)
+        self._attempts[event.op] = attempt = Attempt(event)
+        process_status = self._processes.get(event.limiter)
+        attempt.is_excused = process_status is not None and (
+            process_status.is_down or process_status.is_paused
+        )
         self._deadlines.append((event.ends + GRACE_US + self._leeway_us, event.op))
         self.found.share[event.limiter] = self.found.share.get(event.limiter, 0) + 1
         self._quota(event).asked(event.units, event.at)
 
     def _quota(self, sent: h.AttemptSent) -> quota.Quota:
-        kept = self._quotas.get(sent.customer)
-        if kept is None:
+        account = self._quotas.get(sent.customer)
+        if account is None:
             plan = self._plans[sent.plan]
-            kept = self._quotas[sent.customer] = quota.Quota(plan.rate, plan.burst, self._started_us)
+            account = self._quotas[sent.customer] = quota.Quota(plan.rate, plan.burst, self._started_us)
             self._plan_of[sent.customer] = sent.plan
-        return kept
+        return account
 
     def _on_answered(self, event: h.AttemptAnswered) -> None:
-        each = self._attempts.get(event.op)
-        if each is None:
+        attempt = self._attempts.get(event.op)
+        if attempt is None:
             return
-        if each.answered is not None:
+        if attempt.answered is not None:
             self._report_breach(1, "a second final answer", event.op, event.at)
             return
-        each.answered = event
+        attempt.answered = event
         if event.how == "finished":
             self._count(self.found.goodput, event.at)
-            self._quota(each.sent).let_in(each.sent.units, event.at)
+            self._quota(attempt.sent).let_in(attempt.sent.units, event.at)
 
     def _on_received(self, event: h.RequestReceived) -> None:
         self._count_call("servers", event.at)
         if event.server in self._departed_us:
             stale_s = (event.at - self._departed_us[event.server]) / SECOND
             self.found.staleness_s = max(self.found.staleness_s, stale_s)
-        each = self._attempts.get(event.op)
-        if each is None:
+        attempt = self._attempts.get(event.op)
+        if attempt is None:
             if event.op not in self._excused_attempts:
                 what = f"sent to {event.server} long after its time, or never taken"
                 self._report_breach(1, what, event.op, event.at)
             return
-        answered, sent = each.answered, each.sent
+        answered, sent = attempt.answered, attempt.sent
         over = min(answered.at if answered is not None else sent.ends, sent.ends)
-        if event.at > over + self._leeway_us and not each.is_excused:
+        if event.at > over + self._leeway_us and not attempt.is_excused:
             self._report_breach(
                 1, f"sent to {event.server} {event.at - over} us after its end", event.op, event.at
             )
-        self._check_notified_state(each, event)
-        if not each.received:
+        self._check_notified_state(attempt, event)
+        if not attempt.received:
             self._check_rate_limit(sent, event.at)
-        each.received.append(event)
+        attempt.received.append(event)
         if event.ran:
-            self._check_repeat(each, event)
+            self._check_repeat(attempt, event)
 
-    def _check_repeat(self, each: Attempt, event: h.RequestReceived) -> None:
-        """Check rule 2, over all attempts of one operation of a client."""
-        sent, category = each.sent, self._categories[each.sent.category]
+    def _check_repeat(self, attempt: Attempt, event: h.RequestReceived) -> None:
+        """Check rule 2 over all attempts of a client's operation."""
+        sent, category = attempt.sent, self._categories[attempt.sent.category]
         if category.repeat_safety is RepeatSafety.IDEMPOTENT:
             return
         effects = self._effects.get(sent.origin)
@@ -288,32 +296,32 @@
                 event.at,
             )
 
-    def _check_notified_state(self, each: Attempt, event: h.RequestReceived) -> None:
-        """Check rule 3: nothing goes to a server long after the limiter was notified of its drain."""
-        told = self._notified.get((each.sent.limiter, event.server))
-        if told is None or told.state == "in_service":
+    def _check_notified_state(self, attempt: Attempt, event: h.RequestReceived) -> None:
+        """Check rule 3: no request reaches a server after the limiter learned of its drain and the grace."""
+        notified = self._notified.get((attempt.sent.limiter, event.server))
+        if notified is None or notified.state == "in_service":
             return
-        record_event = self._processes.get(each.sent.limiter, ProcessStatus())
-        if record_event.is_paused or record_event.resumed_us > told.at:
-            return  # it was stopped in between: it read the list when it went on
-        if event.at > told.at + self._grace_us + self._leeway_us:
+        process_status = self._processes.get(attempt.sent.limiter, ProcessStatus())
+        if process_status.is_paused or process_status.resumed_us > notified.at:
+            return  # paused since the notification: it read the server list only after it resumed
+        if event.at > notified.at + self._grace_us + self._leeway_us:
             self._report_breach(
                 3,
-                f"sent to {event.server} {event.at - told.at} us after limiter "
-                f"{each.sent.limiter} was told that it is {told.state}",
+                f"sent to {event.server} {event.at - notified.at} us after limiter "
+                f"{attempt.sent.limiter} was told that it is {notified.state}",
                 event.op,
                 event.at,
             )
 
     def _check_rate_limit(self, sent: h.AttemptSent, at: int) -> None:
-        """Check rule 5: the first request of each attempt takes its units."""
+        """Check rule 5, the rate limit. The first request of each attempt consumes its units."""
         plan = self._plans[sent.plan]
         if plan.rate_limit_per_s <= 0:
             return
         store = self._rate_limits.get(sent.customer)
         if store is None:
-            # The slack, and what came late by the leeway, is room below nothing.
-            room = plan.rate_limit_slack + plan.rate_limit_per_s * (self._leeway_us - AFTER_US) / SECOND
+            # Extra burst for the slack, and for requests that links delay by up to the run's leeway.
+            room = plan.rate_limit_slack + plan.rate_limit_per_s * (self._leeway_us - LEEWAY_US) / SECOND
             full = plan.rate_limit_burst + room
             store = self._rate_limits[sent.customer] = quota.Store(
                 plan.rate_limit_per_s, full, full, self._started_us
@@ -332,7 +340,7 @@
 
     def _on_state_notified(self, event: h.ServerStateNotified) -> None:
         old = self._notified.get((event.limiter, event.server))
-        # Told again of what it knows, or that one that drains is gone, it still knows since the first time.
+        # A repeated notification, or a removal after a drain, keeps the time of the first one.
         if old is None or event.state == "in_service" or old.state == "in_service":
             self._notified[event.limiter, event.server] = event
 
@@ -346,18 +354,18 @@
             self._open_faults.pop(key).ended_s = at_s
 
     def _on_process_event(self, event: h.LimiterProcessChanged) -> None:
-        record_event = self._processes.setdefault(event.limiter, ProcessStatus())
+        process_status = self._processes.setdefault(event.limiter, ProcessStatus())
         if event.what in ("killed", "ended"):
-            record_event.is_down = True
+            process_status.is_down = True
         elif event.what == "up":
-            record_event.is_down = record_event.is_paused = False
+            process_status.is_down = process_status.is_paused = False
             for key in [key for key in self._notified if key[0] == event.limiter]:
                 del self._notified[key]
         elif event.what == "paused":
-            record_event.is_paused = True
+            process_status.is_paused = True
         elif event.what == "resumed":
-            record_event.is_paused, record_event.resumed_us = False, event.at
-        if record_event.is_down or record_event.is_paused:
+            process_status.is_paused, process_status.resumed_us = False, event.at
+        if process_status.is_down or process_status.is_paused:
             for each in self._attempts.values():
                 if each.sent.limiter == event.limiter and each.answered is None:
                     each.is_excused = True
@@ -366,17 +374,17 @@
         self._ended_us = event.at
 
     def _close_attempt(self, op: str) -> None:
-        """Judge an attempt whose time and leeway are over."""
-        each = self._attempts.pop(op, None)
-        if each is None:
+        """Check an attempt whose time-out, grace and leeway have passed."""
+        attempt = self._attempts.pop(op, None)
+        if attempt is None:
             return
-        if each.is_excused:
+        if attempt.is_excused:
             self._excused_attempts.add(op)
-        how = each.answered.how if each.answered is not None else "none"
+        how = attempt.answered.how if attempt.answered is not None else "none"
         self.found.ends[how] += 1
-        sent, category = each.sent, self._categories[each.sent.category]
+        sent, category = attempt.sent, self._categories[attempt.sent.category]
         if how in ("none", "broken"):
-            if each.is_excused:
+            if attempt.is_excused:
                 self.found.exempt += 1
             else:
                 what = "no answer in time" if how == "none" else "its connection ended without an answer"
@@ -384,15 +392,15 @@
         if (
             how == "turned back"
             and category.repeat_safety is RepeatSafety.NON_IDEMPOTENT
-            and any(c.ran for c in each.received)
+            and any(c.ran for c in attempt.received)
         ):
             self._report_breach(
-                2, f"turned back after it ran at {each.received[0].server}", op, each.answered.at
+                2, f"turned back after it ran at {attempt.received[0].server}", op, attempt.answered.at
             )
 
 
 def check(events) -> Findings:
-    """Return the findings of a complete history, by time."""
+    """Return the findings of a complete history whose events are in order of time."""
     checker = Checker()
     for event in events:
         checker.see(event)
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -1,7 +1,7 @@
-"""A limiter with a wilful defect, to show that the checker can fail.
+"""A limiter with a deliberate defect, to show that the checker detects violations.
 
-`python -m lapisgrade.lab.fleet.defects KIND` is the real limiter but for one rule that it breaks; the rule's
-number is in `DEFECTS`. Nothing of the program imports this.
+`python -m lapisgrade.lab.fleet.defects KIND` runs the real limiter, changed to break one rule; `DEFECTS` has
+the rule's number. The program itself never imports this module.
 """
 
 import sys
@@ -15,7 +15,7 @@
 
 
 def drop_answers() -> None:
-    """One operation in ten never gets an answer (rule 1)."""
+    """Leave one operation in ten without an answer (rule 1)."""
     original = policy.Limiter.handle
 
     def operation(self: policy.Limiter, op: Operation):
@@ -27,7 +27,7 @@
 
 
 def repeat_non_idempotent() -> None:
-    """What must not repeat is sent again before its answer can come (rule 2)."""
+    """Retry non-idempotent operations before their answers can arrive (rule 2)."""
     original = policy.Limiter.handle
 
     def operation(self: policy.Limiter, op: Operation):
@@ -38,12 +38,12 @@
 
 
 def ignore_drain() -> None:
-    """News of servers that drain is not heard (rule 3)."""
+    """Treat draining servers as ready (rule 3)."""
     discovery_client.LIFECYCLE_STATES["terminating"] = ServerState.READY
 
 
 def remove_quotas() -> None:
-    """No plan has a quota or a ceiling (rule 5, and any stated bound)."""
+    """Remove the quotas and rate limits of all plans (rule 5, and any stated bound)."""
     original = service.read_plans
 
     def plans(info: Fields) -> list:
@@ -65,7 +65,7 @@
 
 def main() -> int:
     if len(sys.argv) != 2 or sys.argv[1] not in DEFECTS:
-        print(f"one of {', '.join(DEFECTS)}", file=sys.stderr)
+        print(f"usage: defects KIND, one of {', '.join(DEFECTS)}", file=sys.stderr)
         return 2
     DEFECTS[sys.argv[1]][0]()
     from lapisgrade.__main__ import main as limiter
--- a/lapisgrade/lab/fleet/faults.py
+++ b/lapisgrade/lab/fleet/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a run, each injected at its time and undone at its end."""
+"""Injects the faults of a run, each at its time, and undoes them at their ends."""
 
 import asyncio
 import time
@@ -15,14 +15,14 @@
 from lapisgrade.lab.fleet.recorders import RecordingCounter
 from lapisgrade.lab.fleet.relay import FROM_TARGET, TO_TARGET, Link, TcpRelay, UdpRelay
 
-DISCOVERY_DELAY_S = 2.0  # until discovery notices a server that vanished, as in the emulator
-COUNTER_CONNECTIONS = 8  # that the fake counter accepts for each limiter, old ones and new ones
-HARD_STOP_MARGIN_S = 3.0  # past the longest time-out, for a limiter that shuts down
-SLOW_COUNTER_DELAY_S = 0.010  # the emulator's factor of ten on a counter's millisecond
+DISCOVERY_DELAY_S = 2.0  # time until discovery removes a killed server, as in the emulator
+COUNTER_CONNECTIONS = 8  # per limiter: connections that the fake counter accepts, old and new ones together
+HARD_STOP_MARGIN_S = 3.0  # added to the longest time-out when a limiter shuts down
+SLOW_COUNTER_DELAY_S = 0.010  # ten times a usual counter delay of 1 ms, as in the emulator
 
 
 class FaultInjector:
-    """Injects faults into the parts of a run, which `TestBed` provides."""
+    """Injects faults into the parts of a run; `TestBed` provides them."""
 
     scenario: Scenario
     writer: h.Writer
@@ -38,14 +38,14 @@
     _running_faults: list[asyncio.Task]
 
     async def _inject_faults(self) -> None:
-        """Inject each fault at its time, and wait until all are undone."""
+        """Inject each fault at its time and wait until all are undone."""
         for fault in sorted(self.scenario.faults, key=lambda each: each.at_us):
-            wait = self._started_s + fault.at_us / h.SECOND - time.monotonic()
-            if wait > 0:
-                await asyncio.sleep(wait)
-            # A surge is in the clients' schedule: here it is only recorded.
-            work = self._surge(fault) if fault.kind == "surge" else self._inject(fault)
-            self._running_faults.append(asyncio.create_task(work))
+            wait_s = self._started_s + fault.at_us / h.SECOND - time.monotonic()
+            if wait_s > 0:
+                await asyncio.sleep(wait_s)
+            # A surge is part of the clients' schedule and is only recorded here.
+            fault_coroutine = self._surge(fault) if fault.kind == "surge" else self._inject(fault)
+            self._running_faults.append(asyncio.create_task(fault_coroutine))
         if self._running_faults:
             await asyncio.gather(*self._running_faults)
 
@@ -58,7 +58,7 @@
             self._record(fault, False)
 
     async def _inject(self, fault: Fault) -> None:
-        """Inject one fault, and undo it at its end."""
+        """Inject one fault and undo it at its end."""
         self._record(fault, True)
         kind = fault.kind
         if kind.startswith("limiter_") or kind.startswith("disk_"):
@@ -78,7 +78,7 @@
         self._record(fault, False)
 
     async def _wait_duration(self, fault: Fault) -> bool:
-        """Wait for the fault's duration; return whether it has an end."""
+        """Wait for the fault's duration; return whether the fault has an end."""
         if fault.for_us:
             await asyncio.sleep(fault.for_us / h.SECOND)
         return bool(fault.for_us)
@@ -92,13 +92,13 @@
         return parse_range(target, count)
 
     async def _inject_into_limiters(self, fault: Fault) -> None:
-        picked = [self.limiters[i] for i in self._select_limiters(fault)]
+        selected = [self.limiters[i] for i in self._select_limiters(fault)]
 
-        async def one(place: int, limiter: Limiter) -> None:
-            await asyncio.sleep(place * fault.wave_us / h.SECOND)
+        async def inject_into(position: int, limiter: Limiter) -> None:
+            await asyncio.sleep(position * fault.wave_us / h.SECOND)
             await self._inject_into_limiter(fault, limiter)
 
-        await asyncio.gather(*(one(place, each) for place, each in enumerate(picked)))
+        await asyncio.gather(*(inject_into(position, each) for position, each in enumerate(selected)))
 
     def _select_limiters(self, fault: Fault) -> list[int]:
         if fault.target.startswith("group:"):
@@ -149,12 +149,12 @@
             await self.servers.request(do="kill", which=which)
         elif kind == "kill":
             await self.servers.request(do="kill", which=which)
-            back = fault.for_us / h.SECOND
-            await asyncio.sleep(min(DISCOVERY_DELAY_S, back) if back else DISCOVERY_DELAY_S)
+            duration_s = fault.for_us / h.SECOND
+            await asyncio.sleep(min(DISCOVERY_DELAY_S, duration_s) if duration_s else DISCOVERY_DELAY_S)
             for i in which:
                 self._change_server_state("terminated", i)
-            if back:
-                await asyncio.sleep(max(0.0, back - DISCOVERY_DELAY_S))
+            if duration_s:
+                await asyncio.sleep(max(0.0, duration_s - DISCOVERY_DELAY_S))
                 await self._restart_servers(which)
         elif kind == "restart":
             await self._restart_servers(which)
@@ -165,7 +165,7 @@
             self._change_server_state("in_service", i)
 
     def _change_server_state(self, state: str, number: int) -> None:
-        """Change a server's state at the discovery agents, unless discovery is stale."""
+        """Change a server's state at the discovery agents, or defer the change while discovery is stale."""
         self.writer.put(h.ServerStateChanged(at=h.now_us(), server=f"s{number}", state=state))
         if self.pending_changes is not None:
             self.pending_changes.append((state, number))
@@ -185,15 +185,15 @@
                 each.agent.remove(entry.instance_id)
 
     async def _inject_into_links(self, fault: Fault) -> None:
-        picked = self._affected_relays(fault)
-        for relay in picked:
+        selected = self._affected_relays(fault)
+        for relay in selected:
             apply_to_link(relay.link, fault)
-            relay.turn()
+            relay.apply_link_change()
         self._block_peers(fault, True)
         if await self._wait_duration(fault):
-            for relay in picked:
+            for relay in selected:
                 relay.link.heal()
-                relay.turn()
+                relay.apply_link_change()
             self._block_peers(fault, False)
 
     def _affected_relays(self, fault: Fault) -> list[TcpRelay]:
@@ -209,32 +209,44 @@
         party = self.scenario.parties[fault.target[6:]]
         inside = set(parse_range(party.limiters, self.scenario.limiters))
         servers = set(parse_range(party.servers, self.scenario.servers))
-        made = []
+        affected = []
         for each in self.limiters:
-            here = each.index in inside
+            is_inside = each.index in inside
             for kind, links in each.links.items():
                 for relay, number in links if kind != "peer" else ():
-                    there = party.counter if kind == "counter" else number in servers
-                    if kind != "discovery" and here != there:  # the agent is on the limiter's own machine
-                        made.append(relay)
-        return made
+                    is_far_end_inside = party.counter if kind == "counter" else number in servers
+                    # A discovery agent runs on the limiter's machine, so no partition cuts its link.
+                    if kind != "discovery" and is_inside != is_far_end_inside:
+                        affected.append(relay)
+        return affected
 
     def _block_peers(self, fault: Fault, on: bool) -> None:
-        """What limiters send one another goes by the receiver's relay: that is deaf to those cut off from
-        it. In a partition these are all of the other side; where a link is cut, those whose it is."""
-        apart = fault.kind == "partition"
-        if not apart and (fault.kind not in ("link_cut", "link_cut_back") or fault.link not in ("", "peer")):
+        """Block traffic between limiters, or allow it again, at the relay of the receiver.
+
+        In a partition, each relay drops datagrams from all limiters on the other side. If a peer link is cut,
+        it drops those from the limiters that the fault selects.
+        """
+        is_partition = fault.kind == "partition"
+        if not is_partition and (
+            fault.kind not in ("link_cut", "link_cut_back") or fault.link not in ("", "peer")
+        ):
             return
         inside = set(self._select_limiters(fault))
         for each in self.limiters:
-            away = {
+            blocked_ports = {
                 other.peer_port
                 for other in self.limiters
                 if other is not each
-                and ((other.index in inside) != (each.index in inside) if apart else other.index in inside)
+                and (
+                    (other.index in inside) != (each.index in inside)
+                    if is_partition
+                    else other.index in inside
+                )
             }
             for relay, _ in each.links["peer"]:
-                relay.blocked_sources = relay.blocked_sources | away if on else relay.blocked_sources - away
+                relay.blocked_sources = (
+                    relay.blocked_sources | blocked_ports if on else relay.blocked_sources - blocked_ports
+                )
 
     async def _inject_into_counter(self, fault: Fault) -> None:
         counter, kind = self.counter, fault.kind.removeprefix("counter_")
@@ -264,14 +276,16 @@
             fresh.writer = self.writer
             self.replaced_counters.append(await fresh.open())
             for each in self.limiters:
-                each.counter_at = fresh.address
+                each.counter_address = fresh.address
                 each.write_config()
                 each.signal_reload()
 
 
 def max_delay_us(scenario: Scenario, fault: Fault) -> int:
-    """How much later than it was sent something may come through a link with this fault: what was written
-    before or during a cut goes out when the link is healed, as a kernel sends it again."""
+    """Return the maximum delay (us) that the fault adds to data on a link.
+
+    Data written before or during a cut arrives once the link is healed, as if the kernel sent it again.
+    """
     if fault.kind == "link_slow":
         return fault.delay_us + fault.jitter_us
     if fault.kind == "partition" or fault.kind.startswith("link_cut"):
@@ -280,7 +294,7 @@
 
 
 def apply_to_link(link: Link, fault: Fault) -> None:
-    """Apply a fault to a link."""
+    """Set a link's behavior for a fault."""
     kind = fault.kind
     if kind in ("link_cut", "partition", "counter_cut"):
         link.cut = frozenset((TO_TARGET, FROM_TARGET))
@@ -296,7 +310,7 @@
 
 
 def parse_range(text: str, count: int) -> list[int]:
-    """Parse `N` or `N-M` (or nothing) as numbers below `count`."""
+    """Parse `N`, `N-M` or an empty string; return the numbers below `count`."""
     if not text:
         return []
     low, _, high = text.partition("-")
--- a/lapisgrade/lab/fleet/history.py
+++ b/lapisgrade/lab/fleet/history.py
@@ -1,8 +1,8 @@
-"""The history of one run: events as JSON lines, encoded and validated by msgspec.
+"""The history of a run: events as JSON lines, encoded and validated by msgspec.
 
-Each process writes a file of its own, in the order of its observations; `merged` reads them as one, by time.
-Times are microseconds of the machine's monotonic clock, which all processes of one machine share. Nothing
-stays in memory but the lines being read.
+Each process writes its own file, in the order of its observations; `merged` reads all files in order of time.
+Times are microseconds of the monotonic clock, which all processes of a machine share. Files are read as
+streams.
 """
 
 import heapq
@@ -14,33 +14,36 @@
 import msgspec
 
 SECOND = 1_000_000
-MAX_LINE_BYTES = 1 << 20  # a longer line is no event
+MAX_LINE_BYTES = 1 << 20  # longer lines are rejected
 
 
 class HistoryError(ValueError):
-    """A history can't be read; the message says where."""
+    """A history is malformed; the message names the file and the line."""
 
 
 class Event(msgspec.Struct, tag_field="kind", frozen=True, kw_only=True):
-    """Something observed at `at` (us)."""
+    """An observation at the time `at` (us)."""
 
     at: int
 
 
 class RunStarted(Event, tag="begin"):
-    """The run starts; `settings` are the limiters' settings, as in their configuration."""
+    """The run started. `settings` are the limiters' settings, as in their configuration."""
 
     name: str
     seed: int
     limiters: int
     seconds: float
     settings: dict[str, Any]
-    over_bound: float | None = None  # units over, by any customer; None where the scenario states none
-    leeway_us: int = 0  # how far links that delay may move what is seen
+    over_bound: float | None = None  # maximum units over the quota of any customer; None: not stated
+    leeway_us: int = 0  # maximum delay that faults on links add to observations
 
 
 class AttemptSent(Event, tag="sent"):
-    """A client sent an operation (`op`, the id of this try) to a limiter; `origin` is its first try's id."""
+    """A client sent an attempt of an operation to a limiter.
+
+    `op` is the attempt's id, `origin` the id of the operation's first attempt.
+    """
 
     op: str
     origin: str
@@ -50,12 +53,15 @@
     category: str
     units: int
     limiter: int
-    ends: int  # when its client stops waiting
+    ends: int  # time (us) at which the client's time-out expires
 
 
 class AttemptAnswered(Event, tag="answered"):
-    """How it ended for the client: `finished`, `turned back`, `given up`, `broken` (the connection failed
-    or was refused) or `none` (no answer in its time and the grace)."""
+    """An attempt ended for the client.
+
+    `how` is `finished`, `turned back` (rejected), `given up`, `broken` (the connection failed or was refused)
+    or `none` (no answer within the time-out and the grace).
+    """
 
     op: str
     how: str
@@ -63,7 +69,7 @@
 
 
 class RequestReceived(Event, tag="came"):
-    """A hop of an operation reached a server; `ran` says whether it was taken to be run."""
+    """A request of an attempt reached a server; `ran` is whether the server accepted it for execution."""
 
     op: str
     server: str
@@ -71,7 +77,7 @@
 
 
 class CounterCalled(Event, tag="counted"):
-    """The counter was called; `amount` was added, unless the call was rejected."""
+    """The counter was called; `added` is false if it rejected the call and didn't add `amount`."""
 
     name: str
     amount: float
@@ -107,7 +113,7 @@
 
 
 class FaultChanged(Event, tag="fault"):
-    """A fault began, or ended (`on` false)."""
+    """A fault began, or ended (`on` is false)."""
 
     what: str
     target: str
@@ -115,7 +121,7 @@
 
 
 class LimiterProcessChanged(Event, tag="life"):
-    """A limiter's process: `started`, `up`, `killed`, `ended`, `paused`, `resumed`, with its process id."""
+    """A limiter's process was `started`, `up`, `killed`, `ended`, `paused` or `resumed`."""
 
     limiter: int
     what: str
@@ -123,7 +129,7 @@
 
 
 class RunEnded(Event, tag="end"):
-    """The run is over; what comes later is the limiters' shutdown."""
+    """The run ended; later events belong to the limiters' shutdown."""
 
 
 AnyEvent = (
@@ -149,7 +155,7 @@
 
 
 class Writer:
-    """Appends events to one file. `close()` it, or use it as a context."""
+    """Appends events to a file. Call `close()`, or use it as a context manager."""
 
     def __init__(self, path: Path | str) -> None:
         self._file = open(path, "ab", buffering=65_536)  # noqa: SIM115 (closed by close())
@@ -160,7 +166,7 @@
         self._file.write(self._encoder.encode(event) + b"\n")
 
     def close(self) -> None:
-        """Write what is buffered, and close the file."""
+        """Flush the buffer and close the file."""
         self._file.close()
 
     def __enter__(self) -> "Writer":
@@ -171,15 +177,15 @@
 
 
 def read(path: Path | str) -> Iterator[Event]:
-    """Read the events of one file, without a last line cut short (its writer was killed).
+    """Read the events of a file. An incomplete last line is skipped, since its writer was killed.
 
     Raises:
-        HistoryError: A line is no event; the message names the line.
+        HistoryError: A line is too long or isn't an event; the message names the line.
     """
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
             if len(line) > MAX_LINE_BYTES:
-                raise HistoryError(f"{path}:{number}: longer than {MAX_LINE_BYTES} bytes")
+                raise HistoryError(f"{path}:{number}: line is longer than {MAX_LINE_BYTES} bytes")
             if not line.endswith(b"\n"):
                 return
             try:
@@ -189,10 +195,12 @@
 
 
 def merged(paths: Iterable[Path | str]) -> Iterator[Event]:
-    """The events of several files by time; those of one file and one time stay in their order.
+    """Return the events of several files in order of time.
+
+    Events of a file with equal times keep their order.
 
-    A process may write an event a little after a later one (an answer's time is taken before it is written):
-    each file is sorted within a window of events first.
+    A process may write events slightly out of order, since it takes an answer's time before it writes the
+    event. Each file is therefore sorted within a window of events first.
     """
     return heapq.merge(*(_ordered(read(path)) for path in paths), key=lambda event: event.at)
 
--- a/lapisgrade/lab/fleet/limiter.py
+++ b/lapisgrade/lab/fleet/limiter.py
@@ -1,4 +1,4 @@
-"""One limiter of a run: its process, its folder, its links."""
+"""A limiter of a run: its process, folder and links."""
 
 import asyncio
 import json
@@ -17,14 +17,14 @@
 from lapisgrade.lab.fleet.recorders import RecordingDiscovery
 from lapisgrade.lab.fleet.relay import TcpRelay, UdpRelay
 
-SERVE = (sys.executable, "-m", "lapisgrade.cli", "serve")  # one that may read an operator's file
-START_TIMEOUT_S = 20.0  # for a limiter's process to answer `GET /up`, on a busy machine
-POLL_INTERVAL_S = 0.03  # between checks whether it is up
-SEEDS = 2  # limiters by which every other finds the rest
+SERVE = (sys.executable, "-m", "lapisgrade.cli", "serve")  # accepts the operator's file of peers (`--site`)
+START_TIMEOUT_S = 20.0  # maximum time until a limiter answers `GET /up`, on a busy machine
+POLL_INTERVAL_S = 0.03  # between checks whether a limiter is up
+SEED_COUNT = 2  # limiters whose addresses all others get as seeds
 
 
 class LimiterEnvironment(Protocol):
-    """What a limiter needs of the run that it belongs to."""
+    """The parts of a run that a limiter uses."""
 
     scenario: Scenario
     folder: Path
@@ -35,7 +35,7 @@
 
 
 class Limiter:
-    """One limiter of the run: its process, its folder, its links."""
+    """A limiter of the run: its process, folder and links."""
 
     def __init__(self, environment: LimiterEnvironment, index: int) -> None:
         self.environment = environment
@@ -45,16 +45,16 @@
         self.state.mkdir(parents=True, exist_ok=True)
         self.port = free_port()
         self.agent = RecordingDiscovery(environment.writer, index)
-        self.counter_at = ""
+        self.counter_address = ""
         self.links: dict[str, list[tuple[TcpRelay | UdpRelay, int]]] = {kind: [] for kind in scenarios.LINKS}
         self.config, self.site = self.folder / "config.json", self.folder / "site.toml"
-        self.peer_port, self.reached_at = 0, ""  # for what other limiters send it
+        self.peer_port, self.reached_at = 0, ""  # for traffic from other limiters
         args = list(environment.command)
         if environment.scenario.peers:
             args = [*SERVE, str(self.config), "--site", str(self.site)]
         env = {"ROUTER_CONFIG": str(self.config)}
         self.process = Process(f"limiter {index}", args, self.folder / "log", env, self.folder)
-        self.is_up = False  # it answers, and so has its handlers of signals
+        self.is_up = False  # it answers requests, so its signal handlers are set
 
     def record_event(self, what: str) -> None:
         """Record a change of the limiter's process in the history."""
@@ -63,21 +63,21 @@
         )
 
     def _clock_offset_ms(self) -> float:
-        """Return the limiter's share of the scenario's clock offsets, evenly from -1 to 1 times it."""
+        """Return the limiter's clock offset: by index, evenly from -1 to 1 times the scenario's offset."""
         scenario = self.environment.scenario
         if scenario.limiters <= 1:
             return 0
         return scenario.clock_offset_ms * (2 * self.index / max(1, scenario.limiters - 1) - 1)
 
     def _configuration(self) -> dict[str, Any]:
-        """Return the limiter's configuration, as its process reads it."""
+        """Return the contents of the limiter's configuration file."""
         scenario = self.environment.scenario
         relays = self.links["discovery"]
         return {
             "name": f"lg-{self.index}",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": relays[0][0].address if relays else self.agent.address,
-            "counter": self.counter_at,
+            "counter": self.counter_address,
             "seed": f"{(scenario.seed * 1_000_003 + self.index) % (1 << 64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
             "known": self.agent.complete_list(),
@@ -87,20 +87,20 @@
         }
 
     def write_config(self) -> None:
-        """Write the limiter's files of configuration."""
+        """Write the limiter's configuration files."""
         self.config.write_text(json.dumps(self._configuration(), indent=1))
         if self.environment.scenario.peers:
-            seeds = [each.reached_at for each in self.environment.limiters[:SEEDS]]
+            seeds = [each.reached_at for each in self.environment.limiters[:SEED_COUNT]]
             self.site.write_text(
                 f'[peers]\nlisten = "127.0.0.1:{self.peer_port}"\n'
                 f'reached_at = "{self.reached_at}"\nseeds = {json.dumps(seeds)}\n'
             )
 
     async def start(self) -> None:
-        """Start a new process, and wait until it serves.
+        """Start a new process and wait until it serves requests.
 
         Raises:
-            ProcessFailedError: It ended, or did not serve in time.
+            ProcessFailedError: The process ended, or was not up within START_TIMEOUT_S.
         """
         self.agent.forget_notified()
         self.write_config()
@@ -108,8 +108,8 @@
         configuration = self.config.read_bytes()
         await self.environment.supervisor.start(self.process)
         self.record_event("started")
-        until = time.monotonic() + START_TIMEOUT_S
-        while time.monotonic() < until:
+        deadline_s = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             if not self.process.is_running:
                 raise ProcessFailedError(f"limiter {self.index} ended while starting, see {self.process.log}")
             if await is_ready(("127.0.0.1", self.port)):
@@ -119,13 +119,15 @@
                     self.signal_reload()
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
-        raise ProcessFailedError(f"limiter {self.index} did not come up in {START_TIMEOUT_S:g} s")
+        raise ProcessFailedError(
+            f"limiter {self.index} did not answer GET /up with 200 within {START_TIMEOUT_S:g} s"
+        )
 
     def signal_reload(self) -> None:
-        """Have the process read its changed configuration.
+        """Make the process reload its configuration, unless it is still starting.
 
-        A process that has not yet set its handlers is ended by SIGHUP (guards runs in which a counter is
-        replaced while a limiter starts).
+        SIGHUP would end a process that hasn't set its handlers yet. This happened when a fault replaced the
+        counter while a limiter was starting.
         """
         if self.is_up:
             self.process.signal(signal.SIGHUP)
--- a/lapisgrade/lab/fleet/limiter_settings.py
+++ b/lapisgrade/lab/fleet/limiter_settings.py
@@ -1,4 +1,4 @@
-"""A limiter's settings as the operators name them, made from a scenario."""
+"""The settings of a limiter, in the format of its configuration, derived from a scenario."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 def settings(scenario: Scenario, index: int) -> dict[str, Any]:
-    """A limiter's settings as the operators name them, as the scenario has them."""
+    """Return the settings of limiter `index` in the format of its configuration."""
     return {
         "SelfIndex": index,
         "NInstances": scenario.limiters,
--- a/lapisgrade/lab/fleet/load.py
+++ b/lapisgrade/lab/fleet/load.py
@@ -1,9 +1,10 @@
-"""The clients of a run, in a process of their own: `python -m lapisgrade.lab.fleet.load`, run by commands.
+"""The clients of a run: a process (`python -m lapisgrade.lab.fleet.load`) controlled by commands.
 
-Open loop: each operation goes out when it is due, whatever became of those before. A customer's operations go
-to the limiters of its set alone (`spread` from number `first` on), drawn evenly; one turned back comes again
-once, as told (`retry_share` of them); one whose limiter could not be reached, or died over it, comes again at
-another of the set, where its category allows that. Every try is written to the history.
+Open loop: each operation is sent when it is due, whether or not earlier ones have ended. A customer's
+operations go only to the limiters of its set (`spread` limiters from number `first` on), chosen uniformly. A
+share `retry_share` of the rejected operations is retried once, after the delay that the limiter advised. An
+operation whose limiter was unreachable or died is retried at another limiter of the set, if its category
+allows it. Every attempt is recorded in the history.
 """
 
 import asyncio
@@ -18,25 +19,24 @@
 from lapisgrade.lab.load import client
 from lapisgrade.lab.load.schedule import PlannedOperation
 
-MAX_ATTEMPTS = 4  # of one operation, whatever becomes of them
-# a limiter that could not be reached is passed over for so long, while others of the set are not
-AVOIDED_S = 0.5
-DEFAULT_RETRY_DELAY_S = 0.1  # one turned back without advice comes again after this
+MAX_ATTEMPTS = 4  # per operation
+# Time for which an unreachable limiter is avoided, if another of the set isn't.
+AVOIDANCE_S = 0.5
+DEFAULT_RETRY_DELAY_S = 0.1  # minimum delay of the retry after a rejection, also without advice
 OUTCOMES = {200: "finished", 429: "turned back", 503: "turned back", 0: "broken", -1: "none"}
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
-    """One operation of the schedule, with the customer's set."""
+class ScheduledOperation:
+    """An operation of the schedule, with the first limiter of its customer's set."""
 
     planned: PlannedOperation
     category: Category
     first: int
 
 
-def schedule(scenario: scenarios.Scenario) -> list[Due]:
-    """Everything that clients will ask, from the scenario's seed alone: its rate, surges, customers and
-    shares."""
+def schedule(scenario: scenarios.Scenario) -> list[ScheduledOperation]:
+    """Return the operations of the run, drawn by the scenario's seed from its rate, surges and shares."""
     random = Random(scenario.seed)
     customers = scenario.customer_table(random.getrandbits(64))
     surges = [each for each in scenario.faults if each.kind == "surge"]
@@ -44,8 +44,8 @@
     while True:
         rate = scenario.rate
         for each in surges:
-            over = each.at_us + (each.for_us or scenario.seconds_us)
-            rate *= each.factor if each.at_us <= at < over else 1.0
+            end_us = each.at_us + (each.for_us or scenario.seconds_us)
+            rate *= each.factor if each.at_us <= at < end_us else 1.0
         at += random.expovariate(rate) * h.SECOND
         if at >= scenario.seconds_us:
             return made
@@ -59,11 +59,11 @@
             random.randint(1, scenario.most_units),
             category.timeout_us,
         )
-        made.append(Due(planned, category, customer.first))
+        made.append(ScheduledOperation(planned, category, customer.first))
 
 
 class Clients(client.Client):
-    """The load tool, with customers that keep to their sets and a history of every attempt."""
+    """The load tool, extended by limiter sets of customers and a history of all attempts."""
 
     def __init__(
         self, targets: list[tuple[str, int]], scenario: scenarios.Scenario, writer: h.Writer
@@ -73,12 +73,12 @@
         self.spread = min(scenario.spread, scenario.limiters)
         self._avoided_until = [0.0] * len(targets)
 
-    async def play(self, dues: list[Due], start_us: int) -> None:
-        """Everything at its time after `start_us` (monotonic us); ends when every try has its end."""
+    async def play(self, operations: list[ScheduledOperation], start_us: int) -> None:
+        """Send all operations, each at its time after `start_us` (monotonic us), and wait for their ends."""
         loop = asyncio.get_running_loop()
-        zero = start_us / h.SECOND
-        for due in dues:
-            if (wait := zero + due.planned.due_us / h.SECOND - loop.time()) > 0:
+        start_s = start_us / h.SECOND
+        for due in operations:
+            if (wait := start_s + due.planned.due_us / h.SECOND - loop.time()) > 0:
                 await asyncio.sleep(wait)
             task = asyncio.create_task(self._run_attempts(due, start_us + due.planned.due_us))
             self._tasks.add(task)
@@ -86,13 +86,13 @@
         while self._tasks:
             await asyncio.wait(list(self._tasks))
 
-    def which(self, first: int) -> int:
-        """A limiter of the set, of those that could be reached of late where there are any."""
+    def choose_limiter(self, first: int) -> int:
+        """Choose a limiter of the set, preferably one that isn't avoided."""
         members = [(first + k) % len(self.targets) for k in range(self.spread)]
         now = asyncio.get_running_loop().time()
         return self.chance.choice([each for each in members if self._avoided_until[each] <= now] or members)
 
-    async def _run_attempts(self, due: Due, due_us: int) -> None:
+    async def _run_attempts(self, due: ScheduledOperation, due_us: int) -> None:
         loop, category = asyncio.get_running_loop(), due.category
         origin = f"{self.chance.getrandbits(64):016x}"
         key = (
@@ -100,9 +100,9 @@
             if category.repeat_safety is RepeatSafety.DEDUPLICATED
             else ""
         )
-        number, again = origin, self.chance.random() < self.scenario.retry_share
+        number, may_retry = origin, self.chance.random() < self.scenario.retry_share
         for _ in range(MAX_ATTEMPTS):
-            which, planned = self.which(due.first), due.planned
+            limiter, planned = self.choose_limiter(due.first), due.planned
             ends_us = due_us + planned.timeout_us
             sent = h.AttemptSent(
                 at=h.now_us(),
@@ -113,7 +113,7 @@
                 plan=planned.plan,
                 category=category.name,
                 units=planned.units,
-                limiter=which,
+                limiter=limiter,
                 ends=ends_us,
             )
             self.writer.put(sent)
@@ -122,7 +122,7 @@
                 left, number, key, category.repeat_safety is RepeatSafety.IDEMPOTENT, self.spread, due.first
             )
             status, headers = await self.exchange(
-                which, request, body, (ends_us + client.GRACE_US) / h.SECOND
+                limiter, request, body, (ends_us + client.GRACE_US) / h.SECOND
             )
             how = OUTCOMES.get(status, "given up")
             advice = float(headers.get("retry-after", 0.0))
@@ -130,15 +130,15 @@
                 h.AttemptAnswered(at=h.now_us(), op=number, how=how, advice_ms=round(advice * 1000))
             )
             if how == "broken":
-                self._avoided_until[which] = loop.time() + AVOIDED_S
+                self._avoided_until[limiter] = loop.time() + AVOIDANCE_S
                 if category.repeat_safety is RepeatSafety.NON_IDEMPOTENT:
                     return  # it may have run
                 if category.repeat_safety is RepeatSafety.DEDUPLICATED and h.now_us() + planned.timeout_us > (
                     due_us + category.deduplication_window_us
                 ):
                     return  # its key may be forgotten before the next try ends
-            elif how == "turned back" and again:
-                again = False
+            elif how == "turned back" and may_retry:
+                may_retry = False
                 await asyncio.sleep(max(advice, DEFAULT_RETRY_DELAY_S))
             else:
                 return
@@ -146,7 +146,7 @@
 
 
 class Load:
-    """The commands: `open` makes the schedule, `play` plays it and answers at its end."""
+    """The commands: `open` creates the schedule, `play` sends it and replies when it has ended."""
 
     def __init__(self) -> None:
         self.writer: h.Writer | None = None
@@ -159,12 +159,15 @@
     ) -> dict[str, Any]:
         self.scenario = scenarios.changed(scenarios.parse(scenario, path), changes)
         self.writer = h.Writer(history)
-        where = [(host, int(port)) for host, _, port in (each.rpartition(":") for each in targets)]
-        self.clients, self.dues = Clients(where, self.scenario, self.writer), schedule(self.scenario)
-        return {"operations": len(self.dues)}
+        addresses = [(host, int(port)) for host, _, port in (each.rpartition(":") for each in targets)]
+        self.clients, self.operations = (
+            Clients(addresses, self.scenario, self.writer),
+            schedule(self.scenario),
+        )
+        return {"operations": len(self.operations)}
 
     async def do_play(self, start_us: int) -> dict[str, Any]:
-        await self.clients.play(self.dues, start_us)
+        await self.clients.play(self.operations, start_us)
         self.writer.close()
         return {"resent": self.clients.tally.resent}
 
--- a/lapisgrade/lab/fleet/process.py
+++ b/lapisgrade/lab/fleet/process.py
@@ -1,8 +1,9 @@
-"""Child processes of the test bed: started, signalled and ended by their handles, never by name.
+"""Child processes of the test bed, which are started, signalled and ended by their handles, never by name.
 
 The kernel kills each child when its parent dies (PR_SET_PDEATHSIG), so that none is left when the test bed
-itself is killed; `Supervisor` ends all of them on every other way out. A child's standard error is read here
-and kept in its log, up to `MAX_LOG_BYTES`, so that a limiter whose disk refuses writes can still report.
+itself is killed; `Supervisor` ends all of them in every other case. This process reads each child's standard
+error and writes it to the child's log, up to `MAX_LOG_BYTES`, so that a limiter whose disk refuses writes can
+still report.
 """
 
 import asyncio
@@ -18,23 +19,24 @@
 
 import msgspec
 
-MAX_LOG_BYTES = 4 << 20  # bytes of one process's standard error that are kept
-MAX_LINE_BYTES = 1 << 20  # bytes of one line of a helper's answer
-SHUTDOWN_TIMEOUT_S = 8.0  # how long a process may take to end by itself; then it is killed
-COMMAND_TIMEOUT_S = 10.0  # how long a helper may take over one command
-ROOT = Path(__file__).resolve().parents[3]  # where the package lies
+MAX_LOG_BYTES = 4 << 20  # maximum bytes of standard error kept per process
+MAX_LINE_BYTES = 1 << 20  # maximum bytes of one command or reply of a helper
+SHUTDOWN_TIMEOUT_S = 8.0  # time from SIGTERM until a process is killed
+COMMAND_TIMEOUT_S = 10.0  # default time-out of a helper's command
+ROOT = Path(__file__).resolve().parents[3]  # the directory that contains the package
 PR_SET_PDEATHSIG = 1  # from <sys/prctl.h>
 _LIBC = ctypes.CDLL(None, use_errno=True) if sys.platform == "linux" else None
 
 
 class ProcessFailedError(RuntimeError):
-    """A process did not start, or a helper did not reply; the message says which and how."""
+    """A process did not start, or a helper did not reply; the message names the process and the reason."""
 
 
 def prepare_child() -> None:
     """Prepare a child before it executes its program.
 
-    It dies with its parent, and gets no Ctrl-C of the terminal.
+    The child gets a session of its own, so that it doesn't receive the terminal's Ctrl-C, and is killed when
+    its parent dies.
     """
     os.setsid()
     if _LIBC is not None:
@@ -42,7 +44,7 @@
 
 
 class Process:
-    """One child process; signals go to this very process, and to none once it has ended."""
+    """A child process. Signals go to this process only, and are ignored once it has ended."""
 
     def __init__(
         self,
@@ -57,17 +59,17 @@
         self.args = args
         self.log = log
         self.cwd = cwd
-        # The children run the same program as this process, installed or not.
+        # The child imports the same package as this process, installed or not.
         path = os.pathsep.join(filter(None, (str(ROOT), os.environ.get("PYTHONPATH"))))
         self.env = {**os.environ, "PYTHONPATH": path, **(env or {})}
         self.child: asyncio.subprocess.Process | None = None
         self.is_paused = False
-        self._piped = piped
-        self._reading: asyncio.Task | None = None
+        self._has_pipes = piped
+        self._log_task: asyncio.Task | None = None
 
     @property
     def pid(self) -> int:
-        """The process id, 0 before the start."""
+        """The process id; 0 before the start."""
         return self.child.pid if self.child is not None else 0
 
     @property
@@ -76,8 +78,8 @@
         return self.child is not None and self.child.returncode is None
 
     async def start(self) -> "Process":
-        """Start the process, again where it has ended."""
-        pipe = asyncio.subprocess.PIPE if self._piped else asyncio.subprocess.DEVNULL
+        """Start the process, or restart it after it has ended."""
+        pipe = asyncio.subprocess.PIPE if self._has_pipes else asyncio.subprocess.DEVNULL
         self.child = await asyncio.create_subprocess_exec(
             *self.args,
             env=self.env,
@@ -89,10 +91,10 @@
             limit=MAX_LINE_BYTES,
         )
         self.is_paused = False
-        self._reading = asyncio.create_task(self._keep(self.child.stderr))
+        self._log_task = asyncio.create_task(self._copy_log(self.child.stderr))
         return self
 
-    async def _keep(self, stderr: asyncio.StreamReader) -> None:
+    async def _copy_log(self, stderr: asyncio.StreamReader) -> None:
         with open(self.log, "ab", buffering=0) as log:
             remaining = MAX_LOG_BYTES - log.tell()
             while chunk := await stderr.read(65_536):
@@ -118,12 +120,12 @@
         return self.signal(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """Kill the process at once, also a stopped one."""
+        """Kill the process immediately, also when it is paused."""
         self.signal(signal.SIGKILL)
         await self.wait()
 
     async def end(self, within_s: float = SHUTDOWN_TIMEOUT_S) -> bool:
-        """Send SIGTERM, and SIGKILL after `within_s`; return whether it ended by itself."""
+        """Send SIGTERM, then SIGKILL after `within_s`; return whether SIGTERM was enough."""
         if not self.is_running:
             return True
         if self.is_paused:
@@ -143,60 +145,62 @@
         if self.child is None:
             return 0
         code = await self.child.wait()
-        if self._reading is not None:
+        if self._log_task is not None:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1.0):
-                    await self._reading
+                    await self._log_task
         return code
 
     def refuse_writes(self, refuse: bool) -> None:
-        """Have the kernel refuse every further write to a file (RLIMIT_FSIZE), or let them through again."""
+        """Make the kernel refuse the process's writes to files (RLIMIT_FSIZE), or allow them again."""
         if self.is_running:
-            most = resource.prlimit(self.pid, resource.RLIMIT_FSIZE)[1]
-            resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (0 if refuse else most, most))
+            hard_limit = resource.prlimit(self.pid, resource.RLIMIT_FSIZE)[1]
+            resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (0 if refuse else hard_limit, hard_limit))
 
 
 class Helper(Process):
-    """A helper process of the test bed that takes commands and replies, each a JSON line."""
+    """A helper process of the test bed that reads commands and writes replies, each a JSON line."""
 
     def __init__(self, name: str, module: str, log: Path) -> None:
         super().__init__(name, [sys.executable, "-m", module], log, piped=True)
         self._command_lock = asyncio.Lock()
 
     async def request(self, within_s: float | None = COMMAND_TIMEOUT_S, **command: Any) -> dict[str, Any]:
-        """Send a command; return its reply.
+        """Send a command and return its reply.
 
         Raises:
-            ProcessFailedError: The reply is an `error`, or the helper ended or took too long.
+            ProcessFailedError: The reply is an `error`, the helper ended, or `within_s` passed.
         """
         async with self._command_lock:
             if not self.is_running:
-                raise ProcessFailedError(f"{self.name} has ended, see {self.log}")
+                raise ProcessFailedError(f"{self.name} has ended and takes no commands, see {self.log}")
             self.child.stdin.write(msgspec.json.encode(command) + b"\n")
             try:
-                # Not wait_for: until Python 3.12 it forgets a cancellation that comes with the answer.
+                # Not wait_for: before Python 3.12 it loses a cancellation that coincides with the reply.
                 async with asyncio.timeout(within_s):
                     line = await self.child.stdout.readline()
             except TimeoutError:
                 raise ProcessFailedError(
-                    f"{self.name} did not answer {command.get('do')} in {within_s:g} s"
+                    f"{self.name} did not reply to command {command.get('do')} within {within_s:g} s"
                 ) from None
             if not line:
-                raise ProcessFailedError(f"{self.name} ended over {command.get('do')}, see {self.log}")
-            answer = msgspec.json.decode(line)
-            if "error" in answer:
-                raise ProcessFailedError(f"{self.name}: {answer['error']}")
-            return answer
+                raise ProcessFailedError(
+                    f"{self.name} ended while it ran command {command.get('do')}, see {self.log}"
+                )
+            reply = msgspec.json.decode(line)
+            if "error" in reply:
+                raise ProcessFailedError(f"{self.name} failed a command: {reply['error']}")
+            return reply
 
 
 class Supervisor:
-    """Ends every process that it started when the `async with` is left, whichever way."""
+    """Kills all processes that it started when its `async with` block exits, normally or by an exception."""
 
     def __init__(self) -> None:
         self._processes: list[Process] = []
 
     async def start(self, process: Process) -> Process:
-        """Start a process, to be ended with all others."""
+        """Start a process, which is killed at the exit if it still runs."""
         if process not in self._processes:
             self._processes.append(process)
         return await process.start()
@@ -213,9 +217,9 @@
 
 
 def serve_commands(handle: Callable[[Any], Awaitable[dict[str, Any] | None]]) -> None:
-    """Serve a `Helper`: await `handle(command)` for each line of standard input, and print its reply.
+    """Run the child side of a `Helper`: handle each command of standard input and print its reply.
 
-    Ends with its input. An exception of the handler becomes the `error` of its reply.
+    Returns at the end of the input. An exception in `handle` is sent as the reply's `error`.
     """
 
     async def run() -> None:
@@ -224,27 +228,27 @@
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         while line := await reader.readline():
             try:
-                answer = await handle(msgspec.json.decode(line)) or {}
+                reply = await handle(msgspec.json.decode(line)) or {}
             except Exception as error:
-                answer = {"error": f"{type(error).__name__}: {error}"}
-            sys.stdout.buffer.write(msgspec.json.encode(answer) + b"\n")
+                reply = {"error": f"{type(error).__name__}: {error}"}
+            sys.stdout.buffer.write(msgspec.json.encode(reply) + b"\n")
             sys.stdout.buffer.flush()
 
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(run())
 
 
-# ---- the disk of a limiter: faults on its state folder
+# ---- disk faults on a limiter's state folder
 
 
 def wipe(folder: Path) -> None:
-    """Delete all files, as a loss of the disk does."""
+    """Delete all files, like a lost disk."""
     for path in sorted(folder.rglob("*"), reverse=True):
         path.rmdir() if path.is_dir() else path.unlink()
 
 
 def truncate(folder: Path) -> None:
-    """Cut the newest file in the middle, as a loss of power may."""
+    """Truncate the newest file to half its size, as a power failure may."""
     if (path := _newest(folder)) is not None:
         os.truncate(path, path.stat().st_size // 2)
 
--- a/lapisgrade/lab/fleet/recorders.py
+++ b/lapisgrade/lab/fleet/recorders.py
@@ -1,4 +1,4 @@
-"""The project's fakes of the counter and of discovery, which record their calls in the history."""
+"""Fakes of the counter and of discovery that record calls in the history."""
 
 import contextlib
 import json
@@ -19,11 +19,11 @@
         await super()._accept(reader, writer)
 
     async def _answer(self, words, half: int) -> bytes:
-        said = await super()._answer(words, half)
+        reply = await super()._answer(words, half)
         if isinstance(words, list) and len(words) == 4 and words[0] == b"INCRTTL":
             with contextlib.suppress(ValueError):
-                added = said.startswith(b"$")
-                total = float(said.split(b"\r\n")[1]) if added else 0.0
+                added = reply.startswith(b"$")
+                total = float(reply.split(b"\r\n")[1]) if added else 0.0
                 self.writer.put(
                     h.CounterCalled(
                         at=h.now_us(),
@@ -33,13 +33,13 @@
                         added=added,
                     )
                 )
-        return said
+        return reply
 
 
 class RecordingDiscovery(Discovery):
-    """One limiter's discovery agent, which records each server state that the limiter learns.
+    """The discovery agent of a limiter, which records each server state that it returns to the limiter.
 
-    Its servers have the addresses by which this limiter reaches them.
+    It lists the servers with the addresses at which this limiter reaches them.
     """
 
     def __init__(self, writer: h.Writer, limiter: int) -> None:
@@ -59,12 +59,12 @@
                 name, state = row["instanceId"], row["lifecycle"]
                 if self._last_notified.get(name) != state:
                     self._last_notified[name] = state
-                    told = h.ServerStateNotified(
+                    event = h.ServerStateNotified(
                         at=h.now_us(), limiter=self.limiter, server=name, state=state
                     )
-                    self.writer.put(told)
+                    self.writer.put(event)
         return reply
 
     def forget_notified(self) -> None:
-        """Forget what the limiter has learned, as a new process of it knows nothing."""
+        """Forget the states returned so far, since a restarted limiter has learned none."""
         self._last_notified.clear()
--- a/lapisgrade/lab/fleet/report.py
+++ b/lapisgrade/lab/fleet/report.py
@@ -1,4 +1,4 @@
-"""Findings of plays as lines, as a table over seeds, and as one HTML page with its plots inside."""
+"""Reports of findings: text lines, a table over seeds, and an HTML page with embedded plots."""
 
 import base64
 import html
@@ -29,14 +29,14 @@
 
 
 class FindingsError(ValueError):
-    """A file that holds no findings."""
+    """A findings file is missing or malformed; the message names the file and the reason."""
 
 
 def load(path: str) -> Findings:
     try:
         return msgspec.json.decode(Path(path).read_bytes(), type=Findings)
-    except (OSError, msgspec.MsgspecError) as wrong:
-        raise FindingsError(f"{path}: {wrong}") from None
+    except (OSError, msgspec.MsgspecError) as error:
+        raise FindingsError(f"{path}: {error}") from None
 
 
 def save(found: Findings, path: Path) -> None:
@@ -44,17 +44,19 @@
 
 
 def figures(found: Findings) -> dict[str, float]:
-    """The figures of one play that are compared. Over and short are of plans without a ceiling where there
-    are such (a ceiling holds its plan back by itself); `back in s` is the longest, infinite where never."""
+    """Return the figures by which runs are compared.
+
+    `back in s` is the longest time to full service after a fault, infinite if a run never reached it.
+    """
     plans = [each for each in found.quotas.values()]
     over = [max(0.0, each) for each in found.over.values()]
-    back = [each.full_service_s for each in found.faults]
+    recovery_times_s = [each.full_service_s for each in found.faults]
     return {
         **{name: float(found.ends[name]) for name in ENDS},
         "over, worst": max(over, default=0.0),
         "over, mean": max((each["over_mean"] for each in plans), default=0.0),
         "short, share": max((each["short_share"] for each in plans), default=0.0),
-        "back in s": max((float("inf") if each is None else each for each in back), default=0.0),
+        "back in s": max((float("inf") if each is None else each for each in recovery_times_s), default=0.0),
         "stampede": max(found.stampede.values(), default=0.0),
         "stale s": found.staleness_s,
         "rules broken": float(found.broken),
@@ -62,53 +64,53 @@
 
 
 def lines(found: Findings) -> list[str]:
-    """One play for a person."""
+    """Return the findings of a run as text lines."""
     ends = ", ".join(f"{name} {found.ends[name]}" for name in ENDS)
-    said = [f"{found.name} (seed {found.seed}, {found.limiters} limiters, {found.seconds:g} s): {ends}"]
+    text_lines = [f"{found.name} (seed {found.seed}, {found.limiters} limiters, {found.seconds:g} s): {ends}"]
     if found.exempt:
-        said.append(f"of these, {found.exempt} were held by limiters that were killed or stopped")
+        text_lines.append(f"of these, {found.exempt} were in flight in limiters that were killed or paused")
     for plan, each in found.quotas.items():
-        said.append(
+        text_lines.append(
             f"plan {plan}: over any window, worst {each['over_worst']:.1f} units, mean "
             f"{each['over_mean']:.1f}; beyond {each['beyond_share']:.3f}, short {each['short_share']:.3f} "
             "of rate x time"
         )
     for fault in found.faults:
-        full = "not within the play" if fault.full_service_s is None else f"{fault.full_service_s:.1f} s"
-        said.append(
-            f"fault {fault.what} {fault.target} at {fault.began_s:.1f} s, over at {fault.ended_s:.1f} s; "
-            f"full service after {full}"
+        recovery = "not within the run" if fault.full_service_s is None else f"{fault.full_service_s:.1f} s"
+        text_lines.append(
+            f"fault {fault.what} {fault.target} from {fault.began_s:.1f} s to {fault.ended_s:.1f} s; "
+            f"time to full service: {recovery}"
         )
     if found.stampede:
-        rushes = ", ".join(f"{name} {found.stampede[name]:.1f}" for name in CALLS)
-        said.append(f"highest 100 ms over the mean before: {rushes}; stale for {found.staleness_s:.1f} s")
+        peaks = ", ".join(f"{name} {found.stampede[name]:.1f}" for name in CALLS)
+        text_lines.append(f"peak 100 ms over the mean before: {peaks}; stale for {found.staleness_s:.1f} s")
     for breach in found.breaches[:10]:
-        name = f"RULE {breach.rule} BROKEN" if breach.rule else "BOUND PASSED"
-        said.append(f"{name} at {breach.at_s:.2f} s: {breach.what} {breach.op}")
+        name = f"RULE {breach.rule} BROKEN" if breach.rule else "BOUND EXCEEDED"
+        text_lines.append(f"{name} at {breach.at_s:.2f} s: {breach.what} {breach.op}")
     if found.broken > 10:
-        said.append(f"and {found.broken - 10} more")
+        text_lines.append(f"and {found.broken - 10} more")
     if found.ok:
-        said.append("no rule broken, no stated bound passed")
-    return said
+        text_lines.append("no rule broken, no stated bound exceeded")
+    return text_lines
 
 
-def table(plays: list[Findings]) -> str:
-    """Markdown: a row of medians and one of the worst for each name, over its seeds."""
+def table(runs: list[Findings]) -> str:
+    """Return a Markdown table with the medians and the worst figures of each name over its seeds."""
     rows = ["| play | seeds | | " + " | ".join(COLUMNS) + " |", "|---" * (len(COLUMNS) + 3) + "|"]
-    for name in dict.fromkeys(each.name for each in plays):
-        mine = [figures(each) for each in plays if each.name == name]
-        for label, pick in (("median", statistics.median), ("worst", max)):
+    for name in dict.fromkeys(each.name for each in runs):
+        run_figures = [figures(each) for each in runs if each.name == name]
+        for label, select in (("median", statistics.median), ("worst", max)):
             cells = []
             for column in COLUMNS:
-                values = [each[column] for each in mine]
-                value = min(values) if label == "worst" and column == "finished" else pick(values)
+                values = [each[column] for each in run_figures]
+                value = min(values) if label == "worst" and column == "finished" else select(values)
                 cells.append("never" if value == float("inf") else f"{value:.3f}".rstrip("0").rstrip("."))
-            rows.append(f"| {name} | {len(mine)} | {label} | " + " | ".join(cells) + " |")
+            rows.append(f"| {name} | {len(run_figures)} | {label} | " + " | ".join(cells) + " |")
     return "\n".join(rows)
 
 
 def draw(found: Findings) -> bytes:
-    """A PNG: goodput, calls by kind, and units over by customer."""
+    """Return a PNG with goodput, calls by kind, and units over by customer."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -146,20 +148,20 @@
     return out.getvalue()
 
 
-def page(plays: list[Findings]) -> str:
-    """One self-contained HTML page of all plays."""
+def page(runs: list[Findings]) -> str:
+    """Return a self-contained HTML page of all runs."""
     parts = []
-    for found in plays:
+    for found in runs:
         picture = base64.b64encode(draw(found)).decode()
-        said = "".join(f"<li>{html.escape(line)}</li>" for line in lines(found))
+        text_lines = "".join(f"<li>{html.escape(line)}</li>" for line in lines(found))
         share = "".join(f"<td>{found.share[i]}</td>" for i in sorted(found.share))
         parts.append(
-            f"<h2>{html.escape(found.name)}, seed {found.seed}</h2><ul>{said}</ul>"
-            f"<table><tr><th>tries by limiter</th>{share}</tr></table>"
+            f"<h2>{html.escape(found.name)}, seed {found.seed}</h2><ul>{text_lines}</ul>"
+            f"<table><tr><th>attempts by limiter</th>{share}</tr></table>"
             f"<img alt='goodput, calls and units over' src='data:image/png;base64,{picture}'>"
         )
     return (
         "<!doctype html><meta charset='utf-8'><title>lapisgrade fleet report</title>"
         "<style>body{font-family:sans-serif;margin:2em}td,th{padding:.2em .6em}</style>"
-        f"<h1>Plays with real processes</h1><pre>{html.escape(table(plays))}</pre>{''.join(parts)}"
+        f"<h1>Runs with real processes</h1><pre>{html.escape(table(runs))}</pre>{''.join(parts)}"
     )
--- a/lapisgrade/lab/fleet/servers.py
+++ b/lapisgrade/lab/fleet/servers.py
@@ -1,9 +1,7 @@
-"""The servers of a run, in a process of their own: `python -m lapisgrade.lab.fleet.servers`.
+"""The servers of a run: a process (`python -m lapisgrade.lab.fleet.servers`) controlled by commands.
 
-The test bed controls it by commands.
-
-The first command is `open`; then `mode`, `kill`, `restart` and `drain` name servers by their numbers. Each
-hop that reaches a server is written to the history, with whether it was taken to be run.
+The first command is `open`; `mode`, `kill`, `restart` and `drain` then name servers by their numbers. Each
+request that reaches a server is recorded in the history, with whether the server accepted it for execution.
 """
 
 from typing import Any
@@ -30,11 +28,11 @@
 
 
 class Servers:
-    """All servers of the run, and the commands that change them."""
+    """All servers of the run, and the commands that control them."""
 
     def __init__(self) -> None:
         self.all: list[RecordingServer] = []
-        self.usual: servers.ServerBehavior = servers.ServerBehavior()
+        self.default_behavior: servers.ServerBehavior = servers.ServerBehavior()
         self.writer: h.Writer | None = None
 
     async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
@@ -42,7 +40,7 @@
 
     async def do_open(self, history: str, count: int, seed: int, knobs: dict[str, Any]) -> dict[str, Any]:
         self.writer = h.Writer(history)
-        self.usual = servers.ServerBehavior(**knobs)
+        self.default_behavior = servers.ServerBehavior(**knobs)
         for i in range(count):
             server = RecordingServer(f"s{i}", servers.ServerBehavior(**knobs), seed * 1_000_003 + i)
             server.writer = self.writer
@@ -50,11 +48,13 @@
         return {"addresses": [each.address for each in self.all]}
 
     async def do_mode(self, which: list[int], mode: str, factor: float = 1.0) -> dict[str, Any]:
-        """`well`, `slow` (times `factor`), `failing` (a share `factor`), `fast_errors`, `silent`."""
+        """Set the mode: `well`, `slow` (by `factor`), `failing` (share `factor`), `fast_errors`, `silent`."""
         for i in which:
-            knobs, usual = self.all[i].behavior, self.usual
+            knobs, default_behavior = self.all[i].behavior, self.default_behavior
             knobs.silent = mode == "silent"
-            knobs.median_s = {"slow": usual.median_s * factor, "fast_errors": 0.0}.get(mode, usual.median_s)
+            knobs.median_s = {"slow": default_behavior.median_s * factor, "fast_errors": 0.0}.get(
+                mode, default_behavior.median_s
+            )
             knobs.error_share = {"failing": factor, "fast_errors": 1.0}.get(mode, 0.0)
         return {}
 
@@ -69,7 +69,7 @@
         return {}
 
     async def do_restart(self, which: list[int]) -> dict[str, Any]:
-        """Start new processes at the same addresses, warming up and with empty queues."""
+        """Restart servers at the same addresses, in slow start and with empty queues."""
         for i in which:
             if self.all[i].is_running:
                 await self.all[i].kill()
--- a/lapisgrade/lab/fleet/test_bed.py
+++ b/lapisgrade/lab/fleet/test_bed.py
@@ -1,10 +1,10 @@
-"""A test bed: one run of a scenario with real processes and faults, and a history of what happened.
+"""A test bed that runs a scenario with real processes and faults, and records a history.
 
     paths = await run(scenario, text, path, folder)
 
-`folder` then holds the history's files (`*.jsonl`), and for each limiter its configuration, its state folder
-(its "disk") and its log. The counter and one discovery agent a limiter are the project's stand-ins, in this
-process; so are the relays, which are on those kinds of link only that a fault of the scenario concerns.
+Afterwards `folder` contains the history's files (`*.jsonl`), and each limiter's configuration, state folder
+(its "disk") and log. The counter and the discovery agents (one per limiter) are the project's fakes and run
+in this process, as do the relays. Only links of the kinds that a fault of the scenario affects have relays.
 """
 
 import asyncio
@@ -27,11 +27,11 @@
 from lapisgrade.lab.fleet.relay import TcpRelay, UdpRelay
 
 LIMITER = (sys.executable, "-m", "lapisgrade")
-SETTLE_S = 0.7  # after the last limiter is up, before the load begins
+SETTLE_S = 0.7  # delay between the last limiter's start and the load
 
 
 class TestBed(FaultInjector):
-    """All processes of one run, the stand-ins, the relays between them, and the history's writer."""
+    """All processes of a run, the fakes, the relays between them, and the history's writer."""
 
     def __init__(self, scenario: Scenario, folder: Path, command: tuple[str, ...] = LIMITER) -> None:
         self.scenario = scenario
@@ -54,11 +54,11 @@
         self.addresses: list[str] = []
         self.pending_changes: list[tuple[str, int]] | None = None  # server states that discovery delays
         self._started_s = 0.0
-        self._fault_task: asyncio.Task | None = None  # the faults, each at its time
+        self._fault_task: asyncio.Task | None = None  # injects the faults
         self._running_faults: list[asyncio.Task] = []
 
     async def run(self, text: str, path: str, changes: dict[str, Any]) -> list[Path]:
-        """Run the scenario of that `text`, read at `path`, with `changes`; return the history's files."""
+        """Run the scenario `text`, read from `path`, with `changes`; return the history's files."""
         async with self.supervisor:
             try:
                 await self._open()
@@ -85,7 +85,7 @@
         )
 
     async def _run_load_and_faults(self) -> None:
-        """Run the clients' load, with each fault at its time, until the load is over."""
+        """Run the clients' load and inject the faults until the load has ended."""
         scenario = self.scenario
         start_us = h.now_us()
         self._started_s = start_us / h.SECOND
@@ -97,7 +97,7 @@
         self._fault_task.cancel()
         (outcome,) = await asyncio.gather(self._fault_task, return_exceptions=True)
         if isinstance(outcome, Exception):
-            raise outcome  # a fault could not be injected: the run shows nothing
+            raise outcome  # a fault could not be injected, so the run is invalid
 
     def _record_start(self, start_us: int) -> None:
         scenario = self.scenario
@@ -115,7 +115,7 @@
         )
 
     async def _release(self) -> None:
-        """Close everything; nobody writes to the history after (guards Ctrl-C in the midst of a fault)."""
+        """Close everything. Fault tasks end before the history closes, also after Ctrl-C during a fault."""
         tasks = [task for task in (self._fault_task, *self._running_faults) if task is not None]
         for task in tasks:
             task.cancel()
@@ -137,7 +137,7 @@
         await asyncio.gather(*(each.start() for each in self.limiters))
 
     async def _open_servers(self) -> list[str]:
-        """Have the servers' process open them; return their addresses."""
+        """Start the servers in their process; return their addresses."""
         scenario = self.scenario
         server = scenario.server
         reply = await self.servers.request(
@@ -157,14 +157,14 @@
         return reply["addresses"]
 
     async def _open_limiter(self, index: int, relayed: set[str]) -> None:
-        """Create a limiter with its discovery agent, and relays on the links of the kinds in `relayed`."""
+        """Create a limiter, its discovery agent, and relays on its links of the kinds in `relayed`."""
         limiter = Limiter(self, index)
         self.limiters.append(limiter)
         await limiter.agent.open()
-        limiter.counter_at = self.counter.address
+        limiter.counter_address = self.counter.address
         if "counter" in relayed:
             relay = await self._add_relay(limiter, "counter", self.counter.address, 0)
-            limiter.counter_at = relay.address
+            limiter.counter_address = relay.address
         if "discovery" in relayed:
             await self._add_relay(limiter, "discovery", limiter.agent.address, 0)
         if self.scenario.peers:
@@ -177,7 +177,7 @@
             limiter.agent.put(ServerEntry(f"s{number}", address, zone, cell=number % 4))
 
     def _relayed_links(self) -> set[str]:
-        """Return the kinds of link that some fault of the scenario concerns."""
+        """Return the kinds of link that a fault of the scenario affects."""
         relayed: set[str] = set()
         for fault in self.scenario.faults:
             if fault.kind == "partition":
@@ -205,7 +205,7 @@
             limiter.reached_at = relay.address
 
     async def _close(self, within_s: float) -> None:
-        """End the limiters gracefully, then the helpers."""
+        """Shut down the limiters gracefully, then the helpers."""
         for each in self.limiters:
             if each.process.is_paused:
                 each.process.resume()
--- a/tests/lab/fleet/test_checker.py
+++ b/tests/lab/fleet/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker on histories that break each thing it checks, and on ones that only look like it."""
+"""The checker on histories that violate each rule, and on correct ones that resemble a violation."""
 
 import pytest
 
@@ -17,8 +17,8 @@
 )
 
 
-def begin(**more):
-    return h.RunStarted(at=S, name="t", seed=1, limiters=2, seconds=10, settings=SETTINGS, **more)
+def run_started(**run_fields):
+    return h.RunStarted(at=S, name="t", seed=1, limiters=2, seconds=10, settings=SETTINGS, **run_fields)
 
 
 def sent(op="a", at=2.0, category="read", units=1, limiter=0, origin=None, plan="basic", customer="c"):
@@ -41,7 +41,7 @@
     return h.AttemptAnswered(at=round(at * S), op=op, how=how)
 
 
-def came(op="a", at=2.05, server="s0", ran=True):
+def received(op="a", at=2.05, server="s0", ran=True):
     return h.RequestReceived(at=round(at * S), op=op, server=server, ran=ran)
 
 
@@ -53,51 +53,51 @@
     return h.ServerStateNotified(at=round(at * S), limiter=limiter, server=server, state=state)
 
 
-def found(*events, **more):
-    every = [begin(**more), *events, h.RunEnded(at=11 * S)]
-    return checker.check(sorted(every, key=lambda event: event.at))
+def check(*events, **run_fields):
+    history = [run_started(**run_fields), *events, h.RunEnded(at=11 * S)]
+    return checker.check(sorted(history, key=lambda event: event.at))
 
 
-def rules(*events, **more):
-    return [each.rule for each in found(*events, **more).breaches]
+def broken_rules(*events, **run_fields):
+    return [each.rule for each in check(*events, **run_fields).breaches]
 
 
 def test_a_correct_history_has_no_violation_and_counts_each_outcome_once():
-    got = found(
+    findings = check(
         sent(),
-        came(),
+        received(),
         answered(),
         sent("b", 3),
         answered("b", 3.1, "turned back"),
         sent("c", 4, "flash"),
-        came("c", 4.1),
+        received("c", 4.1),
         answered("c", 4.2, "given up"),
     )
-    assert got.ok
-    assert not got.breaches
-    assert got.ends == {"finished": 1, "turned back": 1, "given up": 1, "broken": 0, "none": 0}
-    assert got.share == {0: 3}
+    assert findings.ok
+    assert not findings.breaches
+    assert findings.ends == {"finished": 1, "turned back": 1, "given up": 1, "broken": 0, "none": 0}
+    assert findings.share == {0: 3}
 
 
 @pytest.mark.parametrize(
     ("rule", "events"),
     [
-        (1, [sent(), came()]),  # no answer at all
-        (1, [sent(), came(), answered(how="none")]),
-        (1, [sent(), came(), answered(how="broken")]),
-        (1, [sent(), came(), answered(), answered(at=2.2)]),  # two answers
-        (1, [sent(), came(), answered(), came(at=3.5, server="s1")]),  # sent after its answer
-        (1, [came("nobody's", 5.0)]),  # sent without having been taken
-        (2, [sent(category="flash"), came(), came(server="s1"), answered()]),
-        (2, [sent(category="flash"), came(), answered(how="turned back")]),
+        (1, [sent(), received()]),  # no answer at all
+        (1, [sent(), received(), answered(how="none")]),
+        (1, [sent(), received(), answered(how="broken")]),
+        (1, [sent(), received(), answered(), answered(at=2.2)]),  # two answers
+        (1, [sent(), received(), answered(), received(at=3.5, server="s1")]),  # forwarded after its answer
+        (1, [received("nobody's", 5.0)]),  # forwarded, but no client sent it
+        (2, [sent(category="flash"), received(), received(server="s1"), answered()]),
+        (2, [sent(category="flash"), received(), answered(how="turned back")]),
         (
             2,
             [
                 sent(category="flash"),
-                came(),
+                received(),
                 answered(how="turned back"),
                 sent("b", 3, "flash", origin="a"),
-                came("b", 3.1),
+                received("b", 3.1),
                 answered("b", 3.2),
             ],
         ),
@@ -105,11 +105,11 @@
             2,
             [
                 sent(category="ticket"),
-                came(),
+                received(),
                 answered(how="broken"),
                 limiter_event("killed", 2.01),
                 sent("b", 9, "ticket", origin="a"),
-                came("b", 9.1),
+                received("b", 9.1),
                 answered("b", 9.2),
             ],
         ),
@@ -118,7 +118,7 @@
             [
                 notified("terminating", 2),
                 sent(at=4),
-                came(at=4.1, ran=False),
+                received(at=4.1, ran=False),
                 answered(at=4.2, how="given up"),
             ],
         ),
@@ -128,7 +128,7 @@
                 notified("terminating", 2),
                 notified("terminated", 4),
                 sent(at=4),
-                came(at=4.1),
+                received(at=4.1),
                 answered(at=4.2),
             ],
         ),
@@ -139,7 +139,7 @@
                 for i in range(29)
                 for event in (
                     sent(f"{i}", 2 + i / 1000, plan="pro"),
-                    came(f"{i}", 2 + i / 1000),
+                    received(f"{i}", 2 + i / 1000),
                     answered(f"{i}", 2.1),
                 )
             ],
@@ -147,9 +147,9 @@
     ],
 )
 def test_each_violation_is_detected(rule, events):
-    broken = rules(*events)
-    assert rule in broken
-    assert set(broken) <= {rule, 1, 2}
+    detected = broken_rules(*events)
+    assert rule in detected
+    assert set(detected) <= {rule, 1, 2}
 
 
 @pytest.mark.parametrize(
@@ -157,13 +157,13 @@
     [
         [
             sent(),
-            came(),
+            received(),
             limiter_event("killed", 2.02),
             answered(how="broken"),
-        ],  # a limiter that died owes nothing
+        ],  # a killed limiter is excused
         [
             sent(),
-            came(),
+            received(),
             limiter_event("paused", 2.02),
             limiter_event("resumed", 4.9),
             answered(at=3.6, how="none"),
@@ -173,20 +173,36 @@
             sent(),
             limiter_event("resumed", 4.9),
             answered(at=3.6, how="none"),
-            came(at=5),
+            received(at=5),
+        ],
+        [
+            sent(category="ticket"),
+            received(),
+            received(server="s1"),
+            answered(),
+        ],  # servers drop the duplicate
+        [sent(), received(), received(server="s1"), answered()],  # idempotent: may run again
+        [
+            sent(category="flash"),
+            received(ran=False),
+            received(server="s1"),
+            answered(),
+        ],  # the first was rejected
+        [sent(category="flash"), received(ran=False), answered(how="turned back")],
+        [notified("terminating", 2), sent(at=2.2), received(at=2.24), answered(at=2.3)],  # within the grace
+        [
+            notified("terminating", 2),
+            notified("in_service", 3),
+            sent(at=4),
+            received(at=4.1),
+            answered(at=4.2),
         ],
-        [sent(category="ticket"), came(), came(server="s1"), answered()],  # servers drop its repeat
-        [sent(), came(), came(server="s1"), answered()],  # may run again
-        [sent(category="flash"), came(ran=False), came(server="s1"), answered()],  # the first was turned away
-        [sent(category="flash"), came(ran=False), answered(how="turned back")],
-        [notified("terminating", 2), sent(at=2.2), came(at=2.24), answered(at=2.3)],  # within the grace
-        [notified("terminating", 2), notified("in_service", 3), sent(at=4), came(at=4.1), answered(at=4.2)],
         [
             notified("terminating", 2),
             limiter_event("killed", 3),
             limiter_event("up", 3.5),
             sent(at=4),
-            came(at=4.1),
+            received(at=4.1),
             answered(at=4.2),
         ],
         [
@@ -194,82 +210,82 @@
             for i in range(28)
             for event in (
                 sent(f"{i}", 2 + i / 1000, plan="pro"),
-                came(f"{i}", 2 + i / 1000),
+                received(f"{i}", 2 + i / 1000),
                 answered(f"{i}", 2.1),
             )
         ],
     ],
 )
-def test_what_only_resembles_a_violation_is_none(events):
-    assert rules(*events) == []
+def test_a_history_that_resembles_a_violation_has_none(events):
+    assert broken_rules(*events) == []
 
 
-def test_the_worst_window_of_any_customer_is_checked_against_the_bound():
+def test_units_over_in_the_worst_window_of_a_customer_are_checked_against_the_stated_bound():
     events = [
-        event for i in range(30) for event in (sent(f"{i}", 2), came(f"{i}", 2.01), answered(f"{i}", 2.1))
+        event for i in range(30) for event in (sent(f"{i}", 2), received(f"{i}", 2.01), answered(f"{i}", 2.1))
     ]
-    got = found(*events)
-    assert got.over["c"] == pytest.approx(10)
-    assert got.ok
-    assert got.quotas["basic"]["over_worst"] == pytest.approx(10)
-    assert rules(*events, over_bound=10.5) == []
-    assert rules(*events, over_bound=9.5) == [0]
+    findings = check(*events)
+    assert findings.over["c"] == pytest.approx(10)
+    assert findings.ok
+    assert findings.quotas["basic"]["over_worst"] == pytest.approx(10)
+    assert broken_rules(*events, over_bound=10.5) == []
+    assert broken_rules(*events, over_bound=9.5) == [0]
 
 
-def steady(until=11.0, but=lambda at: True):
+def steady_load(until_s=11.0, is_sent=lambda at: True):
     events, number = [], 0
     at = 1.05
-    while at < until:
-        if but(at):
+    while at < until_s:
+        if is_sent(at):
             number += 1
             events += [
                 sent(f"{number}", at, customer=f"{number % 7}"),
-                came(f"{number}", at + 0.01),
+                received(f"{number}", at + 0.01),
                 answered(f"{number}", at + 0.02),
             ]
         at += 0.1
     return events
 
 
-def test_recovery_time_is_measured_from_the_end_of_the_fault():
+def test_recovery_time_counts_from_the_end_of_the_fault_and_is_none_if_not_reached():
     fault = [h.FaultChanged(at=at * S, what="k", target="all", on=at == 4) for at in (4, 5)]
-    got = found(*steady(but=lambda at: not 4 < at < 6.5), *fault)
-    assert got.faults[0].began_s == 3
-    assert got.faults[0].ended_s == 4
-    assert got.faults[0].full_service_s == pytest.approx(1.5, abs=0.15)
-    assert found(*steady(until=4.0), *fault).faults[0].full_service_s is None
-    assert found(*steady(), *fault).faults[0].full_service_s == 0
+    findings = check(*steady_load(is_sent=lambda at: not 4 < at < 6.5), *fault)
+    assert findings.faults[0].began_s == 3
+    assert findings.faults[0].ended_s == 4
+    assert findings.faults[0].full_service_s == pytest.approx(1.5, abs=0.15)
+    assert check(*steady_load(until_s=4.0), *fault).faults[0].full_service_s is None
+    assert check(*steady_load(), *fault).faults[0].full_service_s == 0
 
 
-def test_a_stampede_is_the_peak_after_the_fault_over_the_mean_before():
+def test_the_stampede_figure_is_the_peak_after_the_fault_relative_to_the_mean_before():
     calls = [h.CounterCalled(at=round((1 + i / 10) * S), name="n", amount=1, total=1) for i in range(100)]
-    rush = [h.CounterCalled(at=6 * S + 10 + i, name="n", amount=1, total=1) for i in range(19)]
-    got = found(*calls, *rush, h.FaultChanged(at=5 * S, what="k", target="all", on=True))
-    assert got.stampede["counter"] == pytest.approx(20, rel=0.1)
+    burst = [h.CounterCalled(at=6 * S + 10 + i, name="n", amount=1, total=1) for i in range(19)]
+    findings = check(*calls, *burst, h.FaultChanged(at=5 * S, what="k", target="all", on=True))
+    assert findings.stampede["counter"] == pytest.approx(20, rel=0.1)
 
 
-def test_staleness_is_how_long_a_departed_server_still_got_attempts():
-    got = found(
+def test_staleness_is_the_time_from_a_servers_departure_to_its_last_request():
+    findings = check(
         h.ServerStateChanged(at=2 * S, server="s0", state="terminating"),
         sent(at=2.4),
-        came(at=2.5),
+        received(at=2.5),
         answered(at=2.6),
         h.ServerStateChanged(at=3 * S, server="s0", state="in_service"),
         sent("b", 4),
-        came("b", 4.1),
+        received("b", 4.1),
         answered("b", 4.2),
     )
-    assert got.staleness_s == pytest.approx(0.5)
+    assert findings.staleness_s == pytest.approx(0.5)
 
 
-def test_a_history_is_read_in_order_and_a_malformed_line_is_named(tmp_path):
+def test_histories_are_merged_by_time_and_a_malformed_line_is_reported_with_its_number(tmp_path):
     one, two = tmp_path / "one.jsonl", tmp_path / "two.jsonl"
     with h.Writer(one) as writer:
-        for event in (begin(), answered(), sent()):  # written a little out of order
+        for event in (run_started(), answered(), sent()):  # written a little out of order
             writer.put(event)
     with h.Writer(two) as writer:
-        writer.put(came())
-    two.write_bytes(two.read_bytes() + b'{"kind":"came","at":1')  # its writer was killed
+        writer.put(received())
+    two.write_bytes(two.read_bytes() + b'{"kind":"came","at":1')  # a line cut short, as by a killed writer
     assert [type(each) for each in h.merged([one, two])] == [
         h.RunStarted,
         h.AttemptSent,
@@ -281,15 +297,17 @@
         list(h.read(one))
 
 
-def test_findings_are_stored_and_shown(tmp_path):
-    got = found(*steady(), sent("late", 5), h.FaultChanged(at=4 * S, what="link_cut", target="0", on=True))
-    report.save(got, tmp_path / "findings.json")
-    assert report.load(str(tmp_path / "findings.json")) == got
-    text = "\n".join(report.lines(got))
+def test_findings_are_saved_loaded_and_reported(tmp_path):
+    findings = check(
+        *steady_load(), sent("late", 5), h.FaultChanged(at=4 * S, what="link_cut", target="0", on=True)
+    )
+    report.save(findings, tmp_path / "findings.json")
+    assert report.load(str(tmp_path / "findings.json")) == findings
+    text = "\n".join(report.lines(findings))
     assert "RULE 1 BROKEN" in text
     assert "link_cut 0" in text
-    assert "| t | 2 | worst |" in report.table([got, got])
-    page = report.page([got])
+    assert "| t | 2 | worst |" in report.table([findings, findings])
+    page = report.page([findings])
     assert "data:image/png;base64," in page
     assert "RULE 1 BROKEN" in page
     (tmp_path / "findings.json").write_text("{")
--- a/tests/lab/fleet/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -1,7 +1,7 @@
-"""Several limiters, as processes and emulated, whose counter is lost, cut off, emptied, split or lies.
+"""Several limiters, real and emulated, whose counter is lost, cut off, emptied, split or returns wrong sums.
 
-Units over a quota, over any window, are held to the bound of docs/design/counter-loss.md; a hard ceiling is
-never passed by more than its slack, whatever the counter does (the checker's rule 5, the emulator's too).
+Units over a quota in any window stay within the bound of docs/design/counter-loss.md. A rate limit is never
+exceeded by more than its slack, whatever the counter does (rule 5 of the checker and of the emulator).
 """
 
 import asyncio
@@ -47,9 +47,10 @@
 ceiling_burst = 100
 ceiling_slack = 10
 """
-ASKED = 45  # units a second that each customer asks for: more than either plan allows
-UNITS = 2
-LOOK_S, ANSWER_S = 1.0, 0.05  # the longest between two looks that the plays here come to; the calls' time-out
+REQUESTED_UNITS_PER_S = 45  # by each customer: more than either plan allows
+MAX_UNITS = 2  # per operation
+# Maximum interval between a limiter's calls of the counter in these runs, and the time-out of a call.
+MAX_CALL_INTERVAL_S, CALL_TIMEOUT_S = 1.0, 0.05
 
 
 def fault(at_s: float, kind: str, for_s: float = 0.0, target: str = "all") -> str:
@@ -59,62 +60,62 @@
 def text(
     *faults: str, seconds: float, limiters: int, customers: int = 6, spread: int = 0, seed: int = 3
 ) -> str:
-    made = BASE.format(
+    scenario_text = BASE.format(
         seconds=seconds,
         limiters=limiters,
         customers=customers,
         spread=spread or limiters,
         servers=max(4, limiters // 5),
-        rate=customers * ASKED / 1.5,
+        rate=customers * REQUESTED_UNITS_PER_S / 1.5,
         seed=seed,
     )
-    return made + "".join(faults)
+    return scenario_text + "".join(faults)
 
 
 def bound(rate: float, burst: float, limiters: int) -> Bound:
-    return Bound(rate, burst, limiters, UNITS, LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US / 1e6)
+    return Bound(rate, burst, limiters, MAX_UNITS, LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US / 1e6)
 
 
-def most(case: str, seconds: float, limiters: int, lasts: float) -> dict[str, float]:
-    """The stated bound of each plan, for a case that lasts so long."""
-    made = {}
+def stated_bounds(case: str, seconds: float, limiters: int, duration_s: float) -> dict[str, float]:
+    """Return the stated bound of each plan for a fault that lasts `duration_s`."""
+    bounds = {}
     for plan, rate, burst in (("basic", 20, 40), ("pro", 40, 80)):
         each = bound(rate, burst, limiters)
-        made[plan] = (
-            each.healthy(seconds, LOOK_S, ANSWER_S)
+        bounds[plan] = (
+            each.healthy(seconds, MAX_CALL_INTERVAL_S, CALL_TIMEOUT_S)
             + {
-                "lost": each.cut_off(limiters, lasts),
-                "half": each.cut_off(limiters // 2, lasts),
+                "lost": each.cut_off(limiters, duration_s),
+                "half": each.cut_off(limiters // 2, duration_s),
                 "emptied": each.emptied(2),
-                "split": each.split(2, lasts),
-                "lies": each.cut_off(limiters, lasts),
+                "split": each.split(2, duration_s),
+                "lies": each.cut_off(limiters, duration_s),
             }[case]
         )
-    return made
+    return bounds
 
 
-PLAYS = {
-    "lost": (fault(1, "surge", 3) + "factor = 2\n", fault(2, "counter_lost", 2)),  # at the peak of a surge
+FAULTS = {
+    "lost": (fault(1, "surge", 3) + "factor = 2\n", fault(2, "counter_lost", 2)),  # during a surge
     "half": (fault(2, "counter_cut", 2, "0-1"),),
     "emptied": (fault(2, "counter_swap"), fault(3, "counter_restart")),
-    # a limiter restarts in the midst of it
+    # a limiter restarts during the split
     "split": (fault(1.5, "counter_split", 2.5), fault(2, "limiter_kill", 0.3, "0")),
     "lies": (fault(1.5, "counter_stale", 1), fault(3, "counter_spoilt", 1)),
 }
-LASTS = {"lost": 2, "half": 2, "emptied": 0, "split": 2.5, "lies": 3.5}
+DURATIONS_S = {"lost": 2, "half": 2, "emptied": 0, "split": 2.5, "lies": 3.5}
 
 
-@pytest.mark.parametrize("case", list(PLAYS))
+@pytest.mark.parametrize("case", list(FAULTS))
 def test_processes_keep_the_bound_and_every_rate_limit(case, tmp_path):
-    scenario_text = text(*PLAYS[case], seconds=5.5, limiters=4)
+    scenario_text = text(*FAULTS[case], seconds=5.5, limiters=4)
     parsed = scenario.parse(scenario_text, "loss.toml")
     files = asyncio.run(test_bed.run(parsed, scenario_text, "loss.toml", tmp_path))
-    got = checker.check(history.merged(files))
-    assert got.ok, got.breaches[:5]
-    assert got.ends["finished"] > 200
-    assert set(got.quotas) == {"basic", "pro"}
-    for plan, worst in most(case, 5.5, 4, LASTS[case]).items():
-        assert got.quotas[plan]["over_worst"] <= worst, (plan, worst, got.quotas[plan])
+    findings = checker.check(history.merged(files))
+    assert findings.ok, findings.breaches[:5]
+    assert findings.ends["finished"] > 200
+    assert set(findings.quotas) == {"basic", "pro"}
+    for plan, worst in stated_bounds(case, 5.5, 4, DURATIONS_S[case]).items():
+        assert findings.quotas[plan]["over_worst"] <= worst, (plan, worst, findings.quotas[plan])
 
 
 @pytest.mark.parametrize("case", ["lost", "half", "emptied", "split"])
@@ -128,7 +129,7 @@
     }[case]
     spread = min(limiters, 20)
     scenario_text = text(faults, seconds=14, limiters=limiters, spread=spread)
-    got = World(scenario.parse(scenario_text, "loss.toml")).run()
-    assert not got.broken, got.breaches[:3]
-    basic, pro = most(case, 14, spread, 6).values()
-    assert got.quotas["over_worst"] <= max(basic, pro), got.quotas
+    findings = World(scenario.parse(scenario_text, "loss.toml")).run()
+    assert not findings.broken, findings.breaches[:3]
+    basic, pro = stated_bounds(case, 14, spread, 6).values()
+    assert findings.quotas["over_worst"] <= max(basic, pro), findings.quotas
--- a/tests/lab/fleet/test_counts.py
+++ b/tests/lab/fleet/test_counts.py
@@ -1,4 +1,4 @@
-"""Counters of a whole fleet, read from its logs."""
+"""The sums of the counters in the logs of a fleet."""
 
 from click.testing import CliRunner
 
@@ -17,27 +17,27 @@
 """
 
 
-def test_each_incarnation_of_each_limiter_counts_once(tmp_path):
+def test_counters_are_summed_over_all_incarnations_of_a_limiter(tmp_path):
     (tmp_path / "a").mkdir()
     (tmp_path / "a" / "log").write_text(ONE)
     (tmp_path / "b.log").write_text(TWO)
     fleet = counts.read([str(tmp_path)])
-    assert fleet.lives == {"lg-0": 2, "lg-1": 1}
+    assert fleet.incarnations == {"lg-0": 2, "lg-1": 1}
     assert fleet.limiters["lg-0"] == {"attempts": 23, "attempts_finished_answered": 19, "requests": 26}
     assert fleet.total("requests") == 28
     assert fleet.total("attempts_finished_timed_out") == 1
-    assert fleet.said["discovery: DiscoveryRejectedError('status #')"] == 2
-    assert fleet.strange == 1
-    said = "\n".join(counts.lines(fleet))
-    assert "2 limiters, 3 lives" in said
-    assert "2 x discovery: DiscoveryRejectedError('status #')" in said
+    assert fleet.messages["discovery: DiscoveryRejectedError('status #')"] == 2
+    assert fleet.unrecognized == 1
+    messages = "\n".join(counts.lines(fleet))
+    assert "2 limiters, 3 incarnations" in messages
+    assert "2 x discovery: DiscoveryRejectedError('status #')" in messages
 
 
-def test_missing_logs_and_logs_without_counters_are_one_line(tmp_path):
+def test_missing_logs_and_logs_without_counters_are_reported_without_a_traceback(tmp_path):
     (tmp_path / "log").write_bytes(b"\xff\x00 nothing\n" + b"x" * 200_000 + b"\n")
-    done = CliRunner().invoke(cli, ["lab", "fleet", "counts", str(tmp_path)])
-    assert done.exit_code == 1
-    assert "no counters" in done.output
-    done = CliRunner().invoke(cli, ["lab", "fleet", "counts", str(tmp_path / "gone")])
-    assert done.exit_code == 2
-    assert "Traceback" not in done.output
+    result = CliRunner().invoke(cli, ["lab", "fleet", "counts", str(tmp_path)])
+    assert result.exit_code == 1
+    assert "no counters" in result.output
+    result = CliRunner().invoke(cli, ["lab", "fleet", "counts", str(tmp_path / "gone")])
+    assert result.exit_code == 2
+    assert "Traceback" not in result.output
--- a/tests/lab/fleet/test_peers.py
+++ b/tests/lab/fleet/test_peers.py
@@ -1,4 +1,4 @@
-"""Limiters that know of one another, as real processes; and that nothing of it is there where it is off."""
+"""Failure detection between limiters as real processes, which is loaded only with a file of peers."""
 
 import asyncio
 import subprocess
@@ -14,7 +14,7 @@
 from lapisgrade.members import site
 from lapisgrade.settings import MalformedInputError
 
-SCENE = """
+SCENARIO = """
 [run]
 name = "peers"
 seconds = 8
@@ -41,8 +41,8 @@
 servers = "0-2"
 counter = true
 """
-KILLED = '[[fault]]\nat_s = 0.5\nkind = "limiter_kill"\ntarget = "3"\nfor_s = 5\n'
-APART = '[[fault]]\nat_s = 0.3\nkind = "link_cut"\nlink = "peer"\ntarget = "0"\nfor_s = 5.0\n'
+KILL = '[[fault]]\nat_s = 0.5\nkind = "limiter_kill"\ntarget = "3"\nfor_s = 5\n'
+PEER_CUT = '[[fault]]\nat_s = 0.3\nkind = "link_cut"\nlink = "peer"\ntarget = "0"\nfor_s = 5.0\n'
 
 
 def logs(folder) -> list[str]:
@@ -50,18 +50,22 @@
 
 
 @pytest.mark.parametrize(
-    ("faults", "dead", "by"), [(KILLED, 3, (0, 1, 2)), (APART, 0, (1, 2, 3))], ids=["killed", "cut off"]
+    ("faults", "failed", "observers"),
+    [(KILL, 3, (0, 1, 2)), (PEER_CUT, 0, (1, 2, 3))],
+    ids=["killed", "cut off"],
 )
-def test_limiters_detect_failed_and_recovered_peers_and_keep_every_rule(faults, dead, by, tmp_path):
-    said = SCENE + faults
-    files = asyncio.run(test_bed.run(scenario.parse(said, "peers.toml"), said, "peers.toml", tmp_path))
-    got = checker.check(history.merged(files))
-    assert got.ok, got.breaches[:5]
-    assert got.ends["finished"] > 200
-    for index in by:
+def test_limiters_detect_failed_and_recovered_peers_and_keep_every_rule(faults, failed, observers, tmp_path):
+    scenario_text = SCENARIO + faults
+    files = asyncio.run(
+        test_bed.run(scenario.parse(scenario_text, "peers.toml"), scenario_text, "peers.toml", tmp_path)
+    )
+    findings = checker.check(history.merged(files))
+    assert findings.ok, findings.breaches[:5]
+    assert findings.ends["finished"] > 200
+    for index in observers:
         log = logs(tmp_path)[index]
-        assert f"limiter lg-{dead} is dead" in log, log[-2000:]
-        assert f"limiter lg-{dead} lives" in log.split(f"limiter lg-{dead} is dead")[-1]
+        assert f"limiter lg-{failed} is dead" in log, log[-2000:]
+        assert f"limiter lg-{failed} lives" in log.split(f"limiter lg-{failed} is dead")[-1]
         assert "peer frames read" in log
         assert "Traceback" not in log
 
@@ -72,15 +76,15 @@
         "print([m for m in sys.modules if m.startswith(('lapisgrade.members', 'lapisgrade.peers', "
         "'lapisgrade.lab', 'lapisgrade.fakes', 'msgspec', 'click'))])"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+    assert result.stdout.strip() == "[]", result.stdout + result.stderr
     deploy = (ROOT / "deploy" / "balancer.toml").read_text()
     assert "--site" not in deploy
     assert "peers" not in deploy
 
 
 @pytest.mark.parametrize(
-    ("text", "what"),
+    ("text", "message"),
     [
         ("", "no table"),
         ("[peers]\n", "peers.listen is not a host and a port"),
@@ -90,13 +94,13 @@
         ('[peers]\nlisten = "127.0.0.1:1"\nseeds = 3\n', "not a list"),
     ],
 )
-def test_an_invalid_membership_file_is_rejected_in_one_line(text, what, tmp_path):
+def test_an_invalid_membership_file_is_rejected_without_a_traceback(text, message, tmp_path):
     path = tmp_path / "peers.toml"
     path.write_text(text)
-    with pytest.raises(MalformedInputError, match=what):
+    with pytest.raises(MalformedInputError, match=message):
         site.read_settings(str(path))
     sample = str(ROOT / "deploy" / "sample.json")
-    done = CliRunner().invoke(cli, ["serve", sample, "--site", str(path)])
-    assert done.exit_code == 2
-    assert "Traceback" not in done.output
+    result = CliRunner().invoke(cli, ["serve", sample, "--site", str(path)])
+    assert result.exit_code == 2
+    assert "Traceback" not in result.output
     assert site.read_settings(str(ROOT / "deploy" / "peers.toml")).listen == ("127.0.0.1", 7400)
--- a/tests/lab/fleet/test_processes.py
+++ b/tests/lab/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""Scenarios with several real processes and faults between them; verdicts rest on rules, not speed."""
+"""Scenarios with several real processes and faults between them, judged by rules and not by speed."""
 
 import asyncio
 import os
@@ -56,22 +56,24 @@
 """
 
 
-def fault(at_s: float, kind: str, target: str = "all", for_s: float = 0.0, more: str = "") -> str:
-    return f'[[fault]]\nat_s = {at_s}\nkind = "{kind}"\ntarget = "{target}"\nfor_s = {for_s}\n{more}\n'
+def fault(at_s: float, kind: str, target: str = "all", for_s: float = 0.0, extra: str = "") -> str:
+    return f'[[fault]]\nat_s = {at_s}\nkind = "{kind}"\ntarget = "{target}"\nfor_s = {for_s}\n{extra}\n'
 
 
 def text(*faults: str, seconds: float = 4, limiters: int = 3, rate: float = 60, run: str = "") -> str:
     return BASE.format(seconds=seconds, limiters=limiters, rate=rate, run=run) + "".join(faults)
 
 
-def play(scenario_text: str, folder: Path, command: tuple[str, ...] = test_bed.LIMITER) -> checker.Findings:
+def run_scenario(
+    scenario_text: str, folder: Path, command: tuple[str, ...] = test_bed.LIMITER
+) -> checker.Findings:
     parsed = scenario.parse(scenario_text, "test.toml")
     files = asyncio.run(test_bed.run(parsed, scenario_text, "test.toml", folder, command=command))
     return checker.check(history.merged(files))
 
 
-def are_gone(pids: list[int]) -> bool:
-    """Whether none of these processes runs any more (one that waits to be reaped does not)."""
+def have_ended(pids: list[int]) -> bool:
+    """Return whether none of these processes is running; zombies don't count as running."""
     for pid in pids:
         try:
             if "State:\tZ" not in Path(f"/proc/{pid}/status").read_text():
@@ -81,14 +83,14 @@
     return True
 
 
-CUT = '[[party]]\nname = "left"\nlimiters = "0"\nservers = "0-1"\n'
+PARTITION_PARTY = '[[party]]\nname = "left"\nlimiters = "0"\nservers = "0-1"\n'
 
 
 @pytest.mark.parametrize(
     ("scenario_text", "has_effect"),
     [
         (text(fault(1, "limiter_kill", "all", 0.3)), lambda f: f.exempt or f.ends["broken"]),
-        (text(fault(1, "limiter_pause", "0", 2.0)), lambda f: f.exempt),  # longer than every time-out
+        (text(fault(1, "limiter_pause", "0", 2.0)), lambda f: f.exempt),  # longer than all time-outs
         (
             text(fault(1, "counter_lost", for_s=1.5), fault(3, "counter_restart")),
             lambda f: f.ends["finished"],
@@ -98,7 +100,7 @@
             lambda f: f.stampede["connections"] > 1,
         ),
         (
-            text(CUT, fault(1, "partition", "group:left", 1.5), fault(1.2, "server_drain", "3")),
+            text(PARTITION_PARTY, fault(1, "partition", "group:left", 1.5), fault(1.2, "server_drain", "3")),
             lambda f: f.ends["finished"],
         ),
         (
@@ -110,7 +112,8 @@
             ),
             lambda f: f.ends["finished"],
         ),
-        # Swaps all through a start: told of before it hears signals, a limiter would be ended by the first.
+        # The counter is replaced repeatedly while a limiter starts. A SIGHUP before the limiter has set its
+        # signal handlers would end it.
         (
             text(
                 fault(1, "limiter_kill", "1", 0.1),
@@ -121,13 +124,13 @@
     ],
     ids=["all-killed", "paused", "counter", "links", "partition", "ending", "starting"],
 )
-def test_rules_hold_over_all_processes(scenario_text, has_effect, tmp_path):
-    got = play(scenario_text, tmp_path)
-    assert got.ok, got.breaches[:5]
-    assert sum(got.ends.values()) > 150
-    assert got.ends["finished"] > 100
-    assert has_effect(got)
-    assert set(got.share) == {0, 1, 2}
+def test_all_rules_hold_under_faults(scenario_text, has_effect, tmp_path):
+    findings = run_scenario(scenario_text, tmp_path)
+    assert findings.ok, findings.breaches[:5]
+    assert sum(findings.ends.values()) > 150
+    assert findings.ends["finished"] > 100
+    assert has_effect(findings)
+    assert set(findings.share) == {0, 1, 2}
 
 
 @pytest.mark.parametrize("name", list(defects.DEFECTS))
@@ -137,27 +140,27 @@
     run = "over_bound = 30" if name == "unmetered" else ""
     drained = [fault(0.3, "server_drain", "1")] if name == "deaf" else []
     rate = 600 if name == "unmetered" else 60
-    # On a busy machine fewer come through in a second: those beyond the quota must still be over the bound.
+    # A busy machine admits fewer operations per second; those over the quota must still exceed the bound.
     seconds = {"deaf": 3.5, "unmetered": 6.0}.get(name, 2.5)
     scenario_text = text(*drained, seconds=seconds, limiters=2, rate=rate, run=run)
     scenario_text = scenario_text.replace(
         "drain_grace_ms = 200", "drain_grace_ms = 700"
-    )  # it stays up for four times as long
-    if name == "deaf":  # of two servers, so that a limiter comes back to one that turns all away
+    )  # a draining server stays up for four times the grace
+    if name == "deaf":  # with only two servers, a limiter sends again to the one that rejects everything
         scenario_text = scenario_text.replace("servers = 4", "servers = 2")
-    got = play(scenario_text, tmp_path, command)
-    caught = {each.rule for each in got.breaches}
-    assert rule in caught, (caught, got.ends)
+    findings = run_scenario(scenario_text, tmp_path, command)
+    broken_rules = {each.rule for each in findings.breaches}
+    assert rule in broken_rules, (broken_rules, findings.ends)
     if name == "unmetered":
-        assert 0 in caught  # the stated bound as well
+        assert 0 in broken_rules  # the stated bound is exceeded as well
     else:
-        assert caught == {rule}
+        assert broken_rules == {rule}
 
 
 @pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGKILL])
 def test_no_process_is_left_however_the_test_bed_ends(signal_number, tmp_path):
-    scene = tmp_path / "scene.toml"
-    scene.write_text(text(fault(0.2, "limiter_pause", "0", 20), seconds=30))
+    scenario_path = tmp_path / "scene.toml"
+    scenario_path.write_text(text(fault(0.2, "limiter_pause", "0", 20), seconds=30))
     args = [
         sys.executable,
         "-m",
@@ -165,7 +168,7 @@
         "lab",
         "fleet",
         "run",
-        str(scene),
+        str(scenario_path),
         "--out",
         str(tmp_path / "out"),
     ]
@@ -175,13 +178,13 @@
         stdout=subprocess.DEVNULL,
         stderr=subprocess.PIPE,
         text=True,
-        # A shell's background job ignores SIGINT, and so would all that it starts.
+        # A background job of a shell ignores SIGINT, and its children inherit that.
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
     try:
         pids: list[int] = []
-        until = time.monotonic() + 30
-        while len(pids) < 5 and time.monotonic() < until:  # three limiters, servers, clients
+        deadline = time.monotonic() + 30
+        while len(pids) < 5 and time.monotonic() < deadline:  # three limiters, servers, clients
             time.sleep(0.1)
             own = Path(f"/proc/{child.pid}/task/{child.pid}/children")
             pids = [int(each) for each in own.read_text().split()]
@@ -194,36 +197,36 @@
     if signal_number is signal.SIGINT:
         assert child.returncode == 130
         assert "Traceback" not in scenario_text
-    until = time.monotonic() + 10
-    while not are_gone(pids) and time.monotonic() < until:
+    deadline = time.monotonic() + 10
+    while not have_ended(pids) and time.monotonic() < deadline:
         time.sleep(0.05)
-    assert are_gone(pids)
-
-
-def test_a_scenario_that_cannot_be_played_is_rejected_in_one_line(tmp_path):
-    scene = tmp_path / "scene.toml"
-    scene.write_text(text(fault(1, "limiter_pause", "0", 2)))
-    args = [sys.executable, "-m", "lapisgrade.cli", "lab", "run", str(scene)]
-    done = subprocess.run(args, cwd=process.ROOT, capture_output=True, text=True)
-    line = scene.read_text().splitlines().index('kind = "limiter_pause"') + 1
-    assert done.returncode == 2
-    assert f"scene.toml:{line}: the emulator can't play" in done.stderr
-    scene.write_text(text(fault(1, "partition", "group:nobody", 2)))
+    assert have_ended(pids)
+
+
+def test_a_scenario_that_cannot_run_is_rejected_without_a_traceback(tmp_path):
+    scenario_path = tmp_path / "scene.toml"
+    scenario_path.write_text(text(fault(1, "limiter_pause", "0", 2)))
+    args = [sys.executable, "-m", "lapisgrade.cli", "lab", "run", str(scenario_path)]
+    result = subprocess.run(args, cwd=process.ROOT, capture_output=True, text=True)
+    line = scenario_path.read_text().splitlines().index('kind = "limiter_pause"') + 1
+    assert result.returncode == 2
+    assert f"scene.toml:{line}: the emulator can't play" in result.stderr
+    scenario_path.write_text(text(fault(1, "partition", "group:nobody", 2)))
     args[4] = "fleet"
-    args[5:] = ["run", str(scene)]
-    done = subprocess.run(args, cwd=process.ROOT, capture_output=True, text=True)
-    assert done.returncode == 2
-    assert "no [[party]] named 'nobody'" in done.stderr
-    assert "Traceback" not in done.stderr
+    args[5:] = ["run", str(scenario_path)]
+    result = subprocess.run(args, cwd=process.ROOT, capture_output=True, text=True)
+    assert result.returncode == 2
+    assert "no [[party]] named 'nobody'" in result.stderr
+    assert "Traceback" not in result.stderr
 
 
-def test_a_limiter_that_cannot_start_is_reported_and_nothing_is_left(tmp_path):
+def test_a_limiter_that_ends_while_starting_fails_the_run(tmp_path):
     scenario_text = text(limiters=2)
     with pytest.raises(process.ProcessFailedError, match="ended while starting"):
-        play(scenario_text, tmp_path, (sys.executable, "-c", "raise SystemExit(3)"))
+        run_scenario(scenario_text, tmp_path, (sys.executable, "-c", "raise SystemExit(3)"))
 
 
-def test_disk_faults_lose_truncate_flip_and_fill(tmp_path):
+def test_disk_faults_delete_truncate_flip_a_bit_and_refuse_writes(tmp_path):
     state = tmp_path / "state"
     (state / "deep").mkdir(parents=True)
     (state / "old").write_bytes(b"old")
@@ -236,7 +239,7 @@
     process.wipe(state)
     assert list(state.iterdir()) == []
 
-    async def full() -> int:
+    async def exit_code_when_writes_fail() -> int:
         writes = "import os, time\ntime.sleep(0.5)\nos.write(os.open('f', os.O_WRONLY | os.O_CREAT), b'x')\n"
         child = process.Process("writer", [sys.executable, "-c", writes], tmp_path / "log", cwd=state)
         async with process.Supervisor() as supervisor:
@@ -244,5 +247,5 @@
             child.refuse_writes(True)
             return await child.wait()
 
-    assert asyncio.run(full()) != 0
+    assert asyncio.run(exit_code_when_writes_fail()) != 0
     assert b"File too large" in (tmp_path / "log").read_bytes()
