--- a/lapisgrade/lab/fleet/checker.py
+++ b/lapisgrade/lab/fleet/checker.py
@@ -118,7 +118,7 @@
         self._processes: dict[int, ProcessStatus] = {}
         self._notified: dict[tuple[int, str], h.ServerStateNotified] = {}
         self._departed_us: dict[str, int] = {}  # by server: when it started to drain or was removed
-        self._rate_limits: dict[str, quota.Store] = {}
+        self._rate_limits: dict[str, quota.Bucket] = {}
         self._quotas: dict[str, quota.Quota] = {}
         self._plan_of: dict[str, str] = {}
         self._open_faults: dict[tuple[str, str], FaultSeen] = {}
@@ -150,7 +150,7 @@
         while self._deadlines:
             self._close_attempt(self._deadlines.popleft()[1])
         found = self.found
-        found.over = {name: each.over for name, each in self._quotas.items()}
+        found.over = {name: each.max_excess for name, each in self._quotas.items()}
         for plan in self._plans:
             accounts = [each for name, each in self._quotas.items() if self._plan_of[name] == plan]
             if accounts:
@@ -223,7 +223,7 @@
         )
         self._deadlines.append((event.ends + GRACE_US + self._leeway_us, event.op))
         self.found.share[event.limiter] = self.found.share.get(event.limiter, 0) + 1
-        self._quota(event).asked(event.units, event.at)
+        self._quota(event).on_arrival(event.units, event.at)
 
     def _quota(self, sent: h.AttemptSent) -> quota.Quota:
         account = self._quotas.get(sent.customer)
@@ -243,7 +243,7 @@
         attempt.answered = event
         if event.how == "finished":
             self._count(self.found.goodput, event.at)
-            self._quota(attempt.sent).let_in(attempt.sent.units, event.at)
+            self._quota(attempt.sent).on_admission(attempt.sent.units, event.at)
 
     def _on_received(self, event: h.RequestReceived) -> None:
         self._count_call("servers", event.at)
@@ -323,7 +323,7 @@
             # Extra burst for the slack, and for requests that links delay by up to the run's leeway.
             room = plan.rate_limit_slack + plan.rate_limit_per_s * (self._leeway_us - LEEWAY_US) / SECOND
             full = plan.rate_limit_burst + room
-            store = self._rate_limits[sent.customer] = quota.Store(
+            store = self._rate_limits[sent.customer] = quota.Bucket(
                 plan.rate_limit_per_s, full, full, self._started_us
             )
         if not store.take(sent.units, at):
--- a/tests/lab/fleet/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -11,7 +11,7 @@
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.emulator.world import World
 from lapisgrade.lab.fleet import checker, history, test_bed
-from lapisgrade.lab.quota import Bound
+from lapisgrade.lab.quota import ExcessBound
 from lapisgrade.policy.account import LOCAL_SHARE_FACTOR
 from lapisgrade.policy.counter_breaker import PROBE_INTERVAL_US
 
@@ -72,8 +72,8 @@
     return scenario_text + "".join(faults)
 
 
-def bound(rate: float, burst: float, limiters: int) -> Bound:
-    return Bound(rate, burst, limiters, MAX_UNITS, LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US / 1e6)
+def bound(rate: float, burst: float, limiters: int) -> ExcessBound:
+    return ExcessBound(rate, burst, limiters, MAX_UNITS, LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US / 1e6)
 
 
 def stated_bounds(case: str, seconds: float, limiters: int, duration_s: float) -> dict[str, float]:
@@ -86,8 +86,8 @@
             + {
                 "lost": each.cut_off(limiters, duration_s),
                 "half": each.cut_off(limiters // 2, duration_s),
-                "emptied": each.emptied(2),
-                "split": each.split(2, duration_s),
+                "emptied": each.counter_emptied(2),
+                "split": each.counter_split(2, duration_s),
                 "lies": each.cut_off(limiters, duration_s),
             }[case]
         )
