--- a/lapisgrade/lab/fleet/report.py
+++ b/lapisgrade/lab/fleet/report.py
@@ -96,7 +96,7 @@
 
 def table(runs: list[Findings]) -> str:
     """Return a Markdown table with the medians and the worst figures of each name over its seeds."""
-    rows = ["| play | seeds | | " + " | ".join(COLUMNS) + " |", "|---" * (len(COLUMNS) + 3) + "|"]
+    rows = ["| run | seeds | | " + " | ".join(COLUMNS) + " |", "|---" * (len(COLUMNS) + 3) + "|"]
     for name in dict.fromkeys(each.name for each in runs):
         run_figures = [figures(each) for each in runs if each.name == name]
         for label, select in (("median", statistics.median), ("worst", max)):
