--- a/lapisgrade/lab/partitions/operations.py
+++ b/lapisgrade/lab/partitions/operations.py
@@ -52,7 +52,7 @@
         faults: Relative frequency of each fault.
         has_server_faults: Whether servers fail some requests.
         slots: Requests that a server runs at once.
-        manner: Behavior of overloaded servers, as `FakeServer.fault`.
+        server_fault: Fault of all servers, as `FakeServer.fault`.
         machines: Number of machines, each with a proxy.
         controllers: Number of machines that also have a controller.
     """
@@ -60,7 +60,7 @@
     faults: dict[str, int] = field(default_factory=dict)
     has_server_faults: bool = True
     slots: int = SLOTS
-    manner: str = ""
+    server_fault: str = ""
     machines: int = 5
     controllers: int = 3
 
@@ -69,7 +69,7 @@
 CASES = {
     "calm": Case(has_server_faults=False),
     "unruly": Case(),
-    "full": Case(has_server_faults=False, slots=1, manner="silent"),
+    "full": Case(has_server_faults=False, slots=1, server_fault="silent"),
     "signals": Case(PROXY_FAULTS | CHANGES),
     "controllers": Case(ALL_FAULTS),
     "many": Case(ALL_FAULTS, machines=30, controllers=5),
@@ -173,7 +173,7 @@
     for number in range(2, SERVER_COUNT + 2):
         address = (f"{fleet.server.address[0].rsplit('.', 1)[0]}.{number}", fleet.server.address[1])
         server = OperationServer(f"i-{number}", address, history, random, case.slots, case.has_server_faults)
-        server.fault = case.manner
+        server.fault = case.server_fault
         await server.start()
         fleet.tasks.append(asyncio.create_task(fleet.send_heartbeats(server)))
         servers.append(server)
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -69,8 +69,8 @@
 def max_in_window(times: list[float], window: float) -> int:
     """Return the largest number of these times in any window of that length."""
     times, found, first = sorted(times), 0, 0
-    for last, time_ in enumerate(times):
-        while times[first] <= time_ - window:
+    for last, current in enumerate(times):
+        while times[first] <= current - window:
             first += 1
         found = max(found, last - first + 1)
     return found
--- a/tests/lab/partitions/test_quota.py
+++ b/tests/lab/partitions/test_quota.py
@@ -24,10 +24,10 @@
 
 
 @pytest.mark.parametrize(("seed", "case"), [(0, "owner-cut"), (1, "cut-and-killed"), (2, "owner-frozen")])
-def test_the_bound_holds_over_cuts_and_kills_of_processes(
+def test_the_quota_bound_holds_under_partitions_kills_and_freezes_of_processes(
     seed: int, case: str, loopback_network: LoopbackNetwork
 ) -> None:
-    """A partitioned owner grants until its lease expires, while the restarted others grant too."""
+    """A partitioned owner grants until its lease expires, while the other proxies restart and grant anew."""
     command = [
         sys.executable,
         "-c",
