--- a/lapisgrade/gateway/controller/__init__.py
+++ b/lapisgrade/gateway/controller/__init__.py
@@ -12,4 +12,6 @@
 * `consensus_driver`, `log_writer`, `node_recovery`, `leader_discovery`: run the node of `gateway.consensus`
   with its disk and its peers.
 * `commands`, `state`, `state_machine`, `change_validation`, `draft_merging`: the state machine. Pure.
+* `replies`, `status_report`, `refused_changes`, `metrics`: replies to operators, the cluster's status
+  with the last refused change, and the counters of this process.
 """
--- a/lapisgrade/gateway/controller/call_forwarding.py
+++ b/lapisgrade/gateway/controller/call_forwarding.py
@@ -14,8 +14,8 @@
 from lapisgrade.gateway.settings import parse_address
 
 LEADER_WAIT_S = 0.7  # maximum time that a call waits until a leader is known
-FORWARD_TIMEOUT_S = 0.9  # time-out of a forwarded call
-RETRY_INTERVAL_S = 0.03  # interval of attempts to find a leader
+FORWARD_TIMEOUT_S = 0.9  # time-out of one forwarded call to the leader
+RETRY_INTERVAL_S = 0.03  # interval between attempts to find the leader
 
 
 class CallForwarder:
@@ -38,23 +38,23 @@
 
     async def forward(self, call: str, subject: str, body: bytes) -> ForwardCallReply:
         """Return the leader's reply; 503 if no leader is found within `LEADER_WAIT_S`."""
-        ends_us = self._clock() + int(LEADER_WAIT_S * SECOND)
+        deadline_us = self._clock() + int(LEADER_WAIT_S * SECOND)
         while True:
             if self._consensus.is_leader():
                 return await self._leader_calls.execute(call, subject, body)
-            leader = self._discovery.remote_leader_address()
-            if leader:
-                reply = await self._call_leader(leader, ForwardCall(call, subject, body))
+            leader_address = self._discovery.remote_leader_address()
+            if leader_address:
+                reply = await self._call_leader(leader_address, ForwardCall(call, subject, body))
                 if reply is not None:
                     return reply
             await self._discovery.discover_leader()
-            if self._clock() > ends_us:
+            if self._clock() > deadline_us:
                 return encode_error(HTTPStatus.SERVICE_UNAVAILABLE, "no leader is known")
             await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _call_leader(self, leader: str, call: ForwardCall) -> ForwardCallReply | None:
-        """Return the reply; None if it times out, or if the called controller doesn't lead."""
-        result = await self._rpc.call(parse_address(leader), call, FORWARD_TIMEOUT_S)
+    async def _call_leader(self, address: str, call: ForwardCall) -> ForwardCallReply | None:
+        """Return the reply; None if the call fails, or if the called controller doesn't lead (503)."""
+        result = await self._rpc.call(parse_address(address), call, FORWARD_TIMEOUT_S)
         reply = result.value_or(None)
         if isinstance(reply, ForwardCallReply) and reply.status != HTTPStatus.SERVICE_UNAVAILABLE:
             return reply
--- a/lapisgrade/gateway/controller/change_validation.py
+++ b/lapisgrade/gateway/controller/change_validation.py
@@ -52,7 +52,9 @@
     version: int = 0
 
 
-class _RejectedChangeError(LapisgradeError):
+class _RefusedChangeError(LapisgradeError):
+    """A change is refused with an HTTP status; the message is the reason for the operator."""
+
     def __init__(self, status: HTTPStatus, message: str) -> None:
         super().__init__(message)
         self.status = status
@@ -68,28 +70,29 @@
         _check_version(state, version, base)
         result = _make_configuration(state, change, fields)
         if base != state.version:
-            raise stale_base(state, base)
-    except _RejectedChangeError as error:
+            raise stale_base_error(state, base)
+    except _RefusedChangeError as error:
         return ValidatedChange(ApplyResult(error.status, str(error)))
     return ValidatedChange(ApplyResult(HTTPStatus.OK), msgspec.json.encode(result), version)
 
 
-def stale_base(state: State, base: int) -> LapisgradeError:
+def stale_base_error(state: State, base: int) -> LapisgradeError:
     """Return the error for a change whose base is not the newest version."""
-    return _RejectedChangeError(
+    return _RefusedChangeError(
         HTTPStatus.PRECONDITION_FAILED, f"version {state.version} is in force, not {base}"
     )
 
 
 def _decode(change: ConfigurationChange) -> dict[str, Any]:
+    """Return the JSON object in a change."""
     if len(change.body) > configuration.MAX_BYTES:
-        raise _RejectedChangeError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the configuration is too long")
+        raise _RefusedChangeError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the configuration is too long")
     try:
         fields = msgspec.json.decode(change.body)
     except (msgspec.MsgspecError, RecursionError):
-        raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, "the body is not whole JSON") from None
+        raise _RefusedChangeError(HTTPStatus.BAD_REQUEST, "the body is not whole JSON") from None
     if not isinstance(fields, dict):
-        raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, "a configuration is an object")
+        raise _RefusedChangeError(HTTPStatus.BAD_REQUEST, "a configuration is an object")
     return fields
 
 
@@ -97,31 +100,37 @@
     """Return the version and the base of a change."""
     version, base = fields.get("Ver"), fields.get("Base", 0)
     if type(version) is not int or type(base) is not int:  # excludes bool, a subclass of int
-        raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, "Ver and Base are whole numbers")
+        raise _RefusedChangeError(HTTPStatus.BAD_REQUEST, "Ver and Base are whole numbers")
     return version, base
 
 
 def _check_version(state: State, version: int, base: int) -> None:
+    """Check that the version of a change is above the newest.
+
+    Raises:
+        _RefusedChangeError: With 504 if the version's digest is forgotten, so that a duplicate can't be told
+            from another change; with 412 if the base is not the newest version either; otherwise with 400.
+    """
     if 0 < version <= state.forgotten_version:
-        raise _RejectedChangeError(
+        raise _RefusedChangeError(
             HTTPStatus.GATEWAY_TIMEOUT, f"whether version {version} was this change is not known any more"
         )
     if version <= state.version:
         status = HTTPStatus.PRECONDITION_FAILED if base != state.version else HTTPStatus.BAD_REQUEST
-        raise _RejectedChangeError(
+        raise _RefusedChangeError(
             status, f"version {version} is not above {state.version}, which is in force"
         )
 
 
 def _make_configuration(state: State, change: ConfigurationChange, fields: dict[str, Any]) -> dict[str, Any]:
-    """Return the configuration that results from applying the change to the newest one."""
+    """Return the valid configuration that results from applying the change to the newest one."""
     try:
         if change.replaces_all:
             result = {name: value for name, value in fields.items() if name != "Base"}
         else:
             current = msgspec.json.decode(state.configuration) if state.configuration else {}
             result = configuration_change.apply_change(current, fields)
-        configuration.read(result)
+        configuration.read(result)  # raises if the result is invalid
     except (InvalidInputError, KeyError, TypeError, AttributeError) as error:
-        raise _RejectedChangeError(HTTPStatus.BAD_REQUEST, str(error)) from None
+        raise _RefusedChangeError(HTTPStatus.BAD_REQUEST, str(error)) from None
     return result
--- a/lapisgrade/gateway/controller/commands.py
+++ b/lapisgrade/gateway/controller/commands.py
@@ -27,7 +27,11 @@
 
     @property
     def digest(self) -> bytes:
-        """Identifies the change by content, not formatting; raises msgspec.DecodeError on invalid JSON."""
+        """The digest of the change's content, without its formatting, and of `replaces_all`.
+
+        Raises:
+            msgspec.DecodeError: The body is not JSON.
+        """
         return configuration_change.digest(self.body) + (b"w" if self.replaces_all else b"u")
 
 
@@ -44,7 +48,12 @@
 
 
 class ServerLeaving(msgspec.Struct, array_like=True, tag="w", frozen=True):
-    """A server announced that it is draining, or that it has ended (`is_gone`)."""
+    """A server announced that it is draining or gone.
+
+    Attributes:
+        server: The id of the server.
+        is_gone: Whether the server has ended; otherwise it is draining.
+    """
 
     server: str
     is_gone: bool
--- a/lapisgrade/gateway/controller/configuration_feed.py
+++ b/lapisgrade/gateway/controller/configuration_feed.py
@@ -8,7 +8,7 @@
 
 from lapisgrade.gateway.configuration_delta import EncodedVersion, encode
 
-MAX_TEXTS = 12  # versions whose text is stored; above MAX_STAGED_VERSIONS, for a few older ones
+MAX_TEXTS = 12  # stored texts: those of all staged versions (MAX_STAGED_VERSIONS), and a few older ones
 MAX_ENCODED = 48  # cached deltas and full texts
 
 
@@ -20,7 +20,13 @@
         self._encoded: dict[tuple[int, int], EncodedVersion] = {}  # by version and base
 
     def version(self, version: int, text: bytes, base: int) -> EncodedVersion:
-        """Return a version as a delta from the version `base`; in full if `base` is 0 or no longer stored."""
+        """Return a version as a delta from the version `base`; in full if `base` is 0 or not stored.
+
+        Args:
+            version: The version to encode; its text is stored as the base of later deltas.
+            text: The configuration of that version, as JSON.
+            base: The newest version that the proxy has.
+        """
         if self._texts.get(version) != text:
             self._texts.pop(version, None)
             self._texts[version] = text
@@ -47,5 +53,6 @@
 
 
 def _drop_oldest(table: dict[Any, Any], limit: int) -> None:
+    """Remove the entries that were inserted first, until `limit` entries are left."""
     while len(table) > limit:
         del table[next(iter(table))]
--- a/lapisgrade/gateway/controller/consensus_driver.py
+++ b/lapisgrade/gateway/controller/consensus_driver.py
@@ -39,14 +39,14 @@
 log = logging.getLogger("controller")
 
 COMMIT_TIMEOUT_S = 0.85  # time-out for committing a proposal; below call_forwarding.FORWARD_TIMEOUT_S
-MIN_TIMER_S = 0.0005  # minimum delay of the node's timer, so that an overdue one can't starve the event loop
+MIN_TIMER_S = 0.0005  # minimum delay of the node's timer; an overdue timer must not starve the event loop
 
 
 class LeaderTasks(Protocol):
     """The tasks of a leader outside of consensus."""
 
     def become_leader(self, term: int) -> None:
-        """Start a new term from the state machine, which has applied all entries of earlier terms."""
+        """Start as the leader of `term`; the state machine has applied all entries of earlier terms."""
 
     def on_applied(self) -> None:
         """React to a change of the state machine's state."""
@@ -164,7 +164,13 @@
             self.step()
 
     def on_written(self, writes: list[DurableWrite], last_index: int, last_term: int) -> None:
-        """Process writes that are now on disk: send the messages that depend on them."""
+        """Tell the node that writes are on disk, and send the messages that depend on them.
+
+        Args:
+            writes: The writes of the batch, in order.
+            last_index: The index of the last log entry on disk.
+            last_term: The term of that entry.
+        """
         node = self.node
         if node is None:
             return  # the node was dropped during the write
@@ -217,7 +223,7 @@
     # ---- effects of the node
 
     def step(self) -> None:
-        """Carry out the node's effects and arm its timer."""
+        """Carry out the node's effects and arm its timer; call after each input to the node."""
         node = self.node
         if node is None:
             return
@@ -275,6 +281,7 @@
         return bool(own_messages)
 
     def _apply(self, entry: Entry) -> None:
+        """Apply a committed entry, and complete the proposal that waits for it."""
         if entry.voters is not None:
             self._metrics.membership_changes += 1
             log.info("voters: %s", sorted(entry.voters.values()))
@@ -292,11 +299,13 @@
         self.observer.on_entry_applied(entry)
 
     def _on_applied(self) -> None:
+        """Inform the leader's tasks and the watchers of a change of the state."""
         if self.is_established:
             self._leader_tasks.on_applied()
         self._leader_tasks.notify_watchers()
 
     def _update_leadership(self, node: Node) -> None:
+        """Report that the node became the established leader, or that it no longer leads."""
         # The node is established only after it has applied the log of earlier terms. A restarted node has an
         # empty state until then, and a list of live proxies made from it would omit proxies that are still
         # active.
--- a/lapisgrade/gateway/controller/control_api.py
+++ b/lapisgrade/gateway/controller/control_api.py
@@ -14,7 +14,7 @@
 
 
 class ControlApi:
-    """Stores drafts on this controller, and forwards all other calls to the leader."""
+    """Stores drafts on this controller, and has the leader execute all other calls."""
 
     def __init__(self, forwarder: CallForwarder, drafts: DraftService, metrics: ControllerMetrics) -> None:
         self._forwarder = forwarder
@@ -24,10 +24,10 @@
     async def handle_call(self, message: Message) -> HttpReply:
         """Return the reply to an HTTP request."""
         request = cast(h11.Request, message.head)  # an HTTP server parses only requests
-        found = api.parse_call(request.method.decode(), request.target.decode("latin-1"))
-        if isinstance(found, int):
-            return HttpReply(found, b'{"Err":"no such call"}')
-        call, subject = found
+        parsed = api.parse_call(request.method.decode(), request.target.decode("latin-1"))
+        if isinstance(parsed, int):  # the HTTP status of the error
+            return HttpReply(parsed, b'{"Err":"no such call"}')
+        call, subject = parsed
         self._metrics.calls[call.name] += 1
         if message.size > call.max_body_bytes:
             return HttpReply(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, b'{"Err":"the body is too long"}')
--- a/lapisgrade/gateway/controller/draft_merging.py
+++ b/lapisgrade/gateway/controller/draft_merging.py
@@ -6,9 +6,9 @@
                     |                                                         ^    |
                     +-- CloseDraft --> `closed_drafts` -- next change --------+----+
 
-The quoted names are fields of `State`. While drafts are merged on top of an acknowledged configuration
-(`State.merge_base`), each new draft causes all of them to be merged again from that base, so their order of
-arrival does not matter.
+The quoted names are fields of `State`. An acknowledged change is one that an operator sent to the leader, as
+opposed to a draft. While drafts are merged on top of an acknowledged configuration (`State.merge_base`), each
+new draft causes all of them to be merged again from that base, so their order of arrival does not matter.
 """
 
 from http import HTTPStatus
@@ -22,8 +22,8 @@
 from lapisgrade.gateway.merge.three_way import Draft, MergeOutcome
 
 MAX_DRAFTS = 16  # drafts merged since the last acknowledged change or with conflicts; bounds the state
-MAX_DRAFT_BYTES = 128 * 1024  # encoded size of one draft in the log
-MAX_KNOWN_IDS = 512  # merged drafts whose late duplicates are recognized
+MAX_DRAFT_BYTES = 128 * 1024  # maximum encoded size of one draft in the log
+MAX_KNOWN_IDS = 512  # ids of merged drafts that are stored to recognize late duplicates
 
 
 def merge_draft(state: State, draft: Draft) -> ApplyResult:
@@ -63,7 +63,11 @@
 
 
 def retire_drafts(state: State) -> None:
-    """Keep only drafts with open conflicts; the others are now part of the acknowledged configuration."""
+    """Empty the list of merged drafts when an acknowledged change is accepted on top of them.
+
+    Drafts with open conflicts are kept as unresolved; the others are now part of the acknowledged
+    configuration.
+    """
     for draft in state.drafts:
         outcome = state.outcomes[draft.id]
         if outcome.is_open and draft.id not in state.closed_drafts:
@@ -79,5 +83,5 @@
     current = {draft.id: (draft, state.outcomes[draft.id]) for draft in state.drafts}
     for draft_id in state.closed_drafts:
         draft, outcome = current[draft_id]
-        current[draft_id] = (draft, MergeOutcome(outcome.applied))
+        current[draft_id] = (draft, MergeOutcome(outcome.applied))  # without its conflicts
     return {**state.unresolved_drafts, **current}
--- a/lapisgrade/gateway/controller/drafts.py
+++ b/lapisgrade/gateway/controller/drafts.py
@@ -1,8 +1,9 @@
 """Drafts: edits made at a controller that can't reach a leader, stored on disk until they are committed.
 
 A draft is stored on this controller's disk and replicated to the disks of the controllers that respond. Each
-of them sends its copy to the leader, as soon as there is one, until the draft is committed or rejected. The
-state machine recognizes duplicates by the draft's id.
+of them sends its copy to the leader, as soon as there is one, and removes it once the draft is committed. A
+draft that the leader refuses stays on the disk and is sent again. The state machine recognizes duplicates by
+the draft's id.
 """
 
 import asyncio
@@ -30,17 +31,18 @@
 
 log = logging.getLogger("controller")
 
-COPY_TIMEOUT_S = 0.35  # time-out for storing a copy at a peer: a sync and a round trip
-DELIVERY_INTERVAL_S = 0.5  # average interval of attempts to deliver the stored drafts
+COPY_TIMEOUT_S = 0.35  # time-out for storing a copy at a peer: covers a disk sync and a round trip
+DELIVERY_INTERVAL_S = 0.5  # average interval between attempts to deliver the stored drafts
 
-Forward = Callable[[str, str, bytes], Awaitable[ForwardCallReply]]
+ForwardFunction = Callable[[str, str, bytes], Awaitable[ForwardCallReply]]
+"""Executes a call on the leader, given the call's name, subject and body; see `CallForwarder.forward`."""
 
 
 class DraftDelivery:
     """Stores drafts on this disk, and sends them to the leader until they are committed."""
 
     def __init__(
-        self, store: DraftStore | None, forward: Forward, random: Random, metrics: ControllerMetrics
+        self, store: DraftStore | None, forward: ForwardFunction, random: Random, metrics: ControllerMetrics
     ) -> None:
         """`store` is None on a controller without a disk; `forward` executes a call on the leader."""
         self._store = store
@@ -84,10 +86,11 @@
         """Start sending the stored drafts, if there are any and no task is running."""
         store = self._store
         if store is not None and store.drafts and (self._task is None or self._task.done()):
-            self._task = asyncio.get_running_loop().create_task(self._run(store))
+            self._task = asyncio.get_running_loop().create_task(self._deliver_drafts(store))
 
-    async def _run(self, store: DraftStore) -> None:
-        last_refused_id = ""
+    async def _deliver_drafts(self, store: DraftStore) -> None:
+        """Send the stored drafts to the leader at intervals, until all are committed."""
+        last_refused_id = ""  # so that consecutive refusals of one draft are logged once
         while store.drafts:
             await asyncio.sleep(DELIVERY_INTERVAL_S * (0.5 + self._random.random()))
             for draft in list(store.drafts.values()):
@@ -132,7 +135,14 @@
         self._hostname = hostname
 
     async def accept(self, body: bytes) -> ForwardCallReply:
-        """Store an edit of the newest version known here as a draft, and replicate it to the peers."""
+        """Store an edit of the newest version known here as a draft, and replicate it to the peers.
+
+        Args:
+            body: The body of `conf.draft`, not validated yet.
+
+        Returns:
+            202 with the draft's id and the number of disks that store it, or an error reply.
+        """
         try:
             draft = self._decode(body)
         except msgspec.MsgspecError:
@@ -152,7 +162,7 @@
         """Return the draft in the body of a call, or the reason why it is rejected.
 
         Raises:
-            InvalidInputError: The body is not a draft. Errors of other types may have the same meaning.
+            InvalidInputError: The body is not a draft. `accept` handles the other errors with this meaning.
         """
         state = self._state_machine.state
         edit = msgspec.json.decode(body)
@@ -170,11 +180,13 @@
 
     async def _copy_to_peers(self, draft: Draft) -> int:
         """Replicate a draft to the other controllers; return the number of stored copies."""
-        peers = [parse_address(each) for each in self._voter_addresses() if each != str(self._own_address)]
+        peers = [
+            parse_address(address) for address in self._voter_addresses() if address != str(self._own_address)
+        ]
         request = rpc_messages.CopyDraft(draft)
         calls = [self._rpc.call(peer, request, COPY_TIMEOUT_S) for peer in peers]
         replies = [result.value_or(None) for result in await asyncio.gather(*calls)]
-        return sum(isinstance(each, rpc_messages.CopyDraftReply) and each.is_stored for each in replies)
+        return sum(isinstance(reply, rpc_messages.CopyDraftReply) and reply.is_stored for reply in replies)
 
     async def store_copy(self, request: rpc_messages.CopyDraft) -> rpc_messages.CopyDraftReply:
         """Store a copy of another controller's draft."""
@@ -185,7 +197,7 @@
         """Return the leader's list of drafts, extended by drafts on this disk that it doesn't have."""
         has_leader = leader_reply.status == HTTPStatus.OK
         drafts = msgspec.json.decode(leader_reply.body) if has_leader else []
-        known_ids = {each["Id"] for each in drafts}
+        known_ids = {draft["Id"] for draft in drafts}
         unknown = [draft for draft in self._delivery.stored() if draft.id not in known_ids]
         drafts += [three_way.describe_draft(draft, None) for draft in unknown]
         reply = {"Leader": has_leader, "Newest": self._state_machine.state.version, "Drafts": drafts}
--- a/lapisgrade/gateway/controller/leader_calls.py
+++ b/lapisgrade/gateway/controller/leader_calls.py
@@ -40,7 +40,7 @@
 
 
 class LeaderCalls:
-    """Calls by name. `execute` may be called only while this controller is the leader."""
+    """The handlers of calls, by name. Use `execute` only while this controller is the leader."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         """Execute a call.
 
         Args:
-            call: The name of the call; an unknown name is treated as `conf.update`.
+            call: The name of the call; an unknown name is handled as `conf.update`.
             subject: The server that the call is about; empty for operators' calls.
             body: The body of the call, not validated yet.
         """
@@ -89,7 +89,7 @@
 
     async def commit(self, command: LogCommand) -> ForwardCallReply:
         """Propose a command, and return the state machine's result."""
-        return _encode_proposed(await self._consensus.propose(encode_command(command)))
+        return _encode_proposal_result(await self._consensus.propose(encode_command(command)))
 
     # ---- servers
 
@@ -115,6 +115,7 @@
         return await self._change("conf.update", ConfigurationChange(False, body))
 
     async def _change(self, call: str, change: ConfigurationChange) -> ForwardCallReply:
+        """Validate and propose a change, and record it if it is refused; `call` is for that record."""
         prepared = self._state_machine.prepare(change)
         if prepared.command is None:  # rejected, or applied before: nothing to append to the log
             result: ApplyResult | None = prepared.result
@@ -122,7 +123,7 @@
             result = await self._consensus.propose(encode_command(prepared.command))
         if result is not None and result.status >= HTTPStatus.BAD_REQUEST:
             self._refused_changes.record(call, result, self.clock())
-        return _encode_proposed(result)
+        return _encode_proposal_result(result)
 
     async def _show_configuration(self, subject: str, body: bytes) -> ForwardCallReply:
         state = self._state_machine.state
@@ -140,7 +141,7 @@
         return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode(report))
 
     def _voter_status(self) -> dict[str, object]:
-        """Return the leader, its term and the voters."""
+        """Return the fields of `conf.status` on the leader, its term and the voters."""
         node, now_us = self._consensus.started_node, self.clock()
         last_contact_us = {name: follower.last_contact_us for name, follower in node.followers.items()}
         last_contact_us[node.identity] = now_us
@@ -153,7 +154,10 @@
     # ---- drafts
 
     async def _list_drafts(self, subject: str, body: bytes) -> ForwardCallReply:
-        drafts = [three_way.describe_draft(*each) for each in self._state_machine.open_drafts().values()]
+        drafts = [
+            three_way.describe_draft(*draft_and_outcome)
+            for draft_and_outcome in self._state_machine.open_drafts().values()
+        ]
         return ForwardCallReply(HTTPStatus.OK, msgspec.json.encode(drafts))
 
     async def _merge_draft(self, subject: str, body: bytes) -> ForwardCallReply:
@@ -163,7 +167,10 @@
         return await self.commit(CloseDraft(decode_draft_id(body)))
 
     async def _settle_draft(self, subject: str, body: bytes) -> ForwardCallReply:
-        """Apply a draft's conflicting operations as a change to the newest version, and close the draft."""
+        """Apply a draft's conflicting field changes to the newest version, and close the draft.
+
+        Applies all of the draft's field changes if the draft is invalid, since then none of them is merged.
+        """
         draft_id = decode_draft_id(body)
         state = self._state_machine.state
         found = self._state_machine.open_drafts().get(draft_id)
@@ -171,8 +178,8 @@
             return encode_error(HTTPStatus.NOT_FOUND, "no such draft is open")
         draft, outcome = found
         paths = {conflict.path for conflict in outcome.conflicts}
-        operations = [each for each in draft.changes if outcome.error or each.path in paths]
-        configuration = three_way.force_changes(msgspec.json.decode(state.configuration), operations)
+        field_changes = [each for each in draft.changes if outcome.error or each.path in paths]
+        configuration = three_way.force_changes(msgspec.json.decode(state.configuration), field_changes)
         change = {**configuration, "Ver": state.version + 1, "Base": state.version}
         reply = await self._change("conf.settle", ConfigurationChange(True, msgspec.json.encode(change)))
         if reply.status != HTTPStatus.OK:
@@ -180,7 +187,7 @@
         return await self.commit(CloseDraft(draft_id))
 
 
-def _encode_proposed(result: ApplyResult | None) -> ForwardCallReply:
+def _encode_proposal_result(result: ApplyResult | None) -> ForwardCallReply:
     """Return the reply to a proposal; a result of None means that the outcome is not known yet."""
     if result is None:
         return encode_error(HTTPStatus.GATEWAY_TIMEOUT, "no majority has it yet; it may come into force")
--- a/lapisgrade/gateway/controller/leader_discovery.py
+++ b/lapisgrade/gateway/controller/leader_discovery.py
@@ -1,8 +1,8 @@
-"""Discovers the leader, and lets this controller's node join and leave the cluster.
+"""Discovers the leader, and makes this controller's node join and leave the cluster.
 
 A controller with a disk learns the leader from its consensus node; one without a disk queries the controllers
 in its settings. A node that has no leader, or is not a voter, sends join requests to all controllers whose
-addresses it has. A node that shuts down requests the leader to remove it from the voters.
+addresses it has. A node that shuts down requests that the leader remove it from the voters.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 from lapisgrade.gateway.settings import Address, Settings
 
 DISCOVERY_TIMEOUT_S = 0.2  # time-out of a query for the leader's address
-JOIN_INTERVAL_S = 0.3  # average interval of join requests
+JOIN_INTERVAL_S = 0.3  # average interval between join requests
 LEAVE_TIMEOUT_S = 0.6  # maximum time that a node waits at shutdown to be removed from the voters
-LEAVE_INTERVAL_S = LEAVE_TIMEOUT_S / 12  # interval of leave requests
+LEAVE_INTERVAL_S = LEAVE_TIMEOUT_S / 12  # interval between leave requests
 
 
 class LeaderDiscovery:
@@ -39,7 +39,7 @@
         self._settings = settings
         self._random = random
         self._own_address = settings().internal_address(0)
-        self._leader_hint = ""  # address from another controller, if this one has no node
+        self._leader_hint = ""  # leader's address reported by a peer; used only while there is no node
 
     def remote_leader_address(self) -> str:
         """Return the leader's address; empty if it is unknown, or is this controller's own."""
@@ -51,9 +51,10 @@
         """Query another controller for the leader, if this one has no node."""
         if self._consensus.node is not None:
             return
-        seeds = [Address((peer[0], self._own_address[1])) for peer in self._settings().peers]
-        others = [address for address in seeds if address != self._own_address]
+        controllers = [Address((peer[0], self._own_address[1])) for peer in self._settings().peers]
+        others = [address for address in controllers if address != self._own_address]
         address = self._random.choice(others or [self._own_address])
+        # Without a proxy's name, so that a leader does not record this controller as a proxy.
         request = rpc_messages.WatchRequest("", "", "", "", 0, "", 0, 0)
         result = await self._rpc.call(address, request, DISCOVERY_TIMEOUT_S)
         reply = result.value_or(None)
@@ -81,12 +82,15 @@
         self._port = settings().internal_address(0)[1]  # the same for all controllers
 
     async def run_join_requests(self) -> None:
-        """Send join requests while the node has no leader or is not a voter. Start the driver first."""
+        """Send join requests whenever the node has no leader or is not a voter, until cancelled.
+
+        Start the driver first.
+        """
         while True:
             await asyncio.sleep(JOIN_INTERVAL_S * (0.5 + self._random.random()))
             node = self._consensus.started_node
-            has_no_leader = not node.is_leader and (not node.leader or node.identity not in node.voters)
-            if has_no_leader and not node.is_stopping:
+            needs_join = not node.is_leader and (not node.leader or node.identity not in node.voters)
+            if needs_join and not node.is_stopping:
                 self._request_join()
 
     def _request_join(self) -> None:
@@ -99,17 +103,21 @@
             self._send(address, JoinRequest(node.identity, node.address))
 
     async def leave(self) -> None:
-        """Transfer leadership; wait to be removed from the voters if there are more than `MIN_VOTERS`."""
+        """Transfer leadership, and request removal from the voters while there are more than `MIN_VOTERS`.
+
+        Returns after `LEAVE_TIMEOUT_S` at the latest.
+        """
         node = self._consensus.node
         if node is None:
             return
         self._consensus.step_down()
-        ends_us = self._clock() + int(LEAVE_TIMEOUT_S * SECOND)
-        while self._is_removable_voter() and self._clock() < ends_us:
+        deadline_us = self._clock() + int(LEAVE_TIMEOUT_S * SECOND)
+        while self._is_removable_voter() and self._clock() < deadline_us:
             if node.leader_address:
                 self._send(node.leader_address, LeaveRequest(node.identity))
             await asyncio.sleep(LEAVE_INTERVAL_S)
 
     def _is_removable_voter(self) -> bool:
+        """Return whether the node is a voter, and enough others remain without it."""
         node = self._consensus.node
         return node is not None and len(node.voters) > MIN_VOTERS and node.identity in node.voters
--- a/lapisgrade/gateway/controller/log_writer.py
+++ b/lapisgrade/gateway/controller/log_writer.py
@@ -39,7 +39,7 @@
 
 
 class LogWriter:
-    """Writes the queued records while `run` is running."""
+    """Writes the queued records; `run` must be running."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._metrics = metrics
         self._on_written = on_written
         self._queue: asyncio.Queue[DurableWrite] = asyncio.Queue()
-        self._must_renew = True  # never append to the generation of an earlier process
+        self._must_renew = True  # true at first: never append to the generation of an earlier process
         self._last_failed = False
         self.put(DurableWrite([node.snapshot_record()], [], node.log.last_index, node.log.last_term))
 
@@ -107,18 +107,25 @@
         return last_entry
 
     async def _renew(self) -> tuple[int, int]:
-        """Start a generation with a snapshot record of the node's current state."""
+        """Start a generation with a snapshot record of the node's current state.
+
+        Returns:
+            Index and term of the record's last entry; entries added during the write are not part of it.
+        """
         node_log = self._node.log
         last_entry = node_log.last_index, node_log.last_term
-        await self._call(self._store.start_generation, msgspec.msgpack.encode(self._node.snapshot_record()))
+        await self._run_blocking(
+            self._store.start_generation, msgspec.msgpack.encode(self._node.snapshot_record())
+        )
         self._must_renew = False
         return last_entry
 
     async def _append(self, batch: list[DurableWrite]) -> tuple[int, int]:
+        """Append the records of a batch; return index and term of its last entry."""
         last_entry = batch[-1].last_index, batch[-1].last_term
         records = [msgspec.msgpack.encode(record) for write in batch for record in write.records]
-        await self._call(self._store.append, records)
+        await self._run_blocking(self._store.append, records)
         return last_entry
 
-    async def _call(self, call: Callable[[Any], None], data: bytes | list[bytes]) -> None:
+    async def _run_blocking(self, call: Callable[[Any], None], data: bytes | list[bytes]) -> None:
         await asyncio.get_running_loop().run_in_executor(self._executor, call, data)
--- a/lapisgrade/gateway/controller/operation_claims.py
+++ b/lapisgrade/gateway/controller/operation_claims.py
@@ -33,11 +33,16 @@
 from lapisgrade.gateway.rpc_messages import ClaimReply, ClaimRequest
 from lapisgrade.gateway.settings import Settings
 
-BATCH_WINDOW_S = 0.02  # time for which a claim waits for others to share a sync; far below latency targets
+BATCH_WINDOW_S = 0.02  # time that a claim waits for others to share its sync; far below latency targets
 
 
 class PendingClaim(msgspec.Struct, frozen=True):
-    """A claim that waits for its batch, and its future result, which is None if the outcome is unknown."""
+    """A claim that waits for its batch.
+
+    Attributes:
+        claim: The claim.
+        result: Completed with the claim's result, or with None if the outcome is unknown.
+    """
 
     claim: Claim
     result: asyncio.Future[ClaimResult | None]
@@ -72,7 +77,12 @@
             self._batch_task.cancel()
 
     async def handle_claim(self, request: ClaimRequest) -> ClaimReply:
-        """Return the holder of the claim's key, once that is on a majority of the disks."""
+        """Return the holder of the claim's key, once its record is on a majority of the disks.
+
+        Returns:
+            The holder; no holder if the claim is malformed or the table has no room; or that the outcome is
+            unknown here, and where the leader may be.
+        """
         claim = request.claim
         if not self._consensus.is_leader():
             return self._unknown_reply()
@@ -94,16 +104,18 @@
         return known_holder(table, claim, table.clock_us + elapsed_us - self._retention_us())
 
     def _retention_us(self) -> int:
+        """Return the time for which a record is kept, in us."""
         return int(self._settings().slo.key_win) + RETENTION_MARGIN_US
 
     # ---- replies
 
     def _unknown_reply(self) -> ClaimReply:
-        """Return that the outcome is unknown here, with the leader's address if available."""
+        """Return that the outcome is unknown here, with the leader's address if it is known."""
         self._metrics.claims_unknown += 1
         return ClaimReply(False, leader_address=self._discovery.remote_leader_address())
 
     def _known_reply(self, claim: Claim, result: ClaimResult) -> ClaimReply:
+        """Return the result of a claim, and count it by kind."""
         if not result.attempt:
             self._metrics.claims_without_room += 1
         elif result.attempt == claim.attempt:
--- a/lapisgrade/gateway/controller/proxy_list_feed.py
+++ b/lapisgrade/gateway/controller/proxy_list_feed.py
@@ -10,26 +10,28 @@
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US
 from lapisgrade.gateway.rpc_messages import ProxiesByName, ProxyListDelta
 
-# Stored lists; about two seconds' worth at the leader's highest rate, one per PROXY_LIST_INTERVAL_US, since
-# `earlier_owners` needs those of the last OWNERSHIP_LEASE_US.
+# Maximum number of stored lists. At the leader's highest rate, one per PROXY_LIST_INTERVAL_US, these cover
+# about two seconds; `earlier_owners` needs the lists of the last OWNERSHIP_LEASE_US.
 MAX_LISTS = 12
 
 
 class _ProxyList(msgspec.Struct, frozen=True):
     members: ProxiesByName
     owners: tuple[str, ...]  # the members that own quota counts
-    since_us: int  # when the list was added
+    since_us: int  # monotonic time at which the list was added
 
 
 class ProxyListFeed:
-    """The last lists, by fencing token."""
+    """The last lists of live proxies, and a cache of the deltas between them."""
 
     def __init__(self) -> None:
         self._lists: dict[int, _ProxyList] = {}  # by fencing token, oldest first
-        self._deltas: dict[tuple[int, int], ProxyListDelta] = {}  # to the newest list, by both fencing tokens
+        self._deltas: dict[
+            tuple[int, int], ProxyListDelta
+        ] = {}  # by the fencing tokens of base and newest list
 
     def contains(self, fencing_token: int) -> bool:
-        """Return whether that list is stored."""
+        """Return whether the list with that fencing token is stored."""
         return fencing_token in self._lists
 
     def add(
@@ -50,9 +52,9 @@
         `OWNERSHIP_LEASE_US` ago.
         """
         owners: list[tuple[str, ...]] = []
-        later = [each.since_us for token, each in self._lists.items() if token >= fencing_token]
-        replaced_us = min(later, default=now_us)
-        for earlier_token in sorted((each for each in self._lists if each < fencing_token), reverse=True):
+        later_us = [each.since_us for token, each in self._lists.items() if token >= fencing_token]
+        replaced_us = min(later_us, default=now_us)
+        for earlier_token in sorted((token for token in self._lists if token < fencing_token), reverse=True):
             if now_us - replaced_us >= OWNERSHIP_LEASE_US:
                 break
             replaced_us = self._lists[earlier_token].since_us
@@ -60,7 +62,7 @@
         return owners
 
     def delta(self, base: int, fencing_token: int) -> ProxyListDelta | None:
-        """Return the changes from the list `base` to the list `fencing_token`.
+        """Return the changes from the list with the token `base` to the list with `fencing_token`.
 
         Returns None if one of the lists is not stored, or if the changes are no smaller than the list.
         """
@@ -69,7 +71,7 @@
         old, new = self._lists[base].members, self._lists[fencing_token].members
         delta = self._deltas.get((base, fencing_token))
         if delta is None:
-            changed = {name: each for name, each in new.items() if old.get(name) != each}
+            changed = {name: member for name, member in new.items() if old.get(name) != member}
             delta = ProxyListDelta(base, changed, sorted(old.keys() - new.keys()))
             self._deltas[base, fencing_token] = delta
         return delta if len(delta.changed) + len(delta.removed) < len(new) else None
--- a/lapisgrade/gateway/controller/server.py
+++ b/lapisgrade/gateway/controller/server.py
@@ -50,9 +50,9 @@
 log = logging.getLogger("controller")
 
 RESERVED_FILES = 200  # descriptors reserved for files, and for calls between controllers and proxies
-MIN_CONTROL_CONNECTIONS = 16
-MAX_READINESS_CONNECTIONS = 32
-SHUTDOWN_FLUSH_S = 0.15  # delay at shutdown for sending the last messages
+MIN_CONTROL_CONNECTIONS = 16  # connections of servers and operators that are allowed in any case
+MAX_READINESS_CONNECTIONS = 32  # connections to the readiness endpoint
+SHUTDOWN_FLUSH_S = 0.15  # delay at shutdown, in which the last messages are sent
 MAX_READINESS_BODY_BYTES = 4096
 
 CallHandler = Callable[[Any], Awaitable[Any]]
@@ -88,7 +88,10 @@
 
 
 def max_control_connections(descriptors: int) -> int:
-    """Return the maximum number of connections of servers and operators, given the descriptor limit."""
+    """Return the maximum number of connections of servers and operators.
+
+    `descriptors` is the limit of the process for open file descriptors.
+    """
     return min(MAX_CONNECTIONS, max(MIN_CONTROL_CONNECTIONS, descriptors - RESERVED_FILES))
 
 
@@ -220,7 +223,11 @@
         self._end_requested.set()
 
     def reload(self, settings: Settings) -> None:
-        """Replace the settings. Changes of addresses and of the data directory have no effect."""
+        """Replace the settings.
+
+        Changes of addresses, the data directory, the heartbeat interval and the descriptor limit take effect
+        only after a restart.
+        """
         self.settings = settings
 
     async def _recover(self) -> list[asyncio.Task[None]]:
@@ -264,6 +271,7 @@
             await self.readiness_server.listen(bind.readyz)
 
     async def _leave_cluster(self) -> None:
+        """Transfer leadership, leave the voters, and wait until the last messages are sent."""
         await self.membership.leave()
         await asyncio.sleep(SHUTDOWN_FLUSH_S)
 
@@ -287,9 +295,10 @@
 
     # ---- messages
 
-    def _send(self, to: str, message: ConsensusMessage) -> None:
+    def _send(self, address: str, message: ConsensusMessage) -> None:
+        """Post a message to another controller; drop and count it if the address is invalid."""
         try:
-            self.rpc.post(parse_address(to), message)
+            self.rpc.post(parse_address(address), message)
         except ValueError:
             self.metrics.invalid_peer_addresses += 1
 
@@ -298,6 +307,7 @@
             self.consensus.receive(message)
 
     async def _on_call(self, message: rpc_messages.Message) -> rpc_messages.Message | None:
+        """Return the reply to a call of a proxy or controller; None for messages that are not calls."""
         match message:
             case rpc_messages.WatchRequest():
                 return await self.watch_service.handle_watch(message)
@@ -311,5 +321,6 @@
                 return None
 
     async def _handle_readiness(self, message: HttpMessage) -> HttpReply:
+        """Return 200 until shutdown starts, then 503."""
         ready = not self.control_server.closing
         return HttpReply(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
--- a/lapisgrade/gateway/controller/state.py
+++ b/lapisgrade/gateway/controller/state.py
@@ -10,7 +10,7 @@
 from lapisgrade.gateway.operations.table import OperationTable
 from lapisgrade.gateway.registry import Server
 
-MAX_STAGED_VERSIONS = 8  # the oldest is dropped beyond this number; later versions supersede it
+MAX_STAGED_VERSIONS = 8  # beyond this number the oldest is dropped, since later versions supersede it
 
 _ENCODED_NAMES = {
     "configuration": "conf",
@@ -46,10 +46,10 @@
         forgotten_version: The newest version whose digest was dropped from `applied_changes`.
         active_configuration: The active configuration as JSON.
         active_version: The version of the active configuration, at most `version`.
-        staged_versions: Configurations newer than the active one, by version.
+        staged_versions: Configurations newer than the active one, as JSON by version.
         merged_versions: The staged versions that were produced by merging drafts.
         departed_servers: Servers that are draining (False) or gone (True), by id.
-        server_snapshot: The live servers in the leader's registry.
+        server_snapshot: The live servers in the leader's registry, from the last `ServerSnapshot`.
         live_proxies: Address, incarnation and zone of the live proxies, by name.
         proxies_with_controller: Live proxies on whose machine a controller runs.
         terminating_proxies: Live proxies that are shutting down.
@@ -99,7 +99,7 @@
         self.forget_activated_merges()
 
     def activate(self, version: int) -> None:
-        """Activate a staged version; drop the staged versions before it."""
+        """Activate a version and drop the staged versions before it; no effect if it is not staged."""
         if version not in self.staged_versions:
             return
         self.active_configuration = self.staged_versions[version]
@@ -115,7 +115,10 @@
 
 
 class SavedState(msgspec.Struct, array_like=True):
-    """A snapshot: the state without configurations, the newest one, and the others as deltas from it."""
+    """A snapshot: the state without its configurations, the newest configuration, and the others.
+
+    The other configurations are stored as deltas from the newest one.
+    """
 
     state: State
     configuration: bytes
--- a/lapisgrade/gateway/controller/state_machine.py
+++ b/lapisgrade/gateway/controller/state_machine.py
@@ -14,7 +14,7 @@
 from lapisgrade.gateway.controller.change_validation import (
     ApplyResult,
     ValidatedChange,
-    stale_base,
+    stale_base_error,
     validate_change,
 )
 from lapisgrade.gateway.controller.commands import (
@@ -34,8 +34,8 @@
 from lapisgrade.gateway.merge.three_way import Draft, MergeOutcome
 from lapisgrade.gateway.quota.ownership import eligible_owners
 
-MAX_REMEMBERED_CHANGES = 4096  # applied changes whose duplicates are recognized; covers several days
-MAX_DEPARTED_SERVERS = 16_384  # more servers than a deployment has at a time
+MAX_REMEMBERED_CHANGES = 4096  # stored digests, to recognize duplicates; several days' changes
+MAX_DEPARTED_SERVERS = 16_384  # stored servers that left; more than a deployment has at a time
 
 _OK = ApplyResult(HTTPStatus.OK)
 _COMMAND_DECODER = msgspec.msgpack.Decoder(LogCommand)
@@ -99,7 +99,7 @@
         return PreparedChange(validated.result, NewVersion(change.digest, encoded))
 
     def open_drafts(self) -> dict[str, tuple[Draft, MergeOutcome]]:
-        """Return the drafts that are shown to operators, with their merge outcomes, by draft id."""
+        """Return the current drafts and the unresolved ones, with their merge outcomes, by draft id."""
         return draft_merging.open_drafts(self.state)
 
     # ---- commands
@@ -133,6 +133,7 @@
         return _OK
 
     def _apply_claims(self, command: ClaimOperations) -> ApplyResult:
+        """Advance the operation table's clock, and apply the claims in order."""
         operations = self.state.operations
         operations.advance(command.elapsed_us, command.retention_us)
         results = [operations.claim(claim) for claim in command.claims]
@@ -150,7 +151,7 @@
         if state.applied_changes.get(encoded.version) == command.change_digest:
             return _OK  # a duplicate of an applied change
         if encoded.base != state.version:
-            return ApplyResult(HTTPStatus.PRECONDITION_FAILED, str(stale_base(state, encoded.base)))
+            return ApplyResult(HTTPStatus.PRECONDITION_FAILED, str(stale_base_error(state, encoded.base)))
         self.accept(decode(encoded, state.configuration), encoded.version, command.change_digest)
         return _OK
 
@@ -177,6 +178,10 @@
         state.terminating_proxies = command.terminating_proxies
 
     def _apply_server_leaving(self, command: ServerLeaving) -> None:
+        """Record that a server is draining or gone; a server that is gone stays so.
+
+        Beyond `MAX_DEPARTED_SERVERS`, the servers whose last announcement is the oldest are dropped.
+        """
         departed = self.state.departed_servers
         was_gone = departed.pop(command.server, False)
         departed[command.server] = was_gone or command.is_gone
--- a/lapisgrade/gateway/controller/version_activation.py
+++ b/lapisgrade/gateway/controller/version_activation.py
@@ -50,7 +50,7 @@
         address: The address for calls of other proxies.
         incarnation: Identifies the proxy's process.
         zone: The failure domain.
-        last_seen_us: Time of the last watch request.
+        last_seen_us: The monotonic time of the last watch request.
         staged_version: The newest version that the proxy has, active or not.
         active_version: The version that the proxy uses.
         has_local_controller: Whether a controller runs on the proxy's machine.
@@ -71,21 +71,21 @@
     """Tracks when versions were staged, and which activation was proposed last."""
 
     def __init__(self) -> None:
-        self._staged_since_us: dict[int, int] = {}
+        self._staged_since_us: dict[int, int] = {}  # by version; times on this leader's clock
         self._proposed_version = 0
         self._proposed_us = 0
 
     def become_leader(self, now_us: int, state: State) -> None:
-        """Count from now for all staged versions.
+        """Treat all staged versions as staged now.
 
-        `ACTIVATION_TIMEOUT_US` later every proxy that was sent one by the last leader has reached this one,
-        or is in doubt.
+        `ACTIVATION_TIMEOUT_US` later, every proxy that was sent one by the last leader has contacted this
+        leader, or is in doubt.
         """
         self._staged_since_us = dict.fromkeys(state.staged_versions, now_us)
         self._proposed_version = 0
 
     def due(self, now_us: int, state: State, proxies: Iterable[ProxyStatus]) -> Activate | None:
-        """Return the activation to propose now, if any."""
+        """Return the activation to propose now, if any; `proxies` are the live ones."""
         self._staged_since_us = {
             version: self._staged_since_us.get(version, now_us) for version in state.staged_versions
         }
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -8,7 +8,7 @@
 * `LiveProxies`: replaces the list of live proxies, which determines the owners of quota counts. The index of
   its log entry is the owners' fencing token. A new leader continues with the last list, so no count changes
   its owner because of an election.
-* `ServerSnapshot`: the live servers, from which a new leader initializes its registry.
+* `ServerSnapshot`: stores the live servers, from which a new leader initializes its registry.
 
 The registry is complete once every server has had time to send a heartbeat to this leader. Its incarnation is
 the leader's term, with the suffix `+` once it is complete. A proxy with another incarnation is sent the
@@ -30,21 +30,29 @@
 # Time without a watch request after which a proxy is removed and its quota counts get new owners. Above
 # OWNERSHIP_LEASE_US, so that the proxy no longer acts as an owner.
 PROXY_TIMEOUT_US = 2_000_000
-PROXY_LIST_INTERVAL_US = 150_000  # minimum interval of lists; proxies that start together share one
-SERVER_SNAPSHOT_INTERVAL_US = 1_000_000  # minimum interval of server snapshots
+PROXY_LIST_INTERVAL_US = 150_000  # minimum interval between lists; proxies that start together share one
+SERVER_SNAPSHOT_INTERVAL_US = 1_000_000  # minimum interval between server snapshots
 MAX_PROXIES = 4096  # bounds memory against a flood of proxy names
 
 _LIVE_STATES = (ServerState.UP, ServerState.DRAIN)
 
 
 class _Outdated(msgspec.Struct, frozen=True):
-    """The parts of a proxy's state that are outdated."""
+    """The parts of a proxy's state that are outdated.
 
-    needs_full_registry: bool  # the proxy has another registry, so all of this one has to be sent
+    Attributes:
+        needs_full_registry: The proxy has another registry, so all of this one has to be sent.
+        has_registry_changes: The proxy lacks at least one change of the registry.
+        configuration: The proxy lacks the active or the newest version, or requests it in full.
+        proxy_list: The proxy's list of live proxies is not the newest.
+        is_proxy_list_unknown: It is neither the newest list nor the previous one.
+    """
+
+    needs_full_registry: bool
     has_registry_changes: bool
     configuration: bool
     proxy_list: bool
-    is_proxy_list_unknown: bool  # the proxy has neither the newest list nor the previous one
+    is_proxy_list_unknown: bool
 
     def has_any(self) -> bool:
         """Return whether there is anything to send."""
@@ -55,7 +63,7 @@
     """The leader's state of proxies and servers; `become_leader` resets it."""
 
     def __init__(self, heartbeat_us: int, now_us: int) -> None:
-        """`heartbeat_us` is the interval of the servers' heartbeats."""
+        """`heartbeat_us` is the interval between a server's heartbeats."""
         self.heartbeat_us = heartbeat_us
         self.term = 0
         self.registry = Registry(heartbeat_us, now_us)
@@ -83,12 +91,12 @@
         # Proxies of the last list may still act as owners, whenever they were last seen by the old leader.
         self.proxies = {
             name: ProxyStatus(
-                *each,
+                *member,
                 last_seen_us=now_us,
                 has_local_controller=name in state.proxies_with_controller,
                 is_terminating=name in state.terminating_proxies,
             )
-            for name, each in state.live_proxies.items()
+            for name, member in state.live_proxies.items()
         }
         for server in state.server_snapshot:
             self.registry.restore(now_us, [msgspec.structs.replace(server, revision=0)])
@@ -103,11 +111,11 @@
 
     def update_departed_servers(self, now_us: int, departed: dict[str, bool]) -> None:
         """Update the registry from the replicated map of draining (False) and gone (True) servers."""
-        for server_id, gone in departed.items():
+        for server_id, is_gone in departed.items():
             server = self.registry.servers.get(server_id)
-            state = ServerState.GONE if gone else ServerState.DRAIN
+            state = ServerState.GONE if is_gone else ServerState.DRAIN
             if server is not None and server.state not in (ServerState.GONE, state):
-                self.registry.mark_left(now_us, server_id, gone)
+                self.registry.mark_left(now_us, server_id, is_gone)
         self.departed_servers = departed
 
     def on_heartbeat(self, now_us: int, server: Server) -> bool:
@@ -135,7 +143,7 @@
         return (revision, was_complete) != (self.registry.revision, self.is_registry_complete)
 
     def on_proxy_unreachable(self, name: str, address: str) -> None:
-        """Remove a proxy whose machine refused a connection to `address`: its process has ended."""
+        """Remove a proxy whose machine refused a connection to `address`: its process no longer runs."""
         if name in self.proxies and self.proxies[name].address == address:
             del self.proxies[name]
 
@@ -164,7 +172,7 @@
         return LiveProxies(members, with_controller, terminating)
 
     def server_snapshot(self, now_us: int) -> ServerSnapshot | None:
-        """Return a server snapshot if it differs from the last one and is due."""
+        """Return a server snapshot if one is due, and servers or their addresses differ from the last one."""
         if now_us - self._snapshot_proposed_us < SERVER_SNAPSHOT_INTERVAL_US:
             return None
         live = [server for server in self.registry.servers.values() if server.state in _LIVE_STATES]
@@ -210,7 +218,7 @@
         )
 
     def _observe(self, now_us: int, request: rpc_messages.WatchRequest) -> None:
-        """Record the proxy, and the servers that it received from an earlier leader."""
+        """Record the proxy, and the servers that it knows from an earlier leader."""
         if request.proxy and len(self.proxies) < MAX_PROXIES:
             self.proxies[request.proxy] = ProxyStatus(
                 request.address,
@@ -226,6 +234,7 @@
             self.registry.restore(now_us, request.known_servers)
 
     def _outdated(self, request: rpc_messages.WatchRequest, state: State) -> _Outdated:
+        """Compare what the proxy has with the current state."""
         # A proxy that has the incomplete registry of this term is sent the complete one in full, because it
         # can't tell which of its servers sent no heartbeat to this leader. A proxy that has the complete
         # registry keeps it.
@@ -251,6 +260,7 @@
         controllers: list[str],
         outdated: _Outdated,
     ) -> rpc_messages.WatchReply:
+        """Return a reply with the updates of the outdated parts."""
         is_new_list, is_unknown_list = outdated.proxy_list, outdated.is_proxy_list_unknown
         list_delta = (
             self.proxy_lists.delta(request.fencing_token, state.fencing_token) if is_new_list else None
--- a/lapisgrade/gateway/controller/watch_service.py
+++ b/lapisgrade/gateway/controller/watch_service.py
@@ -20,8 +20,8 @@
 from lapisgrade.gateway.settings import parse_address
 from lapisgrade.gateway.watch_timing import LONG_POLL_US
 
-MAX_PROBES = 16  # maximum number of proxies probed for one request
-REPLY_COST_US = 200  # upper bound of the leader's CPU time for one proxy's reply
+MAX_PROBES = 16  # maximum number of proxies that are probed for one request
+REPLY_COST_US = 200  # upper bound of the leader's CPU time for the reply to one proxy
 MAX_FAN_OUT_INTERVAL_US = 250_000  # maximum time between rounds of replies; far below all update deadlines
 
 
@@ -59,7 +59,7 @@
         """Return the updates for a proxy, or after `LONG_POLL_US` a reply without updates."""
         self._metrics.watch_requests += 1
         self._probe_refusing_proxies(request.unreachable_proxies)
-        ends_us = self._clock() + LONG_POLL_US
+        deadline_us = self._clock() + LONG_POLL_US
         while True:
             if not self._consensus.is_leader():
                 return self._redirect()
@@ -68,7 +68,7 @@
                 self._clock(), request, self._state_machine.state, controllers
             )
             self._propose_activation()
-            remaining_s = (ends_us - self._clock()) / SECOND
+            remaining_s = (deadline_us - self._clock()) / SECOND
             if reply is not None:
                 return reply
             if remaining_s <= 0:
@@ -77,7 +77,7 @@
             await self._wait_for_change(remaining_s)
 
     def _redirect(self) -> rpc_messages.WatchReply:
-        """Return the leader's address, as far as this controller has it, and the addresses of the voters."""
+        """Return the leader's address, empty if unknown here, and the addresses of the voters."""
         leader = self._discovery.remote_leader_address()
         return rpc_messages.WatchReply(False, leader, self._consensus.voter_addresses())
 
@@ -87,13 +87,14 @@
         )
 
     def _propose_activation(self) -> None:
-        """Propose an activation immediately if this request was the last one that it waited for."""
+        """Propose an activation immediately if the activation waited only for the current request."""
         activation = self.watch.activation(self._clock(), self._state_machine.state)
         if activation is not None:
             self._consensus.propose_all([activation])
             self._consensus.step()
 
     async def _wait_for_change(self, timeout_s: float) -> None:
+        """Return when watchers are notified, or after `timeout_s`."""
         changed = self._changed
         try:
             async with asyncio.timeout(timeout_s):
@@ -109,6 +110,7 @@
     # ---- probes
 
     def _probe_refusing_proxies(self, names: list[str]) -> None:
+        """Start probes of the proxies that another proxy reported as unreachable."""
         for name in names[:MAX_PROBES]:
             proxy = self.watch.proxies.get(name)
             if proxy is not None and self._consensus.is_leader():
@@ -162,6 +164,7 @@
             self._notify_timer = asyncio.get_running_loop().call_later(delay_s, self._wake_watchers)
 
     def _wake_watchers(self) -> None:
+        """Re-evaluate all pending requests now."""
         self._notify_timer = None
         self._notified_us = self._clock()
         changed, self._changed = self._changed, asyncio.Event()
