--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -21,9 +21,9 @@
     watch = Watch(SECOND, 0)
     watch.become_leader(0, 1, state_machine.state)
 
-    def send_watch_request(now: int, name: str, staged_version: int) -> None:
+    def send_watch_request(now_us: int, name: str, staged_version: int) -> None:
         watch.reply_if_changed(
-            now,
+            now_us,
             rpc_messages.WatchRequest(name, "p", "1", "z", 0, "1+", 9, 2, staged_version=staged_version),
             state_machine.state,
             [],
@@ -53,13 +53,13 @@
         ).status,
         state_machine.apply(
             3, encode_command(ConfigurationChange(True, encode_configuration(3, 1, 3)))
-        ).status,  # same base
+        ).status,  # has the same base as the change before it, which was accepted
         state_machine.apply(
             4, encode_command(ConfigurationChange(True, b'{"Ver":9,"Base":2,"Ports":7}'))
         ).status,
         state_machine.apply(
             5, encode_command(ConfigurationChange(True, encode_configuration(2, 1, 2)))
-        ).status,  # a duplicate
+        ).status,  # a duplicate of the accepted change
     ]
     assert statuses == [200, 412, 400, 200]
     assert list(state_machine.state.staged_versions) == [1, 2]
@@ -79,21 +79,21 @@
     state_machine = StateMachine()
     watch = Watch(SECOND, 0)
     watch.proxies["unreachable"] = ProxyStatus("p", "1", "z", 0)
-    activated_at = {}
-    for now in range(0, 4 * SECOND, 100 * MS):
-        if now % (500 * MS) == 0:
+    activated_us = {}
+    for now_us in range(0, 4 * SECOND, 100 * MS):
+        if now_us % (500 * MS) == 0:
             version = state_machine.state.version + 1
             state_machine.apply(
                 version,
                 encode_command(ConfigurationChange(True, encode_configuration(version, version - 1, 1))),
             )
-        activation = watch.activation(now, state_machine.state)
+        activation = watch.activation(now_us, state_machine.state)
         if activation is not None:
-            activated_at[activation.version] = now
+            activated_us[activation.version] = now_us
             state_machine.apply(100 + activation.version, encode_command(activation))
-    assert {version: at - (version - 1) * 500 * MS for version, at in activated_at.items()} == dict.fromkeys(
-        range(1, 7), ACTIVATION_TIMEOUT_US
-    )
+    assert {
+        version: at_us - (version - 1) * 500 * MS for version, at_us in activated_us.items()
+    } == dict.fromkeys(range(1, 7), ACTIVATION_TIMEOUT_US)
 
 
 def test_a_merged_version_is_activated_only_after_its_delay() -> None:
--- a/tests/gateway/controller/test_activation_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -34,15 +34,18 @@
     """Clients of the new tenant and of an existing one at every proxy, and their results."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.fleet, self.old_tenant_calls = fleet, []
+        self.fleet, self.old_tenant_calls = fleet, []  # calls as (status, duration in seconds)
+        # Times are monotonic, in seconds.
         self.first_accepted_at = float("inf")  # when any proxy first answered the new tenant with 200
-        self.violations: list[tuple[str, int]] = []  # requests rejected after another proxy accepted one
+        # Proxy and status of each request that was sent after a proxy had accepted one, and was rejected.
+        self.violations: list[tuple[str, int]] = []
         self.accepted_at: dict[str, float] = {}  # by proxy: when it first answered the new tenant with 200
         self.sent_at: float | None = None  # when the operator's change was sent
         self._tasks = [asyncio.create_task(self.call_as_new_tenant(name)) for name in fleet.ip]
         self._tasks += [asyncio.create_task(self.call_as_old_tenant(name)) for name in fleet.ip]
 
     async def call_as_new_tenant(self, name: str) -> None:
+        """Send requests to one proxy until cancelled, and record acceptances and violations."""
         while True:
             sent, first_accepted_at = time.monotonic(), self.first_accepted_at
             status = await self.fleet.call(name, "gabes.example", "/1", "key-of-gabes")
@@ -54,6 +57,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def call_as_old_tenant(self, name: str) -> None:
+        """Send requests to one proxy until cancelled, and record their results."""
         while True:
             sent = time.monotonic()
             status = await self.fleet.call(name, "a.example", "/stock/1", "key-of-sfax")
@@ -66,11 +70,13 @@
             self.sent_at = time.monotonic()
 
     async def end(self) -> None:
-        for each in self._tasks:
-            each.cancel()
+        """Stop sending requests."""
+        for task in self._tasks:
+            task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def all_accept(self) -> bool:
+        """Whether every proxy has accepted a request of the new tenant."""
         return len(self.accepted_at) == len(self.fleet.ip)
 
 
@@ -134,6 +140,7 @@
 
         async def applied() -> bool:
             try:
+                # 0: active everywhere; 3: acknowledged, but not active everywhere in time.
                 return await client.apply(msgspec.json.encode(TICKET), 8.0) in (0, 3)
             except Exception:
                 return False
--- a/tests/gateway/controller/test_consensus_driver.py
+++ b/tests/gateway/controller/test_consensus_driver.py
@@ -46,7 +46,7 @@
             ConsensusObserver(),
             self.errors.append,
         )
-        leader_tasks = SimpleNamespace(on_applied=int, notify_watchers=int)
+        leader_tasks = SimpleNamespace(on_applied=int, notify_watchers=int)  # `int()` has no effect
         self.driver.start(self.node, SimpleNamespace(put=self.written.append), leader_tasks)
 
 
--- a/tests/gateway/controller/test_descriptors.py
+++ b/tests/gateway/controller/test_descriptors.py
@@ -6,7 +6,7 @@
     max_control_connections,
 )
 
-DESCRIPTORS = 475  # limit of the process; RESERVED_FILES of them are for files
+DESCRIPTORS = 475  # descriptor limit of the process; RESERVED_FILES of them are reserved for files
 PROXIES = 68  # each has its own connection to the leader
 
 
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -31,23 +31,28 @@
     return DraftClient([Address((site.ip[name], CONTROL_PORT))], lines.append)
 
 
-async def send_draft(site: LocalCluster, name: str, text: bytes, by: str = "amel") -> tuple[int, list[str]]:
+async def send_draft(
+    site: LocalCluster, name: str, text: bytes, author: str = "amel"
+) -> tuple[int, list[str]]:
+    """Send a draft to one machine's controller; return the exit code and the printed lines."""
     lines: list[str] = []
-    return await draft_client(site, name, lines).send(text, by), lines
+    return await draft_client(site, name, lines).send(text, author), lines
 
 
 async def kill_other_controllers(site: LocalCluster, name: str) -> None:
-    """Kill all controllers but one, and wait until that one doesn't lead."""
-    for other in [each for each in site.controllers if each != name]:
+    """Kill all controllers except that of `name`, and wait until that one doesn't lead."""
+    for other in [other for other in site.controllers if other != name]:
         await site.kill(site.controllers[other])
     await site.until(lambda: not site.controllers[name].consensus.is_leader())
 
 
 async def wait_for_version(site: LocalCluster, version: int) -> None:
-    await site.until(lambda: all(each.active_version == version for each in site.proxies.values()))
+    """Wait until every proxy has activated the version."""
+    await site.until(lambda: all(proxy.active_version == version for proxy in site.proxies.values()))
 
 
 def claim_rule(site: LocalCluster, name: str):
+    """The rule r-claim in the active configuration of one machine's proxy."""
     table = site.proxies[name].router.tables.active
     return next(rule for rule in table.configuration.ports[0].policy if rule.name == "r-claim")
 
@@ -56,11 +61,11 @@
     async with serving_cluster(TWO_SERVICES) as site:
         await kill_other_controllers(site, "m3")
         status, lines = await send_draft(site, "m3", edit(Action={"Svc": "reparation"}))
-        name = lines[0].split()[1]
+        draft_id = lines[0].split()[1]
         assert (status, lines) == (
             0,
             [
-                f"draft {name} on version 1: kept on 1 disk, not in force",
+                f"draft {draft_id} on version 1: kept on 1 disk, not in force",
                 "  mind: no neighbour has a copy: it is lost with that machine",
             ],
         )
@@ -68,25 +73,25 @@
         assert await draft_client(site, "m3", lines).print_drafts() == 0
         assert lines == [
             "no leader is reached from here: what was merged elsewhere is not known",
-            f"{name} by amel at m3 on version 1: kept, not in force",
+            f"{draft_id} by amel at m3 on version 1: kept, not in force",
             "  Routes/r-claim/Action/Svc",
         ]
         assert claim_rule(site, "m3").action.svc == "garantie"
         # On the other side of the partition, an acknowledged change edits the same route.
         await site.kill(site.controllers["m3"])
-        for each in ("m1", "m2"):
-            await site.start_controller(each)
+        for name in ("m1", "m2"):
+            await site.start_controller(name)
         change = {"Ver": 4, "Base": 1, **claim_rule_edit(Action={"Timeout": "1500ms"}, Prio=0)}
         while await site.put(change, "conf.update") != 200:
             await asyncio.sleep(0.02)
         await site.start_controller("m3")
         await wait_for_version(site, 5)
-        for each in site.names:
-            rule = claim_rule(site, each)
+        for name in site.names:
+            rule = claim_rule(site, name)
             assert (rule.action.svc, rule.action.timeout, rule.prio) == ("reparation", 1_500_000, 0)
         lines = []
         assert await draft_client(site, "m1", lines).print_drafts() == 0
-        assert lines == [f"{name} by amel at m3 on version 1: merged, all of it stands"]
+        assert lines == [f"{draft_id} by amel at m3 on version 1: merged, all of it stands"]
         await site.until(lambda: not site.controllers["m3"].draft_delivery.stored())
 
 
@@ -94,12 +99,12 @@
     async with serving_cluster(TWO_SERVICES) as site:
         await kill_other_controllers(site, "m3")
         _, lines = await send_draft(site, "m3", edit(Prio=3, Action={"Svc": "reparation"}))
-        name = lines[0].split()[1]
+        draft_id = lines[0].split()[1]
         _, lines = await send_draft(site, "m3", edit(Mode="idem", Prio=5), "badr")
-        other = lines[0].split()[1]
+        other_id = lines[0].split()[1]
         await site.kill(site.controllers["m3"])
-        for each in ("m1", "m2"):
-            await site.start_controller(each)
+        for name in ("m1", "m2"):
+            await site.start_controller(name)
         change = {"Ver": 4, "Base": 1, **claim_rule_edit(Prio=0)}
         while await site.put(change, "conf.update") != 200:
             await asyncio.sleep(0.02)
@@ -110,21 +115,21 @@
         assert await client.print_drafts() == 1
         assert sorted(lines) == sorted(
             [
-                f"{name} by amel at m3 on version 1: merged in part",
+                f"{draft_id} by amel at m3 on version 1: merged in part",
                 "  Routes/r-claim/Prio: has 0, wants 3: acknowledged since",
-                f"{other} by badr at m3 on version 1: merged in part",
+                f"{other_id} by badr at m3 on version 1: merged in part",
                 "  Routes/r-claim/Prio: has 0, wants 5: acknowledged since",
             ]
         )
-        assert await client.settle(name) == 0
-        await site.until(lambda: all(claim_rule(site, each).prio == 3 for each in site.names))
+        assert await client.settle(draft_id) == 0
+        await site.until(lambda: all(claim_rule(site, name).prio == 3 for name in site.names))
         rule = claim_rule(site, "m1")
         assert (rule.action.svc, rule.mode) == ("reparation", "idem")
-        assert await client.drop(other) == 0
-        assert await client.drop(other) == 1
+        assert await client.drop(other_id) == 0
+        assert await client.drop(other_id) == 1
         assert lines[-3:] == [
-            f"draft {name}: what was set aside is acknowledged",
-            f"draft {other}: closed",
+            f"draft {draft_id}: what was set aside is acknowledged",
+            f"draft {other_id}: closed",
             "answered 404: no such draft is open",
         ]
         assert await client.print_drafts() == 0
@@ -143,8 +148,8 @@
         await kill_other_controllers(site, "m1")
         await site.kill(site.controllers["m1"])
         shutil.rmtree(os.path.join(site.folder, "m3"))
-        for each in ("m1", "m2"):
-            await site.start_controller(each)
+        for name in ("m1", "m2"):
+            await site.start_controller(name)
         await wait_for_version(site, 2)
         assert claim_rule(site, "m2").prio == 0
 
@@ -159,7 +164,7 @@
         edits = {"m1": edit(Prio=4), "m2": edit(Action={"Svc": "reparation"}), "m3": edit(Mode="idem")}
         for name, text in edits.items():
             assert (await send_draft(site, name, text, name))[0] == 0
-        assert {each.active_version for each in site.proxies.values()} == {1}
+        assert {proxy.active_version for proxy in site.proxies.values()} == {1}
         partition.isolated.clear()
         await site.until(
             lambda: any(controller.state_machine.state.drafts for controller in site.controllers.values())
@@ -174,7 +179,7 @@
             rule = claim_rule(site, name)
             return (rule.prio, rule.action.svc, rule.mode) == (4, "reparation", "idem")
 
-        await site.until(lambda: all(is_merged(each) for each in site.names))
+        await site.until(lambda: all(is_merged(name) for name in site.names))
         await site.until(
             lambda: not any(controller.draft_delivery.stored() for controller in site.controllers.values())
         )
@@ -185,10 +190,10 @@
     async with serving_cluster(TWO_SERVICES) as site:
         partition = Partition(site)
         partition.isolate("m3")
-        await site.until(lambda: any(site.controllers[each].consensus.is_leader() for each in ("m1", "m2")))
+        await site.until(lambda: any(site.controllers[name].consensus.is_leader() for name in ("m1", "m2")))
         await send_draft(site, "m3", edit(Action={"Svc": "reparation"}))
         change = {"Ver": 4, "Base": 1, **claim_rule_edit(Prio=0)}
-        controllers = [(site.ip[each], CONTROL_PORT) for each in ("m1", "m2")]
+        controllers = [(site.ip[name], CONTROL_PORT) for name in ("m1", "m2")]
         while await post_to_any(controllers, "/-/rpc?call=conf.update", msgspec.json.encode(change)) != 200:
             await asyncio.sleep(0.02)
         partition.isolated.clear()
--- a/tests/gateway/controller/test_operation_claims.py
+++ b/tests/gateway/controller/test_operation_claims.py
@@ -18,7 +18,7 @@
 
 OWNER = "10.3.0.1:7600"
 RETENTION_S = (int(Slo().key_win) + RETENTION_MARGIN_US) / SECOND
-REPLY_S = 0.2  # time limit for the reply to a claim in the absence of faults
+REPLY_S = 0.2  # maximum time until a claim is answered, without faults
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
@@ -28,7 +28,7 @@
 
 
 class Site:
-    """Three controllers, one of which leads."""
+    """Three simulated controllers, one of which leads."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop(Random(1))
--- a/tests/gateway/controller/test_proxy_list_feed.py
+++ b/tests/gateway/controller/test_proxy_list_feed.py
@@ -14,6 +14,7 @@
 
 
 def members(names, incarnation: str = "1") -> rpc_messages.ProxiesByName:
+    """A list of live proxies with those names, all in one zone."""
     return {name: (f"10.0.0.1:{name}", incarnation, "z") for name in map(str, names)}
 
 
@@ -25,6 +26,7 @@
         self.watch.become_leader(0, 1, self.state_machine.state)
 
     def reply_to(self, base: int) -> rpc_messages.WatchReply | None:
+        """The reply to a proxy that has the list with the fencing token `base`, as decoded by the proxy."""
         request = rpc_messages.WatchRequest("", "", "1", "z", 0, "1", 0, base)
         reply = self.watch.reply_if_changed(0, request, self.state_machine.state, [])
         return msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=type(reply)) if reply else None
@@ -42,15 +44,15 @@
 def test_a_proxy_with_any_earlier_list_obtains_the_newest(leader: ProxyListLeader) -> None:
     for seed in range(20):
         leader = ProxyListLeader()
-        random, current, known = Random(seed), members(range(40)), {0: {}}
+        random, current, lists = Random(seed), members(range(40)), {0: {}}  # `lists` by fencing token
         for fencing_token in range(1, 25):
             leader.apply_list(fencing_token, current)
-            for base in random.sample(sorted(known), min(len(known), 4)):
+            for base in random.sample(sorted(lists), min(len(lists), 4)):
                 reply = leader.reply_to(base)
-                assert reply.updated_proxies(base, known[base]) == current
-            known[fencing_token] = current
+                assert reply.updated_proxies(base, lists[base]) == current
+            lists[fencing_token] = current
             departed = random.sample(sorted(current), min(len(current), random.choice((0, 1, 10))))
-            current = {name: each for name, each in current.items() if name not in departed}
+            current = {name: member for name, member in current.items() if name not in departed}
             current |= members(random.sample(range(60), random.choice((0, 1, 10))), str(fencing_token))
 
 
--- a/tests/gateway/controller/test_refused_changes.py
+++ b/tests/gateway/controller/test_refused_changes.py
@@ -21,12 +21,14 @@
 
 
 async def printed_status(site: LocalCluster) -> list[str]:
+    """The lines that the command `status` prints."""
     lines: list[str] = []
     await OperatorClient([Address((site.ip["m1"], CONTROL_PORT))], lines.append).print_status()
     return lines
 
 
 async def put_until(site: LocalCluster, body: dict, status: int) -> None:
+    """Send a complete configuration until it is answered with `status`; at first there is no leader."""
     async with asyncio.timeout(20.0):
         while await site.put(body) != status:
             await asyncio.sleep(0.02)
@@ -44,10 +46,12 @@
         assert lines[2].startswith(
             "  last refused change: conf.replace, 400, 0 s ago: 'sometimes' is no mode"
         )
-        logged = [each for each in caplog.messages if each.startswith("conf.replace refused with 400: ")]
+        logged = [
+            message for message in caplog.messages if message.startswith("conf.replace refused with 400: ")
+        ]
         assert len(logged) == 1
-        counted = [each.metrics.changes_refused for each in site.controllers.values()]
-        assert [dict(each) for each in counted if each] == [{"conf.replace 400": 1}]
+        counters = [controller.metrics.changes_refused for controller in site.controllers.values()]
+        assert [dict(counter) for counter in counters if counter] == [{"conf.replace 400": 1}]
         await put_until(site, VALID_CONFIGURATION, 200)
         assert await site.put({"Ver": 9, "Base": 3}, "conf.update") == 412
         lines = await printed_status(site)
@@ -59,7 +63,7 @@
     async with local_cluster() as site:
         await put_until(site, VALID_CONFIGURATION, 200)
         assert await site.put(VALID_CONFIGURATION) == 200
-        assert not any(each.metrics.changes_refused for each in site.controllers.values())
+        assert not any(controller.metrics.changes_refused for controller in site.controllers.values())
 
 
 def test_the_last_refused_change_is_stored_with_a_single_line_reason_of_limited_length():
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -20,10 +20,11 @@
     def __init__(self) -> None:
         self.state_machine, self.index = StateMachine(), 0
 
-    def send(self, body: dict | bytes, is_complete: bool = True) -> tuple[int, str]:
+    def send(self, body: dict | bytes, replaces_all: bool = True) -> tuple[int, str]:
+        """Apply a change; return the status and the reason of a refusal."""
         self.index += 1
         data = body if isinstance(body, bytes) else msgspec.json.encode(body)
-        result = self.state_machine.apply(self.index, encode_command(ConfigurationChange(is_complete, data)))
+        result = self.state_machine.apply(self.index, encode_command(ConfigurationChange(replaces_all, data)))
         return result.status, result.reason
 
     def configuration(self) -> dict:
@@ -34,7 +35,7 @@
     operator = Operator()
     assert operator.send(VALID_CONFIGURATION) == (200, "")
     assert operator.configuration() == {
-        name: each for name, each in VALID_CONFIGURATION.items() if name != "Base"
+        name: value for name, value in VALID_CONFIGURATION.items() if name != "Base"
     }
 
 
@@ -53,8 +54,8 @@
 def test_a_reformatted_change_is_recognized_as_a_duplicate():
     operator = Operator()
     operator.send(VALID_CONFIGURATION)
-    again = dict(reversed(VALID_CONFIGURATION.items()))
-    assert operator.send(again) == (200, "")
+    reordered = dict(reversed(VALID_CONFIGURATION.items()))
+    assert operator.send(reordered) == (200, "")
     assert operator.send(with_fields(Tenants=None)) == (412, "version 7 is not above 7, which is in force")
 
 
@@ -88,8 +89,8 @@
 
 
 def test_the_reason_for_a_duplicate_key_does_not_contain_the_key():
-    twice = [{"Name": "a", "Apikeys": ["secret"]}, {"Name": "b", "Apikeys": ["secret"]}]
-    assert Operator().send(with_fields(Tenants=twice)) == (400, "a key stands twice")
+    tenants = [{"Name": "a", "Apikeys": ["secret"]}, {"Name": "b", "Apikeys": ["secret"]}]
+    assert Operator().send(with_fields(Tenants=tenants)) == (400, "a key stands twice")
 
 
 def test_an_update_changes_and_removes_only_the_named_items():
@@ -105,23 +106,23 @@
             "Tenants": [{"Name": "port", "Apikeys": ["k3"]}],
         },
     }
-    assert operator.send(change, is_complete=False) == (200, "")
+    assert operator.send(change, replaces_all=False) == (200, "")
     current = operator.configuration()
     assert current["Ports"] == [{"Vhost": "a.example", "Policy": [{**STOCK_RULE, "Prio": 0}, new]}]
-    assert [each["Name"] for each in current["Tenants"]] == ["sfax", "port"]
+    assert [tenant["Name"] for tenant in current["Tenants"]] == ["sfax", "port"]
     assert (current["Ver"], current["Pools"]) == (9, VALID_CONFIGURATION["Pools"])
-    assert operator.send(change, is_complete=False) == (200, "")
+    assert operator.send(change, replaces_all=False) == (200, "")
 
 
 def test_a_snapshot_restores_the_state():
-    operator, other = Operator(), StateMachine()
+    operator, restored = Operator(), StateMachine()
     operator.send(VALID_CONFIGURATION)
     operator.state_machine.apply(2, encode_command(ServerLeaving("i-1", False)))
     operator.state_machine.apply(
         3, encode_command(ServerSnapshot([Server("i-2", "garantie", "10.0.0.1:80", "z", 2, "up", 4)]))
     )
-    other.load(operator.state_machine.dump())
-    assert other.state == operator.state_machine.state
+    restored.load(operator.state_machine.dump())
+    assert restored.state == operator.state_machine.state
 
 
 def test_all_13_000_servers_of_a_large_deployment_can_leave_at_once():
@@ -129,6 +130,6 @@
     for number in range(13_000):
         state_machine.apply(number, encode_command(ServerLeaving(f"i-{number}", number % 2 == 0)))
     assert len(state_machine.state.departed_servers) == 13_000
-    again = StateMachine()
-    again.load(state_machine.dump())
-    assert again.state == state_machine.state
+    restored = StateMachine()
+    restored.load(state_machine.dump())
+    assert restored.state == state_machine.state
