--- a/lapisgrade/gateway/cli/commands.py
+++ b/lapisgrade/gateway/cli/commands.py
@@ -37,7 +37,7 @@
 
 
 def print_section(title: str, lines: list[str]) -> None:
-    """Print lines under a title, or nothing if there are no lines."""
+    """Print indented lines under a title, or nothing if there are no lines."""
     if lines:
         print(title)
         for line in lines:
@@ -54,12 +54,12 @@
     print_section("warnings:", warnings)
     if errors:
         return ExitCode.OBJECTION
-    print("it can be taken")
+    print("the configuration is valid")
     return ExitCode.DONE
 
 
 def diff_files(before: str, after: str) -> ExitCode:
-    """Print the differences between two configuration files."""
+    """Print the differences between two valid configuration files; return OBJECTION if there are any."""
     configurations = [configuration_check.read(read_file(path)) for path in (before, after)]
     for raw in configurations:
         configuration.read(raw)
@@ -69,7 +69,13 @@
 
 
 def dump(folder: str, show_configuration: bool, show_history: bool) -> ExitCode:
-    """Print the content of a stopped controller's disk."""
+    """Print the content of a stopped controller's disk.
+
+    Args:
+        folder: The controller's data folder.
+        show_configuration: Whether to print only the newest configuration on the disk.
+        show_history: Whether to print the log entries instead of the summary.
+    """
     report = DiskReport(folder)
     if show_configuration:
         if not report.state_machine.state.configuration:
@@ -91,7 +97,7 @@
 
 
 async def loss(args: Arguments, current: JsonObject, status: JsonObject, client: OperatorClient) -> ExitCode:
-    """Print the consequences of losing machines."""
+    """Print the consequences of losing machines; return OBJECTION if no quorum would remain."""
     lines, has_majority = describe_loss(configuration.read(current), status, args["NAME"])
     print_section("consequences:", lines)
     return ExitCode.DONE if has_majority else ExitCode.OBJECTION
@@ -107,18 +113,18 @@
 
 
 async def diff(args: Arguments, current: JsonObject, status: JsonObject, client: OperatorClient) -> ExitCode:
-    """Print the differences between the newest configuration and a file."""
-    given = configuration_check.read(read_file(args["FILE"]))
-    configuration.read(given)
-    lines = configuration_check.describe_changes(current, given)
+    """Print the differences between the newest configuration and a file; return OBJECTION if any."""
+    proposed = configuration_check.read(read_file(args["FILE"]))
+    configuration.read(proposed)
+    lines = configuration_check.describe_changes(current, proposed)
     print_section(f"changes to version {current.get('Ver', 0)}:", lines)
     return ExitCode.OBJECTION if lines else ExitCode.DONE
 
 
 async def plan(args: Arguments, current: JsonObject, status: JsonObject, client: OperatorClient) -> ExitCode:
-    """Print the effects of a change, its errors and warnings."""
-    given = configuration_check.read(read_file(args["FILE"]))
-    lines, errors, warnings = configuration_check.check_change(current, given, status["Servers"])
+    """Print the effects of a change, its errors and warnings; return OBJECTION if it has errors."""
+    change = configuration_check.read(read_file(args["FILE"]))
+    lines, errors, warnings = configuration_check.check_change(current, change, status["Servers"])
     print_section(f"changes to version {current.get('Ver', 0)}:", lines)
     print_section("wrong:", errors)
     print_section("warnings:", warnings)
@@ -134,6 +140,7 @@
     "diff": diff,
     "plan": plan,
 }
+"""Commands by name; each gets the arguments, the newest configuration, the status and the client."""
 
 # ---- other commands that call controllers
 
@@ -155,7 +162,7 @@
 
 
 async def tenant(args: Arguments, client: TenantClient) -> ExitCode:
-    """Plan or make the onboarding or withdrawal of a tenant."""
+    """Plan an onboarding, or onboard or withdraw a tenant."""
     text = read_file(args["TICKET"])
     if args["plan"]:
         return await client.print_plan(text)
@@ -163,9 +170,13 @@
 
 
 async def run_with_controllers(args: Arguments) -> ExitCode:
-    """Run a command that calls controllers."""
+    """Run a command that calls controllers.
+
+    Raises:
+        InvalidInputError: A file, an address or a value is invalid, or no controller replies.
+    """
     try:
-        controllers = [settings.parse_address(each) for each in args["--ctl"].split(",")]
+        controllers = [settings.parse_address(address) for address in args["--ctl"].split(",")]
         client = OperatorClient(controllers, print)
         if args["tenant"]:
             return await tenant(args, TenantClient(controllers, print))
--- a/lapisgrade/gateway/cli/configuration_check.py
+++ b/lapisgrade/gateway/cli/configuration_check.py
@@ -19,10 +19,10 @@
 from lapisgrade.gateway.settings import decode_object, wire_name
 
 WIRE_NAMES = {"target_time": "Target_time", "warmup_time": "Warmup_time"}
-"""Wire names of fields that differ from `wire_name`."""
+"""Wire names of fields for which `wire_name` returns another name."""
 
 MAX_LINES = 200
-"""Maximum number of lines of one kind; a configuration may have many hundred routes."""
+"""Maximum number of changes and of warnings that are returned; there may be many hundred routes."""
 
 HINTS = (
     ("is not in Pools", "name the service under Pools, or send the route to one that is there"),
@@ -37,7 +37,7 @@
     ("not above", "Ver must increase with each change"),
     ("required field", "it can't be left out"),
 )
-"""Substrings of error messages, each with a hint how to correct the error; the first match is used."""
+"""Substrings of error messages, each with a hint how to correct the error; the first match applies."""
 
 
 def read(text: bytes) -> JsonObject:
@@ -53,21 +53,22 @@
 
 
 def describe_changes(before: JsonObject, after: JsonObject) -> list[str]:
-    """Describe the differences, one line per field; added and removed items take one line each."""
+    """Describe the differences in one line per field; an added or removed item is one line as a whole."""
     old, new = merge_fields.to_fields(before), merge_fields.to_fields(after)
     added_items = {path for path in new if merge_fields.is_item(path) and path not in old}
     lines = []
-    for op in merge_fields.diff(old, new):
-        if op.path in added_items or op.removes_item:
-            lines.append(f"{'+' if op.is_present else '-'} {merge_fields.format_path(op.path)}")
-        elif op.path[:2] not in added_items:
-            old_value = _value_text(op.was_present, op.base_value)
-            new_value = _value_text(op.is_present, op.new_value)
-            lines.append(f"  {merge_fields.format_path(op.path)}: {old_value} -> {new_value}")
+    for change in merge_fields.diff(old, new):
+        if change.path in added_items or change.removes_item:
+            lines.append(f"{'+' if change.is_present else '-'} {merge_fields.format_path(change.path)}")
+        elif change.path[:2] not in added_items:
+            old_value = _value_text(change.was_present, change.base_value)
+            new_value = _value_text(change.is_present, change.new_value)
+            lines.append(f"  {merge_fields.format_path(change.path)}: {old_value} -> {new_value}")
     return lines
 
 
 def _value_text(is_present: bool, value: Any) -> str:
+    """Return a field's value as JSON, or `none` if the field is absent."""
     return msgspec.json.encode(value).decode() if is_present else "none"
 
 
@@ -79,7 +80,8 @@
 
     Args:
         conf: The configuration.
-        servers: By service: number of servers that are up (`Servers` of `conf.status`); None if unknown.
+        servers: By service, the numbers of servers that are up and of their slots (`Servers` of
+            `conf.status`); None if unknown.
     """
     return [
         *_route_warnings(conf),
@@ -149,7 +151,15 @@
 
 
 def check_text(text: bytes, servers: JsonObject | None = None) -> tuple[list[str], list[str]]:
-    """Check a configuration file; return its errors, with hints how to correct them, and its warnings."""
+    """Check a configuration file.
+
+    Args:
+        text: The content of the file.
+        servers: As for `find_warnings`.
+
+    Returns:
+        The errors, with hints how to correct them, and the warnings, which are empty if there are errors.
+    """
     try:
         conf = configuration.read(read(text))
     except InvalidInputError as error:
@@ -162,6 +172,11 @@
 ) -> tuple[list[str], list[str], list[str]]:
     """Check a change of named items, or a complete configuration, against the current one.
 
+    Args:
+        current: The newest configuration, as JSON; empty if there is none.
+        change: The change; its `Ver` and `Base` are ignored.
+        servers: As for `find_warnings`.
+
     Returns:
         The changes, the errors, and the warnings that the current configuration does not have.
     """
@@ -179,11 +194,12 @@
 
 
 def _errors_with_hints(error: Exception) -> list[str]:
-    return [_with_hint(each) for each in str(error).split("; ")]
+    """Return the errors that the message lists, separated by semicolons, each with a hint."""
+    return [_with_hint(message) for message in str(error).split("; ")]
 
 
 def _with_hint(error: str) -> str:
-    """Return the error with its place in the names of the file, and a hint how to correct it."""
+    """Return the error, with its place in wire names as in the file, and a hint how to correct it."""
     message, separator, place = error.partition(" @ $")
     place = re.sub(r"\.(\w+)", lambda name: f".{WIRE_NAMES.get(name[1]) or wire_name(name[1])}", place)
     error = message + separator + place
--- a/lapisgrade/gateway/cli/demo.py
+++ b/lapisgrade/gateway/cli/demo.py
@@ -1,4 +1,4 @@
-"""`lapisgrade system-demo`: runs a small system on loopback with some load, and prints the results."""
+"""`lapisgrade system-demo`: runs a small system on loopback under a small load, and prints the results."""
 
 import asyncio
 import time
@@ -14,10 +14,10 @@
 
 SERVER_COUNT = 4
 ROUND_INTERVAL_S = 0.05
-"""Interval between rounds of requests; keeps within the tenant's quota in the sample configuration."""
+"""Interval between rounds of requests; the load stays within the tenant's quota in `SAMPLE`."""
 
 EXPECTED_ERRORS = (OSError, TimeoutError, MalformedMessageError)
-"""Errors that may occur instead of a response."""
+"""Errors that count as failed requests; any other error ends the demo."""
 
 STATUS_MEANINGS = {
     "401": "unknown API key",
@@ -27,17 +27,29 @@
     "503": "no server was available, or the proxy has no active configuration yet",
     "504": "the request reached its deadline",
 }
+"""Causes of failed requests, by HTTP status."""
 
 
 @dataclass
 class LoadResult:
-    """Results of the load: number of requests by outcome, and the first failure of each kind."""
+    """Results of the load.
+
+    Attributes:
+        outcomes: Number of requests by outcome: the HTTP status, or the name of the error's type.
+        first_failures: Time and proxy of the first failure, by outcome.
+    """
 
     outcomes: Counter[str] = field(default_factory=Counter)
     first_failures: dict[str, str] = field(default_factory=dict)
 
     def add(self, at_s: float, proxy: str, response: Message | BaseException) -> None:
-        """Count one response, or the error that occurred instead."""
+        """Count one response, or the error that occurred instead.
+
+        Args:
+            at_s: When the request was sent, in seconds since the start of the load.
+            proxy: The name of the proxy.
+            response: The response or error.
+        """
         outcome, retry_after = type(response).__name__, None
         if isinstance(response, Message):
             assert isinstance(response.head, h11.Response)
@@ -45,20 +57,20 @@
         self.outcomes[outcome] += 1
         if outcome == "200" or outcome in self.first_failures:
             return
-        advice = f", with Retry-After: {retry_after.decode()} s" if retry_after else ""
-        self.first_failures[outcome] = f"the first after {at_s:.2f} s at proxy {proxy}{advice}"
+        retry_hint = f", with Retry-After: {retry_after.decode()} s" if retry_after else ""
+        self.first_failures[outcome] = f"the first after {at_s:.2f} s at proxy {proxy}{retry_hint}"
 
     def failure_lines(self) -> list[str]:
         """Describe the failed requests by outcome."""
         return [
             f"  not served: {self.outcomes[outcome]} with {outcome}"
-            f" ({STATUS_MEANINGS.get(outcome, 'no complete response')}), {first}"
-            for outcome, first in sorted(self.first_failures.items())
+            f" ({STATUS_MEANINGS.get(outcome, 'no complete response')}), {first_failure}"
+            for outcome, first_failure in sorted(self.first_failures.items())
         ]
 
 
 async def drive_load(site: LocalCluster, seconds: float) -> LoadResult:
-    """Send a request to each proxy in rounds, for `seconds`; without retries."""
+    """Send a request to each proxy in every round, for `seconds`, without retries."""
     result = LoadResult()
     started_s = time.monotonic()
     while time.monotonic() - started_s < seconds:
@@ -74,7 +86,7 @@
 
 
 async def run_demo(seconds: float, print_line: Print = print) -> ExitCode:
-    """Run the demo; return OBJECTION if a request failed or none was sent."""
+    """Run the demo with `seconds` of load; return OBJECTION if a request failed or none was sent."""
     async with LocalCluster() as site:
         await _start(site, print_line)
         result = await drive_load(site, seconds)
--- a/lapisgrade/gateway/cli/disk_report.py
+++ b/lapisgrade/gateway/cli/disk_report.py
@@ -36,13 +36,29 @@
 
 
 class DiskReport:
-    """The content of one controller's data folder."""
+    """The content of one controller's data folder.
+
+    Attributes:
+        generation: The number of the newest complete generation of the log file.
+        record_count: The number of records in that generation.
+        identity: The identity of the node.
+        term: The newest term on disk.
+        snapshot_index: The index of the last log entry in the snapshot.
+        snapshot_version: The newest configuration version in the snapshot.
+        entry_count: The number of log entries after the snapshot.
+        voters: Addresses of the voters, by identity.
+        state_machine: The state after all entries, including uncommitted ones.
+        history: Descriptions of the log entries and their changes, in order.
+        drafts: The drafts on disk that are not committed, by id.
+    """
 
     def __init__(self, folder: str) -> None:
         """Read the folder.
 
         Raises:
-            InvalidInputError: The folder does not exist, or its log is corrupt or has no complete generation.
+            InvalidInputError: The folder does not exist, its log is corrupt or has no complete generation, or
+                its drafts can't be read.
+            UnreadableLogError: A later release wrote the snapshot of the log.
         """
         if not os.path.isdir(folder):
             raise InvalidInputError(f"{folder}: no such folder")
@@ -54,17 +70,17 @@
         self.term = first.term
         self.snapshot_index = first.snapshot_index
         self.voters = first.voters
-        replicated = _replay(first, later)
+        replicated_log = _replay(first, later)
         for record in later:
             if isinstance(record, HardState):
                 self.term = record.term
-        self.entry_count = len(replicated.entries)
+        self.entry_count = len(replicated_log.entries)
         self.state_machine = StateMachine()
         if first.state:
             self.state_machine.load(first.state)
         self.snapshot_version = self.state_machine.state.version
-        self.history: list[str] = []  # descriptions of the log entries in order
-        for entry in replicated.entries:
+        self.history: list[str] = []
+        for entry in replicated_log.entries:
             self._apply(entry)
         self.drafts = read_drafts(folder)
 
@@ -89,6 +105,7 @@
         return lines
 
     def _apply(self, entry: Entry) -> None:
+        """Apply a log entry, and add its effects to the history."""
         if entry.voters is not None:
             self.voters = entry.voters
             self._add_history(entry, f"voters: {', '.join(sorted(entry.voters)) or 'none'}")
@@ -98,11 +115,11 @@
     def _apply_command(self, entry: Entry) -> None:
         """Apply an entry, and describe its effect without API keys and addresses."""
         command, state = _COMMAND_DECODER.decode(entry.data), self.state_machine.state
-        version, conf = state.version, state.configuration
+        old_version, old_configuration = state.version, state.configuration
         result = self.state_machine.apply(entry.index, entry.data)
-        self._add_history(entry, _describe_command(command, result, version, state.version))
-        if state.version != version:
-            before = msgspec.json.decode(conf) if conf else {}
+        self._add_history(entry, _describe_command(command, result, old_version, state.version))
+        if state.version != old_version:
+            before = msgspec.json.decode(old_configuration) if old_configuration else {}
             changes = describe_changes(before, msgspec.json.decode(state.configuration))
             self.history += [f"  {change}" for change in changes]
 
@@ -111,7 +128,11 @@
 
 
 def _read_records(folder: str, log_store: LogStore) -> tuple[SnapshotRecord, list[Record]]:
-    """Return the first record of the newest generation, and the later ones."""
+    """Return the first record of the newest generation, and the later ones.
+
+    Raises:
+        InvalidInputError: The log is corrupt or has no complete generation.
+    """
     try:
         records = [_RECORD_DECODER.decode(data) for data in log_store.recover()]
     except (CorruptLogError, OSError, msgspec.MsgspecError) as error:
@@ -122,26 +143,27 @@
 
 
 def _replay(first: SnapshotRecord, later: list[Record]) -> ReplicatedLog:
-    replicated = ReplicatedLog(first.voters)
-    replicated.install(first.snapshot_index, first.snapshot_term, first.voters, first.state)
-    replicated.append(first.entries)
+    """Return the log that results from the records."""
+    replicated_log = ReplicatedLog(first.voters)
+    replicated_log.install(first.snapshot_index, first.snapshot_term, first.voters, first.state)
+    replicated_log.append(first.entries)
     for record in later:
         if isinstance(record, EntriesRecord):
-            replicated.append(record.entries)
-    return replicated
+            replicated_log.append(record.entries)
+    return replicated_log
 
 
-def _describe_command(command: LogCommand, result: ApplyResult, version_before: int, version: int) -> str:
+def _describe_command(command: LogCommand, result: ApplyResult, old_version: int, version: int) -> str:
     """Describe the effect of a log command; the versions are the newest ones before and after it."""
     match command:
         case ConfigurationChange() | NewVersion() if result.status != 200:
             return f"a change was refused: {result.status} {result.reason}".rstrip()
         case ConfigurationChange():
-            return f"version {version} on {version_before} was {'put' if command.replaces_all else 'updated'}"
+            return f"version {version} on {old_version} was {'put' if command.replaces_all else 'updated'}"
         case NewVersion():
-            return f"version {version} on {version_before} was accepted"
+            return f"version {version} on {old_version} was accepted"
         case MergeDraft(draft=draft):
-            outcome = f"merged as version {version}" if version != version_before else "nothing of it stands"
+            outcome = f"merged as version {version}" if version != old_version else "nothing of it stands"
             return f"draft {draft.id} by {draft.author}: {outcome}"
         case CloseDraft():
             return f"draft {command.draft_id}: closed"
--- a/lapisgrade/gateway/cli/drafts.py
+++ b/lapisgrade/gateway/cli/drafts.py
@@ -17,11 +17,14 @@
 
 STATE_PHRASES = {
     "kept": "kept, not in force",
-    "stands": "merged, all of it stands",
+    "stands": "merged completely",
     "aside": "merged in part",
     "invalid": "invalid, not merged",
 }
+"""Descriptions of a draft's states, by `State` in the reply of `conf.drafts`."""
+
 UNRESOLVED_STATES = ("aside", "invalid")
+"""States in which an operator has to settle or drop the draft."""
 
 
 def read_change(text: bytes) -> JsonObject:
@@ -51,7 +54,7 @@
 
 
 def author_name(given: str | None) -> str:
-    """Return the author of a draft: the given name, or else the user's."""
+    """Return the author of a draft: the given name, or else the name of the operating system's user."""
     return given or os.environ.get("USER") or "an operator"
 
 
@@ -59,7 +62,12 @@
     """Sends, lists, settles and drops drafts."""
 
     async def send(self, text: bytes, author: str) -> ExitCode:
-        """Send a draft to be stored on controllers' disks."""
+        """Send a draft, to be stored on the disks of the controllers that are reachable from each other.
+
+        Args:
+            text: The draft's file.
+            author: The name under which the draft is listed.
+        """
         change = read_change(text)
         for _ in range(MAX_ATTEMPTS):
             drafts = await self._fetch_drafts()
@@ -75,16 +83,19 @@
         return ExitCode.OBJECTION
 
     def _print_kept(self, reply: JsonObject) -> None:
+        """Print the reply to a stored draft, with a warning if there is a single copy."""
         disks = "1 disk" if reply["Disks"] == 1 else f"{reply['Disks']} disks"
         self._print_line(f"draft {reply['Id']} on version {reply['Base']}: kept on {disks}, not in force")
         if reply["Disks"] < 2:
-            self._print_line("  mind: no neighbour has a copy: it is lost with that machine")
+            self._print_line(
+                "  warning: no other controller stored a copy: if this disk is lost, so is the draft"
+            )
 
     async def print_drafts(self) -> ExitCode:
-        """Print all drafts; return OBJECTION if one is unresolved."""
+        """Print all drafts that the controllers list; return OBJECTION if one is unresolved."""
         drafts = await self._fetch_drafts()
         if not drafts["Leader"]:
-            self._print_line("no leader is reached from here: what was merged elsewhere is not known")
+            self._print_line("no leader is reachable: drafts that were merged elsewhere are not listed")
         for draft in drafts["Drafts"]:
             for line in describe_draft(draft):
                 self._print_line(line)
@@ -92,14 +103,14 @@
         return ExitCode.OBJECTION if has_unresolved else ExitCode.DONE
 
     async def settle(self, draft_id: str) -> ExitCode:
-        """Apply the conflicting fields of a draft."""
-        return await self._end("conf.settle", draft_id, "what was set aside is acknowledged")
+        """Apply the conflicting fields of a draft, and close it."""
+        return await self._close("conf.settle", draft_id, "its conflicting fields are applied")
 
     async def drop(self, draft_id: str) -> ExitCode:
-        """Discard the conflicting fields of a draft."""
-        return await self._end("conf.close", draft_id, "closed")
+        """Discard the conflicting fields of a draft, and close it."""
+        return await self._close("conf.close", draft_id, "closed")
 
-    async def _end(self, call: str, draft_id: str, outcome: str) -> ExitCode:
+    async def _close(self, call: str, draft_id: str, outcome: str) -> ExitCode:
         status_code, reply = await self.call(call, msgspec.json.encode({"Id": draft_id}))
         if status_code != HTTPStatus.OK:
             reason = reply.get("Err", "no majority confirmed it; check with `lapisgrade drafts`")
--- a/lapisgrade/gateway/cli/machine_loss.py
+++ b/lapisgrade/gateway/cli/machine_loss.py
@@ -1,4 +1,4 @@
-"""Prediction of the consequences of losing several machines at once, from `conf.status`. No I/O."""
+"""Predicts the consequences of losing several machines at once, from `conf.status`. No I/O."""
 
 from lapisgrade.gateway import SECOND
 from lapisgrade.gateway.cli.operator_client import JsonObject
@@ -41,6 +41,7 @@
 
 
 def _host(address: str) -> str:
+    """Return the host of an address with a port."""
     return address.rpartition(":")[0]
 
 
@@ -72,17 +73,17 @@
 
 
 def _describe_counts(conf: Configuration, proxies: dict[str, JsonObject], lost: list[str]) -> list[str]:
-    """Describe the quota counts whose owner is lost."""
-    beside_controllers = {name for name, proxy in proxies.items() if proxy["Core"]}
-    owners = eligible_owners(proxies, beside_controllers)
-    moved = [
+    """Describe the quota counts whose owner is lost; they are listed by tenant."""
+    with_controller = {name for name, proxy in proxies.items() if proxy["Core"]}
+    owners = eligible_owners(proxies, with_controller)
+    moved_tenants = [
         tenant.name
         for tenant in conf.tenants or ()
         if tenant.rate_s and owner_of(tenant.name, owners) in lost
     ]
-    if not moved:
+    if not moved_tenants:
         return []
     return [
         f"quota counts that change owner, unavailable for about "
-        f"{PROXY_TIMEOUT_US / SECOND:g} s: {', '.join(moved)}"
+        f"{PROXY_TIMEOUT_US / SECOND:g} s: {', '.join(moved_tenants)}"
     ]
--- a/lapisgrade/gateway/cli/operator_client.py
+++ b/lapisgrade/gateway/cli/operator_client.py
@@ -19,7 +19,7 @@
 from lapisgrade.net.http import MalformedMessageError
 
 MAX_ATTEMPTS = 5
-"""Maximum number of attempts at a change if changes of other operators are applied first."""
+"""Maximum number of attempts at a change, if other operators' changes are applied first each time."""
 
 POLL_INTERVAL_S = 0.2
 """Interval between polls of a change's progress."""
@@ -42,7 +42,16 @@
         self._print_line = print_line
 
     async def call(self, name: str, body: bytes = b"") -> tuple[int, JsonObject]:
-        """Make a call; return the status and the reply, with status 0 if no controller replies."""
+        """Make a call; try the next controller if one does not reply, or replies with a server error (5xx).
+
+        Args:
+            name: The name of the call, as in `api.CALLS_BY_NAME`.
+            body: The body of the call.
+
+        Returns:
+            The HTTP status and the reply. If no controller could execute the call: the last server error,
+            or 0 if none replied, and an empty reply.
+        """
         status = 0
         for controller in self._controllers:
             try:
@@ -69,7 +78,10 @@
         return ({} if "Ver" not in configuration else configuration), status
 
     async def wait_until_active(self, version: int, timeout_s: float) -> ExitCode:
-        """Wait until a version is active at every proxy; on time-out, print the proxies that lag behind."""
+        """Wait until a version is active at every proxy, and print the progress.
+
+        Returns INCOMPLETE after `timeout_s`, and prints the proxies that lag behind.
+        """
         deadline_s = time.monotonic() + timeout_s
         last_active_count = -1
         while True:
@@ -106,7 +118,7 @@
 
 
 def refusal_lines(status: JsonObject) -> list[str]:
-    """Describe a missing configuration and the last rejected change; earlier releases report neither."""
+    """Describe a missing configuration and the last refused change; earlier releases report neither."""
     lines = []
     if not status.get("EverAccepted", True):
         lines.append("no configuration was ever accepted: every request gets 503")
--- a/lapisgrade/gateway/cli/rollout.py
+++ b/lapisgrade/gateway/cli/rollout.py
@@ -14,24 +14,33 @@
 from lapisgrade.gateway.errors import InvalidInputError
 
 POLL_INTERVAL_S = 0.2
+"""Interval between polls of `conf.status`."""
+
 UNRESPONSIVE_AFTER_MS = 2_000
-"""Time without contact after which a proxy or voter counts as unhealthy."""
+"""Time without contact with the leader after which a proxy or voter counts as unhealthy."""
 
 MIN_SERVERS_SHARE = 0.8
-"""Minimum share of a service's servers at the start that must be up; with fewer the rollout stops."""
+"""Share of a service's servers at the start that must be up; with fewer, the rollout waits, then stops."""
 
 HEALTHY_POLLS = 5
 """Consecutive healthy polls required before the next machine."""
 
 Restart = Callable[[str], Awaitable[int]]
+"""Restarts the machine with the given name, and returns the exit code of the restart command."""
 
 
 @define(slots=True)
 class RolloutMonitor:
-    """The state in `conf.status` at the start of a rollout, and its degradations since."""
+    """Compares the state in `conf.status` with that at the start of a rollout.
+
+    Attributes:
+        incarnations: The incarnation of each proxy's process at the start, by proxy.
+        servers: The number of servers that were up at the start, by service.
+        voter_count: The number of voters at the start.
+    """
 
-    incarnations: dict[str, str] = field(factory=dict)  # by proxy: incarnation of its process
-    servers: dict[str, int] = field(factory=dict)  # by service: number of servers that were up
+    incarnations: dict[str, str] = field(factory=dict)
+    servers: dict[str, int] = field(factory=dict)
     voter_count: int = 0
 
     def record_baseline(self, status: JsonObject) -> None:
@@ -104,7 +113,11 @@
         self._monitor = RolloutMonitor()
 
     async def run(self, names: list[str]) -> ExitCode:
-        """Restart the machines; on failure, print the machine and the problems."""
+        """Restart the machines of these proxies in order; on failure, print the machine and the problems.
+
+        Raises:
+            InvalidInputError: A name is not that of a proxy, or no controller replies at the start.
+        """
         _, status = await self._client.fetch_newest()
         self._monitor.record_baseline(status)
         if unknown := sorted(set(names) - set(self._monitor.incarnations)):
@@ -128,7 +141,10 @@
         return await self._wait_until_healthy(lambda status: self._monitor.is_restarted(name, status))
 
     async def _wait_until_healthy(self, is_done: Callable[[JsonObject], bool]) -> list[str]:
-        """Wait for `HEALTHY_POLLS` healthy polls with `is_done`; return the problems at the time-out."""
+        """Wait for `HEALTHY_POLLS` consecutive polls that are healthy and for which `is_done` holds.
+
+        Returns the problems of the last poll if the time-out is reached first.
+        """
         deadline_s = time.monotonic() + self._timeout_s
         healthy_polls = 0
         while healthy_polls < HEALTHY_POLLS:
@@ -140,6 +156,7 @@
         return []
 
     async def _poll(self, is_done: Callable[[JsonObject], bool]) -> list[str]:
+        """Return the current problems; a restart that is not done is one of them."""
         try:
             _, status = await self._client.fetch_newest()
         except InvalidInputError as error:
--- a/lapisgrade/gateway/cli/tenants.py
+++ b/lapisgrade/gateway/cli/tenants.py
@@ -20,11 +20,22 @@
 from lapisgrade.gateway.settings import decode_object, structure
 
 TENANT_FIELDS = ("Name", "Apikeys", "Prio", "RateS", "Burst")
+"""Fields of a ticket that are fields of the tenant in a configuration."""
 
 
 @define(frozen=True, slots=True)
 class Ticket:
-    """One tenant with its routes and services; encoded as in a configuration."""
+    """One tenant with its routes and services; encoded as in a configuration.
+
+    Attributes:
+        name: The tenant's name.
+        apikeys: The tenant's API keys; at least one.
+        prio: Overrides the priority of routes; None to keep it.
+        rate_s: The tenant's quota in requests per second; 0 for no limit.
+        burst: The burst of the quota, in requests.
+        ports: The hosts with the tenant's routes.
+        pools: The services of these routes, if they are new or changed.
+    """
 
     name: str = field(validator=configuration.check_name)
     apikeys: tuple[str, ...] = ()
@@ -41,12 +52,19 @@
 
 @define(slots=True)
 class Plan:
-    """A change in the format of `conf.update`, with its description."""
+    """A change in the format of `conf.update`, with its description for the operator.
+
+    Attributes:
+        change: The change.
+        lines: What the change adds, changes or removes.
+        objections: Reasons why the change must not be sent.
+        warnings: Possible side effects.
+    """
 
     change: JsonObject
-    lines: list[str] = field(factory=list)  # description of the changes
-    objections: list[str] = field(factory=list)  # reasons not to send the change
-    warnings: list[str] = field(factory=list)  # possible side effects
+    lines: list[str] = field(factory=list)
+    objections: list[str] = field(factory=list)
+    warnings: list[str] = field(factory=list)
 
 
 def read_ticket(text: bytes) -> tuple[Ticket, JsonObject]:
@@ -74,8 +92,12 @@
 
     Args:
         current: The newest configuration, as JSON.
-        servers: By service: number of servers that are up and their slots (`Servers` of `conf.status`).
-        text: The ticket.
+        servers: By service, the numbers of servers that are up and of their slots (`Servers` of
+            `conf.status`).
+        text: The ticket's file.
+
+    Raises:
+        InvalidInputError: The ticket is invalid.
     """
     ticket, raw = read_ticket(text)
     upsert: JsonObject = {"Tenants": [{name: raw[name] for name in TENANT_FIELDS if name in raw}]}
@@ -87,23 +109,25 @@
         _review_route(plan, host, rule, existing)
         _review_capacity(plan, ticket, rule, servers)
     for pool in ticket.pools:
-        is_known = pool.name in {each.name for each in existing.pools}
+        is_known = pool.name in {existing_pool.name for existing_pool in existing.pools}
         plan.lines.append(f"service {pool.name}: {'changes' if is_known else 'new'}")
     try:
         configuration.read(apply_change(current, plan.change))
     except InvalidInputError as error:
-        if not plan.objections:  # they have the same cause
+        if not plan.objections:  # otherwise the error has the same cause as the objections
             plan.objections.append(str(error))
     return plan
 
 
 def _next_version(current: JsonObject) -> JsonObject:
+    """Return the version numbers of a change that is derived from the current configuration."""
     version = current.get("Ver", 0)
     return {"Ver": version + 1, "Base": version}
 
 
 def _review_tenant(plan: Plan, ticket: Ticket, existing: Configuration) -> None:
-    tenants = {each.name: each for each in existing.tenants or ()}
+    """Describe the tenant, its quota, and conflicts of its keys."""
+    tenants = {tenant.name: tenant for tenant in existing.tenants or ()}
     has_limit = bool(ticket.rate_s)
     limit = (
         f"{ticket.rate_s:g} requests/s with a burst of {ticket.burst:g} requests" if has_limit else "no limit"
@@ -130,6 +154,7 @@
 
 
 def _review_prefixes(plan: Plan, rule: Rule, other: Rule) -> None:
+    """Describe which requests both routes of a host match; the one with the longer prefix gets them."""
     prefix, other_prefix = rule.match.pfx, other.match.pfx
     if other_prefix == prefix:
         plan.objections.append(f"route {rule.name}: {other.name} has the same prefix")
@@ -140,7 +165,7 @@
 
 
 def _review_capacity(plan: Plan, ticket: Ticket, rule: Rule, servers: JsonObject) -> None:
-    """Compare the slots that the tenant's rate needs (Little's law) with the available ones."""
+    """Warn if the tenant's rate may need more slots (Little's law) than its services have."""
     target_s = rule.target_time / SECOND
     for share in rule.action.shares():
         slots = servers.get(share.svc, {}).get("Slots", 0)
@@ -161,7 +186,7 @@
     existing_routes = {rule.name for _, rule in rules_by_host(existing.ports)}
     routes = [rule.name for _, rule in ticket.rules() if rule.name in existing_routes]
     plan = Plan({**_next_version(current), "Del": {"Tenants": [ticket.name], "Routes": routes}})
-    if ticket.name not in {each.name for each in existing.tenants or ()}:
+    if ticket.name not in {tenant.name for tenant in existing.tenants or ()}:
         plan.objections.append(f"tenant {ticket.name} does not exist")
     plan.lines = [f"tenant {ticket.name} is removed", *(f"route {name} is removed" for name in routes)]
     return plan
@@ -181,7 +206,7 @@
         """Send the change, and wait until it is active at every proxy.
 
         Args:
-            text: The ticket.
+            text: The ticket's file.
             timeout_s: Maximum time to wait until the change is active.
             withdraw: Whether to withdraw the tenant instead of onboarding it.
         """
