--- a/lapisgrade/gateway/controller/call_forwarding.py
+++ b/lapisgrade/gateway/controller/call_forwarding.py
@@ -37,7 +37,10 @@
         self._clock = clock
 
     async def forward(self, call: str, subject: str, body: bytes) -> ForwardCallReply:
-        """Return the leader's reply; 503 if no leader is found within `LEADER_WAIT_S`."""
+        """Return the leader's reply; 503 if no leader has replied after `LEADER_WAIT_S`.
+
+        A call that fails is sent again.
+        """
         deadline_us = self._clock() + int(LEADER_WAIT_S * SECOND)
         while True:
             if self._consensus.is_leader():
--- a/lapisgrade/gateway/controller/leader_discovery.py
+++ b/lapisgrade/gateway/controller/leader_discovery.py
@@ -105,7 +105,7 @@
     async def leave(self) -> None:
         """Transfer leadership, and request removal from the voters while there are more than `MIN_VOTERS`.
 
-        Returns after `LEAVE_TIMEOUT_S` at the latest.
+        Gives up after `LEAVE_TIMEOUT_S`.
         """
         node = self._consensus.node
         if node is None:
--- a/lapisgrade/gateway/controller/state.py
+++ b/lapisgrade/gateway/controller/state.py
@@ -136,6 +136,7 @@
     """Return the state as a snapshot."""
 
     def encode_delta(text: bytes) -> EncodedVersion:
+        """Encode a configuration as a delta from the newest one."""
         return encode(state.version, text, state.version, state.configuration)
 
     without_texts = msgspec.structs.replace(
--- a/lapisgrade/gateway/controller/watch.py
+++ b/lapisgrade/gateway/controller/watch.py
@@ -143,7 +143,10 @@
         return (revision, was_complete) != (self.registry.revision, self.is_registry_complete)
 
     def on_proxy_unreachable(self, name: str, address: str) -> None:
-        """Remove a proxy whose machine refused a connection to `address`: its process no longer runs."""
+        """Remove a proxy whose machine refused a connection to `address`.
+
+        Its process has ended, so it no longer acts as an owner of quota counts.
+        """
         if name in self.proxies and self.proxies[name].address == address:
             del self.proxies[name]
 
--- a/tests/gateway/controller/test_state_machine.py
+++ b/tests/gateway/controller/test_state_machine.py
@@ -45,7 +45,8 @@
     results = [
         operator.send(with_fields(Ver=9, Base=7)),
         operator.send(with_fields(Ver=11, Base=7)),
-        operator.send(with_fields(Ver=9, Base=7)),  # a duplicate of the accepted change
+        # A duplicate of the accepted change, from an operator that did not get the reply.
+        operator.send(with_fields(Ver=9, Base=7)),
         operator.send(with_fields(Ver=11, Base=9)),
     ]
     assert results == [(200, ""), (412, "version 9 is in force, not 7"), (200, ""), (200, "")]
