--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -2,11 +2,11 @@
 
 Pure. Leases, cached rejections and the circuit breaker are those of `lapisgrade.policy.account`. The count
 differs: its owner reports the units in use instead of a decaying sum. While the owner does not answer, at
-most `unreported_allowance` is admitted.
+most `unreported_allowance` is admitted: units that are granted here and reported to the owner later.
 
-The bound (QUOTA): in any window of `quota_win`, all proxies together admit at most (rate x window + burst) x
-(1 + excess) + extra units of a tenant. Units are requests; times are in microseconds unless another unit is
-named.
+The QUOTA guarantee: in any window of `quota_win`, all proxies together admit at most (rate x window + burst)
+x (1 + excess) + extra units of a tenant, with `quota_excess` and `quota_extra` of `Slo`. Units are requests;
+times are in microseconds unless another unit is named.
 """
 
 import math
@@ -23,7 +23,8 @@
 
 # Maximum delay between the grant of a unit and its arrival at a server, in addition to a lease's duration.
 MAX_GRANT_DELAY_S = 0.25
-# Fraction of the unreported allowance that may be used at once; most outages of an owner are short.
+# Fraction of the unreported allowance that may be used at once. It is large because most outages of an owner
+# are short.
 UNREPORTED_BURST_FRACTION = 0.8
 # Retry delay for a client rejected while the owner does not answer: another proxy may reach the owner.
 UNREPORTED_RETRY_S = 0.3
@@ -32,16 +33,16 @@
 # Interval between calls to an owner that does not answer; a new owner is available within a second.
 PROBE_INTERVAL_US = 80_000
 MAX_CALLS_PER_S = 200.0  # per tenant
-COUNT_TTL_US = 60 * SECOND  # required by the `AddToCounter` interface
-NEVER_DECAYS_US = 1 << 60
+COUNT_TTL_US = 60 * SECOND  # a field that the `AddToCounter` interface requires
+NEVER_DECAYS_US = 1 << 60  # decay time for sums that must not decay
 
 
 def unreported_allowance(slo: Slo, rate: float, burst: float, limiters: int) -> float:
     """Return the units that one proxy may admit in any window while the count's owner does not answer.
 
-    In a window, QUOTA allows (rate x window + burst) x (1 + excess) + extra. The units that the owner grants
-    in it, or leased before it, are at most capacity + rate x window, plus the grants that arrive late. The
-    remainder is divided among the proxies.
+    In a window, the QUOTA guarantee allows (rate x window + burst) x (1 + excess) + extra units. The units
+    that the owner grants in it, or leased before it, are at most capacity + rate x window, plus the grants
+    that arrive up to `MAX_GRANT_DELAY_S` late. The remainder is divided among the proxies.
 
     Args:
         slo: The window and the excess that operators allow.
@@ -63,7 +64,8 @@
 class OwnerBreaker(CounterBreaker):
     """Circuit breaker for the owner of one tenant's count.
 
-    One owner may be unreachable while the owners of other counts answer, and it is replaced soon.
+    Each count has its own breaker, because its owner may be unreachable while the owners of other counts
+    answer. An unreachable owner is replaced soon.
     """
 
     probe_interval_us = PROBE_INTERVAL_US
@@ -90,7 +92,15 @@
     def __init__(
         self, clock: Clock, tenant: Tenant, slo: Slo, limiters: int, process_started_us: int
     ) -> None:
-        """Create the client of a tenant that is new at this proxy."""
+        """Create the client of a tenant that is new at this proxy.
+
+        Args:
+            clock: The proxy's clock.
+            tenant: The tenant with its limit.
+            slo: The window and the excess that operators allow.
+            limiters: Number of proxies that may be without the owner at once.
+            process_started_us: When this process started.
+        """
         now_us = clock.now_us
         self.gateway_count = 1
         self.tenant = tenant
@@ -119,7 +129,7 @@
         """Set the number of proxies that may be without the owner at once and share the allowance."""
         now_us = self.clock.now_us
         window_s = self._slo.quota_win / SECOND
-        # The burst and its refill over one window add up to the allowance.
+        # The burst and its refill over one window add up to the allowance, so no window exceeds it.
         units = unreported_allowance(self._slo, self.plan.rate, self.tenant.burst, limiters)
         level = self.local_bucket.read(now_us)
         burst = max(UNREPORTED_BURST_FRACTION * units, min(1.0, units))
@@ -150,7 +160,7 @@
         """Do nothing: granted units are not charged to the unreported allowance."""
 
     def admit_locally(self, now_us: int, units: float, is_counted: bool = False) -> int | None:
-        """Admit a request from the unreported allowance because the owner does not answer.
+        """Admit a request from the unreported allowance, if it suffices, because the owner does not answer.
 
         Args:
             now_us: The current time.
@@ -192,7 +202,11 @@
     # ---- calls to the owner
 
     def add_to_counter(self, units: float) -> Generator[AddToCounter, CounterReply, CounterOutcome]:
-        """Add units and the unreported ones to the count; negative units are returned to it."""
+        """Add `units` and the unreported units to the count, and return the outcome of the call.
+
+        Negative units are returned to the count. The unreported units of a rejected call are kept for the
+        next one.
+        """
         unreported = self.unreported.value
         added = units + unreported
         self.unreported.value = 0.0
@@ -213,7 +227,11 @@
         return reply.outcome
 
     def _begin_call(self, units: float, unreported: float) -> None:
-        """Split the call into taken and returned units; the owner may accept only the taken ones."""
+        """Number the call and split it into taken and returned units.
+
+        They are sent separately because the owner may accept only the taken ones: it may not know the grant
+        that the others are returned from.
+        """
         self._call_number += 1
         if units > 0:
             self.taken_units = max(0.0, units + max(0.0, unreported))
@@ -232,7 +250,7 @@
         self.bucket.set_level(now_us, self.plan.burst - total)
 
     def quota_request(self, proxy: str, fencing_token: int) -> rpc_messages.QuotaRequest:
-        """Return the message of the call in progress for the count's owner.
+        """Return the message that sends the call in progress to the count's owner.
 
         Args:
             proxy: Name of this proxy.
--- a/lapisgrade/gateway/quota/count.py
+++ b/lapisgrade/gateway/quota/count.py
@@ -46,7 +46,15 @@
 
 
 class Count:
-    """A token bucket and the leases on it. A new count is empty and reserves half of its capacity."""
+    """A token bucket and the leases on it. A new count is empty and reserves half of its capacity.
+
+    Attributes:
+        bucket: The token bucket. Its level may be negative.
+        exclusive_since_us: Time since which no other proxy can have granted units of this count. The
+            reservation lasts for `LEASE_US` from then on.
+        first_request_us: Time of the first request to this owner, or of the hand-over to it.
+        leases: Leases by the name of the quota client's proxy.
+    """
 
     __slots__ = ("bucket", "exclusive_since_us", "first_request_us", "leases")
 
@@ -55,27 +63,28 @@
         self.bucket = TokenBucket(exclusive_since_us, rate, capacity(burst, rate), 0.0)
         self.exclusive_since_us = exclusive_since_us
         self.first_request_us = exclusive_since_us
-        self.leases: dict[str, Lease] = {}  # by quota client
+        self.leases: dict[str, Lease] = {}
 
     @classmethod
     def full(cls, now_us: int, rate: float, burst: float) -> "Count":
         """Return a full count with nothing reserved; no units of it have ever been leased."""
-        count = cls(now_us - LEASE_US, rate, burst)
+        count = cls(now_us - LEASE_US, rate, burst)  # backdated, so that the reservation has ended
         count.bucket.set_level(now_us, count.bucket.burst)
         count.first_request_us = now_us
         return count
 
     @classmethod
     def from_hand_over(
-        cls, now_us: int, handed: rpc_messages.HandedCount, rate: float, burst: float
+        cls, now_us: int, handed_count: rpc_messages.HandedCount, rate: float, burst: float
     ) -> "Count":
         """Return a count that continues the one that the previous owner handed over."""
-        reserved_us = min(max(0, handed.reserve_us), LEASE_US)
+        reserved_us = min(max(0, handed_count.reserve_us), LEASE_US)
+        # Backdated, so that the remaining reservation continues.
         count = cls(now_us - LEASE_US + reserved_us, rate, burst)
-        count.bucket.set_level(now_us, min(max(0.0, handed.level), count.bucket.burst))
+        count.bucket.set_level(now_us, min(max(0.0, handed_count.level), count.bucket.burst))
         count.first_request_us = now_us
-        if handed.outstanding_grants > 0:
-            count.leases[PREVIOUS_OWNER] = Lease(now_us, handed.outstanding_grants)
+        if handed_count.outstanding_grants > 0:
+            count.leases[PREVIOUS_OWNER] = Lease(now_us, handed_count.outstanding_grants)
         return count
 
     def to_hand_over(self, now_us: int) -> rpc_messages.HandedCount:
@@ -108,7 +117,7 @@
 
     @staticmethod
     def _returned_units(request: rpc_messages.QuotaRequest, previous: Lease) -> float:
-        """Return how many returned units are accepted.
+        """Return how many of the request's returned units are accepted.
 
         At most the units that this count granted in reply to the client's previous request are accepted.
         Otherwise a lease from a previous owner, or from a request that never arrived here, would add units to
--- a/lapisgrade/gateway/quota/epochs.py
+++ b/lapisgrade/gateway/quota/epochs.py
@@ -82,7 +82,8 @@
         fencing_token: Fencing token of this membership.
         proxies: The live proxies by name.
         proxies_with_controller: The proxies that share their machine with a controller.
-        previous_fencing_token: Fencing token of the previous membership; None for the newest membership here.
+        previous_fencing_token: Fencing token of the previous membership; None if that is the newest one that
+            arrived here.
         terminating_proxies: The proxies that are shutting down.
         previous_owners: The eligible owners under the previous membership, if sent.
         earlier_owners: The eligible owners under each membership before that, newest first, as far back as
@@ -129,8 +130,9 @@
     owners: tuple[str, ...]
     previous_owners: tuple[str, ...]
     continuity: Continuity
-    _exclusive: set[str] = msgspec.field(default_factory=set)  # tenants in this claim state
-    _predecessor_inactive: set[str] = msgspec.field(default_factory=set)  # tenants in this claim state
+    _exclusive: set[str] = msgspec.field(default_factory=set)  # tenants whose claim is EXCLUSIVE
+    # Tenants whose claim is PREDECESSOR_INACTIVE, unless it is EXCLUSIVE as well.
+    _predecessor_inactive: set[str] = msgspec.field(default_factory=set)
 
     def claim(self, tenant: str) -> ClaimState:
         """Return the state of this proxy's claim to the tenant's count."""
@@ -145,7 +147,10 @@
         self._exclusive.add(tenant)
 
     def mark_predecessor_inactive(self, tenant: str) -> None:
-        """Record that the owner under the previous epoch does not act for this tenant."""
+        """Record that the owner under the previous epoch does not act for this tenant.
+
+        If `MAX_CLAIMS` tenants are recorded already, the claim stays CONTESTED.
+        """
         if len(self._predecessor_inactive) < MAX_CLAIMS:
             self._predecessor_inactive.add(tenant)
 
--- a/lapisgrade/gateway/quota/hand_over.py
+++ b/lapisgrade/gateway/quota/hand_over.py
@@ -17,7 +17,8 @@
 from lapisgrade.gateway.rpc_messages import HandOverReply, HandOverRequest
 
 WAIT = HandOverReply(True)  # the count cannot be handed over, and a proxy may still act as its owner
-NO_COUNT = HandOverReply(False)  # this proxy does not act as the owner and has no count to hand over
+# This proxy does not act as the owner and has no count to hand over; an owner before it may still act.
+NO_COUNT = HandOverReply(False)
 
 
 class Release(msgspec.Struct, frozen=True):
@@ -38,9 +39,9 @@
     def __init__(self, ownership: OwnershipHistory, counts: OwnedCounts) -> None:
         self._ownership = ownership
         self._counts = counts
-        self._departed_counts: dict[str, Count] = {}  # counts that others own now, by tenant
-        self._released: dict[str, Release] = {}  # current releases by tenant
-        self._recipients: dict[str, str] = {}  # incarnation that received the count, by tenant
+        self._departed_counts: dict[str, Count] = {}  # counts that other proxies own now, by tenant
+        self._released: dict[str, Release] = {}  # by tenant
+        self._recipients: dict[str, str] = {}  # incarnation of the new owner that received it, by tenant
 
     def on_new_epoch(self) -> None:
         """Keep the counts that other proxies own now, until their owners request them."""
--- a/lapisgrade/gateway/quota/owned_counts.py
+++ b/lapisgrade/gateway/quota/owned_counts.py
@@ -15,7 +15,7 @@
 
 
 class OwnedCounts:
-    """Counts by tenant, in order of last use."""
+    """Counts by tenant, the least recently used first."""
 
     def __init__(self, ownership: OwnershipHistory) -> None:
         self.by_tenant: dict[str, Count] = {}
@@ -49,16 +49,16 @@
         self,
         now_us: int,
         request: rpc_messages.HandOverRequest,
-        handed: rpc_messages.HandedCount | None,
+        handed_count: rpc_messages.HandedCount | None,
     ) -> None:
-        """Store the count from the previous owner's reply to `request`.
+        """Store the count that the previous owner handed over in reply to `request`.
 
-        If it has none, the new count starts empty: the previous owner may have granted units until now.
+        If it handed none over, a new count starts empty: the previous owner may have granted units until now.
         """
-        if handed is None:
+        if handed_count is None:
             count = Count(now_us, request.rate, request.burst)
         else:
-            count = Count.from_hand_over(now_us, handed, request.rate, request.burst)
+            count = Count.from_hand_over(now_us, handed_count, request.rate, request.burst)
         self.store(now_us, request.tenant, count)
 
     def remove_not_owned(self) -> dict[str, Count]:
--- a/lapisgrade/gateway/quota/owner.py
+++ b/lapisgrade/gateway/quota/owner.py
@@ -25,7 +25,13 @@
     """The counts that this proxy owns under the newest membership of live proxies."""
 
     def __init__(self, name: str, incarnation: str = "", process_started_us: int = 0) -> None:
-        """Create an owner without a membership; `incarnation` identifies this process."""
+        """Create an owner without a membership.
+
+        Args:
+            name: Name of this proxy.
+            incarnation: Incarnation of this process, as listed in the membership.
+            process_started_us: When this process started.
+        """
         self.ownership = OwnershipHistory(name, incarnation, process_started_us)
         self.counts = OwnedCounts(self.ownership)
         self._hand_over = HandOver(self.ownership, self.counts)
--- a/lapisgrade/gateway/quota/ownership.py
+++ b/lapisgrade/gateway/quota/ownership.py
@@ -10,8 +10,10 @@
 # Duration for which a proxy may act as an owner after it sends a watch request that is answered.
 OWNERSHIP_LEASE_US = 1_800_000
 
-MAX_CACHED_OWNERS = 8192  # maximum number of tenants in the cache
-MAX_JOINED = 24  # an update in which more proxies join clears the cache instead of updating it
+MAX_CACHED_OWNERS = 8192  # maximum number of tenants in the cache; it is cleared when full
+# An update in which more proxies join clears the cache, instead of comparing each cached owner with all of
+# them.
+MAX_JOINED = 24
 
 Member = TypeVar("Member")
 
--- a/lapisgrade/gateway/quota/ownership_history.py
+++ b/lapisgrade/gateway/quota/ownership_history.py
@@ -10,7 +10,8 @@
 from lapisgrade.gateway.quota.ownership import OWNERSHIP_LEASE_US, OwnerTable, eligible_owners, owner_of
 from lapisgrade.gateway.rpc_messages import ProxiesByName
 
-MAX_EARLIER_EPOCHS = 16  # epochs kept besides the newest, to find since when this proxy owns a count
+# Maximum number of epochs kept besides the newest, to find since when this proxy owns a count.
+MAX_EARLIER_EPOCHS = 16
 
 
 class OwnershipHistory:
@@ -65,10 +66,11 @@
         self.epochs = [*self.epochs[-MAX_EARLIER_EPOCHS:], epoch]
 
     def follows(self, update: MembershipUpdate) -> bool:
-        """Return whether the update directly follows the newest membership here."""
+        """Return whether the newest membership here is the one before the update's."""
         return bool(self.epochs) and update.previous_fencing_token in (None, self.fencing_token)
 
     def _determine_origin(self, update: MembershipUpdate) -> Origin:
+        """Return what the first update that arrives here implies about earlier owners."""
         if self.name not in update.proxies:
             return Origin.UNKNOWN
         _, incarnation, _ = update.proxies[self.name]
@@ -103,7 +105,9 @@
         return acting
 
     def acting_owner(self, now_us: int, tenant: str, epochs: Sequence[OwnershipEpoch]) -> str:
-        """Return the other proxy that may still act as owner under an epoch before the newest of `epochs`.
+        """Return the proxy that may still act as owner under an epoch before the newest of `epochs`.
+
+        The result has the values of `predecessor`.
 
         An owner that is missing from the newest membership has terminated, possibly before the count was
         handed over to it. The owner before it is therefore checked as well: that one may not have received
@@ -128,7 +132,7 @@
                 epoch.mark_predecessor_inactive(tenant)
 
     def epochs_until_last_owned(self, tenant: str, epochs: Sequence[OwnershipEpoch]) -> list[OwnershipEpoch]:
-        """Return `epochs` up to the last one under which this proxy owned the count; maybe none."""
+        """Return `epochs` up to the last one under which this proxy owned the count; empty without one."""
         owned = list(epochs)
         while owned and owner_of(tenant, owned[-1].owners) != self.name:
             owned.pop()
--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -1,4 +1,4 @@
-"""The bound on the units that all proxies together admit, in simulated time."""
+"""The bound on the units that all proxies together admit (the QUOTA guarantee), in simulated time."""
 
 from random import Random
 
@@ -53,17 +53,17 @@
     for name in simulation.names[:isolated]:
         simulation.proxies[name].is_isolated = True
     simulation.run(8, 300)
-    for each in simulation.proxies.values():
-        each.is_isolated = False
+    for proxy in simulation.proxies.values():
+        proxy.is_isolated = False
     simulation.run(6, 300)
     assert simulation.max_admitted() <= simulation.bound
 
 
 def test_the_bound_holds_through_hand_overs_and_mass_restarts():
     simulation = QuotaSimulation(14)
-    for turn in range(6):
+    for index in range(6):
         simulation.run(1.5, 300)
-        killed = {owner_of("t", live_proxies(simulation.names)), simulation.names[turn]}
+        killed = {owner_of("t", live_proxies(simulation.names)), simulation.names[index]}
         for name in killed:
             simulation.proxies.pop(name, None)
         simulation.update_members([name for name in simulation.names if name in simulation.proxies])
@@ -77,7 +77,14 @@
 def restart_all_proxies(
     simulation: QuotaSimulation, down_s: float, until_update_s: float, lists_old_incarnations: bool = True
 ) -> None:
-    """Kill and restart all processes; each receives the old membership first and the new one later."""
+    """Kill and restart all processes; each receives the old membership first and the new one later.
+
+    Args:
+        simulation: The simulation.
+        down_s: Time in s without any process.
+        until_update_s: Time in s from the restart until the processes receive the old membership.
+        lists_old_incarnations: Whether that membership lists the killed processes, not their successors.
+    """
     old_incarnations = dict(simulation.incarnations)
     simulation.proxies.clear()
     simulation.events.clear()
@@ -85,8 +92,8 @@
     simulation.incarnations = {name: old_incarnations.get(name, 0) + 1 for name in simulation.names}
     simulation.proxies = {name: SimulatedProxy(simulation, name) for name in simulation.names}
     simulation.run(until_update_s, 300)
-    for each in simulation.proxies.values():
-        each.quota_owner.update_members(
+    for proxy in simulation.proxies.values():
+        proxy.quota_owner.update_members(
             simulation.now,
             MembershipUpdate(
                 simulation.fencing_token,
@@ -115,21 +122,21 @@
 
     If the first membership lists the earlier incarnations, no other proxy can have used the refill.
     """
-    served = []
+    admitted_counts = []
     for lists_old_incarnations in (True, False):
         simulation = QuotaSimulation(14, 96.0, 96.0)
         simulation.run(4, 60)
-        before = len(simulation.admitted_us)
+        count_before = len(simulation.admitted_us)
         restart_all_proxies(simulation, 0.5, 0.8, lists_old_incarnations)
         simulation.run(0.5, 300)
-        served.append(len(simulation.admitted_us) - before)
-    assert served[0] > 1.5 * served[1]
+        admitted_counts.append(len(simulation.admitted_us) - count_before)
+    assert admitted_counts[0] > 1.5 * admitted_counts[1]
 
 
 def test_a_proxy_that_never_reached_the_owner_admits_nothing():
     simulation = QuotaSimulation(2)
-    for each in simulation.proxies.values():
-        each.is_isolated = True
+    for proxy in simulation.proxies.values():
+        proxy.is_isolated = True
     simulation.run(3, 20)
     assert simulation.admitted_us == []
 
@@ -138,8 +145,8 @@
     simulation = QuotaSimulation(3)
     simulation.run(4, 300)
     simulation.tenant = Tenant("t", ("k",), None, 20.0, 20.0)
-    for each in simulation.proxies.values():
-        each.quota_client.set_limit(simulation.tenant)
+    for proxy in simulation.proxies.values():
+        proxy.quota_client.set_limit(simulation.tenant)
     simulation.run(5, 300)
     simulation.admitted_us.clear()
     simulation.run(8, 300)
@@ -147,5 +154,6 @@
 
 
 def test_the_unreported_allowance_is_as_documented():
-    # (60 x 5 + 60) x 1.1 + 20 - 60 - 300 - 15, among 14
+    # Allowed: (60 x 5 + 60) x 1.1 + 20 = 396 + 20. Granted by the owner: 60 + 60 x 5, and 60 x 0.25 late,
+    # in all 375. The rest is divided among 14 proxies.
     assert unreported_allowance(SLO, 60.0, 60.0, 14) == pytest.approx((396 + 20 - 375) / 14, abs=5e-8)
--- a/tests/gateway/quota/test_client.py
+++ b/tests/gateway/quota/test_client.py
@@ -11,7 +11,7 @@
 def test_taken_and_returned_units_are_sent_separately():
     clock = Clock(10 * SECOND)
     client = QuotaClient(clock, Tenant("t", rate_s=10, burst=5), SLO, 4, 0)
-    sent = []
+    sent_fields = []
     for units, unreported, outcome in (
         (5.0, 0.0, CounterOutcome.ADDED), (4.0, -3.0, CounterOutcome.TIMED_OUT),
         (1.0, 2.0, CounterOutcome.REJECTED),
@@ -21,10 +21,18 @@
         call = client.add_to_counter(units)
         next(call)
         request = client.quota_request("x", 7)
-        sent.append((request.units, request.returned_units, request.sequence_number, request.returned_from))
+        sent_fields.append(
+            (request.units, request.returned_units, request.sequence_number, request.returned_from)
+        )
         with pytest.raises(StopIteration):
             call.send(CounterReply(outcome, 0.0))
-    assert sent == [(5.0, 0.0, 1, 0), (4.0, 3.0, 2, 1), (3.0, 0.0, 3, 2), (0.0, 2.0, 4, 2), (3.0, 0.0, 5, 4)]
+    assert sent_fields == [
+        (5.0, 0.0, 1, 0),
+        (4.0, 3.0, 2, 1),
+        (3.0, 0.0, 3, 2),
+        (0.0, 2.0, 4, 2),
+        (3.0, 0.0, 5, 4),
+    ]
 
 
 def test_retry_after_grows_when_the_count_is_exhausted_and_not_when_it_is_unreachable():
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -1,6 +1,6 @@
-"""Hand-over of a count: by a reply, or by the previous owner's termination or lease expiry.
+"""Hand-over of a count to its new owner: by a reply, or by the previous owner's termination or lease expiry.
 
-Until then no proxy adds to the count.
+Until then the new owner grants no units, so that two proxies never grant units of the same count.
 """
 
 import msgspec
@@ -16,7 +16,7 @@
 
 MS = 1_000
 RATE, BURST = 10.0, 40.0
-ALWAYS = 1 << 60
+NEVER_EXPIRES_US = 1 << 60
 
 
 def members(names, incarnations=None) -> dict[str, tuple[str, str, str]]:
@@ -26,16 +26,21 @@
 def take_units(
     owner: QuotaOwner, now_us: int, units: float = 1.0, requester: str = "x"
 ) -> rpc_messages.QuotaReply:
+    """Request units of the count of "t" under the owner's own membership, within its ownership lease."""
     request = rpc_messages.QuotaRequest("t", units, requester, owner.fencing_token, RATE, BURST)
-    return owner.add(now_us, request, ALWAYS)
+    return owner.add(now_us, request, NEVER_EXPIRES_US)
 
 
 def hand_over_request(owner: QuotaOwner) -> rpc_messages.HandOverRequest:
+    """Return the request of a new owner for the count of "t"."""
     return rpc_messages.HandOverRequest("t", owner.name, owner.fencing_token, RATE, BURST, owner.incarnation)
 
 
 class HandOverScenario:
-    """The proxy `new_name` joins and becomes the owner of the count of "t" instead of `previous_name`."""
+    """The proxy `new_name` joins and becomes the owner of the count of "t" instead of `previous_name`.
+
+    The previous owner has the membership without `new_name`, with fencing token 5. The one with it has 9.
+    """
 
     def __init__(self) -> None:
         names = list("abcdef")
@@ -50,6 +55,7 @@
         self.new_owner = QuotaOwner(self.new_name, "1", 0)
 
     def apply_new_membership(self, now_us: int) -> None:
+        """Deliver the new membership to the new owner only."""
         self.new_owner.update_members(
             now_us,
             MembershipUpdate(
@@ -87,8 +93,8 @@
     scenario.apply_new_membership(2 * SECOND)
     assert scenario.new_owner.predecessor(2 * SECOND, "t") == scenario.previous_name
     accepted = [
-        take_units(scenario.new_owner, 2 * SECOND + each).is_accepted
-        for each in (0, SECOND, OWNERSHIP_LEASE_US - 1, OWNERSHIP_LEASE_US)
+        take_units(scenario.new_owner, 2 * SECOND + elapsed_us).is_accepted
+        for elapsed_us in (0, SECOND, OWNERSHIP_LEASE_US - 1, OWNERSHIP_LEASE_US)
     ]
     assert accepted == [False, False, False, True]
 
@@ -138,7 +144,7 @@
             ).count.level
             for _ in range(2)
         ]
-        assert [round(each) for each in levels] == [10, 10]
+        assert [round(level) for level in levels] == [10, 10]
     reply = scenario.previous_owner.answer_hand_over(SECOND + 5 * MS, hand_over_request(scenario.new_owner))
     scenario.new_owner.on_hand_over_reply(
         SECOND + 6 * MS, hand_over_request(scenario.new_owner), reply, scenario.previous_name
@@ -200,9 +206,12 @@
 
 
 def test_an_owner_that_waits_for_its_predecessor_makes_its_successor_wait(scenario: HandOverScenario) -> None:
-    """Guards against two memberships in quick succession while the previous owner is partitioned."""
+    """Guards against two active owners after two memberships in quick succession.
+
+    The first owner is partitioned. The second one has not received the count when the third one asks for it.
+    """
     scenario.apply_new_membership(SECOND)
-    # The previous owner again.
+    # The proxy that owned the count before the new owner owns it again, in a new process.
     returning_name = owner_of("t", [name for name in scenario.names if name != scenario.new_name])
     returning_owner = QuotaOwner(returning_name, "2", 0)
     newest = MembershipUpdate(
@@ -233,14 +242,14 @@
     remaining = [
         name for name in scenario.names if name not in (scenario.new_name, scenario.previous_name)
     ] + [scenario.previous_name]
-    leaving = [scenario.previous_name]
+    terminating = [scenario.previous_name]
     up_to_date.update_members(
         0, MembershipUpdate(5, members(scenario.previous_members), previous_fencing_token=0)
     )
     up_to_date.update_members(SECOND, MembershipUpdate(9, members(scenario.names), previous_fencing_token=5))
     up_to_date.update_members(
         SECOND + 300 * MS,
-        MembershipUpdate(12, members(remaining), previous_fencing_token=9, terminating_proxies=leaving),
+        MembershipUpdate(12, members(remaining), previous_fencing_token=9, terminating_proxies=terminating),
     )
     newest = MembershipUpdate(
         12,
@@ -248,70 +257,75 @@
         previous_fencing_token=9,
         previous_owners=scenario.names,
         earlier_owners=[scenario.previous_members],
-        terminating_proxies=leaving,
+        terminating_proxies=terminating,
     )
     restarted.update_members(SECOND + 300 * MS, newest)
     for owner in (up_to_date, restarted):
-        now = SECOND + 310 * MS
-        assert owner.predecessor(now, "t") == scenario.previous_name
-        assert not take_units(owner, now).is_accepted
-    now = SECOND + 320 * MS
+        now_us = SECOND + 310 * MS
+        assert owner.predecessor(now_us, "t") == scenario.previous_name
+        assert not take_units(owner, now_us).is_accepted
+    now_us = SECOND + 320 * MS
     up_to_date.on_hand_over_reply(
-        now,
+        now_us,
         hand_over_request(up_to_date),
-        scenario.previous_owner.answer_hand_over(now, hand_over_request(up_to_date)),
+        scenario.previous_owner.answer_hand_over(now_us, hand_over_request(up_to_date)),
         scenario.previous_name,
     )
-    assert not take_units(scenario.previous_owner, now).is_accepted
-    assert BURST - take_units(up_to_date, now).total > 30
+    assert not take_units(scenario.previous_owner, now_us).is_accepted
+    assert BURST - take_units(up_to_date, now_us).total > 30
 
 
 def test_a_restarted_process_does_not_answer_for_earlier_owners(scenario: HandOverScenario) -> None:
-    """Guards against an earlier owner that missed the memberships since (seed 30524)."""
+    """Guards against a second active owner: an earlier one that missed the memberships since (seed 30524)."""
     scenario.apply_new_membership(SECOND)
     next_name = owner_of("t", [name for name in scenario.previous_members if name != scenario.previous_name])
     owner, restarted = QuotaOwner(next_name, "1", 0), QuotaOwner(scenario.new_name, "2", SECOND)
     owner.update_members(0, MembershipUpdate(5, members(scenario.previous_members), previous_fencing_token=0))
     owner.update_members(SECOND, MembershipUpdate(9, members(scenario.names), previous_fencing_token=5))
-    leaving = [scenario.new_name, scenario.previous_name]
+    terminating = [scenario.new_name, scenario.previous_name]
     owner.update_members(
         SECOND + 300 * MS,
-        MembershipUpdate(12, members(scenario.names), previous_fencing_token=9, terminating_proxies=leaving),
+        MembershipUpdate(
+            12, members(scenario.names), previous_fencing_token=9, terminating_proxies=terminating
+        ),
     )
-    now = SECOND + 310 * MS
-    assert owner.predecessor(now, "t") == scenario.new_name
+    now_us = SECOND + 310 * MS
+    assert owner.predecessor(now_us, "t") == scenario.new_name
     owner.on_hand_over_reply(
-        now,
+        now_us,
         hand_over_request(owner),
-        restarted.answer_hand_over(now, hand_over_request(owner)),
+        restarted.answer_hand_over(now_us, hand_over_request(owner)),
         scenario.new_name,
     )
-    assert owner.predecessor(now, "t") == scenario.previous_name
-    assert not take_units(owner, now).is_accepted
+    assert owner.predecessor(now_us, "t") == scenario.previous_name
+    assert not take_units(owner, now_us).is_accepted
     owner.on_hand_over_reply(
-        now,
+        now_us,
         hand_over_request(owner),
-        scenario.previous_owner.answer_hand_over(now, hand_over_request(owner)),
+        scenario.previous_owner.answer_hand_over(now_us, hand_over_request(owner)),
         scenario.previous_name,
     )
-    assert take_units(owner, now).is_accepted
-    assert not take_units(scenario.previous_owner, now).is_accepted
+    assert take_units(owner, now_us).is_accepted
+    assert not take_units(scenario.previous_owner, now_us).is_accepted
 
 
 def test_a_hand_over_holds_under_a_membership_older_than_the_new_owners(scenario: HandOverScenario) -> None:
-    """Guards against an owner that receives several memberships late, one after the other (seed 30136)."""
+    """Guards against a previous owner that grants again after it has handed over (seed 30136).
+
+    It receives several memberships late, one after the other, and owns the count under an earlier one.
+    """
     take_units(scenario.previous_owner, SECOND - MS)
     scenario.apply_new_membership(SECOND)
-    now = SECOND + 5 * MS
+    now_us = SECOND + 5 * MS
     scenario.new_owner.on_hand_over_reply(
-        now,
+        now_us,
         hand_over_request(scenario.new_owner),
-        scenario.previous_owner.answer_hand_over(now, hand_over_request(scenario.new_owner)),
+        scenario.previous_owner.answer_hand_over(now_us, hand_over_request(scenario.new_owner)),
         scenario.previous_name,
     )
-    assert take_units(scenario.new_owner, now).is_accepted
+    assert take_units(scenario.new_owner, now_us).is_accepted
     scenario.previous_owner.update_members(
-        now,
+        now_us,
         MembershipUpdate(
             8,
             members(scenario.previous_members),
@@ -319,11 +333,11 @@
             previous_owners=scenario.previous_members,
         ),
     )
-    assert not take_units(scenario.previous_owner, now).is_accepted
+    assert not take_units(scenario.previous_owner, now_us).is_accepted
     scenario.previous_owner.update_members(
-        now, MembershipUpdate(9, members(scenario.names), previous_fencing_token=8)
+        now_us, MembershipUpdate(9, members(scenario.names), previous_fencing_token=8)
     )
-    assert not take_units(scenario.previous_owner, now).is_accepted
+    assert not take_units(scenario.previous_owner, now_us).is_accepted
 
 
 def test_no_hand_over_is_required_from_a_terminated_process(scenario: HandOverScenario) -> None:
@@ -332,8 +346,8 @@
         SECOND, hand_over_request(scenario.new_owner), scenario.previous_name
     )
     assert take_units(scenario.new_owner, SECOND + MS).is_accepted
-    other = QuotaOwner(scenario.previous_name, "2", 0)  # restarted without a membership
-    assert other.answer_hand_over(
+    restarted = QuotaOwner(scenario.previous_name, "2", 0)  # has not received a membership yet
+    assert restarted.answer_hand_over(
         SECOND, hand_over_request(scenario.new_owner)
     ) == rpc_messages.HandOverReply(False)
     successor = QuotaOwner(scenario.new_name, "1", 0)
@@ -351,15 +365,15 @@
     state_machine, watch = StateMachine(), Watch(SECOND, 0)
     watch.become_leader(0, 1, state_machine.state)
 
-    def send_watch_request(name: str, now_us: int, leaving: bool = False) -> None:
+    def send_watch_request(name: str, now_us: int, is_terminating: bool = False) -> None:
         request = rpc_messages.WatchRequest(name, members(name)[name][0], "1", "z", 0, "", 0, 0,
-                                            is_terminating=leaving)  # fmt: skip
+                                            is_terminating=is_terminating)  # fmt: skip
         watch.reply_if_changed(now_us, request, state_machine.state, [])
 
     for name in scenario.names:
         send_watch_request(name, PROXY_LIST_INTERVAL_US)
     state_machine.apply(5, encode_command(watch.live_proxies(PROXY_LIST_INTERVAL_US, state_machine.state)))
-    send_watch_request(scenario.new_name, 2 * PROXY_LIST_INTERVAL_US, leaving=True)
+    send_watch_request(scenario.new_name, 2 * PROXY_LIST_INTERVAL_US, is_terminating=True)
     command = watch.live_proxies(2 * PROXY_LIST_INTERVAL_US, state_machine.state)
     assert command == LiveProxies(members(scenario.names), [], [scenario.new_name])
     state_machine.apply(6, encode_command(command))
--- a/tests/gateway/quota/test_owner.py
+++ b/tests/gateway/quota/test_owner.py
@@ -13,13 +13,13 @@
     names = [f"c{number}" for number in range(6)]
     for tenant in ("t", "u", "v", "w"):
         for proxies_with_controller in (names[:3], names):
-            owners_found = []
+            owner_names = []
             for name in names:
                 owner = QuotaOwner(name)
                 owner.update_members(0, MembershipUpdate(1, live_proxies(names), proxies_with_controller))
-                owners_found += [name] if owner.owns(tenant) else []
-            assert len(owners_found) == 1
-            assert owners_found[0] not in proxies_with_controller or proxies_with_controller == names
+                owner_names += [name] if owner.owns(tenant) else []
+            assert len(owner_names) == 1
+            assert owner_names[0] not in proxies_with_controller or proxies_with_controller == names
 
 
 def test_a_restarted_owner_has_the_refill_since_its_start_if_the_first_membership_lists_it():
@@ -80,11 +80,12 @@
 
     assert available_units(40, 10, sequence_number=1) == 30.0
     assert available_units(40, 0, 6, sequence_number=2, returned_from=1) == 36.0
-    assert available_units(40, 0, 6, sequence_number=3, returned_from=1) == 36.0  # repeated
+    # Repeated return: request 1 is no longer the client's previous request.
+    assert available_units(40, 0, 6, sequence_number=3, returned_from=1) == 36.0
     # Only four of the ten units are still returnable.
     assert available_units(40, 0, 6, sequence_number=4, returned_from=3) == 40.0
     assert available_units(40, 0, 6, sequence_number=5, returned_from=4) == 40.0
-    # Units granted by another owner, or in reply to a request that was lost.
+    # Units of request 9, which another owner granted or which never arrived here.
     assert available_units(40, 0, 50, sequence_number=6, returned_from=9) == 40.0
     assert available_units(40, -50, sequence_number=7) == 40.0
 
