--- a/lapisgrade/gateway/membership/gossip.py
+++ b/lapisgrade/gateway/membership/gossip.py
@@ -10,15 +10,28 @@
 from lapisgrade.peers.udp import UdpTransport
 
 CODEC = frame.Codec(Shuffle)
-MIN_TIMER_S = 0.01
+MIN_TIMER_S = 0.01  # minimum delay until the next call of the timer
 
 
 class Gossip:
-    """Runs one proxy's partial view between `open` and `close`."""
+    """Runs one proxy's partial view between `open` and `close`.
+
+    Attributes:
+        partial_view: The view.
+        udp: The transport that shuffles are sent and received on.
+    """
 
     def __init__(
         self, name: str, partial_view: PartialView, now: Callable[[], int], log_line: Callable[[str], None]
     ) -> None:
+        """Create the transport without opening its socket.
+
+        Args:
+            name: Name of the proxy.
+            partial_view: The proxy's view.
+            now: Returns the current time in us.
+            log_line: Writes a line to the proxy's log.
+        """
         self.partial_view = partial_view
         self._now = now
         self.udp = UdpTransport(name, CODEC, lambda: 0, self._on_frame, log_line)
--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -1,12 +1,13 @@
 """A partial view: the proxies that a proxy knows without the controllers. Pure.
 
-Cyclon (Voulgaris, Gavidia, van Steen, 2005): in each round, a proxy exchanges a few entries with its oldest
-neighbour and removes that one from its view. A terminated neighbour is thus dropped, and a live one returns
-with a newer entry from another proxy. The graph stays connected and close to random, and the cost of a round
-per proxy does not depend on the number of proxies.
-
-Each shuffle also carries the newest hint of the controllers' leader and addresses. A hint is only a place to
-send a request to: the reply confirms it, so a false hint costs one request. Times are in us.
+Cyclon (Voulgaris, Gavidia, van Steen, 2005): in each round, a proxy sends a few entries to the neighbour with
+the oldest entry, which replies with some of its own. This exchange is a shuffle. The proxy removes that
+neighbour from its view when it sends the shuffle. A terminated neighbour is thus dropped, and a live one
+returns with a newer entry from another proxy. The graph stays connected and close to random, and the cost of
+a round per proxy does not depend on the number of proxies.
+
+Each shuffle also carries the newest hint of the controllers' leader and addresses. A hint only says where to
+send a request: the reply confirms or refutes it, so a false hint costs one request. Times are in us.
 """
 
 import re
@@ -29,7 +30,7 @@
 def is_address(text: str) -> bool:
     """Return whether `text` is an IPv4 address and port.
 
-    Addresses come from other proxies, and requests are sent to them.
+    Other proxies' messages name addresses, and this proxy sends requests to them, so they are validated.
     """
     return _ADDRESS_PATTERN.fullmatch(text) is not None and int(text.rpartition(":")[2]) < 65_536
 
@@ -40,7 +41,7 @@
     Attributes:
         address: Address at which the neighbour receives messages and datagrams of other proxies.
         zone: Zone of the neighbour.
-        age: Number of rounds since the neighbour itself sent the entry.
+        age: Number of rounds since the neighbour itself sent the entry, 0 or more.
     """
 
     address: str
@@ -76,22 +77,30 @@
 
     The caller calls `on_timer` at `next_shuffle_us` or later and `on_shuffle` for each received shuffle, and
     sends the messages that they return.
+
+    Attributes:
+        address: This proxy's own address.
+        zone: This proxy's zone.
+        view: The neighbours by address.
+        control_hint: The newest hint of the controllers.
+        next_shuffle_us: When the next shuffle is due.
     """
 
     def __init__(self, address: str, zone: str, random: Random, now_us: int) -> None:
+        """Create an empty view; the first shuffle is due within `FAST_SHUFFLE_INTERVAL_US`."""
         self.address = address
         self.zone = zone
         self._random = random
-        self.view: dict[str, Neighbour] = {}  # by address
+        self.view: dict[str, Neighbour] = {}
         self.control_hint = ControlHint()
         self.next_shuffle_us = now_us + random.randrange(FAST_SHUFFLE_INTERVAL_US)
-        # Entries sent in the current shuffle; those in the reply may replace them.
+        # Neighbours whose entries were sent in the last shuffle; entries of the reply may replace them.
         self._sent_addresses: list[str] = []
 
     def add_addresses(self, addresses: list[str]) -> None:
         """Add addresses of proxies that are likely live, from the settings or the controllers.
 
-        After a network partition, this connects the views of the two sides again.
+        After a network partition, this is what connects the views of the two sides again.
         """
         for address in addresses:
             self._add(Neighbour(address, "", 1), [])
@@ -103,7 +112,7 @@
     # ---- hints of the controllers
 
     def on_control_hint(self, hint: ControlHint) -> None:
-        """Process a hint from this proxy or a neighbour; the one with the newest term is kept."""
+        """Replace the hint by one from this proxy or a neighbour, unless that is older or out of bounds."""
         is_older = hint.term < self.control_hint.term
         if is_older or not is_address(hint.leader) or len(hint.controllers) > MAX_CONTROLLERS:
             return
@@ -111,14 +120,17 @@
             self.control_hint = hint
 
     def discard_leader(self, address: str) -> None:
-        """Drop a hint whose address is not the leader: it was outdated or false. Accept any term next."""
+        """Drop the hinted leader if it is `address`, which turned out not to lead: the hint was old or false.
+
+        The next hint is accepted whatever its term.
+        """
         if address == self.control_hint.leader:
             self.control_hint = ControlHint(0, "", self.control_hint.controllers)
 
     # ---- shuffles
 
     def on_timer(self, now_us: int) -> list[SendShuffle]:
-        """Start a shuffle with the oldest neighbour if it is due."""
+        """Start a shuffle with the oldest neighbour if one is due; return the message to send."""
         if now_us < self.next_shuffle_us:
             return []
         interval_us = SHUFFLE_INTERVAL_US if len(self.view) >= MIN_VIEW_SIZE else FAST_SHUFFLE_INTERVAL_US
@@ -134,7 +146,10 @@
         return [SendShuffle(oldest.address, Shuffle(False, self.control_hint, [own_entry, *sample]))]
 
     def on_shuffle(self, source: str, shuffle: Shuffle) -> list[SendShuffle]:
-        """Process a neighbour's entries and reply with ours; entries out of bounds are ignored."""
+        """Add a neighbour's entries to the view and return the reply with some of ours, unless it is a reply.
+
+        Entries out of bounds are ignored.
+        """
         self.on_control_hint(shuffle.control_hint)
         replies, sent = [], self._sent_addresses
         if not shuffle.is_reply:
@@ -150,7 +165,10 @@
         return self._random.sample(others, min(count, len(others)))
 
     def _add(self, neighbour: Neighbour, sent: list[str]) -> None:
-        """Add an entry to the view; if it is full, evict an entry in `sent`, else an older one."""
+        """Add an entry to the view; a known neighbour keeps the newer of its entries.
+
+        If the view is full, an entry in `sent` is evicted, or else the oldest one if the new one is younger.
+        """
         if not self._is_acceptable(neighbour):
             return
         known = self.view.get(neighbour.address)
--- a/lapisgrade/gateway/membership/subsets.py
+++ b/lapisgrade/gateway/membership/subsets.py
@@ -5,7 +5,7 @@
 
 Each proxy thus knows of nearly all requests at the servers that it prefers, while the reports stay within the
 zone and do not grow with the fleet. All proxies divide the same membership in the same way (by hash), so
-subsets need not be announced.
+subsets need not be announced. Times are in us.
 """
 
 import functools
@@ -29,7 +29,7 @@
 
 @functools.lru_cache(maxsize=4096)
 def preferences(name: str, count: int) -> tuple[int, ...]:
-    """Return the subsets 0 to `count` - 1 in the order in which this name prefers them."""
+    """Return the indices 0 to `count` - 1 of subsets in the order in which this name prefers them."""
     return tuple(sorted(range(count), key=lambda index: rank(f"{name} {index}")))
 
 
@@ -73,19 +73,33 @@
 
 
 class Subsets:
-    """One proxy's subset and the reports of its neighbours in it."""
+    """One proxy's subset and the reports of its neighbours in it.
+
+    Attributes:
+        name: Name of this proxy.
+        zone: Zone of this proxy.
+        neighbours: Addresses of the other proxies of the subset, by name.
+        index: Index of the subset in its zone.
+        count: Number of subsets in the zone.
+        revision: Incremented at each update of the membership.
+    """
 
     def __init__(self, name: str, zone: str) -> None:
+        """Create a subset without neighbours, before the first membership arrives."""
         self.name = name
         self.zone = zone
-        self.neighbours: dict[str, str] = {}  # address by name
-        self.index = 0  # index of this proxy's subset in its zone
-        self.count = 1  # number of subsets in the zone
-        self.revision = 0  # incremented at each update of the membership
+        self.neighbours: dict[str, str] = {}
+        self.index = 0
+        self.count = 1
+        self.revision = 0
         self._reports: dict[str, LoadReport] = {}  # by neighbour
 
     def update_members(self, live_proxies: dict[str, tuple[str, str, str]]) -> None:
-        """Divide a newer membership of live proxies into subsets."""
+        """Divide the proxies of a newer membership that are in this zone into subsets.
+
+        Args:
+            live_proxies: Address, incarnation and zone of each live proxy, by name.
+        """
         self.revision += 1
         subsets = divide([name for name, member in live_proxies.items() if member[2] == self.zone])
         self.index, self.count = 0, max(1, len(subsets))
@@ -99,13 +113,20 @@
     def on_load_report(
         self, now_us: int, sender: str, in_flight: dict[str, int], unhealthy: Sequence[str] = ()
     ) -> None:
-        """Store a neighbour's report; reports of other proxies are ignored."""
+        """Store a neighbour's report; reports of other proxies and oversized ones are ignored.
+
+        Args:
+            now_us: The current time.
+            sender: Name of the proxy that sent the report.
+            in_flight: The sender's requests in flight, by server.
+            unhealthy: Servers that are unhealthy for the sender.
+        """
         if sender in self.neighbours and len(in_flight) <= MAX_REPORTED_SERVERS:
             unhealthy_servers = frozenset(unhealthy[:MAX_UNHEALTHY_SERVERS])
             self._reports[sender] = LoadReport(now_us, in_flight, unhealthy_servers)
 
     def assigned_servers(self, servers: list[str]) -> set[str]:
-        """Return the servers of the zone that are assigned to this subset."""
+        """Return those of the zone's `servers` that are assigned to this subset."""
         return set(assign(servers, self.count)[self.index])
 
     def is_load_known(self, now_us: int) -> bool:
@@ -128,7 +149,8 @@
     def unhealthy_reports(self, now_us: int, server: str) -> int:
         """Return the number of neighbours that report a server as unhealthy.
 
-        A single report counts as none: it may be false, or the server may be unhealthy for one caller only.
+        Fewer than `MIN_UNHEALTHY_REPORTS` count as none: a single report may be false, or the server may be
+        unhealthy for one caller only.
         """
         count = sum(
             server in report.unhealthy
--- a/lapisgrade/gateway/operations/attempts.py
+++ b/lapisgrade/gateway/operations/attempts.py
@@ -12,7 +12,7 @@
         Args:
             address: Address at which other proxies can ask this one for the outcome of an attempt.
             incarnation: Incarnation of this process; unique among the processes at the same address.
-            retention_us: Duration for which an outcome is kept.
+            retention_us: Duration for which an outcome is kept, from the start of its attempt.
         """
         self.address = address
         self.outcomes = OutcomeStore(retention_us)
@@ -28,5 +28,5 @@
         return attempt
 
     def finish(self, now_us: int, attempt: str, outcome: Outcome) -> None:
-        """Record the outcome of an attempt; later outcomes are ignored."""
+        """Record the outcome of an attempt; only the first one counts, later ones are ignored."""
         self.outcomes.finish(now_us, attempt, outcome)
--- a/lapisgrade/gateway/operations/claim_batches.py
+++ b/lapisgrade/gateway/operations/claim_batches.py
@@ -1,4 +1,4 @@
-"""Batches claims into log entries at the leader: validation, immediate replies, and elapsed time. Pure.
+"""Batching of claims into log entries at the leader: validation, immediate replies and elapsed time. Pure.
 
 A malformed claim is rejected. A claim to a key that is already held is answered from the table. All others
 wait for the next batch; if `MAX_WAITING_CLAIMS` already wait, the reply is that the holder is unknown.
@@ -14,12 +14,14 @@
 from lapisgrade.gateway.settings import parse_address
 
 MAX_BATCH_CLAIMS = 256  # maximum claims in one log entry; at most 128 KB, which fits into one message
-MAX_WAITING_CLAIMS = 1024  # a few seconds of claims; for further ones the holder is unknown
+# Maximum number of claims that wait for a batch: a few seconds of claims. The reply to further ones is that
+# the holder is unknown.
+MAX_WAITING_CLAIMS = 1024
 MAX_NAME_BYTES = 64  # maximum size of an attempt's name and of an owner's address
 
 
 def is_valid(claim: Claim) -> bool:
-    """Return whether a claim may be recorded: its sizes are in bounds and its owner has a valid address."""
+    """Return whether a claim may be recorded: its fields have valid sizes and its owner is an address."""
     names = (claim.attempt, claim.owner)
     has_names = all(0 < _size(name) <= MAX_NAME_BYTES for name in names)
     has_key = 0 < _size(claim.key) <= MAX_KEY_BYTES
@@ -28,10 +30,18 @@
 
 
 def known_holder(table: OperationTable, claim: Claim, oldest_us: int) -> OperationRecord | None:
-    """Return the record that holds the claim's key if the claim cannot change it; it then needs no log entry.
+    """Return the record that holds the claim's key if it is certain that the claim cannot change it.
 
-    The holder may be the claim's own attempt, recorded earlier. A record claimed before `oldest_us` may have
-    outlived its retention, which only the log can decide; None is returned then.
+    Such a claim needs no log entry. The holder may be the claim's own attempt, recorded earlier.
+
+    Args:
+        table: The table as applied so far.
+        claim: The claim.
+        oldest_us: Time on the table's clock; a record claimed before may have outlived its retention, which
+            only the log can decide.
+
+    Returns:
+        The record, or None if the claim needs a log entry.
     """
     record = table.find(claim.tenant, claim.key)
     if record is None or record.attempt == claim.replaces or record.claimed_us < oldest_us:
@@ -40,7 +50,7 @@
 
 
 class LeadershipClock:
-    """Measures the time between batches within one term; never more than has passed under that leader."""
+    """Measures the time between a leader's batches; the sum never exceeds the time within its term."""
 
     def __init__(self) -> None:
         """Create a clock without a measurement."""
@@ -48,14 +58,14 @@
         self._last_batch_us = 0  # time of the last batch in that term
 
     def elapsed_us(self, now_us: int, term: int) -> int:
-        """Return the time since the last batch in the same term; 0 before the first batch.
+        """Return the time in us since the last batch in the same term; 0 before the first batch.
 
         A node leads a term at most once, so time under another leader is never counted.
         """
         return max(0, now_us - self._last_batch_us) if term == self._term else 0
 
     def start_batch(self, now_us: int, term: int) -> int:
-        """Return the elapsed time that the next batch records, and restart the measurement."""
+        """Start a batch: return the elapsed time in us that it records, and restart the measurement."""
         elapsed_us = self.elapsed_us(now_us, term)
         self._term = term
         self._last_batch_us = now_us
--- a/lapisgrade/gateway/operations/outcomes.py
+++ b/lapisgrade/gateway/operations/outcomes.py
@@ -1,11 +1,12 @@
 """Outcomes of one proxy's attempts at keyed operations. Pure.
 
-    RUNNING --attempt ended and has not run--> NOT_RUN
+    RUNNING --attempt ended, no server has run it--> NOT_RUN
        |
        +--complete response from a server--> ANSWERED
        +--no response, but it may have run--> UNKNOWN
 
-An attempt that is not stored here is UNKNOWN: the process may have been restarted since it began.
+An attempt that is not stored here is UNKNOWN: its outcome may have been dropped, or the process may have been
+restarted since the attempt began.
 """
 
 from collections.abc import Callable
@@ -54,7 +55,7 @@
 
 
 class StoredOutcome(msgspec.Struct):
-    """An outcome and the time until which it is kept."""
+    """An outcome and the time in us until which it is kept."""
 
     outcome: Outcome
     expires_us: int
@@ -64,7 +65,7 @@
     """The outcomes of this proxy's own attempts, kept while clients may repeat their operations."""
 
     def __init__(self, retention_us: int) -> None:
-        """Create an empty store that keeps each outcome for `retention_us`."""
+        """Create an empty store that keeps each outcome for `retention_us` from the start of its attempt."""
         self.on_finished: Callable[[str], None] = _ignore  # called with the name of each finished attempt
         self.running_count = 0  # number of RUNNING attempts
         self._retention_us = retention_us
@@ -80,7 +81,10 @@
         self.running_count += 1
 
     def finish(self, now_us: int, attempt: str, outcome: Outcome) -> None:
-        """Record the outcome of a running attempt; an attempt that is unknown or finished is ignored."""
+        """Record the outcome of a running attempt; an attempt that is not stored or finished is ignored.
+
+        A response above `MAX_RESPONSE_BYTES` is not stored; the outcome is UNKNOWN then.
+        """
         stored = self._stored.get(attempt)
         if stored is None or stored.outcome.state is not OutcomeState.RUNNING:
             return
@@ -93,7 +97,7 @@
         self.on_finished(attempt)
 
     def find(self, attempt: str) -> Outcome:
-        """Return the outcome of an attempt."""
+        """Return the outcome of an attempt; UNKNOWN if it is not stored."""
         stored = self._stored.get(attempt)
         return stored.outcome if stored is not None else UNKNOWN
 
@@ -107,7 +111,8 @@
             self._drop(attempt)
 
     def _drop_oldest_answer(self) -> None:
-        answered = (each for each, stored in self._stored.items() if stored.outcome.size)
+        """Drop the oldest attempt whose outcome has a response."""
+        answered = (attempt for attempt, stored in self._stored.items() if stored.outcome.size)
         self._drop(next(answered))
 
     def _drop(self, attempt: str) -> None:
--- a/lapisgrade/gateway/operations/table.py
+++ b/lapisgrade/gateway/operations/table.py
@@ -14,8 +14,9 @@
 import msgspec
 
 MAX_RECORDS = 32_768
-"""Maximum number of records: 436 operations per second for 75 s. A snapshot of a full table has 3 MB, or
-16 MB with the longest names, and takes twice that on disk while it is written."""
+"""Maximum number of records: 436 operations per second for 75 s, the retention with the default `key_win`.
+A snapshot of a full table has 3 MB, or 16 MB with the longest names, and takes twice that on disk while it is
+written."""
 
 MAX_TENANT_RECORDS = MAX_RECORDS // 2  # maximum per tenant, so that one tenant cannot fill the table
 MAX_KEY_BYTES = 256  # maximum size of an operation key as received over HTTP
@@ -26,7 +27,7 @@
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True):
-    """A request to run an operation in an attempt.
+    """A request to record an attempt as the one that runs an operation.
 
     Attributes:
         tenant: Tenant of the operation; each tenant has its own key space.
@@ -49,7 +50,7 @@
     Attributes:
         attempt: Name of the attempt, as in its claim.
         owner: Address at which its proxy answers other proxies.
-        claimed_us: Time of the claim on the table's clock.
+        claimed_us: Time of the claim on the table's clock, in us.
     """
 
     attempt: str
@@ -73,7 +74,7 @@
     """The records, in the order in which they were claimed.
 
     Attributes:
-        clock_us: The sum of the time that leaders have measured.
+        clock_us: The table's clock: the sum of the times that leaders have measured, in us.
         records: Records by `record_id`.
         tenant_records: Number of records per tenant; tenants without records are omitted.
     """
@@ -87,7 +88,7 @@
         return self.records.get(record_id(tenant, key))
 
     def advance(self, elapsed_us: int, retention_us: int) -> None:
-        """Advance the clock and drop the records that are older than their retention."""
+        """Advance the clock by `elapsed_us` and drop the records that are older than `retention_us`."""
         self.clock_us += max(0, elapsed_us)
         oldest_us = self.clock_us - retention_us
         expired = []
@@ -99,7 +100,11 @@
             self._remove(name)
 
     def claim(self, claim: Claim) -> ClaimResult:
-        """Record a claim unless another attempt holds its key, and return the holder."""
+        """Record a claim and return the holder of its key.
+
+        A claim is not recorded if the key is held by another attempt than the one that it replaces, or if
+        the table, or the tenant's part of it, is full.
+        """
         name = record_id(claim.tenant, claim.key)
         record = self.records.get(name)
         if record is not None and record.attempt != claim.replaces:
--- a/tests/gateway/membership/test_partial_view.py
+++ b/tests/gateway/membership/test_partial_view.py
@@ -23,7 +23,7 @@
         self.network_partition: dict[str, int] = {}  # network partition by proxy; datagrams stay within one
         self.partial_views: dict[str, PartialView] = {}
         self.sent = self.bytes = 0
-        names = [f"10.0.{each // 250}.{each % 250}:7661" for each in range(count)]
+        names = [f"10.0.{number // 250}.{number % 250}:7661" for number in range(count)]
         for name in names:
             self.start(name, names[:3])
 
@@ -36,6 +36,7 @@
         self.schedule(0, name, None, "")
 
     def schedule(self, delay_us: int, name: str, shuffle: Shuffle | None, source: str) -> None:
+        """Schedule the arrival of a shuffle from `source` at a proxy; None for a call of its timer."""
         self._scheduled += 1
         heapq.heappush(self.events, (self.now + delay_us, self._scheduled, name, shuffle, source))
 
@@ -53,28 +54,29 @@
             )
             if shuffle is None:
                 self.schedule(max(1, partial_view.next_shuffle_us - self.now), name, None, "")
-            for each in commands:
+            for command in commands:
                 self.sent += 1
-                self.bytes += len(CODEC.encode(name, 0, each.message)) + 28
+                self.bytes += len(CODEC.encode(name, 0, command.message)) + 28
                 if (
                     self.random.random() > 0.02
-                    and self.network_partition.get(each.to) == self.network_partition[name]
+                    and self.network_partition.get(command.to) == self.network_partition[name]
                 ):
-                    self.schedule(self.random.randrange(300, 3000), each.to, each.message, name)
+                    self.schedule(self.random.randrange(300, 3000), command.to, command.message, name)
         self.now = end_us
 
     def reachable(self, start: str) -> set[str]:
+        """Return the running proxies that a path of neighbours connects to `start`."""
         reachable_names, pending = {start}, [start]
         while pending:
-            for each in self.partial_views[pending.pop()].neighbours():
-                if each in self.partial_views and each not in reachable_names:
-                    reachable_names.add(each)
-                    pending.append(each)
+            for neighbour in self.partial_views[pending.pop()].neighbours():
+                if neighbour in self.partial_views and neighbour not in reachable_names:
+                    reachable_names.add(neighbour)
+                    pending.append(neighbour)
         return reachable_names
 
 
 def test_all_proxies_are_connected_within_seconds_at_a_constant_cost_per_proxy() -> None:
-    bytes_per_s = []
+    bytes_per_proxy_s = []
     for count in (20, 300):
         simulation = GossipSimulation(count)
         simulation.run(6)
@@ -82,14 +84,14 @@
             assert len(simulation.reachable(name)) == count
         simulation.sent = simulation.bytes = 0
         simulation.run(10)
-        bytes_per_s.append(simulation.bytes / count / 10)
+        bytes_per_proxy_s.append(simulation.bytes / count / 10)
         view_counts = [
             sum(name in each.view for each in simulation.partial_views.values())
             for name in simulation.partial_views
         ]
         assert min(view_counts) > 0
         assert max(view_counts) < 3 * MAX_VIEW_SIZE  # no proxy is the neighbour of most others
-    assert bytes_per_s[1] < 1.2 * bytes_per_s[0]
+    assert bytes_per_proxy_s[1] < 1.2 * bytes_per_proxy_s[0]
 
 
 def test_terminated_proxies_are_dropped_and_the_others_stay_connected() -> None:
@@ -122,7 +124,7 @@
 
 def test_entries_and_hints_of_a_faulty_neighbour_are_bounded() -> None:
     partial_view = PartialView("10.0.0.1:1", "z", Random(1), 0)
-    many_entries = [Neighbour(f"10.1.0.{each}:1", "z") for each in range(200)]
+    many_entries = [Neighbour(f"10.1.0.{number}:1", "z") for number in range(200)]
     partial_view.on_shuffle("10.0.0.9:1", Shuffle(False, ControlHint(), many_entries))
     assert len(partial_view.view) <= 6
     invalid_entries = [
--- a/tests/gateway/operations/test_outcomes.py
+++ b/tests/gateway/operations/test_outcomes.py
@@ -39,7 +39,7 @@
     assert finished == ["a"]
 
 
-def test_an_outcome_is_dropped_after_its_retention(store: OutcomeStore) -> None:
+def test_outcomes_are_dropped_once_their_retention_has_passed(store: OutcomeStore) -> None:
     store.begin(0, "answered")
     store.finish(1, "answered", answered_outcome(1))
     store.begin(5, "running")
--- a/tests/gateway/operations/test_table.py
+++ b/tests/gateway/operations/test_table.py
@@ -27,6 +27,7 @@
 
 
 def holder_after(table: OperationTable, *claims: Claim) -> str:
+    """Apply the claims and return the attempt that holds the key of the last one."""
     return [table.claim(each) for each in claims][-1].attempt
 
 
@@ -55,7 +56,7 @@
 
 
 @pytest.mark.parametrize(("elapsed_us", "holder"), [(RETENTION_US, "a"), (RETENTION_US + 1, "b")])
-def test_record_is_dropped_once_it_is_older_than_its_retention(elapsed_us: int, holder: str):
+def test_a_record_is_dropped_once_it_is_older_than_its_retention(elapsed_us: int, holder: str):
     table = OperationTable()
     table.claim(claim("a"))
     table.advance(elapsed_us, RETENTION_US)
@@ -75,11 +76,11 @@
 
 def test_the_clock_counts_only_time_within_a_term_and_never_runs_backwards():
     clock, table = LeadershipClock(), OperationTable()
-    counted = [
+    elapsed_us = [
         clock.start_batch(now_us, term)
         for now_us, term in ((9_000_000, 3), (9_500_000, 3), (60_000_000, 5), (59_000_000, 5))
     ]
-    assert counted == [0, 500_000, 0, 0]
+    assert elapsed_us == [0, 500_000, 0, 0]
     assert LeadershipClock().start_batch(9_000_000, 1) == 0  # a restarted process becomes the leader at once
     table.advance(-5, RETENTION_US)
     assert table.clock_us == 0
@@ -95,7 +96,7 @@
         assert holders == ["a0", "a1", "a2", ""]  # the limit per tenant
         other_holders = [table.claim(claim(key, tenant="siege", key=key)).attempt for key in ("b", "c")]
         assert other_holders == ["b", ""]
-        # A take-over is possible in a full table.
+        # A take-over replaces a record, so it is possible in a full table.
         assert holder_after(table, claim("d", "a1", key="k-1")) == "d"
         table.advance(RETENTION_US + 1, RETENTION_US)
         assert (table.records, table.tenant_records) == ({}, {})
@@ -107,8 +108,8 @@
     table.claim(claim("a"))
     claims = [claim("a"), claim("b"), claim("b", "x")]
     assert [known_holder(table, each, 0).attempt for each in claims] == ["a"] * 3
-    assert known_holder(table, claim("b", "a"), 0) is None
-    assert known_holder(table, claim("b"), 1) is None
+    assert known_holder(table, claim("b", "a"), 0) is None  # a take-over
+    assert known_holder(table, claim("b"), 1) is None  # the record may have outlived its retention
 
 
 def test_malformed_claims_are_invalid():
