--- a/tests/gateway/routing/test_balancer.py
+++ b/tests/gateway/routing/test_balancer.py
@@ -14,7 +14,7 @@
 
 
 class FailingServers:
-    """A cluster of two servers at which attempts fail or succeed."""
+    """A cluster of two servers, `s1` and `s2`, at which the test lets attempts fail or succeed."""
 
     def __init__(self) -> None:
         self.cluster = UpstreamCluster(Random(1), "z", Subsets("l", "z"))
@@ -22,13 +22,17 @@
             self.cluster.update(0, registry.Server(name, "a", "10.0.0.1:1", "z", 2, "up", 1))
         self.latency = self.cluster.latency("r", 400 * MS)
 
-    def finish_attempt(self, now: int, name: str, outcome: AttemptOutcome, blame: float = 1.0) -> None:
-        attempt = Attempt(None, self.cluster.servers[name], 0, now - 50 * MS)
-        self.cluster.on_attempt_started(now - 50 * MS, attempt)
-        self.cluster.on_attempt_finished(now, attempt, AttemptResult(outcome, 50 * MS), self.latency, blame)
+    def finish_attempt(self, now_us: int, name: str, outcome: AttemptOutcome, blame: float = 1.0) -> None:
+        """Start an attempt 50 ms before `now_us` and finish it then."""
+        attempt = Attempt(None, self.cluster.servers[name], 0, now_us - 50 * MS)
+        self.cluster.on_attempt_started(now_us - 50 * MS, attempt)
+        self.cluster.on_attempt_finished(
+            now_us, attempt, AttemptResult(outcome, 50 * MS), self.latency, blame
+        )
 
-    def share_of_s1(self, now: int) -> float:
-        names = [self.cluster.choose(now, 50 * MS, []).address for _ in range(200)]
+    def share_of_s1(self, now_us: int) -> float:
+        """Return the fraction of 200 choices that fall on `s1`."""
+        names = [self.cluster.choose(now_us, 50 * MS, []).address for _ in range(200)]
         return names.count("s1") / 200
 
 
--- a/tests/gateway/routing/test_idle_connections.py
+++ b/tests/gateway/routing/test_idle_connections.py
@@ -9,15 +9,16 @@
 
 
 class ReusedConnections:
-    """Idle limits that are learned from resets of reused connections."""
+    """Idle limits of services, as resets of reused connections set them."""
 
     def __init__(self) -> None:
         self.idle_connections = IdleConnections()
 
-    def record_reset(self, now: int, idle_us: int, duration_us: int = 2 * MS, service: str = "a") -> bool:
+    def record_reset(self, now_us: int, idle_us: int, duration_us: int = 2 * MS, service: str = "a") -> bool:
+        """Reset a connection that was idle before its reuse; return whether the idle time is the cause."""
         attempt = object()
         self.idle_connections.on_reuse(attempt, idle_us)
-        return self.idle_connections.on_attempt_finished(now, attempt, service, True, duration_us)
+        return self.idle_connections.on_attempt_finished(now_us, attempt, service, True, duration_us)
 
 
 @pytest.fixture
--- a/tests/gateway/routing/test_keyed_request.py
+++ b/tests/gateway/routing/test_keyed_request.py
@@ -44,11 +44,12 @@
         return KeyedAttempt(self, self.routers[proxy], key, tenant)
 
     def owner(self, address: str) -> Router:
+        """Return the router of the proxy with this RPC address."""
         return next(each for each in self.routers if each.operation_attempts.address == address)
 
 
 class KeyedAttempt:
-    """A request driven by the test in place of the engine; `yielded` is a call, a timer or its response."""
+    """A request driven by the test in place of the engine; `yielded` is a call, a sleep or its response."""
 
     def __init__(self, proxies: Proxies, router: Router, key: str, tenant: str) -> None:
         self.proxies, self.router = proxies, router
@@ -188,20 +189,20 @@
     first = proxies.attempt()
     first.time_out_claim(is_recorded=True)
     assert (first.status, first.yielded.retry_after_us > 0) == (503, True)
-    racing = [proxies.attempt(proxy=proxy).claim().fetch() for proxy in (0, 1)]
-    for each in racing:
-        each.claim()
+    repeats = [proxies.attempt(proxy=proxy).claim().fetch() for proxy in (0, 1)]
+    for repeat in repeats:
+        repeat.claim()
     assert proxies.sent == 1
-    assert [type(each.yielded) for each in racing] == [Sleep, FetchOutcome]
-    racing[0].finish(AttemptOutcome.OK, ANSWER)
-    assert racing[1].fetch().status == 200
+    assert [type(repeat.yielded) for repeat in repeats] == [Sleep, FetchOutcome]
+    repeats[0].finish(AttemptOutcome.OK, ANSWER)
+    assert repeats[1].fetch().status == 200
 
 
 def test_a_claim_waits_out_an_election_but_only_briefly_while_no_leader_replies(
     proxies: Proxies,
 ) -> None:
-    def wait_ms(attempt_under_test: KeyedAttempt) -> int:
-        return (attempt_under_test.yielded.until_us - attempt_under_test.request.arrived_us) // 1000
+    def wait_ms(attempt: KeyedAttempt) -> int:
+        return (attempt.yielded.until_us - attempt.request.arrived_us) // 1000
 
     first = proxies.attempt("a")
     assert 800 < wait_ms(first) < 1500
@@ -224,7 +225,7 @@
     assert (first.status, proxies.sent) == (503, 0)
 
 
-def test_a_claim_is_rejected_if_the_table_has_no_room(proxies: Proxies) -> None:
+def test_a_request_is_rejected_if_the_table_has_no_room_for_its_claim(proxies: Proxies) -> None:
     first = proxies.attempt()
     first.resume(ClaimResult())
     assert (first.status, proxies.sent) == (503, 0)
@@ -235,7 +236,8 @@
     rounds = 0
     while isinstance(first.yielded, ClaimKey):
         rounds += 1
-        other = proxies.attempt(proxy=1)  # another attempt that replaces it first and does not run either
+        # Another attempt replaces the same holder first, and does not run either.
+        other = proxies.attempt(proxy=1)
         other.yielded.claim = msgspec.structs.replace(
             other.yielded.claim, replaces=first.yielded.claim.replaces
         )
@@ -265,12 +267,12 @@
     assert proxies.attempt(proxy=1).claim().fetch().status == 200
 
 
-def test_a_client_that_disconnects_before_the_run_releases_the_key(proxies: Proxies) -> None:
-    claiming, refused = proxies.attempt("a"), proxies.attempt("b").claim()
-    for each in (claiming, refused):
+def test_an_attempt_that_never_runs_after_its_client_disconnects_releases_the_key(proxies: Proxies) -> None:
+    claiming, running = proxies.attempt("a"), proxies.attempt("b").claim()
+    for each in (claiming, running):
         each.disconnect()
     claiming.claim()
-    refused.finish(AttemptOutcome.OVERLOADED)
+    running.finish(AttemptOutcome.OVERLOADED)  # the server rejects it, so it has not run
     for key, sent in (("a", 2), ("b", 3)):
         repeat = proxies.attempt(key, proxy=1).claim().fetch().claim()
         assert (isinstance(repeat.yielded, Sleep), proxies.sent) == (True, sent)
--- a/tests/gateway/routing/test_request_attempts.py
+++ b/tests/gateway/routing/test_request_attempts.py
@@ -24,7 +24,7 @@
 )
 
 MS = 1_000
-USUAL_US, TARGET_US = 380 * MS, 1204 * MS  # a live script pull's
+USUAL_US, TARGET_US = 380 * MS, 1204 * MS  # mean latency and target time of a live script pull's route
 
 
 @dataclass
@@ -33,9 +33,9 @@
 
     router: Router
     generator: Any
-    sent: list[str]  # the servers of its attempts, in order
-    yielded: Any = None
-    attempt: Any = None  # the latest one
+    sent: list[str]  # ids of the servers of its attempts, in order
+    yielded: Any = None  # the sleep or response that it yielded last
+    attempt: Any = None  # the latest attempt
 
     def resume(self, event: Any) -> None:
         """Resume the request until it sleeps, responds or finishes."""
@@ -77,20 +77,21 @@
     def request(
         self, mode: str = "idem", arrived_ago_us: int = 0, target_us: int = TARGET_US
     ) -> ServedRequest:
+        """Start to serve a request that arrived `arrived_ago_us` ago on a route of this mode."""
         action = {"Svc": "a", "Timeout": "3s", "Tries": 3}
-        rule = {"Name": "r", "Match": {"Pfx": "/"}, "Action": action, "Mode": mode,
-                "Target_time": f"{target_us // MS}ms"}  # fmt: skip
-        conf = {"Ver": 1, "Ports": [{"Vhost": "h", "Policy": [rule]}], "Pools": [{"Name": "a"}]}
+        rule_fields = {"Name": "r", "Match": {"Pfx": "/"}, "Action": action, "Mode": mode,
+                       "Target_time": f"{target_us // MS}ms"}  # fmt: skip
+        conf = {"Ver": 1, "Ports": [{"Vhost": "h", "Policy": [rule_fields]}], "Pools": [{"Name": "a"}]}
         table = RouteTable(configuration.read(msgspec.json.decode(msgspec.json.encode(conf))))
-        found = table.match("h", "/x", "")[0]
-        now = self.clock.now_us
-        operation = RoutedRequest(
-            customer="", arrived_us=now - arrived_ago_us,
-            deadline_us=now + 3 * SECOND, rule=found, tenant=None, service="a", handle=None,
+        rule = table.match("h", "/x", "")[0]
+        now_us = self.clock.now_us
+        request = RoutedRequest(
+            customer="", arrived_us=now_us - arrived_ago_us,
+            deadline_us=now_us + 3 * SECOND, rule=rule, tenant=None, service="a", handle=None,
         )  # fmt: skip
-        served = ServedRequest(self.router, self.router.serve(operation), [])
-        served.resume(None)
-        return served
+        served_request = ServedRequest(self.router, self.router.serve(request), [])
+        served_request.resume(None)
+        return served_request
 
 
 @pytest.fixture
@@ -99,16 +100,16 @@
 
 
 def test_a_hedge_starts_early_enough_to_answer_within_the_target_time(hedging: HedgingRouter) -> None:
-    started, served_request = hedging.clock.now_us, hedging.request()
-    hedge_us = served_request.sleep() - started
+    started_us, served_request = hedging.clock.now_us, hedging.request()
+    hedge_after_us = served_request.sleep() - started_us
     assert len(set(served_request.sent)) == 2
-    assert hedge_us > 1.5 * USUAL_US  # most requests finish earlier
-    assert hedge_us + 1.2 * USUAL_US < TARGET_US
+    assert hedge_after_us > 1.5 * USUAL_US  # most requests finish earlier
+    assert hedge_after_us + 1.2 * USUAL_US < TARGET_US
 
 
 def test_a_request_beyond_its_target_time_is_hedged_once_it_is_overdue(hedging: HedgingRouter) -> None:
-    started, served_request = hedging.clock.now_us, hedging.request(arrived_ago_us=800 * MS)
-    assert served_request.sleep() - started >= 2.5 * USUAL_US
+    started_us, served_request = hedging.clock.now_us, hedging.request(arrived_ago_us=800 * MS)
+    assert served_request.sleep() - started_us >= 2.5 * USUAL_US
     assert len(served_request.sent) == 2
 
 
@@ -132,8 +133,9 @@
 
 
 def test_an_early_hedge_does_not_queue_at_a_server_whose_slots_are_taken(hedging: HedgingRouter) -> None:
-    fillers = [hedging.request(mode="mutate") for _ in range(12)]
-    assert sum(len(each.sent) for each in fillers) == 12
+    # As many requests as the three servers have slots.
+    earlier_requests = [hedging.request(mode="mutate") for _ in range(12)]
+    assert sum(len(each.sent) for each in earlier_requests) == 12
     served_request = hedging.request()
     served_request.sleep()
     assert len(served_request.sent) == 1
@@ -155,11 +157,11 @@
     hedging: HedgingRouter,
 ) -> None:
     hedging.router.update_servers([], True)
-    began_us, served_request = hedging.clock.now_us, hedging.request()
+    started_us, served_request = hedging.clock.now_us, hedging.request()
     while isinstance(served_request.yielded, Sleep):
         served_request.sleep()
     assert served_request.sent == []
-    assert hedging.clock.now_us - began_us == int(MAX_QUEUE_RATIO * TARGET_US)
+    assert hedging.clock.now_us - started_us == int(MAX_QUEUE_RATIO * TARGET_US)
     assert served_request.yielded.status == 503
     assert 0.1 * TARGET_US < served_request.yielded.retry_after_us < 0.6 * TARGET_US
 
@@ -172,7 +174,7 @@
     assert served_request.sent == ["s9"]
 
 
-def test_a_non_idempotent_request_is_retried_only_where_it_has_not_run(hedging: HedgingRouter) -> None:
+def test_a_non_idempotent_request_is_retried_only_if_it_has_not_run(hedging: HedgingRouter) -> None:
     served_request = hedging.request(mode="mutate")
     served_request.finish(AttemptOutcome.OVERLOADED)
     assert len(set(served_request.sent)) == 2
@@ -188,7 +190,7 @@
     assert (len(set(served_request.sent)), served_request.yielded.status) == (3, 502)
 
 
-def test_a_request_that_has_not_run_is_answered_503_retry_later(hedging: HedgingRouter) -> None:
+def test_a_failed_request_that_has_not_run_is_answered_503_retry_later(hedging: HedgingRouter) -> None:
     served_request = hedging.request(mode="mutate")
     for _ in range(3):
         served_request.finish(AttemptOutcome.OVERLOADED)
@@ -196,6 +198,6 @@
 
 
 def test_a_request_is_answered_504_at_its_deadline(hedging: HedgingRouter) -> None:
-    began_us, served_request = hedging.clock.now_us, hedging.request(mode="mutate")
+    started_us, served_request = hedging.clock.now_us, hedging.request(mode="mutate")
     served_request.sleep()
-    assert (hedging.clock.now_us - began_us, served_request.yielded.status) == (3 * SECOND, 504)
+    assert (hedging.clock.now_us - started_us, served_request.yielded.status) == (3 * SECOND, 504)
--- a/tests/gateway/routing/test_route_table.py
+++ b/tests/gateway/routing/test_route_table.py
@@ -18,8 +18,8 @@
 
 def test_a_route_is_the_longest_matching_prefix_of_the_host(table: RouteTable):
     paths = ["/stock/2f", "/stock/claim/1?x=/stock/", "/stockroom", "/", "/stock/claim"]
-    found = [rule.name if (rule := table.find_rule("A.example", path)) else None for path in paths]
-    assert found == ["r-stock", "r-claim", None, None, "r-stock"]
+    names = [rule.name if (rule := table.find_rule("A.example", path)) else None for path in paths]
+    assert names == ["r-stock", "r-claim", None, None, "r-stock"]
     assert table.find_rule("b.example", "/stock/") is None
     assert table.tenants_by_key["k2"].name == "sfax"
 
--- a/tests/gateway/routing/test_route_versions.py
+++ b/tests/gateway/routing/test_route_versions.py
@@ -8,6 +8,7 @@
 
 
 def table(ver: int, claim_service: str, look_service: str) -> RouteTable:
+    """Return a version whose routes `claim` (non-idempotent) and `look` (idempotent) have these services."""
     rules = [
         {
             "Name": name,
@@ -35,6 +36,7 @@
     router.tables.confirmed_us = SECOND
 
     def match_result(path: str) -> "int | str":
+        """Return the HTTP status of the rejection, or the service."""
         found = router.match(SECOND, "h", path, "")
         return found if isinstance(found, int) else found[0].action.svc
 
--- a/tests/gateway/routing/test_split.py
+++ b/tests/gateway/routing/test_split.py
@@ -14,12 +14,13 @@
 
 
 def split_rule(*weights: float) -> configuration.Rule:
-    shares = tuple(configuration.Share(f"s{i}", each) for i, each in enumerate(weights))
+    shares = tuple(configuration.Share(f"s{index}", weight) for index, weight in enumerate(weights))
     action = configuration.Action(timeout=Span(SECOND), split=shares)
     return configuration.Rule("r", configuration.Match("/"), action)
 
 
 def observed_shares(rule: configuration.Rule, proxies: int, requests: int) -> list[float]:
+    """Return each service's fraction of the choices if each proxy has that many requests."""
     choosers = [SplitChooser(Random(seed)) for seed in range(proxies)]
     counts = Counter(each.choose(rule) for each in choosers for _ in range(requests))
     return [counts[share.svc] / (proxies * requests) for share in rule.action.shares()]
