--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -37,7 +37,7 @@
 NEVER_DECAYS_US = 1 << 60  # decay time for sums that must not decay
 
 
-def unreported_allowance(slo: Slo, rate: float, burst: float, limiters: int) -> float:
+def unreported_allowance(slo: Slo, rate: float, burst: float, proxy_count: int) -> float:
     """Return the units that one proxy may admit in any window while the count's owner does not answer.
 
     In a window, the QUOTA guarantee allows (rate x window + burst) x (1 + excess) + extra units. The units
@@ -48,12 +48,12 @@
         slo: The window and the excess that operators allow.
         rate: The tenant's limit, in units per second.
         burst: The tenant's burst, in units.
-        limiters: Number of proxies that may be without the owner at once.
+        proxy_count: Number of proxies that may be without the owner at once.
     """
     window_s = slo.quota_win / SECOND
     allowed = (rate * window_s + burst) * (1 + slo.quota_excess) + slo.quota_extra
     reported = capacity(burst, rate) + rate * window_s + rate * MAX_GRANT_DELAY_S
-    return max(0.0, allowed - reported) / max(1, limiters)
+    return max(0.0, allowed - reported) / max(1, proxy_count)
 
 
 def _plan(tenant: Tenant) -> Plan:
@@ -90,7 +90,7 @@
     lease_duration_us = LEASE_US
 
     def __init__(
-        self, clock: Clock, tenant: Tenant, slo: Slo, limiters: int, process_started_us: int
+        self, clock: Clock, tenant: Tenant, slo: Slo, proxy_count: int, process_started_us: int
     ) -> None:
         """Create the client of a tenant that is new at this proxy.
 
@@ -98,7 +98,7 @@
             clock: The proxy's clock.
             tenant: The tenant with its limit.
             slo: The window and the excess that operators allow.
-            limiters: Number of proxies that may be without the owner at once.
+            proxy_count: Number of proxies that may be without the owner at once.
             process_started_us: When this process started.
         """
         now_us = clock.now_us
@@ -121,16 +121,16 @@
         self.taken_units = 0.0  # units that the call in progress takes
         self.returned_units = 0.0  # units that the call in progress returns
         self._next_retry_us = now_us  # retry time given to the last rejected request
-        self.set_limiter_count(limiters)
+        self.set_proxy_count(proxy_count)
 
     # ---- limits
 
-    def set_limiter_count(self, limiters: int) -> None:
+    def set_proxy_count(self, proxy_count: int) -> None:
         """Set the number of proxies that may be without the owner at once and share the allowance."""
         now_us = self.clock.now_us
         window_s = self._slo.quota_win / SECOND
         # The burst and its refill over one window add up to the allowance, so no window exceeds it.
-        units = unreported_allowance(self._slo, self.plan.rate, self.tenant.burst, limiters)
+        units = unreported_allowance(self._slo, self.plan.rate, self.tenant.burst, proxy_count)
         level = self.local_bucket.read(now_us)
         burst = max(UNREPORTED_BURST_FRACTION * units, min(1.0, units))
         self.local_bucket = TokenBucket(now_us, (units - burst) / window_s, burst, 0.0)
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -90,7 +90,7 @@
                 del self.quota_clients[name]
             elif tenant != quota_client.tenant:
                 quota_client.set_limit(tenant)
-                quota_client.set_limiter_count(self.proxy_count)
+                quota_client.set_proxy_count(self.proxy_count)
 
     def set_proxy_count(self, proxy_count: int) -> None:
         """Set the number of live proxies that share quotas and retry budgets."""
@@ -100,7 +100,7 @@
         for retry_budget in self.retry_budgets.values():
             retry_budget.proxy_count = proxy_count
         for quota_client in self.quota_clients.values():
-            quota_client.set_limiter_count(proxy_count)
+            quota_client.set_proxy_count(proxy_count)
 
     def update_servers(self, servers: list[registry.Server], is_complete: bool) -> None:
         """Add, update and remove servers; a complete list removes all servers that are not in it."""
--- a/lapisgrade/lab/explore/quota_limiter.py
+++ b/lapisgrade/lab/explore/quota_limiter.py
@@ -66,7 +66,7 @@
         if reply.fencing_token == self.quota_owner.fencing_token:
             self.lease_expires_us = call.sent_us + OWNERSHIP_LEASE_US
             self.clock.now_us = self.world.sim.now
-            self.quota_client.set_limiter_count(len(self.quota_owner.proxies))
+            self.quota_client.set_proxy_count(len(self.quota_owner.proxies))
 
     def is_awake(self) -> bool:
         """Whether the process isn't frozen."""
