--- a/lapisgrade/gateway/proxy/control_updates.py
+++ b/lapisgrade/gateway/proxy/control_updates.py
@@ -79,7 +79,7 @@
             self._apply_live_proxies(members)
         if version_error is None and self._context.settings.hostname in self._quota_owner.proxies:
             # The leader activates versions without waiting for proxies that are not members.
-            tables = self._router.tables
+            tables = self._router.route_versions
             tables.confirmed_us = max(tables.confirmed_us, sent_us)
         if reply.fencing_token == self._quota_owner.fencing_token:
             self.ownership_ends_us = sent_us + OWNERSHIP_LEASE_US
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -242,7 +242,7 @@
     def ready(self) -> bool:
         """Whether the proxy has a configuration, servers and members, and is not draining or isolated."""
         is_informed = (
-            self.router.tables.active is not None
+            self.router.route_versions.active is not None
             and self.updates.registry_incarnation
             and self.quota_owner.fencing_token
         )
--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -37,7 +37,7 @@
     @property
     def staged_version(self) -> int:
         """The newest staged version, or the active one if none is staged."""
-        return max(self._router.tables.staged, default=self.active_version)
+        return max(self._router.route_versions.staged, default=self.active_version)
 
     def apply(self, reply: rpc_messages.WatchReply) -> None:
         """Activate the leader's active version and stage newer ones.
@@ -46,7 +46,7 @@
             InvalidInputError: A version is invalid.
             msgspec.MsgspecError: A version is not valid JSON or does not have the expected structure.
         """
-        staged = self._router.tables.staged
+        staged = self._router.route_versions.staged
         if reply.active_configuration is not None and reply.active_version > self.active_version:
             self._activate(self._read(reply.active_configuration))
         elif reply.active_version in staged:
@@ -54,8 +54,8 @@
         elif reply.active_version > self.active_version:
             staged.clear()  # reports the older version, so that the leader sends the active one
         for version, encoded in reply.staged_versions.items():
-            if version > self.active_version and version not in self._router.tables.staged:
-                self._router.tables.stage(self._read(encoded), version in reply.merged_versions)
+            if version > self.active_version and version not in self._router.route_versions.staged:
+                self._router.route_versions.stage(self._read(encoded), version in reply.merged_versions)
         self.requests_full_version = False
 
     def _activate(self, table: RouteTable) -> None:
@@ -72,7 +72,7 @@
             raise ConfigurationError(
                 f"configuration version {encoded.version} is invalid: its field Ver is {table.version}"
             )
-        kept = {self.active_version, table.version, *self._router.tables.staged}
+        kept = {self.active_version, table.version, *self._router.route_versions.staged}
         self._texts = {version: each for version, each in self._texts.items() if version in kept}
         self._texts[table.version] = text
         return table
--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -70,7 +70,7 @@
         self.started_us = clock.now_us
         self.proxy_count = 1  # number of live proxies, which share quotas and RetryExtra
         self.subsets = Subsets(name, zone)
-        self.tables = RouteVersions()
+        self.route_versions = RouteVersions()
         self.clusters: dict[str, UpstreamCluster] = {}  # by service
         self.service_by_server: dict[str, str] = {}  # name of the service, by server id
         self.retry_budgets: dict[str, RetryBudget] = {}  # by service
@@ -83,7 +83,7 @@
 
     def activate(self, table: RouteTable) -> None:
         """Activate a version of the configuration and apply its tenants' quotas."""
-        self.tables.activate(table)
+        self.route_versions.activate(table)
         for name, quota_client in list(self.quota_clients.items()):
             tenant = table.tenants.get(name)
             if tenant is None:
@@ -160,7 +160,7 @@
 
     def match(self, now_us: int, host: str, target: str, key: str) -> RouteMatch | HTTPStatus:
         """Return the rule and tenant of a request, or the HTTP status of its rejection."""
-        return self.tables.match(now_us, host, target, key)
+        return self.route_versions.match(now_us, host, target, key)
 
     def handle(self, request: RoutedRequest) -> Generator[Any, Any, None]:
         """Serve a request, or answer 429 if its tenant's quota is exceeded; a generator for the engine."""
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -203,7 +203,7 @@
 
     def _check_accepted(self, proxy: Proxy, tenant: int) -> None:
         self.first_accepted_us.setdefault(tenant, self.sim.now)
-        may_lack_version = self.sim.now - proxy.router.tables.confirmed_us > MISSED_VERSION_AFTER_US
+        may_lack_version = self.sim.now - proxy.router.route_versions.confirmed_us > MISSED_VERSION_AFTER_US
         if tenant in self.first_refused_us and not may_lack_version:
             self.accepted_after_refusal.append((self.sim.now, proxy.name, tenant))
             self.note(f"WRONG: {proxy.name} accepts t{tenant}, which was withdrawn and refused before")
@@ -242,7 +242,7 @@
 
 def _match_active_only(self: router.Router, now: int, *request: str) -> Any:
     """A proxy that may have missed a version routes by its active one."""
-    return self.tables.active.match(*request) if self.tables.active else 503
+    return self.route_versions.active.match(*request) if self.route_versions.active else 503
 
 
 def _activate_at_once(self: Watch, now: int, state: State) -> Activate | None:
--- a/lapisgrade/lab/explore/watch_proxy.py
+++ b/lapisgrade/lab/explore/watch_proxy.py
@@ -82,7 +82,7 @@
             "1+",
             1 << 30,
             self.fencing_token,
-            staged_version=max(self.router.tables.staged, default=self.active_version),
+            staged_version=max(self.router.route_versions.staged, default=self.active_version),
             is_terminating=self.is_terminating,
         )
         call = WatchCall(self, request, self.incarnation, self.request_number, self.world.sim.now)
@@ -104,7 +104,7 @@
             return
         if not self.is_pending(call):
             return
-        tables = self.router.tables
+        tables = self.router.route_versions
         members = reply.updated_proxies(self.fencing_token, self.live_proxies)
         if members is not None:
             self.live_proxies = members
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -48,7 +48,7 @@
 
 
 def claim_rule(site: LocalCluster, name: str):
-    table = site.proxies[name].router.tables.active
+    table = site.proxies[name].router.route_versions.active
     return next(rule for rule in table.configuration.ports[0].policy if rule.name == "r-claim")
 
 
--- a/tests/gateway/proxy/test_version_rollout.py
+++ b/tests/gateway/proxy/test_version_rollout.py
@@ -37,7 +37,7 @@
 
     def state(self) -> tuple[int, list[int]]:
         """Return the active version and the staged versions."""
-        return self.rollout.active_version, sorted(self.router.tables.staged)
+        return self.rollout.active_version, sorted(self.router.route_versions.staged)
 
 
 @pytest.fixture
@@ -52,7 +52,7 @@
     )
     assert (versions.state(), versions.rollout.staged_version) == ((1, [2, 3]), 3)
     versions.rollout.apply(WatchReply(True, active_version=2))
-    assert (versions.state(), versions.router.tables.active.version) == ((2, [3]), 2)
+    assert (versions.state(), versions.router.route_versions.active.version) == ((2, [3]), 2)
     assert len(versions.limits) == 2
 
 
@@ -82,9 +82,9 @@
             merged_versions=[2],
         )
     )
-    assert versions.router.tables.merged_versions == {2}
+    assert versions.router.route_versions.merged_versions == {2}
     versions.rollout.apply(WatchReply(True, active_version=2))
-    assert versions.router.tables.merged_versions == set()
+    assert versions.router.route_versions.merged_versions == set()
 
 
 def test_a_delta_on_an_unknown_base_is_rejected_and_a_complete_version_is_accepted(
--- a/tests/gateway/routing/test_route_versions.py
+++ b/tests/gateway/routing/test_route_versions.py
@@ -33,17 +33,17 @@
 def test_only_non_idempotent_requests_on_a_merged_route_wait_for_its_activation() -> None:
     router = Router(Clock(SECOND), 1, Slo(), "z", "c")
     router.activate(table(1, "a", "a"))
-    router.tables.confirmed_us = SECOND
+    router.route_versions.confirmed_us = SECOND
 
     def match_result(path: str) -> "int | str":
         """Return the HTTP status of the rejection, or the service."""
         found = router.match(SECOND, "h", path, "")
         return found if isinstance(found, int) else found[0].action.svc
 
-    router.tables.stage(table(2, "b", "b"))
+    router.route_versions.stage(table(2, "b", "b"))
     assert [match_result("/claim/1"), match_result("/desk/1"), match_result("/look/1")] == ["a", "a", "a"]
-    router.tables.stage(table(3, "b", "b"), is_merged=True)
+    router.route_versions.stage(table(3, "b", "b"), is_merged=True)
     assert [match_result("/claim/1"), match_result("/desk/1"), match_result("/look/1")] == [503, "a", "a"]
-    router.activate(router.tables.staged[3])
+    router.activate(router.route_versions.staged[3])
     assert [match_result("/claim/1"), match_result("/desk/1"), match_result("/look/1")] == ["b", "a", "b"]
-    assert router.tables.merged_versions == set()
+    assert router.route_versions.merged_versions == set()
