--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -57,6 +57,7 @@
 
 
 def _plan(tenant: Tenant) -> Plan:
+    """Return the tenant's limit as the plan that `Account` applies; rate and burst are 0 without one."""
     rate = float(tenant.rate_s)
     return Plan(tenant.name, rate, capacity(tenant.burst, rate) if rate else 0.0)
 
@@ -223,6 +224,7 @@
         if reply.outcome is CounterOutcome.ADDED:
             self._record_total(now_us, reply.total)
         else:
+            # Without a reply, the owner may have counted the units.
             self.bucket.set_level(now_us, self.bucket.read(now_us) - added)
         return reply.outcome
 
--- a/lapisgrade/gateway/quota/owner.py
+++ b/lapisgrade/gateway/quota/owner.py
@@ -137,10 +137,11 @@
         if now_us - count.first_request_us < LESSEE_EXPIRY_US:
             # The first lessee must leave units for the other proxies, which are about to lease as well.
             lessees = max(lessees, len(self.ownership.proxies))
-        taken = count.bucket.burst - count.bucket.level
-        return QuotaReply(True, taken, lessees, self.ownership.fencing_token)
+        units_in_use = count.bucket.burst - count.bucket.level
+        return QuotaReply(True, units_in_use, lessees, self.ownership.fencing_token)
 
     def _may_serve(self, now_us: int, request: QuotaRequest, lease_expires_us: int) -> bool:
+        """Return whether the request is valid and this proxy is the exclusive owner of the count now."""
         is_valid = request.fencing_token and request.requester
         if not is_valid or now_us >= lease_expires_us:
             return False
--- a/lapisgrade/gateway/quota/ownership_history.py
+++ b/lapisgrade/gateway/quota/ownership_history.py
@@ -15,7 +15,17 @@
 
 
 class OwnershipHistory:
-    """The newest epoch and the earlier ones that determine which proxies may still act as owners."""
+    """The newest epoch and the earlier ones that determine which proxies may still act as owners.
+
+    Attributes:
+        name: Name of this proxy.
+        incarnation: Incarnation of this process.
+        fencing_token: Fencing token of the newest membership; 0 before the first.
+        proxies: Live proxies of the newest membership, by name.
+        eligible_owners: Those of them that may own counts.
+        epochs: The epochs, oldest first; empty before the first membership.
+        origin: What the first membership here implies about earlier owners; UNKNOWN again after a gap.
+    """
 
     def __init__(self, name: str, incarnation: str, process_started_us: int) -> None:
         """Create a history without a membership.
@@ -30,7 +40,7 @@
         self.fencing_token = 0
         self.proxies: ProxiesByName = {}
         self.eligible_owners: ProxiesByName = {}
-        self.epochs: list[OwnershipEpoch] = []  # oldest first
+        self.epochs: list[OwnershipEpoch] = []
         self._process_started_us = process_started_us
         self._owner_table = OwnerTable()
         self.origin = Origin.UNKNOWN
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -212,6 +212,7 @@
     def _on_success(
         self, now_us: int, server: UpstreamServer, latency: LatencyEstimate, latency_us: int
     ) -> None:
+        """Record a successful attempt in the latency estimates and at its server."""
         usual_us = latency.mean(now_us)
         latency.add(now_us, latency_us, 1.0)
         self.overall_latency.add(now_us, latency_us, 1.0)
--- a/tests/gateway/routing/test_balancer.py
+++ b/tests/gateway/routing/test_balancer.py
@@ -13,7 +13,7 @@
 MS = 1_000
 
 
-class FailingServers:
+class ClusterScenario:
     """A cluster of two servers, `s1` and `s2`, at which the test lets attempts fail or succeed."""
 
     def __init__(self) -> None:
@@ -37,50 +37,50 @@
 
 
 @pytest.fixture
-def failing() -> FailingServers:
-    return FailingServers()
+def scenario() -> ClusterScenario:
+    return ClusterScenario()
 
 
-def test_a_server_that_fails_is_ejected_for_a_second_and_tried_again(failing: FailingServers) -> None:
+def test_a_server_that_fails_is_ejected_for_a_second_and_tried_again(scenario: ClusterScenario) -> None:
     for _ in range(8):
-        failing.finish_attempt(SECOND, "s1", AttemptOutcome.ERROR)
-        failing.finish_attempt(SECOND, "s2", AttemptOutcome.OK)
-    assert failing.share_of_s1(SECOND) == 0.0
-    assert failing.share_of_s1(SECOND + 900 * MS) == 0.0
+        scenario.finish_attempt(SECOND, "s1", AttemptOutcome.ERROR)
+        scenario.finish_attempt(SECOND, "s2", AttemptOutcome.OK)
+    assert scenario.share_of_s1(SECOND) == 0.0
+    assert scenario.share_of_s1(SECOND + 900 * MS) == 0.0
     # After the ejection, it is used when the other server's slots are full.
     for _ in range(2):
-        failing.cluster.on_attempt_started(
-            20 * SECOND, Attempt(None, failing.cluster.servers["s2"], 0, 20 * SECOND)
+        scenario.cluster.on_attempt_started(
+            20 * SECOND, Attempt(None, scenario.cluster.servers["s2"], 0, 20 * SECOND)
         )
-    assert failing.share_of_s1(20 * SECOND) == 1.0
+    assert scenario.share_of_s1(20 * SECOND) == 1.0
 
 
 def test_a_server_is_avoided_after_two_neighbours_reports_unless_its_own_results_are_good(
-    failing: FailingServers,
+    scenario: ClusterScenario,
 ) -> None:
-    subsets = failing.cluster._subsets
+    subsets = scenario.cluster._subsets
     subsets.update_members({name: ("10.0.0.9:1", "", "z") for name in ("l", "a", "b", "c")})
-    assert failing.cluster.unhealthy_servers(SECOND) == []
+    assert scenario.cluster.unhealthy_servers(SECOND) == []
     for name in "abc":
         subsets.on_load_report(SECOND, name, {}, [])
     subsets.on_load_report(SECOND, "a", {}, ["s1"])
-    assert failing.share_of_s1(SECOND) > 0.2
+    assert scenario.share_of_s1(SECOND) > 0.2
     subsets.on_load_report(SECOND, "b", {}, ["s1"])
-    assert failing.share_of_s1(SECOND) == 0.0
+    assert scenario.share_of_s1(SECOND) == 0.0
     for _ in range(2):
-        failing.cluster.on_attempt_started(SECOND, Attempt(None, failing.cluster.servers["s2"], 0, SECOND))
+        scenario.cluster.on_attempt_started(SECOND, Attempt(None, scenario.cluster.servers["s2"], 0, SECOND))
     subsets.on_load_report(SECOND, "c", {}, ["s1"])
     # This proxy's own successes outweigh the neighbours' reports.
     for _ in range(12):
-        failing.finish_attempt(SECOND, "s1", AttemptOutcome.OK)
-    assert failing.cluster.servers["s1"].confidence(SECOND, 3) > 0.7
-    assert failing.share_of_s1(SECOND) == 1.0
+        scenario.finish_attempt(SECOND, "s1", AttemptOutcome.OK)
+    assert scenario.cluster.servers["s1"].confidence(SECOND, 3) > 0.7
+    assert scenario.share_of_s1(SECOND) == 1.0
 
 
-def test_a_dropped_idle_connection_does_not_exclude_a_healthy_server(failing: FailingServers) -> None:
+def test_a_dropped_idle_connection_does_not_exclude_a_healthy_server(scenario: ClusterScenario) -> None:
     for _ in range(3):
-        failing.finish_attempt(SECOND, "s1", AttemptOutcome.CONNECTION_LOST, 0.3)
-        failing.finish_attempt(SECOND, "s1", AttemptOutcome.OK)
-        failing.finish_attempt(SECOND, "s2", AttemptOutcome.OK)
-    assert failing.cluster.servers["s1"].health(SECOND, 50 * MS) > 0.5
-    assert failing.cluster.servers["s1"].ejected_until_us == 0
+        scenario.finish_attempt(SECOND, "s1", AttemptOutcome.CONNECTION_LOST, 0.3)
+        scenario.finish_attempt(SECOND, "s1", AttemptOutcome.OK)
+        scenario.finish_attempt(SECOND, "s2", AttemptOutcome.OK)
+    assert scenario.cluster.servers["s1"].health(SECOND, 50 * MS) > 0.5
+    assert scenario.cluster.servers["s1"].ejected_until_us == 0
--- a/tests/gateway/routing/test_request_attempts.py
+++ b/tests/gateway/routing/test_request_attempts.py
@@ -58,7 +58,7 @@
         return self.router.clock.now_us
 
 
-class HedgingRouter:
+class RouterScenario:
     """A router with three servers and a retry budget, on a clock that the test advances."""
 
     def __init__(self) -> None:
@@ -95,109 +95,109 @@
 
 
 @pytest.fixture
-def hedging() -> HedgingRouter:
-    return HedgingRouter()
+def scenario() -> RouterScenario:
+    return RouterScenario()
 
 
-def test_a_hedge_starts_early_enough_to_answer_within_the_target_time(hedging: HedgingRouter) -> None:
-    started_us, served_request = hedging.clock.now_us, hedging.request()
+def test_a_hedge_starts_early_enough_to_answer_within_the_target_time(scenario: RouterScenario) -> None:
+    started_us, served_request = scenario.clock.now_us, scenario.request()
     hedge_after_us = served_request.sleep() - started_us
     assert len(set(served_request.sent)) == 2
     assert hedge_after_us > 1.5 * USUAL_US  # most requests finish earlier
     assert hedge_after_us + 1.2 * USUAL_US < TARGET_US
 
 
-def test_a_request_beyond_its_target_time_is_hedged_once_it_is_overdue(hedging: HedgingRouter) -> None:
-    started_us, served_request = hedging.clock.now_us, hedging.request(arrived_ago_us=800 * MS)
+def test_a_request_beyond_its_target_time_is_hedged_once_it_is_overdue(scenario: RouterScenario) -> None:
+    started_us, served_request = scenario.clock.now_us, scenario.request(arrived_ago_us=800 * MS)
     assert served_request.sleep() - started_us >= 2.5 * USUAL_US
     assert len(served_request.sent) == 2
 
 
-def test_a_non_idempotent_request_is_never_hedged(hedging: HedgingRouter) -> None:
-    served_request = hedging.request(mode="mutate")
+def test_a_non_idempotent_request_is_never_hedged(scenario: RouterScenario) -> None:
+    served_request = scenario.request(mode="mutate")
     assert isinstance(served_request.yielded, Sleep)
-    assert served_request.yielded.until_us >= hedging.clock.now_us + 2 * SECOND
+    assert served_request.yielded.until_us >= scenario.clock.now_us + 2 * SECOND
     assert len(served_request.sent) == 1
 
 
-def test_an_early_hedge_leaves_half_of_the_budget_to_retries(hedging: HedgingRouter) -> None:
-    budget = hedging.router.retry_budget("a")
-    while budget.try_spend(hedging.clock.now_us, is_early_hedge=True):
+def test_an_early_hedge_leaves_half_of_the_budget_to_retries(scenario: RouterScenario) -> None:
+    budget = scenario.router.retry_budget("a")
+    while budget.try_spend(scenario.clock.now_us, is_early_hedge=True):
         pass
-    assert budget.available(hedging.clock.now_us) > 4
-    served_request = hedging.request()
+    assert budget.available(scenario.clock.now_us) > 4
+    served_request = scenario.request()
     served_request.sleep()
     assert len(served_request.sent) == 1
     served_request.sleep()  # overdue, so the hedge may use the whole budget
     assert len(served_request.sent) == 2
 
 
-def test_an_early_hedge_does_not_queue_at_a_server_whose_slots_are_taken(hedging: HedgingRouter) -> None:
+def test_an_early_hedge_does_not_queue_at_a_server_whose_slots_are_taken(scenario: RouterScenario) -> None:
     # As many requests as the three servers have slots.
-    earlier_requests = [hedging.request(mode="mutate") for _ in range(12)]
+    earlier_requests = [scenario.request(mode="mutate") for _ in range(12)]
     assert sum(len(each.sent) for each in earlier_requests) == 12
-    served_request = hedging.request()
+    served_request = scenario.request()
     served_request.sleep()
     assert len(served_request.sent) == 1
 
 
-def test_the_first_response_ends_the_request(hedging: HedgingRouter) -> None:
-    served_request = hedging.request()
+def test_the_first_response_ends_the_request(scenario: RouterScenario) -> None:
+    served_request = scenario.request()
     served_request.sleep()
-    server = hedging.router.cluster("a").servers[served_request.sent[1]]
+    server = scenario.router.cluster("a").servers[served_request.sent[1]]
     attempt = next(iter(server.in_flight))
     result = AttemptResult(AttemptOutcome.OK, USUAL_US)
     result.is_final = True
-    hedging.router.on_attempt_finished(attempt, result)
+    scenario.router.on_attempt_finished(attempt, result)
     with pytest.raises(StopIteration):
         served_request.resume(AttemptFinished(attempt, result))
 
 
 def test_a_request_without_a_server_is_queued_and_then_answered_503_with_retry_after(
-    hedging: HedgingRouter,
+    scenario: RouterScenario,
 ) -> None:
-    hedging.router.update_servers([], True)
-    started_us, served_request = hedging.clock.now_us, hedging.request()
+    scenario.router.update_servers([], True)
+    started_us, served_request = scenario.clock.now_us, scenario.request()
     while isinstance(served_request.yielded, Sleep):
         served_request.sleep()
     assert served_request.sent == []
-    assert hedging.clock.now_us - started_us == int(MAX_QUEUE_RATIO * TARGET_US)
+    assert scenario.clock.now_us - started_us == int(MAX_QUEUE_RATIO * TARGET_US)
     assert served_request.yielded.status == 503
     assert 0.1 * TARGET_US < served_request.yielded.retry_after_us < 0.6 * TARGET_US
 
 
-def test_a_queued_request_is_sent_to_a_server_that_comes_up(hedging: HedgingRouter) -> None:
-    hedging.router.update_servers([], True)
-    served_request = hedging.request()
-    hedging.router.update_servers([registry.Server("s9", "a", "10.0.0.1:9", "z", 4, "up", 1)], False)
+def test_a_queued_request_is_sent_to_a_server_that_comes_up(scenario: RouterScenario) -> None:
+    scenario.router.update_servers([], True)
+    served_request = scenario.request()
+    scenario.router.update_servers([registry.Server("s9", "a", "10.0.0.1:9", "z", 4, "up", 1)], False)
     served_request.sleep()
     assert served_request.sent == ["s9"]
 
 
-def test_a_non_idempotent_request_is_retried_only_if_it_has_not_run(hedging: HedgingRouter) -> None:
-    served_request = hedging.request(mode="mutate")
+def test_a_non_idempotent_request_is_retried_only_if_it_has_not_run(scenario: RouterScenario) -> None:
+    served_request = scenario.request(mode="mutate")
     served_request.finish(AttemptOutcome.OVERLOADED)
     assert len(set(served_request.sent)) == 2
     served_request.finish(AttemptOutcome.CONNECTION_LOST)
     assert (len(served_request.sent), served_request.yielded.status) == (2, 502)
 
 
-def test_an_idempotent_request_is_retried_up_to_its_routes_attempts(hedging: HedgingRouter) -> None:
-    served_request = hedging.request()
+def test_an_idempotent_request_is_retried_up_to_its_routes_attempts(scenario: RouterScenario) -> None:
+    served_request = scenario.request()
     for _ in range(3):
         assert isinstance(served_request.yielded, Sleep)
         served_request.finish(AttemptOutcome.ERROR)
     assert (len(set(served_request.sent)), served_request.yielded.status) == (3, 502)
 
 
-def test_a_failed_request_that_has_not_run_is_answered_503_retry_later(hedging: HedgingRouter) -> None:
-    served_request = hedging.request(mode="mutate")
+def test_a_failed_request_that_has_not_run_is_answered_503_retry_later(scenario: RouterScenario) -> None:
+    served_request = scenario.request(mode="mutate")
     for _ in range(3):
         served_request.finish(AttemptOutcome.OVERLOADED)
     assert (served_request.yielded.status, served_request.yielded.reason) == (503, RejectReason.RETRY_LATER)
 
 
-def test_a_request_is_answered_504_at_its_deadline(hedging: HedgingRouter) -> None:
-    started_us, served_request = hedging.clock.now_us, hedging.request(mode="mutate")
+def test_a_request_is_answered_504_at_its_deadline(scenario: RouterScenario) -> None:
+    started_us, served_request = scenario.clock.now_us, scenario.request(mode="mutate")
     served_request.sleep()
-    assert (hedging.clock.now_us - started_us, served_request.yielded.status) == (3 * SECOND, 504)
+    assert (scenario.clock.now_us - started_us, served_request.yielded.status) == (3 * SECOND, 504)
