--- a/tests/gateway/quota/test_bound.py
+++ b/tests/gateway/quota/test_bound.py
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("proxies", [1, 14, 96])
 def test_the_bound_holds_and_the_quota_is_used_under_overload(proxies: int):
     simulation = QuotaSimulation(proxies)
-    simulation.run(12, 300)
+    simulation.run(12, 300)  # requests per second: eight times the usual 38, five times the limit
     assert simulation.max_admitted() <= simulation.bound
     assert len(simulation.admitted_us) > 0.85 * 60 * 12
 
--- a/tests/gateway/quota/test_hand_over.py
+++ b/tests/gateway/quota/test_hand_over.py
@@ -131,6 +131,7 @@
 
 
 def test_a_repeated_hand_over_reply_creates_no_units(scenario: HandOverScenario) -> None:
+    """Guards against units granted twice: a request is repeated if its reply was lost, or only late."""
     take_units(scenario.previous_owner, SECOND, 30.0)
     scenario.apply_new_membership(SECOND + MS)
     for is_updated in (False, True):
@@ -183,6 +184,7 @@
 def test_without_a_hand_over_the_count_starts_empty_when_the_lease_expires(
     scenario: HandOverScenario,
 ) -> None:
+    """Guards against granting units again that the previous owner may have granted within its lease."""
     scenario.apply_new_membership(SECOND)
     assert round(BURST - take_units(scenario.new_owner, SECOND + OWNERSHIP_LEASE_US, 0.0).total) == 0
 
