--- a/lapisgrade/gateway/routing/router.py
+++ b/lapisgrade/gateway/routing/router.py
@@ -103,7 +103,12 @@
             quota_client.set_proxy_count(proxy_count)
 
     def update_servers(self, servers: list[registry.Server], is_complete: bool) -> None:
-        """Add, update and remove servers; a complete list removes all servers that are not in it."""
+        """Add, update and remove servers.
+
+        Args:
+            servers: Registry entries; a missing service or address of a known server is filled in.
+            is_complete: Whether the list holds all servers, so that those that are not in it are removed.
+        """
         now_us = self.clock.now_us
         if is_complete:
             self._remove_unlisted(now_us, {server.id for server in servers})
--- a/lapisgrade/gateway/routing/upstream_server.py
+++ b/lapisgrade/gateway/routing/upstream_server.py
@@ -62,7 +62,10 @@
         self.ejected_until_us = 0
 
     def is_removed(self) -> bool:
-        """Return whether the server is gone or lost and will not return."""
+        """Return whether the server is gone or lost, so that this record is dropped once it has no attempt.
+
+        A lost server that sends heartbeats again gets a new record.
+        """
         return self.registration.state in REMOVED_STATES
 
     def has_capacity(self) -> bool:
