--- a/lapisgrade/gateway/quota/owner.py
+++ b/lapisgrade/gateway/quota/owner.py
@@ -25,7 +25,13 @@
     """The counts that this proxy owns under the newest membership of live proxies."""
 
     def __init__(self, name: str, incarnation: str = "", process_started_us: int = 0) -> None:
-        """Create an owner without a membership; `incarnation` identifies this process."""
+        """Create an owner without a membership.
+
+        Args:
+            name: Name of this proxy.
+            incarnation: Incarnation of this process, as listed in the membership.
+            process_started_us: When this process started.
+        """
         self.ownership = OwnershipHistory(name, incarnation, process_started_us)
         self.counts = OwnedCounts(self.ownership)
         self._hand_over = HandOver(self.ownership, self.counts)
@@ -131,10 +137,11 @@
         if now_us - count.first_request_us < LESSEE_EXPIRY_US:
             # The first lessee must leave units for the other proxies, which are about to lease as well.
             lessees = max(lessees, len(self.ownership.proxies))
-        taken = count.bucket.burst - count.bucket.level
-        return QuotaReply(True, taken, lessees, self.ownership.fencing_token)
+        units_in_use = count.bucket.burst - count.bucket.level
+        return QuotaReply(True, units_in_use, lessees, self.ownership.fencing_token)
 
     def _may_serve(self, now_us: int, request: QuotaRequest, lease_expires_us: int) -> bool:
+        """Return whether the request is valid and this proxy is the exclusive owner of the count now."""
         is_valid = request.fencing_token and request.requester
         if not is_valid or now_us >= lease_expires_us:
             return False
