--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -28,15 +28,17 @@
 from lapisgrade.policy.counter_epoch import MAX_EPOCH_DECAYS, CounterEpoch
 from lapisgrade.rate import SECOND, DecayingSum, TokenBucket
 
-COUNTER_TTL_US = 45 * SECOND  # longer than an epoch, so that a late limiter still finds the count
-RESPONSE_MARGIN_US = 6_000  # time kept before the deadline for the answer; a few ticks of the host's clock
+COUNTER_TTL_US = 45 * SECOND  # longer than an epoch, so that a limiter that is late still finds the count
+RESPONSE_MARGIN_US = 6_000  # reserved before the deadline for the answer; a few ticks of the host's clock
 MAX_LEASE_OPERATIONS = 50  # maximum number of operations per lease
-LEASE_DURATION_US = SECOND
-LOCAL_SHARE_FACTOR = 1.5  # local share, in even shares of the quota (docs/design.md)
-# Attempts kept free below a cap: other limiters' are known only on average, and waiting costs little.
+LEASE_DURATION_US = SECOND  # how long a lease's units may be used
+LOCAL_SHARE_FACTOR = 1.5  # local share, as a multiple of an even share of the quota (docs/design.md)
+# Attempts kept free below a plan's cap on attempts in flight: those at other limiters are only estimated,
+# from their mean use, and waiting costs little.
 IN_FLIGHT_MARGIN = 0.8
 EXPIRED_USE_RATIO = 0.01  # fraction of the burst below which an idle account's use may be discarded
-# A total below this fraction of our own use, minus RESET_COUNT_UNITS, means that the counter was reset.
+# A total that is below this fraction of this limiter's own use by more than RESET_COUNT_UNITS units means
+# that the counter was reset.
 RESET_COUNT_RATIO = 0.99
 RESET_COUNT_UNITS = 0.1
 
@@ -51,7 +53,7 @@
         self.operation = operation
         self.is_resolved = False
         self.is_admitted: bool | None = None  # None after resolution: the counter did not reply
-        self.is_counted = False  # a call that timed out probably counted it
+        self.is_counted = False  # whether a call that timed out probably counted it
 
 
 class Account:
@@ -67,7 +69,7 @@
         Args:
             clock: The limiter's clock.
             counter_breaker: The limiter's circuit breaker for the counter.
-            first_operation: States the customer, its plan and its number of limiters.
+            first_operation: Its customer, plan and number of limiters are the account's.
             started_us: When this limiter started.
         """
         plan = first_operation.plan
@@ -82,22 +84,24 @@
         share = LOCAL_SHARE_FACTOR / self.gateway_count
         local_burst = plan.burst * share
         self.local_bucket = TokenBucket(clock.now_us, plan.rate * share, local_burst, local_burst)
-        # Divided evenly among limiters, and empty at start so that a restart grants no second burst.
+        # The rate limit is divided evenly among the limiters. Its bucket is empty when the limiter starts, so
+        # that a restart grants no second burst.
         rate = plan.rate_limit_per_s / self.gateway_count
         if rate > 0:
             burst = plan.rate_limit_burst / self.gateway_count
             self.rate_limit_bucket = TokenBucket(started_us, rate, burst, 0.0)
 
     def _reset(self, now_us: int, plan: Plan) -> None:
-        """Discard all knowledge of the count."""
-        self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)  # the shared quota
+        """Set the state of an account without any known use, attempts or rate limit."""
+        # What is left of the shared quota, according to the last total.
+        self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)
         self.counter_epoch = CounterEpoch(self.customer, self.decay_us)
-        self.is_level_known = False  # whether a counter call was made
+        self.is_level_known = False  # whether a counter call was made; before, the bucket is merely full
         self.last_read_us = 0  # arrival time of the last total; 0: none yet
         self.leased_units = 0.0
         self.lease_expires_us = 0
-        self.total_use = DecayingSum(self.decay_us)  # the last total plus our additions since
-        self.own_use = DecayingSum(self.decay_us)  # this limiter's part of the total
+        self.total_use = DecayingSum(self.decay_us)  # the last total plus this limiter's additions since
+        self.own_use = DecayingSum(self.decay_us)  # this limiter's part of `total_use`
         self.unreported = DecayingSum(self.decay_us)  # use to be added to the count with the next call
         self.to_restore = DecayingSum(self.decay_us)  # own use that is missing from a new count
         self.rate_limit_bucket = TokenBucket(0, 0.0, math.inf, math.inf)
@@ -107,15 +111,15 @@
         self.pending: list[PendingOperation] = []
 
     def has_capacity(self, units: float, latency_us: float) -> bool:
-        """Whether the plan's cap on attempts in flight allows another attempt.
+        """Whether the plan's cap on attempts in flight allows another attempt of `units`.
 
-        The attempts in flight at other limiters are estimated from their use.
+        The attempts in flight at other limiters are estimated from their use and the mean `latency_us`.
         """
         now_us = self.clock.now_us
         others_use = max(0.0, self.total_use.read(now_us) - self.own_use.read(now_us))
-        others = others_use * latency_us / self.decay_us / units
+        others_in_flight = others_use * latency_us / self.decay_us / units
         cap = self.plan.max_in_flight
-        return not cap or self.in_flight + others < cap - IN_FLIGHT_MARGIN
+        return not cap or self.in_flight + others_in_flight < cap - IN_FLIGHT_MARGIN
 
     def is_expired(self, now_us: int) -> bool:
         """Whether the account may be deleted to save memory, as the counter has dropped its use too."""
@@ -158,8 +162,9 @@
         return self._admit_by_reply(pending)
 
     def _take_from_lease(self, now_us: int, units: float) -> bool:
+        """Deduct units from the lease; returns whether it held enough."""
         if self.lease_expires_us <= now_us and self.leased_units:
-            self.unreported.add(now_us, -self.leased_units)  # the next call returns the rest
+            self.unreported.add(now_us, -self.leased_units)  # the next call returns the unused units
             self.leased_units = 0.0
         if self.leased_units < units:
             return False
@@ -170,8 +175,8 @@
         """Admit or reject a pending operation according to the counter's reply."""
         now_us, units = self.clock.now_us, pending.operation.units
         if pending.is_admitted is None:
-            # A call that timed out was probably counted. So the operation is either admitted or its units are
-            # returned, to avoid counting it twice.
+            # A call that timed out was probably counted. So the operation is either admitted without
+            # reporting its units again, or rejected and its units are returned.
             return self.admit_locally(now_us, units, pending.is_counted)
         if not pending.is_admitted:
             return self.bucket.wait_us(now_us, units)
@@ -186,7 +191,7 @@
         return self.is_calling or self.counter_breaker.try_acquire_call(now_us)
 
     def consume(self, now_us: int, units: float, is_local: bool = False) -> None:
-        """Deduct the units of an admitted operation; `is_local`: it was admitted without the counter."""
+        """Deduct an admitted operation's units; `is_local`: it was admitted without the counter."""
         level = self.local_bucket.read(now_us) - units
         self.local_bucket.set_level(now_us, level if is_local else max(0.0, level))
         self.rate_limit_bucket.set_level(now_us, self.rate_limit_bucket.read(now_us) - units)
@@ -205,8 +210,8 @@
         if self.last_read_us and not self.counter_breaker.is_open:
             required, available, rate = self._share_of_last_total(now_us, units)
         else:
-            # A full share admits an operation of any size and goes into debt: with very many limiters a
-            # share may be less than one operation, which would lock out customers with little traffic.
+            # A full share admits an operation of any size and goes into debt: with very many limiters a share
+            # may be less than one operation, and customers with little traffic would be locked out.
             required = min(units, self.local_bucket.burst)
             available = self.local_bucket.read(now_us)
             rate = self.local_bucket.rate_per_s
@@ -221,14 +226,14 @@
     def _share_of_last_total(self, now_us: int, units: float) -> tuple[float, float, float]:
         """Required units, available units and refill rate, estimated from the last total.
 
-        The counter is overloaded but reachable. Its last total, with the other limiters' use extrapolated, is
-        a better estimate than an even share.
+        Used while the counter is overloaded but reachable: its last total, with the other limiters' use
+        extrapolated, is a better estimate than an even share.
         """
-        total, own = max(self.total_use.read(now_us), 1e-9), self.own_use.read(now_us)
-        share = min(1.0, LOCAL_SHARE_FACTOR * max(1 / self.gateway_count, own / total))
+        total_use, own_use = max(self.total_use.read(now_us), 1e-9), self.own_use.read(now_us)
+        share = min(1.0, LOCAL_SHARE_FACTOR * max(1 / self.gateway_count, own_use / total_use))
         required = min(units, self.plan.burst * share)
-        left = self.unclamped_level(now_us) - self.estimated_use_of_others(now_us)
-        available = min(self.plan.burst, left) * share - self.unreported.read(now_us)
+        remaining = self.unclamped_level(now_us) - self.estimated_use_of_others(now_us)
+        available = min(self.plan.burst, remaining) * share - self.unreported.read(now_us)
         return required, available, self.plan.rate * share
 
     def unclamped_level(self, now_us: int) -> float:
@@ -238,8 +243,8 @@
     def estimated_use_of_others(self, now_us: int) -> float:
         """Estimated use by other limiters since the last total, at their rate until then."""
         decays = (now_us - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
-        others = max(0.0, self.total_use.read(now_us) - self.own_use.read(now_us))
-        return others * math.exp(min(MAX_EPOCH_DECAYS, decays)) * decays
+        others_use = max(0.0, self.total_use.read(now_us) - self.own_use.read(now_us))
+        return others_use * math.exp(min(MAX_EPOCH_DECAYS, decays)) * decays
 
     # ---- counter calls
 
@@ -256,13 +261,17 @@
         self.is_calling = False
 
     def _units_to_request(self, units: float) -> float:
-        """Units to request: a lease on part of the remaining quota, for at least one operation."""
+        """Units to request: half of an even share of the remaining quota, for at least one operation."""
         level = self.bucket.read(self.clock.now_us) if self.is_level_known else 0.0
         operations = max(1, int(level / (2 * self.gateway_count * units)))
         return min(MAX_LEASE_OPERATIONS, operations) * units
 
     def _resolve_without_counter(self, correction: float, outcome: CounterOutcome) -> CommandGenerator[None]:
-        """Resolve pending operations locally; after a time-out, `correction` adjusts the unreported use."""
+        """Resolve pending operations without a total: each is then admitted or rejected by the local share.
+
+        A call that timed out was probably counted. Its first operation is marked as counted; `correction`,
+        zero or minus the units counted beyond it, is reported with the next call.
+        """
         is_timeout = outcome is CounterOutcome.TIMED_OUT
         if is_timeout:
             self.unreported.add(self.clock.now_us, correction)
@@ -282,6 +291,7 @@
             granted -= pending.operation.units
             yield self._resolve(pending, is_admitted=True)
         if missing:
+            # Reject operations by the level that the bucket has once the missing units are returned.
             self.bucket.level += missing
             while self.pending and self.pending[0].operation.units > self.bucket.read(now_us):
                 yield self._resolve(self.pending.pop(0), is_admitted=False)
@@ -298,7 +308,11 @@
         return Resume(pending.operation)
 
     def add_to_counter(self, units: float) -> CommandGenerator[CounterOutcome]:
-        """Add units and all unreported use to the count, and update the bucket from the new total."""
+        """Add units and all unreported use to the count, and update the bucket from the new total.
+
+        Returns:
+            The outcome of the call.
+        """
         sent_us = self.clock.now_us
         self.is_level_known = True
         epoch = self.counter_epoch
@@ -321,7 +335,7 @@
         decay = math.exp((sent_us - now_us) / self.decay_us)
         added *= decay
         restored *= decay
-        # A call that timed out was probably counted: its units are used up, on top of the last known total.
+        # A call that timed out was probably counted: its units are added to the last known total.
         use, level = self.total_use.read(now_us), self.unclamped_level(now_us)
         if reply.outcome is CounterOutcome.ADDED:
             use = reply.total * math.exp((epoch_start_us - now_us) / self.decay_us) - added
@@ -334,11 +348,11 @@
     def _apply_total(
         self, now_us: int, use: float, level: float, restored: float, count_started_us: int
     ) -> tuple[float, float]:
-        """Compute use and bucket level from a total.
+        """Compute the use and the bucket's level from a total.
 
         Args:
             now_us: The current time.
-            use: Use according to the total, without the units added by this call.
+            use: The use of all limiters according to the total, without the units added by this call.
             level: The bucket's level as known before the call.
             restored: Own use that the call restored.
             count_started_us: The start of the count's epoch.
@@ -346,20 +360,21 @@
         Returns:
             The use of all limiters and the bucket's level, both without the units added by this call.
         """
-        known = self.total_use.read(now_us)
+        known_use = self.total_use.read(now_us)
         if use < RESET_COUNT_RATIO * self.own_use.read(now_us) - RESET_COUNT_UNITS:
             count_started_us = now_us  # the count was reset and holds only this call
             self.to_restore.add(now_us, self.own_use.read(now_us) - restored)
-        # Part of the others' use since the last total has decayed already. At a constant rate, their use is
-        # higher by the factor `decayed`; ignoring this would leak quota, more so with more limiters. A total
-        # that was reset or is not yet restored is too low, so the others are assumed to continue at their
-        # previous rate. The bucket holds at least what the total leaves of the burst.
+        # Part of the other limiters' use since the last total has already decayed. If their rate was
+        # constant, they used `decay_factor` times the difference between the totals; ignoring this would let
+        # them exceed the quota, more so with more limiters. A total that was reset or is not yet restored is
+        # too low, so the others are assumed to continue at their previous rate. The bucket holds at least
+        # what the total leaves of the burst.
         decays = (now_us - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
-        decayed = decays / -math.expm1(-decays) if decays > 0 else 1.0
-        others = (use - known) * decayed
-        if use < known:
+        decay_factor = decays / -math.expm1(-decays) if decays > 0 else 1.0
+        others_use = (use - known_use) * decay_factor
+        if use < known_use:
             has_lost_use = self.last_read_us < count_started_us
-            others = self.estimated_use_of_others(now_us) if has_lost_use else 0.0
-            use = known + others / decayed
+            others_use = self.estimated_use_of_others(now_us) if has_lost_use else 0.0
+            use = known_use + others_use / decay_factor
         self.last_read_us = now_us
-        return use, max(level - others, self.plan.burst - use)
+        return use, max(level - others_use, self.plan.burst - use)
--- a/lapisgrade/policy/admission_queue.py
+++ b/lapisgrade/policy/admission_queue.py
@@ -1,8 +1,8 @@
-"""Queue in which operations wait for capacity before their first attempt: load shedding by value.
+"""The queue in which operations wait for capacity before their first attempt, and load shedding by value.
 
 The higher the utilization of the concurrency limit, the more valuable an operation must be to be admitted.
-One that is not admitted immediately waits for a short time, as most queued operations are admitted soon. It
-is rejected immediately if the queue is too long to be served in that time.
+An operation that is not admitted immediately waits for a short time, as most queued operations are admitted
+soon. If the queue is too long to be served in that time, the operation is rejected immediately.
 """
 
 from collections.abc import Callable
@@ -26,16 +26,16 @@
         self._clock = clock
         self._server_pool = server_pool
         self.length = 0
-        self._values = DecayingSum(LATENCY_DECAY_US)  # values of operations per us of server work
-        self._operations = DecayingSum(LATENCY_DECAY_US)
+        self._values = DecayingSum(LATENCY_DECAY_US)  # of recent operations, each per us of server work
+        self._operations = DecayingSum(LATENCY_DECAY_US)  # number of recent operations
 
     def wait_for_servers(self, operation: Operation, account: Account) -> CommandGenerator[bool]:
         """Wait for capacity of the servers and the account; returns whether there is any."""
         threshold = self._shedding_threshold(operation)
 
         def has_capacity() -> bool:
-            is_below = self._server_pool.concurrency.utilization() < threshold
-            return is_below and self._has_account_capacity(operation, account)
+            is_below_threshold = self._server_pool.concurrency.utilization() < threshold
+            return is_below_threshold and self._has_account_capacity(operation, account)
 
         return (yield from self._wait_until(operation, has_capacity))
 
@@ -52,7 +52,7 @@
         return account.has_capacity(operation.units, mean_us)
 
     def _shedding_threshold(self, operation: Operation) -> float:
-        """Utilization at which the operation is rejected, by its value relative to recent operations."""
+        """The utilization from which an operation is not admitted, by its value among recent operations."""
         now_us, category = self._clock.now_us, operation.category
         expected_us = self._server_pool.expected_latency_us(operation)
         value = category.value * operation.plan.value_factor * operation.units / expected_us
@@ -62,7 +62,10 @@
         return LOAD_SHEDDING_THRESHOLD + (1 - LOAD_SHEDDING_THRESHOLD) * relative_value
 
     def _wait_until(self, operation: Operation, has_capacity: Callable[[], bool]) -> CommandGenerator[bool]:
-        """Wait until there is capacity; give up at the time limit, or immediately if the queue is full."""
+        """Wait until there is capacity; returns whether there is any.
+
+        Gives up when the maximum wait is over, or immediately if the queue is full.
+        """
         max_wait_us = int(MAX_QUEUE_RATIO * operation.category.latency_target_us)
         latest_us = min(self._clock.now_us + max_wait_us, operation.deadline_us - RESPONSE_MARGIN_US)
         mean_us = self._server_pool.mean_latency_us(operation.category)
@@ -80,6 +83,6 @@
         self.length -= is_queued
         return is_ready
 
-    def _is_full(self, mean_us: float, left_us: int) -> bool:
+    def _is_full(self, mean_us: float, remaining_us: int) -> bool:
         """Whether serving the queued operations would take all of the remaining time."""
-        return self.length * mean_us >= self._server_pool.concurrency.value * left_us
+        return self.length * mean_us >= self._server_pool.concurrency.value * remaining_us
--- a/lapisgrade/policy/concurrency_limit.py
+++ b/lapisgrade/policy/concurrency_limit.py
@@ -8,15 +8,17 @@
 from lapisgrade.rate import SECOND, DecayingSum
 
 LOAD_SHEDDING_THRESHOLD = 0.7  # utilization from which the least valuable operations are rejected
-MIN_IN_FLIGHT_PER_SERVER = 2.0  # over all limiters, without queueing; initial and minimum limit
-LIMIT_STEP = 0.1  # maximum change of the limit per finished attempt; about 10 % per round trip
-TARGET_LATENCY_RATIO = 0.25  # target for the mean latency, as a fraction of the latency target
+# Attempts that a server is assumed to process without queueing, from all limiters together; sets the initial
+# and the minimum limit.
+MIN_IN_FLIGHT_PER_SERVER = 2.0
+LIMIT_STEP = 0.1  # maximum change of the limit per finished attempt, in attempts; about 10 % per round trip
+TARGET_LATENCY_RATIO = 0.25  # mean latency that the limit aims for, as a fraction of the latency target
 MAX_LATENCY_RATIO = 2.0  # upper bound on one attempt's latency, in latency targets
 LIMIT_DECAY_US = 2 * SECOND  # how long a latency affects the limit; a few round trips
 
 
 class ConcurrencyLimit:
-    """Attempts that this limiter has in flight, and their limit."""
+    """The attempts that this limiter has in flight, and their limit."""
 
     def __init__(self, limiter_count: int) -> None:
         """Create the limit of one of `limiter_count` limiters; it is 0 until servers are known."""
@@ -29,7 +31,7 @@
         self._weights = DecayingSum(LIMIT_DECAY_US)
 
     def utilization(self) -> float:
-        """The fraction of the limit that is in flight."""
+        """The fraction of the limit that is in flight; 1 while the limit is 0."""
         return self.in_flight / self.value if self.value else 1.0
 
     def on_servers_changed(self, endpoint_count: int, ready_count: int, warm_weight: float) -> None:
@@ -52,8 +54,8 @@
         """Record an attempt that took `latency_ratio` latency targets, with a weight from 0 to 1."""
         self._latency_ratios.add(now_us, weight * min(latency_ratio, MAX_LATENCY_RATIO))
         self._weights.add(now_us, weight)
-        target = TARGET_LATENCY_RATIO * (self._weights.read(now_us) + 0.1)
-        margin = 1 - self._latency_ratios.read(now_us) / target  # negative: slower than the target
+        target_sum = TARGET_LATENCY_RATIO * (self._weights.read(now_us) + 0.1)  # never 0
+        margin = 1 - self._latency_ratios.read(now_us) / target_sum  # negative: slower than the target
         if margin >= 0 and self.in_flight + 1 < LOAD_SHEDDING_THRESHOLD * self.value:
             return  # the limit does not hold back any attempts
         # If all servers are slow, fewer attempts do not speed them up and would leave servers idle.
--- a/lapisgrade/policy/counter_breaker.py
+++ b/lapisgrade/policy/counter_breaker.py
@@ -3,13 +3,13 @@
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.rate import SECOND, TokenBucket
 
-MAX_CONSECUTIVE_TIMEOUTS = 3  # number of time-outs that opens the breaker; given by the design
+MAX_CONSECUTIVE_TIMEOUTS = 3  # failed calls in a row that open the breaker; given by the design
 PROBE_INTERVAL_US = SECOND  # interval between calls while the breaker is open; given by the design
-MAX_CALL_RATE = 200.0  # calls per second, initially and at most: one per operation
+MAX_CALL_RATE = 200.0  # calls per second, initially and at most; allows one call per operation
 CALL_RATE_FACTOR = 0.03  # relative increase of the call rate per successful call
 CALL_RATE_STEP = 0.5  # absolute increase per successful call, in calls per second
-CALL_RATE_BACKOFF = 0.7  # factor per time-out; under overload about one call in five times out
-CALL_BURST_S = 0.05  # burst of calls, in seconds of the call rate; one or two counter time-outs
+CALL_RATE_BACKOFF = 0.7  # factor on the rate per failed call; under overload about one call in five times out
+CALL_BURST_S = 0.05  # burst of calls, as seconds at the call rate; one or two time-outs of a counter call
 
 
 class CounterBreaker:
@@ -17,7 +17,8 @@
 
     The breaker opens when the counter does not reply, and then admits periodic probes. The call rate backs
     off from an overloaded counter, which would otherwise reply in time to no call at all (additive increase,
-    multiplicative decrease). This also covers a counter whose replies are lost.
+    multiplicative decrease). This also covers a counter whose replies are lost. A call that was rejected
+    counts as a call that timed out.
     """
 
     probe_interval_us = PROBE_INTERVAL_US
@@ -37,26 +38,26 @@
 
     def try_acquire_call(self, now_us: int) -> bool:
         """Reserve one call; returns whether it is allowed now."""
-        calls = self.call_budget.read(now_us)
+        allowed_calls = self.call_budget.read(now_us)
         if not self.is_available:
             return False
-        is_due = now_us >= self.next_probe_us if self.is_open else calls >= 1
+        is_due = now_us >= self.next_probe_us if self.is_open else allowed_calls >= 1
         if not is_due:
             return False
-        self.call_budget.set_level(now_us, calls - 1)
+        self.call_budget.set_level(now_us, allowed_calls - 1)
         self.next_probe_us = now_us + self.probe_interval_us
         return True
 
     def record_reply(self, now_us: int, outcome: CounterOutcome, sent_us: int) -> None:
         """Record the outcome of a call that was sent at `sent_us`."""
-        calls = self.call_budget
-        calls.set_level(now_us, calls.read(now_us))
+        budget = self.call_budget
+        budget.set_level(now_us, budget.read(now_us))
         if outcome is CounterOutcome.ADDED:
             self.consecutive_timeouts = 0
-            increased_rate = calls.rate_per_s * (1 + CALL_RATE_FACTOR) + CALL_RATE_STEP
-            calls.rate_per_s = min(MAX_CALL_RATE, increased_rate)
-        elif sent_us > self.last_backoff_us:  # calls in flight together count as one time-out
+            increased_rate = budget.rate_per_s * (1 + CALL_RATE_FACTOR) + CALL_RATE_STEP
+            budget.rate_per_s = min(MAX_CALL_RATE, increased_rate)
+        elif sent_us > self.last_backoff_us:  # calls that were in flight together count as one failure
             self.consecutive_timeouts += 1
             self.last_backoff_us = now_us
-            calls.rate_per_s *= CALL_RATE_BACKOFF
-        calls.burst = max(1.0, calls.rate_per_s * CALL_BURST_S)
+            budget.rate_per_s *= CALL_RATE_BACKOFF
+        budget.burst = max(1.0, budget.rate_per_s * CALL_BURST_S)
--- a/lapisgrade/policy/counter_epoch.py
+++ b/lapisgrade/policy/counter_epoch.py
@@ -11,7 +11,8 @@
 from lapisgrade.rate import SECOND
 
 MAX_EPOCH_US = 30 * SECOND  # maximum epoch length: below the counter's maximum TTL, and epochs change rarely
-MAX_EPOCH_DECAYS = 15  # `decay_us` per epoch; amounts grow e-fold in each, and the counter is limited to 1e9
+# Maximum epoch length in `decay_us`: amounts grow e-fold in each, and the counter accepts at most 1e9.
+MAX_EPOCH_DECAYS = 15
 
 
 class CounterEpoch:
@@ -24,7 +25,7 @@
         self._customer = customer
         self._decay_us = decay_us
         self._length_us = min(MAX_EPOCH_US, MAX_EPOCH_DECAYS * decay_us)
-        self._number = -1
+        self._number = -1  # counts epochs from time 0; -1: none
         self.counter_id = 0
 
     def enter(self, now_us: int) -> bool:
--- a/lapisgrade/policy/latency.py
+++ b/lapisgrade/policy/latency.py
@@ -6,7 +6,7 @@
 
 LATENCY_DECAY_US = 12 * SECOND  # decay time of a latency; some dozens of attempts per server
 LATENCY_PRIOR_WEIGHT = 4  # weight of the initial estimate, in attempts
-PRIOR_MEAN_SQUARE_RATIO = 2  # assumed mean of the squared latencies, in squared means
+PRIOR_MEAN_SQUARE_RATIO = 2  # initially assumed mean of the squared latencies, in squared means
 MIN_VARIANCE_DIVISOR = 4  # the variance is at least the squared mean divided by this
 UNITS_LATENCY_SHARE = 0.5  # assumed fraction of the latency that is proportional to the units
 
@@ -40,8 +40,10 @@
         """The standard deviation in us, at least half of the mean."""
         mean = self.mean(now_us)
         prior = LATENCY_PRIOR_WEIGHT * PRIOR_MEAN_SQUARE_RATIO * mean * mean
-        square = (self._squares.read(now_us) + prior) / (self._attempts.read(now_us) + LATENCY_PRIOR_WEIGHT)
-        return math.sqrt(max(square - mean * mean, mean * mean / MIN_VARIANCE_DIVISOR))
+        mean_square = (self._squares.read(now_us) + prior) / (
+            self._attempts.read(now_us) + LATENCY_PRIOR_WEIGHT
+        )
+        return math.sqrt(max(mean_square - mean * mean, mean * mean / MIN_VARIANCE_DIVISOR))
 
     def expected(self, now_us: int, units: float) -> float:
         """The expected latency in us of an attempt with `units`."""
--- a/lapisgrade/policy/limiter.py
+++ b/lapisgrade/policy/limiter.py
@@ -22,7 +22,9 @@
 from lapisgrade.policy.operation_attempts import OperationAttempts, reject_for_retry
 from lapisgrade.policy.server_pool import ServerPool
 
-MAX_OVERAGE_UTILIZATION = LOAD_SHEDDING_THRESHOLD / 2  # maximum utilization for use beyond a quota
+# Utilization up to which servers count as having capacity for use beyond a quota: half of that from which
+# load is shed.
+MAX_OVERAGE_UTILIZATION = LOAD_SHEDDING_THRESHOLD / 2
 
 
 class Limiter:
@@ -72,7 +74,7 @@
         self.server_pool.on_attempt_finished(attempt, result)
 
     def account(self, operation: Operation) -> Account:
-        """The account of an operation's customer."""
+        """The account of an operation's customer, created if there is none; may delete an expired account."""
         now_us = self.clock.now_us
         account = self.accounts.pop(operation.customer, None)
         if account is None:
@@ -80,7 +82,7 @@
         self.accounts[operation.customer] = account
         account.last_used_us = now_us
         oldest = next(iter(self.accounts.values()))
-        if oldest.is_expired(now_us):  # at most one account is deleted per call
+        if oldest.is_expired(now_us):  # one account per call is enough, as each call adds at most one
             del self.accounts[oldest.customer]
         return account
 
@@ -96,7 +98,8 @@
         if wait_us is not None and not self._admit_overage(operation, account):
             yield from reject_for_retry(operation, self.permissions, wait_us)
             return
-        # The counter's reply may have raised the estimate of other limiters' attempts: check the cap again.
+        # The counter's reply may have raised the estimate of other limiters' attempts: check the plan's cap
+        # again.
         if not (yield from self.queue.wait_for_account(operation, account)):
             account.unreported.add(self.clock.now_us, -operation.units)
             yield from self._reject_overloaded(operation)
--- a/lapisgrade/policy/observed_server.py
+++ b/lapisgrade/policy/observed_server.py
@@ -6,7 +6,7 @@
 from lapisgrade.rate import SECOND, DecayingSum, TokenBucket
 
 HEALTH_DECAY_US = 4 * SECOND  # decay time of a successful or failed attempt
-UNHEALTHY_WEIGHT = 3.0  # number of successful attempts that offset one failure
+UNHEALTHY_WEIGHT = 3.0  # successful attempts that offset one failure
 UNRESPONSIVE_RATIO = 3.0  # mean latencies without a response before a server counts as unresponsive
 PRIOR_WEIGHT = 1.0  # weight of the assumption that a server has average speed, in attempts
 
@@ -21,11 +21,11 @@
         self.last_sent_us = 0
         self.in_flight: dict[Attempt, None] = {}  # in order of start
         self.unresponsive_since_us = 0  # start of the time with attempts in flight and no response; 0: none
-        self.latency_ratio = DecayingSum(LATENCY_DECAY_US)  # ratios of latencies to the expected ones
-        self.latency_samples = DecayingSum(LATENCY_DECAY_US)
+        self.latency_ratio = DecayingSum(LATENCY_DECAY_US)  # sum of latencies relative to the expected ones
+        self.latency_samples = DecayingSum(LATENCY_DECAY_US)  # number of ratios in `latency_ratio`
         self.successes = DecayingSum(HEALTH_DECAY_US)
         self.failures = DecayingSum(HEALTH_DECAY_US)
-        self.rejections: dict[str, DecayingSum] = {}  # overload responses, by plan and category
+        self.rejections: dict[str, DecayingSum] = {}  # overload responses, by name of a plan or category
         self.slow_start_budget: TokenBucket | None = None  # work in us that it may be sent while it warms up
 
     def is_ready(self) -> bool:
--- a/lapisgrade/policy/operation_attempts.py
+++ b/lapisgrade/policy/operation_attempts.py
@@ -39,7 +39,7 @@
 from lapisgrade.policy.server_pool import ServerPool
 from lapisgrade.rate import SECOND
 
-OVERDUE_DEVIATIONS = 3.0  # standard deviations above the expected latency at which an attempt is overdue
+OVERDUE_DEVIATIONS = 3.0  # standard deviations above the expected latency from which an attempt is overdue
 STREAM_TIMEOUT_US = 3600 * SECOND  # time-out of a streamed response that has started
 
 
@@ -96,7 +96,7 @@
         self._may_have_run: list[Attempt] = []  # attempts that were or may be executed
         self._deadline_us = operation.deadline_us - RESPONSE_MARGIN_US
         self._target_us = operation.arrived_us + operation.category.latency_target_us
-        self._overdue_after_us = 0  # since an attempt's start
+        self._overdue_after_us = 0  # time from an attempt's start until it is overdue
         self._overdue_at_us = 0  # when to decide on the attempts in flight
 
     def run(self) -> CommandGenerator[None]:
@@ -153,19 +153,22 @@
         return self._server_pool.choose(self._operation, tried, self._may_repeat_at)
 
     def _may_repeat_at(self, server: ObservedServer) -> bool:
-        """Whether the operation may be sent to a server, given where it may have run (rule 2)."""
+        """Whether the operation may be sent to a server, given where it may have run.
+
+        Rule 2 of the protocol: no effect happens twice.
+        """
         category = self._operation.category
         if not self._may_have_run or category.repeat_safety is RepeatSafety.IDEMPOTENT:
             return True
         if category.repeat_safety is RepeatSafety.NON_IDEMPOTENT:
             return False
-        first = self._may_have_run[0]
-        deduplication_ends_us = first.sent_us + category.deduplication_window_us
+        first_attempt = self._may_have_run[0]
+        deduplication_ends_us = first_attempt.sent_us + category.deduplication_window_us
         if self._clock.now_us + RESPONSE_MARGIN_US >= deduplication_ends_us:
             return False
         if category.deduplication_scope is DeduplicationScope.ALL:
             return True
-        first_server: ObservedServer = first.server
+        first_server: ObservedServer = first_attempt.server
         if first_server.endpoint is None:
             return server is first_server
         if category.deduplication_scope is DeduplicationScope.ZONE:
--- a/lapisgrade/policy/server_pool.py
+++ b/lapisgrade/policy/server_pool.py
@@ -1,4 +1,4 @@
-"""The server pool: capacity of servers, choice of a server, limit on attempts in flight."""
+"""The server pool: capacity of servers, choice of a server, limit on all attempts in flight."""
 
 from collections.abc import Callable
 from random import Random
@@ -47,7 +47,7 @@
         rules: ServerRules,
         categories: list[Category],
     ) -> None:
-        """Create an empty pool; `update` fills it."""
+        """Create an empty pool; `update` adds servers."""
         self.clock = clock
         self.random = random
         self.placement = placement
@@ -62,7 +62,7 @@
     # ---- endpoint list
 
     def update(self, endpoints: list[ServerEndpoint], is_complete: bool) -> None:
-        """Apply changes of the endpoint list, or a complete list."""
+        """Apply changes of the endpoint list, or, if it `is_complete`, replace it."""
         now_us = self.clock.now_us
         if is_complete:
             for server in self.servers.values():
@@ -127,9 +127,9 @@
         for server in self.subset:
             if not is_allowed(server) or not self.slow_start.has_budget(server, now_us, self.subset):
                 continue
-            free = self._free_capacity(server, operation, now_us, mean_us)
+            free_capacity = self._free_capacity(server, operation, now_us, mean_us)
             candidates.append(server)
-            odds.append(free * (TRIED_SERVER_WEIGHT if server in tried else 1.0))
+            odds.append(free_capacity * (TRIED_SERVER_WEIGHT if server in tried else 1.0))
         return self.random.choices(candidates, odds)[0] if candidates else None
 
     def _free_capacity(
@@ -191,9 +191,9 @@
             self.concurrency.on_latency(now_us, latency_us / operation.category.latency_target_us, weight)
 
     def _latency_weight(self, server: ObservedServer, now_us: int, mean_us: float) -> float:
-        """Weight from 0 to 1 of a server's latency in the concurrency limit.
+        """The weight from 0 to 1 of a server's latency in the concurrency limit.
 
         Low for a server that scores below average. If all servers are slow, their latencies count fully.
         """
-        mean = sum(each.score(now_us, mean_us) for each in self.subset) / max(1, len(self.subset))
-        return min(1.0, server.score(now_us, mean_us) / mean) if mean else 1.0
+        mean_score = sum(each.score(now_us, mean_us) for each in self.subset) / max(1, len(self.subset))
+        return min(1.0, server.score(now_us, mean_us) / mean_score) if mean_score else 1.0
--- a/lapisgrade/policy/subset.py
+++ b/lapisgrade/policy/subset.py
@@ -16,17 +16,17 @@
 
 
 def choose_subset(servers: Collection[ObservedServer], placement: Placement) -> list[ObservedServer]:
-    """Choose the ready servers that a limiter sends to."""
+    """Choose the ready servers that a limiter sends to; the next ones replace those that are not ready."""
     by_size = len(servers) // SUBSET_SIZE
     by_limiters = int(placement.limiter_count / MIN_LIMITERS_PER_SUBSET)
-    subsets = max(1, min(by_size, by_limiters))
-    shuffle, position = divmod(placement.limiter_index, subsets)
+    subset_count = max(1, min(by_size, by_limiters))
+    round_number, position = divmod(placement.limiter_index, subset_count)
 
-    def shuffled_position(server: ObservedServer) -> bytes:
-        return blake2b(f"{server.address} {shuffle}".encode(), digest_size=8).digest()
+    def sort_key(server: ObservedServer) -> bytes:
+        return blake2b(f"{server.address} {round_number}".encode(), digest_size=8).digest()
 
-    order = sorted(servers, key=shuffled_position)
-    start = position * len(order) // subsets
-    ready = [server for server in order[start:] + order[:start] if server.is_ready()]
-    size = -(-len(order) // subsets)  # rounded up
+    shuffled = sorted(servers, key=sort_key)
+    start = position * len(shuffled) // subset_count
+    ready = [server for server in shuffled[start:] + shuffled[:start] if server.is_ready()]
+    size = -(-len(shuffled) // subset_count)  # rounded up
     return ready[:size]
