--- a/lapisgrade/__init__.py
+++ b/lapisgrade/__init__.py
@@ -1,1 +1,1 @@
-"""lapisgrade: a front door that meters many customers' use of one shared service."""
+"""lapisgrade: an API gateway for many machines, with quotas and rate limits for each customer."""
--- a/lapisgrade/__main__.py
+++ b/lapisgrade/__main__.py
@@ -18,7 +18,8 @@
 def main(companion: Callable[[Service], contextlib.AbstractAsyncContextManager[None]] | None = None) -> int:
     """Run the limiter until it has shut down; returns the exit code.
 
-    `companion` is an optional context manager that is entered while the service runs.
+    Args:
+        companion: Returns a context manager that stays entered while the service runs; None for none.
     """
     try:
         gc.freeze()
--- a/lapisgrade/bench_adapter/__main__.py
+++ b/lapisgrade/bench_adapter/__main__.py
@@ -1,8 +1,8 @@
 """`python -m lapisgrade.bench_adapter`: reads batches from standard input, replies on standard output.
 
-A batch consists of MARK with the time, messages, and YOUR_TURN, which requests the reply: the limiters'
-messages and EOR. POOL announces an endpoint list, whose ROWs follow. Exit codes: 0 at the end of the input, 1
-if the output was closed, 2 for malformed input, with one line on standard error.
+A batch consists of MARK with the time, messages, and YOUR_TURN, which requests the reply. The reply consists
+of the limiters' messages and EOR. POOL announces an endpoint list, whose ROWs follow. Exit codes: 0 at the
+end of the input, 1 if the output was closed, 2 for malformed input, with one line on standard error.
 """
 
 import gc
@@ -28,20 +28,24 @@
         self.is_in_batch = False
         self._endpoints: list[ServerEndpoint] = []  # rows of the list being read
         self._endpoint_list_number = 0
-        self._rows_left = 0
+        self._rows_left = 0  # rows still to be read
 
     def read_line(self, line: str) -> None:
-        """Process one line, without its line end."""
+        """Process one line, without its line end.
+
+        Raises:
+            MalformedInputError: The line is malformed or not expected here.
+        """
         name, fields = parse_message(line)
         if self._rows_left:
             self._read_row(name, fields)
         elif name == "MARK":
             if self.is_in_batch:
-                raise MalformedInputError("MARK inside a batch")
+                raise MalformedInputError("MARK inside a batch: YOUR_TURN is missing")
             self._bench.advance(fields)
             self.is_in_batch = True
         elif not self.is_in_batch:
-            raise MalformedInputError(f"{name} outside a batch")
+            raise MalformedInputError(f"{name} outside a batch: MARK is missing")
         elif name == "YOUR_TURN":
             self.is_in_batch = False
             self._reply()
@@ -80,17 +84,19 @@
         MalformedInputError: A line is malformed; the message states its number and the reason.
     """
     reader = BatchReader(sink)
-    number = 0
-    for number, raw in enumerate(source, 1):
+    line_number = 0
+    for line_number, raw in enumerate(source, 1):
         line = raw.rstrip("\r\n")
         if not line:
             continue
         try:
             reader.read_line(line)
         except MalformedInputError as error:
-            raise MalformedInputError(f"line {number}: {error}: {line[:MAX_QUOTED_CHARACTERS]!r}") from None
+            raise MalformedInputError(
+                f"line {line_number}: {error}: {line[:MAX_QUOTED_CHARACTERS]!r}"
+            ) from None
     if reader.is_in_batch:
-        raise MalformedInputError(f"line {number}: input ends inside a batch")
+        raise MalformedInputError(f"line {line_number}: input ends inside a batch")
 
 
 def main() -> int:
--- a/lapisgrade/bench_adapter/instance.py
+++ b/lapisgrade/bench_adapter/instance.py
@@ -50,20 +50,23 @@
         "policy",
     )
 
-    def __init__(self, number: int, fields: Fields, clock: Clock, output_lines: list[str]) -> None:
+    def __init__(self, limiter_id: int, fields: Fields, clock: Clock, output_lines: list[str]) -> None:
         """Create the limiter of a CONFIGURE message.
 
         Args:
-            number: The limiter's id on the bench.
+            limiter_id: The limiter's id on the bench.
             fields: The fields of the message, including the settings.
-            clock: The clock; advanced by the caller.
+            clock: The limiter's clock; advanced by the caller.
             output_lines: Receives the limiter's messages to the bench.
+
+        Raises:
+            MalformedInputError: A setting is missing or malformed.
         """
-        self._prefix = f" LimiterId={number}"
+        self._prefix = f" LimiterId={limiter_id}"  # first field of each message to the bench
         self._wakeup_tag = 0  # tag of the last requested wake-up
         self.output_lines = output_lines
         self._pending_operations: dict[int, Operation] = {}  # without a final answer, by ticket
-        self._attempts: dict[tuple[int, int], Any] = {}  # in flight, by ticket and number
+        self._attempts: dict[tuple[int, int], Any] = {}  # in flight, by ticket and attempt number
         self._pending_calls: dict[int, list[Task]] = {}  # calls to the counter, by counter id, oldest first
         categories = read_categories(fields)
         self._categories = {category.name: category for category in categories}
@@ -99,7 +102,7 @@
         """See `lapisgrade.engine.Host`."""
         ticket = operation.handle
         if self._pending_operations.pop(ticket, None) is None:
-            raise RuntimeError("a second final answer for one operation")
+            raise RuntimeError(f"operation with ticket {ticket} already has its final answer")
         if answer.reason is RejectReason.FAILED:
             self.output_lines.append(f"RESPOND_ERROR{self._prefix} Ticket={ticket}")
         else:
@@ -150,9 +153,9 @@
 
     def on_completed(self, fields: Fields) -> None:
         """Handle the end of an attempt."""
-        ticket, number = fields.integer("Ticket"), fields.integer("SendNo", 0)
+        ticket, attempt_number = fields.integer("Ticket"), fields.integer("SendNo", 0)
         outcome = fields.choice("StateCode", wire.OUTCOMES)
-        attempt = self._attempts.pop((ticket, number), None)
+        attempt = self._attempts.pop((ticket, attempt_number), None)
         if attempt is None:
             return
         is_final = fields.boolean("DoneFlag") or outcome is AttemptOutcome.OK
@@ -177,7 +180,7 @@
             self.engine.wake(operation, WakeReason.RESPONSE_STARTED)
 
     def on_expired(self, fields: Fields) -> None:
-        """Handle a client that stopped waiting."""
+        """Handle an operation whose client stopped waiting."""
         operation = self._pending_operations.pop(fields.integer("Ticket"), None)
         if operation is not None:
             operation.is_abandoned = True
@@ -202,7 +205,8 @@
         if form != "unavailable":
             self.policy.update_servers(endpoints, form != "update")
         if self._must_subscribe and form in ("restored", "unavailable"):
-            # The bench sends changes only to subscribers, and stops after a failure.
+            # The bench sends changes to subscribers only, and stops when the endpoint list becomes
+            # unavailable.
             self._subscribe_to_changes()
 
     def on_status(self, fields: Fields) -> None:
@@ -218,6 +222,7 @@
         self.engine.run_due_timers(is_wakeup=fields.integer("Tag") == self._wakeup_tag)
 
 
+# By message name.
 HANDLERS: dict[str, Callable[[LimiterInstance, Fields], None]] = {
     "ORDER": LimiterInstance.on_order,
     "COMPLETED": LimiterInstance.on_completed,
--- a/lapisgrade/bench_adapter/wire.py
+++ b/lapisgrade/bench_adapter/wire.py
@@ -1,4 +1,4 @@
-"""The bench's text format: parses lines to fields and fields to values, and formats values."""
+"""The bench's text format: parses lines into fields and fields into values, and formats values."""
 
 from lapisgrade.interface import AttemptOutcome, CounterOutcome, ServerEndpoint, ServerState
 from lapisgrade.settings import Fields, MalformedInputError
@@ -24,7 +24,11 @@
 
 
 def parse_message(line: str) -> tuple[str, Fields]:
-    """Parse a line to the message's name and fields."""
+    """Parse a line into the message's name and fields.
+
+    Raises:
+        MalformedInputError: A part after the name is not `name=value`.
+    """
     name, _, rest = line.partition(" ")
     fields = Fields()
     if rest:
@@ -50,7 +54,7 @@
 
 
 def read_endpoint(fields: Fields) -> ServerEndpoint:
-    """Parse one row of an endpoint list."""
+    """Read a server from the fields of an endpoint list's row."""
     return ServerEndpoint(
         address=fields.text("Server"),
         state=fields.choice("Availability", SERVER_STATES, "IN"),
--- a/lapisgrade/engine.py
+++ b/lapisgrade/engine.py
@@ -55,7 +55,7 @@
         """Write a line to the log."""
 
     def schedule_wakeup(self, when_us: int) -> None:
-        """Call `Engine.run_due_timers(is_wakeup=True)` at that time; replaces the previous request."""
+        """Call `Engine.run_due_timers(is_wakeup=True)` at `when_us`; replaces the previous request."""
 
 
 class Caller(Protocol):
@@ -74,7 +74,7 @@
         """Create the task of a generator; `operation` is None for a spawned one."""
         self.generator = generator
         self.operation = operation
-        self.resume_count = 0  # identifies stale timers
+        self.resume_count = 0  # tells which timers are stale: those of an earlier sleep
         self.is_sleeping = False
         self.is_finished = False
 
@@ -102,15 +102,19 @@
         self._clock = clock
         self._host = host
         self._caller = caller
-        self._ready: deque[tuple[Task, Any]] = deque()  # each with the result or event to resume it with
+        self._ready: deque[tuple[Task, Any]] = deque()  # each task with the result or event to resume it with
         self._timers: list[Timer] = []  # a heap
         self._timer_count = 0
-        self._wakeup_us: int | None = None  # the pending wake-up
+        self._wakeup_us: int | None = None  # time of the pending wake-up; None: none was requested
 
     # ---- called by the host
 
     def run(self, generator: CommandGenerator[None], operation: Operation | None = None) -> None:
-        """Start a generator; run it and all tasks that it makes ready until they wait."""
+        """Start a generator; run it and all tasks that it makes ready until they wait.
+
+        Raises:
+            TypeError: The generator yielded something that the engine can't execute.
+        """
         task = Task(generator, operation)
         if operation is not None:
             operation.task = task
@@ -150,12 +154,14 @@
     # ---- resuming tasks
 
     def _deliver(self, task: Task, event: Any) -> None:
+        """Resume a sleeping task with an event; drop the event if the task is not sleeping."""
         if task.is_sleeping and not task.is_finished:
             task.is_sleeping = False
             self._ready.append((task, event))
             self._drain()
 
     def _drain(self) -> None:
+        """Resume ready tasks until none is left."""
         while self._ready:
             task, value = self._ready.popleft()
             self._resume(task, value)
@@ -182,9 +188,9 @@
             if isinstance(command, Call) and self._caller is not None:
                 self._caller.call(task, command)
                 return
-            self._carry_out(task, command)
+            self._execute(task, command)
 
-    def _carry_out(self, task: Task, command: Command) -> None:
+    def _execute(self, task: Task, command: Command) -> None:
         """Execute a command that does not make its task wait."""
         if isinstance(command, Send):
             self._host.send(command.attempt)
@@ -202,7 +208,7 @@
         elif isinstance(command, LogMessage):
             self._host.log(command.text)
         else:
-            raise TypeError(f"a generator yielded {command!r}, which is no command")
+            raise TypeError(f"a generator yielded {command!r}, which this engine can't execute")
 
     # ---- timers
 
--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -27,28 +27,28 @@
 from enum import Enum, auto
 from typing import Any, TypeVar
 
-# ---- settings, read once at start
+# ---- settings, read once when the limiter starts
 
 
 class RepeatSafety(Enum):
     """Whether an operation of a category may be executed more than once."""
 
-    IDEMPOTENT = auto()
-    DEDUPLICATED = auto()
-    NON_IDEMPOTENT = auto()
+    IDEMPOTENT = auto()  # a repeat has no further effect
+    DEDUPLICATED = auto()  # servers discard a repeat by its idempotency key, see `DeduplicationScope`
+    NON_IDEMPOTENT = auto()  # a repeat would have a second effect
 
 
 class DeduplicationScope(Enum):
     """Which servers recognize and discard repeats of a deduplicated operation."""
 
-    ALL = auto()
-    ZONE = auto()
-    CELL = auto()
+    ALL = auto()  # all servers
+    ZONE = auto()  # servers in the same zone as the one that executed it first
+    CELL = auto()  # servers in the same cell as the one that executed it first
 
 
 @dataclass(slots=True)
 class Category:
-    """A class of operations: its urgency, value and safety of repetition."""
+    """A class of operations: how urgent and how valuable they are, and whether they may be repeated."""
 
     name: str
     repeat_safety: RepeatSafety
@@ -58,7 +58,7 @@
     late_value: float = 0.0  # per unit answered after the latency target
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_us: int = 0  # how long a server remembers an idempotency key
-    is_streaming: bool = False
+    is_streaming: bool = False  # whether responses are streamed to the client
 
 
 @dataclass(slots=True)
@@ -67,14 +67,14 @@
 
     name: str
     rate: float  # quota in units per second; 0: no quota
-    burst: float  # units
+    burst: float  # units of the quota that can be used at once
     value_factor: float = 1.0  # multiplies the category's value
     overage_value: float = 0.0  # revenue per unit beyond the quota
     overage_cost: float = 0.0  # cost per unit beyond the quota
     max_in_flight: int = 0  # concurrent attempts; 0: unlimited
     rate_limit_per_s: float = 0.0  # hard limit in units per second; 0: unlimited
-    rate_limit_burst: float = 0.0
-    rate_limit_slack: float = 0.0
+    rate_limit_burst: float = 0.0  # units that can be used at once under the rate limit
+    rate_limit_slack: float = 0.0  # units by which the rate limit may be exceeded; not used by the policy
 
 
 @dataclass(slots=True)
@@ -83,8 +83,8 @@
 
     drain_grace_us: int  # how long attempts may still arrive after a server starts draining
     slow_start_us: int  # duration of a server's warm-up
-    slow_start_initial_weight: float  # fraction of full capacity at its start
-    overload_window_us: int
+    slow_start_initial_weight: float  # fraction of full capacity that a server has when it starts
+    overload_window_us: int  # time over which the load of a warming server is measured
     max_overload_factor: float  # load in a window, relative to capacity, above which a warming server fails
 
 
@@ -92,10 +92,10 @@
 class Permissions:
     """What a limiter may do with an operation."""
 
-    max_attempts: int
-    may_cancel: bool
-    may_hedge: bool
-    may_probe: bool
+    max_attempts: int  # per operation
+    may_cancel: bool  # cancel attempts in flight
+    may_hedge: bool  # start an attempt while another one is in flight
+    may_probe: bool  # send health checks; not used by the policy
     max_retry_after_us: int  # 0: clients get no Retry-After
 
 
@@ -110,9 +110,9 @@
 
 @dataclass(slots=True)
 class CounterSettings:
-    """Availability and time-out of the shared counter service."""
+    """Availability of the shared counter service, and the time-out of a call to it."""
 
-    is_available: bool
+    is_available: bool  # whether there is a counter service at all
     timeout_us: int
 
 
@@ -149,9 +149,9 @@
     address: str
     state: ServerState
     zone: str = ""
-    cell: int = 0
-    weight: float = 1.0
-    shape: str = ""
+    cell: int = 0  # a part of the servers; see `DeduplicationScope`
+    weight: float = 1.0  # capacity relative to other servers
+    shape: str = ""  # machine type; not used by the policy
     started_us: int = 0  # 0: long ago
 
 
@@ -166,11 +166,11 @@
     arrived_us: int
     deadline_us: int  # when the client stops waiting
     gateway_count: int  # number of limiters that share this customer's operations
-    first_gateway_index: int = 0
-    is_client_retry: bool = False
+    first_gateway_index: int = 0  # index of the first of these limiters; not used by the policy
+    is_client_retry: bool = False  # the client has sent it before; not used by the policy
     is_abandoned: bool = False  # the client disconnected or timed out; no answer is needed
-    handle: Any = None  # record of the host
-    task: Any = None  # record of the engine
+    handle: Any = None  # the host's record of it
+    task: Any = None  # the engine's record of it
 
 
 class AttemptOutcome(Enum):
@@ -183,8 +183,8 @@
     TIMED_OUT = auto()
     CONNECT_FAILED = auto()
     CONNECTION_LOST = auto()
-    CANCELLED = auto()
-    NOT_SENT = auto()
+    CANCELLED = auto()  # by the limiter, after the request was sent
+    NOT_SENT = auto()  # the host did not start to send it
 
     @property
     def never_ran(self) -> bool:
@@ -199,9 +199,9 @@
     outcome: AttemptOutcome
     duration_us: int
     is_final: bool = False  # the operation is finished: the client has its answer or needs none
-    server_load: dict[str, float] | None = None
-    settled_units: float = 0.0  # actual cost if it is known only afterwards; 0: as estimated
-    metered_use: int = 0  # the customer's use according to the meter
+    server_load: dict[str, float] | None = None  # load report in the response; None: none
+    settled_units: float = 0.0  # actual units if they are known only afterwards; 0: as estimated
+    metered_use: int = 0  # the customer's use according to the meter; not used by the policy
 
 
 @dataclass(slots=True)
@@ -259,8 +259,8 @@
     """Add to a shared counter; resumed with a `CounterReply`."""
 
     counter_id: int
-    amount: float
-    ttl_us: int
+    amount: float  # may be negative
+    ttl_us: int  # how long the counter service keeps the count after this call
 
 
 @dataclass(slots=True)
@@ -282,12 +282,12 @@
     """The answer to the client for an operation that no server answered."""
 
     RETRY_LATER = auto()  # not executed, or safe to repeat: the client may try again
-    FAILED = auto()  # may have been executed: the client must not assume either
+    FAILED = auto()  # may or may not have been executed
 
 
 @dataclass(slots=True)
 class Reject:
-    """Give the final answer if no server's response is one."""
+    """Give an operation its final answer if it gets no server's response."""
 
     reason: RejectReason
     retry_after_us: int = 0  # 0: no advice
--- a/lapisgrade/rate.py
+++ b/lapisgrade/rate.py
@@ -53,7 +53,7 @@
         self.updated_us = now_us
 
     def wait_us(self, now_us: int, units: float) -> int:
-        """Time until the level reaches `units`; one second if the bucket never fills."""
+        """Time in us until the level reaches `units`; one second if the bucket does not fill."""
         if self.rate_per_s <= 0:
             return SECOND
         return max(0, math.ceil((units - self.read(now_us)) / self.rate_per_s * SECOND))
--- a/lapisgrade/settings.py
+++ b/lapisgrade/settings.py
@@ -1,8 +1,9 @@
 """Reads a limiter's settings, from the bench or a service configuration, into `lapisgrade.interface` types.
 
-The operators define the names in settings; only this module maps them to names in the code. Values are the
-text of a line (the bench) or come from a parsed JSON tree, which `flatten` converts to the same form: one
-path per value, such as `RequestClasses.0.Deadline`. Times are in ms in the settings and in us in the code.
+The operators define the names and defaults of settings; only this module maps the names to those in the
+code. Values are the text of a line (the bench) or come from a parsed JSON tree, which `flatten` converts to
+the same form: one path per value, such as `RequestClasses.0.Deadline`. Times are in ms in the settings and in
+us in the code.
 
 Every reader raises `MalformedInputError` for a value that it can't parse.
 """
@@ -43,7 +44,7 @@
 
 
 class Fields(dict[str, Any]):
-    """Named values, read with the operators' defaults."""
+    """Settings or message fields by name; the methods check and convert them."""
 
     __slots__ = ()
 
@@ -69,7 +70,7 @@
             raise MalformedInputError(f"{name} is not an integer: {value!r}") from None
 
     def number(self, name: str, default: float = 0.0) -> float:
-        """Read a finite number."""
+        """Read a finite number; returns the default if it is missing."""
         value = self.get(name)
         if value is None:
             return default
@@ -97,7 +98,7 @@
         raise MalformedInputError(f"{name} is not 1, 0, true or false: {value!r}")
 
     def choice(self, name: str, table: Mapping[str, Value], default: str | None = None) -> Value:
-        """Read a key of a table and return the value in the table."""
+        """Read a key of `table`; returns its value there. It is required if there is no default."""
         value = self.get(name, default)
         if value is None:
             raise MalformedInputError(f"{name} is missing")
@@ -107,7 +108,7 @@
 
 
 def parse_address(text: Any, name: str) -> tuple[str, int]:
-    """Parse `host:port`; `name` identifies the setting in error messages."""
+    """Parse `host:port`, with a port from 1 to 65535; `name` identifies the setting in error messages."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
         raise MalformedInputError(f"{name} is not a host and a port: {str(text)[:80]!r}")
@@ -121,7 +122,7 @@
         path = prefix + name
         if isinstance(value, list) and all(isinstance(each, dict) for each in value):
             fields[path + ".count"] = len(value)
-            value = {str(i): each for i, each in enumerate(value)}
+            value = {str(index): each for index, each in enumerate(value)}
         if isinstance(value, dict):
             fields.update(flatten(value, path + "."))
         elif value is not None:
@@ -206,7 +207,7 @@
 
 
 def read_max_units(fields: Fields) -> float:
-    """Read the maximum number of units per operation."""
+    """Read the maximum number of units per operation; infinity if there is none."""
     return fields.number("Specifics.UnitsTop") or math.inf
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -199,5 +199,5 @@
     def wrong():
         yield "sleep"
 
-    with pytest.raises(TypeError, match="no command"):
+    with pytest.raises(TypeError, match="yielded 'sleep', which this engine can't execute"):
         setup.engine.run(wrong())
