--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -260,7 +260,7 @@
 
     counter_id: int
     amount: float  # may be negative
-    ttl_us: int  # how long the counter service keeps the count after this call
+    ttl_us: int  # how long the counter service keeps the count, if this call creates it
 
 
 @dataclass(slots=True)
--- a/tests/bench_adapter/test_process.py
+++ b/tests/bench_adapter/test_process.py
@@ -1,4 +1,4 @@
-"""The adapter as a process, with valid and malformed input."""
+"""The adapter as a process, with valid and malformed input. Unknown settings and fields are ignored."""
 
 import subprocess
 import sys
@@ -16,6 +16,7 @@
 
 
 def run_adapter(*batches):
+    """Run the process on the batches, which are 2 ms apart; returns the completed process."""
     text = "".join(f"MARK SimTime={1000 + 2 * i}.0\n{batch}YOUR_TURN\n" for i, batch in enumerate(batches))
     return subprocess.run(
         [sys.executable, "-m", "lapisgrade.bench_adapter"],
@@ -27,12 +28,14 @@
 
 
 def test_an_operation_is_served():
-    done = "COMPLETED LimiterId=0 Ticket=11 SendNo=0 StateCode=200 Duration=3 DoneFlag=1 Server=10.0.0.1:80\n"
-    first = run_adapter(START, ORDER)
-    call = next(line for line in first.stdout.splitlines() if line.startswith("POST_AMOUNT"))
-    name = dict(part.split("=") for part in call.split()[1:])["Counter"]
-    tally = f"TALLY_BACK LimiterId=0 Counter={name} StateCode=200 ResultValue=1 Duration=1.5\n"
-    run = run_adapter(START, ORDER, tally, done + "EXPIRED LimiterId=0 Ticket=11\n")
+    completed = (
+        "COMPLETED LimiterId=0 Ticket=11 SendNo=0 StateCode=200 Duration=3 DoneFlag=1 Server=10.0.0.1:80\n"
+    )
+    first_run = run_adapter(START, ORDER)
+    call = next(line for line in first_run.stdout.splitlines() if line.startswith("POST_AMOUNT"))
+    counter_id = dict(part.split("=") for part in call.split()[1:])["Counter"]
+    reply = f"TALLY_BACK LimiterId=0 Counter={counter_id} StateCode=200 ResultValue=1 Duration=1.5\n"
+    run = run_adapter(START, ORDER, reply, completed + "EXPIRED LimiterId=0 Ticket=11\n")
     assert run.returncode == 0
     assert not run.stderr
     assert run.stdout.count("EOR\n") == 4
@@ -41,7 +44,7 @@
 
 
 def test_each_malformed_line_gets_one_error_message():
-    for line, words in [
+    for line, message in [
         ("NOVELTY LimiterId=0", "unknown message 'NOVELTY'"),
         ("ORDER LimiterId=0 Ticket=x Terms=small UserKey=ab Category=look", "Ticket is not an integer: 'x'"),
         (
@@ -55,7 +58,7 @@
     ]:
         run = run_adapter(START, line + "\n")
         assert run.returncode != 0, line
-        assert words in run.stderr, line
+        assert message in run.stderr, line
         assert "line 8" not in run.stdout, line
         assert run.stderr.count("\n") == 1, run.stderr
         assert run.stderr.startswith("line "), run.stderr
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -1,4 +1,4 @@
-"""Tests of the counter's circuit breaker and call rate."""
+"""The circuit breaker and the call rate for the counter service."""
 
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.policy.counter_breaker import (
@@ -12,7 +12,7 @@
 
 
 def open_breaker(now_us: int) -> CounterBreaker:
-    """A breaker that opened because all calls timed out."""
+    """Return a breaker that opened at about `now_us`, because all calls timed out."""
     breaker = CounterBreaker(True)
     for i in range(MAX_CONSECUTIVE_TIMEOUTS):
         breaker.record_reply(now_us + i, CounterOutcome.TIMED_OUT, now_us + i)
--- a/tests/policy/test_operation_attempts.py
+++ b/tests/policy/test_operation_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions on an operation's attempts; each test drives the generator directly."""
+"""Decisions on an operation's attempts; each test drives the generator without an engine."""
 
 from random import Random
 
@@ -40,7 +40,7 @@
 
 
 class Driver:
-    """Drives one operation's attempts as the engine does."""
+    """Drives one operation's attempts as the engine does; records what they send, cancel and reject."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         self.resume(WakeReason.TIMER)
 
     def finish(self, number: int, outcome: AttemptOutcome) -> None:
-        """Finish an attempt with an outcome."""
+        """Finish the attempt with index `number`; only `OK` is a final answer."""
         attempt = self.sent[number]
         is_final = outcome is AttemptOutcome.OK
         result = AttemptResult(outcome, self.clock.now_us - attempt.sent_us + 1, is_final)
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "attempts"),
+    ("outcome", "attempt_count"),
     [
         (AttemptOutcome.OVERLOADED, 2),
         (AttemptOutcome.CONNECT_FAILED, 2),
@@ -160,20 +160,20 @@
     ],
 )
 def test_a_non_idempotent_operation_is_retried_only_if_it_was_not_executed(
-    outcome: AttemptOutcome, attempts: int
+    outcome: AttemptOutcome, attempt_count: int
 ) -> None:
     driver = Driver(RepeatSafety.NON_IDEMPOTENT)
     driver.finish(0, outcome)
-    assert len(driver.sent) == attempts
-    assert driver.is_finished == (attempts == 1)
+    assert len(driver.sent) == attempt_count
+    assert driver.is_finished == (attempt_count == 1)
 
 
 def test_a_deduplicated_operation_is_retried_only_in_the_zone_of_its_first_attempt() -> None:
     for _ in range(8):
         driver = Driver(RepeatSafety.DEDUPLICATED)
         driver.finish(0, AttemptOutcome.ERROR)
-        first, second = (attempt.server.endpoint.zone for attempt in driver.sent)
-        assert first == second
+        first_zone, second_zone = (attempt.server.endpoint.zone for attempt in driver.sent)
+        assert first_zone == second_zone
 
 
 def test_a_deduplicated_operation_that_may_have_run_fails_if_no_server_is_left() -> None:
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas and rate limits of customers with an available, reset, unresponsive or overloaded counter."""
+"""Quotas and rate limits of customers while the counter is available, reset, unresponsive or overloaded."""
 
 import pytest
 from support.limiter_settings import PLANS, SECOND
@@ -10,7 +10,8 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_the_rate_limit_holds_whatever_the_counter_replies(seed):
-    """The counter does not reply or loses its data, limiters restart, one limiter gets all traffic."""
+    """Guards the rate limit while the counter is silent or loses its data, limiters restart, and one limiter
+    gets all traffic. The simulation checks the limit at each attempt (rule 5)."""
     simulation = LimiterSimulation(seed, limiters=2 + seed % 2, outcome_weights=ALWAYS_OK)
     random = simulation.random
     for step in range(600):
@@ -19,9 +20,9 @@
             simulation.counts.clear()
         if random.random() < 0.02:
             simulation.start_limiter(random.randrange(simulation.limiter_count))
-        is_gathered = step // 150 % 2 == 0
+        is_sent_to_one_limiter = step // 150 % 2 == 0
         simulation.submit(
-            0 if is_gathered else random.randrange(simulation.limiter_count),
+            0 if is_sent_to_one_limiter else random.randrange(simulation.limiter_count),
             0,
             1,
             "hot",
@@ -36,8 +37,8 @@
     for step in range(300):
         simulation.submit(step % 3)
         simulation.run(simulation.now + 50_000)
-    allowed = PLANS[0].burst + PLANS[0].rate * 15
-    assert allowed * 0.8 <= len(simulation.attempts) <= allowed + 3
+    quota = PLANS[0].burst + PLANS[0].rate * 15  # units in the 15 s of the test
+    assert quota * 0.8 <= len(simulation.attempts) <= quota + 3
 
 
 def test_a_counter_that_lost_its_data_grants_no_second_burst():
@@ -45,12 +46,12 @@
     for step in range(60):
         simulation.submit(step % 2)
         simulation.run(simulation.now + 10_000)
-    before = len(simulation.attempts)
+    attempts_before = len(simulation.attempts)
     simulation.counts.clear()
     for step in range(60):
         simulation.submit(step % 2)
         simulation.run(simulation.now + 10_000)
-    assert len(simulation.attempts) - before <= PLANS[0].rate * 0.6 + 2
+    assert len(simulation.attempts) - attempts_before <= PLANS[0].rate * 0.6 + 2
 
 
 def test_an_unresponsive_counter_leaves_each_limiter_a_share():
@@ -59,8 +60,8 @@
     for step in range(300):
         simulation.submit(step % 3)
         simulation.run(simulation.now + 50_000)
-    allowed = PLANS[0].burst + PLANS[0].rate * 15
-    assert allowed * 0.5 < len(simulation.attempts) < allowed * 2.2
+    quota = PLANS[0].burst + PLANS[0].rate * 15  # units in the 15 s of the test
+    assert quota * 0.5 < len(simulation.attempts) < quota * 2.2
 
 
 def test_a_rejection_carries_retry_after():
@@ -74,7 +75,7 @@
 
 
 def test_timed_out_calls_that_were_counted_are_returned():
-    """Guards against shrinking quotas: an overloaded counter had counted operations that were never sent."""
+    """An overloaded counter counted operations that were then never sent, which reduced quotas."""
     simulation = LimiterSimulation(10, limiters=1, outcome_weights=ALWAYS_OK)
     simulation.counter_loss = 0.5
     for _ in range(400):
@@ -98,18 +99,18 @@
     host, plan = simulation.limiters[0], PLANS[0]
     simulation.draw_outcome = lambda: (AttemptOutcome.OK, 5_000)
     for _ in range(2):
-        op = simulation.submit(0)
+        operation = simulation.submit(0)
         simulation.run(simulation.now + 4_000)
-        for sent in host.attempts_by_operation[id(op)]:
+        for sent in host.attempts_by_operation[id(operation)]:
             sent.outcome = AttemptOutcome.OK
             host.limiter.on_attempt_finished(
                 sent.attempt, AttemptResult(AttemptOutcome.OK, 4_000, True, settled_units=4.0)
             )
-            del host.pending[id(op)]
+            del host.pending[id(operation)]
         simulation.run(simulation.now + 10_000)
     lease = 3  # half of the seven units left after the first operation
-    left = host.limiter.accounts["c0"].bucket.level
-    assert left == pytest.approx(plan.burst - 4 - lease, abs=0.1)
+    level = host.limiter.accounts["c0"].bucket.level
+    assert level == pytest.approx(plan.burst - 4 - lease, abs=0.1)
 
 
 def test_a_limiter_that_rarely_calls_the_counter_sees_recent_use():
@@ -117,11 +118,11 @@
     simulation = LimiterSimulation(15, limiters=12, outcome_weights=ALWAYS_OK)
     simulation.run(simulation.now + 20 * SECOND)
     for _ in range(2):
-        before = len(simulation.attempts)
-        for i in range(12):
-            simulation.submit(i)
+        attempts_before = len(simulation.attempts)
+        for limiter_index in range(12):
+            simulation.submit(limiter_index)
             simulation.run(simulation.now + 5_000)
-        assert abs(len(simulation.attempts) - before - PLANS[0].burst) <= 1
+        assert abs(len(simulation.attempts) - attempts_before - PLANS[0].burst) <= 1
         simulation.run(simulation.now + 25 * SECOND)
 
 
@@ -135,7 +136,7 @@
 
 
 def test_amounts_stay_within_the_counters_range():
-    """A bucket that fills in two seconds makes the amounts grow fast; they must not exceed 1e9."""
+    """With a bucket that fills in under 2 s, the amounts grow fast; the counter accepts at most 1e9."""
     simulation = LimiterSimulation(5, outcome_weights=ALWAYS_OK)
     for _ in range(400):
         simulation.submit(simulation.random.randrange(3), 0, 3, units=2)
@@ -144,26 +145,27 @@
 
 
 def test_an_overloaded_counter_is_called_at_the_rate_it_can_serve():
-    """Four limiters want 400 calls/s of a counter that serves 150/s; they must not overload it to a halt."""
-    now, counter_free_us, answered, timed_out, pending_replies = SECOND, 0, 0, 0, []
-    counters = [CounterBreaker(True) for _ in range(4)]
-    while now < 20 * SECOND:
-        now += 2_500
-        for replied_us, counter, *result in [each for each in pending_replies if each[0] <= now]:
-            counter.record_reply(replied_us, *result)
-        pending_replies = [each for each in pending_replies if each[0] > now]
-        counter = counters[now // 2_500 % 4]
-        if counter.try_acquire_call(now):
-            counter_free_us = max(now, counter_free_us) + SECOND // 150
-            in_time = counter_free_us - now <= 30_000
-            answered += in_time
-            timed_out += not in_time
+    """Four limiters want 400 calls/s of a counter that serves 150/s. If they did not reduce their rate, each
+    call would wait longer than its time-out of 30 ms and none would be answered."""
+    now_us, counter_free_us, answered, timed_out, pending_replies = SECOND, 0, 0, 0, []
+    breakers = [CounterBreaker(True) for _ in range(4)]
+    while now_us < 20 * SECOND:
+        now_us += 2_500
+        for replied_us, breaker, *result in [each for each in pending_replies if each[0] <= now_us]:
+            breaker.record_reply(replied_us, *result)
+        pending_replies = [each for each in pending_replies if each[0] > now_us]
+        breaker = breakers[now_us // 2_500 % 4]
+        if breaker.try_acquire_call(now_us):
+            counter_free_us = max(now_us, counter_free_us) + SECOND // 150
+            is_in_time = counter_free_us - now_us <= 30_000
+            answered += is_in_time
+            timed_out += not is_in_time
             pending_replies.append(
                 (
-                    min(counter_free_us, now + 30_000),
-                    counter,
-                    CounterOutcome.ADDED if in_time else CounterOutcome.TIMED_OUT,
-                    now,
+                    min(counter_free_us, now_us + 30_000),
+                    breaker,
+                    CounterOutcome.ADDED if is_in_time else CounterOutcome.TIMED_OUT,
+                    now_us,
                 )
             )
     assert answered > 55 * 20
@@ -171,7 +173,8 @@
 
 
 def test_without_a_counter_call_the_last_total_decides():
-    """A customer with all traffic on one limiter gets its full quota while the counter is overloaded."""
+    """A customer with all traffic on one limiter, whose local share is half of the quota, gets the full quota
+    while the counter is overloaded."""
     simulation = LimiterSimulation(1, limiters=3, outcome_weights=ALWAYS_OK)
     simulation.submit(0, plan=3)
     simulation.run(simulation.now + SECOND)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules of an operation, checked at every step under seeded random faults, and single cases."""
+"""The rules of an operation, checked at each step of a simulation with random faults, and single cases."""
 
 import pytest
 from support.limiter_settings import CATEGORIES, PLANS, SECOND
@@ -9,11 +9,12 @@
 READY, DRAINING, REMOVED = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
-def succeeded(simulation):
+def count_successes(simulation):
     return sum(1 for _, answer, _ in simulation.replies if answer is AttemptOutcome.OK)
 
 
-def rejected(simulation):
+def count_rejections(simulation):
+    """The number of operations whose client was advised to retry later."""
     return sum(
         1
         for _, answer, _ in simulation.replies
@@ -27,29 +28,31 @@
     random, submitted, restarted = simulation.random, 0, 0
     for _ in range(400):
         simulation.run(simulation.now + random.randrange(1_000, 60_000))
-        i, event = random.randrange(simulation.limiter_count), random.random()
-        if event < 0.88:
+        limiter_index, event_draw = random.randrange(simulation.limiter_count), random.random()
+        if event_draw < 0.88:
             plan = random.randrange(len(PLANS))
             timeout_us = random.randrange(30_000, 3 * SECOND) if random.random() < 0.3 else None
             category = random.randrange(len(CATEGORIES))
             customer, units = f"c{plan}{random.randrange(3)}", random.randrange(1, 5)
-            op = simulation.submit(i, category, plan, customer, units, timeout_us)
+            operation = simulation.submit(limiter_index, category, plan, customer, units, timeout_us)
             submitted += 1
             if random.random() < 0.05:
-                simulation.schedule(random.randrange(1, SECOND), simulation.limiters[i].disconnect, op)
-        elif event < 0.94:
+                simulation.schedule(
+                    random.randrange(1, SECOND), simulation.limiters[limiter_index].disconnect, operation
+                )
+        elif event_draw < 0.94:
             name = f"s{random.randrange(6)}"
             simulation.set_states(**{name: random.choice([READY, READY, DRAINING, REMOVED])})
-        elif event < 0.96:
+        elif event_draw < 0.96:
             simulation.is_counter_silent = not simulation.is_counter_silent
-        elif event < 0.98:
+        elif event_draw < 0.98:
             simulation.counts.clear()  # the counter loses its data
         else:
-            simulation.start_limiter(i)
+            simulation.start_limiter(limiter_index)  # restarts it
             restarted += 1
     simulation.run(simulation.now + 20 * SECOND)
     assert all(not host.pending for host in simulation.limiters)
-    assert succeeded(simulation) > 20
+    assert count_successes(simulation) > 20
     assert len(simulation.replies) <= submitted
 
 
@@ -74,5 +77,5 @@
     simulation.set_states(s0=REMOVED)
     simulation.submit(0)
     simulation.run(simulation.now + SECOND)
-    assert rejected(simulation) == 1
+    assert count_rejections(simulation) == 1
     assert not simulation.attempts
--- a/tests/policy/test_server_parts.py
+++ b/tests/policy/test_server_parts.py
@@ -1,4 +1,4 @@
-"""Unit tests of the server pool's parts: latency, concurrency limit, slow start, subsets."""
+"""The server pool's parts, each by itself: latency, concurrency limit, slow start, subsets."""
 
 import pytest
 
@@ -13,10 +13,10 @@
 
 
 def listed_server(number: int, started_us: int = 0, state: ServerState = ServerState.READY) -> ObservedServer:
-    """A server in the endpoint list."""
-    observed = ObservedServer(f"s{number}")
-    observed.endpoint = ServerEndpoint(f"s{number}", state, started_us=started_us)
-    return observed
+    """Return a server that is in the endpoint list."""
+    server = ObservedServer(f"s{number}")
+    server.endpoint = ServerEndpoint(f"s{number}", state, started_us=started_us)
+    return server
 
 
 def test_a_latency_estimate_follows_recent_attempts_and_returns_to_its_initial_value() -> None:
@@ -59,7 +59,8 @@
     slow_start = SlowStart(ServerRules(0, 10 * SECOND, 0.2, SECOND, 3.0), Placement(0, 1, ""))
     started_us = 100 * SECOND
     weights = [
-        slow_start.weight(listed_server(0, started_us), started_us + i * SECOND) for i in (0, 5, 10, 20)
+        slow_start.weight(listed_server(0, started_us), started_us + age_s * SECOND)
+        for age_s in (0, 5, 10, 20)
     ]
     assert weights == pytest.approx([0.2, 0.6, 1.0, 1.0])
 
@@ -73,8 +74,8 @@
     servers = [listed_server(i) for i in range(4 * SUBSET_SIZE)]
     subsets = [choose_subset(servers, Placement(i, 12, "")) for i in range(12)]
     assert {len(subset) for subset in subsets} == {SUBSET_SIZE}
-    counts = [sum(each in subset for subset in subsets) for each in servers]
-    assert set(counts) == {3}
+    limiters_per_server = [sum(each in subset for subset in subsets) for each in servers]
+    assert set(limiters_per_server) == {3}
 
 
 def test_a_subset_excludes_servers_that_are_not_ready() -> None:
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -11,7 +11,7 @@
 READY, DRAINING, REMOVED = ServerState.READY, ServerState.DRAINING, ServerState.REMOVED
 
 
-def succeeded(simulation):
+def count_successes(simulation):
     return sum(1 for _, answer, _ in simulation.replies if answer is AttemptOutcome.OK)
 
 
@@ -28,14 +28,14 @@
 
 
 def test_servers_that_are_all_in_slow_start_get_attempts():
-    """Without any completed work, the slow-start budgets stayed at zero forever."""
+    """As no server had completed any work, the slow-start budgets stayed at zero forever."""
     simulation = LimiterSimulation(9, limiters=2, servers=2, outcome_weights=ALWAYS_OK)
     for state in (REMOVED, READY):
         simulation.set_states(s0=state, s1=state)
     for step in range(200):
         simulation.submit(step % 2, customer=f"c{step}")
         simulation.run(simulation.now + 50_000)
-    assert succeeded(simulation) > 12
+    assert count_successes(simulation) > 12
 
 
 def test_servers_that_are_all_slow_are_not_starved():
@@ -52,11 +52,11 @@
     """When half of the servers were removed, the load of all of them overloaded the other half."""
     simulation = LimiterSimulation(13, limiters=1, servers=6)
     pool = simulation.limiters[0].limiter.server_pool
-    before = pool.concurrency.value
+    limit_before = pool.concurrency.value
     simulation.set_states(s0=REMOVED, s1=DRAINING, s2=REMOVED)
-    assert pool.concurrency.value == pytest.approx(before / 2)
+    assert pool.concurrency.value == pytest.approx(limit_before / 2)
     simulation.set_states(s0=READY, s1=READY, s2=READY)
-    assert pool.concurrency.value == pytest.approx(before / 2)
+    assert pool.concurrency.value == pytest.approx(limit_before / 2)
 
 
 def test_many_limiters_divide_the_servers_evenly():
@@ -71,16 +71,14 @@
     assert set(limiters_per_server) == {10}
     removed = subsets[0][0].address
     simulation.set_states(**{removed: REMOVED})
-    assert all(len(instance.limiter.server_pool.subset) == 6 for instance in simulation.limiters)
+    assert all(len(host.limiter.server_pool.subset) == 6 for host in simulation.limiters)
     assert not any(
-        each.address == removed
-        for instance in simulation.limiters
-        for each in instance.limiter.server_pool.subset
+        each.address == removed for host in simulation.limiters for each in host.limiter.server_pool.subset
     )
 
 
 def test_a_server_that_rejects_one_plan_still_serves_the_others():
-    """Servers that rejected one plan as overloaded were considered unhealthy and slow for all plans."""
+    """Servers that rejected only one plan as overloaded were considered unhealthy and slow for all plans."""
     simulation = LimiterSimulation(18, limiters=1, servers=2)
     simulation.set_states(s1=REMOVED)
     simulation.draw_outcome = lambda: (AttemptOutcome.OVERLOADED, 200_000)
@@ -90,22 +88,24 @@
     simulation.set_states(s1=READY)
     pool, times_chosen = simulation.limiters[0].limiter.server_pool, []
     for plan in (0, 1):
-        op = simulation.submit(0, plan=plan, customer="late")
-        times_chosen.append(sum(pool.choose(op, [], lambda server: True).address == "s0" for _ in range(400)))
+        operation = simulation.submit(0, plan=plan, customer="late")
+        times_chosen.append(
+            sum(pool.choose(operation, [], lambda server: True).address == "s0" for _ in range(400))
+        )
     assert times_chosen[0] < 0.5 * times_chosen[1]
 
 
 def test_removed_servers_and_idle_accounts_are_deleted():
     simulation = LimiterSimulation(2, outcome_weights=ALWAYS_OK)
-    for i in range(400):
-        simulation.submit(i % 3, plan=i % 4, customer=f"once {i}")
-        if i % 4 == 0:
-            simulation.endpoints[f"t{i}"] = ServerEndpoint(
-                f"t{i}", ServerState.READY, "z0", 0, 1.0, "", simulation.now
+    for step in range(400):
+        simulation.submit(step % 3, plan=step % 4, customer=f"once {step}")
+        if step % 4 == 0:
+            simulation.endpoints[f"t{step}"] = ServerEndpoint(
+                f"t{step}", ServerState.READY, "z0", 0, 1.0, "", simulation.now
             )
-            simulation.set_states(**{f"t{i}": ServerState.READY})
-        if i % 4 == 3:
-            simulation.set_states(**{f"t{i - 3}": ServerState.REMOVED})
+            simulation.set_states(**{f"t{step}": ServerState.READY})
+        if step % 4 == 3:
+            simulation.set_states(**{f"t{step - 3}": ServerState.REMOVED})
         simulation.run(simulation.now + SECOND // 2)
     for host in simulation.limiters:
         assert len(host.limiter.accounts) < 60
@@ -113,7 +113,7 @@
 
 
 def test_many_limiters_use_servers_in_slow_start_to_their_capacity():
-    """With many limiters, one limiter's budget for a warming server is less than one attempt. Such servers
+    """With many limiters, one limiter's budget for a warming server is less than one attempt. Warming servers
     got almost no traffic, while warm servers were full and operations were rejected."""
     simulation = LimiterSimulation(19, limiters=40, servers=24, outcome_weights=ALWAYS_OK)
     restarted = {f"s{i}" for i in range(12)}
@@ -129,29 +129,30 @@
 
 
 def test_a_small_concurrency_limit_queues_operations_that_can_be_served_in_time():
-    """With a limit of three attempts, one operation was queued at a time and the others were rejected."""
+    """With a limit of three attempts, one operation was queued at a time and all others were rejected."""
     simulation = LimiterSimulation(20, limiters=12)
     simulation.draw_outcome = lambda: (AttemptOutcome.OK, 120_000)
     for step in range(30):  # one attempt at a time, for 0.12 s; each operation waits at most 0.5 s
         simulation.submit(0, category=1, customer=f"c{step}")
         simulation.run(simulation.now + 20_000)
-    immediate_answers = sum(replied_us < op.arrived_us + 20_000 for op, _, replied_us in simulation.replies)
+    immediate_answers = sum(
+        replied_us < operation.arrived_us + 20_000 for operation, _, replied_us in simulation.replies
+    )
     simulation.run(simulation.now + 2 * SECOND)
     assert simulation.limiters[0].limiter.server_pool.concurrency.value < 2.5
-    assert succeeded(simulation) >= 15
+    assert count_successes(simulation) >= 15
     assert immediate_answers > 4  # operations that could not be served in time are rejected at once
 
 
 def test_the_slow_start_budget_follows_the_load_of_warm_servers():
-    """With half of the subset warming, a mean over all servers halved the budget of warming ones."""
+    """With half of the subset warming, a mean over all servers halved the budget of the warming ones."""
     simulation = LimiterSimulation(21, limiters=1, servers=6)
     pool = simulation.limiters[0].limiter.server_pool
     restarted = ["s0", "s1", "s2"]
     simulation.set_states(**dict.fromkeys(restarted, REMOVED))
     simulation.set_states(**dict.fromkeys(restarted, READY))
-    pool.slow_start.completed_work.add(
-        simulation.now, 3 * LATENCY_DECAY_US
-    )  # full work of the three warm servers
+    # As much work as the three warm servers complete under full load.
+    pool.slow_start.completed_work.add(simulation.now, 3 * LATENCY_DECAY_US)
     server = pool.servers["s0"]
     server.last_sent_us = simulation.now
     pool.slow_start.has_budget(server, simulation.now, pool.subset)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine: events that resume a generator, their order, and requests for wake-ups."""
+"""The engine: which events resume a generator, in which order, and when it requests a wake-up."""
 
 from typing import Any
 
@@ -28,7 +28,7 @@
 
 
 class RecordingHost:
-    """Records the commands that it receives."""
+    """Records the commands that the engine passes on, the counter calls and the requested wake-ups."""
 
     def __init__(self) -> None:
         self.commands: list[Any] = []
@@ -67,11 +67,13 @@
         category = Category("c", RepeatSafety.IDEMPOTENT, 1, 1, 1.0)
         return Operation("u", Plan("p", 0.0, 0.0), category, 1.0, 1_000, 9_000, 1)
 
-    def sleeper(self, *until_us: int):
-        for until in until_us:
-            self.events.append((yield Sleep(until)))
+    def sleeper(self, *times_us: int):
+        """Sleep until each time in turn, and record the events that end the sleeps."""
+        for until_us in times_us:
+            self.events.append((yield Sleep(until_us)))
 
     def advance(self, now_us: int) -> None:
+        """Advance the clock, and run the due timers as a wake-up does."""
         self.clock.now_us = now_us
         self.engine.run_due_timers(is_wakeup=True)
 
@@ -144,11 +146,11 @@
 
 
 def test_an_event_is_dropped_while_the_task_waits_for_the_counter(setup: Setup) -> None:
-    def caller():
+    def adding():
         setup.events.append((yield AddToCounter(1, 1.0, 1)))
 
     operation = setup.operation()
-    setup.engine.run(caller(), operation)
+    setup.engine.run(adding(), operation)
     setup.engine.wake(operation, WakeReason.CLIENT_DISCONNECTED)
     assert setup.events == []
     reply = CounterReply(CounterOutcome.ADDED, 1.0)
@@ -196,8 +198,8 @@
 
 
 def test_a_yielded_value_that_is_not_a_command_is_rejected(setup: Setup) -> None:
-    def wrong():
+    def yielding_text():
         yield "sleep"
 
     with pytest.raises(TypeError, match="yielded 'sleep', which this engine can't execute"):
-        setup.engine.run(wrong())
+        setup.engine.run(yielding_text())
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Reading of the limiter's settings at start-up."""
+"""The limiter's settings: those of the bench and of a service configuration are read alike."""
 
 from types import SimpleNamespace
 
