--- a/lapisgrade/bench_adapter/instance.py
+++ b/lapisgrade/bench_adapter/instance.py
@@ -143,8 +143,8 @@
             units=fields.number("CostUnits", 1.0),
             arrived_us=now_us,
             deadline_us=now_us + fields.duration_us("TimeBudget"),
-            gateway_count=max(1, fields.integer("EntryPoints", 1)),
-            first_gateway_index=fields.integer("FirstDoor", 0),
+            sharing_limiter_count=max(1, fields.integer("EntryPoints", 1)),
+            first_limiter_index=fields.integer("FirstDoor", 0),
             is_client_retry=fields.boolean("AgainByClient"),
             handle=ticket,
         )
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -141,7 +141,7 @@
             return self._finish(task, CloseReason.REJECTED)
         quota_client = self._router.quota_clients.get(request.tenant)
         if quota_client is not None:
-            quota_client.gateway_count = max(1, reply.active_limiters)
+            quota_client.sharing_limiter_count = max(1, reply.active_limiters)
         self._context.metrics.quota_calls_granted += 1
         self._finish(task, CloseReason.ANSWERED, reply.total)
 
--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -92,7 +92,7 @@
     ) -> None:
         """Create the client of a tenant that is new at this proxy."""
         now_us = clock.now_us
-        self.gateway_count = 1
+        self.sharing_limiter_count = 1
         self.tenant = tenant
         self.clock = clock
         self.counter_breaker = OwnerBreaker()
@@ -184,7 +184,7 @@
         has_units = self.bucket.read(now_us) >= 1.0
         if self.counter_breaker.consecutive_timeouts or has_units or not self.plan.rate:
             return wait_us
-        step_us = math.ceil(self.gateway_count / self.plan.rate * SECOND)
+        step_us = math.ceil(self.sharing_limiter_count / self.plan.rate * SECOND)
         earliest_us = max(self._next_retry_us + step_us, now_us + wait_us)
         self._next_retry_us = min(earliest_us, now_us + MAX_RETRY_AFTER_US)
         return self._next_retry_us - now_us
--- a/lapisgrade/gateway/routing/request.py
+++ b/lapisgrade/gateway/routing/request.py
@@ -17,7 +17,7 @@
     plan: Any = None
     category: Any = None
     units: float = 1.0
-    gateway_count: int = 1
+    sharing_limiter_count: int = 1
     rule: Rule
     tenant: Tenant | None  # None: a public route
     service: str
--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -165,8 +165,8 @@
     units: float  # units charged to the quota
     arrived_us: int
     deadline_us: int  # when the client stops waiting
-    gateway_count: int  # number of limiters that share this customer's operations
-    first_gateway_index: int = 0  # index of the first of these limiters; not used by the policy
+    sharing_limiter_count: int  # number of limiters that share this customer's operations
+    first_limiter_index: int = 0  # index of the first of these limiters; not used by the policy
     is_client_retry: bool = False  # the client has sent it before; not used by the policy
     is_abandoned: bool = False  # the client disconnected or timed out; no answer is needed
     handle: Any = None  # the host's record of it
--- a/lapisgrade/lab/baselines/local.py
+++ b/lapisgrade/lab/baselines/local.py
@@ -9,7 +9,7 @@
 
 
 class LocalBucketPolicy(BaselinePolicy):
-    """Gives each limiter an equal share of the quota: `rate / gateway_count` and `burst / gateway_count`.
+    """Gives each limiter an equal share of the quota: rate and burst divided by `sharing_limiter_count`.
 
     Attributes:
         buckets: Tokens and the time of their last update, in us, by customer.
@@ -20,7 +20,7 @@
         self.buckets: dict[str, tuple[float, int]] = {}
 
     def handle(self, op: Operation) -> Generator:
-        now_us, count = self.clock.now_us, max(1, op.gateway_count)
+        now_us, count = self.clock.now_us, max(1, op.sharing_limiter_count)
         rate, burst = op.plan.rate / count, op.plan.burst / count
         tokens, updated_us = self.buckets.get(op.customer, (burst, now_us))
         tokens = min(burst, tokens + rate * (now_us - updated_us) / SECOND)
--- a/lapisgrade/lab/explore/quota_limiter.py
+++ b/lapisgrade/lab/explore/quota_limiter.py
@@ -128,7 +128,7 @@
     def _counter_reply(self, reply: rpc_messages.QuotaReply) -> CounterReply:
         if not reply.is_accepted:
             return CounterReply(CounterOutcome.REJECTED)
-        self.quota_client.gateway_count = max(1, reply.active_limiters)
+        self.quota_client.sharing_limiter_count = max(1, reply.active_limiters)
         return CounterReply(CounterOutcome.ADDED, reply.total)
 
     def on_counter_reply(self, task: Any, reply: CounterReply) -> None:
--- a/lapisgrade/net/request_parser.py
+++ b/lapisgrade/net/request_parser.py
@@ -87,8 +87,8 @@
             units=quota.units,
             arrived_us=now_us,
             deadline_us=now_us + min(round(timeout_s * SECOND), category.timeout_us),
-            gateway_count=quota.spread,
-            first_gateway_index=quota.first,
+            sharing_limiter_count=quota.spread,
+            first_limiter_index=quota.first,
             is_client_retry=headers.get(b"x-retried") == b"1",
             handle=ClientRequest(
                 client,
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -73,7 +73,7 @@
             started_us: When this limiter started.
         """
         plan = first_operation.plan
-        self.gateway_count = first_operation.gateway_count
+        self.sharing_limiter_count = first_operation.sharing_limiter_count
         self.clock = clock
         self.counter_breaker = counter_breaker
         self.plan = plan
@@ -81,14 +81,14 @@
         # Use decays to 1/e in the time in which the bucket fills, here and on the counter.
         self.decay_us = max(SECOND, int(plan.burst / plan.rate * SECOND)) if plan.rate > 0 else SECOND
         self._reset(clock.now_us, plan)
-        share = LOCAL_SHARE_FACTOR / self.gateway_count
+        share = LOCAL_SHARE_FACTOR / self.sharing_limiter_count
         local_burst = plan.burst * share
         self.local_bucket = TokenBucket(clock.now_us, plan.rate * share, local_burst, local_burst)
         # The rate limit is divided evenly among the limiters. Its bucket is empty when the limiter starts, so
         # that a restart grants no second burst.
-        rate = plan.rate_limit_per_s / self.gateway_count
+        rate = plan.rate_limit_per_s / self.sharing_limiter_count
         if rate > 0:
-            burst = plan.rate_limit_burst / self.gateway_count
+            burst = plan.rate_limit_burst / self.sharing_limiter_count
             self.rate_limit_bucket = TokenBucket(started_us, rate, burst, 0.0)
 
     def _reset(self, now_us: int, plan: Plan) -> None:
@@ -230,7 +230,7 @@
         extrapolated, is a better estimate than an even share.
         """
         total_use, own_use = max(self.total_use.read(now_us), 1e-9), self.own_use.read(now_us)
-        share = min(1.0, LOCAL_SHARE_FACTOR * max(1 / self.gateway_count, own_use / total_use))
+        share = min(1.0, LOCAL_SHARE_FACTOR * max(1 / self.sharing_limiter_count, own_use / total_use))
         required = min(units, self.plan.burst * share)
         remaining = self.unclamped_level(now_us) - self.estimated_use_of_others(now_us)
         available = min(self.plan.burst, remaining) * share - self.unreported.read(now_us)
@@ -263,7 +263,7 @@
     def _units_to_request(self, units: float) -> float:
         """Units to request: half of an even share of the remaining quota, for at least one operation."""
         level = self.bucket.read(self.clock.now_us) if self.is_level_known else 0.0
-        operations = max(1, int(level / (2 * self.gateway_count * units)))
+        operations = max(1, int(level / (2 * self.sharing_limiter_count * units)))
         return min(MAX_LEASE_OPERATIONS, operations) * units
 
     def _resolve_without_counter(self, correction: float, outcome: CounterOutcome) -> CommandGenerator[None]:
--- a/tests/gateway/quota/test_client.py
+++ b/tests/gateway/quota/test_client.py
@@ -30,7 +30,7 @@
 def test_retry_after_grows_when_the_count_is_exhausted_and_not_when_it_is_unreachable():
     clock = Clock(10 * SECOND)
     client = QuotaClient(clock, Tenant("t", rate_s=10, burst=5), SLO, 4, 0)
-    client.gateway_count = 4
+    client.sharing_limiter_count = 4
     client.bucket.set_level(clock.now_us, -1.0)
     delays_us = [client.retry_after_us(clock.now_us, 200_000) for _ in range(4)]
     assert delays_us == [400_000, 800_000, 1_200_000, 1_600_000]
--- a/tests/support/quota_simulation.py
+++ b/tests/support/quota_simulation.py
@@ -73,7 +73,7 @@
         reply = owner.quota_owner.add(simulation.now, request, simulation.now + SECOND)
         if not reply.is_accepted:
             return CounterReply(CounterOutcome.REJECTED)
-        self.quota_client.gateway_count = reply.active_limiters
+        self.quota_client.sharing_limiter_count = reply.active_limiters
         return CounterReply(CounterOutcome.ADDED, reply.total)
 
     def _on_reply(self, task: Any, reply: CounterReply) -> None:
