--- a/lapisgrade/gateway/quota/client.py
+++ b/lapisgrade/gateway/quota/client.py
@@ -18,7 +18,7 @@
 from lapisgrade.gateway.settings import Slo
 from lapisgrade.interface import AddToCounter, Clock, CounterOutcome, CounterReply, Plan
 from lapisgrade.policy.account import Account
-from lapisgrade.policy.counter_breaker import MAX_CONSECUTIVE_TIMEOUTS, CounterBreaker
+from lapisgrade.policy.counter_breaker import MAX_CONSECUTIVE_FAILURES, CounterBreaker
 from lapisgrade.rate import TokenBucket
 
 # Maximum delay between the grant of a unit and its arrival at a server, in addition to a lease's duration.
@@ -77,9 +77,9 @@
     def record_reply(self, now_us: int, outcome: CounterOutcome, sent_us: int) -> None:
         """Count consecutive calls that the owner did not answer."""
         if outcome is CounterOutcome.ADDED:
-            self.consecutive_timeouts = 0
+            self.consecutive_failures = 0
         else:
-            self.consecutive_timeouts += 1
+            self.consecutive_failures += 1
 
 
 class QuotaClient(Account):
@@ -143,7 +143,7 @@
         """
         breaker = self.counter_breaker
         if self.is_calling:
-            return breaker.consecutive_timeouts < MAX_CONSECUTIVE_TIMEOUTS
+            return breaker.consecutive_failures < MAX_CONSECUTIVE_FAILURES
         return breaker.try_acquire_call(now_us)
 
     def consume(self, now_us: int, units: float, is_local: bool = False) -> None:
@@ -182,7 +182,7 @@
             wait_us: Minimum delay.
         """
         has_units = self.bucket.read(now_us) >= 1.0
-        if self.counter_breaker.consecutive_timeouts or has_units or not self.plan.rate:
+        if self.counter_breaker.consecutive_failures or has_units or not self.plan.rate:
             return wait_us
         step_us = math.ceil(self.sharing_limiter_count / self.plan.rate * SECOND)
         earliest_us = max(self._next_retry_us + step_us, now_us + wait_us)
--- a/lapisgrade/policy/counter_breaker.py
+++ b/lapisgrade/policy/counter_breaker.py
@@ -3,7 +3,7 @@
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.rate import SECOND, TokenBucket
 
-MAX_CONSECUTIVE_TIMEOUTS = 3  # failed calls in a row that open the breaker; given by the design
+MAX_CONSECUTIVE_FAILURES = 3  # failed calls in a row that open the breaker; given by the design
 PROBE_INTERVAL_US = SECOND  # interval between calls while the breaker is open; given by the design
 MAX_CALL_RATE = 200.0  # calls per second, initially and at most; allows one call per operation
 CALL_RATE_FACTOR = 0.03  # relative increase of the call rate per successful call
@@ -26,7 +26,7 @@
     def __init__(self, is_available: bool) -> None:
         """Create a closed breaker; if no counter `is_available`, it allows no calls."""
         self.is_available = is_available
-        self.consecutive_timeouts = 0
+        self.consecutive_failures = 0
         self.next_probe_us = 0
         self.last_backoff_us = 0  # when the rate was last reduced
         self.call_budget = TokenBucket(0, MAX_CALL_RATE, MAX_CALL_RATE * CALL_BURST_S, 1.0)
@@ -34,7 +34,7 @@
     @property
     def is_open(self) -> bool:
         """Whether the counter is considered unreachable."""
-        return self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS
+        return self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
 
     def try_acquire_call(self, now_us: int) -> bool:
         """Reserve one call; returns whether it is allowed now."""
@@ -53,11 +53,11 @@
         budget = self.call_budget
         budget.set_level(now_us, budget.read(now_us))
         if outcome is CounterOutcome.ADDED:
-            self.consecutive_timeouts = 0
+            self.consecutive_failures = 0
             increased_rate = budget.rate_per_s * (1 + CALL_RATE_FACTOR) + CALL_RATE_STEP
             budget.rate_per_s = min(MAX_CALL_RATE, increased_rate)
         elif sent_us > self.last_backoff_us:  # calls that were in flight together count as one failure
-            self.consecutive_timeouts += 1
+            self.consecutive_failures += 1
             self.last_backoff_us = now_us
             budget.rate_per_s *= CALL_RATE_BACKOFF
         budget.burst = max(1.0, budget.rate_per_s * CALL_BURST_S)
--- a/tests/gateway/quota/test_client.py
+++ b/tests/gateway/quota/test_client.py
@@ -38,5 +38,5 @@
     assert client.retry_after_us(clock.now_us + 9 * SECOND, 300_000) == 300_000
     client.bucket.set_level(clock.now_us, -500.0)
     assert max(client.retry_after_us(clock.now_us, 200_000) for _ in range(50)) <= 5 * SECOND
-    client.counter_breaker.consecutive_timeouts = 1
+    client.counter_breaker.consecutive_failures = 1
     assert [client.retry_after_us(clock.now_us, 300_000) for _ in range(3)] == [300_000] * 3
--- a/tests/policy/test_counter_breaker.py
+++ b/tests/policy/test_counter_breaker.py
@@ -3,7 +3,7 @@
 from lapisgrade.interface import CounterOutcome
 from lapisgrade.policy.counter_breaker import (
     MAX_CALL_RATE,
-    MAX_CONSECUTIVE_TIMEOUTS,
+    MAX_CONSECUTIVE_FAILURES,
     PROBE_INTERVAL_US,
     CounterBreaker,
 )
@@ -14,7 +14,7 @@
 def open_breaker(now_us: int) -> CounterBreaker:
     """Return a breaker that opened at about `now_us`, because all calls timed out."""
     breaker = CounterBreaker(True)
-    for i in range(MAX_CONSECUTIVE_TIMEOUTS):
+    for i in range(MAX_CONSECUTIVE_FAILURES):
         breaker.record_reply(now_us + i, CounterOutcome.TIMED_OUT, now_us + i)
     return breaker
 
@@ -23,7 +23,7 @@
     assert not CounterBreaker(False).try_acquire_call(SECOND)
 
 
-def test_the_breaker_opens_after_consecutive_timeouts_and_admits_periodic_probes() -> None:
+def test_the_breaker_opens_after_consecutive_failures_and_admits_periodic_probes() -> None:
     breaker = open_breaker(SECOND)
     assert breaker.is_open
     assert breaker.try_acquire_call(2 * SECOND)
@@ -39,9 +39,9 @@
 
 def test_calls_in_flight_together_count_as_one_timeout() -> None:
     breaker = CounterBreaker(True)
-    for _ in range(MAX_CONSECUTIVE_TIMEOUTS):
+    for _ in range(MAX_CONSECUTIVE_FAILURES):
         breaker.record_reply(2 * SECOND, CounterOutcome.TIMED_OUT, SECOND)
-    assert breaker.consecutive_timeouts == 1
+    assert breaker.consecutive_failures == 1
 
 
 def test_the_call_rate_backs_off_and_recovers_up_to_its_maximum() -> None:
