--- a/lapisgrade/net/client_connection.py
+++ b/lapisgrade/net/client_connection.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from lapisgrade.net.client_listener import ClientListener
 
-MAX_UNREAD_BYTES = 4 * MAX_BODY_BYTES  # limit on the responses buffered for a client that does not read
+MAX_UNREAD_BYTES = 4 * MAX_BODY_BYTES  # maximum size of responses buffered for a client that does not read
 _OK = 200
 _REQUEST_TIMEOUT = 408
 _SERVICE_UNAVAILABLE = 503
@@ -58,6 +58,7 @@
     )
 
     def __init__(self, listener: "ClientListener", writer: asyncio.StreamWriter) -> None:
+        """Create the connection of an accepted socket; `run` reads it."""
         self._listener = listener
         self._writer = writer
         self._parser = MessageParser(h11.SERVER, listener.max_body_bytes, listener.max_head_bytes)
@@ -99,7 +100,7 @@
         self._writer.transport.abort()
 
     def on_request_timeout(self) -> None:
-        """Close a connection without a complete request in time; idle or slow peers use up descriptors."""
+        """Close a connection without a complete request in time; silent or slow peers use up descriptors."""
         if self.state is ClientState.RECEIVING:
             self._end_receiving()
             self.respond_at_once(_REQUEST_TIMEOUT, close=True, reason=CloseReason.TIMED_OUT)
@@ -124,7 +125,14 @@
         close: bool,
         reason: CloseReason = CloseReason.ANSWERED,
     ) -> None:
-        """Write an empty response to a request that is not forwarded; `close` closes the connection."""
+        """Write an empty response to a request that is not forwarded.
+
+        Args:
+            status: The status code.
+            header_lines: Additional header fields, each line terminated by CRLF.
+            close: Whether to close the connection after the response.
+            reason: The close reason for the metrics.
+        """
         self._write_response(status, [], 0, header_lines, close=close, reason=reason)
 
     def _write_response(
@@ -169,7 +177,7 @@
         if chunk and self.state is ClientState.AWAITING_RESPONSE:
             self._pipelined += chunk
             if len(self._pipelined) > 2 * self._listener.max_body_bytes:
-                self.abort(CloseReason.MALFORMED)  # `run` then reports the disconnect
+                self.abort(CloseReason.MALFORMED)  # bounds memory; `run` then reports the disconnect
 
     def _on_partial_request(self) -> None:
         self._listener.mark_receiving(self)
@@ -206,7 +214,7 @@
         listener.enqueue(RequestReceived(operation))
 
     def _detach_operation(self) -> Operation:
-        """Return the current operation and clear it; its request no longer awaits a response."""
+        """Clear the current operation and return it; its request no longer awaits a response."""
         operation, self._operation = self._operation, None
         self.state = ClientState.NO_REQUEST
         operation.handle.client = None
--- a/lapisgrade/net/client_listener.py
+++ b/lapisgrade/net/client_listener.py
@@ -17,7 +17,7 @@
 # request must get an error response or be closed within 3 s.
 REQUEST_TIMEOUT_S = 2.0  # time to a complete request, from connecting or from the request's first byte
 IDLE_TIMEOUT_S = 2.0  # maximum idle time after a response; clients that reuse a connection do so sooner
-IDLE_DIVISOR = 4  # the limit on connections divided by this may be idle for IDLE_TIMEOUT_S
+IDLE_DIVISOR = 4  # one in this many of the allowed connections may be idle for IDLE_TIMEOUT_S
 CHECK_INTERVAL_S = 0.2  # interval between checks of REQUEST_TIMEOUT_S and IDLE_TIMEOUT_S
 # Minimum time without a request, since connecting or since the last response, before a connection is closed
 # early. An active client sends its request within this time.
@@ -63,7 +63,7 @@
         self.log = log
         self.metrics = metrics
         self.open_request_ids: set[bytes] = set()
-        self.clients: dict[ClientConnection, None] = {}
+        self.clients: dict[ClientConnection, None] = {}  # all open connections, in order of acceptance
         # Connections without an open request, with the start of that state in seconds of the loop's clock;
         # longest first.
         self.awaiting_first_request: dict[ClientConnection, float] = {}
@@ -73,7 +73,7 @@
         self._now = now
         self._parser = parser
         self._max_connections = max_connections
-        self._idle_at_last_close: list[ClientConnection] = []
+        self._idle_at_last_close: list[ClientConnection] = []  # at the last call of `close_idle`
         self._server: asyncio.Server | None = None
         self._check_timer: asyncio.TimerHandle | None = None
 
@@ -83,9 +83,10 @@
         Raises:
             OSError: The address is in use.
         """
-        listener = socket.create_server(address)
-        self._server = await asyncio.start_server(self._accept, sock=listener, backlog=ACCEPT_BATCH)
-        listener.listen(BACKLOG)
+        listening_socket = socket.create_server(address)
+        # asyncio accepts up to `backlog` connections per turn; the kernel's backlog is then set separately.
+        self._server = await asyncio.start_server(self._accept, sock=listening_socket, backlog=ACCEPT_BATCH)
+        listening_socket.listen(BACKLOG)
         self._close_expired()
 
     def is_listening(self) -> bool:
@@ -97,7 +98,7 @@
         self._server.close()
 
     def close_idle(self) -> None:
-        """Close connections after their next response, and now those idle since the last call.
+        """Close each connection after its next response, and immediately those idle since the last call.
 
         The service calls this repeatedly while it drains.
         """
@@ -163,8 +164,8 @@
         already be on its way and would be lost. An idle connection is evicted without that grace.
         """
         oldest = next(iter(self.awaiting_first_request), newest)
-        latest = asyncio.get_running_loop().time() - EVICTION_GRACE_S
-        if oldest is not newest and self.awaiting_first_request[oldest] < latest:
+        latest_start_s = asyncio.get_running_loop().time() - EVICTION_GRACE_S
+        if oldest is not newest and self.awaiting_first_request[oldest] < latest_start_s:
             oldest.abort(CloseReason.TIMED_OUT)
         elif self.idle:
             next(iter(self.idle)).abort(CloseReason.IDLE)
@@ -175,18 +176,18 @@
         """Close connections without a request, to free descriptors and memory; schedule the next check."""
         loop = asyncio.get_running_loop()
         self._check_timer = loop.call_later(CHECK_INTERVAL_S, self._close_expired)
-        now = loop.time()
+        now_s = loop.time()
         expired = [
             client
-            for client, since in self.awaiting_first_request.items()
-            if since < now - self.request_timeout_s
+            for client, since_s in self.awaiting_first_request.items()
+            if since_s < now_s - self.request_timeout_s
         ]
         for client in expired:
             client.on_request_timeout()
         # The load balancers in front of the limiter open a bounded number of connections, so clients that
-        # send one request and stay connected take capacity from active ones. Beyond a share of the limit, the
-        # longest idle connections are therefore closed earlier.
+        # send one request and stay connected take capacity from active ones. If more than the allowed part of
+        # the connections is idle, those idle for longest are therefore closed earlier.
         excess = len(self.idle) - self._max_connections // IDLE_DIVISOR
-        for i, (client, since) in enumerate(list(self.idle.items())):
-            if since < now - (EVICTION_GRACE_S if i < excess else self.idle_timeout_s):
+        for position, (client, since_s) in enumerate(list(self.idle.items())):
+            if since_s < now_s - (EVICTION_GRACE_S if position < excess else self.idle_timeout_s):
                 client.close(CloseReason.IDLE)
--- a/lapisgrade/net/connection.py
+++ b/lapisgrade/net/connection.py
@@ -8,7 +8,7 @@
 
 
 class CountingStreamReader(asyncio.StreamReader):
-    """A stream reader that counts the received bytes that were not read yet."""
+    """A stream reader that counts the bytes that were received but not read yet."""
 
     unread_bytes = 0
 
@@ -53,6 +53,7 @@
     """
     if writer.is_closing() or reader.at_eof() or reader.unread_bytes:
         return True
+    # Readable: the kernel has data, or the end of the connection, that asyncio has not received yet.
     return bool(select.select([writer.get_extra_info("socket")], [], [], 0)[0])
 
 
--- a/lapisgrade/net/connection_pool.py
+++ b/lapisgrade/net/connection_pool.py
@@ -38,7 +38,7 @@
             log: Writes one log line.
             metrics: Counters to update.
             settings: Time-outs of connections.
-            max_connections: Maximum number of open connections.
+            max_connections: Maximum number of open connections; an idle one is closed for a new one.
             protocol: Protocol of the servers; `ServerProtocol` by default.
         """
         self._enqueue = enqueue
@@ -52,7 +52,7 @@
         self.last_received_us: dict[str, int] = {}  # time of the last data received, by server
         self._in_flight: dict[Any, UpstreamConnection] = {}  # by attempt
         self._idle: dict[str, list[UpstreamConnection]] = {}  # by server; longest idle first
-        self._open_connections = 0
+        self._open_connections = 0  # number of connections, including those being established
         self._is_expiry_scheduled = False
 
     # ---- attempts
@@ -73,7 +73,7 @@
             self._in_flight[attempt] = UpstreamConnection(self, server, attempt)
 
     def cancel(self, attempt: Any) -> None:
-        """Close the connection of an attempt that is no longer needed."""
+        """Close the connection of an attempt that is no longer needed; does nothing if it has ended."""
         connection = self._in_flight.get(attempt)
         if connection is not None:
             connection.close(CloseReason.CANCELLED)
--- a/lapisgrade/net/counter_client.py
+++ b/lapisgrade/net/counter_client.py
@@ -40,7 +40,7 @@
 
 
 class CounterCall:
-    """One call; `task` is None once its result is reported, for example after a time-out."""
+    """One call; `task` waits for its result and is None once that is reported, for example at a time-out."""
 
     __slots__ = ("frame", "is_written", "task", "timer")
 
@@ -67,14 +67,16 @@
     )
 
     def __init__(self, client: "CounterClient", address: tuple[str, int]) -> None:
+        """Start to connect to `address`."""
         self._client = client
         self._address = address
         self.pending: deque[CounterCall] = deque()  # waiting for the connection
         self.in_flight: deque[CounterCall] = deque()  # written, without a reply
         self._reader: CountingStreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
-        self._last_received_s = 0.0  # last read, or last write with no call in flight
-        self._buffer = b""
+        # Time on the loop's clock of the last read, or of the last write with no other call in flight.
+        self._last_received_s = 0.0
+        self._buffer = b""  # start of an incomplete reply
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def ensure_usable(self) -> bool:
@@ -102,7 +104,7 @@
         self._writer.write(call.frame)
 
     def close(self, reason: CloseReason) -> None:
-        """Close immediately; calls that were written may have been executed."""
+        """Close immediately and finish all calls with `reason`; those written may have been executed."""
         self._client.on_connection_closed(self)
         for call in (*self.in_flight, *self.pending):
             self._client.on_call_finished(call, reason)
--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -27,7 +27,8 @@
     "terminating": ServerState.DRAINING,
     "terminated": ServerState.REMOVED,
 }
-RESPONSE_TIMEOUT_S = 2.0  # time to a response, by the protocol; for a watch, after its own time-out
+# Maximum time to a response, set by the protocol; for a watch, the maximum after the watch's own time-out.
+RESPONSE_TIMEOUT_S = 2.0
 _TARGET = "/discovery/hosts"
 _OK = 200
 _US_PER_MS = 1000
@@ -159,7 +160,11 @@
     async def _poll(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str, version: int | None
     ) -> tuple[int, bool]:
-        """Make one call; returns the version of the list, and whether the agent closes the connection."""
+        """Make one call and apply the list; returns its version, and whether the agent closes the connection.
+
+        Raises:
+            DiscoveryRejectedError: The agent answered with an error status.
+        """
         target, wait_s = _TARGET, 0.0
         if version is not None:
             wait_s = MAX_STALENESS_S - RESPONSE_TIMEOUT_S
--- a/lapisgrade/net/event_loop.py
+++ b/lapisgrade/net/event_loop.py
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._skipped = 0
+        self._skipped = 0  # polls skipped since the last one
         self._polled_at_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, Any]]:
--- a/lapisgrade/net/events.py
+++ b/lapisgrade/net/events.py
@@ -14,15 +14,15 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """The parts of a client's request that are forwarded to servers; the `handle` of an operation."""
+    """A client's request as it is forwarded to servers; the `handle` of its operation."""
 
     client: ResponseWriter | None  # None once the client is answered or has disconnected
     method: bytes
     target: bytes
     host: bytes
     request_id: bytes
-    key: bytes | None
-    body: list[memoryview | bytes]
+    key: bytes | None  # the idempotency key
+    body: list[memoryview | bytes]  # slices of the body
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
 class AttemptClosed:
     """An attempt ended on its connection; `message` is None without a complete response.
 
-    The host converts it to an `interface.AttemptResult`, after it decided whether to forward the response.
+    The host decides whether to forward the response, and converts the event to an `interface.AttemptResult`.
     """
 
     attempt: Any
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -92,7 +92,7 @@
         self.engine = Engine(self, self.clock, self)
         self.policy = build_policy(self.clock)
         self.unanswered: dict[ClientRequest, Operation] = {}  # operations awaiting a final response
-        self._wake_at_us = 0  # time of the most recently requested wake-up
+        self._wakeup_us = 0  # time of the most recently requested wake-up
 
     async def run(self) -> None:
         """Handle events until cancelled."""
@@ -162,7 +162,7 @@
         self.policy.update_servers(event.endpoints, event.is_complete)
 
     def _on_timer_fired(self, event: TimerFired) -> None:
-        self.engine.run_due_timers(is_wakeup=event.due_us == self._wake_at_us)
+        self.engine.run_due_timers(is_wakeup=event.due_us == self._wakeup_us)
 
     # ---- responses
 
@@ -212,7 +212,7 @@
 
     def schedule_wakeup(self, when_us: int) -> None:
         """Enqueue a `TimerFired` at `when_us` on the clock of `now`. A later request replaces this one."""
-        self._wake_at_us = when_us
+        self._wakeup_us = when_us
         delay_s = max(0, when_us - self.now()) / SECOND
         asyncio.get_running_loop().call_later(
             delay_s, call_after_pending_io, lambda: self.enqueue(TimerFired(when_us))
--- a/lapisgrade/net/http.py
+++ b/lapisgrade/net/http.py
@@ -33,8 +33,8 @@
     """One complete request or response."""
 
     head: h11.Request | h11.Response
-    body: list[memoryview | bytes]
-    size: int  # bytes of body
+    body: list[memoryview | bytes]  # slices of the body
+    size: int  # total bytes of the body
     trailing_data: bytes  # already read, but part of the next message
     closes_connection: bool  # no further message may follow on this connection (RFC 9112, section 9.3)
 
@@ -51,7 +51,13 @@
     def __init__(
         self, role: type, max_body_bytes: int = MAX_BODY_BYTES, max_head_bytes: int = MAX_HEAD_BYTES
     ) -> None:
-        """`role` is the local role: `h11.SERVER` parses a request, `h11.CLIENT` a response."""
+        """Create a parser.
+
+        Args:
+            role: The local role: `h11.SERVER` parses a request, `h11.CLIENT` a response.
+            max_body_bytes: Maximum size of the body.
+            max_head_bytes: Maximum size of the start line and the header fields.
+        """
         self._machine = h11.Connection(role, max_incomplete_event_size=max_head_bytes)
         self._max_body_bytes = max_body_bytes
         self._awaits_response = role is h11.CLIENT
--- a/lapisgrade/net/poll_backoff.py
+++ b/lapisgrade/net/poll_backoff.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-MAX_STALENESS_S = 6.0  # time until a change of the list counts as known, by the protocol
-MAX_RENEWAL_DELAY_S = 0.2  # time within which a watch must be renewed to continue, by the protocol
+MAX_STALENESS_S = 6.0  # time after which a change of the list counts as known, set by the protocol
+MAX_RENEWAL_DELAY_S = 0.2  # time within which a watch must be renewed to continue, set by the protocol
 MAX_BACKOFF_S = 60.0  # maximum delay after repeated rejections; equals the longest time-out of a watch
-_MAX_DOUBLINGS = 16
+_MAX_DOUBLINGS = 16  # bounds the exponent; the delay reaches MAX_BACKOFF_S before
 
 
 class PollBackoff:
@@ -21,6 +21,7 @@
     __slots__ = ("_limiters", "_random", "_rejections")
 
     def __init__(self, random: Random, limiters: int) -> None:
+        """Create the backoff of one of `limiters` limiters; `random` draws the jitter."""
         self._random = random
         self._limiters = limiters
         self._rejections = 0  # consecutive rejections since the last successful call
--- a/lapisgrade/net/rate_limited_log.py
+++ b/lapisgrade/net/rate_limited_log.py
@@ -16,9 +16,9 @@
     def __init__(self, name: str, print_line: Callable[[str], None] | None = None) -> None:
         """`print_line` prints each line; the default prints to standard error."""
         self._print = print_line or functools.partial(_print_to_standard_error, name)
-        self._second = 0
-        self._printed = 0  # lines in that second
-        self._omitted = 0
+        self._second = 0  # second of the last line, on the monotonic clock
+        self._printed = 0  # lines in that second, printed or omitted
+        self._omitted = 0  # lines omitted in that second
 
     def write(self, text: str) -> None:
         """Print a line, or count it as omitted if the limit is exceeded."""
--- a/lapisgrade/net/request_parser.py
+++ b/lapisgrade/net/request_parser.py
@@ -2,7 +2,7 @@
 
     X-Priority-Class: NAME                      the category
     X-Plan: NAME                                the customer's plan
-    X-Customer: 16 hex digits
+    X-Customer: 16 hex digits                   the customer
     X-Quota: units=U, spread=N, first=K         the cost, and the limiters that share the customer's quota
     X-Timeout: SECONDS                          the client's time-out
     X-Request-ID: 1 to 128 visible characters
@@ -40,9 +40,9 @@
 class _Quota:
     """The X-Quota header field."""
 
-    units: float
-    spread: int
-    first: int
+    units: float  # cost of the operation
+    spread: int  # number of limiters that share the customer's quota
+    first: int  # index of the first of these limiters
 
 
 class RequestParser:
@@ -51,6 +51,7 @@
     def __init__(
         self, categories: list[Category], plans: list[Plan], limiters: int, max_units: float
     ) -> None:
+        """Create a parser for a service with `limiters` limiters and at most `max_units` per operation."""
         self._categories = {each.name.encode(): each for each in categories}
         self._plans = {each.name.encode(): each for each in plans}
         self._limiters = limiters
--- a/lapisgrade/net/server_protocol.py
+++ b/lapisgrade/net/server_protocol.py
@@ -16,7 +16,7 @@
     max_body_bytes = MAX_BODY_BYTES
 
     def encode_head(self, attempt: Any, seconds_left: float) -> bytes:
-        """Encode request line and header fields of an attempt, `seconds_left` before its deadline."""
+        """Encode the request line and header fields of an attempt whose deadline is in `seconds_left`."""
         request: ClientRequest = attempt.operation.handle
         size = sum(len(each) for each in request.body)
         return b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Request-ID: %b\r\nX-Timeout: %.6f\r\n%b%b\r\n" % (
@@ -43,7 +43,7 @@
 
 
 def classify_response(message: Message) -> CloseReason:
-    """Return the close reason for a complete response from one of the limiter's servers."""
+    """Return the close reason of an attempt with this complete response from one of the limiter's servers."""
     status = message.head.status_code
     if status == 200:
         return CloseReason.ANSWERED
--- a/lapisgrade/net/service.py
+++ b/lapisgrade/net/service.py
@@ -42,7 +42,7 @@
 # By the protocol, a limiter may get new connections for this long after SIGTERM.
 ACCEPT_AFTER_SHUTDOWN_S = 0.4
 DRAIN_CHECK_INTERVAL_S = 0.02  # interval between checks whether all requests are answered
-DEFAULT_SOCKETS = 1024
+DEFAULT_SOCKETS = 1024  # number of descriptors, unless the configuration sets `limits.sockets`
 # Half of the descriptors are for clients and a quarter for servers; the rest is for everything else.
 CLIENT_SOCKETS_DIVISOR = 2
 SERVER_SOCKETS_DIVISOR = 4
@@ -66,7 +66,7 @@
         self.log = self._log.write
         now = _read_clock(configuration)
         self._listen_address = parse_address(configuration["listen"], "listen")
-        self._known_servers = configuration["known"]
+        self._known_servers = configuration["known"]  # initial server list
         self.host = Host(lambda clock: _build_policy(clock, seed, settings), now, self.log, self.metrics)
         connections = read_connection_settings(settings)
         self.listener = self._build_listener(settings, now, sockets // CLIENT_SOCKETS_DIVISOR)
@@ -151,7 +151,7 @@
             self.log_metrics()
 
     async def _drain(self) -> None:
-        """Fail readiness checks, serve late connections, then answer the open requests."""
+        """Fail readiness checks, accept late connections for a while, then answer the open requests."""
         self.listener.is_draining = True
         await asyncio.sleep(ACCEPT_AFTER_SHUTDOWN_S)
         self.listener.stop_accepting()
@@ -202,7 +202,7 @@
 
     Args:
         path: The configuration file.
-        companion: Optional context manager that is entered while the limiter runs.
+        companion: Returns a context manager that stays entered while the limiter runs; None for none.
 
     Raises:
         MalformedInputError: The configuration is invalid.
--- a/lapisgrade/net/service_configuration.py
+++ b/lapisgrade/net/service_configuration.py
@@ -19,7 +19,7 @@
 
 
 def read_configuration(path: str) -> dict[str, Any]:
-    """Read a configuration file.
+    """Read a configuration file and parse it from JSON.
 
     Raises:
         MalformedInputError: The file can't be read, or is not a JSON object.
@@ -48,7 +48,11 @@
 def read_service_addresses(
     configuration: dict[str, Any], *, uses_counter: bool
 ) -> tuple[Address, Address | None]:
-    """Read the addresses of discovery and, if the limiter uses it, of the counter service."""
+    """Read the addresses of discovery and, if the limiter uses it, of the counter service.
+
+    Raises:
+        MalformedInputError: An address is missing or invalid.
+    """
     discovery = parse_address(configuration.get("discovery"), "discovery")
     counter = parse_address(configuration.get("counter"), "counter") if uses_counter else None
     return discovery, counter
--- a/lapisgrade/net/upstream_connection.py
+++ b/lapisgrade/net/upstream_connection.py
@@ -64,6 +64,7 @@
     )
 
     def __init__(self, pool: "ConnectionPool", server: str, attempt: Any) -> None:
+        """Start to connect to `server`, to send `attempt`."""
         self._pool = pool
         self.server = server
         self.attempt = attempt  # in flight; None while idle or closed
@@ -74,7 +75,7 @@
         self._parser: MessageParser | None = None
         self._reader: CountingStreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
-        self._received_stray = False
+        self._received_stray = False  # whether a response to another request was received
         self._timer = pool.call_at(attempt.operation.deadline_us, self._on_deadline)
         self._task = asyncio.get_running_loop().create_task(self._run())
 
@@ -123,7 +124,7 @@
             return self.close(CloseReason.CONNECTION_REFUSED)
         pool.metrics.upstream_connections_opened += 1
         limit_read_size(self._writer)
-        self._writer.transport.set_write_buffer_limits(0)
+        self._writer.transport.set_write_buffer_limits(0)  # `drain` waits until the buffer is empty
         try:
             self._write()
             while chunk := await self._reader.read(READ_BYTES):
