--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -22,10 +22,10 @@
             [Behavior.NORMAL, Behavior.CHUNKED, Behavior.EARLY_HINTS, Behavior.UNTIL_CLOSE, Behavior.NORMAL]
         ):
             site.servers[0].behavior = behavior
-            status, _, answer = await site.request(
+            status, _, response_body = await site.request(
                 "file", str(number), body, connection=connection, path="/api/a?b=c%20d"
             )
-            assert (status, answer) == (200, b"for " + body), behavior
+            assert (status, response_body) == (200, b"for " + body), behavior
             request_line, headers, received_body, *_ = site.servers[0].received[-1]
             assert request_line == "POST /api/a?b=c%20d HTTP/1.1"
             assert received_body == body
@@ -117,8 +117,8 @@
 @on_limiter_loop
 async def test_rejections_carry_retry_after():
     async with LimiterSite() as site:
-        answers = [await site.request(request_id=str(i), X_Plan="none") for i in range(3)]
-        status, headers, _ = answers[-1]
+        responses = [await site.request(request_id=str(i), X_Plan="none") for i in range(3)]
+        status, headers, _ = responses[-1]
         assert status == 429
         assert 0 < float(headers["retry-after"]) <= 0.5
         assert not site.attempts("2")
@@ -181,7 +181,7 @@
 
 @on_limiter_loop
 async def test_idle_connections_leave_capacity_for_active_ones():
-    """Guards against an incident: clients that sent one request and stayed connected used all connections."""
+    """In an incident, clients that sent one request and stayed connected used all connections."""
     async with LimiterSite(sockets=64) as site:  # 32 connections for clients, of which 8 may be idle
         kept = [await site.connect() for _ in range(24)]
         for connection in kept:
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -23,15 +23,16 @@
 class FakeAttempt:
     """The parts of an attempt that the pool uses."""
 
-    def __init__(self, now, body=b"x", server="s", lasts=0.5):
+    def __init__(self, now, body=b"x", server="s", timeout_s=0.5):
         request = ClientRequest(object(), b"POST", b"/api", b"h", b"1", None, [body])
-        self.operation = SimpleNamespace(handle=request, deadline_us=now() + int(lasts * SECOND))
+        self.operation = SimpleNamespace(handle=request, deadline_us=now() + int(timeout_s * SECOND))
         self.server, self.sent_us = SimpleNamespace(address=server), now()
 
 
-def new_pool(port, dial=1.0, idle=30.0):
+def new_pool(port, connect_timeout_s=1.0, idle_timeout_s=30.0):
+    """Return a pool with the server `s` at `port`, the queue of its events, and its clock."""
     finished, now = asyncio.Queue(), wall_clock()
-    settings = ConnectionSettings(int(dial * SECOND), int(idle * SECOND))
+    settings = ConnectionSettings(int(connect_timeout_s * SECOND), int(idle_timeout_s * SECOND))
     pool = ConnectionPool(finished.put_nowait, now, lambda text: None, NetMetrics(), settings, 4)
     pool.update_addresses({"s": ("127.0.0.1", port)})
     return pool, finished, now
@@ -78,7 +79,7 @@
     async def never_connect():
         await asyncio.sleep(30)
 
-    pool, finished, now = new_pool(1, dial=0.1)
+    pool, finished, now = new_pool(1, connect_timeout_s=0.1)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("lapisgrade.net.upstream_connection.connect", lambda *_: never_connect())
         pool.send(FakeAttempt(now))
@@ -108,12 +109,13 @@
 async def test_idle_connections_are_closed_before_the_server_closes_them():
     """An attempt written to a connection that the server has closed may have run, so it can't be retried."""
     server = await FakeServer().open()
-    pool, finished, now = new_pool(server.port, idle=1.6)
-    for wait, connections in [(0.0, 1), (0.0, 1), (0.65, 2)]:
-        await asyncio.sleep(wait)
+    pool, finished, now = new_pool(server.port, idle_timeout_s=1.6)
+    # The pool closes a connection 1 s, the connect time-out, before the idle time-out of 1.6 s.
+    for wait_s, connection_count in [(0.0, 1), (0.0, 1), (0.65, 2)]:
+        await asyncio.sleep(wait_s)
         pool.send(FakeAttempt(now))
         assert (await finished.get()).reason is CloseReason.ANSWERED
-        assert pool.metrics.upstream_connections_opened == connections
+        assert pool.metrics.upstream_connections_opened == connection_count
     await wait_until(server.writers[0].is_closing)  # closed by the pool, without another attempt
     server.abort_connections()
     await asyncio.sleep(0)  # the connection is closed, but its end is not yet read
@@ -125,7 +127,7 @@
 
 @on_limiter_loop
 async def test_an_unsolicited_second_response_is_not_used_for_the_next_attempt():
-    """Asyncio has received the second response, but the connection has not read it, at the next attempt."""
+    """The second response is received by asyncio, but not yet read, when the next attempt is sent."""
     server = await FakeServer().open()
     pool, finished, now = new_pool(server.port)
     pool.send(FakeAttempt(now))
@@ -163,12 +165,12 @@
 @on_limiter_loop
 async def test_an_unresponsive_server_must_accept_a_new_connection_first():
     server = await FakeServer(0.1).open()
-    pool, finished, now = new_pool(server.port, dial=0.15)
+    pool, finished, now = new_pool(server.port, connect_timeout_s=0.15)
     for _ in range(2):
         pool.send(FakeAttempt(now))
     assert {(await finished.get()).reason for _ in range(2)} == {CloseReason.ANSWERED}
     server.behavior = Behavior.SILENT
-    pool.send(FakeAttempt(now, lasts=0.2))
+    pool.send(FakeAttempt(now, timeout_s=0.2))
     assert (await finished.get()).reason is CloseReason.TIMED_OUT
     server.behavior = Behavior.NORMAL
     pool.send(FakeAttempt(now))
@@ -186,14 +188,14 @@
         pool, finished, now = new_pool(site.servers[0].port)
         for _ in range(2):  # the first ones open the connections
             client.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
-            pool.send(FakeAttempt(now, lasts=0.2))
+            pool.send(FakeAttempt(now, timeout_s=0.2))
             assert (await replies.get()).reason is CloseReason.ANSWERED
             assert (await finished.get()).reason is CloseReason.ANSWERED
         # Each peer replies, then the process is blocked for longer than the time-outs.
         site.counter.block_once_s = site.servers[0].block_once_s = 0.4
         client.add(SimpleNamespace(), AddToCounter(7, 1.0, 45_000_000))
         assert (await replies.get()).reason is CloseReason.ANSWERED
-        pool.send(FakeAttempt(now, lasts=0.2))
+        pool.send(FakeAttempt(now, timeout_s=0.2))
         assert (await finished.get()).reason is CloseReason.ANSWERED
 
 
@@ -208,9 +210,8 @@
 
     server = await asyncio.start_server(stop_reading_and_abort, "127.0.0.1", 0, limit=1024)
     pool, finished, now = new_pool(server.sockets[0].getsockname()[1])
-    pool.send(
-        FakeAttempt(now, body=bytes(30_000_000), lasts=5.0)
-    )  # the server aborts long before the deadline
+    # The server aborts long before the deadline.
+    pool.send(FakeAttempt(now, body=bytes(30_000_000), timeout_s=5.0))
     event = await finished.get()
     assert event.reason is CloseReason.INCOMPLETE_WRITE
     assert event.reason.outcome.never_ran
@@ -219,9 +220,9 @@
 
 @on_limiter_loop
 async def test_the_pool_keeps_to_its_connection_limit():
-    peers = [await FakeServer(0.1).open() for _ in range(5)]
-    pool, finished, now = new_pool(1)
-    pool.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(peers)})
+    servers = [await FakeServer(0.1).open() for _ in range(5)]
+    pool, finished, now = new_pool(1)  # at most four connections
+    pool.update_addresses({f"s{i}": ("127.0.0.1", each.port) for i, each in enumerate(servers)})
     for i in range(5):
         pool.send(FakeAttempt(now, server=f"s{i}"))
     reasons = [(await finished.get()).reason for _ in range(5)]
@@ -229,7 +230,7 @@
     assert reasons.count(CloseReason.ANSWERED) == 4
     pool.send(FakeAttempt(now, server="s4"))  # the longest idle connection is closed for it
     assert (await finished.get()).reason is CloseReason.ANSWERED
-    for each in peers:
+    for each in servers:
         each.close()
 
 
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -24,14 +24,14 @@
         await wait_until(lambda: list(site.service.host.pool.addresses) == ["s0"])
         assert (await site.request("burn", "back"))[0] == 200
         assert len(site.servers[0].received) == 1
-        before = len(site.discovery.calls)
+        calls_before = len(site.discovery.calls)
         site.discovery.abort_connections()
         await asyncio.sleep(0.18)
-        assert len(site.discovery.calls) > before  # reconnected within 200 ms
-        site.discovery.behavior, before = Behavior.EMPTY_REPLIES, len(site.discovery.calls)
-        await wait_until(lambda: len(site.discovery.calls) > before + 4)
-        times = [time for _, time in site.discovery.calls[-4:]]
-        assert 0.25 < times[-1] - times[0] < 0.6  # each call within 200 ms, but not more often than needed
+        assert len(site.discovery.calls) > calls_before  # reconnected within 200 ms
+        site.discovery.behavior, calls_before = Behavior.EMPTY_REPLIES, len(site.discovery.calls)
+        await wait_until(lambda: len(site.discovery.calls) > calls_before + 4)
+        times_s = [time_s for _, time_s in site.discovery.calls[-4:]]
+        assert 0.25 < times_s[-1] - times_s[0] < 0.6  # each renewal within 200 ms, but not immediately
 
 
 @on_limiter_loop
@@ -39,9 +39,9 @@
     async with LimiterSite() as site:
         site.discovery.behavior = Behavior.BUSY
         await asyncio.sleep(1.0)
-        before = len(site.discovery.calls)
+        calls_before = len(site.discovery.calls)
         await asyncio.sleep(1.0)
-        assert len(site.discovery.calls) - before <= 5  # without backoff there would be ten
+        assert len(site.discovery.calls) - calls_before <= 5  # without backoff there would be ten
         site.discovery.behavior = Behavior.NORMAL
         site.discovery.change(s0="terminating")
         await wait_until(lambda: "s0" not in site.service.host.pool.addresses)
--- a/tests/net/test_random_faults.py
+++ b/tests/net/test_random_faults.py
@@ -1,4 +1,8 @@
-"""The rules for operations on real sockets under random faults."""
+"""The rules for operations, checked on real sockets while servers, counter and discovery fail at random.
+
+Rule 1: each operation gets one final answer in time, and no attempt is sent after it. Rule 2: no effect
+happens twice, so a non-idempotent operation has at most one attempt that may have run.
+"""
 
 import asyncio
 from collections import Counter
@@ -17,7 +21,7 @@
 
 async def run_random_faults(random):
     async with LimiterSite(servers=4) as site:
-        time, done = asyncio.get_running_loop().time, {}
+        loop_time, finished = asyncio.get_running_loop().time, {}  # by request id: class, status, end
         server_behaviors = [Behavior.NORMAL] * 6 + [
             0.05,
             0.2,
@@ -40,24 +44,26 @@
             for turn in range(14):
                 request_id, request_class = f"{name}-{turn}", random.choice(["look", "file", "burn"])
                 connection = connection or await site.connect()
-                started, time_out = time(), random.choice([0.1, 0.5, 0.9])
+                started_s, timeout_s = loop_time(), random.choice([0.1, 0.5, 0.9])
 
                 async def timed_request(*args, **kwargs):
-                    return *await site.request(*args, **kwargs), time()
+                    return *await site.request(*args, **kwargs), loop_time()
 
                 request_task = asyncio.create_task(
-                    timed_request(request_class, request_id, connection=connection, timeout=str(time_out))
+                    timed_request(request_class, request_id, connection=connection, timeout=str(timeout_s))
                 )
                 if random.random() < 0.1:
                     await asyncio.sleep(random.random() * 0.2)
                     if not request_task.done():
                         request_task.cancel()
                         connection[1].transport.abort()
-                        connection, done[request_id] = None, (request_class, None, time())
+                        connection, finished[request_id] = None, (request_class, None, loop_time())
                         continue
-                status, headers, body, ended = await asyncio.wait_for(request_task, 5)
-                assert ended - started < time_out + 0.3, "rule 1: answered more than 0.3 s after the time-out"
-                done[request_id] = request_class, status, ended
+                status, headers, body, ended_s = await asyncio.wait_for(request_task, 5)
+                assert ended_s - started_s < timeout_s + 0.3, (
+                    "rule 1: answered more than 0.3 s after the time-out"
+                )
+                finished[request_id] = request_class, status, ended_s
                 assert status in (200, 429, 502)
                 assert body == (b"for " if status == 200 else b"")
                 if "connection" in headers:
@@ -73,9 +79,9 @@
                     site.discovery.change(**{f"s{random.randrange(4)}": random.choice(states)})
 
         await asyncio.gather(inject_faults(), *(client(str(i)) for i in range(12)))
-        for request_id, (request_class, status, ended) in done.items():
+        for request_id, (request_class, status, ended_s) in finished.items():
             attempts = site.attempts(request_id)
-            assert all(attempt[3] < ended + 0.3 for attempt in attempts), (
+            assert all(attempt[3] < ended_s + 0.3 for attempt in attempts), (
                 "rule 1: attempt sent after the final answer"
             )
             may_have_run = [attempt for attempt in attempts if attempt[4] != Behavior.OVERLOADED]
@@ -86,8 +92,8 @@
                 assert not (status == 429 and may_have_run), (
                     "rule 2: the client was asked to retry an operation that may have run"
                 )
-        statuses = Counter(status for _, status, _ in done.values())
+        statuses = Counter(status for _, status, _ in finished.values())
         assert statuses[200] > 60
-        assert len(done) == 12 * 14
+        assert len(finished) == 12 * 14
         assert not site.service.host.unanswered
         assert not site.service.metrics.handler_failures
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -1,4 +1,4 @@
-"""Shutdown of a limiter, and configuration reload while operations are in flight."""
+"""Shutdown of a limiter, its command, and configuration reload while operations are in flight."""
 
 import asyncio
 import contextlib
@@ -60,7 +60,7 @@
 def test_the_process_reports_configuration_errors_and_logs_its_counters(tmp_path):
     configuration_file = tmp_path / "config.json"
 
-    def run():
+    def start_limiter():
         return subprocess.Popen(
             [sys.executable, "-m", "lapisgrade"],
             stderr=subprocess.PIPE,
@@ -68,16 +68,16 @@
             env={**os.environ, "ROUTER_CONFIG": str(configuration_file)},
         )
 
-    for text, expected in [
+    for text, expected_error in [
         ("{", "the configuration: "),
         ('{"name": 3}', "name must be"),
         ("[]", "must be a JSON object"),
     ]:
         configuration_file.write_text(text)
-        process = run()
+        process = start_limiter()
         _, errors = process.communicate(timeout=20)
         assert process.returncode == 2
-        assert expected in errors
+        assert expected_error in errors
         assert errors.count("\n") == 1
     site = LimiterSite()
     site.discovery = SimpleNamespace(
@@ -86,7 +86,7 @@
     site.counter.port = 1
     site.port = Random(os.getpid()).randrange(20_000, 30_000)
     configuration_file.write_text(json.dumps(site.configuration()))
-    process = run()
+    process = start_limiter()
 
     async def request_statuses():
         return (await site.request(path="/up"))[0], (await site.request())[0]
@@ -122,7 +122,7 @@
         site.discovery.change(s0="terminating")
         await wait_until(lambda: list(pool.addresses) == ["s1"])  # the previous agent is still watched
         site.counter.behavior = site.servers[1].behavior = 0.02
-        early = [asyncio.create_task(site.request("burn", f"early-{i}")) for i in range(4)]
+        in_flight = [asyncio.create_task(site.request("burn", f"early-{i}")) for i in range(4)]
         await wait_until(lambda: site.counter.received)
         site.service.reload(
             {
@@ -133,17 +133,17 @@
         )
         for each in (site.discovery, site.counter):
             each.server.close()  # accepts no new connections; open ones remain
-        assert [(await each)[0] for each in early] == [200] * 4
+        assert [(await each)[0] for each in in_flight] == [200] * 4
         assert site.service.metrics.counter_calls_finished[CloseReason.ANSWERED] >= 1
         await wait_until(lambda: discovery.calls)
         assert discovery.calls[0][0] == "/discovery/hosts"
         discovery.change(s0="in_service", s1="terminated")
         await wait_until(lambda: list(pool.addresses) == ["s0"])
-        before = len(site.counter.received)
+        calls_before = len(site.counter.received)
         site.discovery.abort_connections()
         site.counter.abort_connections()
         assert (await site.request("burn", "after", X_Customer="0" * 16))[0] == 200
-        assert len(site.counter.received) == before
+        assert len(site.counter.received) == calls_before
         assert counter.received
         assert len(site.attempts("after")) == 1
         discovery.close()
