--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -52,7 +52,7 @@
         address: tuple[str, int],
         pool: ConnectionPool,
         random: Random,
-        limiters: int,
+        limiter_count: int,
     ) -> None:
         """Create a client without a watch.
 
@@ -63,14 +63,14 @@
             address: Host and port of the agent.
             pool: Receives the server addresses.
             random: Source of jitter for the backoff.
-            limiters: Total number of limiters.
+            limiter_count: Total number of limiters.
         """
         self._enqueue = enqueue
         self._log = log
         self._metrics = metrics
         self._pool = pool
         self._address = address
-        self._backoff = PollBackoff(random, limiters)
+        self._backoff = PollBackoff(random, limiter_count)
         self._version: int | None = None  # version of the last applied list; None requests a complete one
         self._watches: list[asyncio.Task[None]] = []  # newest last
 
--- a/lapisgrade/net/poll_backoff.py
+++ b/lapisgrade/net/poll_backoff.py
@@ -18,12 +18,12 @@
     because the changes that it would return count as known.
     """
 
-    __slots__ = ("_limiters", "_random", "_rejections")
+    __slots__ = ("_limiter_count", "_random", "_rejections")
 
-    def __init__(self, random: Random, limiters: int) -> None:
-        """Create the backoff of one of `limiters` limiters; `random` draws the jitter."""
+    def __init__(self, random: Random, limiter_count: int) -> None:
+        """Create the backoff of one of `limiter_count` limiters; `random` draws the jitter."""
         self._random = random
-        self._limiters = limiters
+        self._limiter_count = limiter_count
         self._rejections = 0  # consecutive rejections since the last successful call
 
     def on_rejected(self) -> float:
@@ -38,5 +38,5 @@
 
     def _spread_s(self) -> float:
         """Return the interval in seconds over which the next calls of all limiters are spread."""
-        first_s = min(MAX_STALENESS_S, self._limiters * MAX_RENEWAL_DELAY_S / 2)
+        first_s = min(MAX_STALENESS_S, self._limiter_count * MAX_RENEWAL_DELAY_S / 2)
         return min(MAX_BACKOFF_S, first_s * 2**self._rejections)
--- a/lapisgrade/net/request_parser.py
+++ b/lapisgrade/net/request_parser.py
@@ -49,12 +49,12 @@
     """Converts requests to operations, with the configured categories and plans."""
 
     def __init__(
-        self, categories: list[Category], plans: list[Plan], limiters: int, max_units: float
+        self, categories: list[Category], plans: list[Plan], limiter_count: int, max_units: float
     ) -> None:
-        """Create a parser for a service with `limiters` limiters and at most `max_units` per operation."""
+        """Create a parser for `limiter_count` limiters in all and at most `max_units` per operation."""
         self._categories = {each.name.encode(): each for each in categories}
         self._plans = {each.name.encode(): each for each in plans}
-        self._limiters = limiters
+        self._limiter_count = limiter_count
         self._max_units = max_units
 
     def parse(
@@ -111,10 +111,10 @@
             raise MalformedMessageError(
                 f"x-quota: units={quota.units:g} must be greater than 0 and at most {self._max_units:g}"
             )
-        if not (1 <= quota.spread <= self._limiters and quota.first < self._limiters):
+        if not (1 <= quota.spread <= self._limiter_count and quota.first < self._limiter_count):
             raise MalformedMessageError(
                 f"x-quota: spread={quota.spread}, first={quota.first} is out of range for"
-                f" {self._limiters} limiters"
+                f" {self._limiter_count} limiters"
             )
 
 
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -52,7 +52,7 @@
         """Create the record of an operation that starts to wait."""
         self.operation = operation
         self.is_resolved = False
-        self.is_admitted: bool | None = None  # None after resolution: the counter did not reply
+        self.is_admitted: bool | None = None  # None when `is_resolved`: the counter did not reply
         self.is_counted = False  # whether a call that timed out probably counted it
 
 
@@ -96,9 +96,9 @@
         # What is left of the shared quota, according to the last total.
         self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)
         self.counter_epoch = CounterEpoch(self.customer, self.decay_us)
-        self.is_level_known = False  # whether a counter call was made; before, the bucket is merely full
+        self.is_level_known = False  # whether a counter call was made; until then the bucket is assumed full
         self.last_read_us = 0  # arrival time of the last total; 0: none yet
-        self.leased_units = 0.0
+        self.leased_units = 0.0  # units of the lease that are not used yet
         self.lease_expires_us = 0
         self.total_use = DecayingSum(self.decay_us)  # the last total plus this limiter's additions since
         self.own_use = DecayingSum(self.decay_us)  # this limiter's part of `total_use`
@@ -106,9 +106,9 @@
         self.to_restore = DecayingSum(self.decay_us)  # own use that is missing from a new count
         self.rate_limit_bucket = TokenBucket(0, 0.0, math.inf, math.inf)
         self.in_flight = 0
-        self.is_calling = False
+        self.is_calling = False  # whether `run_counter_calls` is running
         self.last_used_us = now_us
-        self.pending: list[PendingOperation] = []
+        self.pending: list[PendingOperation] = []  # oldest first
 
     def has_capacity(self, units: float, latency_us: float) -> bool:
         """Whether the plan's cap on attempts in flight allows another attempt of `units`.
@@ -122,7 +122,7 @@
         return not cap or self.in_flight + others_in_flight < cap - IN_FLIGHT_MARGIN
 
     def is_expired(self, now_us: int) -> bool:
-        """Whether the account may be deleted to save memory, as the counter has dropped its use too."""
+        """Whether the account may be deleted to save memory: the counter has dropped its use too."""
         if self.in_flight or self.pending or self.is_calling:
             return False
         if self.rate_limit_bucket.read(now_us) < self.rate_limit_bucket.burst:
--- a/lapisgrade/policy/concurrency_limit.py
+++ b/lapisgrade/policy/concurrency_limit.py
@@ -26,7 +26,7 @@
         self.value = 0.0  # attempts; 0 until a server has been listed
         self.in_flight = 0
         self._warm_weight = 0.0
-        self._ready_servers = 0
+        self._ready_count = 0
         self._latency_ratios = DecayingSum(LIMIT_DECAY_US)
         self._weights = DecayingSum(LIMIT_DECAY_US)
 
@@ -42,7 +42,7 @@
             ready_count: Number of servers that are ready now.
             warm_weight: Sum of the slow-start weights of the ready servers.
         """
-        self._ready_servers = ready_count
+        self._ready_count = ready_count
         if not self.value:
             self.value = max(1.0, MIN_IN_FLIGHT_PER_SERVER * endpoint_count / self._limiter_count)
         # Lower the limit at once when servers leave or restart, to protect the remaining ones.
@@ -59,5 +59,5 @@
         if margin >= 0 and self.in_flight + 1 < LOAD_SHEDDING_THRESHOLD * self.value:
             return  # the limit does not hold back any attempts
         # If all servers are slow, fewer attempts do not speed them up and would leave servers idle.
-        floor = max(1.0, MIN_IN_FLIGHT_PER_SERVER * self._ready_servers / self._limiter_count)
+        floor = max(1.0, MIN_IN_FLIGHT_PER_SERVER * self._ready_count / self._limiter_count)
         self.value = max(floor, self.value + LIMIT_STEP * max(-1.0, min(1.0, margin)))
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -59,9 +59,9 @@
 
 
 @on_limiter_loop
-async def test_bad_requests_get_400_and_no_traceback(capfd):
+async def test_invalid_requests_get_400_and_no_traceback(capfd):
     async with LimiterSite() as site:
-        for bad in [
+        for invalid_fields in [
             {"X_Plan": "other"},
             {"X_Plan": None},
             {"X_Customer": "zz"},
@@ -89,20 +89,21 @@
             {"bad header": "1"},
             {"request_class": "file", "Idempotency_Key": None},
         ]:
-            status, headers, _ = await site.request(**{"request_class": "burn", **bad})
-            assert status == 400, bad
-            assert headers["connection"] == "close", bad
+            status, headers, _ = await site.request(**{"request_class": "burn", **invalid_fields})
+            assert status == 400, invalid_fields
+            assert headers["connection"] == "close", invalid_fields
         assert (await site.request("burn", body=bytes(70_000)))[0] == 413
         assert (await site.request(timeout="900000.0"))[0] == 200  # capped at the category's time-out
+        # Request smuggling: a second request hidden in what some servers take for the body of the first.
         hidden = site.encode_request("burn", "hidden", b"x")
-        for bad in [
+        for invalid_framing in [
             {"Transfer_Encoding": "chunked", "Content_Length": str(len(hidden) + 5)},
             {"Content_Length": "60000000"},
             {"Content_Length": "-5"},
         ]:
             reader, writer = await site.connect()
-            writer.write(site.encode_request("burn", "outer", **bad) + b"0\r\n\r\n" + hidden)
-            assert (await reader.readuntil(b"\r\n"))[9:12] in (b"400", b"413"), bad
+            writer.write(site.encode_request("burn", "outer", **invalid_framing) + b"0\r\n\r\n" + hidden)
+            assert (await reader.readuntil(b"\r\n"))[9:12] in (b"400", b"413"), invalid_framing
             await reader.read()
         assert not site.attempts("outer")
         assert not site.attempts("hidden")
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -74,7 +74,7 @@
     assert all(0 < answer.retry_after_us <= 500_000 for answer in rejections)
 
 
-def test_timed_out_calls_that_were_counted_are_returned():
+def test_units_of_timed_out_calls_that_were_counted_are_returned():
     """An overloaded counter counted operations that were then never sent, which reduced quotas."""
     simulation = LimiterSimulation(10, limiters=1, outcome_weights=ALWAYS_OK)
     simulation.counter_loss = 0.5
@@ -94,7 +94,7 @@
     assert len(simulation.attempts) == 1
 
 
-def test_units_reported_afterwards_are_corrected():
+def test_units_settled_afterwards_replace_the_estimated_units():
     simulation = LimiterSimulation(14, limiters=1)
     host, plan = simulation.limiters[0], PLANS[0]
     simulation.draw_outcome = lambda: (AttemptOutcome.OK, 5_000)
