--- a/lapisgrade/net/discovery_client.py
+++ b/lapisgrade/net/discovery_client.py
@@ -27,7 +27,8 @@
     "terminating": ServerState.DRAINING,
     "terminated": ServerState.REMOVED,
 }
-RESPONSE_TIMEOUT_S = 2.0  # time to a response, by the protocol; for a watch, after its own time-out
+# Maximum time to a response, set by the protocol; for a watch, the maximum after the watch's own time-out.
+RESPONSE_TIMEOUT_S = 2.0
 _TARGET = "/discovery/hosts"
 _OK = 200
 _US_PER_MS = 1000
@@ -51,7 +52,7 @@
         address: tuple[str, int],
         pool: ConnectionPool,
         random: Random,
-        limiters: int,
+        limiter_count: int,
     ) -> None:
         """Create a client without a watch.
 
@@ -62,14 +63,14 @@
             address: Host and port of the agent.
             pool: Receives the server addresses.
             random: Source of jitter for the backoff.
-            limiters: Total number of limiters.
+            limiter_count: Total number of limiters.
         """
         self._enqueue = enqueue
         self._log = log
         self._metrics = metrics
         self._pool = pool
         self._address = address
-        self._backoff = PollBackoff(random, limiters)
+        self._backoff = PollBackoff(random, limiter_count)
         self._version: int | None = None  # version of the last applied list; None requests a complete one
         self._watches: list[asyncio.Task[None]] = []  # newest last
 
@@ -159,7 +160,11 @@
     async def _poll(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str, version: int | None
     ) -> tuple[int, bool]:
-        """Make one call; returns the version of the list, and whether the agent closes the connection."""
+        """Make one call and apply the list; returns its version, and whether the agent closes the connection.
+
+        Raises:
+            DiscoveryRejectedError: The agent answered with an error status.
+        """
         target, wait_s = _TARGET, 0.0
         if version is not None:
             wait_s = MAX_STALENESS_S - RESPONSE_TIMEOUT_S
--- a/lapisgrade/net/request_parser.py
+++ b/lapisgrade/net/request_parser.py
@@ -2,7 +2,7 @@
 
     X-Priority-Class: NAME                      the category
     X-Plan: NAME                                the customer's plan
-    X-Customer: 16 hex digits
+    X-Customer: 16 hex digits                   the customer
     X-Quota: units=U, spread=N, first=K         the cost, and the limiters that share the customer's quota
     X-Timeout: SECONDS                          the client's time-out
     X-Request-ID: 1 to 128 visible characters
@@ -40,20 +40,21 @@
 class _Quota:
     """The X-Quota header field."""
 
-    units: float
-    spread: int
-    first: int
+    units: float  # cost of the operation
+    spread: int  # number of limiters that share the customer's quota
+    first: int  # index of the first of these limiters
 
 
 class RequestParser:
     """Converts requests to operations, with the configured categories and plans."""
 
     def __init__(
-        self, categories: list[Category], plans: list[Plan], limiters: int, max_units: float
+        self, categories: list[Category], plans: list[Plan], limiter_count: int, max_units: float
     ) -> None:
+        """Create a parser for `limiter_count` limiters in all and at most `max_units` per operation."""
         self._categories = {each.name.encode(): each for each in categories}
         self._plans = {each.name.encode(): each for each in plans}
-        self._limiters = limiters
+        self._limiter_count = limiter_count
         self._max_units = max_units
 
     def parse(
@@ -87,8 +88,8 @@
             units=quota.units,
             arrived_us=now_us,
             deadline_us=now_us + min(round(timeout_s * SECOND), category.timeout_us),
-            gateway_count=quota.spread,
-            first_gateway_index=quota.first,
+            sharing_limiter_count=quota.spread,
+            first_limiter_index=quota.first,
             is_client_retry=headers.get(b"x-retried") == b"1",
             handle=ClientRequest(
                 client,
@@ -110,10 +111,10 @@
             raise MalformedMessageError(
                 f"x-quota: units={quota.units:g} must be greater than 0 and at most {self._max_units:g}"
             )
-        if not (1 <= quota.spread <= self._limiters and quota.first < self._limiters):
+        if not (1 <= quota.spread <= self._limiter_count and quota.first < self._limiter_count):
             raise MalformedMessageError(
                 f"x-quota: spread={quota.spread}, first={quota.first} is out of range for"
-                f" {self._limiters} limiters"
+                f" {self._limiter_count} limiters"
             )
 
 
