--- a/lapisgrade/gateway/consensus/election.py
+++ b/lapisgrade/gateway/consensus/election.py
@@ -47,10 +47,13 @@
         self._voter = voter
         self._transitions = transitions
         self._tally = VoteTally()
-        self.pre_vote_round = 0
+        self.pre_vote_round = 0  # number of the newest pre-vote
 
     def on_timeout(self) -> None:
-        """Start an election after a time-out without a leader's message or with an inconclusive election."""
+        """Start an election: no leader's message arrived in time, or the last election was inconclusive.
+
+        A node that is not a voter, or that is stopping, only clears the known leader.
+        """
         state = self.state
         self._timer.restart(state.now_us)
         if self._voter.in_restart_guard():
@@ -64,8 +67,8 @@
     def on_timeout_now(self, message: TimeoutNow) -> None:
         """Start a vote without a pre-vote: the leader of this term has stepped down, so no lease is held."""
         state = self.state
-        is_addressee = message.successor == state.identity and message.term == state.term
-        if is_addressee and not (state.is_stopping or state.is_leader):
+        is_for_this_node = message.successor == state.identity and message.term == state.term
+        if is_for_this_node and not (state.is_stopping or state.is_leader):
             self._start_vote(lease_free=True)
 
     def on_vote_reply(self, reply: RequestVoteReply) -> None:
@@ -137,6 +140,7 @@
         ]
 
     def _count_votes(self) -> None:
+        """After a majority's grants, start the vote or become leader; some votes require that all grant."""
         state, tally = self.state, self._tally
         voters = set(state.voters)
         votes = tally.granted & voters
--- a/lapisgrade/gateway/consensus/follower.py
+++ b/lapisgrade/gateway/consensus/follower.py
@@ -39,7 +39,7 @@
         self._voter = voter
         self._transitions = transitions
         self.agreed_index = 0  # index of the last entry known to match the leader's log
-        self._unacknowledged: AppendEntries | None = None  # message to acknowledge once more is durable
+        self._unacknowledged: AppendEntries | None = None  # newest message with entries that aren't durable
         self._assembly = SnapshotAssembly()
 
     def on_new_leader(self) -> None:
@@ -58,7 +58,7 @@
     def on_append_entries(self, message: AppendEntries) -> None:
         """Append the leader's entries, replacing conflicting ones, and advance the commit index."""
         state, log = self.state, self.state.log
-        if not self._accepts_leader(message):
+        if not self._follow_sender(message):
             if message.follower == state.identity:
                 self._reject(message, log.last_index)  # the reply carries the newer term
             return
@@ -78,7 +78,7 @@
 
     def on_install_snapshot(self, message: InstallSnapshot) -> None:
         """Store a chunk of the leader's snapshot; install the snapshot once it is complete."""
-        if not self._accepts_leader(message):
+        if not self._follow_sender(message):
             return
         state = self.state
         if message.last_index <= state.commit_index:
@@ -101,15 +101,15 @@
             state.leader_address = hint.address
 
     def acknowledge(self, message: AppendEntries) -> None:
-        """Reply how far this durable log matches the leader's, if the sender is still the leader."""
+        """Reply up to which index the durable log matches the leader's, if the sender is still the leader."""
         state = self.state
         if message.term != state.term or message.leader != state.leader:
             return
         match_index = min(state.durable_index, self.agreed_index)
         self._reply(message, True, match_index)
 
-    def _accepts_leader(self, message: AppendEntries | InstallSnapshot) -> bool:
-        """Follow the message's leader; returns False for an earlier term or another addressee."""
+    def _follow_sender(self, message: AppendEntries | InstallSnapshot) -> bool:
+        """Follow the message's leader; return False if its term is earlier or it is for another node."""
         state = self.state
         if message.follower != state.identity or message.term < state.term:
             return False
@@ -126,20 +126,20 @@
         """Whether the entries are contiguous, as any leader's are."""
         first = message.prev_log_index + 1
         expected = list(range(first, first + len(message.entries)))
-        return [each.index for each in message.entries] == expected
+        return [entry.index for entry in message.entries] == expected
 
     def _append_missing(self, message: AppendEntries) -> None:
         """Append the entries that are missing or have another term; a late message removes nothing."""
         state, log = self.state, self.state.log
         missing = [
-            each
-            for each in message.entries
-            if each.index > log.snapshot_index and log.term_at(each.index) != each.term
+            entry
+            for entry in message.entries
+            if entry.index > log.snapshot_index and log.term_at(entry.index) != entry.term
         ]
         if missing:
-            before = missing[0].index - 1
-            state.durable_index = min(state.durable_index, before)
-            self.agreed_index = min(self.agreed_index, before)
+            last_kept_index = missing[0].index - 1
+            state.durable_index = min(state.durable_index, last_kept_index)
+            self.agreed_index = min(self.agreed_index, last_kept_index)
             state.append(missing)
 
     def _install(self, message: InstallSnapshot, snapshot: bytes) -> None:
@@ -176,7 +176,10 @@
         state.send(message.address, reply)
 
     def _acknowledge_snapshot(self, message: InstallSnapshot) -> None:
-        """Acknowledge the entries that the snapshot covers, now or once they are durable."""
+        """Acknowledge the entries that the snapshot covers, now or once they are durable.
+
+        The acknowledgment is the reply to a heartbeat that would follow these entries.
+        """
         heartbeat = AppendEntries(
             message.term,
             message.leader,
--- a/lapisgrade/gateway/consensus/log.py
+++ b/lapisgrade/gateway/consensus/log.py
@@ -60,13 +60,13 @@
 
     def append(self, entries: list[Entry]) -> None:
         """Append entries, replacing all from the first one's index on; skip those covered by the snapshot."""
-        uncovered = [each for each in entries if each.index > self.snapshot_index]
+        uncovered = [entry for entry in entries if entry.index > self.snapshot_index]
         if not uncovered:
             return
         self.truncate(uncovered[0].index - 1)
         self.entries += uncovered
         self.data_bytes += _data_bytes(uncovered)
-        self._voter_changes += [each for each in uncovered if each.voters is not None]
+        self._voter_changes += [entry for entry in uncovered if entry.voters is not None]
 
     def truncate(self, last: int) -> None:
         """Remove all entries after `last`."""
@@ -77,7 +77,7 @@
             self._voter_changes.pop()
 
     def compact(self, index: int, state: bytes) -> None:
-        """Replace the entries up to `index` by a snapshot of the state machine after them."""
+        """Replace the entries up to `index` by a snapshot: `state`, the state machine's state after them."""
         term = self.term_at(index)
         covered = self.entries_between(self.snapshot_index, index)
         for entry in covered:
@@ -85,7 +85,7 @@
                 self.snapshot_voters = entry.voters
         self.data_bytes -= _data_bytes(covered)
         del self.entries[: index - self.snapshot_index]
-        self._voter_changes = [each for each in self._voter_changes if each.index > index]
+        self._voter_changes = [change for change in self._voter_changes if change.index > index]
         self.snapshot_index = index
         self.snapshot_term = term
         self.snapshot_state = state
@@ -99,8 +99,8 @@
         self.snapshot_state = state
         self.entries = following
         self.data_bytes = _data_bytes(following)
-        self._voter_changes = [each for each in following if each.voters is not None]
+        self._voter_changes = [entry for entry in following if entry.voters is not None]
 
 
 def _data_bytes(entries: list[Entry]) -> int:
-    return sum(len(each.data) for each in entries)
+    return sum(len(entry.data) for entry in entries)
--- a/lapisgrade/gateway/consensus/membership.py
+++ b/lapisgrade/gateway/consensus/membership.py
@@ -95,6 +95,7 @@
         return {**voters, learners[0]: view.peers[learners[0]].address}
     if len(voters) > MIN_VOTERS and leaving:
         return _without(voters, leaving[0])
+    # An even number of voters tolerates no more failures than one voter less.
     if len(voters) > MIN_VOTERS and len(voters) % 2 == 0 and unresponsive:
         return _without(voters, unresponsive[0])
     return None
@@ -105,12 +106,12 @@
 
     A single message isn't enough: it may be a late one from a disk that had the address before.
     """
-    status = view.peers.get(voter)
-    if status is None:
+    voter_status = view.peers.get(voter)
+    if voter_status is None:
         return False
     return any(
         peer.address == view.voters[voter]
-        and peer.last_contact_us - status.last_contact_us > DISPLACED_AFTER_US
+        and peer.last_contact_us - voter_status.last_contact_us > DISPLACED_AFTER_US
         and view.now_us - peer.last_contact_us < DISPLACED_AFTER_US
         for name, peer in view.peers.items()
         if name != voter
--- a/lapisgrade/gateway/consensus/messages.py
+++ b/lapisgrade/gateway/consensus/messages.py
@@ -23,9 +23,9 @@
 
 
 class RequestVote(msgspec.Struct, array_like=True, tag="v", frozen=True):
-    """A candidate's vote request; with `pre_vote`, whether a vote would be granted (thesis, 3.4 and 9.6)."""
+    """A candidate's vote request; with `pre_vote`, asks if one would be granted (thesis, 3.4 and 9.6)."""
 
-    term: int
+    term: int  # term of the requested vote; with `pre_vote`, the candidate is still in the term before
     candidate: str
     address: str
     last_log_index: int
@@ -38,7 +38,7 @@
 class RequestVoteReply(msgspec.Struct, array_like=True, tag="V", frozen=True):
     """A voter's reply; a granted vote is sent once it is durable.
 
-    A reply to a granted pre-vote has the candidate's term, any other the voter's.
+    A reply to a granted pre-vote has the requested term, any other reply the voter's term.
     """
 
     term: int
@@ -46,7 +46,7 @@
     granted: bool
     pre_vote: bool
     unanimous_only: bool = False  # counts only if all voters grant: a lease may rest on its earlier replies
-    lease_free: bool = False  # not leader or candidate, and can't become leader up to the candidate's term
+    lease_free: bool = False  # neither leader nor candidate, and can't lead a term before the requested
     pre_vote_round: int = 0
 
 
@@ -103,9 +103,9 @@
 
 
 class JoinRequest(msgspec.Struct, array_like=True, tag="j", frozen=True):
-    """A request to the leader to add a node, which has its own disk, to the group."""
+    """A node's request to the leader to add it to the group."""
 
-    node: str
+    node: str  # identity of the node, which is the name of its disk
     address: str
 
 
@@ -120,7 +120,7 @@
 class LeaveRequest(msgspec.Struct, array_like=True, tag="x", frozen=True):
     """A node's request to be removed from the voters because it shuts down gracefully."""
 
-    node: str
+    node: str  # its identity
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, tag="s", frozen=True):
--- a/lapisgrade/gateway/consensus/reconfiguration.py
+++ b/lapisgrade/gateway/consensus/reconfiguration.py
@@ -39,7 +39,7 @@
         self._past_commits: deque[PastCommit] = deque()
 
     def start(self) -> None:
-        """Start leading."""
+        """Start leading: discard the state of an earlier leadership."""
         self._leaving = set()
         self._past_commits.clear()
 
@@ -61,7 +61,7 @@
             self._replication.send_to(request.node, heartbeat=True)
 
     def on_leave(self, request: LeaveRequest) -> None:
-        """Remove a node that shuts down from the voters, if enough voters remain."""
+        """Record that a node shuts down, and remove it from the voters if enough voters remain."""
         if self.state.is_leader:
             self._leaving.add(request.node)
             self.change_voters()
@@ -99,9 +99,9 @@
 
     def _earlier_commit_index(self) -> int:
         """Return the commit index one election time-out ago, or the current one if none is that old."""
-        past = self._past_commits
-        is_old = bool(past) and self.state.now_us - past[0].time_us >= ELECTION_TIMEOUT_US
-        return past[0].commit_index if is_old else self.state.commit_index
+        commits = self._past_commits
+        is_old_enough = bool(commits) and self.state.now_us - commits[0].time_us >= ELECTION_TIMEOUT_US
+        return commits[0].commit_index if is_old_enough else self.state.commit_index
 
     def _view(self) -> ClusterView:
         state = self.state
--- a/lapisgrade/gateway/consensus/replication.py
+++ b/lapisgrade/gateway/consensus/replication.py
@@ -81,12 +81,12 @@
     def quorum_contact_us(self) -> int:
         """When the newest message acknowledged by a majority of the voters was sent, by this node's clock."""
         state = self.state
-        times = [self.followers[name].acked_us for name in state.voters if name in self.followers]
+        acked_times_us = [self.followers[name].acked_us for name in state.voters if name in self.followers]
         if state.identity in state.voters:
-            times.append(state.now_us)
-        times.sort(reverse=True)
+            acked_times_us.append(state.now_us)
+        acked_times_us.sort(reverse=True)
         majority = len(state.voters) // 2
-        return times[majority] if majority < len(times) else -ELECTION_TIMEOUT_US
+        return acked_times_us[majority] if majority < len(acked_times_us) else -ELECTION_TIMEOUT_US
 
     @property
     def has_committed_in_term(self) -> bool:
@@ -137,8 +137,8 @@
     def send_to(self, name: str, heartbeat: bool = False) -> None:
         """Send a follower one message with what it is missing; with `heartbeat`, at least an empty one."""
         state, follower = self.state, self.followers[name]
-        is_unacknowledged = follower.sent_index > follower.match_index
-        if is_unacknowledged and state.now_us - follower.sent_us > RETRANSMIT_AFTER_US:
+        has_unacknowledged = follower.sent_index > follower.match_index
+        if has_unacknowledged and state.now_us - follower.sent_us > RETRANSMIT_AFTER_US:
             follower.next_index = follower.match_index + 1  # the entries sent may be lost
         if follower.next_index <= state.log.snapshot_index or follower.transfer is not None:
             self._send_chunk(name, follower)
@@ -217,7 +217,7 @@
     # ---- replies
 
     def on_contact(self, name: str, address: str, term: int) -> FollowerProgress | None:
-        """Record a follower's message; return its progress, or None if this node doesn't lead it."""
+        """Record a follower's message; return its progress, or None if this node isn't its leader."""
         state = self.state
         if term > state.term:
             self._transitions.become_follower(term)
@@ -273,14 +273,16 @@
         """Commit entries durable on a majority, only through an entry of this term (thesis, 3.6.2)."""
         state = self.state
         voters = state.voters
-        durable = [self.followers[name].match_index if name in self.followers else 0 for name in voters]
+        durable_indexes = [
+            self.followers[name].match_index if name in self.followers else 0 for name in voters
+        ]
         if state.identity in voters:
-            durable[list(voters).index(state.identity)] = state.durable_index
-        durable.sort(reverse=True)
-        index = durable[len(voters) // 2] if voters else 0
-        if index > state.commit_index and state.log.term_at(index) == state.term:
+            durable_indexes[list(voters).index(state.identity)] = state.durable_index
+        durable_indexes.sort(reverse=True)
+        majority_index = durable_indexes[len(voters) // 2] if voters else 0
+        if majority_index > state.commit_index and state.log.term_at(majority_index) == state.term:
             is_announced = state.commit_index < self._announced_index
-            state.commit_up_to(index)
+            state.commit_up_to(majority_index)
             if is_announced:
                 self.send_to_all(heartbeat=True)
         if state.identity not in voters and state.commit_index >= state.log.last_index:
--- a/lapisgrade/gateway/consensus/timing.py
+++ b/lapisgrade/gateway/consensus/timing.py
@@ -19,7 +19,10 @@
 """Time after a restart during which a lease may rest on earlier replies; LEASE_US plus clock drift."""
 
 RETRY_DELAY_US = 10_000
-"""Minimum delay between the elections of a node that has just restarted; a few round trips."""
+"""Minimum delay before the next election attempt while this node or a voter has just restarted.
+
+A few round trips.
+"""
 
 RETRY_JITTER_US = 50_000
 """Maximum random addition to RETRY_DELAY_US."""
--- a/lapisgrade/gateway/consensus/voter.py
+++ b/lapisgrade/gateway/consensus/voter.py
@@ -90,20 +90,21 @@
         state.write([HardState(state.term, state.voted_for)], [OutgoingMessage(request.address, reply)])
 
     def _lease_forbids_vote(self, request: RequestVote) -> bool:
+        """Whether a lease may rest on this node's replies, and the candidate can't rule it out."""
         lease_possible = self.has_leader_contact() or self.in_restart_guard()
         return lease_possible and not request.lease_free
 
     def _grants_vote(self, request: RequestVote) -> bool:
-        """Whether the log is current and no other candidate got the vote; `request` has the current term."""
+        """Whether the log is current and no other got the vote; `request` is of the current term."""
         return self.log_is_current(request) and self.state.voted_for in ("", request.candidate)
 
     def on_pre_vote(self, request: RequestVote) -> None:
-        """Reply whether a vote would be granted; only a raised term is written to disk."""
+        """Reply whether a vote would be granted; at most a raised term is written to disk."""
         state = self.state
         granted = self._grants_pre_vote(request)
         lease_free = granted and state.role is not Role.CANDIDATE
         if lease_free:
-            # Keeps this node from becoming leader, unknown to the candidate, in a term up to the candidate's.
+            # Keeps this node from becoming leader, unknown to the candidate, before the requested term.
             state.raise_term(request.term - 1)
         reply = RequestVoteReply(
             request.term if granted else state.term,
--- a/tests/gateway/consensus/test_election.py
+++ b/tests/gateway/consensus/test_election.py
@@ -29,6 +29,7 @@
 
 
 def request_vote(**overrides) -> RequestVote:
+    """Return a vote request of candidate `b` in term 5 with an empty log, except for `overrides`."""
     defaults = {
         "term": 5, "candidate": "b", "address": VOTERS["b"], "last_log_index": 0, "last_log_term": 0,
         "pre_vote": False,
@@ -147,7 +148,7 @@
     assert (reply.granted, reply.lease_free) == (True, False)
 
 
-def test_a_node_that_reports_no_lease_cannot_lead_in_that_term() -> None:
+def test_a_node_that_reports_no_lease_cannot_lead_a_term_before_the_requested_one() -> None:
     node = new_node()
     node.receive(NOW_US, request_vote(term=9, pre_vote=True))
     assert take_effects(node).sends[-1][1].lease_free
--- a/tests/gateway/consensus/test_entry_stream.py
+++ b/tests/gateway/consensus/test_entry_stream.py
@@ -14,11 +14,11 @@
 
 
 class StreamCluster(Cluster):
-    """A cluster with a proposal every `BATCH_INTERVAL_S`, and one distant node."""
+    """A cluster with a proposal every `BATCH_INTERVAL_S`; `distant` names a node with slow links, if any."""
 
     def __init__(self, seed: int, distant: str) -> None:
         self.distant = distant
-        self.proposals = 0
+        self.proposal_count = 0
         super().__init__(seed)
 
     def send(self, source: str, destination: str, message: Message) -> None:
@@ -30,9 +30,10 @@
             super().send(source, destination, message)
 
     def stream(self, seconds: float) -> None:
+        """Run for `seconds` with a constant stream of proposals."""
         for _ in range(round(seconds / BATCH_INTERVAL_S)):
-            self.proposals += 1
-            self.propose(b"%d" % self.proposals)
+            self.proposal_count += 1
+            self.propose(b"%d" % self.proposal_count)
             self.run(BATCH_INTERVAL_S)
 
 
--- a/tests/gateway/consensus/test_follower.py
+++ b/tests/gateway/consensus/test_follower.py
@@ -17,7 +17,7 @@
     records = [first, EntriesRecord([Entry(2, 3, b"x")], 1)]
     node = Node.recover(records, VOTERS["a"], Random(1), NOW_US)
     assert (node.log.last_index, node.state.durable_index, node.commit_index) == (2, 0, 1)
-    assert [each.index for each in take_effects(node).committed] == [1]
+    assert [entry.index for entry in take_effects(node).committed] == [1]
     node.receive(NOW_US, append_entries(3, (2, 3), []))
     assert take_effects(node).sends[-1][1].match_index == 0
     node.on_write_durable(NOW_US, 2, 3)
@@ -40,7 +40,7 @@
     sync_disk(node)
     assert node.state.durable_index == 3
     node.receive(NOW_US, append_entries(4, (1, 3), [Entry(2, 4, b"new")]))
-    assert [(each.index, each.term) for each in node.log.entries] == [(1, 3), (2, 4)]
+    assert [(entry.index, entry.term) for entry in node.log.entries] == [(1, 3), (2, 4)]
     assert node.state.durable_index == 1
 
 
--- a/tests/gateway/consensus/test_leader.py
+++ b/tests/gateway/consensus/test_leader.py
@@ -43,11 +43,11 @@
 
 def test_the_lease_starts_when_the_request_was_sent() -> None:
     node = elected_leader()
-    sent = node.state.now_us
+    sent_us = node.state.now_us
     node.state.now_us += 200_000
-    append_reply(node, "b", node.log.last_index, sent_us=sent)
+    append_reply(node, "b", node.log.last_index, sent_us=sent_us)
     assert node.has_lease()
-    node.state.now_us = sent + LEASE_US + 1
+    node.state.now_us = sent_us + LEASE_US + 1
     assert not node.has_lease()
 
 
--- a/tests/gateway/consensus/test_membership.py
+++ b/tests/gateway/consensus/test_membership.py
@@ -15,6 +15,7 @@
 
 
 def make_view(size: int, **peers) -> ClusterView:
+    """Return the view of leader `a` with `size` voters, all live and caught up; `peers` are further nodes."""
     names = "abcdefgh"[:size]
     voters = {name: f"10.0.0.{i}:1" for i, name in enumerate(names, 1)}
     statuses = {name: PeerStatus(address, 7, NOW_US) for name, address in voters.items() if name != "a"}
@@ -43,7 +44,7 @@
                 continue
             changes += 1
             ready = {"a"} | {
-                name for name, each in zip(names, combination, strict=True) if each == "caught-up"
+                name for name, peer_state in zip(names, combination, strict=True) if peer_state == "caught-up"
             }
             assert 2 * len(ready & set(voters)) > len(voters), (size, combination, voters)
             assert len(set(voters) ^ set(view.voters)) <= 1
--- a/tests/gateway/consensus/test_snapshots.py
+++ b/tests/gateway/consensus/test_snapshots.py
@@ -10,7 +10,10 @@
 from lapisgrade.gateway.consensus.snapshots import CHUNK_BYTES, Snapshot, SnapshotAssembly, SnapshotTransfer
 
 
-def transfer_snapshot(lose=lambda attempt: False, duplicate=lambda attempt: False) -> tuple[bytes, int]:
+def transfer_snapshot(
+    is_lost=lambda attempt: False, is_duplicated=lambda attempt: False
+) -> tuple[bytes, int]:
+    """Transfer a snapshot of four chunks over a faulty link; return it and the number of chunks sent."""
     state = bytes(range(256)) * (3 * CHUNK_BYTES // 256) + b"end"
     transfer = SnapshotTransfer(Snapshot(9, 2, VOTERS, state))
     assembly, attempts = SnapshotAssembly(), 0
@@ -20,10 +23,10 @@
             3, "b", "b:1", "a", 9, 2, VOTERS, transfer.chunk(), 1, transfer.offset, len(state)
         )
         transfer.sent_us = 1
-        if lose(attempts):
+        if is_lost(attempts):
             continue
         complete = assembly.add(chunk)
-        if duplicate(attempts):
+        if is_duplicated(attempts):
             complete = assembly.add(chunk) or complete
         if complete is not None:
             assert complete == state
@@ -33,8 +36,8 @@
 
 def test_a_snapshot_is_complete_despite_lost_and_duplicate_chunks() -> None:
     assert transfer_snapshot()[1] == 4
-    assert transfer_snapshot(lose=lambda attempt: attempt in (2, 3))[1] == 6
-    transfer_snapshot(duplicate=lambda attempt: True)
+    assert transfer_snapshot(is_lost=lambda attempt: attempt in (2, 3))[1] == 6
+    transfer_snapshot(is_duplicated=lambda attempt: True)
 
 
 def test_one_chunk_is_in_flight_and_a_later_compaction_does_not_change_the_snapshot() -> None:
@@ -43,10 +46,10 @@
     node.compact(b"s" * (2 * CHUNK_BYTES + 5))
     sync_disk(node)
     append_reply(node, "c", 0, success=False)
-    chunks = [each for _, each in take_effects(node).sends if isinstance(each, InstallSnapshot)]
+    chunks = [message for _, message in take_effects(node).sends if isinstance(message, InstallSnapshot)]
     node.tick(node.next_tick_us)
-    chunks += [each for _, each in take_effects(node).sends if isinstance(each, InstallSnapshot)]
-    assert [each.offset for each in chunks] == [0]
+    chunks += [message for _, message in take_effects(node).sends if isinstance(message, InstallSnapshot)]
+    assert [message.offset for message in chunks] == [0]
     node.propose(b"x")
     sync_disk(node)
     append_reply(node, "b", node.log.last_index)
@@ -58,7 +61,7 @@
             node.term, "c", VOTERS["c"], chunks[0].last_index, CHUNK_BYTES, node.state.now_us
         ),
     )
-    (chunk,) = [each for _, each in take_effects(node).sends if isinstance(each, InstallSnapshot)]
+    (chunk,) = [message for _, message in take_effects(node).sends if isinstance(message, InstallSnapshot)]
     assert (chunk.last_index, chunk.offset, chunk.data) == (
         chunks[0].last_index,
         CHUNK_BYTES,
