--- a/lapisgrade/gateway/merge/conflicts.py
+++ b/lapisgrade/gateway/merge/conflicts.py
@@ -32,9 +32,9 @@
     added_items: set[FieldPath] = set()  # items added by this draft
     for change in changes:  # the path of an item precedes those of its fields
         if change.removes_item:
-            reason = _conflict_of_removal(fields, change, changed_by)
+            reason = _removal_conflict_reason(fields, change, changed_by)
         else:
-            reason = _conflict_of_field(fields, change, changed_by, draft_paths, added_items)
+            reason = _field_conflict_reason(fields, change, changed_by, draft_paths, added_items)
             if not reason and merge_fields.is_item(change.path):
                 added_items.add(change.path)
         if reason:
@@ -42,13 +42,13 @@
     return reasons
 
 
-def _changer(path: FieldPath, changed_by: dict[FieldPath, str]) -> str:
-    """Return a description of what changed a field since the draft's base version."""
+def _describe_changer(path: FieldPath, changed_by: dict[FieldPath, str]) -> str:
+    """Return what changed a field since the draft's base: an earlier draft, or an acknowledged change."""
     return changed_by.get(path, "acknowledged since")
 
 
-def _conflict_of_removal(fields: Fields, change: FieldChange, changed_by: dict[FieldPath, str]) -> str:
-    """Return which changed field prevents the removal of an item; empty if the item can be removed."""
+def _removal_conflict_reason(fields: Fields, change: FieldChange, changed_by: dict[FieldPath, str]) -> str:
+    """Return the changed field that prevents the removal of an item; empty if the item can be removed."""
     base = {tuple(path): value for path, value in change.base_value}
     current = {path: value for path, value in fields.items() if is_at_or_below(path, change.path)}
     changed = [path for path in base.keys() | current.keys() if base.get(path) != current.get(path)]
@@ -56,36 +56,45 @@
     changed += [path for path in current if path in changed_by]
     if not current or not changed:
         return ""
-    return f"{format_path(min(changed))}: {_changer(min(changed), changed_by)}"
+    return f"{format_path(min(changed))}: {_describe_changer(min(changed), changed_by)}"
 
 
-def _conflict_of_field(
+def _field_conflict_reason(
     fields: Fields,
     change: FieldChange,
     changed_by: dict[FieldPath, str],
     draft_paths: set[FieldPath],
     added_items: set[FieldPath],
 ) -> str:
-    """Return why a field can't be changed; empty if it can."""
+    """Return why a field can't be changed; empty if it can.
+
+    Args:
+        fields: The configuration with all earlier drafts applied.
+        change: The change of the field.
+        changed_by: Fields changed by earlier drafts, each with the label of its draft.
+        draft_paths: Paths of all the draft's changes.
+        added_items: Items that the draft has added so far.
+    """
     path, item = change.path, change.path[:2]
     if merge_fields.is_in_item(path) and item not in fields and item not in added_items:
-        return f"{format_path(item)} is gone: {_changer(item, changed_by)}"
+        return f"{format_path(item)} is gone: {_describe_changer(item, changed_by)}"
     if not change.is_present and merge_fields.is_list(path):
-        others = [each for each in fields if is_at_or_below(each, path) and each not in draft_paths]
-        if others:
-            return f"{format_path(min(others))}: {_changer(min(others), changed_by)}"
+        # A list is kept if it has elements that the draft doesn't remove.
+        kept_paths = [each for each in fields if is_at_or_below(each, path) and each not in draft_paths]
+        if kept_paths:
+            return f"{format_path(min(kept_paths))}: {_describe_changer(min(kept_paths), changed_by)}"
     is_present = path in fields
     has_new_value = is_present == change.is_present and fields.get(path) == change.new_value
     has_base_value = is_present == change.was_present and fields.get(path) == change.base_value
     if not has_new_value and (not has_base_value or path in changed_by):
-        return _changer(path, changed_by)
+        return _describe_changer(path, changed_by)
     return ""
 
 
 def _find_destination_conflicts(
     fields: Fields, changes: list[FieldChange], reasons: dict[FieldPath, str]
 ) -> dict[FieldPath, str]:
-    """Return conflicts about the destinations of routes.
+    """Return the paths of conflicting changes of routes' destinations, each with the reason.
 
     A split is merged service by service. If a route's destination is a single service before or after the
     draft, all changes to it conflict if one does; otherwise the route could end up with both a service and a
--- a/lapisgrade/gateway/merge/fields.py
+++ b/lapisgrade/gateway/merge/fields.py
@@ -127,14 +127,19 @@
 
 
 def from_fields(fields: Fields, layout: Json) -> Json:
-    """Return the configuration with those fields; items keep the order of `layout`, new ones are last."""
+    """Return the configuration with those fields.
+
+    Args:
+        fields: The fields.
+        layout: A configuration whose order of ports and items is kept; new ones are last.
+    """
     configuration: Json = {key: layout[key] for key in ("Ver",) if key in layout}
     items, top_level = _collect_items(fields)
     configuration.update(top_level)
     configuration["Ports"] = _build_ports(items, layout)
     for key in (SERVICES, TENANTS):
         order: list[FieldPath] = [(key, item["Name"]) for item in layout.get(key) or []]
-        listed = [{"Name": path[1], **items[path]} for path in _ordered(items, key, order)]
+        listed = [{"Name": path[1], **items[path]} for path in _ordered_paths(items, key, order)]
         if listed or (key,) in fields or (key in layout and key == SERVICES):
             configuration[key] = listed
     return configuration
@@ -149,9 +154,9 @@
             if len(path) == 2:
                 items.setdefault(path, {})
         elif path[0] in (ROUTES, SERVICES, TENANTS):
-            _put(items.setdefault(path[:2], {}), path[2:], value, path)
+            _set_field(items.setdefault(path[:2], {}), path[2:], value, path)
         else:
-            _put(top_level, path, value, path)
+            _set_field(top_level, path, value, path)
     return items, top_level
 
 
@@ -162,7 +167,7 @@
     ]
     port_by_host = {port["Vhost"]: port for port in layout_ports}
     rules_by_host: dict[str, list[Json]] = {}
-    for path in _ordered(items, ROUTES, order):
+    for path in _ordered_paths(items, ROUTES, order):
         rule = {"Name": path[1], **items[path]}
         rules_by_host.setdefault(rule.pop("Vhost"), []).append(rule)
     known_hosts = [host for host in port_by_host if host in rules_by_host]
@@ -173,13 +178,14 @@
     ]
 
 
-def _ordered(items: dict[FieldPath, Json], key: str, order: list[FieldPath]) -> list[FieldPath]:
+def _ordered_paths(items: dict[FieldPath, Json], key: str, order: list[FieldPath]) -> list[FieldPath]:
+    """Return the paths of the items below `key`: first those in `order`, then the others, sorted."""
     present = {path for path in items if path[0] == key}
     return [path for path in order if path in present] + sorted(present - set(order))
 
 
-def _put(item: Json, path: FieldPath, value: Any, full_path: FieldPath) -> None:
-    """Set a field of an item; `path` is relative to the item, `full_path` is absolute."""
+def _set_field(item: Json, path: FieldPath, value: Any, full_path: FieldPath) -> None:
+    """Set a field of an item; `path` is relative to the item, `full_path` to the configuration."""
     for i, name in enumerate(path[:-1]):
         is_parent = i == len(path) - 2
         if is_parent and name == SPLIT and full_path[0] == ROUTES:
@@ -200,14 +206,18 @@
 def diff(base: Fields, new: Fields) -> list[FieldChange]:
     """Return the changes from `base` to `new`, sorted by path; the removal of an item is one change."""
     changes: list[FieldChange] = []
-    removed = [path for path in base if is_item(path) and path not in new]
-    for path in removed:
-        if any(path != other and is_at_or_below(path, other) for other in removed):
+    removed_items = [path for path in base if is_item(path) and path not in new]
+    for path in removed_items:
+        if any(path != other and is_at_or_below(path, other) for other in removed_items):
             continue  # the removal of the tenant list covers its tenants
-        removed_fields = [[list(each), value] for each, value in base.items() if is_at_or_below(each, path)]
+        removed_fields = [
+            [list(field_path), value]
+            for field_path, value in base.items()
+            if is_at_or_below(field_path, path)
+        ]
         changes.append(FieldChange(path, True, sorted(removed_fields, key=lambda pair: pair[0]), False, None))
     for path in base.keys() | new.keys():
-        if any(is_at_or_below(path, each) for each in removed):
+        if any(is_at_or_below(path, item) for item in removed_items):
             continue
         was_present, is_present = path in base, path in new
         if was_present != is_present or base[path] != new[path]:
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -26,8 +26,8 @@
 from lapisgrade.gateway.merge.fields import FieldChange, FieldPath, Fields, Json, format_path, is_at_or_below
 
 MAX_CHANGES = 4096  # maximum number of changed fields in a draft; enough for several hundred routes
-MAX_AUTHOR_LENGTH = 200  # characters
-ID_BYTES = 6
+MAX_AUTHOR_LENGTH = 200  # characters; a longer name is truncated
+ID_BYTES = 6  # size of the digest in a draft's id
 REMOVED, ABSENT = "(gone)", "(none)"  # shown in place of a missing value
 
 
@@ -81,7 +81,8 @@
     Attributes:
         applied: Paths of the fields that have the draft's values.
         conflicts: The fields that don't.
-        error: Why the draft would make the configuration invalid, so that none of it is applied; or empty.
+        error: Why the draft would make the configuration invalid, in which case none of it is applied; else
+            empty.
     """
 
     applied: list[FieldPath] = []
@@ -107,7 +108,7 @@
     if not changes:
         raise ConfigurationError("nothing would change")
     if len(changes) > MAX_CHANGES:
-        raise ConfigurationError(f"{len(changes)} fields are too many for a draft")
+        raise ConfigurationError(f"the change affects {len(changes)} fields, a draft at most {MAX_CHANGES}")
     author = author[:MAX_AUTHOR_LENGTH]
     content = msgspec.json.encode((author, controller, base_version, changes), order="sorted")
     draft_id = blake2b(content, digest_size=ID_BYTES).hexdigest()
@@ -117,9 +118,9 @@
 def merge_drafts(acknowledged: Json, drafts: list[Draft]) -> tuple[Json, dict[str, MergeOutcome]]:
     """Return the last acknowledged configuration with the drafts merged into it, and each draft's outcome."""
     merged, fields = acknowledged, merge_fields.to_fields(acknowledged)
-    changed_by: dict[FieldPath, str] = {}  # label of the draft that changed a field, of those merged so far
+    changed_by: dict[FieldPath, str] = {}  # label of the merged draft that changed a field, by path
     outcomes: dict[str, MergeOutcome] = {}
-    for draft in sorted(drafts, key=lambda each: each.sort_key):
+    for draft in sorted(drafts, key=lambda draft: draft.sort_key):
         new_fields, outcome = _merge_draft(fields, draft, changed_by)
         if outcome.applied:
             candidate = merge_fields.from_fields(new_fields, merged)
@@ -137,27 +138,27 @@
 def _merge_draft(
     fields: Fields, draft: Draft, changed_by: dict[FieldPath, str]
 ) -> tuple[Fields, MergeOutcome]:
-    """Return the fields with a draft's changes without conflicts applied, and the outcome."""
+    """Return the fields after those of a draft's changes that have no conflict, and the draft's outcome."""
     reasons = find_conflicts(fields, draft.changes, changed_by)
     merged = dict(fields)
     applied: list[FieldPath] = []
     conflicts: list[MergeConflict] = []
     for change in draft.changes:
         if change.path in reasons:
-            conflicts.append(_conflict(fields, change, reasons[change.path]))
+            conflicts.append(_make_conflict(fields, change, reasons[change.path]))
             continue
         applied.append(change.path)
-        _apply(merged, change)
+        _apply_field_change(merged, change)
     return merged, MergeOutcome(applied, conflicts)
 
 
-def _conflict(fields: Fields, change: FieldChange, reason: str) -> MergeConflict:
+def _make_conflict(fields: Fields, change: FieldChange, reason: str) -> MergeConflict:
     current = fields.get(change.path, REMOVED if change.was_present else ABSENT)
     wanted = change.new_value if change.is_present else REMOVED
     return MergeConflict(change.path, current, wanted, reason)
 
 
-def _apply(fields: Fields, change: FieldChange) -> None:
+def _apply_field_change(fields: Fields, change: FieldChange) -> None:
     if change.removes_item:
         for path in [path for path in fields if is_at_or_below(path, change.path)]:
             del fields[path]
@@ -183,7 +184,7 @@
             fields[change.path] = change.new_value
     for path in fields:
         if merge_fields.is_in_item(path) and path[:2] not in fields:
-            raise ConfigurationError(f"{format_path(path[:2])} is gone: put it whole")
+            raise ConfigurationError(f"{format_path(path[:2])} is gone: submit it as a whole item")
     forced = merge_fields.from_fields(fields, current)
     configuration.read(forced)
     return forced
@@ -211,7 +212,11 @@
         "Base": draft.base_version,
     }
     if outcome is None:
-        return {**described, "State": "kept", "Fields": [format_path(each.path) for each in draft.changes]}
+        return {
+            **described,
+            "State": "kept",
+            "Fields": [format_path(change.path) for change in draft.changes],
+        }
     conflicts = [
         {
             "Field": format_path(conflict.path),
--- a/lapisgrade/gateway/storage/draft_store.py
+++ b/lapisgrade/gateway/storage/draft_store.py
@@ -73,14 +73,17 @@
         """
         async with self._lock:
             if draft_id in self.drafts:
-                remaining = {each: draft for each, draft in self.drafts.items() if each != draft_id}
+                remaining = {
+                    stored_id: draft for stored_id, draft in self.drafts.items() if stored_id != draft_id
+                }
                 await self._write(remaining)
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the data file."""
         self._log_store.close()
 
     async def _write(self, drafts: dict[str, Draft]) -> None:
+        """Replace the drafts on disk; `self.drafts` changes only once they are synced."""
         data = msgspec.msgpack.encode(list(drafts.values()))
         await asyncio.get_running_loop().run_in_executor(self._executor, self._write_generation, data)
         self.drafts = drafts
--- a/lapisgrade/gateway/storage/log_format.py
+++ b/lapisgrade/gateway/storage/log_format.py
@@ -35,14 +35,14 @@
 
     Attributes:
         records: The records before the first gap, in sequence.
-        durable_count: Number of records that were synced, according to all readable records.
+        durable_count: Number of records that were synced: the highest `durable` of all readable records.
     """
 
     records: list[bytes]
     durable_count: int
 
     def is_corrupt(self) -> bool:
-        """Return whether a synced record is missing."""
+        """Return whether a record that was synced is missing or unreadable."""
         return self.durable_count > len(self.records)
 
 
@@ -52,7 +52,7 @@
 
 
 def decode_records(blob: bytes) -> LogFileContents:
-    """Return the records of a data file."""
+    """Return the records of a data file; `blob` is the complete file."""
     records: list[bytes] = []
     durable_count = 0
     has_gap = False
@@ -78,6 +78,7 @@
 
 
 def _next_block(offset: int) -> int:
+    """Return the first block boundary at or after `offset`."""
     return offset + -offset % BLOCK_BYTES
 
 
--- a/lapisgrade/gateway/storage/log_store.py
+++ b/lapisgrade/gateway/storage/log_store.py
@@ -37,7 +37,7 @@
 
 
 class LogStore:
-    """The log in one folder. Calls block; a single thread of the process makes them."""
+    """The log in one folder. Calls block, and only one thread at a time may make them."""
 
     def __init__(self, folder: str) -> None:
         """Create a log store without reading or writing the folder."""
@@ -55,7 +55,7 @@
             OSError: The folder or a file can't be read.
         """
         os.makedirs(self._folder, exist_ok=True)
-        for generation in self._data_files():
+        for generation in self._generations_on_disk():
             with open(self._data_path(generation), "rb") as file:
                 contents = decode_records(file.read())
             if contents.is_corrupt():
@@ -107,6 +107,7 @@
         self._database = None
 
     def _put(self, records: list[bytes]) -> None:
+        """Write records without syncing them."""
         for data in records:
             self._sequence += 1
             self._database[str(self._sequence)] = encode_record(self._sequence, self._durable, data)
@@ -117,7 +118,7 @@
     def _sync_folder(self) -> None:
         _sync(self._folder, os.O_RDONLY)
 
-    def _data_files(self) -> list[int]:
+    def _generations_on_disk(self) -> list[int]:
         """Return the generations that have a data file, newest first."""
         numbers = [
             name.removeprefix(_PREFIX).removesuffix(_DATA_SUFFIX)
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -19,6 +19,7 @@
 
 
 def route(name: str, pfx: str, svc: str = "a", **other_fields) -> dict:
+    """Return a route; fields in `Action` are added to its action, and a split replaces its service."""
     action = {"Svc": svc, "Timeout": "2s", **other_fields.pop("Action", {})}
     if "Split" in action:
         del action["Svc"]
@@ -43,6 +44,7 @@
 
 
 def upsert_route(rule: dict, host: str = "a.example") -> dict:
+    """Return a change that adds or replaces a route."""
     return {"Upsert": {"Ports": [{"Vhost": host, "Policy": [rule]}]}}
 
 
@@ -60,6 +62,7 @@
 
 
 def merge(base: dict, *drafts: Draft):
+    """Merge drafts into a configuration; return the valid result, and each draft's outcome in their order."""
     conf, outcomes = merge_drafts(base, list(drafts))
     configuration.read(conf)
     return conf, [outcomes[each.id] for each in drafts]
@@ -76,27 +79,27 @@
     for seed in range(200):
         random = ConfigurationRandom(seed)
         conf = random.configuration()
-        edit = random.drafts(conf, 1)[0]
-        merged, outcomes = merge_drafts(conf, [edit])
-        assert not outcomes[edit.id].is_open
-        assert diff(to_fields(conf), to_fields(merged)) == edit.changes
+        draft = random.drafts(conf, 1)[0]
+        merged, outcomes = merge_drafts(conf, [draft])
+        assert not outcomes[draft.id].is_open
+        assert diff(to_fields(conf), to_fields(merged)) == draft.changes
 
 
 def test_edits_of_different_fields_of_a_route_on_both_sides_are_both_kept() -> None:
-    majority = acknowledged(upsert_route(route(CLAIM, "/claim/", Action={"Timeout": "3s"})))
-    edge = new_draft(upsert_route(route(CLAIM, "/claim/", svc="b")))
-    conf, (outcome,) = merge(majority, edge)
+    majority_conf = acknowledged(upsert_route(route(CLAIM, "/claim/", Action={"Timeout": "3s"})))
+    edge_draft = new_draft(upsert_route(route(CLAIM, "/claim/", svc="b")))
+    conf, (outcome,) = merge(majority_conf, edge_draft)
     assert find_route(conf, CLAIM)["Action"] == {"Svc": "b", "Timeout": "3s"}
     assert not outcome.is_open
 
 
 def test_a_split_is_merged_by_service() -> None:
     def split(**weights) -> dict:
-        shares = [{"Svc": name, "Wt": each} for name, each in weights.items()]
+        shares = [{"Svc": name, "Wt": weight} for name, weight in weights.items()]
         return upsert_route(route(SCRIPT, "/", Action={"Split": shares}), "b.example")
 
     conf, (outcome,) = merge(acknowledged(split(a=90, b=10, c=5)), new_draft(split(a=70, b=10)))
-    assert {each["Svc"]: each["Wt"] for each in find_route(conf, SCRIPT)["Action"]["Split"]} == {
+    assert {share["Svc"]: share["Wt"] for share in find_route(conf, SCRIPT)["Action"]["Split"]} == {
         "a": 70,
         "b": 10,
         "c": 5,
@@ -104,24 +107,24 @@
     assert not outcome.is_open
     # If the split was replaced by a single service, no share of the draft's split is applied.
     single_service = acknowledged(upsert_route(route(SCRIPT, "/", svc="c"), "b.example"))
-    for edit in (split(a=70, b=10), split(a=90, b=10, c=3)):
-        conf, (outcome,) = merge(single_service, new_draft(edit))
+    for change in (split(a=70, b=10), split(a=90, b=10, c=3)):
+        conf, (outcome,) = merge(single_service, new_draft(change))
         assert find_route(conf, SCRIPT)["Action"]["Svc"] == "c"
         assert (outcome.applied, bool(outcome.conflicts)) == ([], True)
 
 
 def test_a_conflicting_field_keeps_the_acknowledged_value_and_is_reported() -> None:
-    edge = new_draft(upsert_route(route(CLAIM, "/claim/", svc="b", Prio=0)))
-    conf, (outcome,) = merge(acknowledged(upsert_route(route(CLAIM, "/claim/", svc="c"))), edge)
+    edge_draft = new_draft(upsert_route(route(CLAIM, "/claim/", svc="b", Prio=0)))
+    conf, (outcome,) = merge(acknowledged(upsert_route(route(CLAIM, "/claim/", svc="c"))), edge_draft)
     assert (find_route(conf, CLAIM)["Action"]["Svc"], find_route(conf, CLAIM)["Prio"]) == ("c", 0)
-    assert describe_draft(edge, outcome)["Aside"] == [
+    assert describe_draft(edge_draft, outcome)["Aside"] == [
         {"Field": "Routes/r-claim/Action/Svc", "Has": "c", "Wants": "b", "Why": "acknowledged since"}
     ]
     assert (
         (
             find_route(
                 force_changes(
-                    conf, [each for each in edge.changes if each.path == outcome.conflicts[0].path]
+                    conf, [each for each in edge_draft.changes if each.path == outcome.conflicts[0].path]
                 ),
                 CLAIM,
             )["Action"]["Svc"]
@@ -132,24 +135,26 @@
 
 def test_the_same_change_on_both_sides_is_applied_once() -> None:
     change = upsert_route(route(CLAIM, "/claim/", svc="b"))
-    conf, (first, second) = merge(acknowledged(change), new_draft(change), new_draft(change, "another"))
+    conf, (first_outcome, second_outcome) = merge(
+        acknowledged(change), new_draft(change), new_draft(change, "another")
+    )
     assert find_route(conf, CLAIM)["Action"]["Svc"] == "b"
-    assert not (first.is_open)
-    assert not (second.is_open)
+    assert not (first_outcome.is_open)
+    assert not (second_outcome.is_open)
 
 
 def test_a_draft_does_not_restore_a_deleted_route_or_service() -> None:
-    edge = new_draft(upsert_route(route(CLAIM, "/claim/", svc="b")))
-    conf, (outcome,) = merge(acknowledged({"Del": {"Routes": [CLAIM]}}), edge)
+    edge_draft = new_draft(upsert_route(route(CLAIM, "/claim/", svc="b")))
+    conf, (outcome,) = merge(acknowledged({"Del": {"Routes": [CLAIM]}}), edge_draft)
     assert ("Routes", CLAIM) not in to_fields(conf)
     assert "is gone: acknowledged since" in outcome.conflicts[0].reason
     # The draft's service was deleted: the draft isn't applied and has an error.
-    majority = acknowledged({"Del": {"Svcs": ["b"]}, **upsert_route(route(SCRIPT, "/"), "b.example")})
-    conf, (outcome,) = merge(majority, edge)
+    majority_conf = acknowledged({"Del": {"Svcs": ["b"]}, **upsert_route(route(SCRIPT, "/"), "b.example")})
+    conf, (outcome,) = merge(majority_conf, edge_draft)
     assert (find_route(conf, CLAIM)["Action"]["Svc"], outcome.applied) == ("a", [])
     assert "'b' is not in Pools" in outcome.error
-    with pytest.raises(InvalidInputError, match="put it whole"):
-        force_changes(acknowledged({"Del": {"Routes": [CLAIM]}}), edge.changes)
+    with pytest.raises(InvalidInputError, match="submit it as a whole item"):
+        force_changes(acknowledged({"Del": {"Routes": [CLAIM]}}), edge_draft.changes)
 
 
 def test_a_deletion_is_applied_only_if_the_item_was_not_changed() -> None:
@@ -165,10 +170,14 @@
     def keys(*names: str) -> dict:
         return {"Upsert": {"Tenants": [{**BASE["Tenants"][0], "Apikeys": list(names)}]}}
 
-    one, two = new_draft(keys("key-1", "key-2")), new_draft(keys("key-3"))
-    conf, (first, second) = merge(BASE, one, two)
+    first_draft, second_draft = new_draft(keys("key-1", "key-2")), new_draft(keys("key-3"))
+    conf, (first_outcome, second_outcome) = merge(BASE, first_draft, second_draft)
     assert set(conf["Tenants"][0]["Apikeys"]) == {"key-2", "key-3"}
-    for described in (describe_draft(one, first), describe_draft(two, second), describe_draft(two, None)):
+    for described in (
+        describe_draft(first_draft, first_outcome),
+        describe_draft(second_draft, second_outcome),
+        describe_draft(second_draft, None),
+    ):
         assert b"key-" not in msgspec.json.encode(described)
         assert b"Apikeys/(a key)" in msgspec.json.encode(described)
 
@@ -201,14 +210,14 @@
         conf, outcomes = merge_drafts(newest, drafts)
         configuration.read(conf)
         fields = to_fields(conf)
-        for edit in drafts:
-            result = outcomes[edit.id]
-            if result.error:
+        for draft in drafts:
+            outcome = outcomes[draft.id]
+            if outcome.error:
                 continue
-            reported = {*result.applied, *(each.path for each in result.conflicts)}
-            assert reported == {change.path for change in edit.changes}
-            for change in edit.changes:
-                if change.path in result.applied:
+            reported = {*outcome.applied, *(each.path for each in outcome.conflicts)}
+            assert reported == {change.path for change in draft.changes}
+            for change in draft.changes:
+                if change.path in outcome.applied:
                     assert (change.path in fields, fields.get(change.path)) == (
                         change.is_present,
                         change.new_value,
@@ -216,6 +225,7 @@
 
 
 def make_state_machine() -> StateMachine:
+    """Return a controller's state machine with `BASE` as its configuration."""
     state_machine = StateMachine()
     change = ConfigurationChange(True, msgspec.json.encode({**BASE, "Base": 0}))
     assert state_machine.apply(1, encode_command(change)).status == 200
--- a/tests/gateway/storage/test_log_store.py
+++ b/tests/gateway/storage/test_log_store.py
@@ -11,12 +11,13 @@
 
 
 class LogFolder:
-    """A folder for a log."""
+    """A folder for a log; `name` is its path."""
 
     def __init__(self, tmp_path: Path) -> None:
         self.name = str(tmp_path)
 
     def path(self, generation: int) -> str:
+        """Return the path of a generation's data file."""
         return os.path.join(self.name, f"log-{generation}.dat")
 
     def create_log(self) -> LogStore:
@@ -44,9 +45,9 @@
 def test_a_truncated_file_is_recovered_as_a_prefix_of_its_records(folder: LogFolder):
     folder.create_log()
     with open(folder.path(1), "rb") as file:
-        blob = file.read()
-    for size in range(0, len(blob), 37):
-        records = decode_records(blob[:size]).records
+        contents = file.read()
+    for size in range(0, len(contents), 37):
+        records = decode_records(contents[:size]).records
         assert records == [b"begin", b"a" * 700, b"b"][: len(records)]
 
 
@@ -59,8 +60,8 @@
     with pytest.raises(CorruptLogError):
         LogStore(folder.name).recover()
     torn = bytearray().join(
-        each.ljust(512, b"\0")
-        for each in (
+        record.ljust(512, b"\0")
+        for record in (
             encode_record(1, 0, b"x"),
             encode_record(2, 1, b"y")[:-1] + b"?",
             encode_record(3, 1, b"z"),
