--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -1,6 +1,6 @@
 """Exploration of version activation: all proxies switch to a configuration version together.
 
-Once one proxy has accepted a tenant, no proxy rejects it. Once one proxy has rejected a removed tenant, no
+Once one proxy has accepted a tenant, no proxy refuses it. Once one proxy has refused a withdrawn tenant, no
 proxy that is in contact with the leader accepts it. The exploration runs the production code of the leader's
 watch and state machine and of the proxies' routers in simulated time, with late and lost updates, proxies
 that freeze, restart or are isolated, leader changes, and several tenants. A run is reproducible from its
@@ -38,12 +38,18 @@
 CALL_INTERVAL_US = 50 * MS
 
 
-def encode_configuration(ver: int, base: int, tenants: int | list[int]) -> bytes:
-    """Return a configuration as JSON; `tenants` is a list of tenant numbers, or a number of tenants."""
+def encode_configuration(version: int, base: int, tenants: int | list[int]) -> bytes:
+    """Return a configuration as JSON.
+
+    Args:
+        version: its version.
+        base: the version that it replaces.
+        tenants: the numbers of its tenants, or how many tenants it has.
+    """
     names = [f"t{number}" for number in (range(tenants) if isinstance(tenants, int) else tenants)]
     return msgspec.json.encode(
         {
-            "Ver": ver,
+            "Ver": version,
             "Base": base,
             "Tenants": [{"Name": name, "Apikeys": [f"key-{name}"]} for name in names],
             "Ports": [
@@ -67,20 +73,21 @@
     LEADS_EARLY = False  # defect: a restarted controller becomes leader before it has applied the log
 
     def __init__(self, seed: int, proxies: int = 8) -> None:
-        """Start a leader, that number of proxies, and a configuration with one tenant."""
+        """Start a leader and `proxies` proxies, with a configuration of one tenant."""
         self.random = Random(seed)
         self.sim = Sim()
         self.sim.now = 10 * SECOND
         self.transcript_lines: list[str] = []
         self.state_machine = StateMachine()
         self.last_index = 0
-        self.pending: list[WatchCall] = []
+        self.pending: list[WatchCall] = []  # watch requests that wait for a reply
         self.become_leader(1)
         self.isolated: set[str] = set()  # names of proxies that can't reach the leader
         self.tenant_count = 0
-        self.withdrawn: set[int] = set()
-        self.first_accepted_us: dict[int, int] = {}  # by tenant
-        self.first_refused_us: dict[int, int] = {}  # by withdrawn tenant
+        self.withdrawn: set[int] = set()  # numbers of tenants that a change has removed
+        self.first_accepted_us: dict[int, int] = {}  # time by tenant
+        self.first_refused_us: dict[int, int] = {}  # time by withdrawn tenant
+        # Violations: time (us), proxy, tenant, and for the first kind the status.
         self.refused_after_acceptance: list[tuple[int, str, int, int]] = []
         self.accepted_after_refusal: list[tuple[int, str, int]] = []
         self.call_count = 0
@@ -107,10 +114,10 @@
     def propose_due_commands(self) -> None:
         """Propose the commands that are due in the leader's watch."""
         now, state = self.sim.now, self.state_machine.state
-        for item in (self.watch.activation(now, state), self.watch.live_proxies(now, state)):
-            if item is not None:
+        for command in (self.watch.activation(now, state), self.watch.live_proxies(now, state)):
+            if command is not None:
                 delay_us = self.random.randrange(2 * MS, 20 * MS)
-                self.sim.after(delay_us, self._commit, encode_command(item), self.term)
+                self.sim.after(delay_us, self._commit, encode_command(command), self.term)
 
     def _commit(self, data: bytes, term: int) -> None:
         if term != self.term:
@@ -126,7 +133,7 @@
         self.reply_to_pending()
 
     def change(self, added: int, withdrawn: int | None = None) -> None:
-        """Commit a configuration with `added` more tenants, and without the tenant `withdrawn`."""
+        """Commit a configuration with `added` more tenants, and without the tenant `withdrawn` if given."""
         self.tenant_count += added
         if withdrawn is not None:
             self.withdrawn.add(withdrawn)
@@ -140,14 +147,14 @@
         )
 
     def on_watch_request(self, call: WatchCall) -> None:
-        """Reply to a watch request on the next update, or when the long poll times out."""
+        """Reply to a watch request at the next update, or at the end of its long poll."""
         call.reply_by_us = self.sim.now + LONG_POLL_US
         self.pending.append(call)
         self.sim.after(LONG_POLL_US, self.reply_to_pending)
         self.reply_to_pending()
 
     def reply_to_pending(self) -> None:
-        """Reply to the watch requests that have an update or whose long poll has timed out."""
+        """Reply to the watch requests that have an update or whose long poll has ended."""
         pending, self.pending = self.pending, []
         for call in pending:
             state = self.state_machine.state
@@ -183,7 +190,7 @@
                 self.become_leader(self.term + 1)
 
     def call_all_proxies(self) -> None:
-        """Send a request of every tenant, also of withdrawn ones, to every proxy that isn't frozen."""
+        """Send a request of each tenant, withdrawn ones included, to each proxy that isn't frozen."""
         for tenant in range(self.tenant_count):
             for proxy in self.proxies:
                 if self.sim.now >= proxy.frozen_until_us:
@@ -214,7 +221,7 @@
         for number in range(changes):
             self.sim.at(self.sim.now + self.random.randrange(SECOND), self.inject_fault)
             self.sim.at(self.sim.now + self.random.randrange(SECOND), self.change, 1)
-            if number == 2:  # withdraw the first tenant
+            if number == 2:  # one change withdraws the first tenant
                 self.sim.at(self.sim.now + self.random.randrange(SECOND), self.change, 0, 0)
             end_us = self.sim.now + self.random.choice((1, 3, 5)) * SECOND
             while self.sim.now < end_us:
@@ -232,7 +239,7 @@
 
     @property
     def has_violation(self) -> bool:
-        """Whether a tenant was refused after it was accepted, or accepted after it was withdrawn."""
+        """Whether a tenant was refused after acceptance, or a withdrawn one accepted after a refusal."""
         return bool(self.refused_after_acceptance or self.accepted_after_refusal)
 
     def transcript(self) -> list[str]:
@@ -241,18 +248,18 @@
 
 
 def _match_active_only(self: router.Router, now: int, *request: str) -> Any:
-    """A proxy that may have missed a version routes by its active one."""
+    """A proxy that may have missed a version still routes by its active one."""
     return self.tables.active.match(*request) if self.tables.active else 503
 
 
-def _activate_at_once(self: Watch, now: int, state: State) -> Activate | None:
+def _activate_unstaged(self: Watch, now: int, state: State) -> Activate | None:
     """A version is activated before the proxies have staged it."""
     return Activate(state.version) if state.version > state.active_version else None
 
 
 DEFECTS: Defects = {
     "serves-withdrawn": Defect(router.Router, "match", _match_active_only),
-    "acts-at-once": Defect(Watch, "activation", _activate_at_once),
+    "acts-at-once": Defect(Watch, "activation", _activate_unstaged),
     "never-doubts": Defect(route_versions, "MISSED_VERSION_AFTER_US", 1 << 60),
     "waits-for-nobody": Defect(version_activation, "ACTIVATION_TIMEOUT_US", 0),
     "leads-early": Defect(World, "LEADS_EARLY", True),
--- a/lapisgrade/lab/explore/cluster.py
+++ b/lapisgrade/lab/explore/cluster.py
@@ -15,7 +15,7 @@
 from lapisgrade.gateway.consensus.records import DurableWrite, Record, SnapshotRecord
 from lapisgrade.lab.explore.exploration import transcript_up_to_violation
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # us
 MESSAGE_LOSS = 0.02
 FIRST_JOIN_US = 50_000
 JOIN_INTERVAL_US = 300_000
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """A node's timer fires."""
+    """A node's timer fires; `incarnation` is the node's when the timer was set."""
 
     incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
 class JoinAttempt:
-    """A node without a leader sends a join request to all others."""
+    """A node without a leader, or not among the voters, sends a join request to all others."""
 
     incarnation: int
 
@@ -66,13 +66,13 @@
         self.blocked_links: set[tuple[str, str]] = set()  # source and destination
         self.nodes: dict[str, Node | None] = {}  # None for a node that isn't running
         self.disks: dict[str, list[bytes]] = {}  # synced records by node
-        self.incarnations: dict[str, int] = {}
+        self.incarnations: dict[str, int] = {}  # by node; grows at each start and each kill
         self.applied: dict[str, list[bytes]] = {}  # applied commands by node
         self.acknowledged: dict[bytes, tuple[str, int]] = {}  # leader and term by command
         self.leaders: dict[int, str] = {}  # by term
         self.violations: list[str] = []
         self.transcript_lines: list[str] = []
-        self._events: list[tuple[int, int, str, Event]] = []  # a heap of time (us), sequence, node, event
+        self._events: list[tuple[int, int, str, Event]] = []  # heap of (time (us), sequence, node, event)
         self._event_count = 0
         self._disk_busy_until_us: dict[str, int] = {}
         voters = {name: address_of(name) for name in names}
@@ -82,7 +82,7 @@
     # ---- nodes
 
     def start(self, name: str, voters: dict[str, str] | None = None, identity: str = "") -> None:
-        """Start a node from its disk; with an empty disk, start it with these voters and this identity."""
+        """Start a node from its disk; `voters` and `identity` are used only if the disk is empty."""
         address, incarnation = address_of(name), self.incarnations.get(name, 0) + 1
         self.incarnations[name] = incarnation
         self.applied[name] = []
@@ -143,7 +143,7 @@
     # ---- time
 
     def run(self, seconds: float) -> None:
-        """Process all events of the next `seconds`."""
+        """Process all events of the next `seconds`; events of earlier incarnations of a node are ignored."""
         end_us = self.now_us + int(seconds * SECOND)
         while self._events and self._events[0][0] <= end_us:
             self.now_us, _, name, event = heapq.heappop(self._events)
@@ -193,7 +193,7 @@
     # ---- effects
 
     def carry_out_effects(self, name: str) -> None:
-        """Carry out a node's writes, commits and sends, and check that no term has two leaders."""
+        """Carry out a node's writes, commits and sends; check that it is the only leader of its term."""
         node = self.nodes[name]
         assert node is not None
         effects = node.take_effects()
@@ -207,8 +207,8 @@
         self.applied[name] += commands
         if node.is_leader:
             self._check_leader(name, node.term)
-            for data in commands:
-                self.acknowledged[data] = (name, node.term)
+            for command in commands:
+                self.acknowledged[command] = (name, node.term)
         for address, message in effects.sends:
             self.send(name, name_at(address), message)
 
--- a/lapisgrade/lab/explore/exploration.py
+++ b/lapisgrade/lab/explore/exploration.py
@@ -63,6 +63,9 @@
             seeds: The seeds in the order of their simulation.
             defect: Name of the defect to inject; empty for none.
             print_line: Called with each line of the violation's transcript.
+
+        Returns:
+            The size of all simulations, and the seed of the violation or NO_SEED.
         """
         count = 0
         with injected(self.defects, defect):
@@ -82,6 +85,9 @@
 
 
 def transcript_up_to_violation(lines: list[str], max_before: int = MAX_TRANSCRIPT_LINES) -> list[str]:
-    """Return the lines up to the first that contains WRONG, or the last lines if none does."""
-    at = next((index for index, line in enumerate(lines) if "WRONG" in line), len(lines) - 1)
-    return lines[max(0, at - max_before) : at + 1]
+    """Return the first line that contains WRONG with at most `max_before` lines before it.
+
+    If no line contains WRONG, the last line takes its place.
+    """
+    last = next((index for index, line in enumerate(lines) if "WRONG" in line), len(lines) - 1)
+    return lines[max(0, last - max_before) : last + 1]
--- a/lapisgrade/lab/explore/log.py
+++ b/lapisgrade/lab/explore/log.py
@@ -1,7 +1,7 @@
 """Exploration of the replicated log under crashes, partitions and wiped disks.
 
 Acknowledged commands are never lost, and all logs agree. At most one disk is wiped at a time, which a cluster
-of three must survive, even if all nodes lose power at the same moment.
+of three must survive even if all nodes lose power at the same moment.
 """
 
 from collections.abc import Iterator
@@ -32,7 +32,7 @@
         self.random = Random(seed)
         self.names = names
         self.cluster = Cluster(seed, names)
-        self._last_number = 0
+        self._last_command_number = 0
 
     def run(self, fault_count: int = 8) -> Cluster:
         """Inject `fault_count` faults, check the logs, and return the cluster."""
@@ -73,6 +73,7 @@
                 cluster.isolate(victim, self.names, one_way=fault == "isolate one way")
 
     def _wait_for_acknowledgement(self) -> None:
+        """Propose a command and wait, 30 ms at most, until it is acknowledged; the fault follows at once."""
         command = self._next_command()
         self.cluster.propose(command)
         for _ in range(100):
@@ -80,8 +81,8 @@
                 self.cluster.run(0.0003)
 
     def _next_command(self) -> bytes:
-        self._last_number += 1
-        return b"%d" % self._last_number
+        self._last_command_number += 1
+        return b"%d" % self._last_command_number
 
 
 def simulate(seed: int, names: str = "abc", fault_count: int = 8) -> Cluster:
@@ -95,9 +96,9 @@
         cluster.report_violation("no leader after the period without faults")
         return
     committed = _committed_commands(cluster.leader_node())
-    for data, (name, term) in cluster.acknowledged.items():
-        if data not in committed:
-            cluster.report_violation(f"{data!r} was acknowledged by {name} in term {term} and is lost")
+    for command, (name, term) in cluster.acknowledged.items():
+        if command not in committed:
+            cluster.report_violation(f"{command!r} was acknowledged by {name} in term {term} and is lost")
     for name, node in cluster.nodes.items():
         assert node is not None
         commands = _committed_commands(node)
@@ -116,7 +117,7 @@
 
 
 def _lose_last_synced(self: Cluster, name: str, wipe: bool = False) -> None:
-    """A disk loses the last of its synced writes on a power failure."""
+    """A disk reports writes as synced, and loses the last of them on a power failure."""
     _kill(self, name, wipe)
     self.disks[name] = self.disks[name][:1] if len(self.disks[name]) < 5 else self.disks[name][:-4]
 
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -4,7 +4,7 @@
 clients, counter owners, the leader's watch and the log's lists of live proxies in simulated time, with
 partitions, frozen owners, processes killed one by one or all at once, leader changes, seconds without a
 leader, late and lost replies, and lists of live proxies that reach each limiter at a different time. A run is
-reproducible from its seed. Known defects can be injected, and each must be detected.
+reproducible from its seed. Known defects can be injected, and each must be detected (`quota_defects`).
 """
 
 from collections.abc import Callable, Iterator
@@ -55,14 +55,14 @@
     proxies: list[Limiter]  # type: ignore[assignment]
 
     def __init__(self, seed: int, limiters: int = 8, tenant: Tenant | None = None) -> None:
-        """Start a leader and that number of limiters; without a `tenant`, draw its limit from the seed."""
+        """Start a leader and `limiters` limiters; without a `tenant`, the seed selects its rate and burst."""
         rate, burst = Random(seed).choice(RATES_AND_BURSTS)
         self.tenant = tenant or Tenant(TENANT, ("k",), None, rate, burst)
         self.admitted_us: list[float] = []  # times of the admitted requests
         self.refused_count = 0
         self.granted_by: dict[int, set[str]] = {}  # owners that granted, by fencing token
         self.newest_grant = (0, "")  # the highest fencing token of any grant, and its owner
-        self.stale_grant = ""  # description of a grant with an older token than an earlier grant's
+        self.stale_grant = ""  # description of a grant with an older token than another owner's before it
         self.leaderless_until_us = 0
         super().__init__(seed, limiters)
 
@@ -78,7 +78,7 @@
             self.refused_count += 1
 
     def on_granted(self, name: str, fencing_token: int) -> None:
-        """Check that each fencing token has one owner, and that tokens of grants never decrease."""
+        """Record a grant, and whether another owner has granted with a newer fencing token before."""
         names = self.granted_by.setdefault(fencing_token, set())
         if name not in names:
             names.add(name)
@@ -100,7 +100,7 @@
     def deliver_between(
         self, sender: Limiter, receiver: Limiter, handler: Callable[..., object], *args: Any
     ) -> None:
-        """Deliver between limiters; isolated limiters reach each other, but none of the rest."""
+        """Deliver between limiters; isolated limiters reach each other, but none of the others."""
         is_same_side = (sender.name in self.isolated) == (receiver.name in self.isolated)
         if is_same_side and self.random.random() > MESSAGE_LOSS:
             self.sim.after(self.random.choice((1, 1, 2, 5, 40, 140)) * MS, handler, *args)
@@ -169,11 +169,11 @@
         pause_s = self.random.expovariate(DEMAND_FACTOR * self.tenant.rate_s)
         self.sim.after(pause_s * SECOND, self.send_requests)
 
-    def run(self, changes: int = 6) -> Self:
-        """Simulate `changes` faults, then a period without faults."""
+    def run(self, fault_count: int = 6) -> Self:
+        """Simulate `fault_count` faults under load, then a period without faults."""
         self.sim.run(self.sim.now + 2 * SECOND)
         self.send_requests()
-        for _ in range(changes):
+        for _ in range(fault_count):
             self.sim.after(self.random.randrange(2 * SECOND), self.inject_fault)
             self.sim.run(self.sim.now + self.random.randrange(500, 4000) * MS)
         self.sim.run(self.sim.now + 6 * SECOND)
--- a/lapisgrade/lab/explore/quota_limiter.py
+++ b/lapisgrade/lab/explore/quota_limiter.py
@@ -47,7 +47,7 @@
     world: QuotaWorld
 
     def start(self) -> None:
-        """Start a new incarnation that owns no counter."""
+        """Start a new incarnation, which owns no counter and has no lease."""
         now = self.world.sim.now
         self.clock = Clock(now)
         self.lease_expires_us = 0  # end of its lease as a counter owner
@@ -69,7 +69,7 @@
             self.quota_client.set_limiter_count(len(self.quota_owner.proxies))
 
     def is_awake(self) -> bool:
-        """Whether the process isn't frozen."""
+        """Whether the process is running, not frozen."""
         return self.world.sim.now >= self.frozen_until_us
 
     def when_awake(self, incarnation: int, handler: Callable[..., object], *args: Any) -> None:
@@ -96,7 +96,7 @@
         self.engine.run(run(), operation)
 
     def add_to_counter(self, task: Any, add: Any) -> None:
-        """Send an add to the counter's owner; the first of its reply and the time-out counts."""
+        """Send an add to the counter's owner; its result is the reply or the time-out, whichever is first."""
         world, incarnation = self.world, self.incarnation
         owner = world.limiter_named(owner_of(TENANT, self.quota_owner.eligible_owners))
         request = self.quota_client.quota_request(self.name, self.quota_owner.fencing_token)
@@ -159,7 +159,9 @@
         if predecessor is None or predecessor is self:
             then()
             return
-        calls: list[bool] = []  # non-empty once `then` was called, by the first of reply and time-out
+        calls: list[
+            bool
+        ] = []  # not empty once the reply or the time-out, whichever is first, has called `then`
 
         def call_once() -> None:
             if not calls:
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -39,7 +39,7 @@
         names = self.sample("abc", self.randrange(1, 4))
         if len(names) == 1:
             return {"Svc": names[0]}
-        return {"Split": [{"Svc": each, "Wt": self.randrange(1, 4)} for each in names]}
+        return {"Split": [{"Svc": service, "Wt": self.randrange(1, 4)} for service in names]}
 
     def rule(self, name: str) -> JsonObject:
         """Return a route of that name."""
@@ -57,7 +57,7 @@
         return {
             "Ver": self.randrange(1, 9),
             "Ports": [{"Vhost": "h", "Policy": rules}] if rules else [],
-            "Pools": [{"Name": each} for each in "abc"],
+            "Pools": [{"Name": service} for service in "abc"],
             "Tenants": [
                 {"Name": f"t{i}", "Apikeys": [f"k{i}{j}" for j in range(self.randrange(1, 3))]}
                 for i in range(2)
@@ -67,7 +67,7 @@
     def change(self) -> JsonObject:
         """Return a change of named items, which may not apply to a given configuration."""
         rules = [self.rule(f"r{self.randrange(6)}") for _ in range(self.randrange(3))]
-        rules = list({each["Name"]: each for each in rules}.values())
+        rules = list({rule["Name"]: rule for rule in rules}.values())
         keys = [f"k{i}{j}" for i in (0,) for j in range(3) if self.random() < 0.6]
         change: JsonObject = {"Upsert": {"Ports": [{"Vhost": self.choice("hg"), "Policy": rules}]}, "Del": {}}
         if self.random() < 0.4:
@@ -95,16 +95,21 @@
     A controller drops a draft only once the leader has acknowledged that it is in the log.
     """
 
-    DROPS_EARLY = False  # defect: a controller drops a draft as it submits it
+    DROPS_EARLY = False  # defect: a controller drops a draft when it submits it
 
     def __init__(self, drafts: list[Draft], random: ConfigurationRandom) -> None:
-        """Keep each draft on two disks, one of which may be wiped at any time."""
+        """Keep each draft on two disks, one of which may be wiped at any time.
+
+        Args:
+            drafts: the drafts.
+            random: selects the holders of each draft.
+        """
         self.by_draft = {draft.id: set(random.sample(NAMES, 2)) for draft in drafts}
 
-    def on_disk_emptied(self, name: str) -> None:
+    def on_disk_wiped(self, name: str) -> None:
         """Remove a controller with a wiped disk from the holders of all drafts."""
         for holders in self.by_draft.values():
-            if len(holders) > 1:  # at most one of the two disks of a draft may be wiped
+            if len(holders) > 1:  # at most one of a draft's two disks may be wiped
                 holders.discard(name)
 
     def submit(self, cluster: Cluster, draft: Draft, holder: str) -> None:
@@ -155,7 +160,7 @@
             case "kill" | "wipe":
                 cluster.kill(victim, fault == "wipe")
                 if fault == "wipe":
-                    self.holders.on_disk_emptied(victim)
+                    self.holders.on_disk_wiped(victim)
             case "isolate" | "isolate one way":
                 cluster.isolate(victim, NAMES, one_way=fault == "isolate one way")
         cluster.run(random.random())
--- a/lapisgrade/lab/explore/watch_proxy.py
+++ b/lapisgrade/lab/explore/watch_proxy.py
@@ -15,7 +15,7 @@
 from lapisgrade.lab.emulator.sim import Sim
 
 MS = 1_000  # us
-WATCH_TIMEOUT_US = 900 * MS
+WATCH_TIMEOUT_US = 900 * MS  # time after which a proxy sends a new watch request
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
     request: rpc_messages.WatchRequest
     incarnation: int  # the proxy's incarnation when it sent the request
     number: int  # sequence number of the request within the incarnation
-    sent_us: int
+    sent_us: int  # when the proxy sent the request
     reply_by_us: int = 0  # end of the long poll: the leader replies then even without an update
 
 
@@ -67,7 +67,7 @@
         self.frozen_until_us = 0
         self.request_number = 0
         self.live_proxies: rpc_messages.ProxiesByName = {}
-        self.texts: dict[int, bytes] = {}  # configurations by version: the bases of deltas
+        self.encoded_configurations: dict[int, bytes] = {}  # by version; the bases of deltas
         self.send_watch_request()
 
     def send_watch_request(self) -> None:
@@ -122,9 +122,9 @@
         self.send_watch_request()
 
     def _decode(self, encoded_version: EncodedVersion) -> RouteTable:
-        text = decode(encoded_version, self.texts.get(encoded_version.base, b""))
-        self.texts[encoded_version.version] = text
-        return RouteTable(configuration.read(msgspec.json.decode(text)))
+        encoded = decode(encoded_version, self.encoded_configurations.get(encoded_version.base, b""))
+        self.encoded_configurations[encoded_version.version] = encoded
+        return RouteTable(configuration.read(msgspec.json.decode(encoded)))
 
     def _activate(self, table: RouteTable) -> None:
         self.active_version = table.version
--- a/tests/lab/explore/test_log.py
+++ b/tests/lab/explore/test_log.py
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("name", log.DEFECTS)
 def test_an_injected_defect_of_the_log_is_found(name: str) -> None:
-    """Checks that the exploration is able to detect violations."""
+    """Checks that the exploration can find violations: without this, finding none proves nothing."""
     lines: list[str] = []
     assert log.explore(range(20), name, lines.append)[1] >= 0, name
     assert "WRONG" in lines[-1]
