--- a/lapisgrade/gateway/consensus/election.py
+++ b/lapisgrade/gateway/consensus/election.py
@@ -140,7 +140,7 @@
         ]
 
     def _count_votes(self) -> None:
-        """After a majority's grants, start the vote or become leader; some votes require that all grant."""
+        """Once a majority, or all if a grant is `unanimous_only`, have granted, start the vote or lead."""
         state, tally = self.state, self._tally
         voters = set(state.voters)
         votes = tally.granted & voters
--- a/lapisgrade/gateway/consensus/follower.py
+++ b/lapisgrade/gateway/consensus/follower.py
@@ -43,7 +43,7 @@
         self._assembly = SnapshotAssembly()
 
     def on_new_leader(self) -> None:
-        """Reset the agreed index: nothing is known about a new leader's log."""
+        """Reset the agreed index: nothing is known about the log of another leader."""
         self.agreed_index = 0
         self._unacknowledged = None
 
--- a/lapisgrade/gateway/consensus/node.py
+++ b/lapisgrade/gateway/consensus/node.py
@@ -238,7 +238,7 @@
         self._transfer_leadership()
 
     def _transfer_leadership(self) -> None:
-        """Step down once a voter has the complete log, or when the transfer times out."""
+        """Step down as a stopping leader once a voter has the complete log, or the transfer times out."""
         state = self.state
         if not (state.is_leader and state.is_stopping):
             return
@@ -269,7 +269,7 @@
         self.replication.send_to_all(heartbeat=True)
 
     def on_write_durable(self, now_us: int, last_index: int, last_term: int) -> None:
-        """Handle a completed write: the log up to that entry is durable on this disk."""
+        """Handle a completed write: the log is durable up to the entry `last_index`, of term `last_term`."""
         state = self.state
         state.advance_clock(now_us)
         if last_index <= state.log.snapshot_index or state.log.term_at(last_index) == last_term:
--- a/lapisgrade/gateway/consensus/state.py
+++ b/lapisgrade/gateway/consensus/state.py
@@ -101,7 +101,7 @@
         self.effects.sends.append(OutgoingMessage(address, message))
 
     def write(self, records: list[Record], sends_when_durable: Iterable[OutgoingMessage] = ()) -> None:
-        """Queue records to be written, and messages to be sent once the records are durable."""
+        """Queue records to be written to disk, and messages to be sent once the records are durable."""
         write = DurableWrite(records, list(sends_when_durable), self.log.last_index, self.log.last_term)
         self.effects.writes.append(write)
 
--- a/lapisgrade/gateway/merge/fields.py
+++ b/lapisgrade/gateway/merge/fields.py
@@ -12,10 +12,11 @@
 Fields = dict[FieldPath, Any]
 Json = dict[str, Any]
 
+# First parts of the paths of named items. The configuration lists routes by host, under "Ports".
 ROUTES, SERVICES, TENANTS = "Routes", "Pools", "Tenants"
-SPLIT, KEYS = "Split", "Apikeys"
+SPLIT, KEYS = "Split", "Apikeys"  # lists whose elements have paths
 OBJECTS = ("Match", "Action", "Caps")  # objects with a path per member; others are compared as a whole
-TOP_KEYS = ("Ver", "Base", "Ports", SERVICES, TENANTS)
+TOP_KEYS = ("Ver", "Base", "Ports", SERVICES, TENANTS)  # versions, which are no fields, and lists of items
 
 
 class FieldChange(msgspec.Struct, array_like=True, frozen=True):
@@ -44,7 +45,7 @@
 
 
 def is_item(path: FieldPath) -> bool:
-    """Whether the path is that of a named item or of the list of tenants."""
+    """Whether the path is that of a named item, or of the list of tenants."""
     return (len(path) == 2 and path[0] in (ROUTES, SERVICES, TENANTS)) or path == (TENANTS,)
 
 
--- a/lapisgrade/lab/explore/cluster.py
+++ b/lapisgrade/lab/explore/cluster.py
@@ -60,7 +60,7 @@
     """Consensus nodes with one-letter names, and the simulated network between them."""
 
     def __init__(self, seed: int, names: str = "abc") -> None:
-        """Start the nodes for the first time, as each other's voters."""
+        """Start the nodes `names` for the first time; all are voters."""
         self.random = Random(seed)
         self.now_us = 0
         self.blocked_links: set[tuple[str, str]] = set()  # source and destination
--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -9,7 +9,7 @@
 from lapisgrade.gateway.quota.owner import QuotaOwner
 from lapisgrade.lab.explore.defects import Defect, Defects
 
-NEVER_US = 1 << 60  # us
+NEVER_US = 1 << 60  # end of a lease that never expires
 _add, _update_members, _unreported_allowance = (
     QuotaOwner.add,
     QuotaOwner.update_members,
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -181,7 +181,7 @@
 
 
 def check(cluster: Cluster, base: JsonObject, drafts: list[Draft]) -> None:
-    """Check that every node has the configuration and outcomes that merging all drafts yields."""
+    """Check that each node has merged all drafts, with the configuration and outcomes of `merge_drafts`."""
     expected, outcomes = merge_drafts(base, drafts)
     for name, commands in cluster.applied.items():
         state_machine = StateMachine()
