--- a/lapisgrade/gateway/proxy/claim_client.py
+++ b/lapisgrade/gateway/proxy/claim_client.py
@@ -10,13 +10,15 @@
 from lapisgrade.gateway.rpc import RpcEndpoint
 from lapisgrade.gateway.settings import parse_address
 
-# A time-out closes the connection, which other calls share, so it is longer than HEDGE_DELAY_S.
+# A call that times out closes the connection, which other calls share. The time-out is therefore longer than
+# HEDGE_DELAY_S: another controller is called before the connection to a slow one is closed.
 CALL_TIMEOUT_S = 1.0
-HEDGE_DELAY_S = 0.25  # delay before a second controller is called; recording a claim takes about 40 ms
-RETRY_DELAY_S = 0.02  # delay before the next call
+# Time to wait for a reply before another controller is called; a claim is recorded in about 40 ms.
+HEDGE_DELAY_S = 0.25
+RETRY_DELAY_S = 0.02  # delay after a reply or HEDGE_DELAY_S before the next call
 
 PendingCalls = dict[asyncio.Task[rpc_messages.ClaimReply | None], str]
-"""The pending calls of one claim, with the address of each call's controller."""
+"""The pending calls of one claim, each with the address of the called controller."""
 
 
 class ClaimClient:
@@ -29,7 +31,7 @@
         self._target = target
 
     async def claim(self, claim: Claim, until_us: int) -> ClaimResult | None:
-        """Return the attempt that holds the claim's key, or None if no leader replies before `until_us`."""
+        """Return the attempt that holds the claim's key, or None if no leader names it before `until_us`."""
         pending: PendingCalls = {}
         try:
             reply = await self._first_known_reply(claim, until_us, pending)
@@ -69,7 +71,11 @@
         return reply if isinstance(reply, rpc_messages.ClaimReply) else None
 
     def _process_replies(self, pending: PendingCalls) -> rpc_messages.ClaimReply | None:
-        """Process finished calls; if there are none, treat all pending calls as unanswered."""
+        """Return the first finished reply that names the key's holder, if there is one.
+
+        If no call has finished, the target is told that none of the called controllers replied, but the calls
+        stay pending.
+        """
         finished = [call for call in pending if call.done()]
         for address in () if finished else pending.values():
             self._target.on_reply(address, None)
--- a/lapisgrade/gateway/proxy/claim_target.py
+++ b/lapisgrade/gateway/proxy/claim_target.py
@@ -17,14 +17,15 @@
 
 
 class ClaimTarget:
-    """Tracks the leader for all claims of a proxy."""
+    """Tracks the probable leader; all claims of a proxy share one instance."""
 
     def __init__(self, random: Random, watch_target: WatchTarget) -> None:
         """Create a target that takes the controllers and the last known leader from `watch_target`."""
         self._random = random
         self._watch_target = watch_target
-        self._leader = ""  # address of the leader; empty if unknown
-        self._failed = ""  # address of the last controller that did not reply or was not the leader
+        self._leader = ""  # address of the probable leader; empty if unknown
+        # Address of the last controller that did not reply, or named neither the holder nor another leader.
+        self._failed = ""
 
     def next(self) -> str:
         """Return the controller's address for the next claim."""
@@ -38,7 +39,7 @@
         return self._random.choice(others) if others else self._failed or watched
 
     def on_reply(self, address: str, reply: rpc_messages.ClaimReply | None) -> None:
-        """Update the target from the reply to a claim; None if there was no reply."""
+        """Update the target from the reply of the controller at `address`; None if it did not reply."""
         if reply is not None and reply.is_known:
             self._leader, self._failed = address, ""
             return
--- a/lapisgrade/gateway/proxy/client_front.py
+++ b/lapisgrade/gateway/proxy/client_front.py
@@ -19,18 +19,18 @@
 
 NOT_YET_ACTIVE_RETRY_S = 0.2  # Retry-After while proxies may differ on the active version
 MAX_REQUEST_ID_BYTES = 256
-MAX_DEADLINE_DIGITS = 9
-MIN_REQUEST_TIME_US = 1_000  # minimum processing time of any request
+MAX_DEADLINE_DIGITS = 9  # a longer Deadline-Ms header is ignored
+MIN_REQUEST_TIME_US = 1_000  # every request gets at least this time until its deadline
 IDLE_GRACE_S = 1.0  # added to the configured idle time-out of client connections
 REQUEST_GRACE_S = 7.0  # added to the configured header time-out, for the whole request
-MIN_HEADER_TIMEOUT_S = 1.0
+MIN_HEADER_TIMEOUT_S = 1.0  # lower bound on the configured header time-out
 HEAD_BYTES_LIMIT = 1 << 20  # upper bound on the configured size of a request head; bounds memory
 
 
 class ClientFront(ClientListener):
-    """Accepts clients' connections."""
+    """Accepts clients' connections, and rejects requests without a route or with invalid headers."""
 
-    READINESS_TARGET = b"\0"  # matches no target, as readiness is served on its own address
+    READINESS_TARGET = b"\0"  # equals no request target: readiness is served at its own address
 
     def __init__(self, context: ProxyContext, host: ProxyHost, router: Router, max_connections: int) -> None:
         super().__init__(
@@ -59,26 +59,26 @@
                 its route requires.
         """
         now_us, headers = self._now(), message.headers()
-        found = self._match(now_us, message.head.target, headers)
-        if found == HTTPStatus.SERVICE_UNAVAILABLE:
+        match_result = self._match(now_us, message.head.target, headers)
+        if match_result == HTTPStatus.SERVICE_UNAVAILABLE:
             self._metrics.requests_not_yet_active += 1
             retry_after = b"Retry-After: %.1f\r\n" % NOT_YET_ACTIVE_RETRY_S
             client.respond_at_once(
                 HTTPStatus.SERVICE_UNAVAILABLE, retry_after, close=message.closes_connection
             )
             return None
-        if isinstance(found, HTTPStatus):
-            client.respond_at_once(found, close=message.closes_connection)
+        if isinstance(match_result, HTTPStatus):
+            client.respond_at_once(match_result, close=message.closes_connection)
             return None
         request_id = headers.get(upstream_protocol.REQUEST_ID, b"")
         if not 0 < len(request_id) <= MAX_REQUEST_ID_BYTES:
             raise MalformedMessageError(
                 f"Try-Id header has {len(request_id)} bytes; 1 to {MAX_REQUEST_ID_BYTES} are allowed"
             )
-        if request_id in self.open_request_ids:  # the response could not be attributed
+        if request_id in self.open_request_ids:  # the response could reach the wrong one of the two requests
             client.respond_at_once(HTTPStatus.CONFLICT, close=message.closes_connection)
             return None
-        rule, tenant = found
+        rule, tenant = match_result
         key = operation_key(message, rule.mode)
         return RoutedRequest(
             customer=tenant.name if tenant else "",
@@ -94,26 +94,26 @@
     def _match(self, now_us: int, target: bytes, headers: dict[bytes, bytes]) -> RouteMatch | HTTPStatus:
         """Return the route and the tenant of a request, or the HTTP status of its rejection."""
         host = headers.get(b"host", b"")
-        scheme, _, key = headers.get(upstream_protocol.AUTHORIZATION, b"").partition(b" ")
-        key = key.strip() if scheme.lower() == b"bearer" else b""
+        scheme, _, api_key = headers.get(upstream_protocol.AUTHORIZATION, b"").partition(b" ")
+        api_key = api_key.strip() if scheme.lower() == b"bearer" else b""
         return self._router.match(
-            now_us, host.decode("latin-1"), target.decode("latin-1"), key.decode("latin-1")
+            now_us, host.decode("latin-1"), target.decode("latin-1"), api_key.decode("latin-1")
         )
 
 
 def deadline_us(now_us: int, client_ms: bytes, rule: Rule) -> int:
     """Return the proxy's deadline: the client's deadline or the route's time-out, less a response margin."""
-    left_us = int(rule.action.timeout)
+    remaining_us = int(rule.action.timeout)
     if client_ms.isdigit() and len(client_ms) <= MAX_DEADLINE_DIGITS:
-        left_us = min(int(client_ms) * 1000, left_us)
-    return now_us + max(MIN_REQUEST_TIME_US, left_us - RESPONSE_MARGIN_US)
+        remaining_us = min(int(client_ms) * 1000, remaining_us)
+    return now_us + max(MIN_REQUEST_TIME_US, remaining_us - RESPONSE_MARGIN_US)
 
 
 def operation_key(message: HttpMessage, mode: Mode) -> str:
-    """Return the operation key of a request; empty if its route requires none.
+    """Return the operation key of a request; empty if it is not a keyed operation.
 
-    A `mutate` request with a valid key is treated as a keyed operation as well: the route's mode may have
-    changed from or to `keyed`, and for a moment proxies may differ on it.
+    A `mutate` request with a valid key is a keyed operation as well: the route's mode may just have changed
+    from or to `keyed`, and proxies may have different versions of it until the change is active everywhere.
 
     Raises:
         MalformedMessageError: The route requires a key, and the request has none, several, or a key that is
@@ -137,7 +137,7 @@
     key = keys.pop().decode("latin-1") if keys else ""
     if not key:
         raise MalformedMessageError("keyed request has no Op-Key header or an empty one")
-    if len(key.encode()) > MAX_KEY_BYTES:  # the encoding used in claims
+    if len(key.encode()) > MAX_KEY_BYTES:  # encoded in UTF-8, as in claims
         raise MalformedMessageError(f"Op-Key header is longer than {MAX_KEY_BYTES} bytes")
     return key
 
--- a/lapisgrade/gateway/proxy/context.py
+++ b/lapisgrade/gateway/proxy/context.py
@@ -16,11 +16,11 @@
     """Shared state of one proxy.
 
     Attributes:
-        settings: The settings, which are replaced on a reload.
+        settings: The most recently loaded settings; a reload replaces them.
         random: The random number generator.
-        now_us: The process's steady clock.
+        now_us: Returns the time of the process's monotonic clock, in us.
         incarnation: Unique id of this process, which distinguishes it from others with the same hostname.
-        metrics: The metrics.
+        metrics: The metrics of this process.
     """
 
     settings: Settings
--- a/lapisgrade/gateway/proxy/control_updates.py
+++ b/lapisgrade/gateway/proxy/control_updates.py
@@ -20,15 +20,15 @@
 
 
 class ControlUpdates:
-    """This proxy's progress in the controllers' updates.
+    """The controllers' updates that this proxy has applied.
 
     Attributes:
-        versions: Versions of the configuration.
-        servers: Copy of the server registry.
+        versions: The active and staged versions of the configuration.
+        servers: This proxy's copy of the server registry.
         registry_incarnation: Incarnation of the registry that the servers come from.
         registry_revision: Revision of that registry up to which the servers are known.
-        requests_known_servers: Whether a new leader requests the servers that this proxy knows.
-        ownership_ends_us: Until when this proxy may own counts under the present membership.
+        requests_known_servers: Whether the leader is new and requests the servers that this proxy knows.
+        ownership_ends_us: Time until which this proxy may own counts under the present membership.
     """
 
     def __init__(
@@ -78,7 +78,8 @@
         if members is not None:
             self._apply_live_proxies(members)
         if version_error is None and self._context.settings.hostname in self._quota_owner.proxies:
-            # The leader activates versions without waiting for proxies that are not members.
+            # Only a reply to a member confirms that no version was missed: the leader does not wait for other
+            # proxies before it activates a version.
             tables = self._router.tables
             tables.confirmed_us = max(tables.confirmed_us, sent_us)
         if reply.fencing_token == self._quota_owner.fencing_token:
@@ -98,7 +99,7 @@
         return None
 
     def _apply_live_proxies(self, members: rpc_messages.ProxiesByName) -> None:
-        """Apply a newer membership."""
+        """Apply a newer list of live proxies."""
         self._router.subsets.update_members(members)
         addresses = [member[0] for member in members.values()]
         count = min(MAX_INTRODUCED_PROXIES, len(addresses))
--- a/lapisgrade/gateway/proxy/host.py
+++ b/lapisgrade/gateway/proxy/host.py
@@ -14,7 +14,8 @@
 from lapisgrade.net.http import Message as HttpMessage
 from lapisgrade.net.response_writer import ResponseWriter
 
-COMPLETE_RESPONSES = (CloseReason.ANSWERED, CloseReason.CLIENT_ERROR)  # final for keyed requests
+# The response of an attempt that closes with one of these is recorded as the outcome of a keyed request.
+COMPLETE_RESPONSES = (CloseReason.ANSWERED, CloseReason.CLIENT_ERROR)
 
 
 class ProxyHost(Host):
@@ -34,7 +35,7 @@
 
     def local_response(self, answer: Reject) -> LocalResponse:
         """Return the status and header lines of a response that the proxy generates."""
-        # The rejection after a failed generator has no status, and the request may have run.
+        # The rejection after a failed generator has no status; it becomes a 502, as the request may have run.
         status = getattr(answer, "status", HTTPStatus.BAD_GATEWAY)
         if answer.retry_after_us <= 0:
             return LocalResponse(status, b"")
@@ -58,7 +59,7 @@
         self.on_load_change()
 
     def reject(self, operation: RoutedRequest, answer: Reject) -> None:
-        """Answer a client without a successful response; a server's error response replaces a local 502."""
+        """Answer a request without a successful response; a server's error response replaces a local 502."""
         handle = operation.handle
         if isinstance(answer, ReplayResponse):
             return self._replay_response(operation, answer)
@@ -72,12 +73,12 @@
         """Answer a client with the recorded response of its operation and its own request id."""
         client, outcome = request.handle.client, answer.outcome
         if client is None:
-            return  # the client has disconnected
+            return  # the client has disconnected meanwhile
         del self.unanswered[request.handle]
         header_lines = b"Try-Id: %b\r\n%b" % (request.handle.request_id, outcome.header_lines)
         client.respond(outcome.status, [outcome.body], len(outcome.body), header_lines)
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         super()._on_client_disconnected(event)
-        if not event.operation.operation_key:  # keyed requests continue for repeats
+        if not event.operation.operation_key:  # a keyed request continues, as repeats of it may follow
             self.pool.cancel_operation(event.operation)
--- a/lapisgrade/gateway/proxy/load_reporter.py
+++ b/lapisgrade/gateway/proxy/load_reporter.py
@@ -30,7 +30,7 @@
             self._timer = loop.call_later(BATCH_DELAY_S, self._send)
 
     def _send(self) -> None:
-        # Reports are repeated, so that neighbours can treat a missing report as a terminated proxy.
+        # Repeated without changes, so that neighbours can treat a proxy without reports as terminated.
         self._timer = asyncio.get_running_loop().call_later(REPORT_INTERVAL_US / SECOND, self._send)
         hostname = self._context.settings.hostname
         report = rpc_messages.ProxyLoads(hostname, self._router.in_flight(), self._router.unhealthy_servers())
--- a/lapisgrade/gateway/proxy/metrics.py
+++ b/lapisgrade/gateway/proxy/metrics.py
@@ -32,8 +32,8 @@
         claims_unanswered: Claims without a reply from a leader in time.
         claims_not_recorded: Claims that the leader did not record for lack of room in its table.
         operation_calls_refused: Claims and outcome queries that were rejected because too many were pending.
-        repeats: Requests whose key another attempt holds, by the outcome of that attempt.
-        transport: Metrics of the HTTP transports.
+        repeats: Requests whose key another attempt holds, by the outcome state of that attempt.
+        transport: Metrics of the HTTP connections to clients and servers.
     """
 
     diagnostics: int = 0
--- a/lapisgrade/gateway/proxy/operation_transport.py
+++ b/lapisgrade/gateway/proxy/operation_transport.py
@@ -24,13 +24,13 @@
 # of the remaining time, as machines may be busy.
 MIN_REPLY_MARGIN_S = 0.06
 REPLY_MARGIN_RATIO = 0.15
-FETCH_ATTEMPTS = 3  # maximum number of calls per outcome query
+FETCH_ATTEMPTS = 3  # maximum number of calls per outcome query; a call without a reply is retried
 FETCH_RETRY_DELAY_S = 0.1  # delay before an outcome query is retried
 # Maximum number of pending calls of each kind. Both kinds together fit into `rpc.MAX_OPEN_CALLS` of a
 # connection.
 MAX_CALLS = 256
 MAX_WAITING_REPLIES = 1024  # maximum number of other proxies' queries that wait for an attempt to finish
-MAX_OUTCOME_WAIT_S = 30.0  # maximum time that one of them waits
+MAX_OUTCOME_WAIT_S = 30.0  # maximum time that a query waits
 
 NOT_CLAIMED = ClaimResult()  # result of a claim that was not sent
 
@@ -55,7 +55,7 @@
         self._attempts = attempts
         self._claim_tasks: set[asyncio.Task[None]] = set()
         self._fetch_tasks: set[asyncio.Task[None]] = set()
-        self._waiters: dict[str, list[asyncio.Future[None]]] = {}  # by attempt of this proxy
+        self._waiters: dict[str, list[asyncio.Future[None]]] = {}  # by attempt: queries that wait for its end
         self.waiting_replies = 0  # other proxies' queries that wait for an attempt to finish
         attempts.outcomes.on_finished = self._on_attempt_finished
 
@@ -72,16 +72,16 @@
             raise TypeError(f"{call!r} is neither a ClaimKey nor a FetchOutcome call")
 
     def _start(
-        self, running: set[asyncio.Task[None]], task: Task, make_call: MakeCall, rejected_result: Any
+        self, pending_tasks: set[asyncio.Task[None]], task: Task, make_call: MakeCall, rejected_result: Any
     ) -> None:
         """Start a call, or reject it if too many are pending, to bound memory and the leader's load."""
-        if len(running) >= MAX_CALLS:
+        if len(pending_tasks) >= MAX_CALLS:
             self._context.metrics.operation_calls_refused += 1
             self._host.enqueue(CallFinished(task, rejected_result))
             return
         call_task = asyncio.get_running_loop().create_task(self._finish(task, make_call))
-        running.add(call_task)
-        call_task.add_done_callback(running.discard)
+        pending_tasks.add(call_task)
+        call_task.add_done_callback(pending_tasks.discard)
 
     async def _finish(self, task: Task, make_call: MakeCall) -> None:
         result = None
@@ -90,8 +90,8 @@
         finally:
             self._host.enqueue(CallFinished(task, result))
 
-    def _seconds_until(self, when_us: int) -> float:
-        return (when_us - self._context.now_us()) / SECOND
+    def _seconds_until(self, time_us: int) -> float:
+        return (time_us - self._context.now_us()) / SECOND
 
     # ---- outcome queries to other proxies
 
@@ -138,23 +138,23 @@
         """Return the outcome of this proxy's attempt; RUNNING only if it does not finish within the wait."""
         outcomes = self._attempts.outcomes
         if outcomes.find(attempt).state is OutcomeState.RUNNING and wait_s > 0:
-            ended = asyncio.get_running_loop().create_future()
-            self._waiters.setdefault(attempt, []).append(ended)
-            await asyncio.wait({ended}, timeout=min(wait_s, MAX_OUTCOME_WAIT_S))
-            self._stop_waiting(attempt, ended)
+            finished = asyncio.get_running_loop().create_future()
+            self._waiters.setdefault(attempt, []).append(finished)
+            await asyncio.wait({finished}, timeout=min(wait_s, MAX_OUTCOME_WAIT_S))
+            self._stop_waiting(attempt, finished)
         return outcomes.find(attempt)
 
-    def _stop_waiting(self, attempt: str, ended: "asyncio.Future[None]") -> None:
+    def _stop_waiting(self, attempt: str, finished: "asyncio.Future[None]") -> None:
         waiters = self._waiters.get(attempt, [])
-        if ended in waiters:
-            waiters.remove(ended)
+        if finished in waiters:
+            waiters.remove(finished)
         if not waiters:
             self._waiters.pop(attempt, None)
 
     def _on_attempt_finished(self, attempt: str) -> None:
-        for ended in self._waiters.pop(attempt, []):
-            if not ended.done():
-                ended.set_result(None)
+        for finished in self._waiters.pop(attempt, []):
+            if not finished.done():
+                finished.set_result(None)
 
     def close(self) -> None:
         """Cancel all pending calls."""
--- a/lapisgrade/gateway/proxy/peer_reachability.py
+++ b/lapisgrade/gateway/proxy/peer_reachability.py
@@ -14,7 +14,7 @@
         self.terminated_proxies: set[str] = set()  # proxies whose machine refuses connections
 
     def on_reply(self, address: tuple[str, int], is_leader: bool = False) -> None:
-        """Record a reply; from this machine, only the leader's replies count."""
+        """Record a reply from `address`; of the replies from this machine, only the leader's count."""
         if is_leader or address[0] != self._context.settings.ip:
             self._last_reply_us = self._context.now_us()
 
@@ -25,10 +25,10 @@
         else:
             self.terminated_proxies.discard(name)
 
-    def is_isolated(self, live_proxies: int) -> bool:
+    def is_isolated(self, live_proxy_count: int) -> bool:
         """Return whether no other machine replies although other proxies are live.
 
         An isolated proxy can't reach the owners of quotas and would answer 429 to clients within their
         quotas, so it reports itself as not ready and the platform directs clients to other proxies.
         """
-        return live_proxies > 1 and self._context.now_us() - self._last_reply_us > ISOLATED_AFTER_US
+        return live_proxy_count > 1 and self._context.now_us() - self._last_reply_us > ISOLATED_AFTER_US
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -42,26 +42,26 @@
 log = logging.getLogger("proxy")
 
 RESERVED_FILES = 200  # descriptors reserved for files and for calls to controllers and proxies
-MIN_SOCKETS = 64
+MIN_SOCKETS = 64  # lower bound on the descriptors that remain for clients and servers
 MAX_READINESS_BODY_BYTES = 4096
 MAX_READINESS_CONNECTIONS = 32
 # Delay after SIGTERM before idle connections are closed, as new ones may still arrive.
 SHUTDOWN_ACCEPT_S = 2.6
-EXIT_RESERVE_S = 0.4  # part of the grace time that is reserved for the exit of the process
+EXIT_RESERVE_S = 0.4  # end of the grace time, reserved for the exit of the process
 SHUTDOWN_POLL_S = 0.05  # interval between checks for unanswered requests
 
 
 class Proxy:
     """The proxy process, which runs (`run`) until `end` is called.
 
-    A simulation passes its own clock and overrides `make_rpc` and `make_pool` to replace the network.
+    A simulation passes its own clock, and overrides `make_rpc` and `make_pool` to simulate the network.
     """
 
     def __init__(self, settings: Settings, now_us: Callable[[], int] = clock.now_us) -> None:
         random = Random(int.from_bytes(os.urandom(8), "big"))
         incarnation = f"{random.getrandbits(64):016x}"
         self.context = ProxyContext(settings, random, now_us, incarnation)
-        self.rpc_address = settings.internal_address(1)  # for proxies and controllers
+        self.rpc_address = settings.internal_address(1)  # address for calls of other proxies and controllers
         self._shutdown = asyncio.Event()
         self._build_routing(settings)
         self._build_control(settings)
@@ -161,7 +161,7 @@
     def _apply_seeds(self) -> None:
         """Add the peers in the settings as seeds; each of them runs a controller and a proxy."""
         settings = self.settings
-        controller_port, hosts = settings.portrange[0], [each[0] for each in settings.peers]
+        controller_port, hosts = settings.portrange[0], [peer[0] for peer in settings.peers]
         self.watch_target.seeds = [f"{host}:{controller_port}" for host in hosts]
         self.partial_view.add_addresses([f"{host}:{self.rpc_address[1]}" for host in hosts])
 
@@ -212,7 +212,11 @@
             front.close_idle()
 
     def _has_requests(self) -> bool:
-        """Return whether requests are in progress, including runs of keyed requests without a client."""
+        """Return whether requests are in progress.
+
+        They include keyed requests whose client has disconnected, and other proxies' queries for the outcomes
+        of keyed requests.
+        """
         has_runs = self.router.operation_attempts.outcomes.running_count > 0
         return bool(self.host.unanswered or has_runs or self.operation_transport.waiting_replies)
 
@@ -241,12 +245,12 @@
     @property
     def ready(self) -> bool:
         """Whether the proxy has a configuration, servers and members, and is not draining or isolated."""
-        is_informed = (
+        has_control_state = (
             self.router.tables.active is not None
             and self.updates.registry_incarnation
             and self.quota_owner.fencing_token
         )
-        return bool(is_informed) and not self.client_front.is_draining and not self.is_isolated
+        return bool(has_control_state) and not self.client_front.is_draining and not self.is_isolated
 
     @property
     def is_isolated(self) -> bool:
--- a/lapisgrade/gateway/proxy/quota_transport.py
+++ b/lapisgrade/gateway/proxy/quota_transport.py
@@ -22,7 +22,7 @@
 from lapisgrade.net.events import CounterCallFinished
 
 ADD_TIMEOUT_S = 0.15  # time-out of an add: two round trips between zones, with a margin for busy machines
-RETRY_DELAY_S = 0.015  # delay before an add is retried at an owner with another membership
+RETRY_DELAY_S = 0.015  # delay before an add is retried because the owner has another membership
 HAND_OVER_TIMEOUT_S = 0.1  # maximum time that an add waits for a hand-over; less than ADD_TIMEOUT_S
 
 
@@ -77,8 +77,8 @@
     async def _add_at_owner(self, task: Task, request: rpc_messages.QuotaRequest) -> None:
         """Call the owner, which may be this proxy, until it accepts or replies under this proxy's membership.
 
-        If the memberships differ, one of the two proxies is about to be updated. A failed call or the
-        time-out ends the repeats as well.
+        The call is retried while the memberships differ, as one of the two proxies is about to be updated.
+        Retries end at ADD_TIMEOUT_S, or when a call fails.
         """
         deadline_us = self._now_us() + int(ADD_TIMEOUT_S * SECOND)
         while True:
@@ -114,7 +114,7 @@
     async def _call_owner(
         self, request: rpc_messages.QuotaRequest, owner_name: str, timeout_s: float
     ) -> rpc_messages.QuotaReply | CloseReason:
-        """Return the owner's reply, or the reason for which the call failed."""
+        """Return the owner's reply, or the reason why there is none."""
         member = self._quota_owner.proxies.get(owner_name)
         if member is None:
             return CloseReason.CONNECTION_REFUSED
@@ -153,15 +153,15 @@
         deadline_us, last_predecessor = self._now_us() + int(HAND_OVER_TIMEOUT_S * SECOND), ""
         while owner.owns(request.tenant):
             predecessor = owner.predecessor(self._now_us(), request.tenant)
-            left_us = deadline_us - self._now_us()
-            if predecessor in ("", self._context.settings.hostname, last_predecessor) or left_us <= 0:
+            remaining_us = deadline_us - self._now_us()
+            if predecessor in ("", self._context.settings.hostname, last_predecessor) or remaining_us <= 0:
                 break
             last_predecessor = predecessor  # if it has no count, the next predecessor is an earlier owner
-            await asyncio.wait({self._hand_over_task(request, predecessor)}, timeout=left_us / SECOND)
+            await asyncio.wait({self._hand_over_task(request, predecessor)}, timeout=remaining_us / SECOND)
         return self._add_locally(request)
 
     def answer_hand_over(self, request: rpc_messages.HandOverRequest) -> rpc_messages.HandOverReply:
-        """Hand a count over to its new owner."""
+        """Hand a count over to its new owner, or reply that it must wait."""
         reply = self._quota_owner.answer_hand_over(self._now_us(), request)
         if reply.must_wait:
             self._context.metrics.hand_overs_deferred += 1
--- a/lapisgrade/gateway/proxy/server_list.py
+++ b/lapisgrade/gateway/proxy/server_list.py
@@ -8,7 +8,7 @@
 from lapisgrade.gateway.settings import parse_address
 
 SERVING_STATES = (ServerState.UP, ServerState.DRAIN)  # a draining server finishes its requests
-MAX_SERVERS = 4096  # number of servers above which those in state GONE are removed
+MAX_SERVERS = 4096  # number of servers above which GONE servers are removed; LOST ones are always removed
 
 
 class ServerList:
@@ -40,6 +40,6 @@
         self._remove_departed()
 
     def _remove_departed(self) -> None:
-        for server in [each for each in self.by_id.values() if each.state in REMOVED_STATES]:
+        for server in [known for known in self.by_id.values() if known.state in REMOVED_STATES]:
             if server.state == ServerState.LOST or len(self.by_id) > MAX_SERVERS:
                 del self.by_id[server.id]
--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -2,7 +2,7 @@
 
 The leader sends each newer version in advance, as a delta on the previous one. A proxy stages it and reports
 it in its next watch request. When all live proxies have staged a version, the leader activates it.
-`route_versions` matches requests during the rollout.
+`route_versions` decides how requests are matched during the rollout.
 """
 
 import logging
@@ -24,7 +24,7 @@
 
     Attributes:
         active_version: The active version; 0 if there is none.
-        requests_full_version: Whether a version could not be decoded, so that versions are requested in full.
+        requests_full_version: Whether the next versions are requested in full, as one could not be decoded.
     """
 
     def __init__(self, router: Router, client_front: ClientFront) -> None:
@@ -32,7 +32,9 @@
         self._client_front = client_front
         self.active_version = 0
         self.requests_full_version = False
-        self._texts: dict[int, bytes] = {}  # encoded active and staged versions, which are bases of deltas
+        self._texts: dict[
+            int, bytes
+        ] = {}  # by version: texts of the active and staged ones, the bases of deltas
 
     @property
     def staged_version(self) -> int:
@@ -52,7 +54,7 @@
         elif reply.active_version in staged:
             self._activate(staged[reply.active_version])
         elif reply.active_version > self.active_version:
-            staged.clear()  # reports the older version, so that the leader sends the active one
+            staged.clear()  # the next watch request reports the older version, so the leader sends this one
         for version, encoded in reply.staged_versions.items():
             if version > self.active_version and version not in self._router.tables.staged:
                 self._router.tables.stage(self._read(encoded), version in reply.merged_versions)
@@ -73,6 +75,6 @@
                 f"configuration version {encoded.version} is invalid: its field Ver is {table.version}"
             )
         kept = {self.active_version, table.version, *self._router.tables.staged}
-        self._texts = {version: each for version, each in self._texts.items() if version in kept}
+        self._texts = {version: base_text for version, base_text in self._texts.items() if version in kept}
         self._texts[table.version] = text
         return table
--- a/lapisgrade/gateway/proxy/watch_client.py
+++ b/lapisgrade/gateway/proxy/watch_client.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger("proxy")
 
-REPLY_TIMEOUT_S = LONG_POLL_US / SECOND + 0.35  # time-out of a watch request
+REPLY_TIMEOUT_S = LONG_POLL_US / SECOND + 0.35  # time-out of a watch request: the leader's delay and 0.35 s
 RETRY_DELAY_S = 0.05  # delay before the next controller is tried
 
 ApplyUpdate = Callable[[rpc_messages.WatchReply, int], None]
@@ -48,8 +48,8 @@
             rpc: The endpoint for sending requests.
             target: Chooses the controller or proxy for the next request.
             quota_owner: Its membership's fencing token is sent with each request.
-            updates: The updates applied so far.
-            reachability: Records replies.
+            updates: The updates applied so far, which each request reports.
+            reachability: Records which controllers and proxies replied.
             apply_update: Applies the leader's reply to a request that was sent at `sent_us`.
             is_shutting_down: Whether this process is shutting down; the controllers then transfer its quotas
                 to other proxies.
--- a/lapisgrade/gateway/proxy/watch_target.py
+++ b/lapisgrade/gateway/proxy/watch_target.py
@@ -27,8 +27,8 @@
         seeds: The controllers in the settings.
         controllers: The controllers in the last reply.
         leader: The controller that last replied as the leader without a relay; empty if there was none.
-        leader_replied_us: When it replied.
-        term: The newest term of a leader's reply; replies of earlier terms are discarded.
+        leader_replied_us: Time of that reply.
+        term: The highest term of a leader's reply; leaders' replies of earlier terms are discarded.
         failures: Number of consecutive requests without a reply from the leader or a controller.
     """
 
@@ -65,7 +65,7 @@
         """Update the target from the reply to the last request.
 
         Args:
-            now_us: The present time.
+            now_us: The current time, in us.
             reply: The reply; None if the request failed.
 
         Returns:
@@ -86,7 +86,7 @@
             self.leader, self.leader_replied_us, self._tried_hint = self._address, now_us, ""
             self._partial_view.on_control_hint(ControlHint(self.term, self._address, self.controllers))
         elif now_us - self._relayed_since_us > RELAY_PERIOD_US:
-            self._address = ""  # the controllers may be reachable again
+            self._address = ""  # tries a controller next, which may be reachable again
 
     def _on_failure(self, reply: rpc_messages.WatchReply | None) -> None:
         """Choose another address after a failed request or a reply that is not the leader's."""
@@ -106,8 +106,8 @@
             )
 
     def _remember_controllers(self, reply: rpc_messages.WatchReply) -> None:
-        named = [address for address in reply.controllers[:MAX_CONTROLLERS] if is_address(address)]
-        self.controllers = named or self.controllers
+        addresses = [address for address in reply.controllers[:MAX_CONTROLLERS] if is_address(address)]
+        self.controllers = addresses or self.controllers
 
 
 def _term(reply: rpc_messages.WatchReply) -> int:
