--- a/lapisgrade/gateway/__init__.py
+++ b/lapisgrade/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway around the limiter: controllers store the configuration and server registry, proxies route.
+"""The gateway around the limiter: controllers store the configuration and server registry; proxies route.
 
 docs/design/system.md describes the parts.
 """
--- a/lapisgrade/gateway/__main__.py
+++ b/lapisgrade/gateway/__main__.py
@@ -128,7 +128,7 @@
 
 
 def check_bindings(role_name: str, role_settings: settings.Settings) -> None:
-    """Raise InvalidInputError if the settings lack an address that the role needs."""
+    """Raise InvalidInputError if the settings lack an address that a proxy needs."""
     bind = role_settings.bind
     if role_name == "proxy" and (bind.http is None or bind.readyz is None):
         raise InvalidInputError("Bind: a proxy needs Http and Readyz")
--- a/lapisgrade/gateway/api.py
+++ b/lapisgrade/gateway/api.py
@@ -18,7 +18,7 @@
 from lapisgrade.gateway.settings import Span, strict_converter, structure
 
 PATH = "/-/rpc"
-NO_WARM_UP = Span(0)
+NO_WARM_UP = Span(0)  # default of `Heartbeat.warmup_time`: the server runs at full speed
 MAX_SMALL_BODY_BYTES = 4096  # body limit of calls with neither a configuration nor a draft
 MAX_SERVER_ID_LENGTH = 256  # characters
 
@@ -32,9 +32,9 @@
         addr: Address at which it accepts requests.
         seq: Sequence number of the heartbeat.
         az: Its failure domain.
-        slots: Number of requests that it runs concurrently.
+        slots: Maximum number of requests that it runs concurrently.
         state: `drain` if it accepts no new requests; any other value means `up`.
-        warmup_time: Remaining slow-start time.
+        warmup_time: Remaining slow-start time, in us.
     """
 
     svc: str
@@ -53,7 +53,7 @@
     Attributes:
         name: The name in requests and metrics.
         has_subject: Whether it concerns a server, which the request names.
-        max_body_bytes: Maximum size of its body.
+        max_body_bytes: Maximum size of its body; longer ones are rejected.
         description: Its content or purpose in words.
     """
 
--- a/lapisgrade/gateway/configuration.py
+++ b/lapisgrade/gateway/configuration.py
@@ -18,7 +18,7 @@
 from lapisgrade.gateway.errors import ConfigurationError
 from lapisgrade.gateway.settings import Span, strict_converter, structure, wire_name
 
-MAX_BYTES = 8 * 1024 * 1024  # maximum size of one configuration; far above what a leader keeps in memory
+MAX_BYTES = 8 * 1024 * 1024  # maximum size of one version; far above the planned use of a leader's memory
 MAX_NAME_LENGTH = 256  # characters
 MAX_CACHED_ITEMS = 8192  # cache size for parsed items, for each of routes, tenants and services
 MAX_SHOWN_LENGTH = 100  # maximum number of characters of a name in a message
--- a/lapisgrade/gateway/configuration_change.py
+++ b/lapisgrade/gateway/configuration_change.py
@@ -14,7 +14,7 @@
 
 DIGEST_BYTES = 16
 
-# Lists of named items, with the keys that a change may use for them.
+# Lists of named items by their key in a configuration, with the keys that a change may use for them.
 ITEM_LISTS = {"Pools": ("Pools", "Svcs"), "Tenants": ("Tenants",)}
 ROUTE_KEYS = ("Routes", "Ports", "Policy")  # keys of `Del` that may list names of routes
 
@@ -55,14 +55,14 @@
             raise ConfigurationError("an item of Ports has no Vhost")
         rules_by_host.setdefault(host, [])
         for rule in port.get("Policy") or []:
-            _put_rule(rules_by_host, host_of_rule, host, rule)
+            _upsert_rule(rules_by_host, host_of_rule, host, rule)
     remaining = {
         host: [rule for rule in rules if rule["Name"] not in deleted] for host, rules in rules_by_host.items()
     }
     return [{"Vhost": host, "Policy": rules} for host, rules in remaining.items() if rules]
 
 
-def _put_rule(
+def _upsert_rule(
     rules_by_host: dict[str, list[Json]], host_of_rule: dict[str, str], host: str, rule: Any
 ) -> None:
     """Insert a route at a host, in place of the host's route with the same name or else at the end."""
@@ -71,9 +71,9 @@
     name = rule["Name"]
     old_host = host_of_rule.get(name)
     if old_host is not None and old_host != host:
-        rules_by_host[old_host] = [each for each in rules_by_host[old_host] if each["Name"] != name]
+        rules_by_host[old_host] = [other for other in rules_by_host[old_host] if other["Name"] != name]
     rules = rules_by_host[host]
-    position = next((i for i, each in enumerate(rules) if each["Name"] == name), None)
+    position = next((index for index, other in enumerate(rules) if other["Name"] == name), None)
     if position is None:
         rules.append(rule)
     else:
@@ -86,12 +86,12 @@
 ) -> list[Json] | None:
     """Return a list of named items after the change; None if it exists neither before nor after."""
     items = {item["Name"]: item for item in current.get(key) or []}
-    put = [item for name in change_keys for item in _items(upsert, name)]
-    if any(not isinstance(item.get("Name"), str) for item in put):
+    upserted = [item for change_key in change_keys for item in _items(upsert, change_key)]
+    if any(not isinstance(item.get("Name"), str) for item in upserted):
         raise ConfigurationError(f"an item of {key} has no Name")
-    items.update({item["Name"]: item for item in put})
+    items.update({item["Name"]: item for item in upserted})
     deleted = {name for change_key in change_keys for name in _names(delete, change_key)}
-    if key not in current and not put:
+    if key not in current and not upserted:
         return None
     return [item for name, item in items.items() if name not in deleted]
 
@@ -108,7 +108,7 @@
     items = delete.get(key) or []
     if not isinstance(items, list):
         raise ConfigurationError(f"{key} is not a list of names")
-    return [each["Name"] if isinstance(each, dict) and "Name" in each else str(each) for each in items]
+    return [item["Name"] if isinstance(item, dict) and "Name" in item else str(item) for item in items]
 
 
 def digest(body: bytes) -> bytes:
--- a/lapisgrade/gateway/configuration_delta.py
+++ b/lapisgrade/gateway/configuration_delta.py
@@ -15,7 +15,7 @@
 from lapisgrade.gateway.errors import ConfigurationError
 
 PIECE_SEPARATOR = b"},{"
-FASTEST_LEVEL = 1  # zlib level; processor time costs more than 10 % of the bytes
+FASTEST_LEVEL = 1  # zlib level; higher levels save a tenth of the bytes, but their processor time costs more
 DIGEST_BYTES = 16
 
 Operation = tuple[int, int] | bytes  # a run of the base's pieces (first, count), or a new piece
@@ -79,7 +79,7 @@
     old_pieces = old.split(PIECE_SEPARATOR)
     index_of_piece = {piece: index for index, piece in enumerate(old_pieces)}
     operations: list[Operation] = []
-    first, count = 0, 0  # the current run
+    first, count = 0, 0  # the current run of pieces in the old text
     for piece in new.split(PIECE_SEPARATOR):
         if count and first + count < len(old_pieces) and old_pieces[first + count] == piece:
             count += 1
--- a/lapisgrade/gateway/fake_server.py
+++ b/lapisgrade/gateway/fake_server.py
@@ -11,7 +11,7 @@
 from lapisgrade.gateway.http_server import encode_response
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 
-POLL_INTERVAL_S = 0.01  # interval between checks whether a caller has disconnected
+POLL_INTERVAL_S = 0.01  # interval between checks of a condition, such as whether a caller has disconnected
 
 
 class FakeServer:
@@ -19,7 +19,7 @@
 
     Attributes:
         run_counts: By Try-Id: number of times that the request was executed.
-        tenants: By tenant: number of executed requests.
+        tenants: By tenant: number of requests that were executed.
         rejected_counts: By Try-Id: number of times that the request was received and not executed, because of
             the fault `full` or `silent`.
         deadlines: By Try-Id: the request's deadline in ms.
@@ -114,30 +114,32 @@
         while not (writer.transport.is_closing() or self._callers[writer].at_eof()):
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _execute(self, name: str, writer: asyncio.StreamWriter) -> None:
+    async def _execute(self, try_id: str, writer: asyncio.StreamWriter) -> None:
         """Simulate the work of a request; abandon it when its connection closes, as most servers do."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         while (worked := loop.time() - started) < self.work_s:
             if writer.transport.is_closing() or self._callers[writer].at_eof():
-                self.abandoned_after_s[name] = worked
+                self.abandoned_after_s[try_id] = worked
                 return
             await asyncio.sleep(min(POLL_INTERVAL_S, self.work_s - worked))
 
     async def _answer(self, message: Message, writer: asyncio.StreamWriter) -> bytes:
         fields = {name: value.decode() for name, value in message.headers().items()}
-        name = fields.get(b"try-id", "")
-        headers = f"Try-Id: {name}\r\nInstance: {self.name}\r\nServer-Load: {self.running},0,{self.slots}\r\n"
+        try_id = fields.get(b"try-id", "")
+        headers = (
+            f"Try-Id: {try_id}\r\nInstance: {self.name}\r\nServer-Load: {self.running},0,{self.slots}\r\n"
+        )
         if fields.get(b"want-instance", self.name) != self.name:
             return encode_response(421, b"", headers.encode())
         if self.running >= self.slots or self.state != "up":
             return encode_response(503, b"", (headers + "Not-Run: 1\r\n").encode())
         self.running += 1
-        self.run_counts[name] += 1
+        self.run_counts[try_id] += 1
         self.tenants[fields.get(b"tenant", "")] += 1
-        self.deadlines[name] = int(fields.get(b"deadline-ms", "0"))
+        self.deadlines[try_id] = int(fields.get(b"deadline-ms", "0"))
         try:
-            await self._execute(name, writer)
+            await self._execute(try_id, writer)
         finally:
             self.running -= 1
         body = f"{self.svc} {cast(h11.Request, message.head).target.decode()}".encode()
--- a/lapisgrade/gateway/http_client.py
+++ b/lapisgrade/gateway/http_client.py
@@ -9,7 +9,7 @@
 
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 
-REPLY_TIMEOUT_S = 5.0
+REPLY_TIMEOUT_S = 5.0  # time-out of one request, from connecting to the complete reply
 MAX_REPLY_BYTES = 1 << 24
 READ_BYTES = 65_536
 
@@ -21,7 +21,7 @@
     body: bytes = b"",
     fields: dict[str, str] | None = None,
 ) -> Message:
-    """Send one request and return the reply.
+    """Send one request with the header lines `fields` and return the reply.
 
     Raises:
         OSError: The connection fails.
@@ -46,11 +46,11 @@
 
 
 async def post_to_any(controllers: Iterable[tuple[str, int]], target: str, body: bytes = b"") -> int:
-    """Return the first status below 500 that a controller replies with; 0 if there is none."""
+    """Post to one controller after another; return the first status below 500, or 0 if there is none."""
     for address in controllers:
         try:
             message = await send_request(address, "POST", target, body, {"Content-Type": "application/json"})
-        except (OSError, TimeoutError, MalformedMessageError):  # it may stop during a reply
+        except (OSError, TimeoutError, MalformedMessageError):  # it may stop before it has replied
             continue
         response = cast(h11.Response, message.head)
         if response.status_code < HTTPStatus.INTERNAL_SERVER_ERROR:
--- a/lapisgrade/gateway/http_server.py
+++ b/lapisgrade/gateway/http_server.py
@@ -16,7 +16,7 @@
 from lapisgrade.net.http import MalformedMessageError, Message, MessageParser
 
 IDLE_TIMEOUT_S = 30.0  # maximum time for a complete request to arrive, before the connection is closed
-MAX_CONNECTIONS = 512  # beyond it the connection idle for longest is closed; bounds descriptors
+MAX_CONNECTIONS = 512  # bounds descriptors; beyond it the connection idle for longest is closed
 LISTEN_BACKLOG = 64
 CLOSE_FIELD = b"Connection: close\r\n"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -43,7 +43,7 @@
     """Passes each request to a handler.
 
     Attributes:
-        closing: Set during shutdown: each connection is closed after its current request.
+        closing: Whether the server shuts down: each connection is closed after its current request.
     """
 
     def __init__(self, handler: Handler, max_body_bytes: int, max_connections: int = MAX_CONNECTIONS) -> None:
@@ -53,9 +53,8 @@
         self._max_body_bytes = max_body_bytes
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.StreamWriter] = set()
-        self._idle: dict[
-            asyncio.StreamWriter, None
-        ] = {}  # connections without a request, the longest idle first
+        # Connections that wait for a complete request, the one that has waited longest first.
+        self._idle: dict[asyncio.StreamWriter, None] = {}
         self.closing = False
 
     async def listen(self, address: tuple[str, int]) -> None:
--- a/lapisgrade/gateway/local_cluster.py
+++ b/lapisgrade/gateway/local_cluster.py
@@ -87,7 +87,7 @@
     def settings(self, name: str) -> Settings:
         """Return the settings of a machine."""
         ip = self.ip[name]
-        peers = tuple(Address((self.ip[each], CONTROL_PORT)) for each in self.voters[:3])
+        peers = tuple(Address((self.ip[voter], CONTROL_PORT)) for voter in self.voters[:3])
         bind = Bind(Address((ip, HTTP_PORT)), Address((ip, READINESS_PORT)), Address((ip, CONTROL_PORT)))
         folder = os.path.join(self.folder, name) if name in self.voters else ""
         return Settings(
@@ -119,7 +119,7 @@
         await self.start_server("garantie", **server_options)
         while await self.put(conf or SAMPLE) != 200:
             await asyncio.sleep(POLL_INTERVAL_S)
-        await self.until(lambda: all(each.ready and each.servers for each in self.proxies.values()))
+        await self.until(lambda: all(proxy.ready and proxy.servers for proxy in self.proxies.values()))
         return self
 
     async def start_controller(self, name: str) -> None:
@@ -136,9 +136,9 @@
         """Stop a role as if its process was killed: without notifying other processes."""
         self._tasks[part].cancel()
         await asyncio.gather(self._tasks.pop(part), return_exceptions=True)
-        for table in (self.controllers, self.proxies):
-            for name in [name for name, each in table.items() if each is part]:
-                del table[name]
+        for running in (self.controllers, self.proxies):
+            for name in [name for name, role in running.items() if role is part]:
+                del running[name]
 
     async def start_server(self, svc: str, **server_options: Any) -> FakeServer:
         """Start a fake server of a service and its heartbeats."""
@@ -166,7 +166,7 @@
         self._tasks.pop(server).cancel()
 
     async def put(self, conf: dict[str, Any], call: str = "conf.replace") -> int:
-        """Make an operator's call; return the status of the first controller that replies, or 0."""
+        """Make an operator's call with the body `conf`; return the first status below 500, or 0 for none."""
         return await post_to_any(self.control_addresses, f"/-/rpc?call={call}", msgspec.json.encode(conf))
 
     async def get(
@@ -179,7 +179,12 @@
         tries: int = 8,
         **headers: str,
     ) -> Message:
-        """Send a client's request to a proxy, up to `tries` times on 429 or 503 with Retry-After."""
+        """Send a client's request to a machine's proxy and return the last response.
+
+        A 429 or 503 with Retry-After is retried after that time, up to `tries` attempts in all. `key` is the
+        API key, `id` the request id (by default a random one for each attempt); `headers` may include the
+        HTTP method as `method`.
+        """
         method = headers.pop("method", "GET")
         fields = {"Host": host, "Deadline-Ms": "2000", **headers}
         if key:
@@ -209,7 +214,7 @@
     """A network partition between the processes of a cluster: messages are lost, and calls time out.
 
     Attributes:
-        isolated: IP addresses of the machines that are cut off from all others.
+        isolated: IP addresses of the machines whose messages to and from all others are lost.
     """
 
     def __init__(self, cluster: LocalCluster) -> None:
--- a/lapisgrade/gateway/registry.py
+++ b/lapisgrade/gateway/registry.py
@@ -44,10 +44,10 @@
         service: The service that it runs.
         address: IP address and port, as text; empty if unknown.
         zone: Its failure domain.
-        slots: Number of requests that it runs concurrently.
+        slots: Maximum number of requests that it runs concurrently.
         state: One of `ServerState`.
         sequence_number: Sequence number of its last heartbeat.
-        warm_up_us: Remaining slow-start time.
+        warm_up_us: Remaining slow-start time, in us.
         revision: The registry's revision of its last change.
     """
 
@@ -89,7 +89,7 @@
         return now_us - self.started_us > COMPLETE_HEARTBEATS * self.heartbeat_us
 
     def on_heartbeat(self, now_us: int, server: Server) -> None:
-        """Process a heartbeat, given as the server that it describes."""
+        """Process a heartbeat, which is given as a record of the server that sent it."""
         known = self.servers.get(server.id)
         if known is not None and server.sequence_number <= known.sequence_number:
             return
@@ -139,7 +139,7 @@
             self._record_change(server)
 
     def restore(self, now_us: int, servers: list[Server]) -> None:
-        """Add servers as an earlier leader knew them, unless something newer is known."""
+        """Add the servers that an earlier leader knew, unless their present state is newer."""
         for server in servers[:MAX_SERVERS]:
             known = self.servers.get(server.id)
             if known is None and server.state == ServerState.UP and server.address:
@@ -163,9 +163,9 @@
                 server.state = ServerState.LOST if server.state == ServerState.UP else ServerState.GONE
                 self._record_change(server)
             elif not is_serving and age_us > FORGET_HEARTBEATS * self.heartbeat_us:
-                self._forget(server)
+                self._remove(server)
 
-    def _forget(self, server: Server) -> None:
+    def _remove(self, server: Server) -> None:
         self.servers.pop(server.id, None)
         self.last_seen_us.pop(server.id, None)
         self.warm_up_ends_us.pop(server.id, None)
--- a/lapisgrade/gateway/rpc.py
+++ b/lapisgrade/gateway/rpc.py
@@ -45,7 +45,7 @@
         on_call: Callable[[Any], Awaitable[Any]],
         on_message: Callable[[Any], None] = _ignore,
     ) -> None:
-        """Create an endpoint that does not listen yet.
+        """Create an endpoint that does not listen yet; it can already send.
 
         Args:
             union: The message types that it sends and receives.
@@ -79,7 +79,7 @@
         """Return the peer at the address, without connecting to it."""
         peer = self._peers.get(address)
         if peer is None:
-            if len(self._peers) >= MAX_PEERS:  # bounds descriptors: evicts the oldest peer
+            if len(self._peers) >= MAX_PEERS:  # bounds descriptors: closes the peer that was added first
                 self._peers.pop(next(iter(self._peers))).close()
             peer = self._peers[address] = Peer(self._codec, address)
         return peer
--- a/lapisgrade/gateway/rpc_connection.py
+++ b/lapisgrade/gateway/rpc_connection.py
@@ -23,13 +23,12 @@
 log = logging.getLogger("rpc")
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024  # fits a configuration of many thousand routes
-MAX_UNSENT_BYTES = (
-    8 * 1024 * 1024
-)  # write buffer limit; the connection of a peer that does not read is closed
-READ_BYTES = 65_536  # maximum size of one read
-ACKNOWLEDGEMENT_TIMEOUT_MS = 1500  # TCP_USER_TIMEOUT: closes a connection with unacknowledged data
+# Limit of the write buffer, which grows if the peer does not read; the connection is closed beyond it.
+MAX_UNSENT_BYTES = 8 * 1024 * 1024
+READ_BYTES = 65_536  # maximum size of one read from a socket
+ACKNOWLEDGEMENT_TIMEOUT_MS = 1500  # TCP_USER_TIMEOUT: maximum time that sent data is unacknowledged
 MAX_UNREADABLE_MESSAGES = 512  # per connection; the next one closes it
-MAX_LOGGED_CHARACTERS = 200  # of a decoding error, which may quote the message
+MAX_LOGGED_CHARACTERS = 200  # maximum logged length of a decoding error, which may quote the message
 LENGTH_BYTES = 4
 
 _ENCODED_NIL = msgspec.msgpack.encode(None)
@@ -65,10 +64,10 @@
     """Encodes and decodes frames whose messages belong to one union."""
 
     def __init__(self, union: Any) -> None:
-        """Carry messages of the types in `union`."""
+        """Create a codec for messages of the types in `union`."""
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(tuple[int, union])
-        self._form_decoder = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw])
+        self._untyped_decoder = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw])
 
     def encode(self, number: int, message: Any) -> bytes:
         """Return the frame of a numbered message."""
@@ -102,7 +101,7 @@
         try:
             return self._decoder.decode(data)
         except msgspec.MsgspecError as error:
-            number, message = self._form_decoder.decode(data)
+            number, message = self._untyped_decoder.decode(data)
             return number, UnreadableMessage(bytes(message) == _ENCODED_NIL, str(error))
 
 
--- a/lapisgrade/gateway/rpc_messages.py
+++ b/lapisgrade/gateway/rpc_messages.py
@@ -114,11 +114,11 @@
         registry_incarnation: Incarnation of the leader's server registry.
         registry_revision: The revision of that registry at the proxy after this reply.
         is_registry_complete: Whether every live server has had time to register with this leader.
-        is_full_update: Whether `servers` holds all servers of the registry, not only changes.
+        is_full_update: Whether `servers` holds all servers of the registry instead of only the changed ones.
         servers: The servers that changed after the proxy's revision.
         fencing_token: Fencing token of the current list of live proxies.
         live_proxies: That list in full, if the proxy has another one and gets no delta.
-        requests_known_servers: Whether a new leader requests the servers that the proxy knows.
+        requests_known_servers: Whether the leader is new and requests the servers that the proxy knows.
         staged_versions: Newer versions that the proxy lacks, to be staged until they are activated.
         merged_versions: The staged versions that were merged from drafts. Requests that must run at most
             once wait for their activation.
--- a/lapisgrade/gateway/rpc_peer.py
+++ b/lapisgrade/gateway/rpc_peer.py
@@ -8,7 +8,7 @@
 from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.gateway.rpc_connection import Codec, Connection, UnreadableMessage
 
-CONNECT_TIMEOUT_S = 0.35  # several round trips between zones; the next message starts a new attempt
+CONNECT_TIMEOUT_S = 0.35  # several round trips between zones; after it, the next message starts a new attempt
 MAX_UNSENT_MESSAGES = 512  # maximum number of messages queued for a connection
 
 
@@ -50,7 +50,7 @@
             self._waiting.pop(number, None)
 
     def _on_timeout(self, number: int) -> CallFailure:
-        unsent = [each for each in self._unsent if each[0] != number]
+        unsent = [queued for queued in self._unsent if queued[0] != number]
         was_sent = len(unsent) == len(self._unsent)
         self._unsent = unsent
         if was_sent:
--- a/lapisgrade/gateway/settings.py
+++ b/lapisgrade/gateway/settings.py
@@ -59,7 +59,7 @@
     Attributes:
         nofile: Maximum number of file descriptors per process.
         mem_mb: Memory, in MB.
-        cpu: Share of a core.
+        cpu: Processor share, in cores.
     """
 
     nofile: int = 1024
@@ -189,7 +189,8 @@
 def _record_hook(converter: cattrs.Converter, kind: type) -> Callable[..., Any]:
     """Return a structure hook for a record that maps the wire keys to its fields."""
     overrides: dict[str, Any] = {
-        each.name: override(rename=each.metadata.get("wire", wire_name(each.name))) for each in fields(kind)
+        attribute.name: override(rename=attribute.metadata.get("wire", wire_name(attribute.name)))
+        for attribute in fields(kind)
     }
     return make_dict_structure_fn(kind, converter, **overrides)
 
@@ -252,9 +253,8 @@
         raise SettingsError(f"{path}: {error}") from None
     if not isinstance(raw, dict):
         raise SettingsError(f"{path}: not an object")
-    raw = {
-        key: value for key, value in raw.items() if value is not None
-    }  # null: the machine has no such resource
+    # Null means that the machine has no such resource; the default applies.
+    raw = {key: value for key, value in raw.items() if value is not None}
     try:
         settings: Settings = structure(strict_converter(), raw, Settings)
     except InvalidInputError as error:
--- a/lapisgrade/gateway/watch_timing.py
+++ b/lapisgrade/gateway/watch_timing.py
@@ -6,6 +6,5 @@
 """
 
 LONG_POLL_US = 250_000  # maximum time that the leader delays its reply while it has no updates
-MISSED_VERSION_AFTER_US = (
-    1_300_000  # time without a reply after which a proxy may have missed a version; two requests fit in it
-)
+# Time without a reply after which a proxy may have missed a version; two requests fit in it.
+MISSED_VERSION_AFTER_US = 1_300_000
