--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def silent_logging() -> Iterator[None]:
-    """Disable logging, because injected faults would flood the test output with log lines."""
+    """Drop the log lines of all levels during a test whose injected faults would flood its output."""
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
--- a/tests/gateway/proxy/test_answers.py
+++ b/tests/gateway/proxy/test_answers.py
@@ -17,7 +17,7 @@
 ) -> None:
     findings = await run_requests(seed, loopback_network.number)
     assert findings.violations() == []
-    statuses = [each.status for each in findings.tries.values()]
+    statuses = [request.status for request in findings.tries.values()]
     assert statuses.count(200) > 50
 
 
--- a/tests/gateway/proxy/test_keyed_operations.py
+++ b/tests/gateway/proxy/test_keyed_operations.py
@@ -1,4 +1,4 @@
-"""Each operation key runs once, on sockets: a cluster of three machines with repeats through any of them."""
+"""A keyed operation runs once, whichever proxy gets its repeats, on three machines on loopback."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 from lapisgrade.gateway.proxy import process
 from lapisgrade.net.http import Message
 
-KEY = "key-of-sfax"
+KEY = "key-of-sfax"  # the API key
 KEYED = copy.deepcopy(SAMPLE)
 KEYED["Ports"][0]["Policy"][1]["Mode"] = "keyed"
 KEYED["Ports"][0]["Policy"][1]["Action"]["Timeout"] = "6000ms"
@@ -30,7 +30,7 @@
 
 
 async def claim(site: LocalCluster, machine: str, key: str, **options: str) -> Message:
-    """Return the response of a machine's proxy to a request with the operation key."""
+    """Send a request with the operation key to a machine's proxy; `options` as for `LocalCluster.get`."""
     return await site.get(machine, "/claim/1", KEY, method="POST", **{"Op-Key": key, **options})
 
 
@@ -39,7 +39,7 @@
 
 
 def run_count(site: LocalCluster) -> int:
-    return sum(each.run_counts.total() for each in site.servers.values())
+    return sum(server.run_counts.total() for server in site.servers.values())
 
 
 async def test_repeats_through_any_proxy_get_the_first_response_with_their_own_request_id() -> None:
@@ -61,7 +61,9 @@
         await site.until(lambda: site.servers["i-1"].running)
         short_requests = [claim(site, machine, "k", **SHORT_DEADLINE) for machine in site.names]
         long_requests = [claim(site, machine, "k", **LONG_DEADLINE) for machine in site.names * 2]
-        statuses = [status(each) for each in await asyncio.gather(*short_requests, first, *long_requests)]
+        statuses = [
+            status(response) for response in await asyncio.gather(*short_requests, first, *long_requests)
+        ]
         assert (statuses, run_count(site)) == ([409] * 3 + [200] * 7, 1)
 
 
@@ -107,7 +109,9 @@
 async def test_a_claim_after_the_loss_of_a_leader_is_recorded_by_the_next_one() -> None:
     async with keyed_cluster() as site:
         await claim(site, "m1", "before")
-        await site.kill(next(each for each in site.controllers.values() if each.node.is_leader))
+        await site.kill(
+            next(controller for controller in site.controllers.values() if controller.node.is_leader)
+        )
         during = await claim(site, "m1", "during")
         assert status(during) == 200
         assert [status(await claim(site, "m2", key)) for key in ("before", "during")] == [200, 200]
@@ -116,10 +120,10 @@
 
 async def test_without_a_leader_a_keyed_request_is_answered_503_and_does_not_run() -> None:
     async with keyed_cluster() as site:
-        for each in list(site.controllers.values())[:2]:
-            await site.kill(each)
-        refused = await claim(site, "m1", "k", tries=1)
-        assert (status(refused), b"retry-after" in refused.headers(), run_count(site)) == (503, True, 0)
+        for controller in list(site.controllers.values())[:2]:
+            await site.kill(controller)
+        rejected = await claim(site, "m1", "k", tries=1)
+        assert (status(rejected), b"retry-after" in rejected.headers(), run_count(site)) == (503, True, 0)
 
 
 @pytest.mark.parametrize("keys", [[], [""], ["a", "b"], ["x" * (MAX_KEY_BYTES + 1)]])
--- a/tests/gateway/proxy/test_operation_transport.py
+++ b/tests/gateway/proxy/test_operation_transport.py
@@ -23,7 +23,7 @@
 from lapisgrade.gateway.routing.keyed_request import ClaimKey, FetchOutcome
 
 OWN_ADDRESS, OTHER_ADDRESS = "10.0.0.9:1", "10.0.0.8:1"
-A, B, C = (f"10.0.0.{number}:1" for number in (1, 2, 3))
+A, B, C = (f"10.0.0.{number}:1" for number in (1, 2, 3))  # addresses of the controllers; A leads at first
 CLAIM = Claim("t", "k", "mine-1", OWN_ADDRESS)
 GRANTED = rpc_messages.ClaimReply(True, "mine-1", OWN_ADDRESS)
 ANSWER = Outcome(OutcomeState.ANSWERED, 200, b"", b"x")
--- a/tests/gateway/proxy/test_quota_transport.py
+++ b/tests/gateway/proxy/test_quota_transport.py
@@ -48,7 +48,7 @@
         )
         self.updates = SimpleNamespace(ownership_ends_us=1 << 60)
         self.calls, self.results = [], []
-        client = SimpleNamespace(quota_request=self._make_request, gateways=1)
+        client = SimpleNamespace(quota_request=self._make_request, gateway_count=1)
         self.router = SimpleNamespace(quota_clients={self.tenant: client})
         self.host = SimpleNamespace(enqueue=self.results.append)
         self.replies = {}
--- a/tests/gateway/test_api.py
+++ b/tests/gateway/test_api.py
@@ -16,7 +16,7 @@
         ("POST", "/-/rpc?call=servers.deregister"),
     ]
     found = [
-        each if isinstance(each := api.parse_call(*request), int) else each[0].name for request in requests
+        call if isinstance(call := api.parse_call(*request), int) else call[0].name for request in requests
     ]
     assert found == ["servers.heartbeat", 405, 404, 404, 400]
     with pytest.raises(InvalidInputError):
--- a/tests/gateway/test_configuration_change.py
+++ b/tests/gateway/test_configuration_change.py
@@ -24,7 +24,7 @@
 
 
 def names(configuration: dict[str, Any]) -> dict[str, list[str]]:
-    return {port["Vhost"]: [each["Name"] for each in port["Policy"]] for port in configuration["Ports"]}
+    return {port["Vhost"]: [route["Name"] for route in port["Policy"]] for port in configuration["Ports"]}
 
 
 def test_an_empty_change_changes_only_the_version():
--- a/tests/gateway/test_known_keys.py
+++ b/tests/gateway/test_known_keys.py
@@ -108,6 +108,7 @@
     ("Pools", 0),
 )
 OBJECTS_OF_SETTINGS = ((), ("Bind",), ("Caps",), ("Slo",), ("Faults",))
+# Values of the unknown keys: one of each JSON type.
 LATER_VALUES = (None, True, 7, 0.5, "text", ["text", 7], {"Of": {"a": "later"}})
 
 
@@ -121,9 +122,9 @@
     return changed
 
 
-def send(machine: StateMachine, body: dict, replaces_all: bool) -> tuple[int, str]:
+def send(state_machine: StateMachine, body: dict, replaces_all: bool) -> tuple[int, str]:
     change = ConfigurationChange(replaces_all, msgspec.json.encode(body))
-    result = machine.apply(machine.state.version + 1, encode_command(change))
+    result = state_machine.apply(state_machine.state.version + 1, encode_command(change))
     return result.status, result.reason
 
 
@@ -134,9 +135,9 @@
 
 
 def test_a_configuration_with_all_known_keys_is_accepted_and_read_back_unchanged():
-    machine = StateMachine()
-    assert send(machine, CONFIGURATION, True) == (200, "")
-    shown = msgspec.json.decode(machine.state.configuration)
+    state_machine = StateMachine()
+    assert send(state_machine, CONFIGURATION, True) == (200, "")
+    shown = msgspec.json.decode(state_machine.state.configuration)
     assert shown == {name: value for name, value in CONFIGURATION.items() if name != "Base"}
     assert configuration_check.check_text(msgspec.json.encode(CONFIGURATION))[0] == []
     assert merge_fields.from_fields(merge_fields.to_fields(shown), shown) == shown
@@ -151,8 +152,8 @@
 
 @pytest.mark.parametrize("services", ["Pools", "Svcs"])
 def test_a_change_of_named_items_with_all_known_keys_is_accepted(services: str):
-    machine = StateMachine()
-    send(machine, CONFIGURATION, True)
+    state_machine = StateMachine()
+    send(state_machine, CONFIGURATION, True)
     upsert = {
         "Ports": [{"Vhost": "three.example", "Policy": [{**KEYED_ROUTE, "Name": "r-new"}]}],
         "Tenants": [{"Name": "sousse", "Apikeys": ["key-4"], "Prio": 2, "RateS": 9, "Burst": 9}],
@@ -161,18 +162,18 @@
     }
     delete = {"Routes": ["r-mutate"], "Tenants": ["gafsa"]}
     change = {"Ver": 15, "Base": 12, "Upsert": upsert, "Del": delete}
-    assert send(machine, change, False) == (200, "")
-    read = configuration.read(msgspec.json.decode(machine.state.configuration))
+    assert send(state_machine, change, False) == (200, "")
+    read = configuration.read(msgspec.json.decode(state_machine.state.configuration))
     assert [(pool.name, pool.maxconn, pool.dedup) for pool in read.pools][1] == ("ledger", 40, False)
     assert [port.vhost for port in read.ports] == ["one.example", "three.example"]
 
 
 @pytest.mark.parametrize("place", OBJECTS_OF_A_CONFIGURATION, ids=str)
 def test_unknown_keys_in_a_configuration_are_accepted_and_stored(place: tuple):
-    machine = StateMachine()
+    state_machine = StateMachine()
     sent = with_unknown_keys(CONFIGURATION, place)
-    assert send(machine, sent, True) == (200, "")
-    shown = msgspec.json.decode(machine.state.configuration)
+    assert send(state_machine, sent, True) == (200, "")
+    shown = msgspec.json.decode(state_machine.state.configuration)
     assert shown == {name: value for name, value in sent.items() if name != "Base"}
     assert merge_fields.from_fields(merge_fields.to_fields(shown), shown) == shown
     assert configuration.read(shown) == configuration.read(CONFIGURATION)
@@ -187,8 +188,8 @@
         1_500_000,
     )
     assert (read.slo.key_win, read.slo.contact, read.slo.retry_extra) == (45_000_000, 5_000_000, 176)
-    without = {name: value for name, value in SETTINGS["Slo"].items() if name != "KeyWin"}
-    assert read_settings(tmp_path, {**SETTINGS, "Slo": without}).slo.key_win == 60_000_000
+    slo_without_key_window = {name: value for name, value in SETTINGS["Slo"].items() if name != "KeyWin"}
+    assert read_settings(tmp_path, {**SETTINGS, "Slo": slo_without_key_window}).slo.key_win == 60_000_000
 
 
 @pytest.mark.parametrize("place", OBJECTS_OF_SETTINGS, ids=str)
@@ -199,9 +200,9 @@
 
 @pytest.mark.parametrize("name", CALLS)
 def test_each_call_is_accepted(name: str):
-    found = api.parse_call("POST", f"/-/rpc?call={name}&of=i-7f")
-    assert isinstance(found, api.ParsedCall)
-    assert found.call.name == name
+    parsed = api.parse_call("POST", f"/-/rpc?call={name}&of=i-7f")
+    assert isinstance(parsed, api.ParsedCall)
+    assert parsed.call.name == name
 
 
 def test_the_control_api_has_exactly_the_listed_calls():
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -16,7 +16,7 @@
 from lapisgrade.gateway.local_cluster import SAMPLE, LocalCluster, Partition, post_to_any, send_request
 from lapisgrade.net.http import Message
 
-KEY = "key-of-sfax"
+KEY = "key-of-sfax"  # the API key of the sample's tenant
 READINESS_PORT = 8406
 
 
@@ -37,8 +37,8 @@
                 await asyncio.sleep(0.02)
         await site.until(
             lambda: all(
-                each.ready and sum(one.state == "up" for one in each.servers.values()) == servers
-                for each in site.proxies.values()
+                proxy.ready and sum(server.state == "up" for server in proxy.servers.values()) == servers
+                for proxy in site.proxies.values()
             )
         )
         yield site
@@ -50,7 +50,7 @@
         assert (status(response), b"".join(response.body)) == (200, b"garantie /stock/7?x=1")
         fields = response.headers()
         assert (fields[b"try-id"], fields[b"server-seal"]) == (b"one", b"seal")
-        ran = [each for each in site.servers.values() if each.run_counts]
+        ran = [server for server in site.servers.values() if server.run_counts]
         assert (ran[0].run_counts, ran[0].tenants) == ({"one": 1}, {"sfax": 1})
 
 
@@ -116,9 +116,8 @@
     async with cluster_with_servers(2) as site:
         for _ in range(20):  # fills the retry budget
             await site.get("m1", "/stock/1", KEY)
-        good, failing = sorted(
-            site.servers.values(), key=lambda each: each.run_counts.total()
-        )  # failing is the preferred one
+        # The preferred server, which has run more requests, fails from now on.
+        good, failing = sorted(site.servers.values(), key=lambda server: server.run_counts.total())
         failing.fault = "failing"
         answers = {}
         for number in range(40):
@@ -167,18 +166,18 @@
 
 async def test_a_configuration_survives_the_kill_of_every_process():
     async with cluster_with_servers() as site:
-        for each in [*site.controllers.values(), *site.proxies.values()]:
-            await site.kill(each)
+        for role in [*site.controllers.values(), *site.proxies.values()]:
+            await site.kill(role)
         for name in site.names:
             await site.start_controller(name)
             await site.start_proxy(name)
         await site.until(
-            lambda: all(each.ready and each.active_version == 1 for each in site.proxies.values())
+            lambda: all(proxy.ready and proxy.active_version == 1 for proxy in site.proxies.values())
         )
         shown = await send_request(site.control_addresses[0], "POST", "/-/rpc?call=conf.show")
-        expected = {name: each for name, each in SAMPLE.items() if name != "Base"}
+        expected = {name: value for name, value in SAMPLE.items() if name != "Base"}
         assert msgspec.json.decode(b"".join(shown.body)) == expected
-        await site.until(lambda: all(each.servers for each in site.proxies.values()))
+        await site.until(lambda: all(proxy.servers for proxy in site.proxies.values()))
         assert status(await site.get("m1", "/stock/1", KEY)) == 200
 
 
@@ -209,12 +208,12 @@
 
 async def test_every_controller_answers_an_operators_call_with_the_same_error():
     async with cluster_with_servers() as site:
-        found = []
+        rejections = []
         for address in site.control_addresses:
             body = msgspec.json.encode({**SAMPLE, "Ver": 9, "Base": 1, "Pools": []})
             response = await send_request(address, "POST", "/-/rpc?call=conf.replace", body)
-            found.append((status(response), msgspec.json.decode(b"".join(response.body))["Err"]))
-        assert found == [(400, "route r-stock: service 'garantie' is not in Pools")] * 3
+            rejections.append((status(response), msgspec.json.decode(b"".join(response.body))["Err"]))
+        assert rejections == [(400, "route r-stock: service 'garantie' is not in Pools")] * 3
 
 
 async def test_a_proxy_that_shuts_down_answers_its_requests_and_announces_its_departure():
--- a/tests/gateway/test_registry.py
+++ b/tests/gateway/test_registry.py
@@ -66,9 +66,8 @@
 def test_a_late_heartbeat_of_an_unknown_server_does_not_take_over_another_services_address():
     registry = Registry(SECOND, 0)
     registry.on_heartbeat(SECOND, Server("i-2", "reports", "10.0.0.1:80", "z", 2, "up", 1))
-    send_heartbeat(
-        registry, 1.5, name="i-1", sequence_number=90
-    )  # delayed heartbeat of a server that terminated before the change of leader
+    # A delayed heartbeat of a server that terminated before the change of leader.
+    send_heartbeat(registry, 1.5, name="i-1", sequence_number=90)
     assert states(registry) == {"i-2": "up"}
     send_heartbeat(registry, 3.5, name="i-3")  # i-2 has sent no heartbeat since: it has terminated
     assert states(registry) == {"i-2": "gone", "i-3": "up"}
--- a/tests/gateway/test_rpc.py
+++ b/tests/gateway/test_rpc.py
@@ -46,7 +46,7 @@
     return Answer(question.text.upper())
 
 
-async def never(question: Question) -> None:
+async def never_reply(question: Question) -> None:
     await asyncio.sleep(TIMEOUT_S)
 
 
@@ -63,7 +63,7 @@
 
     async def run_scenario() -> None:
         caller, callee, address = (
-            RpcEndpoint(UNION, never),
+            RpcEndpoint(UNION, never_reply),
             RpcEndpoint(UNION, on_call, on_message),
             free_address(),
         )
@@ -104,7 +104,7 @@
     async def scenario(caller, callee, address):
         assert await caller.call(address, Question("a"), SHORT_TIMEOUT_S) == Failure(CallFailure.MAY_HAVE_RUN)
 
-    run(scenario, on_call=never)
+    run(scenario, on_call=never_reply)
 
 
 def test_a_call_whose_connection_breaks_may_have_run():
@@ -115,7 +115,7 @@
         callee.close()
         assert await call == Failure(CallFailure.MAY_HAVE_RUN)
 
-    run(scenario, on_call=never)
+    run(scenario, on_call=never_reply)
 
 
 def test_a_call_whose_connection_is_refused_did_not_run():
@@ -165,13 +165,13 @@
         return Answer(question.text)
 
     address = free_address()
-    caller, callee = RpcEndpoint(LATER_UNION, never), RpcEndpoint(UNION, answer_slowly)
+    caller, callee = RpcEndpoint(LATER_UNION, never_reply), RpcEndpoint(UNION, answer_slowly)
     await callee.listen(address)
     try:
-        watch = asyncio.ensure_future(caller.call(address, Question("x"), 2.0))
+        slow_call = asyncio.ensure_future(caller.call(address, Question("x"), 2.0))
         await asyncio.sleep(0.05)
         await caller.call(address, LaterQuestion("y"), 0.5)
-        assert await watch == Success(Answer("x"))
+        assert await slow_call == Success(Answer("x"))
     finally:
         caller.close()
         callee.close()
@@ -179,12 +179,12 @@
 
 async def test_a_call_that_the_callee_can_not_decode_did_not_run_and_fails_before_its_time_out() -> None:
     address = free_address()
-    caller, callee = RpcEndpoint(LATER_UNION, never), RpcEndpoint(UNION, never)
+    caller, callee = RpcEndpoint(LATER_UNION, never_reply), RpcEndpoint(UNION, never_reply)
     await callee.listen(address)
     try:
         async with asyncio.timeout(TIMEOUT_S / 2):
-            got = await caller.call(address, LaterQuestion("y"), TIMEOUT_S)
-        assert got == Failure(CallFailure.NOT_RUN)
+            result = await caller.call(address, LaterQuestion("y"), TIMEOUT_S)
+        assert result == Failure(CallFailure.NOT_RUN)
         assert callee.metrics.calls_received == 0
     finally:
         caller.close()
@@ -199,14 +199,14 @@
         return Answer("x")
 
     address = free_address()
-    caller, callee = RpcEndpoint(UNION, never), RpcEndpoint(LATER_UNION, answer_as_later)
+    caller, callee = RpcEndpoint(UNION, never_reply), RpcEndpoint(LATER_UNION, answer_as_later)
     await callee.listen(address)
     try:
-        watch = asyncio.ensure_future(caller.call(address, Question("watch"), TIMEOUT_S))
+        slow_call = asyncio.ensure_future(caller.call(address, Question("slow"), TIMEOUT_S))
         async with asyncio.timeout(TIMEOUT_S / 2):
-            got = await caller.call(address, Question("later"), TIMEOUT_S)
-        assert got == Failure(CallFailure.MAY_HAVE_RUN)
-        assert await watch == Success(Answer("x"))
+            result = await caller.call(address, Question("later"), TIMEOUT_S)
+        assert result == Failure(CallFailure.MAY_HAVE_RUN)
+        assert await slow_call == Success(Answer("x"))
     finally:
         caller.close()
         callee.close()
@@ -215,7 +215,7 @@
 async def test_a_message_without_a_reply_that_can_not_be_decoded_is_ignored() -> None:
     address = free_address()
     received: list[Any] = []
-    caller, callee = RpcEndpoint(LATER_UNION, never), RpcEndpoint(UNION, answer, received.append)
+    caller, callee = RpcEndpoint(LATER_UNION, never_reply), RpcEndpoint(UNION, answer, received.append)
     await callee.listen(address)
     try:
         caller.post(address, LaterQuestion("y"))
--- a/tests/support/consensus_nodes.py
+++ b/tests/support/consensus_nodes.py
@@ -11,7 +11,7 @@
 from lapisgrade.gateway.consensus.node import Node
 from lapisgrade.gateway.consensus.records import Effects
 
-VOTERS = {name: f"10.0.0.{i}:1" for i, name in enumerate("abc", 1)}
+VOTERS = {name: f"10.0.0.{number}:1" for number, name in enumerate("abc", 1)}
 NOW_US = 10_000_000
 
 
--- a/tests/support/fake_peers.py
+++ b/tests/support/fake_peers.py
@@ -127,9 +127,9 @@
 
     async def serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Answer one request."""
-        first, headers, body = await read_message(reader)
+        start_line, headers, body = await read_message(reader)
         behavior = self.next_behavior()
-        self.received.append((first, headers, body, asyncio.get_running_loop().time(), behavior))
+        self.received.append((start_line, headers, body, asyncio.get_running_loop().time(), behavior))
         if isinstance(behavior, float):
             await asyncio.sleep(behavior)
             behavior = Behavior.NORMAL
@@ -206,9 +206,9 @@
 
     async def serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Answer one call; a watch waits for a change if there is none."""
-        first, _, _ = await read_message(reader)
-        self.calls.append((first.split(" ")[1], asyncio.get_running_loop().time()))
-        if self.behavior is Behavior.NORMAL and f"since={self.generation}&" in first:
+        start_line, _, _ = await read_message(reader)
+        self.calls.append((start_line.split(" ")[1], asyncio.get_running_loop().time()))
+        if self.behavior is Behavior.NORMAL and f"since={self.generation}&" in start_line:
             await self._wait_for_change()
         if self.behavior is Behavior.SILENT:
             await asyncio.sleep(NO_RESPONSE_S)
--- a/tests/support/limiter_settings.py
+++ b/tests/support/limiter_settings.py
@@ -10,6 +10,7 @@
 
 SECOND = 1_000_000
 SERVER_RULES = ServerRules(250_000, 15 * SECOND, 0.2, SECOND, 3.0)
+# Requests of `look` may run any number of times, those of `file` once per key and zone, those of `burn` once.
 CATEGORIES = [
     Category("look", RepeatSafety.IDEMPOTENT, SECOND, 2 * SECOND, 1.0),
     Category(
--- a/tests/support/limiter_site.py
+++ b/tests/support/limiter_site.py
@@ -8,7 +8,9 @@
 from lapisgrade.net.service import Service
 from support.fake_peers import FakeCounter, FakeDiscovery, FakeServer, read_message
 
-REQUEST_CLASSES = {"look": "repeatable", "file": "by_key", "burn": "once"}  # idempotency, by class
+# Idempotency by request class: a `look` may run any number of times, a `file` once per Idempotency-Key, and a
+# `burn` at most once.
+REQUEST_CLASSES = {"look": "repeatable", "file": "by_key", "burn": "once"}
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -95,18 +97,18 @@
         """Send a request, by default on a new connection; returns status, headers and body."""
         reader, writer = connection or await self.connect()
         writer.write(self.encode_request(*args, **extra_headers))
-        first, headers, body = await read_message(reader)
+        start_line, headers, body = await read_message(reader)
         if connection is None:
             writer.close()
-        return int(first.split(" ")[1]), headers, body
+        return int(start_line.split(" ")[1]), headers, body
 
     def attempts(self, request_id: str) -> list[Any]:
         """Return the attempts of a request that servers received completely."""
         return [
-            each
+            attempt
             for server in self.servers
-            for each in server.received
-            if each[1]["x-request-id"] == request_id
+            for attempt in server.received
+            if attempt[1]["x-request-id"] == request_id
         ]
 
 
--- a/tests/support/loopback_network.py
+++ b/tests/support/loopback_network.py
@@ -23,9 +23,8 @@
 CHECKED_HOSTS = range(1, 10)
 RETRY_INTERVAL_S = 0.1
 
-_next_network = itertools.count(
-    os.getpid() * 13
-)  # processes that start together try different networks first
+# Processes that start together try different networks first.
+_next_network = itertools.count(os.getpid() * 13)
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,20 +59,20 @@
 
 
 @contextlib.contextmanager
-def wait_for_loopback_network(number: int, within_s: float = 120.0) -> Iterator[LoopbackNetwork]:
+def wait_for_loopback_network(number: int, timeout_s: float = 120.0) -> Iterator[LoopbackNetwork]:
     """Wait for the network that stored data refers to, and reserve it until the context exits.
 
     Raises:
         NoFreeNetworkError: The network did not become available in time.
     """
-    network, deadline = LoopbackNetwork(number), time.monotonic() + within_s
+    network, deadline = LoopbackNetwork(number), time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         with _reservation(network) as is_reserved:
             if is_reserved:
                 yield network
                 return
         time.sleep(RETRY_INTERVAL_S)
-    raise NoFreeNetworkError(f"network 127.{number}.0.0/16 did not become free within {within_s:g} s")
+    raise NoFreeNetworkError(f"network 127.{number}.0.0/16 did not become free within {timeout_s:g} s")
 
 
 @contextlib.contextmanager
--- a/tests/support/sample_configuration.py
+++ b/tests/support/sample_configuration.py
@@ -6,7 +6,7 @@
 
 from lapisgrade.gateway.local_cluster import SAMPLE
 
-SAMPLE_CONFIGURATION = {name: each for name, each in SAMPLE.items() if name != "Base"}
+SAMPLE_CONFIGURATION = {name: value for name, value in SAMPLE.items() if name != "Base"}
 
 STOCK_ROUTE, CLAIM_ROUTE = 0, 1  # indexes of the routes in the sample's policy
 
@@ -24,4 +24,4 @@
 
 def set_split(rules: list, **weights) -> None:
     del action_of(rules)["Svc"]
-    action_of(rules)["Split"] = [{"Svc": name, "Wt": each} for name, each in weights.items()]
+    action_of(rules)["Split"] = [{"Svc": service, "Wt": weight} for service, weight in weights.items()]
