--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -57,7 +57,7 @@
 
 
 @pytest.fixture
-def silent_logging() -> Iterator[None]:
+def logging_disabled() -> Iterator[None]:
     """Drop the log lines of all levels during a test whose injected faults would flood its output."""
     logging.disable(logging.CRITICAL)
     yield
--- a/tests/gateway/cli/test_demo.py
+++ b/tests/gateway/cli/test_demo.py
@@ -21,7 +21,7 @@
 
 
 async def test_the_demo_serves_every_request_in_five_runs(
-    loopback_network: LoopbackNetwork, monkeypatch: pytest.MonkeyPatch, silent_logging: None
+    loopback_network: LoopbackNetwork, monkeypatch: pytest.MonkeyPatch, logging_disabled: None
 ) -> None:
     cluster = functools.partial(LocalCluster, net=loopback_network.number)
     monkeypatch.setattr(demo, "LocalCluster", cluster)
--- a/tests/gateway/controller/test_operation_claims.py
+++ b/tests/gateway/controller/test_operation_claims.py
@@ -20,7 +20,7 @@
 RETENTION_S = (int(Slo().key_win) + RETENTION_MARGIN_US) / SECOND
 REPLY_S = 0.2  # time limit for the reply to a claim in the absence of faults
 
-pytestmark = pytest.mark.usefixtures("silent_logging")
+pytestmark = pytest.mark.usefixtures("logging_disabled")
 
 
 def claim(attempt: str, replaces: str = "", key: str = "k") -> Claim:
--- a/tests/gateway/proxy/test_answers.py
+++ b/tests/gateway/proxy/test_answers.py
@@ -8,7 +8,7 @@
 
 from lapisgrade.lab.answers import MUTANTS, ClientRequest, Findings, run_requests
 
-pytestmark = pytest.mark.usefixtures("silent_logging")
+pytestmark = pytest.mark.usefixtures("logging_disabled")
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/gateway/proxy/test_unreadable_version.py
+++ b/tests/gateway/proxy/test_unreadable_version.py
@@ -12,7 +12,7 @@
     raise ConfigurationError("'later' is no mode")
 
 
-async def test_servers_and_members_are_updated_despite_an_invalid_version(silent_logging):
+async def test_servers_and_members_are_updated_despite_an_invalid_version(logging_disabled):
     async with serving_cluster() as site:
         proxy = site.proxies["m3"]
         proxy.updates.versions._read = raise_configuration_error
--- a/tests/lab/simulation/test_claims.py
+++ b/tests/lab/simulation/test_claims.py
@@ -9,7 +9,7 @@
 SEEDS = 10
 DEFECT_SEEDS = 30  # number of seeds that must find an injected defect
 
-pytestmark = pytest.mark.usefixtures("silent_logging")
+pytestmark = pytest.mark.usefixtures("logging_disabled")
 
 
 def test_no_operation_runs_twice_under_faults(subtests: pytest.Subtests) -> None:
--- a/tests/lab/simulation/test_data_plane.py
+++ b/tests/lab/simulation/test_data_plane.py
@@ -9,7 +9,7 @@
 
 SEEDS = 10
 
-pytestmark = pytest.mark.usefixtures("silent_logging")
+pytestmark = pytest.mark.usefixtures("logging_disabled")
 
 
 def test_versions_counters_quotas_and_departures_are_correct_under_faults(
--- a/tests/lab/simulation/test_fault_schedules.py
+++ b/tests/lab/simulation/test_fault_schedules.py
@@ -9,7 +9,7 @@
 SEEDS = 8  # number of seeds per schedule
 DEFECT_SEEDS = 30  # number of seeds that must find an injected defect
 
-pytestmark = pytest.mark.usefixtures("silent_logging")
+pytestmark = pytest.mark.usefixtures("logging_disabled")
 
 
 @pytest.mark.parametrize(
--- a/tests/lab/simulation/test_operations.py
+++ b/tests/lab/simulation/test_operations.py
@@ -12,7 +12,7 @@
 DEFECT_SEEDS = 3  # number of seeds that must find an injected defect
 KEY = ("ana", "k-1")
 
-pytestmark = pytest.mark.usefixtures("silent_logging")
+pytestmark = pytest.mark.usefixtures("logging_disabled")
 
 
 @pytest.mark.parametrize("schedule", SCHEDULES)
