--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -23,7 +23,7 @@
         ):
             site.servers[0].behavior = behavior
             status, _, answer = await site.request(
-                "file", str(number), body, connection=connection, path="/api/a?b=c%20d"
+                "deduplicated", str(number), body, connection=connection, path="/api/a?b=c%20d"
             )
             assert (status, answer) == (200, b"for " + body), behavior
             request_line, headers, received_body, *_ = site.servers[0].received[-1]
@@ -39,12 +39,12 @@
 async def test_a_request_may_arrive_in_fragments_and_chunked():
     async with LimiterSite() as site:
         reader, writer = await site.connect()
-        for byte in site.encode_request("burn", "7", b"abc"):
+        for byte in site.encode_request("non_idempotent", "7", b"abc"):
             writer.write(bytes([byte]))
             await asyncio.sleep(0)
         assert (await read_message(reader))[2] == b"for abc"
         framing = {"Content_Length": None, "Transfer_Encoding": "chunked", "Expect": "100-continue"}
-        writer.write(site.encode_request("burn", "8", **framing))
+        writer.write(site.encode_request("non_idempotent", "8", **framing))
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
         writer.write(b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
         assert (await read_message(reader))[2] == b"for abc"
@@ -54,7 +54,10 @@
 async def test_a_pipelined_request_waits_for_the_one_before_it():
     async with LimiterSite() as site:
         reader, writer = await site.connect()
-        writer.write(site.encode_request("burn", "1", b"one") + site.encode_request("burn", "2", b"two"))
+        writer.write(
+            site.encode_request("non_idempotent", "1", b"one")
+            + site.encode_request("non_idempotent", "2", b"two")
+        )
         assert [(await read_message(reader))[2] for _ in range(2)] == [b"for one", b"for two"]
 
 
@@ -77,31 +80,31 @@
             {"X_Quota": "units=1,spread=1,first=1"},
             {"X_Quota": "units=1,spread=0,first=0"},
             {"X_Customer": "00000002b4d65521"},
-            {"request_class": "look", "body": b"x"},
+            {"request_class": "idempotent", "body": b"x"},
             {"X_Quota": "units=nan,spread=1,first=0"},
             {"X_Request_ID": "a b"},
-            {"X_Priority_Class": "look"},
+            {"X_Priority_Class": "idempotent"},
             {"X_Priority_Class": "none"},
             {"X_Request_ID": None},
             {"X_Customer": "\xff" * 8},
             {"Content_Length": "many"},
             {"Host": None},
             {"bad header": "1"},
-            {"request_class": "file", "Idempotency_Key": None},
+            {"request_class": "deduplicated", "Idempotency_Key": None},
         ]:
-            status, headers, _ = await site.request(**{"request_class": "burn", **bad})
+            status, headers, _ = await site.request(**{"request_class": "non_idempotent", **bad})
             assert status == 400, bad
             assert headers["connection"] == "close", bad
-        assert (await site.request("burn", body=bytes(70_000)))[0] == 413
+        assert (await site.request("non_idempotent", body=bytes(70_000)))[0] == 413
         assert (await site.request(timeout="900000.0"))[0] == 200  # capped at the category's time-out
-        hidden = site.encode_request("burn", "hidden", b"x")
+        hidden = site.encode_request("non_idempotent", "hidden", b"x")
         for bad in [
             {"Transfer_Encoding": "chunked", "Content_Length": str(len(hidden) + 5)},
             {"Content_Length": "60000000"},
             {"Content_Length": "-5"},
         ]:
             reader, writer = await site.connect()
-            writer.write(site.encode_request("burn", "outer", **bad) + b"0\r\n\r\n" + hidden)
+            writer.write(site.encode_request("non_idempotent", "outer", **bad) + b"0\r\n\r\n" + hidden)
             assert (await reader.readuntil(b"\r\n"))[9:12] in (b"400", b"413"), bad
             await reader.read()
         assert not site.attempts("outer")
@@ -129,7 +132,7 @@
     async with LimiterSite(servers=1) as site:
         site.servers[0].behavior = Behavior.SILENT
         _, writer = await site.connect()
-        writer.write(site.encode_request("burn", "5"))
+        writer.write(site.encode_request("non_idempotent", "5"))
         await wait_until(lambda: site.attempts("5"))
         writer.close()
         await wait_until(lambda: site.service.metrics.requests_abandoned == 1)
@@ -151,9 +154,9 @@
         site.service.host.policy.server_pool.concurrency.value = 99.0
         site.service.host.pool.max_connections = 8
         for i, (_, writer) in enumerate(remaining):
-            writer.write(site.encode_request("burn", f"{i}"))
+            writer.write(site.encode_request("non_idempotent", f"{i}"))
         await wait_until(lambda: len(site.service.host.unanswered) == 8)
-        assert (await site.request("burn", "over"))[0] == 503
+        assert (await site.request("non_idempotent", "over"))[0] == 503
         assert not site.attempts("over")
         for reader, _ in remaining:
             assert (await read_message(reader))[0].startswith("HTTP/1.1 200")
@@ -169,7 +172,7 @@
             incomplete[1].write(site.encode_request()[:40])
             for each in site.servers:
                 each.behavior = 0.5
-            in_flight = asyncio.create_task(site.request("burn", "1", connection=slow))
+            in_flight = asyncio.create_task(site.request("non_idempotent", "1", connection=slow))
             assert (await site.request(path="/up", connection=reused))[0] == 200
             assert await unused[0].read() == b""
             assert (await read_message(incomplete[0]))[0].startswith("HTTP/1.1 408")
@@ -199,12 +202,12 @@
     async with LimiterSite() as site:
         for each in site.servers:
             each.behavior = 0.2
-        first = asyncio.create_task(site.request("burn", "same"))
+        first = asyncio.create_task(site.request("non_idempotent", "same"))
         await wait_until(lambda: site.attempts("same"))
-        assert (await site.request("burn", "same"))[0] == 409
+        assert (await site.request("non_idempotent", "same"))[0] == 409
         assert (await first)[0] == 200
         assert len(site.attempts("same")) == 1
-        assert (await site.request("burn", "same"))[0] == 200
+        assert (await site.request("non_idempotent", "same"))[0] == 200
 
 
 @on_limiter_loop
@@ -212,8 +215,12 @@
     async with LimiterSite() as site:
         for each in site.servers:
             each.behavior = Behavior.BAD_REQUEST
-        assert [(await site.request(kind, kind))[0] for kind in ("look", "file", "burn")] == [400] * 3
-        assert [len(site.attempts(kind)) for kind in ("look", "file", "burn")] == [1] * 3
+        assert [
+            (await site.request(kind, kind))[0] for kind in ("idempotent", "deduplicated", "non_idempotent")
+        ] == [400] * 3
+        assert [len(site.attempts(kind)) for kind in ("idempotent", "deduplicated", "non_idempotent")] == [
+            1
+        ] * 3
         server_pool = site.service.host.policy.server_pool
         assert not server_pool.concurrency.in_flight
         assert all(each.health(0, 1.0) == 1.0 for each in server_pool.servers.values())
@@ -233,7 +240,7 @@
             non_reading.setblocking(False)
             with contextlib.suppress(ConnectionError):
                 for i in range(200):
-                    request = site.encode_request("burn", f"{i}", bytes(60_000))
+                    request = site.encode_request("non_idempotent", f"{i}", bytes(60_000))
                     await asyncio.get_running_loop().sock_sendall(non_reading, request)
                     await wait_until(lambda i=i: site.attempts(f"{i}") or closed[CloseReason.TIMED_OUT])
                     await wait_until(lambda: not site.service.host.unanswered)
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -238,5 +238,5 @@
     async with LimiterSite() as site:
         for each in site.servers:
             each.behavior = Behavior.CLOSE
-        assert (await site.request("burn", "9"))[0] == 502
+        assert (await site.request("non_idempotent", "9"))[0] == 502
         assert len(site.attempts("9")) == 1
--- a/tests/net/test_discovery_client.py
+++ b/tests/net/test_discovery_client.py
@@ -17,12 +17,12 @@
         site.discovery.change(s0="terminating")
         await wait_until(lambda: list(site.service.host.pool.addresses) == ["s1"])
         for i in range(20):
-            assert (await site.request("burn", str(i)))[0] == 200
+            assert (await site.request("non_idempotent", str(i)))[0] == 200
         assert len(site.servers[0].received) == 0
         assert len(site.servers[1].received) == 20
         site.discovery.change(s0="in_service", s1="terminated")
         await wait_until(lambda: list(site.service.host.pool.addresses) == ["s0"])
-        assert (await site.request("burn", "back"))[0] == 200
+        assert (await site.request("non_idempotent", "back"))[0] == 200
         assert len(site.servers[0].received) == 1
         before = len(site.discovery.calls)
         site.discovery.abort_connections()
--- a/tests/net/test_random_faults.py
+++ b/tests/net/test_random_faults.py
@@ -38,7 +38,10 @@
         async def client(name):
             connection = None
             for turn in range(14):
-                request_id, request_class = f"{name}-{turn}", random.choice(["look", "file", "burn"])
+                request_id, request_class = (
+                    f"{name}-{turn}",
+                    random.choice(["idempotent", "deduplicated", "non_idempotent"]),
+                )
                 connection = connection or await site.connect()
                 started, time_out = time(), random.choice([0.1, 0.5, 0.9])
 
@@ -79,7 +82,7 @@
                 "rule 1: attempt sent after the final answer"
             )
             may_have_run = [attempt for attempt in attempts if attempt[4] != Behavior.OVERLOADED]
-            if request_class == "burn":
+            if request_class == "non_idempotent":
                 assert len(may_have_run) <= 1, (
                     "rule 2: non-idempotent operation sent again after it may have run"
                 )
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -25,11 +25,11 @@
         for each in site.servers:
             each.behavior = 0.6
         idle, busy = await site.connect(), await site.connect()
-        in_flight = asyncio.create_task(site.request("burn", "1", connection=busy))
+        in_flight = asyncio.create_task(site.request("non_idempotent", "1", connection=busy))
         await asyncio.sleep(0.05)
         site.service.shut_down()
         await asyncio.sleep(0.1)
-        late = asyncio.create_task(site.request("burn", "2"))  # still accepted, on a new connection
+        late = asyncio.create_task(site.request("non_idempotent", "2"))  # still accepted, on a new connection
         unused = await site.connect()  # sends no request and does not delay the shutdown
 
         async def poll_readiness():  # a new connection for each check
@@ -43,7 +43,7 @@
 
         readiness_poll = asyncio.create_task(poll_readiness())
         # A request on an existing connection is also still accepted.
-        assert (await site.request("look", "3", connection=idle, timeout="0.1"))[0] == 502
+        assert (await site.request("idempotent", "3", connection=idle, timeout="0.1"))[0] == 502
         assert (await in_flight)[0] == 200
         assert (await late)[0] == 200
         assert (await late)[1]["connection"] == "close"
@@ -122,7 +122,7 @@
         site.discovery.change(s0="terminating")
         await wait_until(lambda: list(pool.addresses) == ["s1"])  # the previous agent is still watched
         site.counter.behavior = site.servers[1].behavior = 0.02
-        early = [asyncio.create_task(site.request("burn", f"early-{i}")) for i in range(4)]
+        early = [asyncio.create_task(site.request("non_idempotent", f"early-{i}")) for i in range(4)]
         await wait_until(lambda: site.counter.received)
         site.service.reload(
             {
@@ -142,7 +142,7 @@
         before = len(site.counter.received)
         site.discovery.abort_connections()
         site.counter.abort_connections()
-        assert (await site.request("burn", "after", X_Customer="0" * 16))[0] == 200
+        assert (await site.request("non_idempotent", "after", X_Customer="0" * 16))[0] == 200
         assert len(site.counter.received) == before
         assert counter.received
         assert len(site.attempts("after")) == 1
--- a/tests/support/limiter_settings.py
+++ b/tests/support/limiter_settings.py
@@ -10,13 +10,19 @@
 
 SECOND = 1_000_000
 SERVER_RULES = ServerRules(250_000, 15 * SECOND, 0.2, SECOND, 3.0)
-# Requests of `look` may run any number of times, those of `file` once per key and zone, those of `burn` once.
 CATEGORIES = [
-    Category("look", RepeatSafety.IDEMPOTENT, SECOND, 2 * SECOND, 1.0),
+    Category("idempotent", RepeatSafety.IDEMPOTENT, SECOND, 2 * SECOND, 1.0),
     Category(
-        "file", RepeatSafety.DEDUPLICATED, 2 * SECOND, 5 * SECOND, 4.0, 0.2, DeduplicationScope.ZONE, 900_000
+        "deduplicated",
+        RepeatSafety.DEDUPLICATED,
+        2 * SECOND,
+        5 * SECOND,
+        4.0,
+        0.2,
+        DeduplicationScope.ZONE,
+        900_000,
     ),
-    Category("burn", RepeatSafety.NON_IDEMPOTENT, 2 * SECOND, 8 * SECOND, 3.0, 0.2),
+    Category("non_idempotent", RepeatSafety.NON_IDEMPOTENT, 2 * SECOND, 8 * SECOND, 3.0, 0.2),
 ]
 PLANS = [
     Plan("small", 2.0, 8.0, overage_cost=0.5),
--- a/tests/support/limiter_site.py
+++ b/tests/support/limiter_site.py
@@ -8,9 +8,8 @@
 from lapisgrade.net.service import Service
 from support.fake_peers import FakeCounter, FakeDiscovery, FakeServer, read_message
 
-# Idempotency by request class: a `look` may run any number of times, a `file` once per Idempotency-Key, and a
-# `burn` at most once.
-REQUEST_CLASSES = {"look": "repeatable", "file": "by_key", "burn": "once"}
+# The operators' value of Idempotency, by request class.
+REQUEST_CLASSES = {"idempotent": "repeatable", "deduplicated": "by_key", "non_idempotent": "once"}
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -64,7 +63,7 @@
 
     def encode_request(
         self,
-        request_class: str = "look",
+        request_class: str = "idempotent",
         request_id: str = "1",
         body: bytes = b"",
         path: str = "/api?q=1",
@@ -81,14 +80,15 @@
             "X-Timeout": timeout,
             "X-Quota": "units=2,spread=1,first=0",
         }
-        if request_class == "file":
+        if request_class == "deduplicated":
             headers["Idempotency-Key"] = "k" + request_id
-        if request_class != "look" or body:
+        if request_class != "idempotent" or body:
             headers["Content-Length"] = str(len(body))
         headers |= {name.replace("_", "-"): value for name, value in extra_headers.items()}
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value is not None)
         return (
-            f"{'GET' if request_class == 'look' else 'POST'} {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
+            f"{'GET' if request_class == 'idempotent' else 'POST'} {path} HTTP/1.1\r\n{lines}\r\n".encode()
+            + body
         )
 
     async def request(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -34,6 +34,10 @@
         read_connection_settings,
     ):
         assert read(tree) == read(line)
-    assert [category.name for category in read_categories(tree)] == ["look", "file", "burn"]
+    assert [category.name for category in read_categories(tree)] == [
+        "idempotent",
+        "deduplicated",
+        "non_idempotent",
+    ]
     with pytest.raises(MalformedInputError):
         read_connection_settings(flatten({"Ceilings": {"DialTimeout": "soon"}}))
