--- a/tests/gateway/proxy/test_request_rules.py
+++ b/tests/gateway/proxy/test_request_rules.py
@@ -57,13 +57,14 @@
     async with serving_cluster() as site:
         for _ in range(4):
             await site.start_server("garantie")
-        await site.until(lambda: all(len(each.servers) == 5 for each in site.proxies.values()))
-        for each in site.servers.values():
-            each.fault = "failing"
+        await site.until(lambda: all(len(proxy.servers) == 5 for proxy in site.proxies.values()))
+        for server in site.servers.values():
+            server.fault = "failing"
         for number in range(20):
             await site.get("m1", f"/stock/{number}", KEY, id=f"try-{number}", tries=1)
         runs = [
-            sum(each.run_counts[f"try-{number}"] for each in site.servers.values()) for number in range(20)
+            sum(server.run_counts[f"try-{number}"] for server in site.servers.values())
+            for number in range(20)
         ]
         assert max(runs) <= SAMPLE["Ports"][0]["Policy"][0]["Action"]["Tries"]
 
@@ -96,7 +97,7 @@
 async def test_drain_a_deregistered_server_gets_no_more_requests() -> None:
     async with serving_cluster() as site:
         await site.start_server("garantie")
-        await site.until(lambda: all(len(each.servers) == 2 for each in site.proxies.values()))
+        await site.until(lambda: all(len(proxy.servers) == 2 for proxy in site.proxies.values()))
         leaving = site.servers["i-1"]
         site.stop_heartbeats(leaving)  # it never reports draining, and its last heartbeat is late
         response = await send_request(
@@ -104,7 +105,7 @@
         )
         assert status(response) == 200
         await leaving.send_heartbeat(site.control_addresses)
-        await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
+        await site.until(lambda: all(proxy.servers["i-1"].state == "gone" for proxy in site.proxies.values()))
         runs_before = leaving.run_counts.total()
         statuses = [status(await site.get(name, "/stock/1", KEY)) for name in site.names for _ in range(4)]
         assert (statuses, leaving.run_counts.total() - runs_before) == ([200] * 12, 0)
--- a/tests/gateway/test_configuration_delta.py
+++ b/tests/gateway/test_configuration_delta.py
@@ -70,8 +70,8 @@
 def test_each_version_is_sent_as_a_delta_to_the_receivers_version() -> None:
     feed, texts = ConfigurationFeed(), {ver: text(30 + ver, ver) for ver in range(1, 5)}
     chain = feed.chain(texts, 0)
-    assert [each.base for each in chain.values()] == [0, 1, 2, 3]
-    assert [each.base for each in feed.chain(texts, 2).values()] == [2, 3]
+    assert [encoded.base for encoded in chain.values()] == [0, 1, 2, 3]
+    assert [encoded.base for encoded in feed.chain(texts, 2).values()] == [2, 3]
     decoded = b""
     for ver, encoded_version in chain.items():
         decoded = decode(encoded_version, decoded)
--- a/tests/gateway/test_keyed_route.py
+++ b/tests/gateway/test_keyed_route.py
@@ -30,7 +30,7 @@
     async with local_cluster() as site:
         await site.start_server("garantie")
         assert await put_first(site, KEYED) == HTTPStatus.OK
-        await site.until(lambda: all(each.ready and each.servers for each in site.proxies.values()))
+        await site.until(lambda: all(proxy.ready and proxy.servers for proxy in site.proxies.values()))
         stock = await site.get("m1", "/stock/1", KEY)
         claim = await site.get("m2", "/claim/1", KEY, method="POST", **{"Op-Key": "k-1"})
         assert [stock.head.status_code, claim.head.status_code] == [HTTPStatus.OK] * 2
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -64,7 +64,7 @@
             status(await send_request((site.ip["m1"], READINESS_PORT), "GET", "/-/readyz")),
         ]
         assert transcript == [401, 401, 404, 404, 200]
-        assert sum(each.run_counts.total() for each in site.servers.values()) == 0
+        assert sum(server.run_counts.total() for server in site.servers.values()) == 0
 
 
 async def test_a_response_to_another_request_is_ignored():
@@ -77,22 +77,22 @@
 
 async def test_a_truncated_response_to_a_non_idempotent_request_is_neither_forwarded_nor_retried():
     async with cluster_with_servers(2) as site:
-        for each in site.servers.values():
-            each.fault = "cut"
+        for server in site.servers.values():
+            server.fault = "cut"
         assert status(await site.get("m1", "/claim/1", KEY, method="POST", id="once")) == 502
-        assert sum(each.run_counts["once"] for each in site.servers.values()) == 1
+        assert sum(server.run_counts["once"] for server in site.servers.values()) == 1
 
 
 async def test_a_reset_of_a_non_idempotent_request_is_neither_retryable_nor_retried():
     async with cluster_with_servers(2) as site:
-        for each in site.servers.values():
-            each.fault = "full"
+        for server in site.servers.values():
+            server.fault = "full"
         response = await site.get("m1", "/claim/1", KEY, method="POST", id="once")
         assert (status(response), response.headers().get(b"retry-after")) == (502, None)
-        assert sum(each.rejected_counts["once"] for each in site.servers.values()) == 1
+        assert sum(server.rejected_counts["once"] for server in site.servers.values()) == 1
         # An idempotent request may be retried: the retry budget allows a retry at the other server.
         await site.get("m1", "/stock/1", KEY, id="again")
-        assert sum(each.rejected_counts["again"] for each in site.servers.values()) >= 1
+        assert sum(server.rejected_counts["again"] for server in site.servers.values()) >= 1
 
 
 async def test_a_response_without_the_seal_is_answered_502():
@@ -103,13 +103,13 @@
 
 async def test_a_server_error_is_forwarded_with_its_status_and_seal():
     async with cluster_with_servers(2) as site:
-        for each in site.servers.values():
-            each.fault = "failing"
+        for server in site.servers.values():
+            server.fault = "failing"
         for path, method, tries in (("/stock/1", "GET", 2), ("/claim/1", "POST", 1)):
             response = await site.get("m1", path, KEY, method=method, id=path)
             assert (status(response), response.headers().get(b"server-seal")) == (500, b"seal")
             assert b"".join(response.body) == b"garantie " + path.encode()
-            assert sum(each.run_counts[path] for each in site.servers.values()) in range(1, tries + 1)
+            assert sum(server.run_counts[path] for server in site.servers.values()) in range(1, tries + 1)
 
 
 async def test_a_server_error_is_retried_elsewhere_within_the_retry_budget():
@@ -141,7 +141,7 @@
     async with cluster_with_servers() as site:
         change = {"Ver": 4, "Base": 1, "Upsert": {"Tenants": [{"Name": "sfax", "Apikeys": ["new"]}]}}
         assert await site.put(change, "conf.update") == 200
-        await site.until(lambda: all(each.active_version == 4 for each in site.proxies.values()))
+        await site.until(lambda: all(proxy.active_version == 4 for proxy in site.proxies.values()))
         statuses = [
             status(await site.get(name, "/stock/1", key)) for name in site.names for key in (KEY, "new")
         ]
@@ -150,15 +150,17 @@
 
 async def test_an_acknowledged_drain_survives_the_controller_that_acknowledged_it():
     async with cluster_with_servers(2) as site:
-        leader = next(each for each in site.controllers.values() if each.node.is_leader)
+        leader = next(controller for controller in site.controllers.values() if controller.node.is_leader)
         server = site.servers["i-1"]
         server.state = "drain"
         assert await server.send_heartbeat([(leader.settings.ip, 8407)]) == 200
         await site.kill(leader)
-        await site.until(lambda: any(each.node.is_leader for each in site.controllers.values()))
-        after = next(each for each in site.controllers.values() if each.node.is_leader)
+        await site.until(lambda: any(controller.node.is_leader for controller in site.controllers.values()))
+        after = next(controller for controller in site.controllers.values() if controller.node.is_leader)
         assert after.state_machine.state.departed_servers == {"i-1": False}
-        await site.until(lambda: all(each.servers["i-1"].state == "drain" for each in site.proxies.values()))
+        await site.until(
+            lambda: all(proxy.servers["i-1"].state == "drain" for proxy in site.proxies.values())
+        )
         for number in range(6):
             assert status(await site.get("m2", f"/stock/{number}", KEY)) == 200
         assert server.run_counts.total() == 0
@@ -193,13 +195,13 @@
 
         await site.until(
             lambda: all(
-                sorted(each.state_machine.state.live_proxies) == site.names
-                for each in site.controllers.values()
+                sorted(controller.state_machine.state.live_proxies) == site.names
+                for controller in site.controllers.values()
             )
         )
         with mock.patch.object(Watch, "become_leader", record_and_become_leader):
-            for each in list(site.controllers.values()):
-                await site.kill(each)
+            for controller in list(site.controllers.values()):
+                await site.kill(controller)
             for name in site.names:
                 await site.start_controller(name)
             await site.until(lambda: initial_lists)
@@ -242,21 +244,21 @@
             await site.kill(site.controllers[name])
         await site.until(lambda: not site.controllers["m3"].consensus.is_leader())
         await asyncio.sleep(2.0)  # longer than an isolated proxy stays ready
-        await site.until(lambda: all(each.ready for each in site.proxies.values()), 5.0)
+        await site.until(lambda: all(proxy.ready for proxy in site.proxies.values()), 5.0)
         assert not site.controllers["m3"].consensus.is_leader()
 
 
 async def test_a_deregistered_server_gets_no_requests_and_its_address_may_be_reused():
     async with cluster_with_servers(2) as site:
         assert await post_to_any(site.control_addresses, "/-/rpc?call=servers.deregister&of=i-1") == 200
-        await site.until(lambda: all(each.servers["i-1"].state == "gone" for each in site.proxies.values()))
+        await site.until(lambda: all(proxy.servers["i-1"].state == "gone" for proxy in site.proxies.values()))
         # Another server, not registered yet, now listens at the address: it answers 421 and does not run it.
         site.stop_heartbeats(site.servers["i-2"])
         site.servers["i-2"].name = "i-3"
         response = await site.get("m1", "/claim/1", KEY, method="POST", tries=1)
         assert status(response) == 503
         assert b"retry-after" in response.headers()
-        assert sum(each.run_counts.total() for each in site.servers.values()) == 0
+        assert sum(server.run_counts.total() for server in site.servers.values()) == 0
 
 
 async def test_wall_clock_steps_of_hours_have_no_effect():
@@ -274,7 +276,7 @@
             change = {"Ver": 2, "Base": 1, "Upsert": {}, "Del": {"Routes": ["r-claim"]}}
             while await site.put(change, "conf.update") != 200:
                 await asyncio.sleep(0.02)
-            await site.until(lambda: all(each.active_version == 2 for each in site.proxies.values()))
+            await site.until(lambda: all(proxy.active_version == 2 for proxy in site.proxies.values()))
     assert answers == [200] * 15
 
 
--- a/tests/support/configurations.py
+++ b/tests/support/configurations.py
@@ -30,15 +30,15 @@
 
 
 def with_fields(**fields) -> dict:
-    """The valid configuration with these fields replaced."""
+    """Return the valid configuration with these fields replaced."""
     return {**VALID_CONFIGURATION, **fields}
 
 
 def with_rule(**fields) -> dict:
-    """The valid configuration with these fields of its stock rule replaced."""
+    """Return the valid configuration with these fields of its stock rule replaced."""
     return with_fields(Ports=[{"Vhost": "a.example", "Policy": [{**STOCK_RULE, **fields}, CLAIM_RULE]}])
 
 
 def with_action(**fields) -> dict:
-    """The valid configuration with these fields of its stock rule's action replaced."""
+    """Return the valid configuration with these fields of its stock rule's action replaced."""
     return with_rule(Action={**STOCK_RULE["Action"], **fields})
--- a/tests/support/limiter_simulation.py
+++ b/tests/support/limiter_simulation.py
@@ -55,8 +55,8 @@
         self.counts: dict[int, float] = {}
         self.is_counter_silent, self.counter_loss = False, 0.0
         self.endpoints = {
-            f"s{i}": ServerEndpoint(f"s{i}", ServerState.READY, f"z{i % 2}", i % 3, 1.0)
-            for i in range(servers)
+            f"s{number}": ServerEndpoint(f"s{number}", ServerState.READY, f"z{number % 2}", number % 3, 1.0)
+            for number in range(servers)
         }
         self.rate_limits: dict[str, tuple[float, int]] = {}  # bucket level and its time, by customer
         self.attempts: list[SimulatedAttempt] = []
@@ -64,17 +64,17 @@
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._scheduled = 0
         self.limiters: list[LimiterHost] = [None] * limiters
-        for i in range(limiters):
-            self.start_limiter(i)
+        for index in range(limiters):
+            self.start_limiter(index)
 
     def schedule(self, delay_us: float, call: Callable[..., None], *args: Any) -> None:
         """Schedule a call; calls due at the same time run in the order in which they were scheduled."""
         self._scheduled += 1
         heapq.heappush(self._events, (self.now + max(1, int(delay_us)), self._scheduled, call, args))
 
-    def start_limiter(self, i: int) -> None:
+    def start_limiter(self, index: int) -> None:
         """Start a limiter, or replace it by a new process."""
-        self.limiters[i] = LimiterHost(self, i)
+        self.limiters[index] = LimiterHost(self, index)
 
     def set_states(self, **states: ServerState) -> None:
         """Change the state of servers, by name, in the server lists of all limiters."""
@@ -90,17 +90,23 @@
 
     def submit(
         self,
-        i: int,
+        index: int,
         category: int = 0,
         plan: int = 0,
         customer: str = "c0",
         units: int = 1,
         timeout_us: int | None = None,
     ) -> Operation:
-        """Submit a client's operation to a limiter."""
-        kind = CATEGORIES[category]
-        host, deadline_us = self.limiters[i], self.now + (timeout_us or kind.timeout_us)
-        operation = Operation(customer, PLANS[plan], kind, units, self.now, deadline_us, self.limiter_count)
+        """Submit a client's operation to the limiter at `index`.
+
+        `category` and `plan` are indexes of `CATEGORIES` and `PLANS`. `timeout_us` defaults to the category's
+        time-out.
+        """
+        category_settings = CATEGORIES[category]
+        host, deadline_us = self.limiters[index], self.now + (timeout_us or category_settings.timeout_us)
+        operation = Operation(
+            customer, PLANS[plan], category_settings, units, self.now, deadline_us, self.limiter_count
+        )
         host.pending[id(operation)] = operation
         host.attempts_by_operation[id(operation)] = []
         self.schedule(deadline_us - self.now + ANSWER_LEEWAY_US, host.check_answered, operation)
