--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -57,8 +57,8 @@
 
 
 @pytest.fixture
-def silent_logging() -> Iterator[None]:
-    """Disable logging, because injected faults would flood the test output with log lines."""
+def logging_disabled() -> Iterator[None]:
+    """Drop the log lines of all levels during a test whose injected faults would flood its output."""
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
--- a/tests/gateway/proxy/test_answers.py
+++ b/tests/gateway/proxy/test_answers.py
@@ -8,7 +8,7 @@
 
 from lapisgrade.lab.answers import MUTANTS, ClientRequest, Findings, run_requests
 
-pytestmark = pytest.mark.usefixtures("silent_logging")
+pytestmark = pytest.mark.usefixtures("logging_disabled")
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -17,7 +17,7 @@
 ) -> None:
     findings = await run_requests(seed, loopback_network.number)
     assert findings.violations() == []
-    statuses = [each.status for each in findings.tries.values()]
+    statuses = [request.status for request in findings.tries.values()]
     assert statuses.count(200) > 50
 
 
--- a/tests/support/limiter_site.py
+++ b/tests/support/limiter_site.py
@@ -8,7 +8,8 @@
 from lapisgrade.net.service import Service
 from support.fake_peers import FakeCounter, FakeDiscovery, FakeServer, read_message
 
-REQUEST_CLASSES = {"look": "repeatable", "file": "by_key", "burn": "once"}  # idempotency, by class
+# The operators' value of Idempotency, by request class.
+REQUEST_CLASSES = {"idempotent": "repeatable", "deduplicated": "by_key", "non_idempotent": "once"}
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -62,7 +63,7 @@
 
     def encode_request(
         self,
-        request_class: str = "look",
+        request_class: str = "idempotent",
         request_id: str = "1",
         body: bytes = b"",
         path: str = "/api?q=1",
@@ -79,14 +80,15 @@
             "X-Timeout": timeout,
             "X-Quota": "units=2,spread=1,first=0",
         }
-        if request_class == "file":
+        if request_class == "deduplicated":
             headers["Idempotency-Key"] = "k" + request_id
-        if request_class != "look" or body:
+        if request_class != "idempotent" or body:
             headers["Content-Length"] = str(len(body))
         headers |= {name.replace("_", "-"): value for name, value in extra_headers.items()}
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value is not None)
         return (
-            f"{'GET' if request_class == 'look' else 'POST'} {path} HTTP/1.1\r\n{lines}\r\n".encode() + body
+            f"{'GET' if request_class == 'idempotent' else 'POST'} {path} HTTP/1.1\r\n{lines}\r\n".encode()
+            + body
         )
 
     async def request(
@@ -95,18 +97,18 @@
         """Send a request, by default on a new connection; returns status, headers and body."""
         reader, writer = connection or await self.connect()
         writer.write(self.encode_request(*args, **extra_headers))
-        first, headers, body = await read_message(reader)
+        start_line, headers, body = await read_message(reader)
         if connection is None:
             writer.close()
-        return int(first.split(" ")[1]), headers, body
+        return int(start_line.split(" ")[1]), headers, body
 
     def attempts(self, request_id: str) -> list[Any]:
         """Return the attempts of a request that servers received completely."""
         return [
-            each
+            attempt
             for server in self.servers
-            for each in server.received
-            if each[1]["x-request-id"] == request_id
+            for attempt in server.received
+            if attempt[1]["x-request-id"] == request_id
         ]
 
 
