--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -108,7 +108,7 @@
     if not changes:
         raise ConfigurationError("nothing would change")
     if len(changes) > MAX_CHANGES:
-        raise ConfigurationError(f"the change affects {len(changes)} fields, a draft at most {MAX_CHANGES}")
+        raise ConfigurationError(f"{len(changes)} fields are too many for a draft")
     author = author[:MAX_AUTHOR_LENGTH]
     content = msgspec.json.encode((author, controller, base_version, changes), order="sorted")
     draft_id = blake2b(content, digest_size=ID_BYTES).hexdigest()
@@ -184,7 +184,7 @@
             fields[change.path] = change.new_value
     for path in fields:
         if merge_fields.is_in_item(path) and path[:2] not in fields:
-            raise ConfigurationError(f"{format_path(path[:2])} is gone: submit it as a whole item")
+            raise ConfigurationError(f"{format_path(path[:2])} is gone: put it whole")
     forced = merge_fields.from_fields(fields, current)
     configuration.read(forced)
     return forced
