--- a/lapisgrade/members/__main__.py
+++ b/lapisgrade/members/__main__.py
@@ -1,7 +1,8 @@
 """One member in its own process: `python -m lapisgrade.members NAME HOST:PORT [SEED...]`.
 
-Prints its address, then a JSON line for each state change it observes, until SIGTERM. It serves tests and
-network trials; a limiter runs its member in its own process.
+Prints its address, then a JSON line for each state change that it observes, and on SIGTERM its counters and
+the members that it considers alive. It is for tests and network trials: in production the member runs inside
+the limiter's process (`lapisgrade.members.site`).
 """
 
 import asyncio
@@ -36,7 +37,19 @@
 
 
 async def run(name: str, listen: str, reached_at: str, seeds: list[str], random_seed: int) -> None:
-    """Run a member until SIGTERM."""
+    """Run a member until SIGTERM, and print its state changes and counters.
+
+    Args:
+        name: Name of the member.
+        listen: Address to listen on, as `host:port`.
+        reached_at: Address at which others reach it; empty for the one it listens on.
+        seeds: Addresses of other members.
+        random_seed: Seed of the member's random decisions.
+
+    Raises:
+        MalformedInputError: `listen` is not an address.
+        OSError: The address is in use or not available.
+    """
 
     def on_change(update: Update) -> None:
         state = MemberState(update.state).name.lower()
--- a/lapisgrade/members/core.py
+++ b/lapisgrade/members/core.py
@@ -3,8 +3,8 @@
 The protocol is SWIM (Das, Gupta, Motivala 2002). Each period one member is probed, in shuffled rounds. A
 member that does not acknowledge is probed indirectly through a few others; if that fails too, it is
 suspected, and declared dead unless it refutes the suspicion in time. Updates are piggybacked on probes and
-acks. Lifeguard (Dadgar, Phillips, Currey 2017) adds two things: a member that misses acks lowers its own
-health and lengthens its time-outs, and a suspicion times out sooner the more members share it.
+acks. Lifeguard (Dadgar, Phillips, Currey 2017) adds two things: a member that misses acks considers itself
+less healthy and lengthens its time-outs, and a suspicion times out sooner the more members share it.
 
     ALIVE <------------------(ALIVE with a higher incarnation)------------------------+
       |                                                        |                      |
@@ -30,7 +30,8 @@
 from lapisgrade.members.timing import Timing
 
 MAX_NAME_LENGTH = 64  # characters
-# Updates that give this member this incarnation or a higher one are ignored, as a refutation needs one above.
+# An update that names this incarnation or a higher one for this member is counted as invalid and ignored. A
+# refutation needs a higher incarnation than the update, and without a limit none might be left.
 MAX_INCARNATION = 1 << 62
 
 
@@ -49,8 +50,8 @@
 class Members:
     """The membership state of one limiter.
 
-    `alive()` returns the members considered alive, including this one. `unreported_changes` collects state
-    changes until the host clears it.
+    `alive()` returns the members considered alive, including this one. `unreported_changes` collects changes
+    of the state or incarnation of other members until the host clears it.
     """
 
     def __init__(
@@ -67,8 +68,8 @@
         Args:
             name: Name of this member.
             address: Address at which others reach this member.
-            incarnation: Must exceed that of every earlier process of this name; a start time in ms does.
-            now_us: Current time.
+            incarnation: Must exceed that of every earlier process of this name; the start time in ms does.
+            now_us: Current time on the local clock.
             random: Source of all randomness.
             timing: Protocol parameters; must be the same at all members.
         """
@@ -92,7 +93,10 @@
     # ---- called by the host
 
     def join(self, addresses: list[str]) -> list[Send]:
-        """Contact the members at these addresses, and retry periodically those not yet in the table."""
+        """Return the messages that contact the members at these addresses.
+
+        Addresses that are not in the table yet are contacted again from time to time.
+        """
         self._seeds = [each for each in addresses if each != self.address]
         return [self._sync(each, False) for each in self._seeds]
 
@@ -113,7 +117,7 @@
         return min(times + [self.table.suspicion_ends_us(member) for member in suspects])
 
     def on_timer(self, now_us: int) -> list[Send]:
-        """Run the probes, time-outs and syncs that are due at `now_us`."""
+        """Handle the probes, time-outs and syncs that are due at `now_us`; return the messages to send."""
         self._now_us = max(self._now_us, now_us)
         sends = self.failure_detector.on_timer(self._now_us)
         self._expire_members()
@@ -123,10 +127,11 @@
         return sends
 
     def on_message(self, now_us: int, source: str, message: Message) -> list[Send]:
-        """Handle a message received from the address `source`."""
+        """Handle a message received from the address `source`; return the messages to send."""
         self._now_us = max(self._now_us, now_us)
         self.metrics.received += 1
-        incarnation = self.incarnation
+        incarnation_before = self.incarnation
+        # A Sync carries at most `sync_members` updates and the sender's own; any further ones are ignored.
         limit = max(self.timing.updates_per_message, self.timing.sync_members) + 1
         for update in message.updates[:limit]:
             self._apply(update)
@@ -136,14 +141,15 @@
             return self.failure_detector.on_ping_request(self._now_us, source, message)
         if isinstance(message, Ack):
             return self.failure_detector.on_ack(message)
-        # Also answer a reply that made this member refute its death: the sender learns at once that it is
-        # alive, so two healed partitions need no second exchange.
-        is_refuted = self.incarnation != incarnation
-        return [self._sync(source, True)] if not message.is_reply or is_refuted else []
+        # A reply is answered too if it made this member refute its death: the sender then learns at once that
+        # this member is alive, and the two sides of a healed partition need no second exchange.
+        has_refuted = self.incarnation != incarnation_before
+        return [self._sync(source, True)] if not message.is_reply or has_refuted else []
 
     # ---- timers
 
     def _expire_members(self) -> None:
+        """Declare dead the members whose suspicion has timed out; remove those whose retention is over."""
         for member in list(self.table):
             if self._is_suspicion_over(member):
                 self._report(member, MemberState.DEAD)
@@ -160,6 +166,7 @@
         return is_dead and self._now_us - member.state_since_us > self.timing.dead_retention_us
 
     def _start_sync(self) -> list[Send]:
+        """Send a Sync to a random address, and schedule the next one after 0.5 to 1.5 times the interval."""
         interval_us = self.timing.sync_interval_us
         self._next_sync_us = self._now_us + round(interval_us * (0.5 + self._random.random()))
         # Candidates include dead members, so that the sides of a healed partition find each other, and seeds
@@ -179,9 +186,9 @@
         self._apply(Update(member.name, member.address, member.incarnation, state, self.name))
 
     def _apply(self, update: Update) -> None:
-        """Apply an update on a member (SWIM, section 4.2)."""
-        is_named = 0 < len(update.name) <= MAX_NAME_LENGTH
-        if not is_named or update.state not in (0, 1, 2) or update.incarnation < 0:
+        """Apply an update on a member, if it overrides what is known of the member (SWIM, section 4.2)."""
+        is_name_valid = 0 < len(update.name) <= MAX_NAME_LENGTH
+        if not is_name_valid or update.state not in (0, 1, 2) or update.incarnation < 0:
             self.metrics.invalid += 1
             return
         if update.name == self.name:
@@ -190,7 +197,7 @@
         known = self.table.by_name.get(update.name)
         if known is None:
             if update.state == MemberState.DEAD or len(self.table.by_name) >= MAX_MEMBERS:
-                return  # an unknown member cannot die, and a full table accepts no new one
+                return  # the death of an unknown member changes nothing, and a full table accepts no new one
         elif self._is_same_suspicion(known, update):
             self._add_suspecter(known, update)
             return
@@ -214,10 +221,12 @@
 
     @staticmethod
     def _is_same_suspicion(known: Member, update: Update) -> bool:
+        """Return whether the update suspects a member that is already suspected in the same incarnation."""
         is_suspicion = known.state == update.state == MemberState.SUSPECT
         return is_suspicion and update.incarnation == known.incarnation
 
     def _add_suspecter(self, known: Member, update: Update) -> None:
+        """Record the reporter of a suspicion, and queue the update if this reporter was not recorded yet."""
         if (
             update.reporter
             and update.reporter not in known.suspecters
@@ -245,6 +254,7 @@
     # ---- sending
 
     def _send(self, to: str, message: Ping | PingRequest | Ack) -> Send:
+        """Count a message to the address `to`, and return it with queued updates attached."""
         self.metrics.sent += 1
         updates = self._updates.take(len(self.table.by_name) + 1)
         return Send(to, msgspec.structs.replace(message, updates=updates))
@@ -255,7 +265,7 @@
         The sample includes dead members, so that the receiver does not revive them.
         """
         self.metrics.sent += 1
-        known = sorted(self.table.by_name)
-        picked = self._random.sample(known, min(self.timing.sync_members, len(known)))
-        part = [self.table.by_name[name].as_update() for name in picked]
-        return Send(to, Sync(is_reply, [self._own_update(), *part]))
+        names = sorted(self.table.by_name)
+        sampled_names = self._random.sample(names, min(self.timing.sync_members, len(names)))
+        sample = [self.table.by_name[name].as_update() for name in sampled_names]
+        return Send(to, Sync(is_reply, [self._own_update(), *sample]))
--- a/lapisgrade/members/dissemination.py
+++ b/lapisgrade/members/dissemination.py
@@ -1,4 +1,4 @@
-"""Queue of updates to piggyback on other messages (SWIM, section 4.1). Pure."""
+"""The queue of updates that are piggybacked on probes and acks (SWIM, section 4.1). Pure."""
 
 import math
 
@@ -16,7 +16,7 @@
     def put(self, update: Update) -> None:
         """Queue an update; it replaces any queued update on the same member.
 
-        A suspicion by one member thus also replaces the suspicion of the same member by another.
+        This includes suspicions: one that another member reports replaces the one queued before.
         """
         self._pending[update.name] = (update, 0)
 
@@ -25,19 +25,21 @@
         self._pending.pop(name, None)
 
     def take(self, members: int) -> list[Update]:
-        """Return the updates for one message, least transmitted first.
+        """Return the updates for one message, those transmitted least often first.
+
+        Updates that reach the retransmission limit leave the queue.
 
         Args:
             members: Number of members; the retransmission limit grows with its logarithm.
         """
         limit = math.ceil(self._timing.retransmit_multiplier * log_member_count(members))
-        chosen = sorted(self._pending, key=lambda name: (self._pending[name][1], name))
+        names = sorted(self._pending, key=lambda name: (self._pending[name][1], name))
         taken = []
-        for name in chosen[: self._timing.updates_per_message]:
-            update, sent = self._pending[name]
+        for name in names[: self._timing.updates_per_message]:
+            update, transmissions = self._pending[name]
             taken.append(update)
-            if sent + 1 >= limit:
+            if transmissions + 1 >= limit:
                 del self._pending[name]
             else:
-                self._pending[name] = (update, sent + 1)
+                self._pending[name] = (update, transmissions + 1)
         return taken
--- a/lapisgrade/members/failure_detector.py
+++ b/lapisgrade/members/failure_detector.py
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A probe in progress, of a member by this one."""
+    """The probe of another member that this one has in progress."""
 
-    target: str
+    target: str  # name
     number: int
-    indirect_at_us: int  # time of the indirect probes; 0 once they are sent
-    deadline_us: int
-    indirect_requests: int = 0  # members asked to probe the target
-    negative_acks: int = 0  # members among those that reported no answer from the target
+    indirect_at_us: int  # time at which the indirect probes are due; 0 once they are sent
+    deadline_us: int  # time at which the probe fails
+    indirect_requests: int = 0  # number of members asked to probe the target
+    negative_acks: int = 0  # number of these that replied that the target did not answer them
 
 
 @dataclass(slots=True)
@@ -45,8 +45,8 @@
     """A probe on behalf of another member."""
 
     requester: str  # address
-    number: int  # probe number of the requester
-    deadline_us: int
+    number: int  # number of the requester's own probe
+    deadline_us: int  # time at which a negative ack is sent to the requester
 
 
 class FailureDetector:
@@ -66,6 +66,17 @@
         send: Callable[[str, Ping | PingRequest | Ack], Send],
         suspect: Callable[[Member], None],
     ) -> None:
+        """Start without a probe in progress; the first one is due within one probe interval.
+
+        Args:
+            table: The other members.
+            health: This member's own health, which scales its intervals and time-outs.
+            timing: Protocol parameters.
+            random: Source of all randomness.
+            now_us: Current time on the local clock.
+            send: Returns a message to an address with queued updates attached.
+            suspect: Called with each member whose probes all failed.
+        """
         self._table = table
         self._health = health
         self._timing = timing
@@ -79,7 +90,7 @@
         self._next_probe_us = now_us + round(random.random() * timing.probe_interval_us)
 
     def wake_times_us(self) -> list[int]:
-        """Return the times at which `on_timer` has work to do."""
+        """Return the times at which `on_timer` or `expire_relayed` has work to do."""
         times = [self._next_probe_us]
         if self._probe is not None:
             times.append(self._probe.indirect_at_us or self._probe.deadline_us)
@@ -98,6 +109,7 @@
         return sends
 
     def _probe_indirectly(self, probe: Probe) -> list[Send]:
+        """Ask a few random members to probe the target, and repeat the direct probe."""
         probe.indirect_at_us = 0
         target = self._table.by_name.get(probe.target)
         others = [each for each in self._table.with_state(MemberState.ALIVE) if each.name != probe.target]
@@ -107,15 +119,16 @@
         for other in self._random.sample(others, min(self._timing.indirect_probes, len(others))):
             probe.indirect_requests += 1
             sends.append(self._send(other.address, PingRequest(probe.number, target.name, target.address)))
-        # Repeat the direct probe too: its first datagram may have been lost.
+        # The direct probe is repeated because the loss of a single datagram is no sign of a failure.
         sends.append(self._send(target.address, Ping(probe.number, target.name)))
         return sends
 
     def _fail_probe(self, probe: Probe) -> None:
+        """End a probe without an ack: adjust this member's health and suspect the target."""
         self._probe = None
         target = self._table.by_name.get(probe.target)
-        # A helper that sends neither an ack nor a negative ack suggests that this member itself is slow or
-        # cut off.
+        # If members that were asked to probe the target sent not even a negative ack, this member itself is
+        # probably slow or cut off.
         unanswered = probe.indirect_requests - probe.negative_acks
         self._health.adjust(unanswered if probe.indirect_requests else 1)
         # If the target is already suspected, this adds one more suspecter.
@@ -123,6 +136,7 @@
             self._suspect(target)
 
     def _start_probe(self, now_us: int) -> list[Send]:
+        """Probe the next member of the round, unless a probe is still in progress."""
         self._next_probe_us = now_us + self._health.scale(self._timing.probe_interval_us)
         target = self._next_target()
         if target is None or self._probe is not None:
@@ -155,7 +169,7 @@
     # ---- messages
 
     def on_ping_request(self, now_us: int, source: str, message: PingRequest) -> list[Send]:
-        """Probe a member on behalf of another."""
+        """Probe a member on behalf of another; ignored if `MAX_RELAYED` such probes are in progress."""
         if len(self.relayed) >= MAX_RELAYED:
             return []
         number = self._next_number()
@@ -165,7 +179,7 @@
         return [self._send(message.address, Ping(number, message.name))]
 
     def on_ack(self, message: Ack) -> list[Send]:
-        """Complete this member's own probe, or forward the ack of a relayed probe to its requester."""
+        """Handle an ack or negative ack to this member's own probe, or forward an ack of a relayed probe."""
         relayed = self.relayed.pop(message.number, None)
         if relayed is not None:
             return [self._send(relayed.requester, Ack(relayed.number))]
--- a/lapisgrade/members/host.py
+++ b/lapisgrade/members/host.py
@@ -41,8 +41,8 @@
         Args:
             name: Name of the member.
             log_line: Called with each log line.
-            on_change: Called for each state change of another member.
-            seed: Random seed.
+            on_change: Called for each change of the state or incarnation of another member.
+            seed: Seed of the member's random decisions.
             timing: Protocol parameters; must be the same at all members.
         """
         self.name = name
@@ -93,11 +93,12 @@
         self._apply_output(core, core.on_timer(now_us()))
 
     def _apply_output(self, core: Members, sends: list[Send]) -> None:
+        """Send the core's messages, report its state changes, and set the timer to its next wake-up."""
         for send in sends:
             self.udp.send(send.to, send.message)
-        changed = core.unreported_changes
+        changes = core.unreported_changes
         core.unreported_changes = []
-        for update in changed:
+        for update in changes:
             self._on_change(update)
         if self._timer is not None:
             self._timer.cancel()
--- a/lapisgrade/members/messages.py
+++ b/lapisgrade/members/messages.py
@@ -9,7 +9,10 @@
 
 
 class MemberState(IntEnum):
-    """State of a member. Within one incarnation a higher value overrides a lower one (SWIM, section 4.2)."""
+    """State of a member. Within one incarnation a higher value overrides a lower one (SWIM, section 4.2).
+
+    A higher incarnation overrides every state of a lower one.
+    """
 
     ALIVE = 0
     SUSPECT = 1
@@ -17,13 +20,13 @@
 
 
 class Update(msgspec.Struct, array_like=True, frozen=True):
-    """The state of a member as another one reports it."""
+    """The state of a member as another one, or the member itself, reports it."""
 
     name: str
     address: str
-    incarnation: int
+    incarnation: int  # raised only by the member itself, when it restarts or refutes an update
     state: int  # a MemberState; receivers reject other values
-    reporter: str = ""  # member that suspects it, or that first reported its death
+    reporter: str = ""  # member that suspects it or that first reported its death; empty if there is none
 
 
 class Ping(msgspec.Struct, array_like=True, tag="p", frozen=True):
@@ -32,7 +35,7 @@
     `name` is the intended receiver; a process that has taken over the address under another name ignores it.
     """
 
-    number: int
+    number: int  # identifies the probe; the Ack repeats it
     name: str
     updates: list[Update] = []
 
@@ -40,17 +43,17 @@
 class PingRequest(msgspec.Struct, array_like=True, tag="q", frozen=True):
     """A request to probe a member on the sender's behalf and to forward its ack (SWIM's ping-req)."""
 
-    number: int
-    name: str
-    address: str
+    number: int  # number of the sender's own probe; the forwarded Ack repeats it
+    name: str  # of the member to probe
+    address: str  # of the member to probe
     updates: list[Update] = []
 
 
 class Ack(msgspec.Struct, array_like=True, tag="a", frozen=True):
     """The reply to a Ping or a PingRequest."""
 
-    number: int
-    missed: bool = False  # the indirect probe timed out (Lifeguard's nack)
+    number: int  # of the Ping or PingRequest
+    missed: bool = False  # True: the indirect probe timed out (Lifeguard's nack)
     updates: list[Update] = []
 
 
--- a/lapisgrade/members/sim.py
+++ b/lapisgrade/members/sim.py
@@ -15,7 +15,7 @@
 from lapisgrade.members.messages import Message
 from lapisgrade.members.timing import SECOND, Timing
 
-MAX_BUFFERED_MESSAGES = 200  # messages that the socket of a paused process buffers
+MAX_BUFFERED_MESSAGES = 200  # buffered for a paused process, as by its socket; the oldest are dropped
 
 
 @dataclass(slots=True)
@@ -24,8 +24,8 @@
 
     loss_ratio: float = 0.0
     duplication_ratio: float = 0.0
-    delay_us: int = 500
-    jitter_us: int = 500
+    delay_us: int = 500  # minimum
+    jitter_us: int = 500  # maximum random addition to the delay; reorders datagrams
 
 
 @dataclass(slots=True)
@@ -45,19 +45,27 @@
 
 
 class Network:
-    """A simulated network of members.
+    """A simulated network of members, in which the name of a node is also its address.
 
     `add` starts members, `run` advances time; `kill`, `pause`, `resume`, `partition`, `heal` inject faults.
     """
 
     def __init__(self, seed: int, link: LinkBehavior | None = None, timing: Timing | None = None) -> None:
+        """Start an empty network.
+
+        Args:
+            seed: Seed of all randomness.
+            link: Loss, duplication and delay of datagrams between any two nodes.
+            timing: Protocol parameters of all members.
+        """
         self.random = Random(seed)
         self.link = link or LinkBehavior()
         self.timing = timing or Timing()
         self.now_us = SECOND
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, Node] = {}  # by name
+        # Returns whether datagrams from the first node to the second are dropped.
         self.is_cut: Callable[[str, str], bool] = lambda source, to: False
-        self.sent: dict[str, int] = {}  # messages sent, by sender
+        self.sent: dict[str, int] = {}  # number of messages sent, by sender
         self._events: list[tuple[Any, ...]] = []  # heap of (time, sequence number, callable, *arguments)
         self._event_count = 0
 
@@ -105,33 +113,40 @@
 
     # ---- time
 
-    def run(self, us: int, is_over: Callable[[], bool] | None = None) -> int | None:
-        """Run for `us`, or until `is_over()` holds after an event.
+    def run(self, duration_us: int, is_over: Callable[[], bool] | None = None) -> int | None:
+        """Run for `duration_us`, or until `is_over()` holds after an event.
 
         Returns:
             Time in us until `is_over()` held; None if it never did.
         """
         started_us = self.now_us
-        end_us = self.now_us + us
+        end_us = self.now_us + duration_us
         while self._events and self._events[0][0] <= end_us:
-            self.now_us, _, act, *args = heapq.heappop(self._events)
-            act(*args)
+            self.now_us, _, callback, *args = heapq.heappop(self._events)
+            callback(*args)
             if is_over is not None and is_over():
                 return self.now_us - started_us
         self.now_us = end_us
         return None
 
-    def _schedule(self, when: int, act: Callable[..., None], *args: object) -> None:
+    def _schedule(self, at_us: int, callback: Callable[..., None], *args: object) -> None:
         self._event_count += 1
-        heapq.heappush(self._events, (when, self._event_count, act, *args))
+        heapq.heappush(self._events, (at_us, self._event_count, callback, *args))
 
     def _schedule_wakeup(self, node: Node) -> None:
+        """Schedule the timer of a running node at the next wake-up of its core."""
         if node.core is not None and not node.is_paused:
             self._schedule(
                 max(self.now_us, node.core.next_wakeup_us), self._on_timer, node, node.process_count
             )
 
     def _on_timer(self, node: Node, process_count: int) -> None:
+        """Run the core's timer, unless the process has ended or is paused, or the wake-up was postponed.
+
+        Args:
+            node: The node.
+            process_count: The node's `process_count` when the timer was set.
+        """
         core = node.core
         if (
             core is None
@@ -150,10 +165,11 @@
             self.sent[node.name] = self.sent.get(node.name, 0) + 1
             for _ in range(2 if random.random() < link.duplication_ratio else 1):
                 if random.random() >= link.loss_ratio:
-                    delay = link.delay_us + round(random.random() * link.jitter_us)
-                    self._schedule(self.now_us + delay, self._arrive, node.name, send.to, send.message)
+                    delay_us = link.delay_us + round(random.random() * link.jitter_us)
+                    self._schedule(self.now_us + delay_us, self._arrive, node.name, send.to, send.message)
 
     def _arrive(self, source: str, to: str, message: Message) -> None:
+        """Pass a message to the node `to`; buffer it if the node is paused, drop it if it is unreachable."""
         node = self.nodes.get(to)
         if node is None or node.core is None or self.is_cut(source, to):
             return
--- a/lapisgrade/members/site.py
+++ b/lapisgrade/members/site.py
@@ -7,8 +7,8 @@
     reached_at = ""                # address at which others reach it, if not `listen`
     seeds = ["127.0.0.1:7401"]     # some other limiters, to contact at start
 
-The limiter's counters then include `members alive` and the peer frames read and refused; its log has a line
-for each state change of another limiter.
+The limiter's counters then include `members alive` and the numbers of peer frames sent, read and refused; its
+log has a line for each state change of another limiter.
 """
 
 import contextlib
@@ -65,6 +65,7 @@
 
 
 def _read_table(path: str) -> dict[str, Any]:
+    """Return the [peers] table of the file; its keys and values are not checked."""
     try:
         with open(path, "rb") as file:
             table = tomllib.load(file).get("peers")
--- a/lapisgrade/members/table.py
+++ b/lapisgrade/members/table.py
@@ -7,8 +7,8 @@
 from lapisgrade.members.messages import MemberState, Update
 from lapisgrade.members.timing import Timing, log_member_count
 
-MAX_MEMBERS = 10_000  # bounds the memory that a flood of invented names can take
-MAX_SUSPECTERS = 64  # maximum number recorded per member
+MAX_MEMBERS = 10_000  # entries of the table; bounds the memory that a flood of invented names can take
+MAX_SUSPECTERS = 64  # suspecters recorded per member
 
 
 @dataclass(slots=True)
@@ -24,8 +24,8 @@
 
     def as_update(self) -> Update:
         """Return this member's entry as an Update."""
-        by = min(self.suspecters, default="")
-        return Update(self.name, self.address, self.incarnation, self.state, by)
+        reporter = min(self.suspecters, default="")
+        return Update(self.name, self.address, self.incarnation, self.state, reporter)
 
 
 class MemberTable:
@@ -57,10 +57,10 @@
         """
         timing = self._timing
         min_timeout_us = timing.suspicion_multiplier * self.log_size() * timing.probe_interval_us
-        # Number of further suspecters that reduces the time-out to its minimum.
-        expected = max(1, min(timing.indirect_probes, len(self.by_name) - 2))
-        shared = 0.0
+        # Number of suspecters beside the first that reduces the time-out to its minimum.
+        needed_confirmations = max(1, min(timing.indirect_probes, len(self.by_name) - 2))
+        confirmed_ratio = 0.0
         if member.suspecters:
-            shared = math.log(len(member.suspecters)) / math.log(expected + 1)
-        factor = timing.max_suspicion_factor - (timing.max_suspicion_factor - 1) * shared
+            confirmed_ratio = math.log(len(member.suspecters)) / math.log(needed_confirmations + 1)
+        factor = timing.max_suspicion_factor - (timing.max_suspicion_factor - 1) * confirmed_ratio
         return member.state_since_us + round(max(min_timeout_us, min_timeout_us * factor))
--- a/lapisgrade/members/timing.py
+++ b/lapisgrade/members/timing.py
@@ -18,15 +18,18 @@
     max_suspicion_factor: float = 6.0  # time-out of an unshared suspicion, as a multiple of the minimum
     max_health_score: int = 8  # upper bound of Lifeguard's local health score
     retransmit_multiplier: float = 4.0  # transmissions per update, times log10 of the number of members
-    updates_per_message: int = 8  # fits one datagram
+    updates_per_message: int = 8  # maximum number attached to one message; fits one datagram
     sync_interval_us: int = 2 * SECOND  # mean time between exchanges of table samples
-    sync_members: int = 24  # maximum number of members in one exchange
+    sync_members: int = 24  # maximum number of other members in one table sample
     # Dead members are kept and contacted occasionally for this long, so that healed partitions merge.
     dead_retention_us: int = 120 * SECOND
 
 
 def log_member_count(members: int) -> float:
-    """Return log10 of `members`, at least 1: the growth of time-outs and retransmissions with the fleet."""
+    """Return log10 of `members`, at least 1.
+
+    The minimum suspicion time-out and the number of retransmissions are proportional to it.
+    """
     return max(1.0, math.log10(max(1, members)))
 
 
@@ -45,13 +48,17 @@
         `suspected`: latest time at which some member has probed it without an answer.
         `known`: latest time at which every live member that receives updates considers it dead.
     """
-    interval = timing.probe_interval_us * (1 + worst_health_score)
-    suspected = (2 * members - 3) * interval + interval
-    min_timeout = timing.suspicion_multiplier * max(1.0, math.log10(members)) * timing.probe_interval_us
-    dissemination = (
-        math.ceil(math.log(members) / math.log(2 - loss_ratio)) * interval + timing.probe_interval_us
+    interval_us = timing.probe_interval_us * (1 + worst_health_score)
+    # A member may be the first in one shuffled round and the last in the next, which is 2 * members - 3
+    # intervals later, as a round has members - 1 targets. The probe fails one interval after its start.
+    suspected_us = (2 * members - 3) * interval_us + interval_us
+    min_timeout_us = timing.suspicion_multiplier * max(1.0, math.log10(members)) * timing.probe_interval_us
+    # In each interval every informed member sends the update to one more, so their number grows by the factor
+    # 2 - loss_ratio.
+    dissemination_us = (
+        math.ceil(math.log(members) / math.log(2 - loss_ratio)) * interval_us + timing.probe_interval_us
     )
     return {
-        "suspected": suspected,
-        "known": suspected + timing.max_suspicion_factor * min_timeout + dissemination,
+        "suspected": suspected_us,
+        "known": suspected_us + timing.max_suspicion_factor * min_timeout_us + dissemination_us,
     }
--- a/lapisgrade/peers/frame.py
+++ b/lapisgrade/peers/frame.py
@@ -1,8 +1,8 @@
 """Frames: a version, the sender and one message, encoded as msgpack by msgspec. No I/O.
 
-A codec supports any msgspec struct or union of structs. If a frame exceeds the size of a datagram, entries
-are dropped from the end of the message's list `updates`. Frames come from untrusted senders: an invalid frame
-raises `FrameError` with a short reason, never an exception of the library.
+A codec supports any msgspec struct with a list `updates`, or a union of such structs. If a frame exceeds the
+size of a datagram, entries are dropped from the end of `updates`. Frames come from untrusted senders: an
+invalid frame raises `FrameError` with a short reason, never an exception of msgspec.
 """
 
 from typing import Any, Generic, TypeVar
@@ -18,11 +18,11 @@
 
 
 class Frame(msgspec.Struct, Generic[MessageT], array_like=True, frozen=True):
-    """The encoded structure. The incarnation distinguishes successive processes with the same name."""
+    """The encoded structure."""
 
     version: int
-    name: str
-    incarnation: int
+    name: str  # of the sender
+    incarnation: int  # of the sender; distinguishes successive processes with the same name
     message: MessageT
 
 
@@ -38,6 +38,7 @@
     """Encodes and decodes frames for one union of message types."""
 
     def __init__(self, union: Any) -> None:
+        """Prepare a codec for the struct type, or union of struct types, `union`."""
         self._decoder = msgspec.msgpack.Decoder(Frame[union])
 
     def encode(self, name: str, incarnation: int, message: Any) -> bytes:
--- a/lapisgrade/peers/udp.py
+++ b/lapisgrade/peers/udp.py
@@ -1,4 +1,4 @@
-"""UDP transport for frames on asyncio, with bounds on frames per peer, send buffer and log lines.
+"""UDP transport for frames on asyncio, which limits the frames read per peer, the send buffer and log lines.
 
 Frames beyond `MAX_FRAMES_PER_SECOND` from one address are counted and dropped. Invalid frames are counted,
 and logged at most once per `FRAME_ERROR_LOG_INTERVAL_S`. The only state per peer is its receive rate, for at
@@ -29,7 +29,10 @@
 
 
 class UdpTransport(asyncio.DatagramProtocol):
-    """One UDP socket that sends and receives frames."""
+    """One UDP socket that sends and receives frames.
+
+    `counts` holds the numbers of frames sent, read and dropped, by counter name.
+    """
 
     def __init__(
         self,
@@ -59,10 +62,17 @@
         self._last_log_s = -FRAME_ERROR_LOG_INTERVAL_S
 
     async def open(self, host: str, port: int) -> str:
-        """Open the socket; returns its address.
+        """Open the socket.
+
+        Args:
+            host: Host to listen on.
+            port: Port to listen on; 0 for any free port.
+
+        Returns:
+            The address it listens on, as `host:port`.
 
         Raises:
-            OSError: The address is in use.
+            OSError: The address is in use or not available.
         """
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
@@ -96,7 +106,7 @@
     # ---- called by asyncio
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
-        """Decode one datagram, unless its sender exceeds the rate limit."""
+        """Decode one datagram and pass its frame on, unless its sender exceeds the rate limit."""
         address = f"{source[0]}:{source[1]}"
         if not self._is_within_rate(address):
             self.counts["peer frames too many"] += 1
@@ -114,8 +124,10 @@
         self._on_frame(address, received)
 
     def error_received(self, exc: Exception) -> None:
-        """Count a datagram rejected by the receiver's machine."""
-        # No process listens there. The failure detector notices it by its own probes.
+        """Count a datagram that the receiver's machine rejected, as no process listens on the port.
+
+        No further action is needed: the failure detector notices it by its own probes.
+        """
         self.counts["peer sends refused"] += 1
 
     def _is_within_rate(self, address: str) -> bool:
--- a/tests/members/test_core.py
+++ b/tests/members/test_core.py
@@ -1,4 +1,4 @@
-"""Membership in a simulated network: detection of dead members, false positives and the documented bounds."""
+"""Membership in a simulated network: detection within the documented bounds, false positives, merges."""
 
 from random import Random
 
@@ -15,6 +15,7 @@
 
 
 def fleet(count: int, seed: int, link: LinkBehavior | None = None) -> tuple[Network, list[str]]:
+    """Return a network of `count` members that all consider each other alive, and their names."""
     net = Network(seed, link)
     names = [f"m{i:03}" for i in range(count)]
     for name in names:
@@ -28,9 +29,9 @@
     net, names = fleet(10, seed)
     for name in names[:4]:
         net.kill(name)
-    took = net.run(60 * SECOND, lambda: net.agree(set(names[4:])))
-    assert took is not None
-    assert took <= detection_bounds_us(net.timing, 10)["known"]
+    detected_after_us = net.run(60 * SECOND, lambda: net.agree(set(names[4:])))
+    assert detected_after_us is not None
+    assert detected_after_us <= detection_bounds_us(net.timing, 10)["known"]
 
 
 def test_members_paused_for_three_seconds_are_alive_again_without_a_new_join():
@@ -62,8 +63,10 @@
     net, names = fleet(10, 5)
     left, right = names[:5], names[5:]
     net.partition(left, right)
-    apart = net.run(30 * SECOND, lambda: net.agree(set(left), left) and net.agree(set(right), right))
-    assert apart is not None
+    parted_after_us = net.run(
+        30 * SECOND, lambda: net.agree(set(left), left) and net.agree(set(right), right)
+    )
+    assert parted_after_us is not None
     net.heal()
     assert net.run(30 * SECOND, lambda: net.agree(set(names))) is not None
 
@@ -88,9 +91,9 @@
         false_positives += sum(len(net.considered_dead_by(name)) for name in names)
     assert false_positives <= 60 * 10 * 9 // 100, false_positives  # at most 1 % of all samples
     net.kill(names[0])
-    took = net.run(60 * SECOND, lambda: len(net.considered_dead_by(names[0])) == 9)
-    assert took is not None
-    assert took <= detection_bounds_us(net.timing, 10, 0.2, worst_health_score=3)["known"]
+    detected_after_us = net.run(60 * SECOND, lambda: len(net.considered_dead_by(names[0])) == 9)
+    assert detected_after_us is not None
+    assert detected_after_us <= detection_bounds_us(net.timing, 10, 0.2, worst_health_score=3)["known"]
 
 
 def test_a_member_restarted_under_its_old_name_is_alive():
@@ -108,12 +111,12 @@
 
 def test_six_of_ten_members_are_replaced_one_per_second():
     net, names = fleet(10, 10)
-    fresh = [f"n{i}" for i in range(6)]
-    for old, new in zip(names, fresh, strict=False):
+    new_names = [f"n{i}" for i in range(6)]
+    for old, new in zip(names, new_names, strict=False):
         net.kill(old)
         net.add(new, names[8:])
         net.run(SECOND)
-    assert net.run(30 * SECOND, lambda: net.agree(set(names[6:] + fresh))) is not None
+    assert net.run(30 * SECOND, lambda: net.agree(set(names[6:] + new_names))) is not None
 
 
 @pytest.mark.parametrize("count", [10, 40])
@@ -142,19 +145,19 @@
     for node in net.live()[1:]:
         net.deliver(node, node.core.on_message(net.now_us, "m009", Ack(-1, False, [update])))
     net.run(15 * SECOND)
-    if update.incarnation < 1 << 62:  # MAX_INCARNATION: from there on an update is not refuted, as documented
+    if update.incarnation < 1 << 62:  # from MAX_INCARNATION on none is refuted (docs/design/membership.md)
         assert net.agree(set(names))
     assert all(set(names[1:]) <= set(node.core.alive()) for node in net.live())
 
 
 def test_a_flood_of_invented_names_fills_the_tables_only_up_to_their_limits():
-    one = Members("a", "a", 1, SECOND, Random(1))
+    member = Members("a", "a", 1, SECOND, Random(1))
     for i in range(table.MAX_MEMBERS + 500):
-        one.on_message(SECOND, "b", Sync(True, [Update(f"x{i}", "b", 1, MemberState.ALIVE)]))
-    assert len(one.table.by_name) == table.MAX_MEMBERS
+        member.on_message(SECOND, "b", Sync(True, [Update(f"x{i}", "b", 1, MemberState.ALIVE)]))
+    assert len(member.table.by_name) == table.MAX_MEMBERS
     for i in range(1000):
-        one.on_message(SECOND, "b", messages.PingRequest(i, "x1", "b"))
-    assert len(one.failure_detector.relayed) == failure_detector.MAX_RELAYED
+        member.on_message(SECOND, "b", messages.PingRequest(i, "x1", "b"))
+    assert len(member.failure_detector.relayed) == failure_detector.MAX_RELAYED
 
 
 def test_equal_seeds_and_events_give_equal_messages():
@@ -192,18 +195,18 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 400_000), MESSAGES), max_size=40), st.integers(0, 1000))
 def test_any_messages_leave_a_member_alive_in_its_own_view_and_never_lower_a_known_state(events, seed):
-    one, now = Members("a", "a", 2, SECOND, Random(seed)), SECOND
+    member, now_us = Members("a", "a", 2, SECOND, Random(seed)), SECOND
     highest = {}
-    for wait, message in events:
-        now += wait
-        for send in one.on_message(now, "b", message) + one.on_timer(now):
+    for wait_us, message in events:
+        now_us += wait_us
+        for send in member.on_message(now_us, "b", message) + member.on_timer(now_us):
             encoded = msgspec.msgpack.encode(send.message)
-            assert len(encoded) < 1400  # fits one datagram including the frame
+            assert len(encoded) < 1400  # fits one datagram together with the frame's other fields
             assert msgspec.msgpack.decode(encoded, type=messages.Message) == send.message
-        assert one.next_wakeup_us > now - 1
-        assert "a" in one.alive()
-        assert 0 <= one.health.score <= Timing().max_health_score
-        for member in one.table.by_name.values():  # (incarnation, state) never decreases
-            known = (member.incarnation, member.state)
-            assert known >= highest.get(member.name, known)
-            highest[member.name] = known
+        assert member.next_wakeup_us > now_us - 1
+        assert "a" in member.alive()
+        assert 0 <= member.health.score <= Timing().max_health_score
+        for other in member.table.by_name.values():  # (incarnation, state) never decreases
+            known = (other.incarnation, other.state)
+            assert known >= highest.get(other.name, known)
+            highest[other.name] = known
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -23,7 +23,13 @@
 
 
 class Node:
-    """One member's process, its view of the others, and the relay through which they reach it."""
+    """One member's process, its view of the others, and the relay through which they reach it.
+
+    Attributes:
+        folder: Folder of the process's log.
+        states: Last reported state of each other member, by name.
+        last_report: Last line of the process that is not a state change: its address, or counts at its end.
+    """
 
     def __init__(self, name: str, folder) -> None:
         self.name, self.folder, self.port = name, folder, free_port()
@@ -34,6 +40,7 @@
         self._reading: asyncio.Task | None = None
 
     async def start(self, supervisor: Supervisor, seeds: list[str], link: Link) -> None:
+        """Start the process; its relay, with the behavior `link`, is opened at the first start."""
         if self.relay is None:
             self.relay = await UdpRelay(("127.0.0.1", self.port), 1, link).open()
         args = [
@@ -60,6 +67,7 @@
                 self.last_report = report
 
     async def end(self) -> dict:
+        """Stop the process and return its final counts."""
         await self.process.end()
         await self._reading
         return self.last_report
@@ -88,11 +96,13 @@
         return [node.relay.address for node in list(self.nodes.values())[:2] if node.relay is not None]
 
     def live(self) -> list[Node]:
+        """Return the nodes whose process runs and is not paused."""
         return [
             node for node in self.nodes.values() if node.process.is_running and not node.process.is_paused
         ]
 
     def agree(self, names: set[str], among: set[str] | None = None) -> bool:
+        """Return whether every live member (of `among`) considers exactly `names` alive."""
         for node in self.live():
             if among is None or node.name in among:
                 known = {name for name, state in node.states.items() if state != "dead"}
@@ -103,7 +113,7 @@
     async def until(self, condition, within_s: float) -> None:
         """Wait for the condition; raise AssertionError if it does not hold in time or a process ends."""
         deadline_s = time.monotonic() + within_s
-        # Members that run now must keep running; if one ends, the assertion shows the end of its log.
+        # Members that run now must keep running; if one ends, the assertion shows the last lines of its log.
         running = [
             node for node in self.nodes.values() if node.process is not None and node.process.is_running
         ]
@@ -115,8 +125,9 @@
             await asyncio.sleep(0.02)
 
 
-def detection_limit_s(count: int, lost: float = 0.0) -> float:
-    return BUSY_FACTOR * detection_bounds_us(Timing(), count, lost, 1)["known"] / 1e6
+def detection_limit_s(count: int, loss_ratio: float = 0.0) -> float:
+    """Return the documented bound for `count` members, times BUSY_FACTOR."""
+    return BUSY_FACTOR * detection_bounds_us(Timing(), count, loss_ratio, 1)["known"] / 1e6
 
 
 async def test_all_members_detect_killed_paused_and_restarted_ones(tmp_path):
@@ -131,8 +142,8 @@
         await fleet.until(lambda: fleet.agree(all_names - {"m1", "m2"}), detection_limit_s(5))
         fleet.nodes["m2"].process.resume()
         await fleet.until(lambda: fleet.agree(all_names - {"m1"}), detection_limit_s(5))
-        report = [await node.end() for node in fleet.live()]
-        assert all(each["counts"]["refuted"] >= 0 and each["counts"]["sent"] for each in report)
+        reports = [await node.end() for node in fleet.live()]
+        assert all(report["counts"]["refuted"] >= 0 and report["counts"]["sent"] for report in reports)
 
 
 @pytest.mark.parametrize(
@@ -159,20 +170,20 @@
 
 async def test_a_flood_of_valid_foreign_version_and_malformed_frames_is_limited_and_logged_once(tmp_path):
     async with Fleet(tmp_path, 3) as fleet:
-        one = fleet.nodes["m0"]
+        flooded = fleet.nodes["m0"]
         loop = asyncio.get_running_loop()
-        flood, _ = await loop.create_datagram_endpoint(
-            asyncio.DatagramProtocol, remote_addr=("127.0.0.1", one.port)
+        sender, _ = await loop.create_datagram_endpoint(
+            asyncio.DatagramProtocol, remote_addr=("127.0.0.1", flooded.port)
         )
         ping = CODEC.encode("m9", 1, messages.Ping(1, "nobody"))
-        other = msgspec.msgpack.encode([frame.FRAME_VERSION + 1, {"a": 1}])
+        foreign_version = msgspec.msgpack.encode([frame.FRAME_VERSION + 1, {"a": 1}])
         for i in range(6 * MAX_FRAMES_PER_SECOND):
-            flood.sendto((ping, other, b"noise", b"\xc1" * 3000)[i % 4])
+            sender.sendto((ping, foreign_version, b"noise", b"\xc1" * 3000)[i % 4])
             if i % 50 == 0:
                 await asyncio.sleep(0.005)
         await asyncio.sleep(0.5)
         assert fleet.agree(set(fleet.nodes))
-        report = await one.end()
+        report = await flooded.end()
         assert report["counts"]["peer frames too many"] > 0
         assert report["counts"]["peer frames refused"] > 0
         assert report["alive"] == ["m0", "m1", "m2"]
