--- a/lapisgrade/fakes/counter/server.py
+++ b/lapisgrade/fakes/counter/server.py
@@ -1,11 +1,11 @@
 """A counter that speaks RESP2 on loopback: `INCRTTL NAME AMOUNT LIFE_MS`, `PING`, `CLIENT`, `SELECT`.
 
 Like the platform's counter it keeps one count per name, with a lifetime from the first addition. Tests and
-the demo script its faults while it runs: slow, unresponsive, busy, refusing connections, stale or corrupt
-replies, reset connections, a restart with empty state, a split into two halves that both accept writes, and
-the heal of that split. To replace the counter, start a second `Counter` at another address.
+the demo inject faults while it runs: slow, missing, stale or corrupt replies, rejected calls, refused or
+reset connections, a restart with empty state, a split into two halves that both accept writes, and the heal
+of that split. To replace the counter, start a second `Counter` at another address.
 
-RESP2 is parsed by hiredis, an established parser, and not by own code.
+RESP2 is parsed by hiredis, the established parser of the protocol, and not by own code.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 MAX_CONNECTIONS = 32  # set by the protocol: open connections per address; further ones are reset
 IDLE_TIMEOUT_S = 10.0  # set by the protocol: an idle connection is closed after this time
 READ_BYTES = 16_384  # maximum bytes per read; a call is far shorter
-MAX_BUFFERED_BYTES = 1 << 20  # buffered calls per connection; beyond that it is closed, against floods
+MAX_BUFFERED_BYTES = 1 << 20  # unanswered calls per connection; beyond that it is closed, against floods
 
 
 class CounterMode(Enum):
@@ -39,6 +39,14 @@
     """The fake counter on one loopback port.
 
     After `await open()`, inject faults with `set_mode()`, `delay_s`, `restart()`, `split()` and `heal()`.
+
+    Attributes:
+        max_connections: Maximum number of open connections; further ones are reset.
+        store: The counts; not used while the counter is split.
+        stats: Counters of calls and connections since the fake was created.
+        mode: How it replies; set it with `set_mode()`.
+        delay_s: Delay of each reply in mode SLOW.
+        split_store: The halves while the counter is split, else None; each connection uses one of them.
     """
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0, max_connections: int = MAX_CONNECTIONS):
@@ -46,7 +54,7 @@
         self.max_connections = max_connections
         self.store, self.stats = Store(), CounterStats()
         self.mode, self.delay_s = CounterMode.NORMAL, 0.0
-        self.split_store: SplitStore | None = None  # the halves while split; a connection uses one of them
+        self.split_store: SplitStore | None = None
         self._accepted = 0
         self._stale_totals: dict[bytes, float] = {}
 
@@ -93,7 +101,8 @@
                 if parser.len() > MAX_BUFFERED_BYTES:
                     break
                 if self.mode is CounterMode.SILENT:
-                    # Keep reading, to notice when the client disconnects and free its connection.
+                    # Keep reading, to notice that the client disconnects: until then the connection counts
+                    # towards `max_connections`.
                     owes_replies = True
                     parser = hiredis.Reader()
                     continue
@@ -106,6 +115,7 @@
             pass  # asyncio's streams log an error for a handler that re-raises its cancellation
 
     async def _answer(self, command, half: int) -> bytes:
+        """Return the reply to one call according to the mode; while split, `half` (0 or 1) executes it."""
         if self.mode is CounterMode.SLOW:
             await asyncio.sleep(self.delay_s)
         if self.mode is CounterMode.BUSY:
--- a/lapisgrade/fakes/counter/store.py
+++ b/lapisgrade/fakes/counter/store.py
@@ -24,10 +24,10 @@
     """Counters of the calls, for the demo and the tests."""
 
     calls: int = 0
-    added: int = 0
-    busy: int = 0
-    errors: int = 0
-    reset_connections: int = 0
+    added: int = 0  # calls that added an amount
+    busy: int = 0  # calls rejected with -BUSY
+    errors: int = 0  # calls rejected with -ERR
+    reset_connections: int = 0  # connections that were refused, or were beyond the maximum
     amounts: dict[bytes, float] = field(default_factory=dict)  # sum of all additions since the start, by name
 
 
@@ -40,7 +40,11 @@
         self.counts: dict[bytes, Count] = {}
 
     def add(self, name: bytes, amount: float, lifetime_ms: int, now_s: float) -> float:
-        """Add `amount` to `name` and return the new total; an expired count restarts at 0."""
+        """Add `amount` to the count `name` and return the new total.
+
+        A count that is missing or expired starts at 0, with a lifetime of `lifetime_ms` from `now_s`; later
+        additions do not extend it.
+        """
         count = self.counts.get(name)
         if count is None or count.expires_s <= now_s:
             count = Count(0.0, now_s + min(lifetime_ms, MAX_LIFETIME_MS) / 1000)
@@ -57,7 +61,7 @@
 
 
 def execute_command(store: Store, stats: CounterStats, command: list, now_s: float) -> bytes:
-    """Execute one call, given as its list of arguments, and return the RESP2 reply."""
+    """Execute one call, given as the list of its name and arguments, and return the RESP2 reply."""
     stats.calls += 1
     if not command or not all(isinstance(each, bytes) for each in command):
         stats.errors += 1
@@ -123,7 +127,7 @@
         total = base.total if base else 0.0
         for count in counts:
             if count is not None:
-                # A count that expired and restarted in this half consists only of its own additions.
+                # A count that expired and restarted in this half consists only of the half's own additions.
                 same_lifetime = base is not None and count.expires_s == base.expires_s
                 total += count.total - base.total if same_lifetime else count.total
         latest_s = max(count.expires_s for count in [base, *counts] if count is not None)
--- a/lapisgrade/fakes/discovery.py
+++ b/lapisgrade/fakes/discovery.py
@@ -1,8 +1,10 @@
 """A fake discovery agent on loopback: the server list in the platform's format, and watches for changes.
 
-`GET /discovery/hosts` returns the complete list with `reset: true`. `GET
-/discovery/hosts?since=V&timeout_ms=T` is a watch: it returns the changes since version V as soon as there
-are any, or an empty list after T. Servers that have left remain among the changes as `terminated`.
+Each change of the list increments its generation.
+
+- `GET /discovery/hosts` returns the complete list, with `reset: true`.
+- `GET /discovery/hosts?since=G&timeout_ms=T` is a watch: it returns the changes since generation G as soon as
+  there are any, or an empty list after T ms. Servers that have left remain among the changes as `terminated`.
 """
 
 import asyncio
@@ -20,16 +22,16 @@
 
 @dataclass(slots=True)
 class ServerEntry:
-    """One server in the list; `changed_generation` is the version of its last change."""
+    """One server in the list."""
 
     instance_id: str
     host_port: str
     zone: str = "z"
     cell: int = 0
-    lifecycle: str = "in_service"
+    lifecycle: str = "in_service"  # one of LIFECYCLES
     weight: float = 1.0
     started_ms: int = 0
-    changed_generation: int = 0
+    changed_generation: int = 0  # generation of the list at the last change of this server
 
     def to_json(self) -> dict[str, Any]:
         """Return the entry in the wire format of discovery."""
@@ -45,12 +47,18 @@
 
 
 class Discovery(Listener):
-    """The fake discovery agent. `put`, `drain` and `remove` change the list and wake all watches."""
+    """The fake discovery agent. `put`, `drain` and `remove` change the list and wake all watches.
+
+    Attributes:
+        generation: Generation of the list.
+        entries: Servers by instance id, in the order added, including terminated ones.
+        calls: Number of requests received.
+    """
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
         super().__init__(host, port)
         self.generation = 1
-        self.entries: dict[str, ServerEntry] = {}  # by instance id, in the order added
+        self.entries: dict[str, ServerEntry] = {}
         self.calls = 0
         self._changed = asyncio.Event()
         self._tasks: set[asyncio.Task] = set()
@@ -81,10 +89,12 @@
         live = [entry.to_json() for entry in self.entries.values() if entry.lifecycle != "terminated"]
         return {"generation": self.generation, "reset": True, "instances": live}
 
-    def changes_since(self, version: int) -> dict[str, Any]:
-        """Return the reply with the servers that changed after `version`."""
-        entries = [entry.to_json() for entry in self.entries.values() if entry.changed_generation > version]
-        return {"generation": self.generation, "reset": False, "instances": entries}
+    def changes_since(self, generation: int) -> dict[str, Any]:
+        """Return the reply with the servers that changed after `generation`."""
+        changed = [
+            entry.to_json() for entry in self.entries.values() if entry.changed_generation > generation
+        ]
+        return {"generation": self.generation, "reset": False, "instances": changed}
 
     def _set_lifecycle(self, instance_id: str, lifecycle: str) -> None:
         entry = self.entries[instance_id]
@@ -92,6 +102,7 @@
         entry.lifecycle, entry.changed_generation = lifecycle, self.generation
 
     def _increment_generation(self) -> None:
+        """Increment the generation and wake all watches."""
         self.generation += 1
         self._changed.set()
         self._changed = asyncio.Event()
@@ -113,13 +124,13 @@
             update = self.complete_list()
         else:
             try:
-                version = int(query["since"])
+                generation = int(query["since"])
                 wait_ms = min(int(query.get("timeout_ms", "0")), MAX_WATCH_MS)
             except ValueError:
                 return http.Response(400, b"since and timeout_ms are whole numbers")
-            if version >= self.generation and wait_ms > 0:
+            if generation >= self.generation and wait_ms > 0:
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._changed.wait(), wait_ms / 1000)
-            update = self.changes_since(version)
+            update = self.changes_since(generation)
         body = json.dumps(update).encode()
         return http.Response(200, body, (("Content-Type", "application/json"),))
--- a/lapisgrade/fakes/http.py
+++ b/lapisgrade/fakes/http.py
@@ -1,10 +1,10 @@
 """The HTTP/1.1 server of the discovery and server fakes: one request at a time per connection.
 
-It deliberately does not use `net.http`: the fakes check what the limiter writes, and a fault in shared code
-would cancel out on both sides. h11 does all of the framing.
+It deliberately does not use `net.http`: the fakes check what the limiter writes, and a fault in code shared
+by both sides would go unnoticed. h11 does all of the framing.
 
-A client that sends malformed data gets one 400 and the connection is closed; an idle connection is closed
-after `IDLE_TIMEOUT_S`.
+A client that sends malformed data gets one 400 response, and the connection is closed. An idle connection is
+closed after `IDLE_TIMEOUT_S`.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
     """One request. Header names are in lower case."""
 
     method: str
-    target: str
+    target: str  # path and query string
     headers: dict[str, str]
     body: bytes
 
@@ -35,7 +35,7 @@
         return self.target.partition("?")[0]
 
     def query(self) -> dict[str, str]:
-        """Return the query parameters by name, not decoded."""
+        """Return the query parameters by name, without percent-decoding."""
         pairs = (each.partition("=") for each in self.target.partition("?")[2].split("&") if each)
         return {name: value for name, _, value in pairs}
 
@@ -55,7 +55,13 @@
 
 
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, handle: Handler) -> None:
-    """Serve requests on one connection until it ends. Errors of the client close it without a log line."""
+    """Serve requests on one connection until it ends; an error of the client ends it without a log line.
+
+    Args:
+        reader: Stream from the client.
+        writer: Stream to the client.
+        handle: Returns the response to a request.
+    """
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     try:
         while True:
--- a/lapisgrade/fakes/listener.py
+++ b/lapisgrade/fakes/listener.py
@@ -9,6 +9,7 @@
     """A TCP listener whose connections are served by `_serve` and can all be reset at once."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
+        """Prepare a listener on `host` and `port`; with port 0 `open` sets `port` to a free one."""
         self.host, self.port = host, port
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
@@ -55,10 +56,9 @@
                 await self._server.wait_closed()
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a new connection.
+        """Serve a new connection, unless the listener was closed after the connection was accepted.
 
-        A connection accepted while the listener was closing is aborted without reaching the subclass, whose
-        resources may already be closed.
+        In that case it is aborted without reaching the subclass, whose resources may already be closed.
         """
         if self._closed:
             writer.transport.abort()
@@ -66,6 +66,7 @@
         await self._accept(reader, writer)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Track the connection, so that it can be reset, while `_serve` serves it."""
         self._writers.add(writer)
         try:
             await self._serve(reader, writer)
@@ -74,4 +75,5 @@
             writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection; it is aborted on return."""
         raise NotImplementedError
--- a/lapisgrade/fakes/servers.py
+++ b/lapisgrade/fakes/servers.py
@@ -17,7 +17,7 @@
 from lapisgrade.fakes import http
 from lapisgrade.fakes.listener import Listener
 
-SILENCE_CHECK_INTERVAL_S = 0.05  # interval at which a silent server checks whether `silent` was cleared
+SILENCE_CHECK_INTERVAL_S = 0.05  # interval at which a silent server checks whether `silent` is still set
 
 
 @dataclass(slots=True)
@@ -25,25 +25,25 @@
     """Behavior of one server. Times in seconds, shares from 0 to 1."""
 
     capacity: int = 8  # concurrent operations
-    queue: int = 16  # further operations that may wait; beyond that they are rejected
+    queue: int = 16  # operations that may wait beyond the capacity; further ones are rejected
     median_s: float = 0.020  # median service time
     sigma: float = 0.5  # sigma of the log-normal service time
     error_share: float = 0.0  # share of operations that end in 500
     cold_from: float = 1.0  # share of capacity at the start
     warm_s: float = 0.0  # duration of slow start
-    silent: bool = False  # accepts operations and never responds
+    silent: bool = False  # accepts operations and does not respond; those in progress are lost
 
 
 @dataclass(slots=True)
 class ServerCounts:
     """Counters of one server."""
 
-    requests: int = 0
-    completed: int = 0
-    errors: int = 0
-    rejected: int = 0
-    without_id: int = 0
-    health_checks: int = 0
+    requests: int = 0  # operations received, including rejected ones, without those in `without_id`
+    completed: int = 0  # responses with 200
+    errors: int = 0  # responses with 500
+    rejected: int = 0  # responses with 503 and X-Not-Processed
+    without_id: int = 0  # requests without X-Request-ID, responses with 404
+    health_checks: int = 0  # requests for /alive and /metrics/load
     max_in_flight: int = 0
     requests_after_drain_s: list[float] = field(default_factory=list)  # time since the drain, per request
 
@@ -167,6 +167,7 @@
         """
 
     def _load(self, now_s: float) -> str:
+        """Return the load in the platform's text format; `util` is the share of the capacity in use."""
         capacity = self.capacity_at(now_s)
         return (
             f"inflight={self.in_flight}, queue={self.queued}, util={min(1.0, self.in_flight / capacity):.2f}"
--- a/lapisgrade/fakes/site.py
+++ b/lapisgrade/fakes/site.py
@@ -37,14 +37,17 @@
 
 
 PORT_COUNT = 8_000  # size of the range below the ephemeral one from which `free_port` chooses
-_port_offsets = itertools.count(os.getpid() * 97)
+_port_offsets = itertools.count(os.getpid() * 97)  # concurrent processes start at different ports
 
 
 def free_port(host: str = "127.0.0.1") -> int:
     """Return a port that is free for TCP and UDP. Repeated calls cycle through the range.
 
-    The port lies below the ephemeral range: otherwise, while a process that was killed restarts, the system
-    could assign its port to the socket of another process.
+    The port lies below the ephemeral range. Otherwise the system could assign it to a socket of another
+    process between the kill and the restart of the process that listens on it.
+
+    Raises:
+        OSError: All ports of the range are in use.
     """
     first = max(1024, _first_ephemeral_port() - PORT_COUNT)
     for _ in range(PORT_COUNT):
@@ -64,14 +67,19 @@
 
     limiters: int = 2
     servers: int = 4
-    behavior: ServerBehavior = field(default_factory=ServerBehavior)
-    seed: int = 1
+    behavior: ServerBehavior = field(default_factory=ServerBehavior)  # of every server
+    seed: int = 1  # from which the servers' seeds are derived
     template: dict[str, Any] | None = None  # configuration of the limiters; None for the sample
     ports: tuple[int, int, int] = (0, 0, 0)  # counter, discovery, first limiter; 0 for any free port
 
 
 class Site:
-    """A running site: `async with Site(plan) as site:` starts all parts and stops them, limiters first."""
+    """A site: `async with Site(plan) as site:` starts all parts, and at the end stops them, limiters first.
+
+    Attributes:
+        services: The limiters, in the order of their numbers.
+        limiter_addresses: Host and port of each limiter, in the same order.
+    """
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -169,9 +177,9 @@
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + START_TIMEOUT_S
     while loop.time() < deadline_s:
-        for run in service_tasks:
-            if run.done():
-                run.result()
+        for task in service_tasks:
+            if task.done():
+                task.result()  # raises the limiter's exception, if it ended with one
                 raise RuntimeError("a limiter ended before all limiters were ready")
         if await is_ready(address):
             return
--- a/tests/fakes/test_counter.py
+++ b/tests/fakes/test_counter.py
@@ -77,7 +77,8 @@
 async def test_a_silent_counter_notices_closed_connections_and_recovers():
     fake = await counter.Counter(max_connections=4).open()
     fake.mode = counter.CounterMode.SILENT
-    for _ in range(3):  # clients that time out, close their connections and open new ones
+    # Clients whose calls time out close their connections and open new ones: 12, as many as ten limiters do.
+    for _ in range(3):
         connections = [await asyncio.open_connection("127.0.0.1", fake.port) for _ in range(4)]
         for _, writer in connections:
             writer.write(b"*1\r\n$4\r\nPING\r\n")
@@ -116,32 +117,33 @@
 def test_both_halves_of_a_split_accept_writes_and_a_heal_counts_each_once():
     store = counter.Store()
     store.add(b"a", 5.0, 60_000, 0.0)
-    halved = counter.split(store)
-    halved.halves[0].add(b"a", 2.0, 60_000, 1.0)
-    halved.halves[1].add(b"a", 3.0, 60_000, 1.0)
-    halved.halves[1].add(b"b", 1.0, 60_000, 1.0)
-    assert halved.halves[0].counts[b"a"].total == 7.0
-    assert halved.halves[1].counts[b"a"].total == 8.0
-    healed = counter.heal(halved)
+    split_store = counter.split(store)
+    split_store.halves[0].add(b"a", 2.0, 60_000, 1.0)
+    split_store.halves[1].add(b"a", 3.0, 60_000, 1.0)
+    split_store.halves[1].add(b"b", 1.0, 60_000, 1.0)
+    assert split_store.halves[0].counts[b"a"].total == 7.0
+    assert split_store.halves[1].counts[b"a"].total == 8.0
+    healed = counter.heal(split_store)
     assert healed.counts[b"a"].total == 10.0
     assert healed.counts[b"b"].total == 1.0
-    late = counter.split(store)  # the count expires and restarts in one half
-    late.halves[0].add(b"a", 4.0, 1_000, 120.0)
-    assert counter.heal(late).counts[b"a"].total == 9.0
+    split_again = counter.split(store)  # the count expires and restarts in one half
+    split_again.halves[0].add(b"a", 4.0, 1_000, 120.0)
+    assert counter.heal(split_again).counts[b"a"].total == 9.0
 
 
 async def test_split_healed_stale_and_corrupt_counters_reply_with_the_expected_totals():
     fake = await counter.Counter().open()
     assert await call(fake.port, [b"INCRTTL", b"k", b"5", b"60000"]) == b"$3\r\n5.0\r\n"
     fake.split()
-    one = await call(fake.port, [b"INCRTTL", b"k", b"1", b"60000"])
-    two = await call(fake.port, [b"INCRTTL", b"k", b"2", b"60000"])
-    assert (one, two) == (b"$3\r\n6.0\r\n", b"$3\r\n7.0\r\n")  # each half adds only its own calls
+    first_reply = await call(fake.port, [b"INCRTTL", b"k", b"1", b"60000"])
+    second_reply = await call(fake.port, [b"INCRTTL", b"k", b"2", b"60000"])
+    # Each half adds only its own calls.
+    assert (first_reply, second_reply) == (b"$3\r\n6.0\r\n", b"$3\r\n7.0\r\n")
     fake.heal()
     assert await call(fake.port, [b"INCRTTL", b"k", b"0", b"60000"]) == b"$3\r\n8.0\r\n"
     fake.set_mode(counter.CounterMode.STALE)
     assert await call(fake.port, [b"INCRTTL", b"k", b"4", b"60000"]) == b"$3\r\n8.0\r\n"
     fake.set_mode(counter.CounterMode.SPOILT)
     assert await call(fake.port, [b"INCRTTL", b"k", b"1", b"60000"]) == b"$5\r\nfresh\r\n"
-    assert fake.store.counts[b"k"].total == 13.0  # wrong replies, but every addition was made
+    assert fake.store.counts[b"k"].total == 13.0  # every addition was made, although the replies were wrong
     await fake.close()
--- a/tests/fakes/test_discovery.py
+++ b/tests/fakes/test_discovery.py
@@ -7,6 +7,7 @@
 
 
 async def get(port, target):
+    """Return the status and body of the response to a GET on a connection of its own."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"GET {target} HTTP/1.1\r\nHost: d\r\n\r\n".encode())
     head = await reader.readuntil(b"\r\n\r\n")
@@ -36,7 +37,7 @@
     unchanged = await get(fake.port, f"/discovery/hosts?since={changes['generation']}&timeout_ms=50")
     assert json.loads(unchanged[1])["instances"] == []
     fake.remove("s1")
-    assert [r["instanceId"] for r in fake.complete_list()["instances"]] == ["s0"]
+    assert [row["instanceId"] for row in fake.complete_list()["instances"]] == ["s0"]
     assert (await get(fake.port, "/discovery/hosts?since=x"))[0] == 400
     assert (await get(fake.port, "/elsewhere"))[0] == 404
     await fake.close()
--- a/tests/fakes/test_servers.py
+++ b/tests/fakes/test_servers.py
@@ -1,4 +1,4 @@
-"""The fake servers: capacity, queue, drain and slow start."""
+"""The fake servers: capacity, queue, drain, kill and slow start."""
 
 import asyncio
 
@@ -7,9 +7,14 @@
 from lapisgrade.fakes import servers
 
 
-async def send_request(port, number="1", path="/api"):
+async def send_request(port, request_id="1", path="/api"):
+    """Send a GET on a connection of its own; return the status and head of the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    head = f"GET {path} HTTP/1.1\r\nHost: s\r\n" + (f"X-Request-ID: {number}\r\n" if number else "") + "\r\n"
+    head = (
+        f"GET {path} HTTP/1.1\r\nHost: s\r\n"
+        + (f"X-Request-ID: {request_id}\r\n" if request_id else "")
+        + "\r\n"
+    )
     writer.write(head.encode())
     head = await reader.readuntil(b"\r\n\r\n")
     writer.transport.abort()
@@ -24,7 +29,7 @@
     assert statuses == [200, 200, 200, 503, 503]
     assert all(b"X-Not-Processed: 1" in head for status, head in responses if status == 503)
     assert server.counts.max_in_flight == 2
-    assert (await send_request(server.port, number=None))[0] == 404
+    assert (await send_request(server.port, request_id=None))[0] == 404
     server.drain()
     assert (await send_request(server.port, "9"))[0] == 503
     assert len(server.counts.requests_after_drain_s) == 1
@@ -35,4 +40,4 @@
 
 def test_in_slow_start_the_capacity_of_a_server_grows_linearly():
     server = servers.Server("s0", servers.ServerBehavior(capacity=10, cold_from=0.3, warm_s=10.0), 1)
-    assert [server.capacity_at(server.started_s + t) for t in (0, 5, 10, 60)] == [3, 6, 10, 10]
+    assert [server.capacity_at(server.started_s + age_s) for age_s in (0, 5, 10, 60)] == [3, 6, 10, 10]
