--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -38,8 +38,8 @@
     plan: Plan
     shape: schedule.Shape | None  # None: no load, run until Ctrl-C (or for `seconds`)
     seconds: float  # 0: no time limit
-    leave_at_s: float | None  # time at which server s0 drains; it is killed after grace_s; None for never
-    grace_s: float
+    leave_at_s: float | None  # time from the start at which server s0 drains; None for never
+    grace_s: float  # time from the start of the drain until the server is killed
 
 
 async def run(
@@ -47,12 +47,16 @@
     print_line: Print = click.echo,
     inject_faults: Callable[[Site], Awaitable[None]] | None = None,
 ) -> int:
-    """Run the demo and return its exit code.
+    """Run the demo and return its exit code: EXIT_OK, or EXIT_RULE_BROKEN if a rule was broken.
 
     Args:
         options: Options of the run.
         print_line: Called with each line of output.
         inject_faults: Coroutine function that runs during the load, for tests and scripts.
+
+    Raises:
+        OSError: A fake could not listen.
+        RuntimeError: A limiter was not ready in time, or ended before.
     """
     stopping = asyncio.Event()
     async with Site(options.plan) as site:
@@ -111,7 +115,7 @@
 
 
 async def print_counts(site: Site, load: client.Client, print_line: Print, stopping: asyncio.Event) -> None:
-    """Print a line per second: operations sent, their outcomes so far, and requests at the servers."""
+    """Print a line of counts every `LIVE_INTERVAL_S`: operations, their outcomes, requests to the fakes."""
     while not stopping.is_set():
         await asyncio.sleep(LIVE_INTERVAL_S)
         counts, servers = load.tally.counts, site.pool.totals()
@@ -141,13 +145,13 @@
             print_line(line)
         violations += _load_violations(tally)
     servers = site.pool.totals()
-    late = [
+    late_s = [
         after_s
         for after_s in servers.requests_after_drain_s
         if after_s > options.grace_s + MAX_DISCOVERY_DELAY_S
     ]
-    if late:
-        violations.append(f"{len(late)} operations reached a draining server after the grace period")
+    if late_s:
+        violations.append(f"{len(late_s)} operations reached a draining server after the grace period")
     print_line(
         f"servers: received {servers.requests}, completed {servers.completed}, errors {servers.errors}, "
         f"rejected {servers.rejected}; counter: {site.counter.stats.added} additions"
@@ -163,6 +167,7 @@
 
 
 def _load_violations(tally: client.Tally) -> list[str]:
+    """Return the violations of the rule that every operation sent has exactly one outcome."""
     violations = []
     if tally.counts["lost"]:
         violations.append(f"{tally.counts['lost']} operations were not answered in time")
@@ -172,7 +177,7 @@
 
 
 def main(options: DemoOptions) -> int:
-    """Run the demo on the limiter's event loop implementation and return its exit code."""
+    """Run the demo on the event loop implementation that the limiter uses, and return its exit code."""
     from lapisgrade.net import event_loop
 
     try:
--- a/lapisgrade/cli/fake_site.py
+++ b/lapisgrade/cli/fake_site.py
@@ -76,7 +76,11 @@
 
 
 async def _run_fakes(server_count: int, seed: int) -> None:
-    """Run a counter, a discovery agent and servers until SIGINT or SIGTERM."""
+    """Run a fake counter, a fake discovery agent and fake servers until SIGINT or SIGTERM.
+
+    Raises:
+        OSError: An address of the sample configuration is in use.
+    """
     from lapisgrade.fakes.counter import Counter
     from lapisgrade.fakes.discovery import Discovery, ServerEntry
     from lapisgrade.fakes.servers import ServerPool
@@ -92,8 +96,8 @@
         click.echo(f"server     {server.name} {server.address}")
     click.echo("press Ctrl-C or send SIGTERM to stop")
     ending = asyncio.Event()
-    for number in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(number, ending.set)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        asyncio.get_running_loop().add_signal_handler(signal_number, ending.set)
     try:
         await ending.wait()
     finally:
--- a/lapisgrade/cli/lab_comparisons.py
+++ b/lapisgrade/cli/lab_comparisons.py
@@ -4,8 +4,8 @@
 
 from lapisgrade.cli.options import parse_names
 
-MAX_QUOTA_LIMITERS = 4000
-SERVERS_PER_LIMITER = 1.3
+MAX_QUOTA_LIMITERS = 4000  # upper bound of each number in `quota --limiters`
+SERVERS_PER_LIMITER = 1.3  # determines the default of `balancing --servers`
 
 
 @click.command()
--- a/lapisgrade/cli/lab_emulator.py
+++ b/lapisgrade/cli/lab_emulator.py
@@ -14,7 +14,7 @@
     from lapisgrade.lab.emulator.scenario import Scenario
 
 SECOND_US = 1_000_000
-MAX_BREACHES_SHOWN = 10
+MAX_BREACHES_SHOWN = 10  # printed by `run`; the result file has further ones
 
 SWEEP_COLUMNS = (
     "scenario",
@@ -95,6 +95,7 @@
 
 
 def _print_result(result: "Result", path: str) -> None:
+    """Print the outcomes, figures, cost and first breaches of a run whose result is written to `path`."""
     ends = ", ".join(f"{name} {count}" for name, count in result.ends.items())
     click.echo(f"{result.name} ({result.policy}, seed {result.seed}): {result.operations} operations: {ends}")
     click.echo(
@@ -133,9 +134,9 @@
     """Values that override those of a scenario."""
 
     limiters: int
-    spread: int | None  # None: as in the scenario
+    spread: int | None  # limiters per customer; None: as in the scenario
     policy: str
-    seconds: float | None  # None: as in the scenario
+    seconds: float | None  # length of the run; None: as in the scenario
 
     def apply(self, scenario: "Scenario") -> None:
         """Override the scenario's values.
@@ -193,7 +194,11 @@
 
 
 def _sweep_points(sizes: str, policies: str, spreads: str, seconds: float | None) -> list[SweepPoint]:
-    """Return all combinations of the comma-separated lists."""
+    """Return all combinations of the comma-separated lists.
+
+    Raises:
+        click.BadParameter: A size or spread is not a positive integer, or a policy is unknown.
+    """
     from lapisgrade.lab.emulator import scenario as scenarios
 
     try:
@@ -213,6 +218,7 @@
 
 
 def _sweep_row(scenario: "Scenario", result: "Result") -> str:
+    """Return the table row of a run, with the columns SWEEP_COLUMNS."""
     ends, quotas = result.ends, result.quotas
     return (
         f"| {result.name} | {scenario.limiters} | {scenario.spread} | {scenario.policy} "
--- a/lapisgrade/cli/lab_fleet.py
+++ b/lapisgrade/cli/lab_fleet.py
@@ -48,8 +48,9 @@
         seed_values = [int(seed) for seed in seeds.split(",")]
     except ValueError:
         raise click.BadParameter("seeds must be comma-separated integers") from None
-    is_single = len(seed_values) == 1
-    folder = Path(out) if out and is_single else None
+    is_single_seed = len(seed_values) == 1
+    # With a single seed, `out` is the folder of the run itself.
+    folder = Path(out) if out and is_single_seed else None
     runs_folder = Path(out or RUNS_FOLDER)
     findings = [
         _run_scenario(path, seed, limiters, folder, runs_folder) for path in scenarios for seed in seed_values
@@ -98,7 +99,9 @@
     folder: Path | None,
     runs_folder: Path = Path(RUNS_FOLDER),
 ) -> "Findings":
-    """Run a scenario, check its history, and save and print the findings; exit the process on an error.
+    """Run a scenario, check its history, and save, print and return the findings.
+
+    Exits the process with EXIT_INVALID_INPUT, EXIT_NOT_STARTED or EXIT_INTERRUPTED on an error.
 
     Args:
         path: File of the scenario.
@@ -129,7 +132,7 @@
 
 
 def _read_scenario(path: str, changes: dict[str, int | None]) -> tuple[str, "Scenario"]:
-    """Return a scenario's text and the scenario with the changes; exit with 2 if it is invalid."""
+    """Return a scenario's text and the scenario with the changes; exit the process if it is invalid."""
     from lapisgrade.lab.emulator import scenario as scenarios
 
     try:
--- a/lapisgrade/cli/load.py
+++ b/lapisgrade/cli/load.py
@@ -59,6 +59,11 @@
 
 
 def _read_trace(trace: TextIO, mix: schedule.Mix) -> list[schedule.PlannedOperation]:
+    """Return the operations of a trace, read as CSV if its name ends in .csv, else as JSON lines.
+
+    Raises:
+        click.BadParameter: A row is invalid; the message names the first one, if its values are the reason.
+    """
     rows: list[dict[str, Any]]
     try:
         if trace.name.endswith(".csv"):
