--- a/lapisgrade/lab/load/schedule.py
+++ b/lapisgrade/lab/load/schedule.py
@@ -26,7 +26,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """A traffic shape: `kind` is one of SHAPES, rates are in operations per second, times in seconds."""
+    """A traffic shape; rates in operations per second, times in seconds from the run's start.
+
+    Attributes:
+        kind: One of SHAPES; the module describes them.
+        rate: Base rate.
+        seconds: Duration of the run.
+        peak: Rate of the step or burst, or at the end of the ramp.
+        at_s: Start of the step or burst.
+        length_s: Duration of the burst.
+    """
 
     kind: str = "poisson"
     rate: float = 50.0
@@ -36,6 +45,11 @@
     length_s: float = 0.0
 
     def check(self) -> None:
+        """Check the values.
+
+        Raises:
+            ScheduleError: A value is out of range, or the schedule would have more than MAX_OPERATIONS.
+        """
         if self.kind not in SHAPES:
             raise ScheduleError(f"shape {self.kind!r} is not one of {', '.join(SHAPES)}")
         if min(self.rate, self.peak, self.at_s, self.length_s) < 0 or not self.seconds > 0:
@@ -66,7 +80,7 @@
         categories: Names of categories, with their shares.
         customers: Customer numbers, with their plans.
         timeouts_s: Names of categories, with their time-outs.
-        max_units: Maximum units per operation, drawn uniformly from 1 on.
+        max_units: Maximum units per operation; each operation's units are drawn uniformly from 1 to this.
         short_timeout_share: Share of the operations whose time-out is halved.
     """
 
@@ -77,8 +91,9 @@
     short_timeout_share: float = 0.0
 
 
-SHARES = {"repeatable": 0.7, "by_key": 0.2, "once": 0.1}  # of operations, by repeat safety
-CUSTOMERS = 3  # number of customers; one has the last plan, the others the first
+# Share of operations by repeat safety of the category.
+SHARES = {"repeatable": 0.7, "by_key": 0.2, "once": 0.1}
+CUSTOMERS = 3  # number of customers in the default mix; the last has the last plan, the others the first
 
 
 def default_mix(settings: dict) -> Mix:
@@ -93,56 +108,70 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedOperation:
-    """An operation of the schedule, with its due time and its time-out."""
+    """An operation of the schedule."""
 
-    due_us: int
+    due_us: int  # from the run's start
     customer: int
     plan: str
     category: str
     units: int
-    timeout_us: int
+    timeout_us: int  # time from the due time for which the customer waits for the answer
 
 
 def arrivals(shape: Shape, random: Random) -> list[int]:
-    """Return the due times in microseconds, in ascending order.
+    """Return the due times in us from the run's start, in ascending order.
 
     Raises:
         ScheduleError: The shape is invalid.
     """
     shape.check()
-    end_us, times = round(shape.seconds * SECOND), []
+    end_us, times_us = round(shape.seconds * SECOND), []
     if shape.kind == "constant":
         if shape.rate > 0:
-            gap = SECOND / shape.rate
-            times = [round(i * gap) for i in range(math.ceil(end_us / gap)) if round(i * gap) < end_us]
-        return times
-    # Thinning (Lewis and Shedler, 1979): draw at the maximum rate, keep each with probability rate / maximum.
+            gap_us = SECOND / shape.rate
+            times_us = [
+                round(i * gap_us) for i in range(math.ceil(end_us / gap_us)) if round(i * gap_us) < end_us
+            ]
+        return times_us
+    # Thinning (Lewis and Shedler, 1979): arrivals are drawn at the maximum rate, and each is kept with the
+    # probability rate / maximum rate.
     max_rate = max(shape.rate, shape.peak if shape.kind != "poisson" else 0.0)
     if max_rate <= 0:
-        return times
-    t = 0.0
+        return times_us
+    t_s = 0.0
     while True:
-        t += random.expovariate(max_rate)
-        if t * SECOND >= end_us:
-            return times
-        if shape.kind == "poisson" or random.random() * max_rate < shape.rate_at(t):
-            times.append(round(t * SECOND))
+        t_s += random.expovariate(max_rate)
+        if t_s * SECOND >= end_us:
+            return times_us
+        if shape.kind == "poisson" or random.random() * max_rate < shape.rate_at(t_s):
+            times_us.append(round(t_s * SECOND))
 
 
 def plan(shape: Shape, mix: Mix, seed: int) -> list[PlannedOperation]:
-    """Return the schedule of a run."""
+    """Return the schedule of a run.
+
+    Raises:
+        ScheduleError: The shape is invalid.
+    """
     random = Random(seed)
-    names = [name for name, _ in mix.categories]
-    weights = [share for _, share in mix.categories]
-    timeouts = dict(mix.timeouts_s)
+    categories = [name for name, _ in mix.categories]
+    shares = [share for _, share in mix.categories]
+    timeouts_s = dict(mix.timeouts_s)
     planned = []
-    for due in arrivals(shape, random):
-        category = random.choices(names, weights)[0]
+    for due_us in arrivals(shape, random):
+        category = random.choices(categories, shares)[0]
         customer, plan_name = mix.customers[random.randrange(len(mix.customers))]
-        timeout = timeouts.get(category, 1.0) * (0.5 if random.random() < mix.short_timeout_share else 1.0)
+        timeout_s = timeouts_s.get(category, 1.0) * (
+            0.5 if random.random() < mix.short_timeout_share else 1.0
+        )
         planned.append(
             PlannedOperation(
-                due, customer, plan_name, category, random.randint(1, mix.max_units), round(timeout * SECOND)
+                due_us,
+                customer,
+                plan_name,
+                category,
+                random.randint(1, mix.max_units),
+                round(timeout_s * SECOND),
             )
         )
     return planned
@@ -151,16 +180,18 @@
 def from_trace(rows: list[dict], mix: Mix) -> list[PlannedOperation]:
     """Return the schedule of a recorded trace.
 
-    Its rows have `t_s`, `customer` and `category`, and optionally `plan`, `units` and `timeout_s`.
+    Its rows have `t_s` (seconds from the run's start), `customer` and `category`, and optionally `plan`,
+    `units` (default 1) and `timeout_s`. The default plan and time-out are those of the mix; they are "basic"
+    and 1 s for a customer or category that the mix does not have.
 
     Raises:
         ScheduleError: A row is invalid; the message names the first one.
     """
-    plans, timeouts, planned = dict(mix.customers), dict(mix.timeouts_s), []
+    plans, timeouts_s, planned = dict(mix.customers), dict(mix.timeouts_s), []
     for number, row in enumerate(rows, 1):
         try:
             customer, category = int(row["customer"]), str(row["category"])
-            timeout_s = float(row.get("timeout_s") or timeouts.get(category, 1.0))
+            timeout_s = float(row.get("timeout_s") or timeouts_s.get(category, 1.0))
             plan_name = str(row.get("plan") or plans.get(customer, "basic"))
             planned.append(
                 PlannedOperation(
@@ -181,5 +212,5 @@
             or not 0 <= customer < 2**33
         ):
             raise ScheduleError(f"trace row {number}: t_s, customer, units or timeout_s is out of range")
-    planned.sort(key=lambda each: each.due_us)
+    planned.sort(key=lambda operation: operation.due_us)
     return planned
--- a/lapisgrade/lab/report/plots.py
+++ b/lapisgrade/lab/report/plots.py
@@ -1,7 +1,7 @@
 """Plots and an HTML page for one or more runs of the emulator, from their JSON results.
 
-Each run has a plot of its operations per second by outcome, and its figures. Several runs are also compared
-in a bar chart. The page embeds the picture, so that it is a single file.
+The picture has a plot per run of its operations per second by outcome, and for several runs a bar chart that
+compares them. The page has a table of the runs' figures and embeds the picture, so that it is a single file.
 """
 
 import base64
@@ -38,6 +38,11 @@
 
 
 def load(path: str) -> dict[str, Any]:
+    """Return the result of a run, as `lapisgrade lab run` writes it.
+
+    Raises:
+        RunFileError: The file can't be read, or is not such a result.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             run = json.load(file)
@@ -49,7 +54,7 @@
 
 
 def figures(run: dict[str, Any]) -> dict[str, float]:
-    """Return the figures by which runs are compared."""
+    """Return the figures by which runs are compared, by the names in FIGURES."""
     operations = max(1, run["operations"])
     return {
         "payoff_share": run["payoff_share"],
@@ -67,6 +72,7 @@
 
 
 def label(run: dict[str, Any]) -> str:
+    """Return the name, policy and seed of a run."""
     return f"{run['name']} ({run['policy']}, seed {run['seed']})"
 
 
@@ -79,11 +85,11 @@
             values = run["series"].get(name, [])
             if any(values):
                 axis.plot(range(1, len(values) + 1), values, label=name)
-        for at_s, kind, target in run.get("faults", []):
-            axis.axvline(at_s / 1e6, color="grey", linestyle=":", linewidth=1)
+        for at_us, kind, target in run.get("faults", []):
+            axis.axvline(at_us / 1e6, color="grey", linestyle=":", linewidth=1)
             axis.annotate(
                 f"{kind} {target}",
-                (at_s / 1e6, axis.get_ylim()[1]),
+                (at_us / 1e6, axis.get_ylim()[1]),
                 fontsize=7,
                 rotation=90,
                 va="top",
@@ -109,10 +115,10 @@
         axis.legend(fontsize=7)
         axis.set_title("side by side", fontsize=10)
     fig.tight_layout()
-    out = io.BytesIO()
-    fig.savefig(out, format="png", dpi=DPI)
+    png = io.BytesIO()
+    fig.savefig(png, format="png", dpi=DPI)
     plt.close(fig)
-    return out.getvalue()
+    return png.getvalue()
 
 
 def page(runs: list[dict[str, Any]], png: bytes) -> str:
@@ -127,10 +133,10 @@
         )
         rows.append(f"<tr><th>{html.escape(label(run))}</th>{cells}</tr>")
     breaches = [
-        f"<li>{html.escape(run['name'])}: rule {b['rule']}, {html.escape(b['what'])}, "
-        f"operation {html.escape(b['operation'])}, step {b['step']}</li>"
+        f"<li>{html.escape(run['name'])}: rule {breach['rule']}, {html.escape(breach['what'])}, "
+        f"operation {html.escape(breach['operation'])}, step {breach['step']}</li>"
         for run in runs
-        for b in run["breaches"][:20]
+        for breach in run["breaches"][:20]
     ]
     picture = base64.b64encode(png).decode()
     return (
@@ -143,7 +149,11 @@
 
 
 def report(paths: list[str], out: str) -> list[str]:
-    """Write `out`.png and `out`.html for the runs at `paths`; return the paths written."""
+    """Write `out`.png and `out`.html for the runs at `paths`; return the paths written.
+
+    Raises:
+        RunFileError: A run can't be read.
+    """
     runs = [load(path) for path in paths]
     png = draw(runs)
     target = Path(out)
--- a/tests/lab/load/test_load.py
+++ b/tests/lab/load/test_load.py
@@ -9,8 +9,8 @@
 from lapisgrade.lab.load import client, schedule
 
 
-def run(work, seconds=60):
-    return asyncio.run(asyncio.wait_for(work, seconds))
+def run(coroutine, timeout_s=60):
+    return asyncio.run(asyncio.wait_for(coroutine, timeout_s))
 
 
 SECOND = 1_000_000
@@ -21,12 +21,12 @@
 
 def test_a_schedule_is_determined_by_its_seed_and_follows_its_shape():
     burst = schedule.Shape("burst", rate=20, seconds=10, peak=200, at_s=4, length_s=2)
-    one, two = schedule.plan(burst, MIX, 5), schedule.plan(burst, MIX, 5)
-    assert one == two
-    assert one != schedule.plan(burst, MIX, 6)
-    inside = sum(4 * SECOND <= each.due_us < 6 * SECOND for each in one)
-    assert 300 < inside < 500
-    assert 100 < len(one) - inside < 220
+    planned, planned_again = schedule.plan(burst, MIX, 5), schedule.plan(burst, MIX, 5)
+    assert planned == planned_again
+    assert planned != schedule.plan(burst, MIX, 6)
+    in_burst_count = sum(4 * SECOND <= operation.due_us < 6 * SECOND for operation in planned)
+    assert 300 < in_burst_count < 500
+    assert 100 < len(planned) - in_burst_count < 220
     assert len(schedule.arrivals(schedule.Shape("constant", 50, 2), None)) == 100
     with pytest.raises(schedule.ScheduleError, match="not one of"):
         schedule.arrivals(schedule.Shape("wave"), None)
@@ -35,7 +35,7 @@
 
 
 def test_a_stall_of_one_second_shows_across_the_distribution():
-    async def go():
+    async def run_with_stall():
         server = await servers.Server(
             "s0", servers.ServerBehavior(capacity=500, queue=500, median_s=0.002), 3
         ).open()
@@ -46,18 +46,19 @@
         await server.kill()
         return tally
 
-    tally = run(go())
+    tally = run(run_with_stall())
     latency = tally.all_latency()
     assert tally.counts["finished"] == 300
     assert tally.counts["lost"] == 0
     assert latency.get_value_at_percentile(99) >= 900_000
     # Operations due in the first half of the stall, a sixth of all, waited half a second or more.
-    slow = sum(
+    slow_count = sum(
         count
         for value, count in (
-            (v.value_iterated_to, v.count_added_in_this_iter_step) for v in latency.get_recorded_iterator()
+            (step.value_iterated_to, step.count_added_in_this_iter_step)
+            for step in latency.get_recorded_iterator()
         )
         if value >= 500_000
     )
-    assert slow >= 0.13 * 300
-    assert tally.lag.get_value_at_percentile(99) < 100_000  # the tool itself was on time
+    assert slow_count >= 0.13 * 300
+    assert tally.lag.get_value_at_percentile(99) < 100_000  # us: the tool itself was on time
