--- a/lapisgrade/lab/fleet/load.py
+++ b/lapisgrade/lab/fleet/load.py
@@ -90,17 +90,17 @@
         """Choose a limiter of the set, preferably one that isn't avoided."""
         members = [(first + k) % len(self.targets) for k in range(self.spread)]
         now = asyncio.get_running_loop().time()
-        return self.chance.choice([each for each in members if self._avoided_until[each] <= now] or members)
+        return self.random.choice([each for each in members if self._avoided_until[each] <= now] or members)
 
     async def _run_attempts(self, due: ScheduledOperation, due_us: int) -> None:
         loop, category = asyncio.get_running_loop(), due.category
-        origin = f"{self.chance.getrandbits(64):016x}"
+        origin = f"{self.random.getrandbits(64):016x}"
         key = (
-            f"{self.chance.getrandbits(128):032x}"
+            f"{self.random.getrandbits(128):032x}"
             if category.repeat_safety is RepeatSafety.DEDUPLICATED
             else ""
         )
-        number, may_retry = origin, self.chance.random() < self.scenario.retry_share
+        number, may_retry = origin, self.random.random() < self.scenario.retry_share
         for _ in range(MAX_ATTEMPTS):
             limiter, planned = self.choose_limiter(due.first), due.planned
             ends_us = due_us + planned.timeout_us
@@ -142,7 +142,7 @@
                 await asyncio.sleep(max(advice, DEFAULT_RETRY_DELAY_S))
             else:
                 return
-            number, due_us = f"{self.chance.getrandbits(64):016x}", h.now_us()
+            number, due_us = f"{self.random.getrandbits(64):016x}", h.now_us()
 
 
 class Load:
--- a/lapisgrade/lab/load/client.py
+++ b/lapisgrade/lab/load/client.py
@@ -160,7 +160,7 @@
             max_connections: Maximum number of connections to each limiter.
         """
         self.targets, self.max_connections = targets, max_connections
-        self.chance = Random(seed)
+        self.random = Random(seed)
         self.tally = Tally()
         # Each by limiter: idle connections, number of open ones, and operations that wait for one.
         self._idle: list[deque[Connection]] = [deque() for _ in targets]
@@ -204,9 +204,9 @@
         loop = asyncio.get_running_loop()
         self.tally.lag.record_value(max(1, round((loop.time() - due_s) * SECOND)))
         self._number += 1
-        request_id = f"{self.chance.getrandbits(64):016x}"
-        limiter = self.chance.randrange(len(self.targets))
-        idempotency_key = f"{self.chance.getrandbits(128):032x}" if planned.category == "ticket" else ""
+        request_id = f"{self.random.getrandbits(64):016x}"
+        limiter = self.random.randrange(len(self.targets))
+        idempotency_key = f"{self.random.getrandbits(128):032x}" if planned.category == "ticket" else ""
         is_read = planned.category == "read"
         request, body = make_request(planned, request_id, idempotency_key, is_read, len(self.targets), 0)
         deadline_s = due_s + (planned.timeout_us + GRACE_US) / SECOND
