--- a/lapisgrade/cli/demo.py
+++ b/lapisgrade/cli/demo.py
@@ -56,7 +56,7 @@
 
     Raises:
         OSError: A fake could not listen.
-        RuntimeError: A limiter was not ready in time, or ended before.
+        RuntimeError: A limiter was not ready in time, or ended before it was ready.
     """
     stopping = asyncio.Event()
     async with Site(options.plan) as site:
--- a/lapisgrade/cli/load.py
+++ b/lapisgrade/cli/load.py
@@ -62,7 +62,7 @@
     """Return the operations of a trace, read as CSV if its name ends in .csv, else as JSON lines.
 
     Raises:
-        click.BadParameter: A row is invalid; the message names the first one, if its values are the reason.
+        click.BadParameter: A line is not valid JSON, or a row has an invalid or missing value.
     """
     rows: list[dict[str, Any]]
     try:
--- a/lapisgrade/members/messages.py
+++ b/lapisgrade/members/messages.py
@@ -26,7 +26,7 @@
     address: str
     incarnation: int  # raised only by the member itself, when it restarts or refutes an update
     state: int  # a MemberState; receivers reject other values
-    reporter: str = ""  # member that suspects it or that first reported its death; empty if there is none
+    reporter: str = ""  # member that suspects it or that first reported its death; empty if none is known
 
 
 class Ping(msgspec.Struct, array_like=True, tag="p", frozen=True):
--- a/tests/members/test_processes.py
+++ b/tests/members/test_processes.py
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize(
-    "link", [Link(), Link(loss_rate=0.2, duplicate_rate=0.1, reorder_rate=0.1)], ids=["sound", "lossy"]
+    "link", [Link(), Link(loss_rate=0.2, duplicate_rate=0.1, reorder_rate=0.1)], ids=["fault-free", "lossy"]
 )
 async def test_a_partitioned_member_is_declared_dead_and_is_alive_again_after_the_partition_heals(
     link, tmp_path
