--- a/lapisgrade/cli/load.py
+++ b/lapisgrade/cli/load.py
@@ -59,6 +59,11 @@
 
 
 def _read_trace(trace: TextIO, mix: schedule.Mix) -> list[schedule.PlannedOperation]:
+    """Return the operations of a trace, read as CSV if its name ends in .csv, else as JSON lines.
+
+    Raises:
+        click.BadParameter: A line is not valid JSON, or a row has an invalid or missing value.
+    """
     rows: list[dict[str, Any]]
     try:
         if trace.name.endswith(".csv"):
