--- a/lapisgrade/lab/emulator/metrics.py
+++ b/lapisgrade/lab/emulator/metrics.py
@@ -1,6 +1,6 @@
 """Metrics of an emulated run, per second and in total, and its result.
 
-Latencies of finished operations go into an HdrHistogram (the `hdrhistogram` package), in microseconds. The
+An HdrHistogram (package `hdrhistogram`) holds the latencies of finished operations in microseconds. The
 payoff share is the value earned (full value within the latency target, late value until the deadline) over
 the value that all operations could have earned.
 """
@@ -12,25 +12,46 @@
 
 from lapisgrade.lab import quota
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # us
+# How an operation ends: answered by a server, rejected as retryable, rejected as failed, never answered,
+# abandoned by its client, or answered by the front end because its limiter died or none was alive.
 ENDS = ("finished", "turned back", "given up", "lost", "left", "front")
-PERCENTILES = (50.0, 90.0, 99.0, 99.9)
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)  # of the latency, in the result
 
 
 @dataclass(slots=True)
 class Result:
-    """Result of one run, in values that JSON can represent.
+    """Result of one run, in values that JSON can represent; the field names are the keys of a result file.
 
     Attributes:
-        ends: Number of operations by how they ended.
+        name: The scenario's name.
+        policy: Policy of the limiters.
+        seed: Seed of all random numbers.
+        limiters: Number of limiters.
+        servers: Number of servers.
+        customers: Number of customers.
+        seconds: Simulated time in which clients send operations.
+        operations: Number of operations that clients sent.
+        ends: Number of operations by how they ended, see ENDS.
+        payoff_share: Value earned, as a share of the value that could have been earned.
+        latency_ms: Percentiles and maximum of the latency of finished operations.
+        breaches: The first breaches of rules, see `rules.Breach`.
+        broken: Number of all breaches.
         nearest_ceiling: Largest use of a rate limit's slack, as a share of it.
         most_cold_share: Largest load of a cold server, as a share of its overload limit.
         overshoot: Customers' units finished beyond their quotas, as shares of the quotas.
         quotas: Excess and shortfall over all windows; see `lab/quota.py`.
+        counter_calls: Number of calls to the shared counter.
+        counter_unanswered: Number of those calls that the counter did not answer.
+        hops: Number of attempts sent.
         spread: Operations of the busiest limiter over the mean.
-        advised: Rejections with a Retry-After time.
-        series: Arrivals and ends, by name, for each second.
-        faults: Time in microseconds, kind and target of each fault.
+        advised: Number of retryable rejections with a Retry-After time.
+        series: Number of arrivals and of each end, by name, for each second.
+        faults: Time in microseconds from the start, kind and target of each fault.
+        events: Number of simulated events.
+        wall_s: Real duration of the run.
+        events_per_s: Simulated events per second of real time.
+        peak_mb: Largest resident memory of the process so far, in MiB.
     """
 
     name: str
@@ -63,6 +84,7 @@
     peak_mb: float
 
     def as_dict(self) -> dict[str, Any]:
+        """Return the result as a dictionary, for JSON."""
         return asdict(self)
 
 
@@ -71,13 +93,20 @@
     """Counters of a running emulation.
 
     Attributes:
+        scenario: The scenario.
+        latency: Latencies of finished operations in us, up to 600 s.
+        ends: Number of operations by how they ended, see ENDS.
         earned_value: Value of the operations finished in time.
         possible_value: Value of all operations if all had met their latency targets.
-        retry_after_count: Rejections with a Retry-After time.
-        oversized_add_count: Additions to the counter of more than 1e9 units.
-        operations_by_limiter: Operations received, by the limiter's index.
-        quotas: Quota use by customer, counting operations when their first attempt is sent.
+        operation_count: Number of operations that clients sent.
+        attempt_count: Number of attempts sent.
+        retry_after_count: Number of retryable rejections with a Retry-After time.
+        oversized_add_count: Number of adds to the counter of more than 1e9 units.
+        operations_by_limiter: Number of operations received, by the limiter's index.
+        quotas: Quota use by customer; an operation counts as admitted when its first attempt is sent.
         finished_units: Units of finished operations, by customer.
+        series: Number of arrivals and of each end, by name, for each second that is over.
+        faults: Time in us from the start, kind and target of each fault.
     """
 
     scenario: Any
@@ -97,65 +126,83 @@
     faults: list = field(default_factory=list)
 
     def on_arrival(self, record) -> None:
+        """Count an operation that a client sends."""
         self.operation_count += 1
         self._this_second["arrived"] += 1
-        op = record.op
-        self.possible_value += op.category.value * op.units
-        self.quota_of(op).on_arrival(op.units, op.arrived_us)
+        operation = record.op
+        self.possible_value += operation.category.value * operation.units
+        self.quota_of(operation).on_arrival(operation.units, operation.arrived_us)
 
-    def quota_of(self, op) -> quota.Quota:
-        known = self.quotas.get(op.customer)
-        if known is None:
-            known = self.quotas[op.customer] = quota.Quota(op.plan.rate, op.plan.burst, SECOND)
-        return known
+    def quota_of(self, operation) -> quota.Quota:
+        """Return the quota use of the operation's customer; it starts at the start of the run."""
+        usage = self.quotas.get(operation.customer)
+        if usage is None:
+            usage = self.quotas[operation.customer] = quota.Quota(
+                operation.plan.rate, operation.plan.burst, SECOND
+            )
+        return usage
 
     def on_admission(self, record, now_us: int) -> None:
-        """Count the operation as admitted when its first attempt is sent."""
+        """Count an operation as admitted, as its first attempt is sent."""
         self.quota_of(record.op).on_admission(record.op.units, now_us)
 
     def count_end(self, name: str) -> None:
+        """Count an operation that ended; `name` is one of ENDS."""
         self.ends[name] += 1
         self._this_second[name] += 1
 
     def on_operation_routed(self, index: int) -> None:
+        """Count an operation for the limiter that receives it."""
         self.operations_by_limiter[index] = self.operations_by_limiter.get(index, 0) + 1
 
     def on_attempt(self) -> None:
+        """Count an attempt that is sent."""
         self.attempt_count += 1
 
     def on_finished(self, record, now_us: int) -> None:
-        op = record.op
-        latency_us = now_us - op.arrived_us
+        """Count a server's response that reaches the client, with its latency and its value."""
+        operation = record.op
+        latency_us = now_us - operation.arrived_us
         self.count_end("finished")
         self.latency.record_value(max(1, min(latency_us, 600 * SECOND)))
-        if latency_us <= op.category.latency_target_us:
-            self.earned_value += op.category.value * op.units
-        elif latency_us <= op.category.timeout_us:
-            self.earned_value += op.category.late_value * op.units
-        self.finished_units[op.customer] = self.finished_units.get(op.customer, 0.0) + op.units
+        if latency_us <= operation.category.latency_target_us:
+            self.earned_value += operation.category.value * operation.units
+        elif latency_us <= operation.category.timeout_us:
+            self.earned_value += operation.category.late_value * operation.units
+        self.finished_units[operation.customer] = (
+            self.finished_units.get(operation.customer, 0.0) + operation.units
+        )
 
     def on_rejected(self, record, is_retryable: bool, has_retry_after: bool) -> None:
+        """Count a rejection."""
         self.count_end("turned back" if is_retryable else "given up")
         self.retry_after_count += has_retry_after and is_retryable
 
     def on_unanswered(self, record) -> None:
+        """Count an operation without an answer by its deadline and the grace period."""
         self.count_end("lost")
 
     def on_abandoned(self, record) -> None:
+        """Count an operation whose client disconnected before the answer."""
         self.count_end("left")
 
     def on_front_end_answer(self, record) -> None:
-        """Count an operation whose limiter died, or whose limiters are all dead; the front end answers it."""
+        """Count an operation that the front end answers: its limiter died, or none of its set is alive."""
         self.count_end("front")
 
     def end_second(self, world) -> None:
+        """Append the counts of the second that is over to the series, and reset them."""
         for name, count in self._this_second.items():
             self.series[name].append(count)
             self._this_second[name] = 0
 
     def overshoot(self, world) -> dict[str, float]:
-        """Return how far finished units exceed customers' quotas over the run, as shares of them."""
-        seconds = world.scenario.seconds_us / SECOND + 5  # margin for the latest deadlines
+        """Return the distribution, over customers, of finished units beyond the quota as a share of it.
+
+        The quota over the run is burst + rate x time. Customers with a quota and a finished operation count.
+        """
+        # 5 s more than the clients send: the last operations may finish until their deadlines.
+        seconds = world.scenario.seconds_us / SECOND + 5
         shares = []
         for customer in world.customers.all:
             allowed = customer.plan.burst + customer.plan.rate * seconds
@@ -173,30 +220,34 @@
         }
 
     def result(self, world, wall_s: float, peak_bytes: int) -> Result:
-        sc = world.scenario
-        latency = {f"p{p:g}": self.latency.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
+        """Return the result of a run that took `wall_s` of real time and `peak_bytes` of memory."""
+        scenario = world.scenario
+        latency = {
+            f"p{percentile:g}": self.latency.get_value_at_percentile(percentile) / 1000
+            for percentile in PERCENTILES
+        }
         latency["max"] = self.latency.get_max_value() / 1000
         operation_counts = list(self.operations_by_limiter.values()) or [0]
         mean = sum(operation_counts) / len(operation_counts)
         events = world.sim.events
         return Result(
-            sc.name,
-            sc.policy,
-            sc.seed,
-            sc.limiters,
-            sc.servers,
-            sc.customers,
-            sc.seconds_us / SECOND,
+            scenario.name,
+            scenario.policy,
+            scenario.seed,
+            scenario.limiters,
+            scenario.servers,
+            scenario.customers,
+            scenario.seconds_us / SECOND,
             self.operation_count,
             dict(self.ends),
             self.earned_value / self.possible_value if self.possible_value else 0.0,
             latency,
-            [asdict(each) for each in world.rules.breaches],
+            [asdict(breach) for breach in world.rules.breaches],
             world.rules.breach_count,
             world.rules.nearest_ceiling,
             world.rules.most_cold_share,
             self.overshoot(world),
-            quota.summary(list(self.quotas.values()), sc.seconds_us / SECOND),
+            quota.summary(list(self.quotas.values()), scenario.seconds_us / SECOND),
             world.counter.counts["calls"],
             world.counter.counts["unanswered"],
             self.attempt_count,
--- a/lapisgrade/lab/emulator/model.py
+++ b/lapisgrade/lab/emulator/model.py
@@ -1,6 +1,6 @@
 """Models of the servers and the shared counter in simulated time. No I/O.
 
-Times are whole microseconds. Each part draws from a seeded `random.Random` of its own.
+Times are whole microseconds. Each server and the counter draws from its own seeded `random.Random`.
 """
 
 import math
@@ -11,21 +11,21 @@
 
 from lapisgrade.interface import AttemptOutcome, CounterOutcome, ServerState
 
-SECOND = 1_000_000
-NETWORK_DELAY_US = 150  # one way between any two parts, as on a loopback or within a rack
-REJECT_DELAY_US = 300  # until a full or draining server rejects an attempt
-CONNECT_FAILURE_DELAY_US = 1_000  # until a connection attempt to a removed server fails
-FAST_ERROR_DELAY_US = 500  # until a server in mode FAST_ERRORS responds with status 500
+SECOND = 1_000_000  # us
+NETWORK_DELAY_US = 150  # one way between any two processes, as on a loopback or within a rack
+REJECT_DELAY_US = 300  # from an attempt's arrival at a full or draining server to its rejection
+CONNECT_FAILURE_DELAY_US = 1_000  # until a connection to a removed server fails
+FAST_ERROR_DELAY_US = 500  # from an attempt's arrival to the status 500 of mode FAST_ERRORS
 
 
 class Mode(Enum):
-    """Current behavior of a server or the counter."""
+    """Behavior of a server or the counter; the counter has only NORMAL, SLOW and SILENT."""
 
     NORMAL = "well"
-    SLOW = "slow"  # service times are multiplied by `factor`
+    SLOW = "slow"  # a server's service times are multiplied by `factor`, the counter's by 10
     FAILING = "failing"  # a share `factor` of the operations ends with status 500 after the usual time
     FAST_ERRORS = "fast_errors"  # every operation ends with status 500 at once
-    SILENT = "silent"  # accepts work and never responds
+    SILENT = "silent"  # accepts operations or calls and never responds
 
 
 @dataclass(slots=True)
@@ -33,12 +33,12 @@
     """Capacity, service time and slow start of one server.
 
     Attributes:
-        capacity: Operations that run concurrently.
-        queue: Operations that wait beyond them.
+        capacity: Operations that run concurrently once the server is warm.
+        queue: Further operations that may wait; a full queue rejects.
         median_us: Median of the log-normal service time.
-        sigma: Sigma of the log-normal service time.
-        cold_from: Share of the capacity available at the start.
-        warm_us: Time until the full capacity is available.
+        sigma: Standard deviation of the service time's natural logarithm.
+        cold_from: Share of the capacity that a server has when it starts.
+        warm_us: Duration of the slow start, in which the capacity grows linearly; 0: none.
     """
 
     capacity: int = 16
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """An attempt at a server, and the limiter that sent it."""
+    """An attempt that a server accepted, and the limiter that sent it."""
 
     attempt: object
     limiter: object
@@ -60,7 +60,17 @@
 
 
 class Server:
-    """A server with capacity, queue, slow start, a mode, and its state at discovery."""
+    """A server with a capacity, a queue, a slow start and a mode.
+
+    Attributes:
+        started_us: Time of the last start.
+        state: State as discovery will notify it.
+        factor: Parameter of the mode, see `Mode`.
+        running: Number of operations in execution.
+        queued: Attempts that wait for execution.
+        counts: Number of attempts by what became of them.
+        peak_load: Largest load so far.
+    """
 
     __slots__ = (
         "cell",
@@ -81,6 +91,7 @@
     def __init__(
         self, name: str, zone: str, cell: int, parameters: ServerParameters, seed: int, started_us: int
     ) -> None:
+        """Create a ready server that started at `started_us`."""
         self.name, self.zone, self.cell, self.parameters = name, zone, cell, parameters
         self.random = Random(seed)
         self.started_us = started_us
@@ -92,7 +103,7 @@
         self.peak_load = 0
 
     def capacity(self, now_us: int) -> int:
-        """Return how many operations run concurrently now; grows from `cold_from` during slow start."""
+        """Return how many operations may run concurrently now; it grows during the slow start."""
         parameters = self.parameters
         warm = 1.0 if parameters.warm_us <= 0 else min(1.0, (now_us - self.started_us) / parameters.warm_us)
         return max(
@@ -101,6 +112,7 @@
         )
 
     def is_cold(self, now_us: int) -> bool:
+        """Return whether the slow start is still in progress."""
         return self.parameters.warm_us > 0 and now_us - self.started_us < self.parameters.warm_us
 
     def load(self) -> int:
@@ -114,11 +126,13 @@
         self.queued.clear()
 
     def draw_service_time_us(self) -> int:
+        """Draw the duration of one operation in the current mode."""
         parameters = self.parameters
         duration = parameters.median_us * math.exp(parameters.sigma * self.random.gauss(0.0, 1.0))
         return max(1, round(duration * (self.factor if self.mode is Mode.SLOW else 1.0)))
 
     def draw_is_error(self) -> bool:
+        """Draw whether an operation ends with status 500 in the current mode."""
         return self.mode is Mode.FAILING and self.random.random() < self.factor
 
 
@@ -127,9 +141,9 @@
     """Latency and throughput of the shared counter.
 
     Attributes:
-        median_us: Median of the log-normal call time.
-        sigma: Sigma of the log-normal call time.
-        calls_per_s: Calls processed per second, one after another; further calls queue.
+        median_us: Median of the log-normal call duration, without network delay and waiting.
+        sigma: Standard deviation of the call duration's natural logarithm.
+        calls_per_s: Throughput; calls are processed one after another, and wait for their turn.
     """
 
     median_us: int = 1_000
@@ -141,11 +155,12 @@
     """The shared counter: one queue of calls, and one store, or two after a split.
 
     Attributes:
-        stores: Total and expiry time in microseconds, by counter id.
-        next_call_us: Time at which the next call can be processed.
-        is_down: No call is answered.
-        unreachable_from: Limiters that can't reach the counter.
+        stores: For each store: total in units and expiry time in us, by counter id.
+        next_call_us: Earliest time at which the next call is processed.
+        is_down: Whether no call is answered.
+        unreachable_from: Indexes of the limiters that can't reach the counter.
         split_from: Limiters from this index on use the second store; None without a split.
+        counts: Number of calls, of calls that added, and of calls without a reply.
     """
 
     __slots__ = (
@@ -161,6 +176,7 @@
     )
 
     def __init__(self, parameters: CounterParameters, seed: int) -> None:
+        """Create a counter with an empty store."""
         self.parameters = parameters
         self.random = Random(seed)
         self.stores: list[dict[int, tuple[float, int]]] = [{}]
@@ -174,10 +190,10 @@
     def call(
         self, limiter: int, counter_id: int, amount: float, ttl_us: int, now_us: int
     ) -> tuple[int, CounterOutcome, float]:
-        """Add to a counter.
+        """Add `amount` units for the limiter with that index; the first add sets the total's expiry.
 
         Returns:
-            The time at which the reply reaches the limiter (-1 if there is none), the outcome, and the total.
+            The time in us at which the reply reaches the limiter (-1: never), its outcome, and the total.
         """
         self.counts["calls"] += 1
         if self.is_down or limiter in self.unreachable_from or self.mode is Mode.SILENT:
@@ -199,10 +215,11 @@
         return round(start + duration + NETWORK_DELAY_US), CounterOutcome.ADDED, total
 
     def restart(self) -> None:
-        """Restart with empty stores."""
+        """Empty all stores, as a restart does."""
         self.stores = [{} for _ in self.stores]
 
     def delete_expired(self, now_us: int) -> None:
+        """Delete expired totals, to bound the memory; `call` ignores them anyway."""
         for store in self.stores:
             for counter_id in [
                 counter_id for counter_id, (_, expires_us) in store.items() if expires_us <= now_us
@@ -211,7 +228,7 @@
 
 
 def immediate_outcome(server: Server, now_us: int) -> AttemptOutcome | None:
-    """Return the outcome of an attempt that the server doesn't accept, or None if it accepts it."""
+    """Return the outcome of an attempt that the server rejects at once, or None if it accepts it."""
     if server.state is ServerState.REMOVED:
         return AttemptOutcome.CONNECT_FAILED
     if server.mode is Mode.FAST_ERRORS:
--- a/lapisgrade/lab/emulator/world.py
+++ b/lapisgrade/lab/emulator/world.py
@@ -1,7 +1,7 @@
 """A fleet in simulated time: clients, limiters, servers, the shared counter, discovery, and faults.
 
 `World(scenario).run()` runs the scenario and returns its `Result`. The limiters run the real decision module,
-or a baseline policy, in the real engine; none of their logic is reimplemented.
+or a baseline policy, in the real engine; none of that logic is reimplemented here.
 """
 
 import resource
@@ -26,51 +26,61 @@
 from lapisgrade.lab.emulator.sim import Sim
 from lapisgrade.policy import Limiter
 
-SECOND = 1_000_000
-DISCOVERY_LAG_JITTER = 0.5  # largest extra lag of a limiter, as a share of the discovery lag; uniform
+SECOND = 1_000_000  # us
+DISCOVERY_LAG_JITTER = 0.5  # largest extra lag of an update, as a share of the discovery lag; uniform
 CANCEL_DELAY_US = 2 * model.NETWORK_DELAY_US  # a cancelled attempt ends after a round trip
-MIN_CLIENT_RETRY_DELAY_US = 100_000  # before a client retries a rejected operation
-REMOVAL_DETECTION_US = 2 * SECOND  # until discovery removes a server that was killed
+MIN_CLIENT_RETRY_DELAY_US = 100_000  # shortest time from a rejection to the client's retry
+REMOVAL_DETECTION_US = 2 * SECOND  # from a server's death to the update that removes it
 
 
 class World:
     """The fleet of one scenario.
 
-    All random numbers derive from the scenario's seed, which is split among the parts in a fixed order.
+    All random numbers derive from the scenario's seed, which is split among the parts in a fixed order. The
+    scenario starts at a simulated time of one second.
 
     Attributes:
+        random: Random numbers of clients, discovery and faults.
+        servers: Servers by name, including removed ones.
+        make_policy: Creates a limiter's policy from its clock and index.
         limiters: The current incarnation of each limiter, by index.
         records: Operations whose answer is not yet overdue, by the operation's `id()`.
-        attempts: Attempts in flight by `id()`: the limiter, the attempt as observed, and its job at a server.
-        operation_count: Operations that clients have sent.
-        rate_factor: Factor on the scenario's request rate; above 1 during a surge.
-        accepts_arrivals: Clients send operations; false once the scenario's time is over.
-        is_discovery_stale: Discovery withholds server list updates because of a fault.
+        attempts: Attempts in flight by `id()`: the limiter, the attempt as observed, and its job at a server;
+            None until a server accepts it.
+        operation_count: Number of operations that clients have sent.
+        rate_factor: Factor on the scenario's request rate; differs from 1 during a surge.
+        accepts_arrivals: Whether clients send operations; false once the scenario's time is over.
+        is_discovery_stale: Whether discovery withholds server list updates because of a fault.
         withheld_updates: Server list updates to send once that fault ends.
         fault_servers: Servers that each fault selected, by the fault's `id()`.
     """
 
     def __init__(self, scenario: Scenario, make_policy=None) -> None:
-        self.scenario = sc = scenario
+        """Start the fleet and schedule the faults; `make_policy` replaces the scenario's policy."""
+        self.scenario = scenario
         self.sim = Sim()
-        self.sim.now = SECOND  # the module's clocks start well past zero, like real clocks
-        seeds = Random(sc.seed)
+        self.sim.now = SECOND  # the limiters' clocks start well past zero, like real clocks
+        seeds = Random(scenario.seed)
         self.random = Random(seeds.getrandbits(64))
-        self.rules = rules.RuleChecker(sc.server_rules)
-        self.metrics = Metrics(sc)
-        self.counter = model.Counter(sc.counter, seeds.getrandbits(64))
+        self.rules = rules.RuleChecker(scenario.server_rules)
+        self.metrics = Metrics(scenario)
+        self.counter = model.Counter(scenario.counter, seeds.getrandbits(64))
         self.servers: dict[str, model.Server] = {}
-        for i in range(sc.servers):
-            name = f"s{i}"
-            self.servers[name] = model.Server(name, sc.zone_of(i), i % 4, sc.server, seeds.getrandbits(64), 0)
+        for index in range(scenario.servers):
+            name = f"s{index}"
+            self.servers[name] = model.Server(
+                name, scenario.zone_of(index), index % 4, scenario.server, seeds.getrandbits(64), 0
+            )
         self.make_policy = (
             make_policy
-            or {"module": self.make_module, "local": self.make_local, "central": self.make_central}[sc.policy]
+            or {"module": self.make_module, "local": self.make_local, "central": self.make_central}[
+                scenario.policy
+            ]
         )
         self.limiters: list[EmulatedLimiter] = []
-        for i in range(sc.limiters):
-            self.limiters.append(EmulatedLimiter(self, i, 0, self.make_policy))
-            self.limiters[i].on_server_list(self.server_list(), True)
+        for index in range(scenario.limiters):
+            self.limiters.append(EmulatedLimiter(self, index, 0, self.make_policy))
+            self.limiters[index].on_server_list(self.server_list(), True)
         self.records: dict[int, rules.OperationRecord] = {}
         self.attempts: dict[int, tuple[EmulatedLimiter, rules.ObservedAttempt, model.Job | None]] = {}
         self.operation_count = 0
@@ -79,31 +89,34 @@
         self.is_discovery_stale = False
         self.withheld_updates: list[ServerEndpoint] = []
         self.fault_servers: dict[int, list] = {}
-        self._changed_servers: dict[int, list[model.Server]] = {}  # changed servers, by time of change
-        self.customers = sc.customer_table(seeds.getrandbits(64))
-        for fault in sc.faults:
+        self._changed_servers: dict[int, list[model.Server]] = {}  # by time of change; removed when published
+        self.customers = scenario.customer_table(seeds.getrandbits(64))
+        for fault in scenario.faults:
             self.sim.at(SECOND + fault.at_us, self.apply_fault, fault)
 
     def make_module(self, clock, index: int):
-        sc = self.scenario
-        placement = Placement(index, sc.limiters, sc.zone_of(index))
-        seed = (sc.seed * 1_000_003 + index * 7_919 + clock.now_us) % (1 << 48)
+        """Create the real decision module, for a limiter."""
+        scenario = self.scenario
+        placement = Placement(index, scenario.limiters, scenario.zone_of(index))
+        seed = (scenario.seed * 1_000_003 + index * 7_919 + clock.now_us) % (1 << 48)
         return Limiter(
             clock,
             seed,
             placement,
-            CounterSettings(sc.uses_shared_counter, sc.counter_timeout_us),
-            sc.categories,
-            sc.server_rules,
-            sc.permissions,
+            CounterSettings(scenario.uses_shared_counter, scenario.counter_timeout_us),
+            scenario.categories,
+            scenario.server_rules,
+            scenario.permissions,
         )
 
     def make_local(self, clock, index: int):
+        """Create the baseline policy without a shared counter, for a limiter."""
         from lapisgrade.lab.baselines.local import LocalBucketPolicy
 
         return LocalBucketPolicy(clock, self.scenario.seed * 7_919 + index)
 
     def make_central(self, clock, index: int):
+        """Create the baseline policy with a counter call for each operation, for a limiter."""
         from lapisgrade.lab.baselines.central import CentralCounterPolicy
 
         return CentralCounterPolicy(clock, self.scenario.seed * 7_919 + index)
@@ -111,63 +124,69 @@
     # ---- the run
 
     def run(self) -> Result:
-        sc, sim = self.scenario, self.sim
+        """Run the scenario, then on until the last operation's answer is overdue; return the result."""
+        scenario, sim = self.scenario, self.sim
         started_s = time.perf_counter()
-        end = SECOND + sc.seconds_us
+        end_us = SECOND + scenario.seconds_us
         sim.at(SECOND, self.send_next_operation)
         sim.at(SECOND + SECOND, self.on_second)
-        sim.run(end)
+        sim.run(end_us)
         self.accepts_arrivals = False
-        max_timeout_us = max(each.timeout_us for each in sc.categories)
-        sim.run(end + max_timeout_us + rules.ANSWER_GRACE_US + SECOND)
+        max_timeout_us = max(category.timeout_us for category in scenario.categories)
+        sim.run(end_us + max_timeout_us + rules.ANSWER_GRACE_US + SECOND)
         wall_s = time.perf_counter() - started_s
-        peak_bytes = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024  # Linux reports KiB
+        # The peak of the process since its start; Linux reports it in KiB.
+        peak_bytes = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
         return self.metrics.result(self, wall_s, peak_bytes)
 
     def send_next_operation(self) -> None:
         """Send an operation from a random customer, and schedule the next one."""
         if not self.accepts_arrivals:
             return
-        sc, random, now = self.scenario, self.random, self.sim.now
+        scenario, random, now_us = self.scenario, self.random, self.sim.now
         customer = self.customers.pick(random)
-        self.send_operation(customer, random.choices(sc.categories, sc.category_shares)[0], False)
-        self.sim.after(random.expovariate(sc.rate * self.rate_factor) * SECOND, self.send_next_operation)
-        if now - SECOND >= self.scenario.seconds_us:
+        self.send_operation(customer, random.choices(scenario.categories, scenario.category_shares)[0], False)
+        self.sim.after(
+            random.expovariate(scenario.rate * self.rate_factor) * SECOND, self.send_next_operation
+        )
+        if now_us - SECOND >= self.scenario.seconds_us:
             self.accepts_arrivals = False
 
     def send_operation(self, customer, category, is_client_retry: bool) -> None:
-        sc, now = self.scenario, self.sim.now
-        first = customer.first
-        spread = min(sc.spread, sc.limiters)
-        alive = [self.limiters[(first + k) % sc.limiters] for k in range(spread)]
+        """Send an operation of random cost to a random limiter that is alive in the customer's set."""
+        scenario, now_us = self.scenario, self.sim.now
+        first_index = customer.first
+        spread = min(scenario.spread, scenario.limiters)
+        alive = [self.limiters[(first_index + offset) % scenario.limiters] for offset in range(spread)]
         alive = [limiter for limiter in alive if limiter.is_alive]
-        units = self.random.randint(1, sc.max_units)
-        op = Operation(
+        units = self.random.randint(1, scenario.max_units)
+        operation = Operation(
             customer.name,
             customer.plan,
             category,
             units,
-            now,
-            now + category.timeout_us,
+            now_us,
+            now_us + category.timeout_us,
             spread,
-            first,
+            first_index,
             is_client_retry,
         )
         self.operation_count += 1
-        record = rules.OperationRecord(op, self.operation_count)
+        record = rules.OperationRecord(operation, self.operation_count)
         self.metrics.on_arrival(record)
-        if not alive:  # the front end answers if all limiters of the set are down
+        if not alive:  # the front end answers itself
             self.metrics.on_front_end_answer(record)
             return
         limiter = alive[self.random.randrange(len(alive))]
-        self.records[id(op)] = record
-        self.sim.at(op.deadline_us + rules.ANSWER_GRACE_US, self.on_answer_overdue, record)
-        if sc.leave_share and self.random.random() < sc.leave_share:
+        self.records[id(operation)] = record
+        self.sim.at(operation.deadline_us + rules.ANSWER_GRACE_US, self.on_answer_overdue, record)
+        if scenario.leave_share and self.random.random() < scenario.leave_share:
             self.sim.after(self.random.random() * category.timeout_us, limiter.on_client_disconnected, record)
         self.metrics.on_operation_routed(limiter.index)
         limiter.on_operation(record)
 
     def on_answer_overdue(self, record: rules.OperationRecord) -> None:
+        """Check that an operation past its deadline and grace period has its answer, and drop its record."""
         self.rules.now_us, self.rules.step = self.sim.now, self.sim.events
         self.rules.on_answer_overdue(record)
         if not record.answer_count and not record.is_exempt:
@@ -175,6 +194,7 @@
         self.records.pop(id(record.op), None)
 
     def on_second(self) -> None:
+        """Close a second of the metrics; repeats until the last operation's answer is overdue."""
         self.metrics.end_second(self)
         self.counter.delete_expired(self.sim.now)
         if self.accepts_arrivals or self.records:
@@ -183,6 +203,7 @@
     # ---- requests of the limiters
 
     def send(self, limiter: EmulatedLimiter, attempt) -> None:
+        """Send an attempt to its server; it times out at the operation's deadline."""
         sim, record = self.sim, self.records.get(id(attempt.operation))
         name = attempt.server.address
         server = self.servers[name]
@@ -200,46 +221,53 @@
         sim.at(attempt.operation.deadline_us, self.on_attempt_timeout, limiter, attempt)
 
     def on_attempt_arrived(self, limiter: EmulatedLimiter, attempt) -> None:
+        """Start or queue an attempt at its server, or schedule its rejection."""
         in_flight = self.attempts.get(id(attempt))
         if in_flight is None:
             return
-        server, now = self.servers[attempt.server.address], self.sim.now
-        rejection = model.immediate_outcome(server, now)
+        server, now_us = self.servers[attempt.server.address], self.sim.now
+        rejection = model.immediate_outcome(server, now_us)
         if rejection is not None:
             count_name = "connect failed" if rejection is AttemptOutcome.CONNECT_FAILED else "rejected"
             server.counts[count_name if rejection is not AttemptOutcome.ERROR else "errors"] += 1
-            delay = {
+            delays_us = {
                 AttemptOutcome.CONNECT_FAILED: model.CONNECT_FAILURE_DELAY_US,
                 AttemptOutcome.ERROR: model.FAST_ERROR_DELAY_US,
             }
             self.sim.after(
-                delay.get(rejection, model.REJECT_DELAY_US), self.finish_attempt, limiter, attempt, rejection
+                delays_us.get(rejection, model.REJECT_DELAY_US),
+                self.finish_attempt,
+                limiter,
+                attempt,
+                rejection,
             )
             return
-        job = model.Job(attempt, limiter, now)
+        job = model.Job(attempt, limiter, now_us)
         self.attempts[id(attempt)] = (limiter, in_flight[1], job)
         server.counts["accepted"] += 1
-        if server.running < server.capacity(now):
+        if server.running < server.capacity(now_us):
             self.start_job(server, job)
         else:
             server.queued.append(job)
         load = server.load()
         server.peak_load = max(server.peak_load, load)
-        self.rules.now_us, self.rules.step = now, self.sim.events
-        self.rules.on_server_load(server.name, load, server.capacity(now), server.is_cold(now))
+        self.rules.now_us, self.rules.step = now_us, self.sim.events
+        self.rules.on_server_load(server.name, load, server.capacity(now_us), server.is_cold(now_us))
 
     def start_job(self, server: model.Server, job: model.Job) -> None:
+        """Start the execution of an accepted attempt."""
         server.running += 1
         if server.mode is model.Mode.SILENT:
             return  # the job keeps its slot; the attempt times out
         self.sim.after(server.draw_service_time_us(), self.on_job_done, server, job, server.started_us)
 
     def on_job_done(self, server: model.Server, job: model.Job, server_started_us: int) -> None:
+        """End an execution, start queued jobs, and send the response of a job that wasn't cancelled."""
         if server.started_us != server_started_us or server.state is ServerState.REMOVED:
-            return  # the server has restarted or was removed since the job started
+            return  # the job was lost: the server has restarted or was removed since it started
         server.running -= 1
-        now = self.sim.now
-        while server.queued and server.running < server.capacity(now):
+        now_us = self.sim.now
+        while server.queued and server.running < server.capacity(now_us):
             next_job = server.queued.popleft()
             if not next_job.is_cancelled:
                 self.start_job(server, next_job)
@@ -249,16 +277,22 @@
             self.sim.after(model.NETWORK_DELAY_US, self.finish_attempt, job.limiter, job.attempt, outcome)
 
     def on_attempt_timeout(self, limiter: EmulatedLimiter, attempt) -> None:
+        """End an attempt that is still in flight at the operation's deadline."""
         if id(attempt) in self.attempts:
             self.finish_attempt(limiter, attempt, AttemptOutcome.TIMED_OUT)
 
     def cancel(self, limiter: EmulatedLimiter, attempt) -> None:
+        """Cancel an attempt; a job in execution still occupies the server, without a response."""
         in_flight = self.attempts.get(id(attempt))
         if in_flight is not None and in_flight[2] is not None:
             in_flight[2].is_cancelled = True
         self.sim.after(CANCEL_DELAY_US, self.finish_attempt, limiter, attempt, AttemptOutcome.CANCELLED)
 
     def finish_attempt(self, limiter: EmulatedLimiter, attempt, outcome: AttemptOutcome) -> None:
+        """Report the end of an attempt to its limiter, unless it has ended before or the limiter is dead.
+
+        The result is final if it is a success, or if the operation needs no answer any more.
+        """
         in_flight = self.attempts.pop(id(attempt), None)
         if in_flight is None or not limiter.is_alive:
             return
@@ -273,7 +307,7 @@
         )
 
     def on_operation_finished(self, limiter: EmulatedLimiter, record: rules.OperationRecord) -> None:
-        """Record a server's response that was passed to the client."""
+        """Check and count a server's response that was passed to the client."""
         self.rules.now_us, self.rules.step = self.sim.now, self.sim.events
         self.rules.on_answer(record, False)
         self.metrics.on_finished(record, self.sim.now)
@@ -281,34 +315,36 @@
     def on_operation_rejected(
         self, limiter: EmulatedLimiter, record: rules.OperationRecord, is_retryable: bool, retry_after_us: int
     ) -> None:
-        """Record a rejection; the client may retry it once, after the Retry-After time."""
+        """Check and count a rejection; a share of the clients retries once, after the Retry-After time."""
         self.rules.now_us, self.rules.step = self.sim.now, self.sim.events
         self.rules.on_answer(record, is_retryable)
         self.metrics.on_rejected(record, is_retryable, retry_after_us > 0)
-        sc = self.scenario
+        scenario = self.scenario
         if (
             is_retryable
             and self.accepts_arrivals
-            and self.random.random() < sc.retry_share
+            and self.random.random() < scenario.retry_share
             and not record.op.is_client_retry
         ):
-            wait = max(retry_after_us, MIN_CLIENT_RETRY_DELAY_US)
+            delay_us = max(retry_after_us, MIN_CLIENT_RETRY_DELAY_US)
             customer = self.customers.by_name[record.op.customer]
-            self.sim.after(wait, self.send_operation, customer, record.op.category, True)
+            self.sim.after(delay_us, self.send_operation, customer, record.op.category, True)
 
     def on_operation_abandoned(self, record: rules.OperationRecord) -> None:
+        """Count an operation whose client disconnected; it needs no answer."""
         record.is_exempt = True
         self.metrics.on_abandoned(record)
 
     def add_to_counter(self, limiter: EmulatedLimiter, task, add) -> None:
+        """Call the shared counter for a limiter's task."""
         if abs(add.amount) > 1e9:
             self.metrics.oversized_add_count += 1
-        now, timeout_us = self.sim.now, self.scenario.counter_timeout_us
+        now_us, timeout_us = self.sim.now, self.scenario.counter_timeout_us
         reply_at_us, outcome, total = self.counter.call(
-            limiter.index, add.counter_id, add.amount, add.ttl_us, now
+            limiter.index, add.counter_id, add.amount, add.ttl_us, now_us
         )
-        if reply_at_us < 0 or reply_at_us - now > timeout_us:
-            # Like the socket-based host, report a time-out and drop a late reply.
+        if reply_at_us < 0 or reply_at_us - now_us > timeout_us:
+            # The host on sockets also reports a time-out and drops a late reply.
             self.sim.after(
                 timeout_us, limiter.on_counter_reply, task, CounterReply(CounterOutcome.TIMED_OUT, 0.0)
             )
@@ -318,42 +354,44 @@
     # ---- discovery
 
     def server_list(self) -> list[ServerEndpoint]:
+        """Return the complete list of discovery, with removed servers."""
         return [server_endpoint(server) for server in self.servers.values()]
 
     def publish(self, servers: list[model.Server]) -> None:
-        """Publish changed servers, in one update with all others that change at the same time."""
-        now = self.sim.now
-        batch = self._changed_servers.get(now)
+        """Publish changed servers, in one update with all others that change at the same simulated time."""
+        now_us = self.sim.now
+        batch = self._changed_servers.get(now_us)
         if batch is None:
-            batch = self._changed_servers[now] = []
-            self.sim.at(now, self._publish_batch, now)
+            batch = self._changed_servers[now_us] = []
+            self.sim.at(now_us, self._publish_batch, now_us)
         batch.extend(servers)
 
     def _publish_batch(self, changed_us: int) -> None:
         self._send_update(self._changed_servers.pop(changed_us))
 
     def _send_update(self, servers: list[model.Server]) -> None:
-        """Send changed servers to every limiter, after the discovery lag and a random jitter."""
-        entries = [server_endpoint(server) for server in servers]
+        """Send changed servers to each limiter, after the discovery lag and a random jitter."""
+        endpoints = [server_endpoint(server) for server in servers]
         if self.is_discovery_stale:
-            self.withheld_updates.extend(entries)
+            self.withheld_updates.extend(endpoints)
             return
-        lag = self.scenario.discovery_lag_us
+        lag_us = self.scenario.discovery_lag_us
         for limiter in self.limiters:
             self.sim.after(
-                lag * (1 + DISCOVERY_LAG_JITTER * self.random.random()),
+                lag_us * (1 + DISCOVERY_LAG_JITTER * self.random.random()),
                 self._deliver_update,
                 limiter,
-                entries,
+                endpoints,
             )
 
-    def _deliver_update(self, limiter: EmulatedLimiter, entries: list[ServerEndpoint]) -> None:
+    def _deliver_update(self, limiter: EmulatedLimiter, endpoints: list[ServerEndpoint]) -> None:
         if limiter.is_alive:
-            limiter.on_server_list(entries, False)
+            limiter.on_server_list(endpoints, False)
 
     # ---- faults
 
     def apply_fault(self, fault: Fault) -> None:
+        """Apply a fault now, and schedule its reversal after its duration."""
         self.metrics.faults.append((self.sim.now - SECOND, fault.kind, fault.target))
         kind = fault.kind
         if kind in SERVER_FAULTS:
@@ -368,7 +406,7 @@
             self.sim.after(fault.duration_us, FAULT_REVERSALS[kind], self, fault)
 
     def select_servers(self, fault: Fault) -> list[model.Server]:
-        """Return the servers that a fault targets; the same ones when the fault is reverted."""
+        """Return the servers that a fault targets; selected once, so that its reversal affects the same."""
         if id(fault) not in self.fault_servers:
             self.fault_servers[id(fault)] = select_targets(
                 list(self.servers.values()), fault.target, self.random
@@ -376,11 +414,18 @@
         return self.fault_servers[id(fault)]
 
     def select_limiters(self, fault: Fault) -> list[EmulatedLimiter]:
+        """Return the limiters that a fault targets, among those that are alive."""
         return select_targets(
             [limiter for limiter in self.limiters if limiter.is_alive], fault.target, self.random
         )
 
     def kill_limiter(self, limiter: EmulatedLimiter, restart_after_us: int) -> None:
+        """Kill a limiter; the front end answers its open operations, and its attempts are forgotten.
+
+        Args:
+            limiter: The limiter.
+            restart_after_us: Time until its restart; 0: none.
+        """
         limiter.is_alive = False
         for record in limiter.unanswered.values():
             record.is_exempt = True
@@ -393,6 +438,7 @@
             self.sim.after(restart_after_us, self.restart_limiter, limiter.index)
 
     def restart_limiter(self, index: int) -> None:
+        """Start a new incarnation of a limiter, with the complete server list."""
         old = self.limiters[index]
         limiter = EmulatedLimiter(self, index, old.incarnation + 1, self.make_policy)
         self.limiters[index] = limiter
@@ -405,7 +451,10 @@
 
 
 def select_targets(items: list, target: str, random: Random) -> list:
-    """Select the items of a fault's target: `all`, `N`, `N-M` (inclusive), or `share:F` (a random share)."""
+    """Return the items of a fault's target.
+
+    The target is `all`, `N` (one, counted from 0), `N-M` (inclusive), or `share:F` (a random share, 0 to 1).
+    """
     if target == "all":
         return items
     if target.startswith("share:"):
@@ -423,7 +472,7 @@
 
 
 def _kill_server(world: World, server: model.Server, fault: Fault) -> None:
-    """Remove the server without draining; discovery detects it after `REMOVAL_DETECTION_US`."""
+    """Kill the server without draining; discovery publishes it after REMOVAL_DETECTION_US."""
     server.state = ServerState.REMOVED
     server.running = 0
     server.queued.clear()
@@ -447,6 +496,7 @@
     world.publish([server])
 
 
+# By fault kind: function that applies the fault to one server.
 SERVER_FAULTS = {
     "server_kill": _kill_server,
     "server_drain": _drain_server,
@@ -495,6 +545,7 @@
             world.sim.after(world.scenario.discovery_lag_us, world._deliver_update, limiter, updates)
 
 
+# By fault kind: function that applies a fault of the counter, the clients or discovery.
 OTHER_FAULTS = {
     "counter_lost": _set_counter("is_down", True),
     "counter_back": _set_counter("is_down", False),
@@ -516,6 +567,8 @@
             server.mode, server.factor = model.Mode.NORMAL, 1.0
 
 
+# By fault kind: function that reverts the fault after its duration. Other kinds last, and a killed limiter's
+# restart is scheduled when it is killed.
 FAULT_REVERSALS = {
     "server_kill": _restore_servers,
     "server_slow": _restore_servers,
--- a/tests/lab/emulator/test_emulator.py
+++ b/tests/lab/emulator/test_emulator.py
@@ -22,10 +22,11 @@
 seed = 3
 policy = "{policy}"
 """
-HOST_DEPENDENT_FIELDS = ("wall_s", "events_per_s", "peak_mb")
+MACHINE_DEPENDENT_FIELDS = ("wall_s", "events_per_s", "peak_mb")
 
 
 def server_count(world, name: str) -> int:
+    """Return the sum, over all servers, of the count with that name."""
     return sum(server.counts[name] for server in world.servers.values())
 
 
@@ -43,7 +44,7 @@
 def test_the_same_scenario_and_seed_give_the_same_run():
     text = SMALL.format(policy="module") + fault("server_kill", "share:0.5")
     first_run, second_run = run_scenario(text).as_dict(), run_scenario(text).as_dict()
-    for name in HOST_DEPENDENT_FIELDS:
+    for name in MACHINE_DEPENDENT_FIELDS:
         first_run.pop(name), second_run.pop(name)
     assert first_run == second_run
     other_seed = run_scenario(text.replace("seed = 3", "seed = 4")).as_dict()
@@ -72,9 +73,11 @@
 def test_each_fault_has_an_effect_and_every_rule_holds(policy, kind, target, factor, has_effect):
     world = World(scenario.parse(SMALL.format(policy=policy) + fault(kind, target, factor=factor), "t.toml"))
     result = world.run()
-    # The module keeps every rule; the baselines don't implement rate limits (rule 5).
+    # The module must keep every rule. The baselines implement no rate limits: rule 5 is not checked for them.
     breaches = (
-        result.breaches if policy == "module" else [each for each in result.breaches if each["rule"] != 5]
+        result.breaches
+        if policy == "module"
+        else [breach for breach in result.breaches if breach["rule"] != 5]
     )
     assert not breaches, breaches[:3]
     assert result.ends["lost"] == 0
@@ -115,9 +118,9 @@
     rules = {breach["rule"] for breach in duplicating.breaches}
     assert {1, 2} <= rules
     assert duplicating.broken > 0
-    first = duplicating.breaches[0]
-    assert first["step"] > 0
-    assert first["operation"].startswith("#")
+    first_breach = duplicating.breaches[0]
+    assert first_breach["step"] > 0
+    assert first_breach["operation"].startswith("#")
     silent = run_scenario(text, lambda clock, index: SilentPolicy(clock, index))
     assert any("no final answer" in breach["what"] for breach in silent.breaches)
     assert silent.ends["lost"] > 0
@@ -158,20 +161,20 @@
     path = tmp_path / "s.toml"
     path.write_text(SMALL.format(policy="local"))
     runner = CliRunner()
-    done = runner.invoke(cli, ["lab", "run", str(path), "--out", str(tmp_path / "r.json"), "--seed", "5"])
-    assert done.exit_code == 0, done.output
+    run = runner.invoke(cli, ["lab", "run", str(path), "--out", str(tmp_path / "r.json"), "--seed", "5"])
+    assert run.exit_code == 0, run.output
     assert json.loads((tmp_path / "r.json").read_text())["seed"] == 5
-    shown = runner.invoke(
+    report = runner.invoke(
         cli,
         ["lab", "report", str(tmp_path / "r.json"), str(tmp_path / "r.json"), "--out", str(tmp_path / "rep")],
     )
-    assert shown.exit_code == 0
+    assert report.exit_code == 0
     assert (tmp_path / "rep.png").read_bytes()[:4] == b"\x89PNG"
     assert "<table>" in (tmp_path / "rep.html").read_text()
     path.write_text("[run]\nlimiters = 'many'\n")
-    bad = runner.invoke(cli, ["lab", "run", str(path)])
-    assert bad.exit_code == 2
-    assert "s.toml:2: run.limiters: not a number" in bad.output
-    assert "Traceback" not in bad.output
+    invalid_run = runner.invoke(cli, ["lab", "run", str(path)])
+    assert invalid_run.exit_code == 2
+    assert "s.toml:2: run.limiters: not a number" in invalid_run.output
+    assert "Traceback" not in invalid_run.output
     with pytest.raises(plots.RunFileError):
         plots.load(str(path))
