--- a/lapisgrade/lab/emulator/scenario.py
+++ b/lapisgrade/lab/emulator/scenario.py
@@ -1,7 +1,7 @@
 """Scenarios in TOML: the fleet, its traffic, and the faults with their times.
 
 docs/lab.md documents the format. Every key has a default, so a scenario sets only what differs. An invalid
-scenario raises one `ScenarioError` with the file, the line and the reason.
+scenario raises a `ScenarioError` with the file, the line and the reason of the first error.
 """
 
 import re
@@ -13,8 +13,9 @@
 from lapisgrade.interface import Category, DeduplicationScope, Permissions, Plan, RepeatSafety, ServerRules
 from lapisgrade.lab.emulator.model import CounterParameters, ServerParameters
 
-SECOND = 1_000_000
-MS = 1_000
+SECOND = 1_000_000  # us
+MS = 1_000  # us
+# Values of `repeat` and of `group` in a [[category]] table.
 REPEAT_SAFETY = {
     "idempotent": RepeatSafety.IDEMPOTENT,
     "deduplicated": RepeatSafety.DEDUPLICATED,
@@ -47,7 +48,7 @@
     "surge",
     "discovery_stale",
 )
-# Faults that need real processes (`lapisgrade lab fleet run`).
+# Faults of real processes, links and disks, which only `lapisgrade lab fleet run` supports.
 PROCESS_FAULT_KINDS = (
     "limiter_term",
     "limiter_pause",
@@ -67,7 +68,8 @@
 )
 LINKS = ("counter", "discovery", "server", "peer")
 TARGET = re.compile(r"all|\d+(-\d+)?|share:(0(\.\d+)?|1(\.0+)?)|group:[\w-]+")
-DEFAULT_SKEW = 1.2  # Pareto shape of customers' weights: a few send several times the mean; 0: equal weights
+# Shape of the Pareto distribution of the customers' weights; a few customers send several times the mean.
+DEFAULT_SKEW = 1.2
 
 
 class ScenarioError(ValueError):
@@ -79,17 +81,18 @@
     """A fault at a given time.
 
     Attributes:
-        at_us: Start, from the start of the run.
+        at_us: Time from the start of the run.
         kind: One of FAULT_KINDS or PROCESS_FAULT_KINDS.
-        target: Servers or limiters: `all`, `N`, `N-M`, `share:F` or `group:NAME`.
-        duration_us: Time until the fault is reverted; 0: it isn't.
-        factor: Factor of a slowdown or surge, or share of failing operations.
+        target: Servers or limiters: `all`, `N` (counted from 0), `N-M` (inclusive), `share:F` (a random
+            share) or `group:NAME`.
+        duration_us: Time until the fault is reverted; 0: never.
+        factor: Factor on service times or on the request rate, or share of failing operations.
         link: Affected links of the target's limiters, one of LINKS; empty: all of them.
         delay_us: Added delay of a slow link.
         jitter_us: Largest random extra delay of a slow link.
         rate: Bandwidth of a slow link in bytes per second; 0: unlimited.
-        wave_interval_us: Time between one member of the target and the next; 0: all at once.
-        line: Line in the scenario file.
+        wave_interval_us: Time between one item of the target and the next; 0: all at once.
+        line: Line in the scenario file, for messages.
     """
 
     at_us: int
@@ -111,9 +114,10 @@
 
     Attributes:
         name: Name, as in the target `group:NAME`.
-        limiters: Limiters, `N` or `N-M`; empty: none.
-        servers: Servers, `N` or `N-M`; empty: none.
-        counter: The counter and discovery belong to the group.
+        limiters: Indexes of its limiters, `N` or `N-M` (inclusive); empty: none.
+        servers: Indexes of its servers, `N` or `N-M` (inclusive); empty: none.
+        counter: Whether the counter belongs to the group. No partition cuts off discovery, as its agents run
+            on the limiters' machines.
     """
 
     name: str
@@ -124,13 +128,13 @@
 
 @dataclass(slots=True)
 class Customer:
-    """A customer.
+    """A customer, whose operations go to a set of consecutive limiters.
 
     Attributes:
-        name: Name.
-        plan: Plan.
-        first: Index of the first limiter of its set.
-        weight: Relative request rate.
+        name: 16 hexadecimal digits.
+        plan: The customer's plan.
+        first: Index of the first limiter of the set; `Scenario.spread` is the size of the set.
+        weight: Request rate relative to other customers.
     """
 
     name: str
@@ -144,6 +148,8 @@
     """All customers, to be drawn by weight.
 
     Attributes:
+        all: The customers.
+        by_name: The same customers, by name.
         cumulative: Cumulative weights, in the order of `all`.
     """
 
@@ -152,6 +158,7 @@
     cumulative: list[float]
 
     def pick(self, random: Random) -> Customer:
+        """Draw the customer of an operation."""
         return random.choices(self.all, cum_weights=self.cumulative)[0]
 
 
@@ -160,21 +167,38 @@
     """A fleet, its traffic and its faults.
 
     Attributes:
+        name: Name in results; by default the file's name without `.toml`.
+        seed: Seed of all random numbers.
+        seconds_us: Time in which clients send operations.
+        limiters: Number of limiters.
+        servers: Number of servers.
+        zones: Number of zones, over which limiters and servers are distributed in turn.
+        customers: Number of customers.
         rate: Operations per second from all clients together.
         policy: One of POLICIES.
         spread: Number of limiters in a customer's set.
-        max_units: Largest cost of an operation; costs are uniform from 1.
-        skew: Pareto shape of the customers' weights; 0: equal weights.
+        max_units: Largest cost of an operation in units; costs are uniform from 1.
+        skew: Shape of the Pareto distribution of the customers' weights; 0: equal weights.
         retry_share: Share of retryable rejections after which the client retries, once.
-        leave_share: Share of operations whose clients disconnect before the deadline.
+        leave_share: Share of operations whose clients disconnect at a random time before the deadline.
         discovery_lag_us: Delay of server list updates.
-        uses_shared_counter: The limiters may call the shared counter.
+        uses_shared_counter: Whether the limiters may call the shared counter.
         counter_timeout_us: Time-out of a call to the counter.
+        server: Capacity, service time and slow start of every server.
+        counter: Latency and throughput of the shared counter.
+        categories: Categories of operations.
+        category_shares: Relative frequency of each category, in the same order.
+        plans: Plans of customers.
+        plan_shares: Relative frequency of each plan, in the same order.
         server_rules: Rules for draining and cold servers.
         permissions: What the limiters may do: attempts, cancellation, hedging, Retry-After.
-        peers: The limiters exchange membership messages; needs processes.
-        clock_offset_ms: The limiters' clocks are spread evenly within this offset in both directions.
-        over_bound: Largest excess over a quota, in units, of any customer in any window; None: unchecked.
+        faults: Faults, in the order of the file.
+        partition_groups: Groups that partitions separate, by name; only in fleet runs.
+        peers: Whether the limiters exchange membership messages; only in fleet runs.
+        clock_offset_ms: The limiters' clocks are spread evenly within this offset in both directions; only in
+            fleet runs.
+        over_bound: Largest excess over a quota, in units, that is allowed for any customer in any window;
+            None: unchecked. Only in fleet runs.
     """
 
     name: str = "scenario"
@@ -211,20 +235,23 @@
     over_bound: float | None = None
 
     def zone_of(self, index: int) -> str:
+        """Return the zone of the limiter or server with that index."""
         return f"z{index % max(1, self.zones)}"
 
     def customer_table(self, seed: int) -> Customers:
+        """Draw the plans and weights of all customers; their sets start at one limiter after another."""
         random = Random(seed)
         customers, total, cumulative = [], 0.0, []
-        for i in range(self.customers):
+        for number in range(self.customers):
             plan = random.choices(self.plans, self.plan_shares)[0]
             weight = random.paretovariate(self.skew) if self.skew else 1.0
-            customers.append(Customer(f"{i + 1:016x}", plan, i % self.limiters, weight))
+            customers.append(Customer(f"{number + 1:016x}", plan, number % self.limiters, weight))
             total += weight
             cumulative.append(total)
-        return Customers(customers, {each.name: each for each in customers}, cumulative)
+        return Customers(customers, {customer.name: customer for customer in customers}, cumulative)
 
 
+# The [[category]] and [[plan]] tables of a scenario without any.
 DEFAULT_CATEGORIES = [
     {
         "name": "read",
@@ -269,7 +296,10 @@
 
 
 class Reader:
-    """Takes validated values from one table; errors name the key and its line.
+    """Takes values from one table and validates them; errors name the file, the line and the key.
+
+    Each method for a type returns the value of `key`, or the default, and raises `ScenarioError` for another
+    type or a value that isn't allowed.
 
     Attributes:
         path: File name, for messages.
@@ -279,14 +309,17 @@
     """
 
     def __init__(self, path: str, text: str, table: dict[str, Any], prefix: str) -> None:
+        """Create a reader that takes its values from a copy of `table`."""
         self.path, self.text, self.table, self.prefix = path, text, dict(table), prefix
 
     def invalid(self, key: str, reason: str) -> ScenarioError:
+        """Return the error for an invalid value of `key`."""
         return ScenarioError(
             f"{self.path}:{line_of(self.text, self.prefix, key)}: {self.prefix}{key}: {reason}"
         )
 
     def number(self, key: str, default: float, minimum: float = 0.0, maximum: float = float("inf")) -> float:
+        """Take a number from `minimum` to `maximum`, both allowed."""
         value = self.table.pop(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise self.invalid(key, f"not a number: {value!r}")
@@ -295,12 +328,14 @@
         return float(value)
 
     def integer(self, key: str, default: int, minimum: int = 0, maximum: int = 10**9) -> int:
+        """Take an integer from `minimum` to `maximum`, both allowed."""
         value = self.table.get(key, default)
         if isinstance(value, float | bool):
             raise self.invalid(key, f"not an integer: {value!r}")
         return int(self.number(key, default, minimum, maximum))
 
     def string(self, key: str, default: str, choices: tuple[str, ...] | dict | None = None) -> str:
+        """Take a string, one of `choices` if there are any."""
         value = self.table.pop(key, default)
         if not isinstance(value, str):
             raise self.invalid(key, f"not a string: {value!r}")
@@ -309,19 +344,24 @@
         return value
 
     def boolean(self, key: str, default: bool) -> bool:
+        """Take true or false."""
         value = self.table.pop(key, default)
         if not isinstance(value, bool):
             raise self.invalid(key, f"not true or false: {value!r}")
         return value
 
     def reject_unknown_keys(self) -> None:
+        """Raise `ScenarioError` for the first value that was not taken."""
         if self.table:
             key = next(iter(self.table))
             raise self.invalid(key, "unknown key")
 
 
 def line_of(text: str, prefix: str, key: str) -> int:
-    """Return the line that sets `key` in the table `prefix`, or the table's line, or 1."""
+    """Return the number of the line that sets `key` in the table `prefix`, or of the table's line, or 1.
+
+    tomllib reports no lines, so the text is searched from the table on; the first line with that key counts.
+    """
     lines = text.splitlines()
     start = 0
     table = prefix.rstrip(".").split("[")[0]
@@ -332,7 +372,9 @@
                 if "[" in prefix:
                     index = int(prefix.split("[")[1].split("]")[0])
                     table_lines = [
-                        n for n, each in enumerate(lines) if re.match(rf"\s*\[\[\s*{re.escape(table)}", each)
+                        table_line
+                        for table_line, content in enumerate(lines)
+                        if re.match(rf"\s*\[\[\s*{re.escape(table)}", content)
                     ]
                     start = table_lines[index] if index < len(table_lines) else number
                 break
@@ -357,10 +399,10 @@
     Raises:
         ScenarioError: The file can't be read, is invalid, or needs real processes.
     """
-    sc = read(path)
-    if sc.peers:
+    scenario = read(path)
+    if scenario.peers:
         raise ScenarioError(f"{path}: the emulator doesn't support run.peers; use `lapisgrade lab fleet run`")
-    for fault in sc.faults:
+    for fault in scenario.faults:
         location = f"{path}:{fault.line}: the emulator can't play"
         if fault.kind in PROCESS_FAULT_KINDS:
             raise ScenarioError(f"{location} fault kind {fault.kind!r}; use `lapisgrade lab fleet run`")
@@ -368,11 +410,11 @@
             raise ScenarioError(
                 f"{location} faults with wave_ms or a group target; use `lapisgrade lab fleet run`"
             )
-    return sc
+    return scenario
 
 
 def read_text(path: str) -> str:
-    """Return the text of a scenario file.
+    """Return the text of a scenario file; bytes that aren't UTF-8 are replaced.
 
     Raises:
         ScenarioError: The file can't be read.
@@ -384,12 +426,12 @@
         raise ScenarioError(f"{path}: {error.strerror or error}") from None
 
 
-def override(sc: Scenario, changes: dict[str, Any]) -> Scenario:
-    """Set the fields in `changes` whose value is not None, in place, and return the scenario."""
+def override(scenario: Scenario, changes: dict[str, Any]) -> Scenario:
+    """Set the fields in `changes`, except those with the value None, in place; return the scenario."""
     for name, value in changes.items():
         if value is not None:
-            setattr(sc, name, value)
-    return sc
+            setattr(scenario, name, value)
+    return scenario
 
 
 def parse(text: str, path: str = "scenario") -> Scenario:
@@ -403,31 +445,31 @@
     except tomllib.TOMLDecodeError as error:
         raise ScenarioError(f"{path}: {error}") from None
     top = Reader(path, text, tree, "")
-    sc = Scenario()
+    scenario = Scenario()
     run = Reader(path, text, top.table.pop("run", {}), "run.")
-    sc.name = run.string("name", path.rsplit("/", 1)[-1].removesuffix(".toml"))
-    sc.seed = run.integer("seed", 1, 0, 2**63)
-    sc.seconds_us = round(run.number("seconds", 30, 0.001, 3600) * SECOND)
-    sc.limiters = run.integer("limiters", 10, 1, 10_000)
-    sc.servers = run.integer("servers", 20, 1, 10_000)
-    sc.zones = run.integer("zones", 2, 1, 64)
-    sc.customers = run.integer("customers", 200, 1, 1_000_000)
-    sc.rate = run.number("rate", 500, 0.001, 1_000_000)
-    sc.policy = run.string("policy", "module", POLICIES)
-    sc.spread = run.integer("spread", 2, 1, 10_000)
-    sc.max_units = run.integer("most_units", 2, 1, 1000)
-    sc.skew = run.number("skew", DEFAULT_SKEW, 0, 100)
-    sc.peers = run.boolean("peers", False)
-    sc.clock_offset_ms = run.number("clock_offset_ms", 0, 0, 3_600_000)
-    bound = run.number("over_bound", -1, -1, 1e9)
-    sc.over_bound = bound if bound >= 0 else None
+    scenario.name = run.string("name", path.rsplit("/", 1)[-1].removesuffix(".toml"))
+    scenario.seed = run.integer("seed", 1, 0, 2**63)
+    scenario.seconds_us = round(run.number("seconds", 30, 0.001, 3600) * SECOND)
+    scenario.limiters = run.integer("limiters", 10, 1, 10_000)
+    scenario.servers = run.integer("servers", 20, 1, 10_000)
+    scenario.zones = run.integer("zones", 2, 1, 64)
+    scenario.customers = run.integer("customers", 200, 1, 1_000_000)
+    scenario.rate = run.number("rate", 500, 0.001, 1_000_000)
+    scenario.policy = run.string("policy", "module", POLICIES)
+    scenario.spread = run.integer("spread", 2, 1, 10_000)
+    scenario.max_units = run.integer("most_units", 2, 1, 1000)
+    scenario.skew = run.number("skew", DEFAULT_SKEW, 0, 100)
+    scenario.peers = run.boolean("peers", False)
+    scenario.clock_offset_ms = run.number("clock_offset_ms", 0, 0, 3_600_000)
+    bound = run.number("over_bound", -1, -1, 1e9)  # -1, the default, means None
+    scenario.over_bound = bound if bound >= 0 else None
     run.reject_unknown_keys()
     clients = Reader(path, text, top.table.pop("clients", {}), "clients.")
-    sc.retry_share = clients.number("retry_share", 0.5, 0, 1)
-    sc.leave_share = clients.number("leave_share", 0.01, 0, 1)
+    scenario.retry_share = clients.number("retry_share", 0.5, 0, 1)
+    scenario.leave_share = clients.number("leave_share", 0.01, 0, 1)
     clients.reject_unknown_keys()
     servers = Reader(path, text, top.table.pop("servers", {}), "servers.")
-    sc.server = ServerParameters(
+    scenario.server = ServerParameters(
         capacity=servers.integer("capacity", 16, 1, 100_000),
         queue=servers.integer("queue", 32, 0, 1_000_000),
         median_us=round(servers.number("median_ms", 20, 0.001, 60_000) * MS),
@@ -437,26 +479,26 @@
     )
     servers.reject_unknown_keys()
     counter = Reader(path, text, top.table.pop("counter", {}), "counter.")
-    sc.counter = CounterParameters(
+    scenario.counter = CounterParameters(
         round(counter.number("median_ms", 1, 0.001, 60_000) * MS),
         counter.number("sigma", 0.3, 0, 3),
         counter.number("calls_per_s", 20_000, 1, 1e8),
     )
-    sc.uses_shared_counter = counter.boolean("shared", True)
-    sc.counter_timeout_us = round(counter.number("time_out_ms", 50, 1, 60_000) * MS)
+    scenario.uses_shared_counter = counter.boolean("shared", True)
+    scenario.counter_timeout_us = round(counter.number("time_out_ms", 50, 1, 60_000) * MS)
     counter.reject_unknown_keys()
     discovery = Reader(path, text, top.table.pop("discovery", {}), "discovery.")
-    sc.discovery_lag_us = round(discovery.number("lag_ms", 200, 0, 600_000) * MS)
+    scenario.discovery_lag_us = round(discovery.number("lag_ms", 200, 0, 600_000) * MS)
     discovery.reject_unknown_keys()
     rules = Reader(path, text, top.table.pop("rules", {}), "rules.")
-    sc.server_rules = ServerRules(
+    scenario.server_rules = ServerRules(
         round(rules.number("drain_grace_ms", 250, 0, 600_000) * MS),
-        sc.server.warm_us,
-        sc.server.cold_from,
+        scenario.server.warm_us,
+        scenario.server.cold_from,
         round(rules.number("fall_ms", 1000, 0, 600_000) * MS),
         rules.number("fall_multiple", 3.0, 1, 100),
     )
-    sc.permissions = Permissions(
+    scenario.permissions = Permissions(
         rules.integer("hops", 3, 1, 10),
         rules.boolean("cancel", True),
         rules.boolean("second_copies", True),
@@ -464,30 +506,30 @@
         round(rules.number("longest_advice_ms", 2000, 0, 600_000) * MS),
     )
     rules.reject_unknown_keys()
-    sc.categories, sc.category_shares = [], []
-    for i, row in enumerate(top.table.pop("category", DEFAULT_CATEGORIES)):
-        kind = Reader(path, text, row, f"category[{i}].")
-        timeout_ms = kind.number("hard_stop_ms", 1000, 1, 600_000)
-        sc.categories.append(
+    scenario.categories, scenario.category_shares = [], []
+    for number, row in enumerate(top.table.pop("category", DEFAULT_CATEGORIES)):
+        category = Reader(path, text, row, f"category[{number}].")
+        timeout_ms = category.number("hard_stop_ms", 1000, 1, 600_000)
+        scenario.categories.append(
             Category(
-                kind.string("name", f"c{i}"),
-                REPEAT_SAFETY[kind.string("repeat", "idempotent", REPEAT_SAFETY)],
-                round(kind.number("quoted_ms", timeout_ms / 2, 1, timeout_ms) * MS),
+                category.string("name", f"c{number}"),
+                REPEAT_SAFETY[category.string("repeat", "idempotent", REPEAT_SAFETY)],
+                round(category.number("quoted_ms", timeout_ms / 2, 1, timeout_ms) * MS),
                 round(timeout_ms * MS),
-                kind.number("payoff", 1.0, 0, 1e6),
-                kind.number("late_payoff", 0.0, 0, 1e6),
-                DEDUPLICATION_SCOPES[kind.string("group", "all", DEDUPLICATION_SCOPES)],
-                round(kind.number("remembered_ms", 0, 0, 600_000) * MS),
+                category.number("payoff", 1.0, 0, 1e6),
+                category.number("late_payoff", 0.0, 0, 1e6),
+                DEDUPLICATION_SCOPES[category.string("group", "all", DEDUPLICATION_SCOPES)],
+                round(category.number("remembered_ms", 0, 0, 600_000) * MS),
             )
         )
-        sc.category_shares.append(kind.number("share", 1.0, 0, 1e6))
-        kind.reject_unknown_keys()
-    sc.plans, sc.plan_shares = [], []
-    for i, row in enumerate(top.table.pop("plan", DEFAULT_PLANS)):
-        plan = Reader(path, text, row, f"plan[{i}].")
-        sc.plans.append(
+        scenario.category_shares.append(category.number("share", 1.0, 0, 1e6))
+        category.reject_unknown_keys()
+    scenario.plans, scenario.plan_shares = [], []
+    for number, row in enumerate(top.table.pop("plan", DEFAULT_PLANS)):
+        plan = Reader(path, text, row, f"plan[{number}].")
+        scenario.plans.append(
             Plan(
-                plan.string("name", f"p{i}"),
+                plan.string("name", f"p{number}"),
                 plan.number("rate", 1.0, 0, 1e9),
                 plan.number("burst", 1.0, 0, 1e9),
                 overage_value=plan.number("beyond_earns", 0, 0, 1e6),
@@ -497,30 +539,30 @@
                 rate_limit_slack=plan.number("ceiling_slack", 0, 0, 1e9),
             )
         )
-        sc.plan_shares.append(plan.number("share", 1.0, 0, 1e6))
+        scenario.plan_shares.append(plan.number("share", 1.0, 0, 1e6))
         plan.reject_unknown_keys()
-    if not sc.categories or not sc.plans:
+    if not scenario.categories or not scenario.plans:
         raise ScenarioError(f"{path}: a scenario needs at least one category and one plan")
-    for i, row in enumerate(top.table.pop("party", [])):
-        party = Reader(path, text, row, f"party[{i}].")
-        name = party.string("name", f"p{i}")
-        sides = [party.string(key, "") for key in ("limiters", "servers")]
-        for key, side in zip(("limiters", "servers"), sides, strict=True):
-            if side and not re.fullmatch(r"\d+(-\d+)?", side):
-                raise party.invalid(key, f"{side!r} is not N or N-M")
-        sc.partition_groups[name] = PartitionGroup(name, *sides, party.boolean("counter", False))
+    for number, row in enumerate(top.table.pop("party", [])):
+        party = Reader(path, text, row, f"party[{number}].")
+        name = party.string("name", f"p{number}")
+        members = [party.string(key, "") for key in ("limiters", "servers")]
+        for key, indexes in zip(("limiters", "servers"), members, strict=True):
+            if indexes and not re.fullmatch(r"\d+(-\d+)?", indexes):
+                raise party.invalid(key, f"{indexes!r} is not N or N-M")
+        scenario.partition_groups[name] = PartitionGroup(name, *members, party.boolean("counter", False))
         party.reject_unknown_keys()
-    for i, row in enumerate(top.table.pop("fault", [])):
-        fault = Reader(path, text, row, f"fault[{i}].")
+    for number, row in enumerate(top.table.pop("fault", [])):
+        fault = Reader(path, text, row, f"fault[{number}].")
         kind = fault.string("kind", "", FAULT_KINDS + PROCESS_FAULT_KINDS)
         target = fault.string("target", "all")
         if not TARGET.fullmatch(target):
             raise fault.invalid("target", f"{target!r} is not one of all, N, N-M, share:F, group:NAME")
-        if target.startswith("group:") and target[6:] not in sc.partition_groups:
+        if target.startswith("group:") and target[6:] not in scenario.partition_groups:
             raise fault.invalid("target", f"there is no [[party]] named {target[6:]!r}")
         if kind == "partition" and not target.startswith("group:"):
             raise fault.invalid("target", "the target of a partition must be group:NAME")
-        sc.faults.append(
+        scenario.faults.append(
             Fault(
                 round(fault.number("at_s", 0, 0, 3600) * SECOND),
                 kind,
@@ -532,9 +574,9 @@
                 round(fault.number("jitter_ms", 0, 0, 600_000) * MS),
                 fault.number("rate", 0, 0, 1e12),
                 round(fault.number("wave_ms", 0, 0, 600_000) * MS),
-                line_of(text, f"fault[{i}].", "kind"),
+                line_of(text, f"fault[{number}].", "kind"),
             )
         )
         fault.reject_unknown_keys()
     top.reject_unknown_keys()
-    return sc
+    return scenario
