--- a/lapisgrade/lab/__init__.py
+++ b/lapisgrade/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: load, emulator, simulations and reports. Code that the bench runs doesn't import it."""
+"""The laboratory: load tool, emulator, simulations, explorations, fleets of processes, and reports.
+
+The code that the bench runs doesn't import it.
+"""
--- a/tests/lab/test_quota.py
+++ b/tests/lab/test_quota.py
@@ -1,4 +1,4 @@
-"""Excess over quotas in emulated fleets, against the bound in docs/design.md, and its measurement."""
+"""Excess over quotas in emulated fleets, compared with the bound in docs/design.md; and its measurement."""
 
 import math
 
@@ -8,7 +8,7 @@
 from lapisgrade.lab.emulator import scenario
 from lapisgrade.lab.emulator.world import World
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # us
 SPREAD = """
 [run]
 seconds = {seconds}
@@ -31,14 +31,19 @@
 
 
 def run_fleet(limiters: int, demand: float, seconds: int = 30, seed: int = 1):
+    """Run four customers with a quota of 20 units/s each; `demand` is their load as a multiple of it."""
     text = SPREAD.format(limiters=limiters, rate=4 * 20 * demand / 1.5, seconds=seconds, seed=seed)
     return World(scenario.parse(text, "spread.toml")).run()
 
 
 def bound(limiters: int, seconds: int, calls: int, rate: float = 20, burst: float = 40) -> float:
-    """The bound of docs/design.md, with the mean time between two calls of a limiter as the longest."""
-    lifetimes = limiters * 4 * seconds / calls * rate / burst
-    return 2 + rate * 0.003 + (rate * seconds + burst) * (math.expm1(lifetimes) / lifetimes - 1)
+    """Return the bound of docs/design.md in units, for the four customers of SPREAD.
+
+    The longest time between two calls of a limiter isn't measured; their mean stands for it. An operation
+    costs at most 2 units, and the counter responds within 3 ms.
+    """
+    decays = limiters * 4 * seconds / calls * rate / burst
+    return 2 + rate * 0.003 + (rate * seconds + burst) * (math.expm1(decays) / decays - 1)
 
 
 @pytest.mark.parametrize("limiters", [1, 3, 10, 40])
@@ -65,7 +70,7 @@
 
 def test_max_excess_is_the_maximum_over_windows_of_any_length():
     usage = quota.Quota(10.0, 5.0, 0)
-    for at_s in (0, 1, 2, 3):  # 12 per second: two above the rate
+    for at_s in (0, 1, 2, 3):  # 12 units per second, two more than the rate
         usage.on_admission(12, at_s * SECOND)
     assert usage.max_excess == pytest.approx(4 * 12 - 3 * 10 - 5)
     usage.on_admission(1, 100 * SECOND)  # after a long idle time the maximum remains
