--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -1,9 +1,9 @@
 """Runs requests through a small cluster on sockets whose servers misbehave and whose clients disconnect.
 
 The servers close connections, respond late, twice, with the response of another request first, without a
-length, or not at all. Properties checked: a response ends its own request or none; a non-idempotent request
-runs at most once; a request that is reported as not run has not run; a success is a server's complete, sealed
-response.
+length, or not at all. Four properties are checked: a response ends its own request or none; a non-idempotent
+request runs at most once; a request that is reported to the client as not run has not run; a success is a
+server's complete, sealed response. MUTANTS are defects of the proxy that the check must detect.
 """
 
 import asyncio
@@ -25,15 +25,15 @@
 from lapisgrade.net.http import MalformedMessageError, Message
 from lapisgrade.net.upstream_connection import UpstreamConnection
 
-KEY = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # tell the client that the request has not run
-MAX_ATTEMPTS = 2  # servers that a request may be sent to; Tries of the sample's routes
-CLIENTS = 6  # per limiter
-MIN_REQUESTS = 250  # per run; a slow machine extends the run until then
-MAX_EXTENSION_FACTOR = 8  # limits the extension, as a multiple of the run's length
-DISCONNECT_SHARE = 0.05  # of the requests; the client disconnects early
+AUTHORIZATION = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # with these a proxy tells the client that the request has not run
+MAX_ATTEMPTS = 2  # servers to which a request may be sent; `Tries` of the sample's routes
+CLIENTS = 6  # per proxy
+MIN_REQUESTS = 250  # per run; on a slow machine the run is extended until there are as many
+MAX_EXTENSION_FACTOR = 8  # longest extended run, as a multiple of the requested duration
+DISCONNECT_SHARE = 0.05  # share of the requests whose client disconnects before the response
 SERVICE_TIME_S = 0.004
-BEHAVIOR_WEIGHTS = {
+BEHAVIOR_WEIGHTS = {  # relative frequency of each behavior of a server
     "normal": 12, "reset before run": 1, "reset after run": 1, "no response": 1, "other response first": 2,
     "duplicate": 1, "late duplicate": 1, "not run": 1, "truncated": 1, "no seal": 1, "no length": 1,
 }  # fmt: skip
@@ -43,14 +43,18 @@
     """A fake server with a random behavior for each request.
 
     Attributes:
-        arrived: Requests received by Try-Id, run or not.
+        random: Random numbers of the behaviors.
+        arrived: By Try-Id: number of times that the request was received, run or not.
     """
 
     def __init__(self, *args: Any, random: Random, **options: Any) -> None:
+        """Create a server that isn't started; `args` and `options` are those of `FakeServer`."""
         super().__init__(*args, **options)
         self.random = random
         self.arrived: Counter[str] = Counter()
-        self._recent_ids: deque[str] = deque(maxlen=8)  # recent Try-Ids, for responses to other requests
+        self._recent_ids: deque[str] = deque(
+            maxlen=8
+        )  # Try-Ids of recent requests, for misdirected responses
 
     async def _answer_request(self, message: Message, writer: asyncio.StreamWriter) -> bool:
         """Answer one request with a random behavior; return whether the connection stays open."""
@@ -115,10 +119,10 @@
     """A client's request and the response that it got.
 
     Attributes:
-        once: The request is not idempotent and may run at most once.
-        status: Status code; 0 without a response, or if the client disconnected.
+        once: Whether the request is not idempotent, so that it may run at most once.
+        status: Status code of the response; 0 without a response, or if the client disconnected.
         body: Body of the response.
-        sealed: The response has the server's seal.
+        sealed: Whether the response has the server's seal.
     """
 
     once: bool
@@ -129,39 +133,53 @@
 
 @dataclass(slots=True)
 class Findings:
-    """Requests of a run, and what the servers saw, by Try-Id."""
+    """Requests of a run, and what the servers saw of them.
+
+    Attributes:
+        tries: By Try-Id: the client's request.
+        ran: By Try-Id: number of times that the request ran.
+        arrived: By Try-Id: number of times that a server received the request.
+    """
 
     tries: dict[str, ClientRequest] = field(default_factory=dict)
     ran: Counter[str] = field(default_factory=Counter)
     arrived: Counter[str] = field(default_factory=Counter)
 
     def violations(self) -> list[str]:
-        """Return a line for each violation."""
+        """Return a line for each violation of the properties; empty if all hold."""
         violations = []
-        for name, each in self.tries.items():
-            if each.once and self.ran[name] > 1:
+        for name, request in self.tries.items():
+            if request.once and self.ran[name] > 1:
                 violations.append(f"{name} is not idempotent and ran {self.ran[name]} times")
-            if each.once and each.status in NOT_RUN_STATUSES and self.ran[name]:
-                violations.append(f"{name} was reported as not run (status {each.status}) but ran")
+            if request.once and request.status in NOT_RUN_STATUSES and self.ran[name]:
+                violations.append(f"{name} was reported as not run (status {request.status}) but ran")
             if self.arrived[name] > MAX_ATTEMPTS:
                 violations.append(f"{name} reached {self.arrived[name]} servers")
-            if 200 <= each.status < 300:
-                if not each.body.endswith(name.encode()):
-                    violations.append(f"{name} got the response of another request: {each.body!r}")
-                if not each.sealed or not self.ran[name]:
+            if 200 <= request.status < 300:
+                if not request.body.endswith(name.encode()):
+                    violations.append(f"{name} got the response of another request: {request.body!r}")
+                if not request.sealed or not self.ran[name]:
                     violations.append(f"{name} got a success without a seal or without having run")
         unknown = set(self.arrived) - set(self.tries)
         return violations + [f"{name} came to a server, and no client sent it" for name in sorted(unknown)]
 
 
 async def client(
-    cluster: LocalCluster, name: str, random: Random, found: Findings, should_continue: Callable[[], bool]
+    cluster: LocalCluster, name: str, random: Random, findings: Findings, should_continue: Callable[[], bool]
 ) -> None:
-    """Send one client's requests, one after another."""
+    """Send one client's requests, one after another, until `should_continue` returns false.
+
+    Args:
+        cluster: The cluster.
+        name: Name of the machine whose proxy gets the requests.
+        random: Random numbers of the client.
+        findings: Gets the requests and their responses.
+        should_continue: Called before each request.
+    """
     while should_continue():
-        once, id = random.random() < 0.5, f"{random.getrandbits(64):016x}"
-        request = found.tries[id] = ClientRequest(once)
-        fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": KEY}
+        once, try_id = random.random() < 0.5, f"{random.getrandbits(64):016x}"
+        request = findings.tries[try_id] = ClientRequest(once)
+        fields = {"Host": "a.example", "Try-Id": try_id, "Deadline-Ms": "900", "Authorization": AUTHORIZATION}
         pending_response = send_request(
             cluster.http_address(name),
             "POST" if once else "GET",
@@ -179,20 +197,31 @@
 
 
 async def run_requests(seed: int, net: int, seconds: float = 2.0, servers: int = 3) -> Findings:
-    """Send requests to a cluster of one machine for `seconds`, or longer until there are MIN_REQUESTS."""
-    random, found = Random(seed), Findings()
+    """Send requests to a cluster of one machine whose servers misbehave.
+
+    Args:
+        seed: Seed of the clients' and servers' random choices; timing still varies between runs.
+        net: Second byte of the loopback addresses of machines and servers, 127.`net`.x.x.
+        seconds: Duration; extended up to MAX_EXTENSION_FACTOR times until there are MIN_REQUESTS.
+        servers: Number of servers.
+    """
+    random, findings = Random(seed), Findings()
     unmetered = {**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}
     async with LocalCluster(1, 1, net) as cluster:
         misbehaving_servers = [
             MisbehavingServer(
-                f"i-{i}", "garantie", (f"127.{net}.1.{i}", 8080), slots=16, random=Random(seed + i)
+                f"i-{number}",
+                "garantie",
+                (f"127.{net}.1.{number}", 8080),
+                slots=16,
+                random=Random(seed + number),
             )
-            for i in range(1, servers + 1)
+            for number in range(1, servers + 1)
         ]
-        for each in misbehaving_servers:
-            await each.start()
-            cluster.servers[each.name] = each
-            cluster._tasks[each] = asyncio.get_running_loop().create_task(cluster._send_heartbeats(each))
+        for server in misbehaving_servers:
+            await server.start()
+            cluster.servers[server.name] = server
+            cluster._tasks[server] = asyncio.get_running_loop().create_task(cluster._send_heartbeats(server))
         while await cluster.put({**SAMPLE, "Tenants": [unmetered]}) != 200:
             await asyncio.sleep(0.01)
         proxy = cluster.proxies["m1"]
@@ -203,21 +232,21 @@
         def should_continue() -> bool:
             elapsed_s = loop.time() - started_s
             return elapsed_s < seconds or (
-                len(found.tries) < MIN_REQUESTS and elapsed_s < MAX_EXTENSION_FACTOR * seconds
+                len(findings.tries) < MIN_REQUESTS and elapsed_s < MAX_EXTENSION_FACTOR * seconds
             )
 
         clients = [
-            client(cluster, "m1", Random(random.random()), found, should_continue) for _ in range(CLIENTS)
+            client(cluster, "m1", Random(random.random()), findings, should_continue) for _ in range(CLIENTS)
         ]
         await asyncio.gather(*clients)
         await asyncio.sleep(0.5)  # requests in flight may still arrive
-        for each in misbehaving_servers:
-            found.ran.update(each.run_counts)
-            found.arrived.update(each.arrived)
-    return found
+        for server in misbehaving_servers:
+            findings.ran.update(server.run_counts)
+            findings.arrived.update(server.arrived)
+    return findings
 
 
-# ---- mutants
+# ---- mutants: defects of the proxy, each of which must cause a violation
 
 _classify = UpstreamProtocol.classify
 _close = UpstreamConnection.close
@@ -225,12 +254,12 @@
 
 
 def _accept_next_response(self: UpstreamProtocol, attempt: Any, message: Message) -> bool:
-    """Accept the next response as the response to the current request."""
+    """Take no response as a stray one: the next one counts as the current request's."""
     return False
 
 
 def _accept_any_id(self: UpstreamProtocol, attempt: Any, message: Message) -> CloseReason:
-    """Accept a response with the id of another request."""
+    """Accept a response with the Try-Id of another request."""
     request = attempt.operation.handle
     original_id, request.request_id = request.request_id, message.headers().get(b"try-id", request.request_id)
     try:
@@ -247,7 +276,7 @@
 
 
 def _treat_lost_as_unsent(self: UpstreamConnection, reason: CloseReason) -> None:
-    """Treat a lost connection as one on which nothing was sent."""
+    """Treat a lost connection as one on which the request was not sent completely."""
     _close(self, CloseReason.INCOMPLETE_WRITE if reason is CloseReason.CONNECTION_LOST else reason)
 
 
@@ -257,6 +286,7 @@
     return LocalResponse(503, b"Retry-After: 0.1\r\n") if response.status in (502, 504) else response
 
 
+# By name: the class, its attribute and the defective replacement, for each attribute to replace.
 MUTANTS: dict[str, list[tuple[Any, str, Any]]] = {
     "answer-by-order": [
         (UpstreamProtocol, "is_stray", _accept_next_response),
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -1,7 +1,8 @@
-"""Measures what the control plane costs by size: processor time, bytes and memory.
+"""Measures the cost of the control plane by size of the deployment: processor time, bytes and memory.
 
-The program's own code runs in this process. docs/CAPACITY.md computes with the resulting slopes. Processor
-times are the minimum of several repetitions on one core of the machine.
+The control plane's own code runs in this process. docs/CAPACITY.md computes with the resulting slopes.
+Processor times are measured as elapsed time: the minimum of several repetitions of a call that computes on
+one core of this machine.
 """
 
 import gc
@@ -21,15 +22,22 @@
 from lapisgrade.gateway.routing.route_table import RouteTable
 from lapisgrade.gateway.rpc_connection import Codec
 
-REPEATS = 5
-ROUTE_COUNTS = (500, 2_000, 8_000)  # with as many tenants; the target has 4.5 tenants per route
+REPEATS = 5  # repetitions of a measured call, by default
+ROUTE_COUNTS = (500, 2_000, 8_000)  # each with as many tenants; the target deployment has 4.5 per route
 SERVER_COUNTS = (500, 2_000, 8_000)
 LIMITER_COUNTS = (100, 400, 1_500)
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A figure measured at several sizes."""
+    """A figure measured at several sizes.
+
+    Attributes:
+        name: What is measured.
+        unit: Unit of the values: `us` of processor time, `bytes`, or `bytes of memory`.
+        sizes: Number of routes, servers or limiters of each measurement.
+        values: The measurements, in the order of `sizes`.
+    """
 
     name: str
     unit: str
@@ -38,7 +46,7 @@
 
     @property
     def slope(self) -> float:
-        """Increase per unit of size, by least squares."""
+        """Increase of the value per route, server or limiter, by least squares."""
         mean_size, mean_value = sum(self.sizes) / len(self.sizes), sum(self.values) / len(self.values)
         pairs = list(zip(self.sizes, self.values, strict=True))
         covariance = sum((size - mean_size) * (value - mean_value) for size, value in pairs)
@@ -46,17 +54,17 @@
 
 
 def best_us(call: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Return the minimum duration of a call, us."""
-    least = float("inf")
+    """Return the minimum duration in us of a call that is repeated `repeats` times."""
+    least_s = float("inf")
     for _ in range(repeats):
         started_s = time.perf_counter()
         call()
-        least = min(least, time.perf_counter() - started_s)
-    return least * 1e6
+        least_s = min(least_s, time.perf_counter() - started_s)
+    return least_s * 1e6
 
 
 def sample_configuration(routes: int, tenants: int, ver: int = 7) -> dict:
-    """Return a configuration as the operators send it."""
+    """Return the version `ver` of a configuration, as the operators send it."""
     rules = [
         {
             "Name": f"r-{i:05x}", "Mode": "idem", "Target_time": "600ms", "Prio": 2, "Public": False,
@@ -75,6 +83,7 @@
 
 
 def sample_change(base: int) -> ConfigurationChange:
+    """Return a change of one route of `sample_configuration`, based on the version `base`."""
     rule = {
         "Name": "r-00001", "Match": {"Pfx": "/p00001/"},
         "Action": {"Svc": "svc1", "Timeout": f"{base}ms"},
@@ -84,7 +93,7 @@
 
 
 def retained_bytes(make: Callable[[], object]) -> int:
-    """Return the memory that the result of `make` retains."""
+    """Return the bytes of memory that the result of `make` keeps allocated."""
     gc.collect()
     tracemalloc.start()
     result = make()
@@ -98,12 +107,15 @@
 
 
 def measure_configuration(sizes: tuple[int, ...]) -> list[Row]:
-    """Measure configurations by number of routes, with as many tenants."""
+    """Measure configurations, and changes of them, by number of routes, with as many tenants."""
     columns = [measure_routes(size) for size in sizes]
-    return [Row(name, unit, sizes, tuple(each[name, unit] for each in columns)) for name, unit in columns[0]]
+    return [
+        Row(name, unit, sizes, tuple(figures[name, unit] for figures in columns)) for name, unit in columns[0]
+    ]
 
 
 def measure_routes(size: int) -> Figures:
+    """Measure a configuration with that number of routes and of tenants, and a change of one route."""
     state_machine, feed = StateMachine(), ConfigurationFeed()
     state_machine.apply(
         1,
@@ -132,17 +144,18 @@
 
 
 def route_table(text: bytes) -> RouteTable:
+    """Build the route table of a configuration in JSON, as a proxy does."""
     return RouteTable(configuration.read(msgspec.json.decode(text)))
 
 
 def table_without_cache(text: bytes) -> RouteTable:
-    """Build the route table with an empty converter cache, to measure the cached data too."""
+    """Build the route table with an empty converter cache, so that what is cached counts too."""
     configuration.converter.cache_clear()
     return route_table(text)
 
 
 def apply_and_restore(state_machine: StateMachine, entry: bytes) -> None:
-    """Apply a new version, and restore the previous state."""
+    """Apply a new version as a member does, and restore the previous state for the next repetition."""
     state = state_machine.state
     before = (state.configuration, state.version, dict(state.staged_versions), dict(state.applied_changes))
     state_machine.apply(2, entry)
@@ -150,7 +163,7 @@
 
 
 def measure_servers(sizes: tuple[int, ...]) -> list[Row]:
-    """Measure the leader's server registry, its heartbeats and its replies, by number of servers."""
+    """Measure the leader's server registry, a heartbeat and the list of all servers, by number of servers."""
     memory, heartbeat_us, listing_us, encoded_bytes = [], [], [], []
     body = msgspec.json.encode(
         {"Svc": "svc1", "Addr": "10.0.0.1:80", "Az": "z", "Ver": "v1", "Slots": 4, "State": "up", "Seq": 1}
@@ -161,9 +174,9 @@
         server = api.parse_heartbeat("i-1", body)
 
         def heartbeat(watch: Watch = watch, server=server) -> None:
-            made = api.parse_heartbeat("i-1", body)
-            made.sequence_number = server.sequence_number = server.sequence_number + 1
-            watch.on_heartbeat(2_000_000, made)
+            received = api.parse_heartbeat("i-1", body)
+            received.sequence_number = server.sequence_number = server.sequence_number + 1
+            watch.on_heartbeat(2_000_000, received)
 
         heartbeat_us.append(best_us(heartbeat, 50))
         watch.is_registry_complete = True
@@ -178,6 +191,7 @@
 
 
 def registry_with(size: int) -> Watch:
+    """Return a leader's watch with that number of servers in its registry."""
     watch = Watch(1_300_000, 0)
     for i in range(size):
         body = {"Svc": f"svc{i % 370}", "Addr": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:80", "Seq": 1}
@@ -187,7 +201,7 @@
 
 
 def measure_limiters(sizes: tuple[int, ...]) -> list[Row]:
-    """Measure, by number of limiters, an unchanged watch reply and the list of live proxies."""
+    """Measure a watch reply without changes, with its frames, and the list of live proxies, by limiters."""
     state_machine = StateMachine()
     state_machine.apply(
         1,
@@ -199,16 +213,16 @@
     reply_us, list_bytes = [], []
     for size in sizes:
         watch = registry_with(100)
-        for i in range(size):
-            watch.reply_if_changed(1_000_000, watch_request(f"edge-{i}"), state_machine.state, [])
+        for number in range(size):
+            watch.reply_if_changed(1_000_000, watch_request(f"edge-{number}"), state_machine.state, [])
         live_proxies = watch.live_proxies(2_000_000, state_machine.state)
         list_bytes.append(len(encode_command(live_proxies)))
         frame = codec.encode(1, watch_request("edge-1"))
 
         def reply_once(watch: Watch = watch, frame: bytes = frame) -> None:
-            ((number, request),) = codec.decode(bytearray(frame))
+            ((request_number, request),) = codec.decode(bytearray(frame))
             reply = watch.reply_if_changed(1_100_000, request, state_machine.state, [])
-            codec.encode(number, reply or watch.unchanged_reply(request, state_machine.state, []))
+            codec.encode(request_number, reply or watch.unchanged_reply(request, state_machine.state, []))
 
         reply_us.append(best_us(reply_once, 50))
     return [
@@ -218,13 +232,14 @@
 
 
 def watch_request(name: str) -> rpc_messages.WatchRequest:
+    """Return the watch request of the proxy with that name, which has the newest version."""
     return rpc_messages.WatchRequest(
         name, "10.0.0.1:7661", "0123456789abcdef", "zone", 7, "0+", 1 << 30, 0, staged_version=7
     )
 
 
 def measure_server_leaving() -> list[Row]:
-    """Measure the log entry of a server that leaves."""
+    """Measure the log entry of a server that leaves; the bytes for two servers are computed from it."""
     state_machine, entry = StateMachine(), encode_command(ServerLeaving("i-00000001", True))
     return [
         Row("leaving server, log entry", "bytes", (1, 2), (len(entry), 2 * len(entry))),
@@ -238,6 +253,7 @@
 
 
 def rows() -> list[Row]:
+    """Measure all figures."""
     return [
         *measure_configuration(ROUTE_COUNTS),
         *measure_servers(SERVER_COUNTS),
@@ -247,9 +263,9 @@
 
 
 def report(print_line: Callable[[str], None]) -> None:
-    """Print a Markdown table of all figures and their slopes."""
+    """Measure all figures, and print a Markdown table of them and their slopes with `print_line`."""
     print_line("| figure | unit | sizes | values | slope per unit of size |")
     print_line("| --- | --- | --- | --- | --- |")
-    for each in rows():
-        values = ", ".join(f"{value:,.0f}" for value in each.values)
-        print_line(f"| {each.name} | {each.unit} | {each.sizes} | {values} | {each.slope:,.4g} |")
+    for row in rows():
+        values = ", ".join(f"{value:,.0f}" for value in row.values)
+        print_line(f"| {row.name} | {row.unit} | {row.sizes} | {values} | {row.slope:,.4g} |")
