--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -58,21 +58,21 @@
 
     async def _answer_request(self, message: Message, writer: asyncio.StreamWriter) -> bool:
         """Answer one request with a random behavior; return whether the connection stays open."""
-        name = message.headers()[b"try-id"].decode()
-        self.arrived[name] += 1
+        try_id = message.headers()[b"try-id"].decode()
+        self.arrived[try_id] += 1
         behavior = self.random.choices(list(BEHAVIOR_WEIGHTS), list(BEHAVIOR_WEIGHTS.values()))[0]
         if behavior == "reset before run":
             writer.transport.abort()
             return False
-        own_fields = f"Try-Id: {name}\r\nServer-Load: 0,0,{self.slots}\r\n"
+        own_fields = f"Try-Id: {try_id}\r\nServer-Load: 0,0,{self.slots}\r\n"
         if behavior == "not run":
             writer.write(encode_response(503, b"", (own_fields + "Not-Run: 1\r\n").encode()))
             return True
-        self.run_counts[name] += 1
+        self.run_counts[try_id] += 1
         await asyncio.sleep(SERVICE_TIME_S)
-        body = f"{message.head.target.decode()} {name}".encode()
+        body = f"{message.head.target.decode()} {try_id}".encode()
         response_bytes = encode_response(200, body, (own_fields + "Server-Seal: seal\r\n").encode())
-        return self._respond(behavior, response_bytes, body, own_fields, writer, name)
+        return self._respond(behavior, response_bytes, body, own_fields, writer, try_id)
 
     def _respond(
         self,
@@ -81,19 +81,20 @@
         body: bytes,
         own_fields: str,
         writer: asyncio.StreamWriter,
-        name: str,
+        try_id: str,
     ) -> bool:
-        other = self._recent_ids[0] if self._recent_ids else "another"
-        self._recent_ids.append(name)
+        """Send a response in the way of `behavior`; return whether the connection stays open."""
+        other_id = self._recent_ids[0] if self._recent_ids else "another"
+        self._recent_ids.append(try_id)
         match behavior:
             case "reset after run":
                 writer.transport.abort()
             case "no response":
                 asyncio.get_running_loop().call_later(0.3, writer.transport.abort)
             case "other response first":
-                other_body = f"/astray {other}".encode()
+                other_body = f"/astray {other_id}".encode()
                 writer.write(
-                    encode_response(200, other_body, f"Try-Id: {other}\r\nServer-Seal: seal\r\n".encode())
+                    encode_response(200, other_body, f"Try-Id: {other_id}\r\nServer-Seal: seal\r\n".encode())
                     + response_bytes
                 )
             case "duplicate":
@@ -148,20 +149,22 @@
     def violations(self) -> list[str]:
         """Return a line for each violation of the properties; empty if all hold."""
         violations = []
-        for name, request in self.tries.items():
-            if request.once and self.ran[name] > 1:
-                violations.append(f"{name} is not idempotent and ran {self.ran[name]} times")
-            if request.once and request.status in NOT_RUN_STATUSES and self.ran[name]:
-                violations.append(f"{name} was reported as not run (status {request.status}) but ran")
-            if self.arrived[name] > MAX_ATTEMPTS:
-                violations.append(f"{name} reached {self.arrived[name]} servers")
+        for try_id, request in self.tries.items():
+            if request.once and self.ran[try_id] > 1:
+                violations.append(f"{try_id} is not idempotent and ran {self.ran[try_id]} times")
+            if request.once and request.status in NOT_RUN_STATUSES and self.ran[try_id]:
+                violations.append(f"{try_id} was reported as not run (status {request.status}) but ran")
+            if self.arrived[try_id] > MAX_ATTEMPTS:
+                violations.append(f"{try_id} reached {self.arrived[try_id]} servers")
             if 200 <= request.status < 300:
-                if not request.body.endswith(name.encode()):
-                    violations.append(f"{name} got the response of another request: {request.body!r}")
-                if not request.sealed or not self.ran[name]:
-                    violations.append(f"{name} got a success without a seal or without having run")
+                if not request.body.endswith(try_id.encode()):
+                    violations.append(f"{try_id} got the response of another request: {request.body!r}")
+                if not request.sealed or not self.ran[try_id]:
+                    violations.append(f"{try_id} got a success without a seal or without having run")
         unknown = set(self.arrived) - set(self.tries)
-        return violations + [f"{name} came to a server, and no client sent it" for name in sorted(unknown)]
+        return violations + [
+            f"{try_id} came to a server, and no client sent it" for try_id in sorted(unknown)
+        ]
 
 
 async def client(
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -193,9 +193,13 @@
 def registry_with(size: int) -> Watch:
     """Return a leader's watch with that number of servers in its registry."""
     watch = Watch(1_300_000, 0)
-    for i in range(size):
-        body = {"Svc": f"svc{i % 370}", "Addr": f"10.{i >> 16}.{i >> 8 & 255}.{i & 255}:80", "Seq": 1}
-        server = api.parse_heartbeat(f"i-{i:08x}", msgspec.json.encode(body))
+    for number in range(size):
+        body = {
+            "Svc": f"svc{number % 370}",
+            "Addr": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:80",
+            "Seq": 1,
+        }
+        server = api.parse_heartbeat(f"i-{number:08x}", msgspec.json.encode(body))
         watch.on_heartbeat(1_000_000, server)
     return watch
 
--- a/lapisgrade/lab/emulator/model.py
+++ b/lapisgrade/lab/emulator/model.py
@@ -105,10 +105,14 @@
     def capacity(self, now_us: int) -> int:
         """Return how many operations may run concurrently now; it grows during the slow start."""
         parameters = self.parameters
-        warm = 1.0 if parameters.warm_us <= 0 else min(1.0, (now_us - self.started_us) / parameters.warm_us)
+        warm_share = (
+            1.0 if parameters.warm_us <= 0 else min(1.0, (now_us - self.started_us) / parameters.warm_us)
+        )
         return max(
             1,
-            math.floor(parameters.capacity * (parameters.cold_from + (1.0 - parameters.cold_from) * warm)),
+            math.floor(
+                parameters.capacity * (parameters.cold_from + (1.0 - parameters.cold_from) * warm_share)
+            ),
         )
 
     def is_cold(self, now_us: int) -> bool:
@@ -128,8 +132,8 @@
     def draw_service_time_us(self) -> int:
         """Draw the duration of one operation in the current mode."""
         parameters = self.parameters
-        duration = parameters.median_us * math.exp(parameters.sigma * self.random.gauss(0.0, 1.0))
-        return max(1, round(duration * (self.factor if self.mode is Mode.SLOW else 1.0)))
+        duration_us = parameters.median_us * math.exp(parameters.sigma * self.random.gauss(0.0, 1.0))
+        return max(1, round(duration_us * (self.factor if self.mode is Mode.SLOW else 1.0)))
 
     def draw_is_error(self) -> bool:
         """Draw whether an operation ends with status 500 in the current mode."""
@@ -188,31 +192,31 @@
         self.counts = {"calls": 0, "added": 0, "unanswered": 0}
 
     def call(
-        self, limiter: int, counter_id: int, amount: float, ttl_us: int, now_us: int
+        self, limiter_index: int, counter_id: int, amount: float, ttl_us: int, now_us: int
     ) -> tuple[int, CounterOutcome, float]:
-        """Add `amount` units for the limiter with that index; the first add sets the total's expiry.
+        """Add `amount` units for a limiter; the first add sets the total's expiry.
 
         Returns:
             The time in us at which the reply reaches the limiter (-1: never), its outcome, and the total.
         """
         self.counts["calls"] += 1
-        if self.is_down or limiter in self.unreachable_from or self.mode is Mode.SILENT:
+        if self.is_down or limiter_index in self.unreachable_from or self.mode is Mode.SILENT:
             self.counts["unanswered"] += 1
             return -1, CounterOutcome.TIMED_OUT, 0.0
         parameters = self.parameters
-        duration = parameters.median_us * math.exp(parameters.sigma * self.random.gauss(0.0, 1.0))
+        duration_us = parameters.median_us * math.exp(parameters.sigma * self.random.gauss(0.0, 1.0))
         if self.mode is Mode.SLOW:
-            duration *= 10
-        start = max(now_us + NETWORK_DELAY_US, self.next_call_us)
-        self.next_call_us = start + round(SECOND / parameters.calls_per_s)
-        store = self.stores[1 if self.split_from is not None and limiter >= self.split_from else 0]
+            duration_us *= 10
+        start_us = max(now_us + NETWORK_DELAY_US, self.next_call_us)
+        self.next_call_us = start_us + round(SECOND / parameters.calls_per_s)
+        store = self.stores[1 if self.split_from is not None and limiter_index >= self.split_from else 0]
         total, expires_us = store.get(counter_id, (0.0, 0))
         if expires_us <= now_us:
             total, expires_us = 0.0, now_us + min(ttl_us, 60 * SECOND)
         total += amount
         store[counter_id] = (total, expires_us)
         self.counts["added"] += 1
-        return round(start + duration + NETWORK_DELAY_US), CounterOutcome.ADDED, total
+        return round(start_us + duration_us + NETWORK_DELAY_US), CounterOutcome.ADDED, total
 
     def restart(self) -> None:
         """Empty all stores, as a restart does."""
--- a/tests/lab/test_quota.py
+++ b/tests/lab/test_quota.py
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("limiters", [1, 3, 10, 40])
 @pytest.mark.parametrize("demand", [0.8, 1.5, 5.0])
-def test_quotas_do_not_leak_with_the_number_of_limiters(limiters, demand):
+def test_excess_and_shortfall_stay_within_their_bounds_for_any_number_of_limiters(limiters, demand):
     result = run_fleet(limiters, demand)
     assert result.broken == 0
     assert result.ends["lost"] == 0
