--- a/lapisgrade/engine.py
+++ b/lapisgrade/engine.py
@@ -148,7 +148,7 @@
             timer = heapq.heappop(self._timers)
             if timer.is_active():
                 self._deliver(timer.task, WakeReason.TIMER)
-        if is_wakeup:
+        if is_wakeup:  # otherwise the pending wake-up is still to come, and requests the next one
             self._schedule_wakeup()
 
     # ---- resuming tasks
--- a/lapisgrade/net/client_listener.py
+++ b/lapisgrade/net/client_listener.py
@@ -20,7 +20,8 @@
 IDLE_DIVISOR = 4  # one in this many of the allowed connections may be idle for IDLE_TIMEOUT_S
 CHECK_INTERVAL_S = 0.2  # interval between checks of REQUEST_TIMEOUT_S and IDLE_TIMEOUT_S
 # Minimum time without a request, since connecting or since the last response, before a connection is closed
-# early. An active client sends its request within this time.
+# early. An active client sends its request within this time. At the connection limit, an idle connection is
+# evicted without it.
 EVICTION_GRACE_S = 0.2
 ACCEPT_BATCH = 16  # connections accepted per turn of the event loop, before others are evicted for them
 BACKLOG = 1024  # pending connections in the kernel
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -30,8 +30,8 @@
 
 COUNTER_TTL_US = 45 * SECOND  # longer than an epoch, so that a limiter that is late still finds the count
 RESPONSE_MARGIN_US = 6_000  # reserved before the deadline for the answer; a few ticks of the host's clock
-MAX_LEASE_OPERATIONS = 50  # maximum number of operations per lease
-LEASE_DURATION_US = SECOND  # how long a lease's units may be used
+MAX_LEASE_OPERATIONS = 50  # maximum number of operations per lease; given by the design
+LEASE_DURATION_US = SECOND  # how long a lease's units may be used; given by the design
 LOCAL_SHARE_FACTOR = 1.5  # local share, as a multiple of an even share of the quota (docs/design.md)
 # Attempts kept free below a plan's cap on attempts in flight: those at other limiters are only estimated,
 # from their mean use, and waiting costs little.
@@ -249,7 +249,7 @@
     # ---- counter calls
 
     def run_counter_calls(self) -> CommandGenerator[None]:
-        """Call the counter, one call at a time, until no operation is pending; they share each call."""
+        """Call the counter, one call at a time, until no operation is pending; pending ones share a call."""
         while self.pending:
             first_units = self.pending[0].operation.units
             requested = self._units_to_request(first_units)
--- a/lapisgrade/policy/observed_server.py
+++ b/lapisgrade/policy/observed_server.py
@@ -29,7 +29,7 @@
         self.slow_start_budget: TokenBucket | None = None  # work in us that it may be sent while it warms up
 
     def is_ready(self) -> bool:
-        """Whether the endpoint list has it as ready."""
+        """Whether the server is ready according to the endpoint list."""
         return self.endpoint is not None and self.endpoint.state is ServerState.READY
 
     def require_endpoint(self) -> ServerEndpoint:
--- a/lapisgrade/policy/slow_start.py
+++ b/lapisgrade/policy/slow_start.py
@@ -19,7 +19,7 @@
         self.completed_work = DecayingSum(LATENCY_DECAY_US)  # work that servers completed, in us
 
     def weight(self, server: ObservedServer, now_us: int) -> float:
-        """The fraction of its full capacity that a listed server has at least."""
+        """The least capacity of a server in the endpoint list, as a fraction of its full capacity."""
         started_us, rules = server.require_endpoint().started_us, self._rules
         if not started_us or rules.slow_start_us <= 0 or now_us - started_us >= rules.slow_start_us:
             return 1.0
