--- a/lapisgrade/gateway/cli/machine_loss.py
+++ b/lapisgrade/gateway/cli/machine_loss.py
@@ -62,6 +62,7 @@
 
 
 def _describe_zones(proxies: dict[str, JsonObject], lost: list[str]) -> list[str]:
+    """Describe how many proxies remain in each zone that loses any."""
     zones: dict[str, list[str]] = {}
     for name, proxy in proxies.items():
         zones.setdefault(proxy["Az"], []).append(name)
--- a/lapisgrade/gateway/controller/call_forwarding.py
+++ b/lapisgrade/gateway/controller/call_forwarding.py
@@ -39,7 +39,7 @@
     async def forward(self, call: str, subject: str, body: bytes) -> ForwardCallReply:
         """Return the leader's reply; 503 if no leader has replied after `LEADER_WAIT_S`.
 
-        A call that fails is sent again.
+        A call that fails before that is sent again.
         """
         deadline_us = self._clock() + int(LEADER_WAIT_S * SECOND)
         while True:
--- a/lapisgrade/gateway/fake_server.py
+++ b/lapisgrade/gateway/fake_server.py
@@ -125,6 +125,10 @@
             await asyncio.sleep(min(POLL_INTERVAL_S, self.work_s - worked))
 
     async def _answer(self, message: Message, writer: asyncio.StreamWriter) -> bytes:
+        """Run a request and return the encoded response, which has the injected fault.
+
+        A request for another server, beyond the slots, or during a drain is rejected and not counted as run.
+        """
         fields = {name: value.decode() for name, value in message.headers().items()}
         try_id = fields.get(b"try-id", "")
         headers = (
--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -146,7 +146,7 @@
         return [SendShuffle(oldest.address, Shuffle(False, self.control_hint, [own_entry, *sample]))]
 
     def on_shuffle(self, source: str, shuffle: Shuffle) -> list[SendShuffle]:
-        """Add a neighbour's entries to the view and return the reply with some of ours, unless it is a reply.
+        """Add the entries of a shuffle to the view and, unless it is a reply, return a reply with others.
 
         Entries out of bounds are ignored.
         """
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -159,6 +159,7 @@
 
 
 def _apply_field_change(fields: Fields, change: FieldChange) -> None:
+    """Apply a change to `fields` in place; the removal of an item removes all of its fields."""
     if change.removes_item:
         for path in [path for path in fields if is_at_or_below(path, change.path)]:
             del fields[path]
--- a/lapisgrade/gateway/proxy/control_updates.py
+++ b/lapisgrade/gateway/proxy/control_updates.py
@@ -43,6 +43,7 @@
         reachability: PeerReachability,
         load_reporter: LoadReporter,
     ) -> None:
+        """Create the state of a proxy that has not applied any update."""
         self._context = context
         self._clock = clock
         self._router = router
--- a/lapisgrade/gateway/proxy/operation_transport.py
+++ b/lapisgrade/gateway/proxy/operation_transport.py
@@ -124,7 +124,10 @@
     # ---- queries of other proxies
 
     async def answer_outcome(self, request: rpc_messages.OutcomeRequest) -> rpc_messages.OutcomeReply:
-        """Reply with the outcome of this proxy's attempt when it finishes or the caller's wait is over."""
+        """Reply with the outcome of this proxy's attempt when it finishes or the caller's wait is over.
+
+        If `MAX_WAITING_REPLIES` queries are already waiting, the reply is sent immediately.
+        """
         if self.waiting_replies >= MAX_WAITING_REPLIES:
             return rpc_messages.OutcomeReply(self._attempts.outcomes.find(request.attempt))
         self.waiting_replies += 1
--- a/lapisgrade/gateway/proxy/process.py
+++ b/lapisgrade/gateway/proxy/process.py
@@ -45,7 +45,7 @@
 MIN_SOCKETS = 64  # lower bound on the descriptors that remain for clients and servers
 MAX_READINESS_BODY_BYTES = 4096
 MAX_READINESS_CONNECTIONS = 32
-# Delay after SIGTERM before idle connections are closed, as new ones may still arrive.
+# Delay after SIGTERM before idle connections are closed: until then the platform may still open new ones.
 SHUTDOWN_ACCEPT_S = 2.6
 EXIT_RESERVE_S = 0.4  # end of the grace time, reserved for the exit of the process
 SHUTDOWN_POLL_S = 0.05  # interval between checks for unanswered requests
--- a/lapisgrade/gateway/quota/ownership_history.py
+++ b/lapisgrade/gateway/quota/ownership_history.py
@@ -48,7 +48,10 @@
     # ---- epochs
 
     def advance(self, now_us: int, update: MembershipUpdate) -> None:
-        """Start the epoch of a newer membership."""
+        """Start the epoch of a newer membership.
+
+        If memberships before it did not arrive here, the epochs that the update lists replace the history.
+        """
         is_first = not self.epochs
         follows = self.follows(update)
         previous_owners = tuple(self.eligible_owners) if follows else tuple(update.previous_owners)
--- a/lapisgrade/gateway/routing/balancer.py
+++ b/lapisgrade/gateway/routing/balancer.py
@@ -117,7 +117,11 @@
         return best if max_latency_us == math.inf or cost(best) <= max_latency_us else None
 
     def _candidates(self, now_us: int, tried: list[UpstreamServer]) -> list[UpstreamServer]:
-        """Return the candidates for one choice; if the sampled ones do not fit, all other servers that do."""
+        """Return the candidates for one choice: servers with capacity, not ejected and not tried before.
+
+        They are sampled from this proxy's subset, the rest of the zone, and other zones. If none of the
+        sampled servers fits, all servers outside the subset that fit are candidates.
+        """
 
         def fits(server: UpstreamServer) -> bool:
             return server.has_capacity() and now_us >= server.ejected_until_us and server not in tried
--- a/lapisgrade/gateway/routing/retry_budget.py
+++ b/lapisgrade/gateway/routing/retry_budget.py
@@ -13,7 +13,8 @@
 # Share of RetryRatio that a proxy spends. It is below 1, as some of the requests never reach a server.
 RETRY_RATIO_SHARE = 0.85
 RETRY_EXTRA_SHARE = 0.6  # share of RetryExtra that all proxies together spend
-MAX_TIMESTAMPS = 4096  # maximum number of requests, and of retries, that are counted per window
+# Maximum number of requests, and of retries, that are counted per window: a proxy's requests in a window.
+MAX_TIMESTAMPS = 4096
 RETRY_RESERVE_SHARE = 0.5  # share of the budget earned by requests that early hedges leave to retries
 
 
--- a/lapisgrade/gateway/routing/upstream_protocol.py
+++ b/lapisgrade/gateway/routing/upstream_protocol.py
@@ -84,8 +84,8 @@
 def outcome_from_response(message: Message) -> Outcome:
     """Return the outcome with a server's response that is recorded for repeats of the operation.
 
-    It omits the id of the request that the server answered. It is UNKNOWN if the response is larger than
-    `MAX_RESPONSE_BYTES`.
+    It omits the id of the request that the server answered, because each repeat has its own. It is UNKNOWN if
+    the response is larger than `MAX_RESPONSE_BYTES`.
     """
     if message.size > MAX_RESPONSE_BYTES:
         return UNKNOWN
--- a/lapisgrade/gateway/storage/log_format.py
+++ b/lapisgrade/gateway/storage/log_format.py
@@ -64,7 +64,7 @@
         is_readable = (
             magic == _MAGIC and len(data) == length and checksum == _checksum(sequence, durable, data)
         )
-        if not is_readable:
+        if not is_readable:  # its length may be wrong, so the next record is searched for block by block
             has_gap = True
             offset += BLOCK_BYTES
             continue
