--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -33,7 +33,7 @@
 from lapisgrade.lab.explore.watch_proxy import MS, Proxy, WatchCall
 
 UNIT = "calls"
-MESSAGE_LOSS = 0.02
+MESSAGE_LOSS = 0.02  # probability that a message is lost
 TICK_US = 50 * MS
 CALL_INTERVAL_US = 50 * MS
 
--- a/lapisgrade/lab/explore/cluster.py
+++ b/lapisgrade/lab/explore/cluster.py
@@ -16,10 +16,10 @@
 from lapisgrade.lab.explore.exploration import transcript_up_to_violation
 
 SECOND = 1_000_000  # us
-MESSAGE_LOSS = 0.02
-FIRST_JOIN_US = 50_000
-JOIN_INTERVAL_US = 300_000
-MIN_TICK_US, MAX_TICK_US = 1_000, 20_000
+MESSAGE_LOSS = 0.02  # probability that a message between two nodes is lost
+FIRST_JOIN_US = 50_000  # time from the start of a node to its first join attempt
+JOIN_INTERVAL_US = 300_000  # interval between join attempts
+MIN_TICK_US, MAX_TICK_US = 1_000, 20_000  # bounds on the time between ticks of a node
 
 _RECORD_DECODER = msgspec.msgpack.Decoder(Record)
 
@@ -178,6 +178,10 @@
                 self._complete_write(name, node, event.write)
 
     def _complete_write(self, name: str, node: Node, write: DurableWrite) -> None:
+        """Store a write on the disk, inform the node, and send the messages that waited for it.
+
+        After a write with a snapshot record, the disk holds only a new snapshot of the node's present state.
+        """
         if any(isinstance(record, SnapshotRecord) for record in write.records):
             self._rewrite_disk(name, node)
             node.on_write_durable(self.now_us, node.log.last_index, node.log.last_term)
--- a/lapisgrade/lab/explore/defects.py
+++ b/lapisgrade/lab/explore/defects.py
@@ -19,7 +19,7 @@
 
 @contextmanager
 def injected(defects: Defects, name: str) -> Iterator[None]:
-    """Inject the defect with that name, or none if the name is empty."""
+    """Inject the defect with that name while the context is entered; none if the name is empty."""
     if not name:
         yield
         return
--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -1,7 +1,7 @@
 """Exploration of the quota: a tenant that requests many times its limit never exceeds the QUOTA guarantee.
 
 The guarantee holds over all limiters in any window. The exploration runs the production code of quota
-clients, counter owners, the leader's watch and the log's lists of live proxies in simulated time, with
+clients, count owners, the leader's watch and the log's lists of live proxies in simulated time, with
 partitions, frozen owners, processes killed one by one or all at once, leader changes, seconds without a
 leader, late and lost replies, and lists of live proxies that reach each limiter at a different time. A run is
 reproducible from its seed. Known defects can be injected, and each must be detected (`quota_defects`).
@@ -33,7 +33,7 @@
 TERMINATION_GRACE_US = 2600 * MS  # from the start of a graceful shutdown to the end of the process
 DEMAND_FACTOR = 7.5  # the tenant's request rate as a multiple of its limit
 RATES_AND_BURSTS = ((24.0, 24.0), (60.0, 60.0), (12.0, 40.0), (40.0, 8.0))  # requests/s, and requests
-OWNER_FAULT_RATE = 0.6  # fraction of the faults that hit the counter's owner
+OWNER_FAULT_RATE = 0.6  # fraction of the faults that hit the count's owner
 MAX_TRANSCRIPT_LINES = 30
 
 FAULTS = (
@@ -106,7 +106,7 @@
             self.sim.after(self.random.choice((1, 1, 2, 5, 40, 140)) * MS, handler, *args)
 
     def inject_fault(self) -> None:
-        """Inject a random fault, mostly at the counter's owner."""
+        """Inject a random fault, mostly at the count's owner."""
         kind = self.random.randrange(len(FAULTS))
         victim = self.random.choice(self.proxies)
         newest = max(self.proxies, key=lambda limiter: limiter.quota_owner.fencing_token)
@@ -148,7 +148,7 @@
         self.sim.after(duration_us, self.isolated.difference_update, names)
 
     def _return_while_next_owner_is_isolated(self, name: str) -> None:
-        """Heal a limiter that is no longer a live proxy, and isolate the next owner of its counter."""
+        """Heal a limiter that is no longer a live proxy, and isolate the next owner of its count."""
         others = [limiter.name for limiter in self.proxies if limiter.name != name]
         next_owner = owner_of(TENANT, others)
         self.note(f"{name} is reachable again, {next_owner} is isolated")
--- a/lapisgrade/lab/explore/quota_defects.py
+++ b/lapisgrade/lab/explore/quota_defects.py
@@ -18,7 +18,7 @@
 
 
 class InitiallyFullCount(Count):
-    """A new counter starts with its full burst, and reserves nothing for earlier grants."""
+    """A new count starts with its full burst, and reserves nothing for earlier grants."""
 
     def __init__(self, exclusive_since_us: int, rate: float, burst: float) -> None:
         super().__init__(exclusive_since_us, rate, burst)
@@ -53,7 +53,7 @@
 
 
 def _update_members_forgetting_incarnation(self: QuotaOwner, now_us: int, update: MembershipUpdate) -> None:
-    """A process that restarts under the first membership starts its counters with their full burst."""
+    """A process that restarts under the first membership starts its counts with their full burst."""
     _update_members(self, now_us, update)
     if not self.ownership.epochs[0].previous_owners:
         self.ownership.origin = Origin.FIRST_MEMBERSHIP
--- a/lapisgrade/lab/explore/quota_limiter.py
+++ b/lapisgrade/lab/explore/quota_limiter.py
@@ -1,4 +1,4 @@
-"""A limiter of the quota exploration: a proxy with the production code of quota client and counter owner."""
+"""A limiter of the quota exploration: a proxy with the production code of quota client and count owner."""
 
 from collections.abc import Callable, Generator
 from typing import Any, Protocol
@@ -15,8 +15,8 @@
 
 SLO = Slo()
 TENANT = "t"
-COUNT_TIMEOUT_US = 150 * MS  # time-out of an add to the counter, as in a proxy
-HAND_OVER_TIMEOUT_US = 100 * MS  # time-out of the counter's hand-over, as in a proxy
+COUNT_TIMEOUT_US = 150 * MS  # time-out of an add to the count, as in a proxy
+HAND_OVER_TIMEOUT_US = 100 * MS  # time-out of the count's hand-over, as in a proxy
 
 
 class QuotaWorld(ProxyWorld, Protocol):
@@ -38,19 +38,19 @@
         """Record the decision on a request of the tenant."""
 
     def on_granted(self, name: str, fencing_token: int) -> None:
-        """Check a grant of the counter's owner with that name."""
+        """Check a grant of the count's owner with that name."""
 
 
 class Limiter(Proxy):
-    """A proxy with a quota client and a counter owner; the host of the engine that runs them."""
+    """A proxy with a quota client and a count owner; the host of the engine that runs them."""
 
     world: QuotaWorld
 
     def start(self) -> None:
-        """Start a new incarnation, which owns no counter and has no lease."""
+        """Start a new incarnation, which owns no count and has no lease."""
         now = self.world.sim.now
         self.clock = Clock(now)
-        self.lease_expires_us = 0  # end of its lease as a counter owner
+        self.lease_expires_us = 0  # end of its lease as a count owner
         self.engine = Engine(self, self.clock)
         super().start()
         self.quota_owner = QuotaOwner(self.name, str(self.incarnation), now)
@@ -80,7 +80,7 @@
             self.clock.now_us = max(self.clock.now_us, self.world.sim.now)
             handler(*args)
 
-    # ---- client of the counter
+    # ---- client of the count
 
     def request(self) -> None:
         """Have the quota client admit or reject a request of the tenant."""
@@ -96,7 +96,7 @@
         self.engine.run(run(), operation)
 
     def add_to_counter(self, task: Any, add: Any) -> None:
-        """Send an add to the counter's owner; its result is the reply or the time-out, whichever is first."""
+        """Send an add to the count's owner; its result is the reply or the time-out, whichever is first."""
         world, incarnation = self.world, self.incarnation
         owner = world.limiter_named(owner_of(TENANT, self.quota_owner.eligible_owners))
         request = self.quota_client.quota_request(self.name, self.quota_owner.fencing_token)
@@ -135,7 +135,7 @@
         """Pass the result of an add to the engine."""
         self.engine.counter_replied(task, reply)
 
-    # ---- owner of the counter
+    # ---- owner of the count
 
     def _on_request_at(
         self,
@@ -151,7 +151,7 @@
         owner.when_awake(owner.incarnation, owner.after_hand_over, request, add_and_reply)
 
     def after_hand_over(self, request: rpc_messages.QuotaRequest, then: Callable[[], object]) -> None:
-        """Call `then` once the previous owner has handed the counter over, or on a time-out."""
+        """Call `then` once the previous owner has handed the count over, or on a time-out."""
         world, owner, incarnation = self.world, self.quota_owner, self.incarnation
         token = owner.fencing_token
         name = owner.predecessor(world.sim.now, request.tenant) if owner.owns(request.tenant) else ""
@@ -185,7 +185,7 @@
         world.sim.after(HAND_OVER_TIMEOUT_US, self.when_awake, incarnation, call_once)
 
     def add(self, request: rpc_messages.QuotaRequest) -> rpc_messages.QuotaReply:
-        """Add to the counter that this limiter owns."""
+        """Add to the count that this limiter owns."""
         reply = self.quota_owner.add(self.world.sim.now, request, self.lease_expires_us)
         if reply.is_accepted:
             self.world.on_granted(self.name, self.quota_owner.fencing_token)
--- a/lapisgrade/lab/explore/watch_proxy.py
+++ b/lapisgrade/lab/explore/watch_proxy.py
@@ -79,8 +79,8 @@
             str(self.incarnation),
             "z",
             self.active_version,
-            "1+",
-            1 << 30,
+            "1+",  # incarnation of the complete registry of term 1; servers are not simulated
+            1 << 30,  # a revision above any
             self.fencing_token,
             staged_version=max(self.router.route_versions.staged, default=self.active_version),
             is_terminating=self.is_terminating,
