--- a/lapisgrade/gateway/cli/commands.py
+++ b/lapisgrade/gateway/cli/commands.py
@@ -48,7 +48,7 @@
 
 
 def check_configuration(path: str) -> ExitCode:
-    """Check a configuration file; print its errors, with hints how to correct them, and warnings."""
+    """Check a configuration file; print its errors, with hints on how to correct them, and warnings."""
     errors, warnings = configuration_check.check_text(read_file(path))
     print_section("wrong:", errors)
     print_section("warnings:", warnings)
--- a/lapisgrade/gateway/cli/configuration_check.py
+++ b/lapisgrade/gateway/cli/configuration_check.py
@@ -37,7 +37,7 @@
     ("not above", "Ver must increase with each change"),
     ("required field", "it can't be left out"),
 )
-"""Substrings of error messages, each with a hint how to correct the error; the first match applies."""
+"""Substrings of error messages, each with a hint on how to correct the error; the first match applies."""
 
 
 def read(text: bytes) -> JsonObject:
@@ -158,7 +158,7 @@
         servers: As for `find_warnings`.
 
     Returns:
-        The errors, with hints how to correct them, and the warnings, which are empty if there are errors.
+        The errors, with hints on how to correct them, and the warnings, which are empty if there are errors.
     """
     try:
         conf = configuration.read(read(text))
@@ -199,7 +199,7 @@
 
 
 def _with_hint(error: str) -> str:
-    """Return the error, with its place in wire names as in the file, and a hint how to correct it."""
+    """Return the error, with its place in wire names as in the file, and a hint on how to correct it."""
     message, separator, place = error.partition(" @ $")
     place = re.sub(r"\.(\w+)", lambda name: f".{WIRE_NAMES.get(name[1]) or wire_name(name[1])}", place)
     error = message + separator + place
--- a/lapisgrade/gateway/consensus/membership.py
+++ b/lapisgrade/gateway/consensus/membership.py
@@ -95,7 +95,7 @@
         return {**voters, learners[0]: view.peers[learners[0]].address}
     if len(voters) > MIN_VOTERS and leaving:
         return _without(voters, leaving[0])
-    # An even number of voters tolerates no more failures than one voter less.
+    # An even number of voters tolerates no more failures than the odd number below it.
     if len(voters) > MIN_VOTERS and len(voters) % 2 == 0 and unresponsive:
         return _without(voters, unresponsive[0])
     return None
--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -98,7 +98,7 @@
         self._sent_addresses: list[str] = []
 
     def add_addresses(self, addresses: list[str]) -> None:
-        """Add addresses of proxies that are likely live, from the settings or the controllers.
+        """Add addresses of proxies that are probably live, from the settings or the controllers.
 
         After a network partition, this is what connects the views of the two sides again.
         """
--- a/lapisgrade/gateway/merge/three_way.py
+++ b/lapisgrade/gateway/merge/three_way.py
@@ -32,7 +32,7 @@
 
 
 class Draft(msgspec.Struct, array_like=True, frozen=True):
-    """An edit made without contact to a majority. It takes effect only once it is merged.
+    """An edit made without contact with a majority of controllers; it takes effect only once it is merged.
 
     Attributes:
         id: Digest of the other fields.
--- a/lapisgrade/gateway/rpc_messages.py
+++ b/lapisgrade/gateway/rpc_messages.py
@@ -103,7 +103,7 @@
 
 
 class WatchReply(msgspec.Struct, array_like=True, tag="n", frozen=True):
-    """Updates for a proxy, or only a hint where to find the leader.
+    """Updates for a proxy, or only a hint on where to find the leader.
 
     Attributes:
         is_leader: Whether the leader sent this; if not, only the two address fields below are set.
@@ -244,8 +244,8 @@
     """The previous owner's answer to a hand-over request.
 
     Attributes:
-        must_wait: Whether the count can't be handed over yet and another proxy may still act as its owner.
-            If False, no other proxy does.
+        must_wait: Whether the count can't be handed over yet and a proxy may still act as its owner. If
+            False, the previous owner does not act any more; without a count, an owner before it may.
         count: The count to continue with, if it is known.
     """
 
--- a/lapisgrade/gateway/settings.py
+++ b/lapisgrade/gateway/settings.py
@@ -74,7 +74,7 @@
     Attributes:
         drain: Time for which a draining server still answers requests.
         grace: Maximum time for a process to shut down.
-        contact: Maximum time for which a proxy may act without contact to the controllers.
+        contact: Maximum time for which a proxy may act without contact with the controllers.
         retry_ratio: Maximum number of retries in `retry_window`, as a fraction of the requests in it.
         retry_window: The window of the retry budget.
         retry_extra: Additional retries allowed in the window.
