--- a/lapisgrade/gateway/membership/partial_view.py
+++ b/lapisgrade/gateway/membership/partial_view.py
@@ -98,7 +98,7 @@
         self._sent_addresses: list[str] = []
 
     def add_addresses(self, addresses: list[str]) -> None:
-        """Add addresses of proxies that are likely live, from the settings or the controllers.
+        """Add addresses of proxies that are probably live, from the settings or the controllers.
 
         After a network partition, this is what connects the views of the two sides again.
         """
@@ -146,7 +146,7 @@
         return [SendShuffle(oldest.address, Shuffle(False, self.control_hint, [own_entry, *sample]))]
 
     def on_shuffle(self, source: str, shuffle: Shuffle) -> list[SendShuffle]:
-        """Add a neighbour's entries to the view and return the reply with some of ours, unless it is a reply.
+        """Add the entries of a shuffle to the view and, unless it is a reply, return a reply with others.
 
         Entries out of bounds are ignored.
         """
