--- a/lapisgrade/lab/simulation/cluster.py
+++ b/lapisgrade/lab/simulation/cluster.py
@@ -14,9 +14,18 @@
 
 
 class Cluster:
-    """Machines by name; `seeds` are the addresses in the settings of new processes."""
+    """A cluster and its network.
+
+    Attributes:
+        started_us: Start of the simulation.
+        processes: All processes, including clients and those that have ended.
+        machines: All machines that run controllers by name, including removed ones.
+        seeds: Addresses of controllers in the settings of new processes.
+        transcript_lines: Events of the simulation in order.
+    """
 
     def __init__(self, loop: VirtualLoop, size: int) -> None:
+        """Create a cluster, and start `size` machines."""
         self.loop = loop
         self.started_us = loop.now_us
         self.network = Network(loop, Message)
--- a/lapisgrade/lab/simulation/control_plane.py
+++ b/lapisgrade/lab/simulation/control_plane.py
@@ -16,15 +16,15 @@
 from lapisgrade.lab.simulation.watch_client import WatchClient
 
 START_TIMEOUT_S = 6.0
-COMMIT_S = 0.5  # maximum time until an entry in flight at the end reaches all machines
+COMMIT_TIMEOUT_S = 0.5  # maximum time until an entry in flight at the end reaches all machines
 QUIET_PERIOD_S = 8.0  # length of the period without faults at the end
 MAX_RECOVERY_S = 25.0  # maximum wait for lost machines before the quiet period
 CHANGE_TIMEOUT_S = 5.0  # maximum time to an acknowledged change after the quiet period
 WATCH_TIMEOUT_S = 4.0  # maximum time to a reply to each watch client after the quiet period
 FAULT_AT_ACKNOWLEDGEMENT_RATE = 0.3  # fraction of random faults injected right after an acknowledgement
-FAULT_PAUSES_S = (0.02, 0.4, 1.5, 4.0)
+FAULT_PAUSES_S = (0.02, 0.4, 1.5, 4.0)  # times from a random fault to the next
 WATCH_CLIENTS = 2
-MAX_REPORTED_ERRORS = 3
+MAX_REPORTED_ERRORS = 3  # maximum number of unhandled exceptions that are reported as violations
 
 
 class ControlPlaneSimulation:
@@ -61,7 +61,7 @@
             client.start_task(client.run())
 
     def start(self) -> None:
-        """Run until the first change is committed, then until no machine counts as new."""
+        """Run until the first change is committed, then for `RECOVERY_S`, until no machine counts as new."""
         versions = self.cluster.invariants.versions
         has_started = self.loop.run_until(lambda: bool(versions), START_TIMEOUT_S)
         self.loop.run_for(RECOVERY_S)
@@ -79,7 +79,7 @@
 
     def acknowledged(self) -> int:
         """Return the number of acknowledged changes."""
-        return sum(each.kind == "change" and each.status == 200 for each in self.history)
+        return sum(operation.kind == "change" and operation.status == 200 for operation in self.history)
 
     def run_until_acknowledgement(self, timeout_s: float, step_s: float = 0.01) -> bool:
         """Run until another change is acknowledged; return False on a time-out."""
@@ -95,7 +95,7 @@
         self._stop_changes()
         self.loop.run_for(2.0)
         invariants = self.cluster.invariants
-        self.loop.run_until(invariants.have_all_caught_up, COMMIT_S)
+        self.loop.run_until(invariants.have_all_caught_up, COMMIT_TIMEOUT_S)
         invariants.check_final_state()
         for error in self.loop.errors[:MAX_REPORTED_ERRORS]:
             invariants.report_violation(f"unhandled exception in a process: {error}")
@@ -108,11 +108,13 @@
             operator.process.is_alive = False
 
     def _await_lost_machines(self) -> None:
+        """Run until all faults have ended and no machine counts as lost, at most `MAX_RECOVERY_S`."""
         deadline_us = self.loop.now_us + round(MAX_RECOVERY_S * SECOND)
         while self.faults.lost_machines() and self.loop.now_us < deadline_us:
             self.loop.run_for(0.5)
 
     def _repair_all(self) -> None:
+        """Unblock all links, free full disks, and start the stopped machines, except removed ones."""
         self.cluster.heal()
         for machine in self.cluster.machines.values():
             machine.disk.is_full = False
--- a/lapisgrade/lab/simulation/disk.py
+++ b/lapisgrade/lab/simulation/disk.py
@@ -50,12 +50,12 @@
         """Return the records on disk."""
         return list(self.records)
 
-    def start_generation(self, beginning: bytes) -> None:
+    def start_generation(self, first_record: bytes) -> None:
         """Start a new generation with this record."""
         self._check_space()
         if self.synced_count:
             self.previous_records = self.records[: self.synced_count]
-        self.records, self.synced_count = [beginning], 0
+        self.records, self.synced_count = [first_record], 0
         self._on_synced = self._finish_sync
 
     def append(self, records: list[bytes]) -> None:
@@ -122,7 +122,7 @@
     # ---- faults
 
     def lose_power(self) -> None:
-        """Drop a random suffix of the unsynced records; a generation without a sync may be lost entirely."""
+        """Drop a random suffix of the unsynced records, or a whole generation that was never synced."""
         self._busy_until_us = 0
         if self.previous_records is not None and self.random.random() < 0.5:
             self.records = self.previous_records
@@ -153,7 +153,10 @@
         return [_RECORD_DECODER.decode(each) for each in records]
 
     def has_synced_vote(self, term: int, candidate: str) -> bool:
-        """Whether a vote for the candidate in that term, or any later term, is durable."""
+        """Whether a vote for the candidate in that term, or any later term, is durable.
+
+        A durable later term also rules out a vote for another candidate in that term.
+        """
         states = [each for each in self._durable_records() if not isinstance(each, EntriesRecord)]
         return any(each.term > term or (each.term, each.voted_for) == (term, candidate) for each in states)
 
@@ -166,6 +169,6 @@
             if isinstance(record, SnapshotRecord):
                 found = index <= record.snapshot_index
             if record.entries and record.entries[0].index <= index and isinstance(record, EntriesRecord):
-                found = False
+                found = False  # the record replaces all entries from its first index on
             found = found or any((each.index, each.term) == (index, term) for each in record.entries)
         return found
--- a/lapisgrade/lab/simulation/machine.py
+++ b/lapisgrade/lab/simulation/machine.py
@@ -13,7 +13,7 @@
 from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, SECOND, Process, VirtualLoop
 
 HEARTBEAT_INTERVAL_US = 1_300_000
-RPC_PORTS = (RPC_PORT, RPC_PORT + 15)
+RPC_PORTS = (RPC_PORT, RPC_PORT + 15)  # first and last port for calls between processes
 
 
 class ControllerChecks(Protocol):
@@ -86,7 +86,11 @@
 
 
 class SimulatedController(Controller):
-    """A controller in a simulated environment, which also handles operators' calls over the network."""
+    """A controller in a simulated environment, which also handles operators' calls over the network.
+
+    Attributes:
+        operator_endpoint: Receives the calls of operators and servers, in place of the HTTP server.
+    """
 
     def __init__(self, machine: "Machine", settings: Settings, process: Process) -> None:
         cluster = machine.cluster
@@ -107,13 +111,13 @@
             observer=InvariantObserver(self, cluster.checks),
         )
         super().__init__(settings, environment)
-        self.calls = Endpoint(
+        self.operator_endpoint = Endpoint(
             cluster.network, process, machine.ip, self._on_operator_call, lambda message: None
         )
 
     async def run(self) -> None:
         """Listen for operators' calls, and run the controller until its shutdown is complete."""
-        await self.calls.listen((self.settings.ip, OPERATOR_PORT))
+        await self.operator_endpoint.listen((self.settings.ip, OPERATOR_PORT))
         await super().run()
 
     async def _on_operator_call(self, message: Message) -> Message | None:
@@ -127,8 +131,11 @@
     """A host with a disk and at most one controller process.
 
     Attributes:
+        process: The newest process, which may have ended; None before the first start.
+        controller: The controller of that process.
         identity: Identity of the node on its disk at its last start.
         lost_until_us: End of its downtime and recovery, until when it counts as lost.
+        is_removed: Whether it was replaced by another machine.
     """
 
     def __init__(self, cluster: Environment, name: str, ip: str) -> None:
@@ -164,7 +171,7 @@
     async def _run(self, controller: SimulatedController, process: Process) -> None:
         await controller.run()
         self.cluster.note(f"{self.name} has exited")
-        controller.calls.close()
+        controller.operator_endpoint.close()
         process.is_alive = False
 
     def stop(self) -> None:
@@ -173,7 +180,7 @@
         self.cluster.loop.schedule(0, self.process, self.controller.end)
 
     def kill(self, power: bool = False, wipe: bool = False) -> None:
-        """Kill the process as on SIGKILL, or with a loss of `power` or of the disk (`wipe`)."""
+        """Kill the process, as on SIGKILL, a loss of `power`, or a loss of the disk (`wipe`)."""
         self.cluster.note(f"{self.name}: " + ("disk lost" if wipe else "power lost" if power else "killed"))
         if self.process is not None:
             self.process.is_alive = False
--- a/lapisgrade/lab/simulation/network.py
+++ b/lapisgrade/lab/simulation/network.py
@@ -14,7 +14,7 @@
 from lapisgrade.gateway.call_failure import CallFailure
 from lapisgrade.lab.simulation.virtual_loop import SECOND, Process, VirtualLoop
 
-MIN_DELAY_US = 300  # one way
+MIN_DELAY_US = 300  # one-way delay between hosts
 MAX_DELAY_US = 5_000
 LOSS_RATE = 0.01
 DUPLICATE_RATE = 0.01
@@ -35,10 +35,17 @@
         bytes_per_second: Outbound bandwidth by host, for hosts with a limit.
         extra_delay_us: Additional delay by source and destination.
         listening: Endpoints by address.
-        late_duplicate_rate: Fraction of messages that are delivered again much later.
+        late_duplicate_rate: Fraction of messages that are delivered again, up to 30 s later.
+        bytes_sent: Size of all messages sent so far.
     """
 
-    def __init__(self, loop: VirtualLoop, union: Any) -> None:
+    def __init__(self, loop: VirtualLoop, message_type: Any) -> None:
+        """Create a network.
+
+        Args:
+            loop: The loop in whose time messages are delivered.
+            message_type: Union of the types of all messages.
+        """
         self.loop = loop
         self.random = loop.random
         self.blocked_links: set[tuple[str, str]] = set()
@@ -48,7 +55,7 @@
         self.bytes_sent = 0
         self._link_free_us: dict[str, int] = {}  # end of the last transfer out of each host with a limit
         self._encoder = msgspec.msgpack.Encoder()
-        self._decoder = msgspec.msgpack.Decoder(union)
+        self._decoder = msgspec.msgpack.Decoder(message_type)
         self.listening: dict[Address, Endpoint] = {}
         self._delayed: list[tuple[int, Callable[[], None]]] = []  # time sent (us) and delivery
 
@@ -74,20 +81,21 @@
             self.loop.schedule(self.random.randrange(MAX_LATE_DUPLICATE_US), None, arrive)
 
     def _transfer_us(self, source: str, size: int) -> int:
-        delay = self.random.randrange(MIN_DELAY_US, MAX_DELAY_US)
-        rate = self.bytes_per_second.get(source)
-        if rate is None:
-            return delay
+        """Return the time until a message of `size` bytes arrives, including its wait for a slow link."""
+        delay_us = self.random.randrange(MIN_DELAY_US, MAX_DELAY_US)
+        bytes_per_second = self.bytes_per_second.get(source)
+        if bytes_per_second is None:
+            return delay_us
         start_us = max(self.loop.now_us, self._link_free_us.get(source, 0))
-        self._link_free_us[source] = start_us + round(size / rate * SECOND)
-        return self._link_free_us[source] - self.loop.now_us + delay
+        self._link_free_us[source] = start_us + round(size / bytes_per_second * SECOND)
+        return self._link_free_us[source] - self.loop.now_us + delay_us
 
     def heal(self) -> None:
         """Unblock all links, and deliver the recent messages that TCP would retransmit."""
         self.blocked_links = set()
         delayed, self._delayed = self._delayed, []
-        for since_us, arrive in delayed:
-            if self.loop.now_us - since_us < MAX_RETRANSMIT_US:
+        for sent_us, arrive in delayed:
+            if self.loop.now_us - sent_us < MAX_RETRANSMIT_US:
                 self.loop.schedule(self.random.randrange(MIN_DELAY_US, MAX_DELAY_US), None, arrive)
 
 
@@ -103,7 +111,7 @@
         self.on_call = on_call
         self.on_message = on_message
         self._address: Address | None = None
-        self._last_number = 0
+        self._last_call_number = 0
         self._pending_calls: dict[int, asyncio.Future] = {}
 
     async def listen(self, address: Address) -> None:
@@ -129,12 +137,12 @@
 
     async def call(self, address: Address, message: Any, timeout_s: float) -> Result[Any, CallFailure]:
         """Make a call as `gateway.rpc.RpcEndpoint.call` does."""
-        self._last_number += 1
-        number = self._last_number
+        self._last_call_number += 1
+        call_number = self._last_call_number
         future = asyncio.get_running_loop().create_future()
-        self._pending_calls[number] = future
+        self._pending_calls[call_number] = future
         self._network.transmit(
-            self.host, address[0], message, lambda decoded: self._deliver_call(address, number, decoded)
+            self.host, address[0], message, lambda decoded: self._deliver_call(address, call_number, decoded)
         )
         try:
             async with asyncio.timeout(timeout_s):
@@ -142,36 +150,39 @@
         except TimeoutError:
             return Failure(CallFailure.MAY_HAVE_RUN)
         finally:
-            self._pending_calls.pop(number, None)
+            self._pending_calls.pop(call_number, None)
 
-    def _deliver_call(self, address: Address, number: int, message: Any) -> None:
+    def _deliver_call(self, address: Address, call_number: int, message: Any) -> None:
         receiver = self._network.listening.get((address[0], address[1]))
         if receiver is None or not receiver.process.is_alive:
-            return self._refuse_call(address[0], number, Failure(CallFailure.NOT_RUN))
+            return self._refuse_call(address[0], call_number, Failure(CallFailure.NOT_RUN))
         loop = self._network.loop
         loop.schedule(
-            0, receiver.process, lambda: loop.create_task(receiver.handle_call(self, number, message))
+            0, receiver.process, lambda: loop.create_task(receiver.handle_call(self, call_number, message))
         )
 
-    async def handle_call(self, caller: "Endpoint", number: int, message: Any) -> None:
+    async def handle_call(self, caller: "Endpoint", call_number: int, message: Any) -> None:
         """Handle a call, and send its reply to the caller."""
         reply = await self.on_call(message)
         if reply is not None:
             self._network.transmit(
-                self.host, caller.host, reply, lambda decoded: caller.deliver_reply(number, Success(decoded))
+                self.host,
+                caller.host,
+                reply,
+                lambda decoded: caller.deliver_reply(call_number, Success(decoded)),
             )
 
-    def _refuse_call(self, source: str, number: int, result: Result) -> None:
-        """Refuse a connection after the minimum network delay."""
+    def _refuse_call(self, source: str, call_number: int, result: Result) -> None:
+        """Resolve this caller's call as refused by the host `source`, after the minimum network delay."""
         if (source, self.host) not in self._network.blocked_links:
-            self._network.loop.schedule(MIN_DELAY_US, None, self.deliver_reply, number, result)
+            self._network.loop.schedule(MIN_DELAY_US, None, self.deliver_reply, call_number, result)
 
-    def deliver_reply(self, number: int, result: Result) -> None:
+    def deliver_reply(self, call_number: int, result: Result) -> None:
         """Resolve the pending call with that number in the caller's process."""
         if self.process.is_alive:
-            self._network.loop.schedule(0, self.process, self._resolve, number, result)
+            self._network.loop.schedule(0, self.process, self._resolve, call_number, result)
 
-    def _resolve(self, number: int, result: Result) -> None:
-        future = self._pending_calls.pop(number, None)
+    def _resolve(self, call_number: int, result: Result) -> None:
+        future = self._pending_calls.pop(call_number, None)
         if future is not None and not future.done():
             future.set_result(result)
--- a/lapisgrade/lab/simulation/server.py
+++ b/lapisgrade/lab/simulation/server.py
@@ -12,21 +12,28 @@
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
 HEARTBEAT_INTERVAL_S = 1.3
-DRAIN_DURATION_S = 3.0  # time from the acknowledgement of a server's drain to its end
-LATE_DUPLICATE_RATE = 0.1  # fraction of the heartbeats that arrive a second time, late
+DRAIN_DURATION_S = 3.0  # time from the acknowledgement of a server's departure to its end
+LATE_DUPLICATE_RATE = 0.1  # fraction of the calls of which a duplicate arrives late
 MAX_DUPLICATE_DELAY_S = 3.0
 NO_DRAIN_RATE = 0.3  # fraction of the servers that deregister without draining
-MIN_LIFETIME_S = 4.0
-LIFETIME_SPREAD_S = 30
+MIN_LIFETIME_S = 4.0  # minimum time from a server's registration to its departure
+LIFETIME_SPREAD_S = 30  # difference between the longest and the shortest lifetime
 
 
 class SimulatedServer(Client):
-    """A server that sends heartbeats, drains, and ends after its departure is acknowledged."""
+    """A server that sends heartbeats, drains, and ends after its departure is acknowledged.
+
+    Attributes:
+        id: Its id in the server registry.
+        departure_acknowledged_us: Time at which its drain, or its deregistration without a drain, was
+            acknowledged; 0 before.
+        has_ended: Whether it refuses connections.
+    """
 
     def __init__(self, cluster: Cluster, number: int, on_ended: Callable[[], None]) -> None:
         super().__init__(cluster, f"server {number}", f"10.4.0.{number}")
         self.id = f"i-{number}"
-        self.departure_acknowledged_us = 0  # first acknowledgement of a drain or deregistration
+        self.departure_acknowledged_us = 0
         self.has_ended = False
         self._on_ended = on_ended
         self._sequence = 0
@@ -50,7 +57,12 @@
         self._on_ended()
 
     async def call(self, name: str, state: str) -> bool:
-        """Call a random controller; return whether it acknowledged the call."""
+        """Call a random controller; return whether it acknowledged the call.
+
+        Args:
+            name: Name of the call.
+            state: State of the server in the call's body.
+        """
         self._sequence += 1
         body = {
             "Svc": "svc",
@@ -72,7 +84,7 @@
         return isinstance(reply, CallReply) and reply.status == 200
 
     def _deliver_duplicate(self, machine: Machine, message: OperatorCall) -> None:
-        """Deliver a late duplicate of a heartbeat, and ignore the reply."""
+        """Deliver a late duplicate of a call, and ignore the reply."""
         self.start_task(self._send_once(machine, message))
 
     async def _send_once(self, machine: Machine, message: OperatorCall) -> None:
--- a/lapisgrade/lab/simulation/virtual_loop.py
+++ b/lapisgrade/lab/simulation/virtual_loop.py
@@ -1,7 +1,7 @@
 """An asyncio event loop in simulated time that assigns each callback to a simulated process.
 
 A callback belongs to the process in whose context it was scheduled. Callbacks of a killed process are
-dropped, and those of a frozen process are delayed until it is thawed.
+dropped, and those of a frozen process are delayed until it resumes.
 """
 
 import asyncio
@@ -16,13 +16,19 @@
 
 
 class Process:
-    """One simulated process, from its start to its exit."""
+    """One simulated process, from its start to its exit.
+
+    Attributes:
+        frozen_until_us: Time (of the loop) until which its callbacks are delayed.
+        skew_us: Offset of its steady clock from the loop's.
+        tasks: Its tasks, including those that have ended.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.is_alive = True
         self.frozen_until_us = 0
-        self.skew_us = 0  # offset of its steady clock from the loop's
+        self.skew_us = 0
         self.tasks: list[asyncio.Task] = []
         self._pace = 1.0  # rate of its steady clock relative to the loop's
         self._pace_since_us = 0
@@ -49,7 +55,7 @@
         self.random = random
         self.errors: list[str] = []
         self.callback_count = 0  # number of callbacks run, a measure of the simulation's cost
-        self._event_count = 0
+        self._event_count = 0  # orders the callbacks that are due at the same time
         self._events: list[tuple[int, int, asyncio.Handle, Process | None]] = []
         self._tasks: list[asyncio.Task] = []
 
@@ -96,14 +102,14 @@
         return self._schedule(handle, max(self.now_us, round(when * SECOND)))
 
     def _timer_handle_cancelled(self, handle: asyncio.Handle) -> None:
-        pass
+        """Do nothing: `_run_next` skips cancelled handles."""
 
     def run_in_executor(self, executor: Any, func: Callable, *args: Any) -> asyncio.Future:
         """Run a blocking call on a simulated `executor`, which determines its duration."""
         return executor.submit_to(self, func, args)
 
     def call_exception_handler(self, context: dict) -> None:
-        """Record an unhandled exception."""
+        """Record an unhandled exception, but not the destruction of a pending task of a killed process."""
         error = context.get("exception")
         if error is not None or "destroyed" not in context.get("message", ""):
             self.errors.append(f"{context.get('message')}: {error!r}")
@@ -137,8 +143,8 @@
         self.now_us = end_us
 
     def _run_next(self) -> None:
-        at, _, handle, process = heapq.heappop(self._events)
-        self.now_us = max(self.now_us, at)
+        at_us, _, handle, process = heapq.heappop(self._events)
+        self.now_us = max(self.now_us, at_us)
         if handle.cancelled():
             return
         if process is not None:
@@ -152,13 +158,13 @@
         self.callback_count += 1
         handle._run()
 
-    def run_until(self, condition: Callable[[], bool], timeout_s: float, step: float = 0.01) -> bool:
-        """Run until the condition holds; return False after `timeout_s` without it."""
+    def run_until(self, condition: Callable[[], bool], timeout_s: float, step_s: float = 0.01) -> bool:
+        """Run until the condition holds, checked every `step_s`; return False on a time-out."""
         end_us = self.now_us + round(timeout_s * SECOND)
         while not condition():
             if self.now_us >= end_us:
                 return False
-            self.run_for(step)
+            self.run_for(step_s)
         return True
 
     def finish(self, processes: list[Process]) -> None:
