--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -40,7 +40,12 @@
 
 
 class RandomChooser:
-    """Chooses a server at random; base class of the other textbook algorithms."""
+    """Chooses a server at random; base class of the other textbook algorithms.
+
+    Attributes:
+        number: Number of the limiter.
+        in_flight: This limiter's requests in flight, by number of the server.
+    """
 
     def __init__(self, spec: Spec, servers: list[Server], random: Random, number: int) -> None:
         self.spec, self.servers, self.random, self.number = spec, servers, random, number
@@ -51,6 +56,7 @@
         return self.pick(now_us, candidates) if candidates else None
 
     def pick(self, now_us: int, candidates: list[int]) -> int:
+        """Return one of the candidates, which are not empty."""
         return self.random.choice(candidates)
 
     def on_sent(self, now_us: int, server: int) -> int:
@@ -74,7 +80,7 @@
 
 
 class LeastOutstanding(RandomChooser):
-    """Chooses the server with the fewest requests in flight from this limiter."""
+    """Chooses the server with the fewest requests in flight from this limiter, at random among equals."""
 
     def pick(self, now_us: int, candidates: list[int]) -> int:
         return min(candidates, key=lambda each: (self.in_flight[each], self.random.random()))
@@ -121,12 +127,13 @@
     def pick(self, now_us: int, candidates: list[int]) -> int:
         zone = self.spec.zone(self.number)
 
-        def expected_us(each: int) -> float:
-            server = self.servers[each]
-            wait = max(0, server.outstanding + 1 - self.spec.slots) / self.spec.slots
+        def expected_us(number: int) -> float:
+            """Estimate the latency; an unhealthy server counts as ten times as slow."""
+            server = self.servers[number]
+            rounds_waited = max(0, server.outstanding + 1 - self.spec.slots) / self.spec.slots
             network_us = 2 * (self.spec.far_us if server.zone != zone else self.spec.near_us)
             return (
-                server.slowdown * self.spec.work_us * (1 + wait) * (10 if server.is_unhealthy else 1)
+                server.slowdown * self.spec.work_us * (1 + rounds_waited) * (10 if server.is_unhealthy else 1)
                 + network_us
             )
 
@@ -144,7 +151,7 @@
         )
         self.cluster = UpstreamCluster(random, spec.zone(number), self.subsets)
         self.latency = self.cluster.latency("r", spec.latency_target_us)
-        self.numbers = {each.name: each.number for each in servers}
+        self.number_by_name = {each.name: each.number for each in servers}
         for each in servers:
             self.cluster.update(
                 0, registry.Server(each.name, "s", "10.0.0.1:1", each.zone, spec.slots, "up", 1)
@@ -154,7 +161,7 @@
     def choose(self, now_us: int, tried: list[int]) -> int | None:
         tried_servers = [self.cluster.servers[self.names[each]] for each in tried]
         server = self.cluster.choose(now_us, self.latency.mean(now_us), tried_servers)
-        return None if server is None else self.numbers[server.address]
+        return None if server is None else self.number_by_name[server.address]
 
     def on_sent(self, now_us: int, server: int) -> Attempt:
         attempt = Attempt(None, self.cluster.servers[self.names[server]], 0, now_us)
@@ -175,7 +182,7 @@
     """A load balancer and what it needs from the simulation.
 
     Attributes:
-        make: Its class.
+        make: Its class; called with the parameters, the servers, a random generator and the limiter's number.
         exchanges_loads: Whether neighbouring limiters report their requests in flight to each other.
         uses_idle_queue: Whether idle servers join a limiter's queue.
         description: Short description.
@@ -196,3 +203,4 @@
     "own": ChooserKind(GatewayChooser, exchanges_loads=True, description="the gateway's own"),
     "full-sight": ChooserKind(FullKnowledge, description="knows all servers without delay"),
 }
+"""Load balancers by the name that the command line and the table use."""
--- a/lapisgrade/lab/balancing/simulation.py
+++ b/lapisgrade/lab/balancing/simulation.py
@@ -32,7 +32,7 @@
         retries: Attempts beyond the first, per request.
         reports_s: Load reports sent per second and limiter.
         report_kib_s: KiB of load reports sent per second and limiter.
-        choice_us: Time that this machine took for one choice.
+        choice_us: Mean time that the machine of the simulation took for one choice; not simulated time.
     """
 
     name: str
@@ -50,7 +50,14 @@
 
 
 class Request:
-    """One request of a client."""
+    """One request of a client.
+
+    Attributes:
+        started_us: Time at which the client sent it.
+        limiter: Number of the limiter that receives it.
+        work: Time (us) that it takes on a server of normal speed.
+        tried: Numbers of the servers that its attempts were sent to, in order.
+    """
 
     __slots__ = ("hops", "is_over", "limiter", "started_us", "tried", "work")
 
@@ -61,7 +68,18 @@
 
 
 class Simulation:
-    """One run of one load balancer."""
+    """One run of one load balancer.
+
+    Attributes:
+        spec: The parameters.
+        name: Name of the load balancer in `CHOOSERS`.
+        weights: Relative rates of the requests at the limiters.
+        latencies_us: Latencies of the requests that were served within the client's time-out.
+        far_attempts: Number of attempts that were sent to another zone.
+        queued: Sum, over all attempts, of the requests that waited at the server when the attempt was sent.
+        choice_s: Time that this machine took for all choices.
+        due_reports: Limiters whose next load report is scheduled.
+    """
 
     def __init__(self, spec: Spec, name: str) -> None:
         self.spec, self.name, self.kind, self.sim = spec, name, CHOOSERS[name], Sim()
@@ -116,6 +134,7 @@
         )
 
     def set_unhealthy(self, servers: list[Server], is_unhealthy: bool) -> None:
+        """Make servers unhealthy or healthy."""
         for each in servers:
             each.is_unhealthy = is_unhealthy
 
@@ -127,7 +146,7 @@
         self.send(request)
 
     def send(self, request: Request) -> None:
-        """Send an attempt, if a server is available."""
+        """Send an attempt; without an available server the request ends without a response."""
         now_us, limiter = self.sim.now, self.limiters[request.limiter]
         started_s = time.perf_counter()
         number = limiter.choose(now_us, request.tried)
@@ -149,6 +168,15 @@
     def arrive_at_server(
         self, request: Request, server: Server, token, sent_us: int, network_us: int
     ) -> None:
+        """Run, queue or reject an attempt at its server, which fails some attempts while it is unhealthy.
+
+        Args:
+            request: The request.
+            server: The server.
+            token: Result of the limiter's `on_sent`.
+            sent_us: Time at which the limiter sent the attempt.
+            network_us: One-way network latency between limiter and server.
+        """
         spec = self.spec
         if server.is_unhealthy and self.fault_random.random() < spec.failure_share:
             self.respond(request, server, token, sent_us, network_us, AttemptOutcome.ERROR)
@@ -160,12 +188,14 @@
             self.respond(request, server, token, sent_us, network_us, AttemptOutcome.OVERLOADED)
 
     def start_run(self, request: Request, server: Server, token, sent_us: int, network_us: int) -> None:
+        """Run an attempt in a free slot."""
         server.running += 1
         self.sim.after(
             request.work * server.slowdown, self.finish_run, request, server, token, sent_us, network_us
         )
 
     def finish_run(self, request: Request, server: Server, token, sent_us: int, network_us: int) -> None:
+        """Respond, and run the next queued attempt; an idle server may join a random limiter's queue."""
         server.running -= 1
         self.respond(request, server, token, sent_us, network_us, AttemptOutcome.OK)
         if server.queue:
@@ -177,6 +207,7 @@
     def respond(
         self, request: Request, server: Server, token, sent_us: int, network_us: int, outcome: AttemptOutcome
     ) -> None:
+        """Send an attempt's response, with the server's current load, to the limiter."""
         server.outstanding -= 1
         load = (server.running, len(server.queue))
         self.sim.after(network_us, self.on_response, request, token, sent_us, outcome, load)
@@ -184,6 +215,7 @@
     def on_response(
         self, request: Request, token, sent_us: int, outcome: AttemptOutcome, load: tuple[int, int]
     ) -> None:
+        """Handle a response at the limiter; retry a failed request unless its tries or time are used up."""
         now_us = self.sim.now
         self.limiters[request.limiter].on_response(now_us, token, now_us - sent_us, outcome, load)
         self.schedule_load_report(request.limiter)
@@ -221,6 +253,7 @@
     def on_load_report(
         self, limiter: int, sender: str, in_flight: dict[str, int], unhealthy: list[str]
     ) -> None:
+        """Handle a neighbour's load report at a limiter."""
         self.limiters[limiter].subsets.on_load_report(self.sim.now, sender, in_flight, unhealthy)
 
 
--- a/lapisgrade/lab/baselines/central.py
+++ b/lapisgrade/lab/baselines/central.py
@@ -15,6 +15,7 @@
     """Calls the counter before each operation; rejects the operation if the counter does not reply."""
 
     def handle(self, op: Operation) -> Generator:
+        """Add the operation to the customer's count; send it if the count is within the quota."""
         window = self.clock.now_us // WINDOW_US
         name = int.from_bytes(blake2b(f"{op.customer}/{window}".encode(), digest_size=6).digest(), "big")
         reply = yield AddToCounter(name, float(op.units), COUNT_TTL_US)
--- a/lapisgrade/lab/baselines/common.py
+++ b/lapisgrade/lab/baselines/common.py
@@ -59,7 +59,7 @@
         self.ready = sorted(name for name, state in self._states.items() if state is ServerState.READY)
 
     def on_attempt_finished(self, attempt: BaselineAttempt, report) -> None:
-        """Ignore the result."""
+        """Ignore the result: the policy learns nothing from attempts."""
 
     def send(self, op: Operation) -> Generator:
         """Send an admitted operation; on a failure, reject it, as retryable only if that is safe."""
--- a/lapisgrade/lab/baselines/local.py
+++ b/lapisgrade/lab/baselines/local.py
@@ -20,8 +20,9 @@
         self.buckets: dict[str, tuple[float, int]] = {}
 
     def handle(self, op: Operation) -> Generator:
-        now_us, count = self.clock.now_us, max(1, op.gateway_count)
-        rate, burst = op.plan.rate / count, op.plan.burst / count
+        """Take the operation's units from the customer's bucket, and send it if there were enough."""
+        now_us, gateway_count = self.clock.now_us, max(1, op.gateway_count)
+        rate, burst = op.plan.rate / gateway_count, op.plan.burst / gateway_count
         tokens, updated_us = self.buckets.get(op.customer, (burst, now_us))
         tokens = min(burst, tokens + rate * (now_us - updated_us) / SECOND)
         if tokens < op.units:
--- a/tests/lab/balancing/test_choosers.py
+++ b/tests/lab/balancing/test_choosers.py
@@ -1,4 +1,4 @@
-"""The gateway's balancer against textbook algorithms, on the same arrivals, few of them at each limiter."""
+"""The gateway's load balancer against textbook algorithms: the same arrivals, few of them at each limiter."""
 
 from lapisgrade.lab.balancing.model import Spec
 from lapisgrade.lab.balancing.simulation import Simulation, comparison_table
@@ -10,9 +10,9 @@
         name: Simulation(spec, name).run() for name in ("two-choices", "join-idle", "own", "full-sight")
     }
     best = results["full-sight"].in_target
-    gap = {name: best - each.in_target for name, each in results.items()}
-    assert gap["own"] < gap["join-idle"]
-    assert gap["own"] < 0.3 * gap["two-choices"]
+    gap_to_best = {name: best - result.in_target for name, result in results.items()}
+    assert gap_to_best["own"] < gap_to_best["join-idle"]
+    assert gap_to_best["own"] < 0.3 * gap_to_best["two-choices"]
     assert results["own"].other_zone < 0.25  # traffic between zones costs money
 
 
