--- a/lapisgrade/lab/simulation/claims.py
+++ b/lapisgrade/lab/simulation/claims.py
@@ -20,8 +20,8 @@
 CLAIM_TIMEOUT_S = 0.6
 CLAIM_RETRY_DELAY_S = 0.05
 MAX_CLAIM_SENDS = 8  # maximum number of sends of a claim; then the attempt never runs
-MAX_TAKE_OVERS = 3
-MAX_PAUSE_S = 0.1
+MAX_TAKE_OVERS = 3  # maximum number of different claims of an attempt; all but the first are take-overs
+MAX_PAUSE_S = 0.1  # maximum pause of a client between its attempts
 NEVER_RUN_RATE = 0.4  # fraction of the attempts that own their key and still never run
 KEYS = 6  # number of keys that are claimed concurrently
 KEY_LIFETIME_US = 1_000_000  # time until a new set of keys is claimed; far below the idempotency window
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self.runs: dict[str, str] = {}  # attempt by key
         self.never_run: set[str] = set()
-        self.answered = 0  # number of claims with a reply
+        self.answered = 0  # number of claims whose outcome a client knows
 
     def run(self, cluster: Cluster, key: str, attempt: str) -> None:
         """Record the run of an operation, and check that no other attempt ran it."""
@@ -87,6 +87,7 @@
         return ""
 
     async def _send(self, claim: Claim) -> ClaimReply:
+        """Send a claim once, to the leader if it is known; a missing reply counts as an unknown outcome."""
         address = self.leader_address or self._random_address()
         host, _, port = address.rpartition(":")
         result = await self.endpoint.call((host, int(port)), ClaimRequest(claim), CLAIM_TIMEOUT_S)
@@ -101,11 +102,12 @@
         return f"{self.random.choice(machines).ip}:{RPC_PORT}"
 
     def _check_clocks(self) -> None:
+        """Check that no operation table's clock counts more time than has passed since the start."""
         for machine in self.cluster.running_machines():
             counted_us = machine.controller.state_machine.state.operations.clock_us
             if counted_us > self.loop.now_us - self.cluster.started_us:
                 self.cluster.invariants.report_violation(
-                    f"{machine.name}: the clock of operations is ahead of real time: {counted_us} us"
+                    f"{machine.name}: the operation table counts {counted_us} us, more than have passed"
                 )
 
 
--- a/lapisgrade/lab/simulation/clients.py
+++ b/lapisgrade/lab/simulation/clients.py
@@ -18,10 +18,10 @@
 FIRST_BACKOFF_S = 0.03
 MAX_BACKOFF_S = 0.5
 BACKOFF_FACTOR = 1.6
-READ_RATE = 0.4
-SAME_FORMAT_RATE = 0.7
-DELTA_RATE = 0.7
-MAX_RESEND_DELAY_S = 3
+READ_RATE = 0.4  # fraction of an operator's calls that are reads
+SAME_FORMAT_RATE = 0.7  # fraction of the sends of a change whose JSON is not reformatted
+DELTA_RATE = 0.7  # fraction of the changes that are deltas; the others are complete configurations
+MAX_RESEND_DELAY_S = 3  # maximum time from the final reply to a change until it is sent again
 UPDATE_CALL = "conf.update"
 REPLACE_CALL = "conf.replace"
 
@@ -33,9 +33,9 @@
     kind: str  # "change" or "read"
     called_us: int
     returned_us: int | None = None  # None until a final reply
-    status: int = 0
-    version: int = 0
-    base: int = 0
+    status: int = 0  # HTTP status of the final reply; 0 until then
+    version: int = 0  # version of the change, or version that was read; 0 if there is none
+    base: int = 0  # version that the change is based on
     text: bytes = b""  # the body of the change, or the configuration that was read
 
 
@@ -81,6 +81,7 @@
     A change is retried until a final reply.
 
     Attributes:
+        known_version: The newest version that it has seen.
         lost_reply_rate: Fraction of the replies to changes that the operator ignores.
         max_consecutive_reads: Maximum number of reads between two changes; None for no limit.
         resend_rate: Fraction of the changes that are sent again some time after their final reply.
@@ -144,7 +145,7 @@
         return REPLACE_CALL, msgspec.json.encode(configuration)
 
     async def change(self) -> None:
-        """Send a change until a final reply, at most `MAX_ATTEMPTS` times."""
+        """Send a change until a final reply, at most `MAX_ATTEMPTS` times; then read if there was none."""
         base = self.known_version
         version = base + 1 + self.random.randrange(2)
         call, body = self.make_change(version, base)
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -21,8 +21,8 @@
 from lapisgrade.lab.simulation.proxy_faults import ProxyFaultInjector
 from lapisgrade.lab.simulation.server import SimulatedServer
 from lapisgrade.lab.simulation.tenant_load import (
+    API_KEY,
     BURSTY,
-    KEY,
     STEADY,
     TenantLoad,
     TenantOperator,
@@ -36,13 +36,24 @@
 TENANT_OPERATOR_NUMBER = 9
 OPERATOR_PAUSE_S = 0.6  # short enough for a change within the 5 s that a simulation waits for one at its end
 DEPARTURE_TIMEOUT_S = 8.0  # maximum wait for a server's departure before the leader is killed without one
-QUOTA_WINDOW_S = 5.0
-DEPARTURE_FAULT_RATE = 0.2
-CONTROLLER_FAULT_RATE = 0.3
+QUOTA_WINDOW_S = 5.0  # the default `quota_win` of `Slo`
+DEPARTURE_FAULT_RATE = 0.2  # fraction of faults that hit the leader after it acknowledged a departure
+CONTROLLER_FAULT_RATE = 0.3  # fraction of the other faults that hit controllers; the rest hit proxies
 
 
 class DataPlaneSimulation(ControlPlaneSimulation):
-    """A control plane with proxies, servers, and a tenant's clients."""
+    """A control plane with proxies, servers, and a tenant's clients.
+
+    Attributes:
+        load: The tenant's limit and load.
+        machines: The proxies' machines.
+        servers: All servers by id, including those that have ended.
+        sent_us: Times at which the tenant's requests were sent to a server.
+        counter_adds: Number of adds that the tenant's counter accepted.
+        newest_fencing_token: Fencing token of the last of them.
+        counter_owner: Name of the proxy that made the last of them.
+        rejections: Number of rejected requests by status.
+    """
 
     def __init__(self, seed: int, clock: SimulatedClock, load: TenantLoad, max_pause_s: float = 1.5) -> None:
         super().__init__(seed, operators=1, max_pause_s=max_pause_s)
@@ -55,11 +66,11 @@
             self.cluster, self.random, self.machines, self.faults.call_after
         )
         self.servers: dict[str, SimulatedServer] = {}
-        self.sent_us: list[int] = []  # times at which the tenant's requests were sent to a server
+        self.sent_us: list[int] = []
         self.counter_adds = 0
-        self.newest_fencing_token = 0  # token of the last add to the counter
-        self.counter_owner = ""  # proxy that made the last add
-        self.rejections: dict[int, int] = {}  # count by status
+        self.newest_fencing_token = 0
+        self.counter_owner = ""
+        self.rejections: dict[int, int] = {}
         self._busy_until_us = 0  # end of the tenant's busy period
         for machine in self.machines:
             machine.start()
@@ -75,8 +86,8 @@
         operator.load = self.load
         # A simulation waits for a change at its end, which consecutive reads could delay too long.
         operator.max_consecutive_reads = 1
-        for each in self.operators:
-            each.process.is_alive = False
+        for replaced in self.operators:
+            replaced.process.is_alive = False
         self.operators = [operator]
         operator.start_task(operator.run())
 
@@ -96,7 +107,7 @@
         machine = self.random.choice(self.machines)
         if machine.is_running:
             path = f"/p{self.random.randrange(3)}/1"
-            self.loop.schedule(0, machine.process, machine.proxy.request, path, KEY)
+            self.loop.schedule(0, machine.process, machine.proxy.request, path, API_KEY)
         load = self.load
         pause_s = self.random.expovariate(load.demand_factor * load.rate)
         if any(load.idle_s) and self.loop.now_us >= self._busy_until_us:
@@ -126,20 +137,20 @@
                 f"{proxy.settings.hostname} responds {status} to a request that all versions allow"
             )
 
-    def on_version_activated(self, proxy: SimulatedProxy, before: int) -> None:
-        """Check the version that a proxy has activated; `before` is the previously active version."""
+    def on_version_activated(self, proxy: SimulatedProxy, previous_version: int) -> None:
+        """Check the version that a proxy has activated against the log and its previously active version."""
         name = proxy.settings.hostname
         if proxy.active_version not in self.invariants.versions:
             self.invariants.report_violation(
                 f"{name} activates version {proxy.active_version}, which is not in the log"
             )
-        if proxy.active_version < before:
+        if proxy.active_version < previous_version:
             self.invariants.report_violation(
-                f"{name} activates an older version than {before}: {proxy.active_version}"
+                f"{name} replaces version {previous_version} by the older version {proxy.active_version}"
             )
 
     def observe_quota_owner(self, proxy: SimulatedProxy) -> None:
-        """Check each add to a counter that this proxy owns."""
+        """Wrap the proxy's quota owner, so that each add to a counter that it owns is checked."""
         owner: QuotaOwner = proxy.quota_owner
         add = owner.add
 
@@ -154,6 +165,7 @@
         owner.add = checked_add  # type: ignore[method-assign]
 
     def _on_counter_added(self, owner: QuotaOwner) -> None:
+        """Check that an accepted add has no older token, and no other owner of the same token."""
         self.counter_adds += 1
         token, name = self.newest_fencing_token, self.counter_owner
         if owner.fencing_token < token:
--- a/lapisgrade/lab/simulation/defects/changes.py
+++ b/lapisgrade/lab/simulation/defects/changes.py
@@ -19,17 +19,19 @@
 _apply_new_version = StateMachine.apply_new_version
 
 
-def _apply_new_version_on_any_base(self: StateMachine, item: NewVersion) -> ApplyResult:
+def _apply_new_version_on_any_base(self: StateMachine, command: NewVersion) -> ApplyResult:
     """A version is accepted on any base."""
     if (
-        item.encoded.version <= self.state.version
-        or self.state.applied_changes.get(item.encoded.version) == item.change_digest
+        command.encoded.version <= self.state.version
+        or self.state.applied_changes.get(command.encoded.version) == command.change_digest
     ):
-        return _apply_new_version(self, item)
+        return _apply_new_version(self, command)
     text = (
-        decode(item.encoded, self.state.configuration) if not item.encoded.base else self.state.configuration
+        decode(command.encoded, self.state.configuration)
+        if not command.encoded.base
+        else self.state.configuration
     )
-    self.accept(text, item.encoded.version, item.change_digest)
+    self.accept(text, command.encoded.version, command.change_digest)
     return ApplyResult(200)
 
 
@@ -53,7 +55,7 @@
 
 
 def _validate_without_digest(self: StateMachine, change: ConfigurationChange) -> ValidatedChange:
-    """A change that was already applied is validated as a new one."""
+    """A change that was already applied is validated like a new one when it is sent again."""
     applied_changes, self.state.applied_changes = self.state.applied_changes, {}
     try:
         return _validate(self, change)
--- a/lapisgrade/lab/simulation/defects/claims.py
+++ b/lapisgrade/lab/simulation/defects/claims.py
@@ -33,7 +33,7 @@
 
 
 def _claim_from_anyone(self: OperationTable, claim: Claim) -> ClaimResult:
-    """A take-over doesn't check which attempt it replaces."""
+    """A take-over replaces the current owner, whichever attempt it names."""
     record = self.find(claim.tenant, claim.key)
     if record is not None and claim.replaces:
         claim = msgspec.structs.replace(claim, replaces=record.attempt)
--- a/lapisgrade/lab/simulation/defects/control_plane.py
+++ b/lapisgrade/lab/simulation/defects/control_plane.py
@@ -25,3 +25,4 @@
     name: defect for group, _ in DEFECTS_AND_SCHEDULES for name, defect in group.items()
 }
 FOUND_BY_UNIT_TESTS: Defects = {**leader.FOUND_BY_UNIT_TESTS, **membership.FOUND_BY_UNIT_TESTS}
+"""Defects whose timing is too rare for the fault schedules."""
--- a/lapisgrade/lab/simulation/defects/data_plane.py
+++ b/lapisgrade/lab/simulation/defects/data_plane.py
@@ -16,14 +16,14 @@
 _commit, _update_servers = LeaderCalls.commit, Router.update_servers
 
 
-def _apply_live_proxies_without_new_token(self: StateMachine, index: int, item: LiveProxies) -> None:
+def _apply_live_proxies_without_new_token(self: StateMachine, index: int, command: LiveProxies) -> None:
     """A new list of live proxies keeps the previous fencing token."""
     state = self.state
     state.fencing_token = state.fencing_token or index
-    state.live_proxies = item.members
+    state.live_proxies = command.members
     state.proxies_with_controller, state.terminating_proxies = (
-        item.proxies_with_controller,
-        item.terminating_proxies,
+        command.proxies_with_controller,
+        command.terminating_proxies,
     )
 
 
@@ -35,11 +35,11 @@
     _update_servers(self, servers, is_complete)
 
 
-async def _commit_without_departures(self: LeaderCalls, item: Any) -> rpc_messages.ForwardCallReply:
+async def _commit_without_departures(self: LeaderCalls, command: Any) -> rpc_messages.ForwardCallReply:
     """A server's departure is acknowledged though it is only in the leader's memory."""
-    if not isinstance(item, ServerLeaving):
-        return await _commit(self, item)
-    self.watch_service.watch.registry.mark_left(self.clock(), item.server, item.is_gone)
+    if not isinstance(command, ServerLeaving):
+        return await _commit(self, command)
+    self.watch_service.watch.registry.mark_left(self.clock(), command.server, command.is_gone)
     self.watch_service.notify_watchers()
     return rpc_messages.ForwardCallReply(ApplyResult(200).status)
 
@@ -49,7 +49,7 @@
     self.departed_servers = {}
 
 
-# First seed and number of seeds that find a defect; 0 and 12 for all others.
+# First seed and number of seeds of the search for a defect; 0 and 12 for all others.
 FIRST_SEED_AND_COUNT = {"asks-nobody": (24, 12), "forgets-leases": (24, 12), "old-fence": (20, 12)}
 QUOTA_DEFECTS = ("never-expires", "any-fence", "asks-nobody", "forgets-leases", "undivided")
 DEFECTS: Defects = {
--- a/lapisgrade/lab/simulation/defects/log.py
+++ b/lapisgrade/lab/simulation/defects/log.py
@@ -22,7 +22,7 @@
 
 
 def _recover_as_durable(cls: type, *args: Any) -> Node:
-    """Entries read at the start count as synced."""
+    """Entries that are read from disk at the start count as durable, though they may not be synced."""
     node = _recover(cls, *args)
     node.state.durable_index = node.log.last_index
     return node
@@ -85,9 +85,9 @@
     """A received snapshot is not loaded."""
 
 
-def _add_as_complete(self: Any, piece: Any) -> bytes | None:
+def _add_as_complete(self: Any, chunk: Any) -> bytes | None:
     """Each chunk of a snapshot is used as the complete snapshot."""
-    return piece.data
+    return chunk.data
 
 
 LOG_DEFECTS: Defects = {
--- a/lapisgrade/lab/simulation/defects/membership.py
+++ b/lapisgrade/lab/simulation/defects/membership.py
@@ -36,7 +36,7 @@
 
 
 def _is_no_change_pending(self: Reconfiguration) -> bool:
-    """A leader changes voters before it has committed an entry of its term (a known Raft bug, 2015)."""
+    """A leader changes voters before it has committed an entry of its term (Ongaro's note of 2015)."""
     return False
 
 
@@ -57,6 +57,7 @@
 
 
 def _bootstrapped(settings: Settings) -> Settings:
+    """Return the settings of a process that may bootstrap a cluster."""
     from attrs import evolve
 
     return evolve(settings, bootstrap=True)
--- a/lapisgrade/lab/simulation/defects/operations.py
+++ b/lapisgrade/lab/simulation/defects/operations.py
@@ -23,7 +23,7 @@
 from lapisgrade.net.http import Message
 
 TIME_SINCE_BOOT_US = 3_600_000_000  # time that `_elapsed_since_boot` counts for a new leader
-RETENTION_US = 75_000_000
+RETENTION_US = 75_000_000  # retention of the records in claims that bypass the leader's own code
 NEGATIVE_MARGIN_US = -20_000_000  # makes the retention shorter than the idempotency window
 
 
--- a/lapisgrade/lab/simulation/fault_schedules.py
+++ b/lapisgrade/lab/simulation/fault_schedules.py
@@ -1,6 +1,6 @@
 """Fault schedules of the control plane by name, whose timing a seed determines.
 
-A schedule runs a complete simulation. The schedules include the operators' worst days.
+A schedule runs a complete simulation. The schedules include the worst cases that operators must expect.
 """
 
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 DOWNTIME_S = 20.0  # downtime of a member; long enough to miss hundreds of changes
 CATCH_UP_TIMEOUT_S = 4.0  # maximum time to catch up while changes continue
 MAX_IN_FLIGHT = 8  # maximum lag, in entries, of a member that counts as caught up
-UNLIMITED_ENTRIES = 1 << 30
+UNLIMITED_ENTRIES = 1 << 30  # log entries before a snapshot, so that there is none
 
 
 STEPS = (
@@ -47,7 +47,8 @@
 def leader_partition(seed: int) -> ControlPlaneSimulation:
     """The leader is partitioned for up to 20 s, in both directions or one, while clients call both sides.
 
-    Other variants are short: late replies, a follower that is restarted, or a partition between all machines.
+    Other variants are short: late replies, a follower that is restarted, a leader that reaches only one
+    follower, or a partition between all machines.
     """
     simulation = start_simulation(seed)
     for _ in range(3):
@@ -143,7 +144,7 @@
 
 
 def second_loss(seed: int) -> ControlPlaneSimulation:
-    """A machine is lost right after a repair or a replacement, or in the middle of it."""
+    """A machine is lost right after a repair or a replacement, or during it."""
     size, max_lost = CLUSTER_SIZES[seed // len(STEPS) % len(CLUSTER_SIZES)]
     with log_limits(6 if seed % 3 else 128, 300):
         return repeat_step(start_simulation(seed, size, max_lost), STEPS[seed % len(STEPS)], 5.0)
@@ -187,7 +188,7 @@
                 f"{member.name} has not caught up within {CATCH_UP_TIMEOUT_S} s after its start"
             )
         simulation.loop.run_for(0.5)
-        # With the leader frozen the member may become leader, which takes the vote of another voter.
+        # While the leader is frozen, the member may become leader, but only with the vote of another voter.
         for machine in simulation.cluster.running_machines():
             if machine is not member and machine is simulation.cluster.leader():
                 machine.freeze(3.0)
@@ -231,3 +232,4 @@
     "hundreds-of-changes": hundreds_of_changes,
     "unsynced": unsynced,
 }
+"""Schedules by name; each runs the simulation of a seed and returns it finished."""
--- a/lapisgrade/lab/simulation/faults.py
+++ b/lapisgrade/lab/simulation/faults.py
@@ -15,17 +15,23 @@
 
 RECOVERY_S = 4.0  # time for which a machine still counts as lost after its fault has ended
 SLOW_LINK_BYTES_PER_SECOND = 250_000.0  # 2 Mbit/s
-LEADER_FAULT_RATE = 0.4
+LEADER_FAULT_RATE = (
+    0.4  # fraction of faults that hit the leader, if it may be lost; the others hit any machine
+)
 CRASH_DURATIONS_S = (0.05, 0.5, 1.5, 4.0)
 PARTITION_DURATIONS_S = (0.3, 1.2, 3.0, 20.0)
 FREEZE_DURATIONS_S = (0.2, 0.6, 2.0, 8.0)
 STALL_DURATIONS_S = (0.3, 2.0, 5.0)
 SLOW_LINK_DURATION_S = 5.0
-REPLACEMENT_DELAYS_S = (0.3, 1.0, 2.5)
+REPLACEMENT_DELAYS_S = (0.3, 1.0, 2.5)  # times between the start of the new machine and the end of the old
 
 
 class FaultInjector:
-    """Injects faults into a cluster's machines, at most `max_lost` of which are lost at any time."""
+    """Injects faults into a cluster's machines, at most `max_lost` of which are lost at any time.
+
+    A fault of one machine does nothing if no other machine may be lost. `crash_all` restarts all machines at
+    once, so that only a machine whose disk it wipes counts as lost.
+    """
 
     def __init__(self, cluster: Cluster, random: Random, max_lost: int) -> None:
         self.cluster = cluster
@@ -141,9 +147,9 @@
             return
         self.mark_lost(machine, 1.5)
         machine.stop()
-        self.call_after(1.2, self._start_again, machine)
+        self.call_after(1.2, self._start_if_stopped, machine)
 
-    def _start_again(self, machine: Machine) -> None:
+    def _start_if_stopped(self, machine: Machine) -> None:
         if not machine.is_removed and not machine.is_running:
             machine.start()
 
--- a/lapisgrade/lab/simulation/history_check.py
+++ b/lapisgrade/lab/simulation/history_check.py
@@ -19,7 +19,7 @@
     try:
         violation_us = first_violation([_event(each) for each in history])
     except HistoryTooLargeError:
-        return
+        return  # unknown whether it is linearizable, so there is nothing to report
     if violation_us is not None:
         invariants.report_violation(
             f"changes and reads up to {violation_us / SECOND:.3f} s are not linearizable"
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -44,7 +44,7 @@
     Attributes:
         violations: Descriptions of the violations.
         leaders: Identity of the leader by term.
-        entries: Committed entries by index.
+        entries: Committed entries by index, as they were first applied.
         versions: The configuration's history in the log. Maps a version to its base, its text, and the time
             (us) at which it was first seen committed.
         established_term: The highest term in which a leader has committed an entry.
@@ -59,7 +59,9 @@
         self.versions: dict[int, tuple[int, bytes, int]] = {}
         self.established_term = 0
         self.elections = 0
-        self._elected: set[tuple[int, str]] = set()
+        self._elected: set[tuple[int, str]] = (
+            set()
+        )  # terms and identities of leaders whose election was checked
         self._commit_indexes: dict[str, int] = {}  # of leaders, by machine
         self._checked_voter_changes: set[int] = set()  # indexes of entries
 
@@ -109,7 +111,7 @@
             )
 
     def _disk_states(self, machine: Machine) -> list[Disk]:
-        """Return the disk and, after a wipe, its former contents: messages sent before may be in flight."""
+        """Return the disk and, after a wipe, its former contents: messages based on them may be in flight."""
         return (
             [machine.disk]
             if machine.disk.contents_before_wipe is None
@@ -131,7 +133,10 @@
                 )
 
     def _check_voters(self, controller: SimulatedController) -> None:
-        """Check that one voter change is pending, and a majority of the new voters is up and caught up."""
+        """Check that at most one voter change is pending, and that most new voters run and are caught up.
+
+        Changes up to the leader's first entry are skipped: an earlier leader appended them.
+        """
         node, log = controller.node, controller.node.log
         changes = [each for each in log.entries if each.voters is not None and each.index > node.commit_index]
         if (
@@ -195,6 +200,7 @@
             )
 
     def _record_version(self, controller: SimulatedController, entry: Entry) -> None:
+        """Record the version of a newly committed entry, if it was accepted, and check its base."""
         command = _COMMAND_DECODER.decode(entry.data)
         state = controller.state_machine.state
         if (
@@ -214,6 +220,7 @@
                 )
 
     def _check_state(self, controller: SimulatedController) -> None:
+        """Check the configuration that a controller has restored from a snapshot against the log."""
         state = controller.state_machine.state
         if (
             state.version
@@ -225,7 +232,7 @@
             )
 
     def have_all_caught_up(self) -> bool:
-        """Whether all running nodes know of every committed entry; some may still be in flight."""
+        """Whether all running nodes know all committed entries as committed; some may still be in flight."""
         newest = max(self.entries, default=0)
         nodes = [machine.controller.node for machine in self.cluster.running_machines()]
         return all(node is not None and node.commit_index >= newest for node in nodes)
--- a/lapisgrade/lab/simulation/linearizability.py
+++ b/lapisgrade/lab/simulation/linearizability.py
@@ -32,7 +32,7 @@
 
 
 def apply_event(event: Event, value: int) -> int | None:
-    """Return the register's value after the event, or None if the event could not have occurred."""
+    """Return the register's value after an event with a final reply, or None if that reply is impossible."""
     if event.kind == "read":
         return value if value == event.version else None
     if event.is_accepted:
@@ -42,7 +42,13 @@
 
 
 def _next_states(events: list[Event], done: int, value: int) -> Iterator[tuple[int, int]]:
-    """Yield the states after each possible next event: one called before any remaining event returned."""
+    """Yield the states after each possible next event: one called before any remaining event returned.
+
+    Args:
+        events: All events in order of their calls.
+        done: Bit set of the indexes of the events that have taken effect.
+        value: Value of the register after them.
+    """
     first_return_us = UNANSWERED
     for i, event in enumerate(events):
         if done >> i & 1:
@@ -54,13 +60,21 @@
             if value == event.base:  # it may have been accepted at this point, or never
                 yield done | 1 << i, event.version
             continue
-        following = apply_event(event, value)
-        if following is not None:
-            yield done | 1 << i, following
+        next_value = apply_event(event, value)
+        if next_value is not None:
+            yield done | 1 << i, next_value
 
 
 def linearizable(events: list[Event], start: int = 0) -> bool:
-    """Whether some order of the events, each between its call and its return, explains all replies."""
+    """Whether some order of the events, each between its call and its return, explains all replies.
+
+    Args:
+        events: The events in any order.
+        start: Value of the register before them.
+
+    Raises:
+        HistoryTooLargeError: The search has visited `MAX_STATES` states.
+    """
     events = sorted(events, key=lambda each: (each.called_us, each.returned_us))
     all_done = (1 << len(events)) - 1
     seen: set[tuple[int, int]] = set()
@@ -80,19 +94,23 @@
 
 
 def first_violation(events: list[Event], start: int = 0) -> int | None:
-    """Return the end (us) of the shortest prefix that isn't linearizable, or None if all of it is."""
+    """Return the end (us) of the shortest prefix that isn't linearizable, or None if the history is.
+
+    Raises:
+        HistoryTooLargeError: The search in a prefix has visited `MAX_STATES` states.
+    """
     if linearizable(events, start):
         return None
     return_times_us = sorted({each.returned_us for each in events if each.returned_us != UNANSWERED})
     low, high = 0, len(return_times_us) - 1
     while low < high:  # binary search for the shortest prefix that isn't linearizable
         middle = (low + high) // 2
-        part = [
+        prefix = [
             _as_known_at(each, return_times_us[middle])
             for each in events
             if each.called_us <= return_times_us[middle]
         ]
-        if linearizable(part, start):
+        if linearizable(prefix, start):
             low = middle + 1
         else:
             high = middle
@@ -104,6 +122,7 @@
     if event.returned_us <= end_us:
         return event
     if event.kind == "read":
-        # A pending read explains nothing; this change stands for it, and can never take effect.
+        # A pending read constrains nothing. This change stands for it; its base is no version, so it never
+        # takes effect.
         return Event("change", event.called_us, UNANSWERED, -1, -2)
     return Event("change", event.called_us, UNANSWERED, event.version, event.base)
--- a/lapisgrade/lab/simulation/operations/clients.py
+++ b/lapisgrade/lab/simulation/operations/clients.py
@@ -14,14 +14,14 @@
     from lapisgrade.lab.simulation.operations.simulation import KeyedSimulation
 
 TENANTS = ("ana", "ben")
-ANSWER_TIMEOUT_S = REQUEST_DEADLINE_MS / 1000 + 0.2
+ANSWER_TIMEOUT_S = REQUEST_DEADLINE_MS / 1000 + 0.2  # a client waits a little beyond its request's deadline
 MAX_TRIES = 5  # maximum number of consecutive tries of an operation
 MAX_PAUSE_S = 0.8  # maximum pause before a repeated try
-REPEAT_AFTER_SUCCESS_RATE = 0.4
+REPEAT_AFTER_SUCCESS_RATE = 0.4  # fraction of successes after which the operation is tried again
 SAME_PROXY_RATE = 0.3  # fraction of repeated tries that go to the same proxy
 CONCURRENT_TRIES_RATE = 0.1  # fraction of operations whose first two tries are sent concurrently
 DISCONNECT_RATE = 0.08  # fraction of tries whose client disconnects before the response
-MAX_TIME_TO_DISCONNECT_S = 0.3
+MAX_TIME_TO_DISCONNECT_S = 0.3  # maximum time from the send of such a try to the disconnect
 OTHER_BODY_RATE = 0.05  # fraction of tries whose body differs from the others with their key
 SHARED_KEY_RATE = 0.15  # fraction of keys that both tenants use
 # Times of late repeats since the first try, as fractions of the window.
@@ -86,13 +86,13 @@
         await asyncio.sleep(2 * MAX_PAUSE_S * self.random.random())
         await self.send(operation, self.random.choice(self.simulation.machines))
 
-    async def crowd(self, operation: OperationId, size: int) -> None:
-        """Send `size` concurrent tries of one operation."""
-        tries = [self.send(operation, self.random.choice(self.simulation.machines)) for _ in range(size)]
+    async def send_concurrently(self, operation: OperationId, count: int) -> None:
+        """Send `count` concurrent tries of one operation to random proxies."""
+        tries = [self.send(operation, self.random.choice(self.simulation.machines)) for _ in range(count)]
         await asyncio.gather(*tries)
 
     async def _operate(self, operation: OperationId) -> None:
-        """Send tries of an operation until one succeeds, and sometimes more."""
+        """Send at most `MAX_TRIES` tries of an operation, until one succeeds and sometimes beyond."""
         first_sent_us = self.loop.now_us
         machine = self.random.choice(self.simulation.machines)
         if self.random.random() < CONCURRENT_TRIES_RATE:
@@ -110,8 +110,8 @@
 
     async def _repeat_late(self, operation: OperationId, first_sent_us: int) -> None:
         """Send a try at one of `LATE_REPEAT_TIMES` after the first one."""
-        part = self.random.choice(LATE_REPEAT_TIMES)
-        due_us = first_sent_us + round(part * self.simulation.operations.window_us)
+        window_fraction = self.random.choice(LATE_REPEAT_TIMES)
+        due_us = first_sent_us + round(window_fraction * self.simulation.operations.window_us)
         await asyncio.sleep(max(0, due_us - self.loop.now_us) / SECOND)
         if self.is_open:
             await self.send(operation, self.random.choice(self.simulation.machines))
--- a/lapisgrade/lab/simulation/operations/exchange.py
+++ b/lapisgrade/lab/simulation/operations/exchange.py
@@ -16,7 +16,7 @@
 REQUEST_DEADLINE_MS = 2_000
 
 
-class ReceivedBytes:
+class SimulatedWriter:
     """A substitute for a `StreamWriter` that sends the bytes to a simulated client."""
 
     def __init__(
@@ -87,6 +87,7 @@
         return self._loop.random.randrange(MIN_DELAY_US, MAX_DELAY_US)
 
     def _arrive(self, request: bytes) -> None:
+        """Deliver the request to the proxy; without a running process, break the connection."""
         if not self._machine.is_running:
             return self.reset()
         self.process = self._machine.process
@@ -97,7 +98,7 @@
         """Handle the connection in the proxy's process."""
         self._reader = asyncio.StreamReader(loop=self._loop)
         front = self._machine.proxy.client_front
-        connection = ClientConnection(front, ReceivedBytes(self._loop, self._reader, self._send_to_client))
+        connection = ClientConnection(front, SimulatedWriter(self._loop, self._reader, self._send_to_client))
         front.clients[connection] = None
         front.mark_idle(connection)
         self._reader.feed_data(request)
@@ -107,6 +108,7 @@
         self._loop.schedule(self._delay_us(), self._client, self._on_bytes, data)
 
     def _on_bytes(self, data: bytes) -> None:
+        """Parse what the client receives; no data means that the proxy has closed the connection."""
         if self.answer.done():
             return
         message = self._parser.feed(data) if data else None
--- a/lapisgrade/lab/simulation/operations/faults.py
+++ b/lapisgrade/lab/simulation/operations/faults.py
@@ -14,11 +14,11 @@
 FREEZE_DURATIONS_S = (0.2, 0.8, 2.5)
 RESTART_DELAYS_S = (0.05, 0.3, 1.0, 3.0)
 STOP_RESTART_DELAY_S = 6.5  # from SIGTERM to the restart; longer than the grace period
-MAX_SKEW_US = 500 * SECOND
+MAX_SKEW_US = 500 * SECOND  # maximum offset of a steady clock
 MAX_PACE_DEVIATION = 0.01  # maximum drift of a steady clock, a hundred times that of real clocks
-LAGGING_DISK_SLOWDOWN = 50.0
-HOLDER_DELAY_S = 1.5
-DELAYS_S = (0.05, 1.2)
+LAGGING_DISK_SLOWDOWN = 50.0  # factor on the duration of a slow disk's calls
+HOLDER_RESTART_DELAY_S = 1.5  # additional delay of the restart of controllers that have the newest entry
+MIN_AND_MAX_DELAY_S = (0.05, 1.2)  # of a delayed leader's messages
 STALL_DURATIONS_S = (0.3, 1.5, 4.0)
 
 
@@ -115,7 +115,7 @@
         delays = self.cluster.network.extra_delay_us
         all_machines = [*self.simulation.machines, *self.cluster.machines.values()]
         for machine in self.random.sample(all_machines, self.random.randrange(1, len(all_machines))):
-            delays[leader.ip, machine.ip] = round(self.random.uniform(*DELAYS_S) * SECOND)
+            delays[leader.ip, machine.ip] = round(self.random.uniform(*MIN_AND_MAX_DELAY_S) * SECOND)
         self.cluster.note(f"{leader.name}: messages to {len(delays)} machines are delayed")
         self.call_after(self.random.choice(PARTITION_DURATIONS_S), delays.clear)
 
@@ -153,7 +153,7 @@
         wiped_machines = self.random.sample(holders, min(wiped, len(holders)))
         for machine in machines:
             is_late = machine in holders and machine not in wiped_machines
-            self._lose_power(machine, machine in wiped_machines, HOLDER_DELAY_S if is_late else 0.0)
+            self._lose_power(machine, machine in wiped_machines, HOLDER_RESTART_DELAY_S if is_late else 0.0)
         for proxy in self.simulation.machines:
             proxy.kill()
             self.call_after(0.2 + self.random.random(), proxy.start)
@@ -168,8 +168,8 @@
             self.simulation.faults.mark_lost(machine, 1.0)
         machine.disk.slowdown = 1.0
         machine.kill(power=True, wipe=is_wiped)
-        self.call_after(0.2 + 0.3 * self.random.random() + delay_s, self._restart, machine)
+        self.call_after(0.2 + 0.3 * self.random.random() + delay_s, self._start_if_stopped, machine)
 
-    def _restart(self, machine: "Machine") -> None:
+    def _start_if_stopped(self, machine: "Machine") -> None:
         if not machine.is_removed and not machine.is_running:
             machine.start()
--- a/lapisgrade/lab/simulation/operations/history.py
+++ b/lapisgrade/lab/simulation/operations/history.py
@@ -1,4 +1,4 @@
-"""The history of keyed operations as clients and servers observe it, and the rules that check it. Pure.
+"""The history of keyed operations as clients and servers observe it, and the rules that check it.
 
 - TWICE: Two tries of one tenant's key ran and were sent less than the window apart, or one try ran twice.
 - MIXED: A success isn't the complete response of that key's run, or contains the id of another try.
@@ -95,9 +95,9 @@
     runs: dict[OperationId, list[Run]] = field(default_factory=dict)
     runs_by_seal: dict[str, Run] = field(default_factory=dict)
 
-    def on_sent(self, each: Try) -> None:
+    def on_sent(self, sent: Try) -> None:
         """Record a try that a client sends."""
-        self.tries[each.try_id] = each
+        self.tries[sent.try_id] = sent
 
     def on_run(self, run: Run) -> None:
         """Record a run, and check it against earlier runs and responses."""
@@ -116,37 +116,38 @@
         if sent.answer is not None and sent.answer.status in NOT_RUN_STATUSES:
             self._report_refused(sent, "runs later")
 
-    def on_answer(self, each: Try, answer: Answer) -> None:
+    def on_answer(self, sent: Try, answer: Answer) -> None:
         """Record a response that a client received, and check it."""
-        each.answer = answer
-        if any(try_id != each.try_id for try_id in answer.try_ids) or len(answer.try_ids) > 1:
-            self.report(f"MIXED: the response to try {each.try_id} has try ids {answer.try_ids}")
+        sent.answer = answer
+        if any(try_id != sent.try_id for try_id in answer.try_ids) or len(answer.try_ids) > 1:
+            self.report(f"MIXED: the response to try {sent.try_id} has try ids {answer.try_ids}")
         if answer.status // 100 == 2:
-            self._check_success(each, answer)
-        has_run = any(run.try_id == each.try_id for run in self.runs.get(each.operation, []))
+            self._check_success(sent, answer)
+        has_run = any(run.try_id == sent.try_id for run in self.runs.get(sent.operation, []))
         if answer.status in NOT_RUN_STATUSES and has_run:
-            self._report_refused(each, "has run")
+            self._report_refused(sent, "has run")
 
-    def _check_success(self, each: Try, answer: Answer) -> None:
+    def _check_success(self, sent: Try, answer: Answer) -> None:
+        """Check that a success is the complete response of a run of the try's operation."""
         run = self.runs_by_seal.get(answer.seal)
         if run is None:
-            self.report(f"MIXED: try {each.try_id} has a success with the seal of no run")
-        elif run.operation != each.operation:
-            self.report(f"MIXED: try {each.try_id} of {each.operation} has the response of {run.operation}")
+            self.report(f"MIXED: try {sent.try_id} has a success with the seal of no run")
+        elif run.operation != sent.operation:
+            self.report(f"MIXED: try {sent.try_id} of {sent.operation} has the response of {run.operation}")
         elif (run.status, run.body) != (answer.status, answer.body):
             self.report(
-                f"MIXED: try {each.try_id} has a status or body that differs from its run {run.try_id}"
+                f"MIXED: try {sent.try_id} has a status or body that differs from its run {run.try_id}"
             )
 
-    def _report_refused(self, each: Try, run_text: str) -> None:
-        status = each.answer.status if each.answer is not None else 0
-        self.report(f"REFUSED: try {each.try_id} of {each.operation} has response {status} and {run_text}")
+    def _report_refused(self, sent: Try, run_text: str) -> None:
+        status = sent.answer.status if sent.answer is not None else 0
+        self.report(f"REFUSED: try {sent.try_id} of {sent.operation} has response {status} and {run_text}")
 
     def known_answers(self, since_us: int) -> Iterator[tuple[OperationId, Run]]:
-        """Yield the operations with a success for a try sent since then, and their runs."""
-        for each in self.tries.values():
-            if each.sent_us < since_us or each.answer is None or each.answer.status != OK:
+        """Yield the operations of which a try sent since then got its own run's success, and that run."""
+        for sent in self.tries.values():
+            if sent.sent_us < since_us or sent.answer is None or sent.answer.status != OK:
                 continue
-            run = self.runs_by_seal.get(each.answer.seal)
-            if run is not None and run.try_id == each.try_id:
-                yield each.operation, run
+            run = self.runs_by_seal.get(sent.answer.seal)
+            if run is not None and run.try_id == sent.try_id:
+                yield sent.operation, run
--- a/lapisgrade/lab/simulation/operations/schedules.py
+++ b/lapisgrade/lab/simulation/operations/schedules.py
@@ -8,12 +8,14 @@
 from lapisgrade.lab.simulation.operations.simulation import KeyedSimulation
 
 NEXT_RUN_TIMEOUT_S = 1.0
-DELAY_RATHER_THAN_PARTITION_RATE = 0.25
-MAX_OVERLOAD_S = 0.4
+DELAY_RATHER_THAN_PARTITION_RATE = (
+    0.25  # fraction of leader faults that are delays; the others are partitions
+)
+MAX_OVERLOAD_S = 0.4  # maximum time for which servers reject all requests
 REPEATED_KEYS = 40  # number of recent keys that are sent again after a fault
 CROWD_SIZE = 400  # number of concurrent tries of one key
-WINDOW_KEYS_PER_SECOND = 3.0
-PAUSES_S = (0.02, 0.3, 1.2, 3.0)
+WINDOW_KEYS_PER_SECOND = 3.0  # new operations per second in `window`
+PAUSES_S = (0.02, 0.3, 1.2, 3.0)  # times from a random fault to the next
 CLUSTER_SIZES = ((3, 1), (5, 1), (6, 2))  # controllers, and controllers that may be lost at once
 SHORT_LOG, SHORT_MESSAGE = 8, 2_000  # log entries before a snapshot, and bytes per snapshot chunk
 LONG_LOG, LONG_MESSAGE = 512, 65_536
@@ -155,13 +157,13 @@
     for _ in range(3):
         operation = (simulation.random.choice(TENANTS), simulation.clients.new_key())
         simulation.recording_servers.is_overloaded = simulation.random.random() < 0.5
-        simulation.clients.start_task(simulation.clients.crowd(operation, CROWD_SIZE))
+        simulation.clients.start_task(simulation.clients.send_concurrently(operation, CROWD_SIZE))
         simulation.loop.run_for(MAX_OVERLOAD_S * simulation.random.random())
         simulation.recording_servers.is_overloaded = False
         if simulation.random.random() < 0.5:
             simulation.keyed_faults.inject_at_proxy()
         simulation.loop.run_for(2.5)
-        simulation.clients.start_task(simulation.clients.crowd(operation, CROWD_SIZE // 10))
+        simulation.clients.start_task(simulation.clients.send_concurrently(operation, CROWD_SIZE // 10))
         simulation.loop.run_for(1.0)
     simulation.finish()
     return simulation
@@ -177,3 +179,4 @@
     "window": window,
     "crowd": crowd,
 }
+"""Schedules by name; each runs the simulation of a seed and returns it finished."""
--- a/lapisgrade/lab/simulation/operations/servers.py
+++ b/lapisgrade/lab/simulation/operations/servers.py
@@ -18,7 +18,7 @@
 from lapisgrade.net.http import Message, MessageParser
 
 MIN_DELAY_US, MAX_DELAY_US = 300, 5_000  # network delay between a proxy and a server
-MIN_SERVICE_TIME_US, MAX_SERVICE_TIME_US = 5_000, 400_000
+MIN_SERVICE_TIME_US, MAX_SERVICE_TIME_US = 5_000, 400_000  # duration of a run
 MAX_EXTRA_DELAY_US = 3 * SECOND  # maximum delay of a late request or response
 MAX_BODY_BYTES = 300
 INTERNAL_SERVER_ERROR = 500
@@ -35,8 +35,8 @@
     REJECT = auto()  # respond 503 with Not-Run
     MISDIRECTED = auto()  # respond 421
     REFUSE_CONNECTION = auto()
-    LOSE_ANSWER = auto()  # run it, and break the connection
-    ANSWER_LATE = auto()
+    LOSE_ANSWER = auto()  # run it, and break the connection without a response
+    ANSWER_LATE = auto()  # run it, and respond late
     START_LATE = auto()  # receive the request late
 
 
@@ -55,7 +55,7 @@
 
 
 class PoolOwner(Protocol):
-    """The proxy that a pool belongs to."""
+    """The proxy that a pool belongs to, with its process, host and simulation."""
 
     process: Process
     host: Any
@@ -63,15 +63,21 @@
 
 
 class RecordingServers:
-    """All servers of the simulation, which record their runs in the history."""
+    """All servers of the simulation, which record their runs in the history.
+
+    Attributes:
+        run_count: Number of runs so far.
+        always_succeeds: Whether all requests succeed.
+        is_overloaded: Whether all requests are rejected; takes precedence.
+    """
 
     def __init__(self, loop: VirtualLoop, history: OperationHistory) -> None:
         self.loop = loop
         self.random = loop.random
         self.history = history
         self.run_count = 0
-        self.always_succeeds = False  # whether all requests succeed
-        self.is_overloaded = False  # whether all requests are rejected
+        self.always_succeeds = False
+        self.is_overloaded = False
 
     def draw_behaviour(self) -> Behaviour:
         """Return the behaviour for the next request."""
@@ -116,9 +122,9 @@
         behaviour = self._servers.draw_behaviour()
         if behaviour is Behaviour.REFUSE_CONNECTION:
             return self._close_after(MAX_DELAY_US, attempt, CloseReason.CONNECTION_REFUSED)
-        left_us = max(1, attempt.operation.deadline_us - attempt.sent_us)
-        self._close_after(left_us, attempt, CloseReason.TIMED_OUT)
-        request = self._encode_request(attempt, left_us / SECOND)
+        time_left_us = max(1, attempt.operation.deadline_us - attempt.sent_us)
+        self._close_after(time_left_us, attempt, CloseReason.TIMED_OUT)
+        request = self._encode_request(attempt, time_left_us / SECOND)
         delay_us = self._delay_us()
         if behaviour is Behaviour.START_LATE:
             delay_us = self._servers.random.randrange(MAX_EXTRA_DELAY_US)
@@ -134,6 +140,7 @@
             self.cancel(attempt)
 
     def _encode_request(self, attempt: Any, seconds_left: float) -> Message:
+        """Return the request as the server parses it."""
         body = b"".join(bytes(each) for each in attempt.operation.handle.body)
         message = MessageParser(h11.SERVER).feed(self._protocol.encode_head(attempt, seconds_left) + body)
         assert message is not None
--- a/lapisgrade/lab/simulation/operations/simulation.py
+++ b/lapisgrade/lab/simulation/operations/simulation.py
@@ -4,7 +4,7 @@
 towards servers; sockets, disks and the clock are simulated. The rules in `history` are checked continuously.
 After a quiet period at the end:
 
-- Each proxy responds 200 to a new key, and another proxy gives the same response to a repeat.
+- Each proxy responds 200 to a new key, and a repeat at a random proxy gets the same response.
 - A repeat of an operation with a known response gets the same response if its proxy's process still runs.
 - All controllers have the same records.
 """
@@ -30,16 +30,20 @@
 PROXIES = 4
 SERVERS = 3
 OPERATOR_NUMBER = 9
-OPERATOR_PAUSE_S = 1.0
+OPERATOR_PAUSE_S = 1.0  # maximum pause between the operator's calls
 READY_TIMEOUT_S = 6.0  # maximum time until all proxies are ready after the start
-KEY_WINDOW_US = 60 * SECOND
+KEY_WINDOW_US = 60 * SECOND  # idempotency window of a key
 MAX_CHECK_TRIES = 3  # maximum tries to get a success after the quiet period
 CHECK_TIMEOUT_S = 3.0  # time-out of each of those tries
 CHECKED_ANSWERS = 6  # number of known responses that are checked after the quiet period
-LATE_DUPLICATE_RATE = 0.005  # fraction of all messages between proxies and controllers
+LATE_DUPLICATE_RATE = (
+    0.005  # fraction of the messages between proxies and controllers that arrive again, late
+)
 LAST_CLAIMS_S = 3.0  # time after which the last claims are applied at all controllers
 RETENTION_S = 80.0  # time after which all records may be dropped
-KNOWN_PART = 0.8  # fraction of the window in which responses must still be known after the quiet period
+KNOWN_WINDOW_FRACTION = (
+    0.8  # fraction of the window in which responses must still be known after the quiet period
+)
 
 
 class KeyedOperator(Operator):
@@ -63,7 +67,17 @@
 
 
 class KeyedSimulation(ControlPlaneSimulation):
-    """A control plane with proxies, servers, and clients of keyed operations."""
+    """A control plane with proxies, servers, and clients of keyed operations.
+
+    Attributes:
+        operations: The history of tries, responses and runs.
+        recording_servers: The servers that run requests.
+        machines: The proxies' machines.
+        keyed_faults: Injects faults that concern keyed operations.
+        clients: The clients of keyed operations.
+        lasts_beyond_retention: Whether `finish` waits until all records have expired.
+        servers: The registered servers by id; they only send heartbeats.
+    """
 
     def __init__(self, seed: int, size: int = 3, max_lost: int = 1) -> None:
         super().__init__(seed, size, max_lost, operators=0)
@@ -77,7 +91,7 @@
         self.machines = [KeyedProxyMachine(self, number) for number in range(1, PROXIES + 1)]
         self.keyed_faults = KeyedFaults(self, self.random)
         self.clients = KeyedClients(self, Random(seed + 2))
-        self.lasts_beyond_retention = False  # whether the end waits until all records have expired
+        self.lasts_beyond_retention = False
         self._last_sender = self.machines[0]
         self.servers: dict[str, SimulatedServer] = {}
         for machine in self.machines:
@@ -122,20 +136,20 @@
 
     def on_request_sent(self, proxy: SimulatedProxy, attempt: Attempt) -> bool:
         """Record the sender; the recording servers never drain."""
-        names = {machine.name: machine for machine in self.machines}
-        self._last_sender = names[proxy.settings.hostname]
+        machines_by_name = {machine.name: machine for machine in self.machines}
+        self._last_sender = machines_by_name[proxy.settings.hostname]
         return True
 
     def on_request_rejected(self, proxy: SimulatedProxy, status: int) -> None:
         """Do nothing; the responses to the clients are checked."""
 
-    def on_version_activated(self, proxy: SimulatedProxy, before: int) -> None:
+    def on_version_activated(self, proxy: SimulatedProxy, previous_version: int) -> None:
         """Do nothing; the data plane simulation checks versions."""
 
     def observe_quota_owner(self, proxy: SimulatedProxy) -> None:
         """Do nothing; the tenants have no quota."""
 
-    # ---- the end
+    # ---- the checks at the end
 
     def finish(self) -> None:
         """Run a quiet period, then check that the system has recovered."""
@@ -156,17 +170,17 @@
         """Check that each proxy runs a new key, and that a repeat at a random proxy gets its response."""
         for machine in self.machines:
             operation = (TENANTS[0], self.clients.new_key())
-            first = self._send_until_success(operation, machine, MAX_CHECK_TRIES)
-            if first is None or first.status != OK:
+            first_answer = self._send_until_success(operation, machine, MAX_CHECK_TRIES)
+            if first_answer is None or first_answer.status != OK:
                 self.cluster.invariants.report_violation(
                     f"{machine.name} gives no success to a new key after the quiet period"
                 )
                 continue
-            self._expect_answer(operation, first.seal)
+            self._expect_answer(operation, first_answer.seal)
 
     def _expect_known_answers(self) -> None:
-        """Check that repeats get the responses that proxies still know."""
-        since_us = self.loop.now_us - round(KNOWN_PART * self.operations.window_us)
+        """Check that repeats get the responses that proxies still know, for a random sample of operations."""
+        since_us = self.loop.now_us - round(KNOWN_WINDOW_FRACTION * self.operations.window_us)
         known = [
             (operation, run.seal)
             for operation, run in self.operations.known_answers(since_us)
@@ -176,6 +190,7 @@
             self._expect_answer(operation, seal)
 
     def _expect_answer(self, operation: OperationId, seal: str) -> None:
+        """Check that a repeat at a random proxy gets the response with that seal."""
         machine = self.random.choice(self.machines)
         answer = self._send_until_success(operation, machine, MAX_CHECK_TRIES)
         if answer is None or answer.seal != seal:
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -27,9 +27,9 @@
 from lapisgrade.net.http import MessageParser
 from lapisgrade.policy.attempt import Attempt
 
-SERVICE_TIME_US = 30_000
-CLIENT_TIMEOUT_US = 2 * SECOND
-SHUTDOWN_GRACE_S = 2.6
+SERVICE_TIME_US = 30_000  # time from an attempt to its end
+CLIENT_TIMEOUT_US = 2 * SECOND  # time from a request to its deadline
+SHUTDOWN_GRACE_S = 2.6  # time from the start of a graceful shutdown to the end of the process
 HOST = "a.example"
 RESPONSE_EVENTS = MessageParser(h11.CLIENT).feed(encode_response(200, b"done", b"Server-Seal: seal\r\n"))
 
@@ -59,7 +59,7 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self._refused: set[tuple[str, int]] = set()
+        self._refused: set[tuple[str, int]] = set()  # addresses whose last call was refused
 
     async def call(
         self, address: tuple[str, int], message: Any, timeout_s: float
@@ -110,7 +110,11 @@
 
 
 class SimulatedProxy(Proxy):
-    """A proxy with the clock and the network of the simulation."""
+    """A proxy with the clock and the network of the simulation.
+
+    Attributes:
+        last_watch_us: Send time, by its own steady clock, of the last watch request with a leader's reply.
+    """
 
     def __init__(self, simulation: ProxyEnvironment, settings: Settings, process: Process) -> None:
         self.simulation, self.process = simulation, process
@@ -118,7 +122,7 @@
         self.context.random.seed(simulation.loop.random.getrandbits(64))
         self.context.incarnation = f"{self.context.random.getrandbits(64):016x}"
         self.quota_owner.ownership.incarnation = self.context.incarnation
-        self.last_watch_us = 0  # send time of the last watch request with a leader's reply
+        self.last_watch_us = 0
         self._request_count = 0
         simulation.observe_quota_owner(self)
 
@@ -151,22 +155,22 @@
         if self.active_version != previous_version:
             self.simulation.on_version_activated(self, previous_version)
 
-    def request(self, path: str, key: str) -> None:
-        """Handle a client's request."""
-        now = self.context.now_us()
-        self.host.clock.now_us = max(self.host.clock.now_us, now)
-        match = self.router.match(now, HOST, path, key)
+    def request(self, path: str, api_key: str) -> None:
+        """Handle a client's request for a path, with the API key of its tenant."""
+        now_us = self.context.now_us()
+        self.host.clock.now_us = max(self.host.clock.now_us, now_us)
+        match = self.router.match(now_us, HOST, path, api_key)
         if isinstance(match, int):
             return self.simulation.on_request_rejected(self, match)
         rule, tenant = match
         self._request_count += 1
-        name = f"{self.context.incarnation}-{self._request_count}".encode()
+        request_id = f"{self.context.incarnation}-{self._request_count}".encode()
         client: Any = DiscardingClient()
-        handle = ForwardedRequest(client, b"GET", path.encode(), HOST.encode(), name, None, [])
+        handle = ForwardedRequest(client, b"GET", path.encode(), HOST.encode(), request_id, None, [])
         operation = RoutedRequest(
             customer=tenant.name if tenant else "",
-            arrived_us=now,
-            deadline_us=now + CLIENT_TIMEOUT_US,
+            arrived_us=now_us,
+            deadline_us=now_us + CLIENT_TIMEOUT_US,
             rule=rule,
             tenant=tenant,
             service=self.router.split.choose(rule),
@@ -176,7 +180,12 @@
 
 
 class ProxyMachine:
-    """A host with at most one proxy process."""
+    """A host with at most one proxy process.
+
+    Attributes:
+        process: The newest process, which may have ended; None before the first start.
+        proxy: The proxy of that process.
+    """
 
     def __init__(self, simulation: ProxyEnvironment, number: int) -> None:
         self.simulation, self.name, self.ip = simulation, f"p{number}", f"10.3.0.{number}"
@@ -193,7 +202,7 @@
         return SimulatedProxy(self.simulation, settings, process)
 
     def start(self, skew_us: int = 0) -> None:
-        """Start a process whose steady clock is `skew_us` ahead of the loop's."""
+        """Start a process whose steady clock is `skew_us` ahead of the loop's, unless one is running."""
         if self.is_running:
             return
         cluster = self.simulation.cluster
--- a/lapisgrade/lab/simulation/proxy_faults.py
+++ b/lapisgrade/lab/simulation/proxy_faults.py
@@ -7,16 +7,20 @@
 from lapisgrade.lab.simulation.proxies import ProxyMachine
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
-OWNER_FAULT_RATE = 0.6
+OWNER_FAULT_RATE = 0.6  # fraction of faults that hit the owner of the counter; the others hit any proxy
 FAULT_DURATIONS_S = (0.3, 1.0, 2.4, 4.0)
 RESTART_DELAY_S = 3.0  # minimum time from the start of a graceful shutdown to the restart
 OWNER_PARTITION_S = 2.6  # long enough for a partitioned proxy to lose its ownership
-NEXT_OWNER_PARTITION_S = 2.2
-MAX_SKEW_US = 500 * SECOND
+NEXT_OWNER_PARTITION_S = 2.2  # duration of the partition that follows it
+MAX_SKEW_US = 500 * SECOND  # maximum offset of a steady clock
 
 
 class ProxyFaultInjector:
-    """Injects faults into the proxies of a simulation."""
+    """Injects faults into the proxies of a simulation.
+
+    All faults have the same parameters, so that one can be chosen at random: the machine, and the duration of
+    the fault or the delay of the restart. Some ignore one or both.
+    """
 
     def __init__(
         self,
@@ -55,8 +59,8 @@
     def partition(self, machine: ProxyMachine, seconds: float) -> None:
         """Block a proxy's links to all machines except its clients."""
         self.cluster.note(f"{machine.name} is isolated for {seconds} s")
-        everyone = (*self.machines, *self.cluster.machines.values())
-        others = [each.ip for each in everyone if each is not machine]
+        all_machines = (*self.machines, *self.cluster.machines.values())
+        others = [each.ip for each in all_machines if each is not machine]
         outbound = {(machine.ip, ip) for ip in others}
         inbound = {(ip, machine.ip) for ip in others}
         self.cluster.network.blocked_links |= outbound | inbound
@@ -92,4 +96,5 @@
         self.partition(machine, OWNER_PARTITION_S)
         others = [each for each in self.machines if each.is_running and each is not machine]
         if others:
+            # The second partition starts just after the first has ended.
             self.call_after(2.61, self.partition, self.random.choice(others), NEXT_OWNER_PARTITION_S)
--- a/lapisgrade/lab/simulation/schedule_common.py
+++ b/lapisgrade/lab/simulation/schedule_common.py
@@ -9,7 +9,7 @@
 def start_simulation(
     seed: int, size: int = 3, max_lost: int = 1, max_pause_s: float = 0.1, operators: int = 2
 ) -> ControlPlaneSimulation:
-    """Start a cluster, and run it for up to another second."""
+    """Start a simulation, then run it for a random time of up to a second."""
     simulation = ControlPlaneSimulation(seed, size, max_lost, operators, max_pause_s=max_pause_s)
     simulation.start()
     simulation.loop.run_for(simulation.random.random())
@@ -17,7 +17,10 @@
 
 
 def leader_and_others(simulation: ControlPlaneSimulation) -> tuple[Machine, list[Machine]]:
-    """Wait for an established leader; return it, and the other running machines in random order."""
+    """Wait up to 6 s for an established leader; return it, and the other running machines in random order.
+
+    Without a leader, the first running machine is returned in its place.
+    """
     simulation.loop.run_until(simulation.cluster.has_established_leader, 6.0)
     leader = simulation.cluster.leader() or simulation.cluster.running_machines()[0]
     others = [each for each in simulation.cluster.running_machines() if each is not leader]
@@ -34,7 +37,11 @@
 def repeat_step(
     simulation: ControlPlaneSimulation, step: Callable[[ControlPlaneSimulation], None], pause_s: float
 ) -> ControlPlaneSimulation:
-    """Run a step three times, each followed by a repair and `pause_s`, and finish the simulation."""
+    """Run a step three times, and finish the simulation.
+
+    After each step all links are unblocked, slow disks have their normal speed again, stopped machines start,
+    and the cluster has `pause_s` to recover.
+    """
     for _ in range(3):
         step(simulation)
         simulation.cluster.heal()
--- a/lapisgrade/lab/simulation/schedule_steps.py
+++ b/lapisgrade/lab/simulation/schedule_steps.py
@@ -72,7 +72,7 @@
 
 
 def lagging_voter(simulation: ControlPlaneSimulation) -> None:
-    """A disk stalls while the other voters continue; then one of those is isolated, and a machine joins."""
+    """A follower's disk stalls; then a majority of the other followers is isolated, and a machine joins."""
     _, (lagging, *rest) = leader_and_others(simulation)
     lagging.disk.stalled_until_us = simulation.loop.now_us + 6 * SECOND
     simulation.loop.run_for(0.5)
@@ -87,7 +87,7 @@
 
     The new voters must not need a majority that includes unreachable machines.
     """
-    _leader, others = leader_and_others(simulation)
+    _, others = leader_and_others(simulation)
     wiped, *rest = others
     partitioned = rest[: len(others) // 2]
     block_links(simulation, partitioned, simulation.cluster.running_machines())
@@ -122,7 +122,10 @@
 
 
 def voted_before_sync(simulation: ControlPlaneSimulation) -> None:
-    """A machine with a slow disk votes, loses power, and is asked to vote in the same term again."""
+    """A machine with a slow disk votes, loses power, and is asked to vote in the same term again.
+
+    The former leader asks it, as the two can reach only each other after the restart.
+    """
     leader, (first, *rest) = leader_and_others(simulation)
     term = leader.controller.node.term
     block_links(simulation, [leader], simulation.cluster.running_machines())
--- a/lapisgrade/lab/simulation/tenant_load.py
+++ b/lapisgrade/lab/simulation/tenant_load.py
@@ -9,7 +9,7 @@
 from lapisgrade.lab.simulation.clients import REPLACE_CALL, Operator
 
 TENANT = "t"
-KEY = "key"
+API_KEY = "key"
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
 
 
 class TenantOperator(Operator):
-    """An operator whose configurations contain the tenant."""
+    """An operator whose configurations contain the tenant, with the limit of `load`."""
 
     load = STEADY
 
@@ -46,7 +46,7 @@
         call, body = super().make_change(version, base)
         if call != REPLACE_CALL:
             return call, body
-        tenant = {"Name": TENANT, "Apikeys": [KEY], "RateS": self.load.rate, "Burst": self.load.burst}
+        tenant = {"Name": TENANT, "Apikeys": [API_KEY], "RateS": self.load.rate, "Burst": self.load.burst}
         return call, msgspec.json.encode({**msgspec.json.decode(body), "Tenants": [tenant]})
 
 
--- a/lapisgrade/lab/simulation/watch_client.py
+++ b/lapisgrade/lab/simulation/watch_client.py
@@ -14,7 +14,16 @@
 
 
 class WatchClient(Client):
-    """Watches the configuration, and checks that versions and fencing tokens never decrease."""
+    """Watches the configuration, and checks that versions and fencing tokens never decrease.
+
+    Attributes:
+        active_version: Newest active version in a reply of which it has the configuration.
+        configurations: Decoded configurations by version, from the active one on.
+        leader_address: Address of the leader; empty if it isn't known.
+        term: Newest term of a leader's reply.
+        needs_full_version: Whether the last reply contained a delta that could not be decoded.
+        last_contact_us: Send time of the last watch request whose reply was applied.
+    """
 
     def __init__(self, cluster: Cluster, number: int) -> None:
         super().__init__(cluster, f"limiter {number}", f"10.2.0.{number}")
@@ -23,11 +32,11 @@
         self.registry_incarnation = ""
         self.registry_revision = 0
         self.fencing_token = 0
-        self.configurations: dict[int, bytes] = {}  # by version
+        self.configurations: dict[int, bytes] = {}
         self.leader_address = ""
         self.term = 0
         self.needs_full_version = False
-        self.last_contact_us = 0  # send time of the last watch request that was applied
+        self.last_contact_us = 0
 
     async def run(self) -> None:
         """Send watch requests in an endless loop."""
@@ -47,8 +56,9 @@
             await asyncio.sleep(WATCH_RETRY_DELAY_S)
             return
         self.leader_address = address
+        # The registry's incarnation is the leader's term, with a "+" once the registry is complete.
         term = int(reply.registry_incarnation.rstrip("+"))
-        if term < self.term:
+        if term < self.term:  # the reply of a former leader
             self.leader_address = ""
             return
         self.term = term
@@ -111,7 +121,7 @@
             if version in self.configurations:
                 self.active_version = version
             self.configurations = {
-                each: text for each, text in self.configurations.items() if each >= self.active_version
+                stored: text for stored, text in self.configurations.items() if stored >= self.active_version
             }
 
     def store_version(self, encoded: EncodedVersion) -> None:
--- a/tests/lab/simulation/test_claims.py
+++ b/tests/lab/simulation/test_claims.py
@@ -6,8 +6,8 @@
 from lapisgrade.lab.simulation.claims import simulate_claims
 from lapisgrade.lab.simulation.defects.claims import CLAIM_DEFECTS
 
-SEEDS = 10
-DEFECT_SEEDS = 30  # number of seeds that must find an injected defect
+SEEDS = 10  # number of random simulations
+DEFECT_SEEDS = 30  # number of seeds, of which one must find an injected defect
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
--- a/tests/lab/simulation/test_data_plane.py
+++ b/tests/lab/simulation/test_data_plane.py
@@ -7,7 +7,7 @@
 from lapisgrade.lab.simulation.data_plane import simulate
 from lapisgrade.lab.simulation.defects import data_plane as data_plane_defects
 
-SEEDS = 10
+SEEDS = 10  # number of random simulations
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
@@ -15,14 +15,14 @@
 def test_versions_counters_quotas_and_departures_are_correct_under_faults(
     subtests: pytest.Subtests,
 ) -> None:
-    sent = grants = 0
+    sent = counter_adds = 0
     for seed in range(SEEDS):
         with subtests.test(seed=seed):
             simulation = simulate(seed)
             assert simulation.violations == [], "\n".join(simulation.transcript())
-            sent, grants = sent + len(simulation.sent_us), grants + simulation.counter_adds
+            sent, counter_adds = sent + len(simulation.sent_us), counter_adds + simulation.counter_adds
     assert sent > 200 * SEEDS
-    assert grants > 500 * SEEDS
+    assert counter_adds > 500 * SEEDS
 
 
 def test_a_seed_replays_exactly() -> None:
--- a/tests/lab/simulation/test_fault_schedules.py
+++ b/tests/lab/simulation/test_fault_schedules.py
@@ -1,4 +1,7 @@
-"""The control plane in simulated time under fault schedules, and injected defects that must be found."""
+"""The control plane in simulated time under fault schedules, and injected defects that must be found.
+
+A schedule that finds none of its injected defects would prove nothing by finding no violation.
+"""
 
 import pytest
 
@@ -7,7 +10,7 @@
 from lapisgrade.lab.simulation.fault_schedules import FAULT_SCHEDULES
 
 SEEDS = 8  # number of seeds per schedule
-DEFECT_SEEDS = 30  # number of seeds that must find an injected defect
+DEFECT_SEEDS = 30  # number of seeds, of which one must find an injected defect
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
 
--- a/tests/lab/simulation/test_operations.py
+++ b/tests/lab/simulation/test_operations.py
@@ -9,7 +9,7 @@
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
 SEEDS = 2  # number of seeds per schedule
-DEFECT_SEEDS = 3  # number of seeds that must find an injected defect
+DEFECT_SEEDS = 3  # number of seeds, of which one must find an injected defect
 KEY = ("ana", "k-1")
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
@@ -47,8 +47,8 @@
 # ---- the rules
 
 
-class Observed:
-    """A history of try 1 at 0 s and try 2 at a later time, both of one key."""
+class ObservedHistory:
+    """A history of try 1, sent at 0 s, and try 2, sent `apart_s` later, both of one key."""
 
     def __init__(self, apart_s: float = 1.0) -> None:
         self.violations: list[str] = []
@@ -70,7 +70,7 @@
 
 
 def test_one_run_and_a_repeat_with_its_response_violate_no_rule() -> None:
-    observed = Observed()
+    observed = ObservedHistory()
     observed.answer(2, 409)
     observed.run(1)
     observed.answer(1, 200, "seal-1", b"done")
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize(("apart_s", "count"), [(59.9, 1), (60.1, 0)])
 def test_a_second_run_within_the_window_is_reported(apart_s: float, count: int) -> None:
-    observed = Observed(apart_s)
+    observed = ObservedHistory(apart_s)
     observed.run(1)
     observed.run(2)
     assert sum(each.startswith("TWICE") for each in observed.violations) == count
@@ -88,12 +88,12 @@
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
 def test_a_not_run_status_for_a_try_that_runs_is_reported(status: int) -> None:
-    before, after = Observed(), Observed()
-    before.run(1)
-    before.answer(1, status)
-    after.answer(1, status)
-    after.run(1)
-    for observed in (before, after):
+    run_before_answer, run_after_answer = ObservedHistory(), ObservedHistory()
+    run_before_answer.run(1)
+    run_before_answer.answer(1, status)
+    run_after_answer.answer(1, status)
+    run_after_answer.run(1)
+    for observed in (run_before_answer, run_after_answer):
         assert [each.split(":")[0] for each in observed.violations] == ["REFUSED"]
 
 
@@ -109,14 +109,14 @@
 def test_a_success_that_differs_from_the_run_s_response_is_reported(
     status: int, seal: str, body: bytes, try_id: str | None
 ) -> None:
-    observed = Observed()
+    observed = ObservedHistory()
     observed.run(1)
     observed.answer(2, status, seal, body, try_id)
     assert [each.split(":")[0] for each in observed.violations] == ["MIXED"]
 
 
 def test_a_run_of_a_request_that_no_client_sent_is_reported() -> None:
-    observed = Observed()
+    observed = ObservedHistory()
     observed.history.on_run(Run(("ben", "k-1"), "1", 0, b"order", 200, b"done", "seal-9"))
     observed.history.on_run(Run(KEY, "1", 0, b"another order", 200, b"done", "seal-10"))
     assert [each.split(":")[0] for each in observed.violations] == ["UNASKED", "UNASKED"]
