--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -107,7 +107,10 @@
 
 
 class JoinIdleQueue(RandomChooser):
-    """Chooses a server from the limiter's queue of idle servers, which join it; at random if it is empty."""
+    """Chooses a server from the limiter's queue of idle servers; at random if it is empty.
+
+    A server with a free slot joins the queue of one limiter.
+    """
 
     def __init__(self, *args) -> None:
         super().__init__(*args)
--- a/lapisgrade/lab/balancing/simulation.py
+++ b/lapisgrade/lab/balancing/simulation.py
@@ -195,7 +195,7 @@
         )
 
     def finish_run(self, request: Request, server: Server, token, sent_us: int, network_us: int) -> None:
-        """Respond, and run the next queued attempt; an idle server may join a random limiter's queue."""
+        """Respond, and run the next queued attempt; else a server may join a random limiter's idle queue."""
         server.running -= 1
         self.respond(request, server, token, sent_us, network_us, AttemptOutcome.OK)
         if server.queue:
--- a/lapisgrade/lab/simulation/disk.py
+++ b/lapisgrade/lab/simulation/disk.py
@@ -15,7 +15,7 @@
 from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, VirtualLoop
 
 _RECORD_DECODER = msgspec.msgpack.Decoder(Record)
-MIN_SYNC_US = 500
+MIN_SYNC_US = 500  # duration of a blocking call at normal speed, including its sync
 MAX_SYNC_US = 6_000
 
 
--- a/lapisgrade/lab/simulation/faults.py
+++ b/lapisgrade/lab/simulation/faults.py
@@ -15,9 +15,7 @@
 
 RECOVERY_S = 4.0  # time for which a machine still counts as lost after its fault has ended
 SLOW_LINK_BYTES_PER_SECOND = 250_000.0  # 2 Mbit/s
-LEADER_FAULT_RATE = (
-    0.4  # fraction of faults that hit the leader, if it may be lost; the others hit any machine
-)
+LEADER_FAULT_RATE = 0.4  # fraction of faults that hit the leader, if it may be lost; others hit any machine
 CRASH_DURATIONS_S = (0.05, 0.5, 1.5, 4.0)
 PARTITION_DURATIONS_S = (0.3, 1.2, 3.0, 20.0)
 FREEZE_DURATIONS_S = (0.2, 0.6, 2.0, 8.0)
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -59,9 +59,7 @@
         self.versions: dict[int, tuple[int, bytes, int]] = {}
         self.established_term = 0
         self.elections = 0
-        self._elected: set[tuple[int, str]] = (
-            set()
-        )  # terms and identities of leaders whose election was checked
+        self._elected: set[tuple[int, str]] = set()  # term and leader of each checked election
         self._commit_indexes: dict[str, int] = {}  # of leaders, by machine
         self._checked_voter_changes: set[int] = set()  # indexes of entries
 
@@ -133,7 +131,7 @@
                 )
 
     def _check_voters(self, controller: SimulatedController) -> None:
-        """Check that at most one voter change is pending, and that most new voters run and are caught up.
+        """Check that at most one voter change is pending, and most of its voters run and are caught up.
 
         Changes up to the leader's first entry are skipped: an earlier leader appended them.
         """
--- a/lapisgrade/lab/simulation/machine.py
+++ b/lapisgrade/lab/simulation/machine.py
@@ -12,7 +12,7 @@
 from lapisgrade.lab.simulation.operator_call import OPERATOR_PORT, RPC_PORT, CallReply, Message, OperatorCall
 from lapisgrade.lab.simulation.virtual_loop import CURRENT_PROCESS, SECOND, Process, VirtualLoop
 
-HEARTBEAT_INTERVAL_US = 1_300_000
+HEARTBEAT_INTERVAL_US = 1_300_000  # mean interval at which `server.SimulatedServer` sends heartbeats
 RPC_PORTS = (RPC_PORT, RPC_PORT + 15)  # first and last port for calls between processes
 
 
--- a/lapisgrade/lab/simulation/operations/history.py
+++ b/lapisgrade/lab/simulation/operations/history.py
@@ -1,5 +1,7 @@
 """The history of keyed operations as clients and servers observe it, and the rules that check it.
 
+Does no I/O. The rules:
+
 - TWICE: Two tries of one tenant's key ran and were sent less than the window apart, or one try ran twice.
 - MIXED: A success isn't the complete response of that key's run, or contains the id of another try.
 - REFUSED: A try was answered with a status that promises that it did not run and never will, but it ran.
--- a/lapisgrade/lab/simulation/operations/proxy.py
+++ b/lapisgrade/lab/simulation/operations/proxy.py
@@ -47,7 +47,7 @@
 
     def __init__(self, simulation: "KeyedSimulation", number: int) -> None:
         super().__init__(simulation, number)
-        self.exchanges: list[Exchange] = []  # of the running process
+        self.exchanges: list[Exchange] = []  # since the last kill
 
     def make_proxy(self, settings: Settings, process: Process) -> KeyedProxy:
         """Create the proxy of a process."""
--- a/lapisgrade/lab/simulation/operations/schedules.py
+++ b/lapisgrade/lab/simulation/operations/schedules.py
@@ -8,9 +8,7 @@
 from lapisgrade.lab.simulation.operations.simulation import KeyedSimulation
 
 NEXT_RUN_TIMEOUT_S = 1.0
-DELAY_RATHER_THAN_PARTITION_RATE = (
-    0.25  # fraction of leader faults that are delays; the others are partitions
-)
+DELAY_RATHER_THAN_PARTITION_RATE = 0.25  # fraction of delays among the leader's faults
 MAX_OVERLOAD_S = 0.4  # maximum time for which servers reject all requests
 REPEATED_KEYS = 40  # number of recent keys that are sent again after a fault
 CROWD_SIZE = 400  # number of concurrent tries of one key
--- a/lapisgrade/lab/simulation/operations/simulation.py
+++ b/lapisgrade/lab/simulation/operations/simulation.py
@@ -36,14 +36,10 @@
 MAX_CHECK_TRIES = 3  # maximum tries to get a success after the quiet period
 CHECK_TIMEOUT_S = 3.0  # time-out of each of those tries
 CHECKED_ANSWERS = 6  # number of known responses that are checked after the quiet period
-LATE_DUPLICATE_RATE = (
-    0.005  # fraction of the messages between proxies and controllers that arrive again, late
-)
+LATE_DUPLICATE_RATE = 0.005  # fraction of messages between proxies and controllers that arrive again, late
 LAST_CLAIMS_S = 3.0  # time after which the last claims are applied at all controllers
 RETENTION_S = 80.0  # time after which all records may be dropped
-KNOWN_WINDOW_FRACTION = (
-    0.8  # fraction of the window in which responses must still be known after the quiet period
-)
+KNOWN_WINDOW_FRACTION = 0.8  # fraction of the window in which responses must still be known at the end
 
 
 class KeyedOperator(Operator):
--- a/lapisgrade/lab/simulation/schedule_steps.py
+++ b/lapisgrade/lab/simulation/schedule_steps.py
@@ -72,7 +72,10 @@
 
 
 def lagging_voter(simulation: ControlPlaneSimulation) -> None:
-    """A follower's disk stalls; then a majority of the other followers is isolated, and a machine joins."""
+    """A follower's disk stalls while the other voters continue; then some of them are isolated.
+
+    A majority of the other followers is isolated; the leader is not. After that a machine joins.
+    """
     _, (lagging, *rest) = leader_and_others(simulation)
     lagging.disk.stalled_until_us = simulation.loop.now_us + 6 * SECOND
     simulation.loop.run_for(0.5)
--- a/lapisgrade/lab/simulation/server.py
+++ b/lapisgrade/lab/simulation/server.py
@@ -11,7 +11,7 @@
 from lapisgrade.lab.simulation.operator_call import OPERATOR_PORT, CallReply, OperatorCall
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
-HEARTBEAT_INTERVAL_S = 1.3
+HEARTBEAT_INTERVAL_S = 1.3  # mean interval, as in the processes' settings (`machine.process_settings`)
 DRAIN_DURATION_S = 3.0  # time from the acknowledgement of a server's departure to its end
 LATE_DUPLICATE_RATE = 0.1  # fraction of the calls of which a duplicate arrives late
 MAX_DUPLICATE_DELAY_S = 3.0
--- a/tests/lab/simulation/test_operations.py
+++ b/tests/lab/simulation/test_operations.py
@@ -9,7 +9,7 @@
 from lapisgrade.lab.simulation.virtual_loop import SECOND
 
 SEEDS = 2  # number of seeds per schedule
-DEFECT_SEEDS = 3  # number of seeds, of which one must find an injected defect
+DEFECT_SEEDS = 3  # number of seeds, from the defect's first seed on, of which one must find it
 KEY = ("ana", "k-1")
 
 pytestmark = pytest.mark.usefixtures("silent_logging")
