--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -46,7 +46,7 @@
 
     Attributes:
         load: The tenant's limit and load.
-        machines: The proxies' machines.
+        proxy_machines: The proxies' machines.
         servers: All servers by id, including those that have ended.
         sent_us: Times at which the tenant's requests were sent to a server.
         counter_adds: Number of adds that the tenant's counter accepted.
@@ -61,9 +61,9 @@
         clock.loop = self.loop
         self.load = load
         self._replace_operators(max_pause_s)
-        self.machines = [ProxyMachine(self, number) for number in range(1, PROXIES + 1)]
+        self.proxy_machines = [ProxyMachine(self, number) for number in range(1, PROXIES + 1)]
         self.proxy_faults = ProxyFaultInjector(
-            self.cluster, self.random, self.machines, self.faults.call_after
+            self.cluster, self.random, self.proxy_machines, self.faults.call_after
         )
         self.servers: dict[str, SimulatedServer] = {}
         self.sent_us: list[int] = []
@@ -72,7 +72,7 @@
         self.counter_owner = ""
         self.rejections: dict[int, int] = {}
         self._busy_until_us = 0  # end of the tenant's busy period
-        for machine in self.machines:
+        for machine in self.proxy_machines:
             machine.start()
         for _ in range(SERVERS):
             self.add_server()
@@ -104,7 +104,7 @@
 
     def _send_requests(self) -> None:
         """Send one of the tenant's requests to a random proxy, and schedule the next."""
-        machine = self.random.choice(self.machines)
+        machine = self.random.choice(self.proxy_machines)
         if machine.is_running:
             path = f"/p{self.random.randrange(3)}/1"
             self.loop.schedule(0, machine.process, machine.proxy.request, path, API_KEY)
@@ -195,7 +195,7 @@
 
     def finish(self) -> None:
         """Run a quiet period, then check the recovery, and the quota over the whole simulation."""
-        for machine in self.machines:
+        for machine in self.proxy_machines:
             machine.start()
         super().finish()
         allowed = allowed_in_a_window(self.load)
--- a/lapisgrade/lab/simulation/operations/clients.py
+++ b/lapisgrade/lab/simulation/operations/clients.py
@@ -84,19 +84,21 @@
 
     async def _repeat_soon(self, operation: OperationId) -> None:
         await asyncio.sleep(2 * MAX_PAUSE_S * self.random.random())
-        await self.send(operation, self.random.choice(self.simulation.machines))
+        await self.send(operation, self.random.choice(self.simulation.proxy_machines))
 
     async def send_concurrently(self, operation: OperationId, count: int) -> None:
         """Send `count` concurrent tries of one operation to random proxies."""
-        tries = [self.send(operation, self.random.choice(self.simulation.machines)) for _ in range(count)]
+        tries = [
+            self.send(operation, self.random.choice(self.simulation.proxy_machines)) for _ in range(count)
+        ]
         await asyncio.gather(*tries)
 
     async def _operate(self, operation: OperationId) -> None:
         """Send at most `MAX_TRIES` tries of an operation, until one succeeds and sometimes beyond."""
         first_sent_us = self.loop.now_us
-        machine = self.random.choice(self.simulation.machines)
+        machine = self.random.choice(self.simulation.proxy_machines)
         if self.random.random() < CONCURRENT_TRIES_RATE:
-            self.start_task(self.send(operation, self.random.choice(self.simulation.machines)))
+            self.start_task(self.send(operation, self.random.choice(self.simulation.proxy_machines)))
         for _ in range(MAX_TRIES):
             answer = await self.send(operation, machine)
             is_served = answer is not None and answer.status == OK
@@ -104,7 +106,7 @@
                 break
             await asyncio.sleep(MAX_PAUSE_S * self.random.random() ** 2)
             if self.random.random() > SAME_PROXY_RATE:
-                machine = self.random.choice(self.simulation.machines)
+                machine = self.random.choice(self.simulation.proxy_machines)
         if self.random.random() < self.late_repeat_rate:
             await self._repeat_late(operation, first_sent_us)
 
@@ -114,7 +116,7 @@
         due_us = first_sent_us + round(window_fraction * self.simulation.operations.window_us)
         await asyncio.sleep(max(0, due_us - self.loop.now_us) / SECOND)
         if self.is_open:
-            await self.send(operation, self.random.choice(self.simulation.machines))
+            await self.send(operation, self.random.choice(self.simulation.proxy_machines))
 
     def is_alive(self, try_id: str) -> bool:
         """Whether the proxy process that received a try is still running."""
--- a/lapisgrade/lab/simulation/operations/faults.py
+++ b/lapisgrade/lab/simulation/operations/faults.py
@@ -37,7 +37,7 @@
         """Inject a random fault into a proxy, mostly the one that sent the last request to a server."""
         machine = self.simulation.last_sender()
         if not machine.is_running or self.random.random() < 0.4:
-            running = [each for each in self.simulation.machines if each.is_running]
+            running = [each for each in self.simulation.proxy_machines if each.is_running]
             if not running:
                 return
             machine = self.random.choice(running)
@@ -72,7 +72,7 @@
 
     def partition(self, machine: KeyedProxyMachine) -> None:
         """Block a proxy's links to some or all machines, in both directions or one."""
-        all_machines = [*self.simulation.machines, *self.cluster.machines.values()]
+        all_machines = [*self.simulation.proxy_machines, *self.cluster.machines.values()]
         others = [each.ip for each in all_machines if each is not machine]
         if self.random.random() < 0.4:
             others = self.random.sample(others, self.random.randrange(1, len(others)))
@@ -95,9 +95,9 @@
         leader = self.cluster.leader()
         if leader is None:
             return
-        proxies_inside = [each.ip for each in self.simulation.machines if self.random.random() < 0.5]
+        proxies_inside = [each.ip for each in self.simulation.proxy_machines if self.random.random() < 0.5]
         inside = [leader.ip, *proxies_inside]
-        all_machines = [*self.simulation.machines, *self.cluster.machines.values()]
+        all_machines = [*self.simulation.proxy_machines, *self.cluster.machines.values()]
         outside = [each.ip for each in all_machines if each.ip not in inside]
         direction = self.random.choice(("both ways", "both ways", "outbound", "inbound"))
         self.cluster.note(f"{leader.name} is partitioned with {proxies_inside}, {direction}")
@@ -113,7 +113,7 @@
         if leader is None:
             return
         delays = self.cluster.network.extra_delay_us
-        all_machines = [*self.simulation.machines, *self.cluster.machines.values()]
+        all_machines = [*self.simulation.proxy_machines, *self.cluster.machines.values()]
         for machine in self.random.sample(all_machines, self.random.randrange(1, len(all_machines))):
             delays[leader.ip, machine.ip] = round(self.random.uniform(*MIN_AND_MAX_DELAY_S) * SECOND)
         self.cluster.note(f"{leader.name}: messages to {len(delays)} machines are delayed")
@@ -154,7 +154,7 @@
         for machine in machines:
             is_late = machine in holders and machine not in wiped_machines
             self._lose_power(machine, machine in wiped_machines, HOLDER_RESTART_DELAY_S if is_late else 0.0)
-        for proxy in self.simulation.machines:
+        for proxy in self.simulation.proxy_machines:
             proxy.kill()
             self.call_after(0.2 + self.random.random(), proxy.start)
 
--- a/lapisgrade/lab/simulation/operations/schedules.py
+++ b/lapisgrade/lab/simulation/operations/schedules.py
@@ -99,7 +99,7 @@
     with log_limits(SHORT_LOG, SHORT_MESSAGE):
         simulation = start_simulation(seed)
         simulation.faults.replace(planned=bool(seed % 2))
-        for machine in simulation.machines:
+        for machine in simulation.proxy_machines:
             simulation.run_until_next_run(NEXT_RUN_TIMEOUT_S)
             simulation.keyed_faults.stop(machine)
             simulation.loop.run_for(simulation.random.choice((0.5, 2.0)))
@@ -131,7 +131,7 @@
         simulation = start_simulation(seed)
         simulation.clients.late_repeat_rate = 1.0
         simulation.clients.keys_per_second = WINDOW_KEYS_PER_SECOND
-        for machine in (*simulation.machines, *simulation.cluster.running_machines()):
+        for machine in (*simulation.proxy_machines, *simulation.cluster.running_machines()):
             simulation.keyed_faults.change_pace(machine.process)
         end_us = simulation.loop.now_us + round(1.4 * simulation.operations.window_us)
         while simulation.loop.now_us < end_us:
--- a/lapisgrade/lab/simulation/operations/simulation.py
+++ b/lapisgrade/lab/simulation/operations/simulation.py
@@ -68,7 +68,7 @@
     Attributes:
         operations: The history of tries, responses and runs.
         recording_servers: The servers that run requests.
-        machines: The proxies' machines.
+        proxy_machines: The proxies' machines.
         keyed_faults: Injects faults that concern keyed operations.
         clients: The clients of keyed operations.
         lasts_beyond_retention: Whether `finish` waits until all records have expired.
@@ -84,13 +84,13 @@
         self.cluster.processes.append(self.client_process)
         self.operations = OperationHistory(KEY_WINDOW_US, self.cluster.invariants.report_violation)
         self.recording_servers = RecordingServers(self.loop, self.operations)
-        self.machines = [KeyedProxyMachine(self, number) for number in range(1, PROXIES + 1)]
+        self.proxy_machines = [KeyedProxyMachine(self, number) for number in range(1, PROXIES + 1)]
         self.keyed_faults = KeyedFaults(self, self.random)
         self.clients = KeyedClients(self, Random(seed + 2))
         self.lasts_beyond_retention = False
-        self._last_sender = self.machines[0]
+        self._last_sender = self.proxy_machines[0]
         self.servers: dict[str, SimulatedServer] = {}
-        for machine in self.machines:
+        for machine in self.proxy_machines:
             machine.start()
         for _ in range(SERVERS):
             self._add_server()
@@ -117,7 +117,7 @@
         self.loop.run_for(1.0)
 
     def _is_ready(self) -> bool:
-        return all(machine.proxy.ready for machine in self.machines if machine.is_running)
+        return all(machine.proxy.ready for machine in self.proxy_machines if machine.is_running)
 
     def run_until_next_run(self, timeout_s: float) -> bool:
         """Run until a server starts to run a request; return False on a time-out."""
@@ -132,7 +132,7 @@
 
     def on_request_sent(self, proxy: SimulatedProxy, attempt: Attempt) -> bool:
         """Record the sender; the recording servers never drain."""
-        machines_by_name = {machine.name: machine for machine in self.machines}
+        machines_by_name = {machine.name: machine for machine in self.proxy_machines}
         self._last_sender = machines_by_name[proxy.settings.hostname]
         return True
 
@@ -150,7 +150,7 @@
     def finish(self) -> None:
         """Run a quiet period, then check that the system has recovered."""
         self.recording_servers.always_succeeds = True
-        for machine in self.machines:
+        for machine in self.proxy_machines:
             machine.start()
         super().finish()
 
@@ -164,7 +164,7 @@
 
     def _expect_new_keys(self) -> None:
         """Check that each proxy runs a new key, and that a repeat at a random proxy gets its response."""
-        for machine in self.machines:
+        for machine in self.proxy_machines:
             operation = (TENANTS[0], self.clients.new_key())
             first_answer = self._send_until_success(operation, machine, MAX_CHECK_TRIES)
             if first_answer is None or first_answer.status != OK:
@@ -187,7 +187,7 @@
 
     def _expect_answer(self, operation: OperationId, seal: str) -> None:
         """Check that a repeat at a random proxy gets the response with that seal."""
-        machine = self.random.choice(self.machines)
+        machine = self.random.choice(self.proxy_machines)
         answer = self._send_until_success(operation, machine, MAX_CHECK_TRIES)
         if answer is None or answer.seal != seal:
             received = answer.status if answer is not None else "nothing"
@@ -225,11 +225,11 @@
         """Check that new claims make the controllers drop the records beyond their retention."""
         self.clients.is_open = False
         self.loop.run_for(RETENTION_S)
-        for machine in self.machines:
+        for machine in self.proxy_machines:
             self._send_until_success((TENANTS[0], self.clients.new_key()), machine, MAX_CHECK_TRIES)
         leader = self.cluster.leader()
         count = len(_records(leader)) if leader is not None else 0
-        if count > len(self.machines):
+        if count > len(self.proxy_machines):
             self.cluster.invariants.report_violation(f"{count} records remain after their retention")
 
 
--- a/lapisgrade/lab/simulation/proxy_faults.py
+++ b/lapisgrade/lab/simulation/proxy_faults.py
@@ -26,17 +26,17 @@
         self,
         cluster: Cluster,
         random: Random,
-        machines: list[ProxyMachine],
+        proxy_machines: list[ProxyMachine],
         call_after: Callable[..., None],
     ) -> None:
         self.cluster = cluster
         self.random = random
-        self.machines = machines
+        self.proxy_machines = proxy_machines
         self.call_after = call_after
 
     def inject_random(self, owner_name: str) -> None:
         """Inject a random fault; `owner_name` is the owner of the tenant's counter."""
-        running = [each for each in self.machines if each.is_running]
+        running = [each for each in self.proxy_machines if each.is_running]
         if not running:
             return
         owner = next((each for each in running if each.name == owner_name), None)
@@ -59,7 +59,7 @@
     def partition(self, machine: ProxyMachine, seconds: float) -> None:
         """Block a proxy's links to all machines except its clients."""
         self.cluster.note(f"{machine.name} is isolated for {seconds} s")
-        all_machines = (*self.machines, *self.cluster.machines.values())
+        all_machines = (*self.proxy_machines, *self.cluster.machines.values())
         others = [each.ip for each in all_machines if each is not machine]
         outbound = {(machine.ip, ip) for ip in others}
         inbound = {(ip, machine.ip) for ip in others}
@@ -82,7 +82,7 @@
 
     def kill_all(self, machine: ProxyMachine, seconds: float) -> None:
         """Kill all proxies, and restart them."""
-        for each in self.machines:
+        for each in self.proxy_machines:
             each.kill()
             self.call_after(0.2 + self.random.random() * 0.5, each.start)
 
@@ -94,7 +94,7 @@
     def swap_owners(self, machine: ProxyMachine, seconds: float) -> None:
         """Isolate a proxy until it counts as unresponsive, and isolate another as its links are restored."""
         self.partition(machine, OWNER_PARTITION_S)
-        others = [each for each in self.machines if each.is_running and each is not machine]
+        others = [each for each in self.proxy_machines if each.is_running and each is not machine]
         if others:
             # The second partition starts just after the first has ended.
             self.call_after(2.61, self.partition, self.random.choice(others), NEXT_OWNER_PARTITION_S)
