--- a/lapisgrade/lab/explore/operations.py
+++ b/lapisgrade/lab/explore/operations.py
@@ -23,5 +23,7 @@
         for schedule in schedules_for(defect):
             yield f"seed {seed}, {schedule}", SCHEDULES[schedule](seed)
 
-    exploration = Exploration(DEFECTS, simulations, lambda simulation: len(simulation.operations.tries))
+    exploration = Exploration(
+        DEFECTS, simulations, lambda simulation: len(simulation.operation_history.tries)
+    )
     return exploration.run(seeds, defect, print_line)
--- a/lapisgrade/lab/simulation/operations/clients.py
+++ b/lapisgrade/lab/simulation/operations/clients.py
@@ -78,7 +78,9 @@
 
     def repeat_recent(self, count: int) -> None:
         """Repeat the `count` most recent operations, each after a random delay."""
-        recent = list(dict.fromkeys(each.operation for each in self.simulation.operations.tries.values()))
+        recent = list(
+            dict.fromkeys(each.operation for each in self.simulation.operation_history.tries.values())
+        )
         for operation in recent[-count:]:
             self.start_task(self._repeat_soon(operation))
 
@@ -113,7 +115,7 @@
     async def _repeat_late(self, operation: OperationId, first_sent_us: int) -> None:
         """Send a try at one of `LATE_REPEAT_TIMES` after the first one."""
         window_fraction = self.random.choice(LATE_REPEAT_TIMES)
-        due_us = first_sent_us + round(window_fraction * self.simulation.operations.window_us)
+        due_us = first_sent_us + round(window_fraction * self.simulation.operation_history.window_us)
         await asyncio.sleep(max(0, due_us - self.loop.now_us) / SECOND)
         if self.is_open:
             await self.send(operation, self.random.choice(self.simulation.proxy_machines))
@@ -131,7 +133,7 @@
         is_changed = self.random.random() < OTHER_BODY_RATE
         body = f"order {operation[1]}{' in blue' if is_changed else ''}".encode()
         sent = Try(operation, f"try-{self._try_count}", self.loop.now_us, body)
-        history = self.simulation.operations
+        history = self.simulation.operation_history
         history.on_sent(sent)
         exchange = Exchange(self.loop, machine, sent, api_key_of(operation[0]))
         self._exchanges[sent.try_id] = exchange
--- a/lapisgrade/lab/simulation/operations/schedules.py
+++ b/lapisgrade/lab/simulation/operations/schedules.py
@@ -133,7 +133,7 @@
         simulation.clients.keys_per_second = WINDOW_KEYS_PER_SECOND
         for machine in (*simulation.proxy_machines, *simulation.cluster.running_machines()):
             simulation.keyed_faults.change_pace(machine.process)
-        end_us = simulation.loop.now_us + round(1.4 * simulation.operations.window_us)
+        end_us = simulation.loop.now_us + round(1.4 * simulation.operation_history.window_us)
         while simulation.loop.now_us < end_us:
             fault = simulation.random.choice(
                 (
--- a/lapisgrade/lab/simulation/operations/simulation.py
+++ b/lapisgrade/lab/simulation/operations/simulation.py
@@ -66,7 +66,7 @@
     """A control plane with proxies, servers, and clients of keyed operations.
 
     Attributes:
-        operations: The history of tries, responses and runs.
+        operation_history: The history of tries, responses and runs.
         recording_servers: The servers that run requests.
         proxy_machines: The proxies' machines.
         keyed_faults: Injects faults that concern keyed operations.
@@ -82,8 +82,8 @@
         self.cluster.network.late_duplicate_rate = LATE_DUPLICATE_RATE
         self.client_process = Process("clients")
         self.cluster.processes.append(self.client_process)
-        self.operations = OperationHistory(KEY_WINDOW_US, self.cluster.invariants.report_violation)
-        self.recording_servers = RecordingServers(self.loop, self.operations)
+        self.operation_history = OperationHistory(KEY_WINDOW_US, self.cluster.invariants.report_violation)
+        self.recording_servers = RecordingServers(self.loop, self.operation_history)
         self.proxy_machines = [KeyedProxyMachine(self, number) for number in range(1, PROXIES + 1)]
         self.keyed_faults = KeyedFaults(self, self.random)
         self.clients = KeyedClients(self, Random(seed + 2))
@@ -176,10 +176,10 @@
 
     def _expect_known_answers(self) -> None:
         """Check that repeats get the responses that proxies still know, for a random sample of operations."""
-        since_us = self.loop.now_us - round(KNOWN_WINDOW_FRACTION * self.operations.window_us)
+        since_us = self.loop.now_us - round(KNOWN_WINDOW_FRACTION * self.operation_history.window_us)
         known = [
             (operation, run.seal)
-            for operation, run in self.operations.known_answers(since_us)
+            for operation, run in self.operation_history.known_answers(since_us)
             if self.clients.is_alive(run.try_id)
         ]
         for operation, seal in self.random.sample(known, min(len(known), CHECKED_ANSWERS)):
--- a/tests/lab/simulation/test_operations.py
+++ b/tests/lab/simulation/test_operations.py
@@ -24,7 +24,7 @@
         with subtests.test(seed=seed):
             simulation = SCHEDULES[schedule](seed)
             assert simulation.violations == [], "\n".join(simulation.transcript())
-            answers = [each.answer for each in simulation.operations.tries.values()]
+            answers = [each.answer for each in simulation.operation_history.tries.values()]
             served += sum(answer is not None and answer.status == 200 for answer in answers)
     assert served > 100 * SEEDS
 
@@ -32,7 +32,7 @@
 def test_a_seed_replays_exactly() -> None:
     first, second = SCHEDULES["owner-lost"](3), SCHEDULES["owner-lost"](3)
     assert first.cluster.transcript_lines == second.cluster.transcript_lines
-    assert first.operations.tries == second.operations.tries
+    assert first.operation_history.tries == second.operation_history.tries
 
 
 @pytest.mark.parametrize("name", explored.DEFECTS)
