--- a/lapisgrade/lab/explore/control.py
+++ b/lapisgrade/lab/explore/control.py
@@ -25,5 +25,7 @@
         for schedule in schedules_for(defect):
             yield f"seed {seed}, {schedule}", FAULT_SCHEDULES[schedule](seed)
 
-    exploration = Exploration(DEFECTS, simulations, lambda simulation: simulation.acknowledged())
+    exploration = Exploration(
+        DEFECTS, simulations, lambda simulation: simulation.count_acknowledged_changes()
+    )
     return exploration.run(seeds, defect, print_line)
--- a/lapisgrade/lab/simulation/control_plane.py
+++ b/lapisgrade/lab/simulation/control_plane.py
@@ -77,14 +77,14 @@
             fault(self.faults)
             self.loop.run_for(self.random.choice(FAULT_PAUSES_S))
 
-    def acknowledged(self) -> int:
+    def count_acknowledged_changes(self) -> int:
         """Return the number of acknowledged changes."""
         return sum(operation.kind == "change" and operation.status == 200 for operation in self.history)
 
     def run_until_acknowledgement(self, timeout_s: float, step_s: float = 0.01) -> bool:
         """Run until another change is acknowledged; return False on a time-out."""
-        before = self.acknowledged()
-        return self.loop.run_until(lambda: self.acknowledged() > before, timeout_s, step_s)
+        before = self.count_acknowledged_changes()
+        return self.loop.run_until(lambda: self.count_acknowledged_changes() > before, timeout_s, step_s)
 
     def finish(self) -> None:
         """Run a quiet period, then check that the cluster has recovered."""
--- a/tests/lab/simulation/test_fault_schedules.py
+++ b/tests/lab/simulation/test_fault_schedules.py
@@ -46,7 +46,7 @@
         with subtests.test(schedule=schedule, seed=seed):
             simulation = FAULT_SCHEDULES[schedule](seed)
             assert simulation.violations == [], "\n".join(simulation.transcript())
-            acknowledged += simulation.acknowledged()
+            acknowledged += simulation.count_acknowledged_changes()
     assert acknowledged > 5 * seeds
 
 
