--- a/lapisgrade/lab/simulation/operations/faults.py
+++ b/lapisgrade/lab/simulation/operations/faults.py
@@ -14,11 +14,11 @@
 FREEZE_DURATIONS_S = (0.2, 0.8, 2.5)
 RESTART_DELAYS_S = (0.05, 0.3, 1.0, 3.0)
 STOP_RESTART_DELAY_S = 6.5  # from SIGTERM to the restart; longer than the grace period
-MAX_SKEW_US = 500 * SECOND
+MAX_SKEW_US = 500 * SECOND  # maximum offset of a steady clock
 MAX_PACE_DEVIATION = 0.01  # maximum drift of a steady clock, a hundred times that of real clocks
-LAGGING_DISK_SLOWDOWN = 50.0
-HOLDER_DELAY_S = 1.5
-DELAYS_S = (0.05, 1.2)
+LAGGING_DISK_SLOWDOWN = 50.0  # factor on the duration of a slow disk's calls
+HOLDER_RESTART_DELAY_S = 1.5  # additional delay of the restart of controllers that have the newest entry
+MIN_AND_MAX_DELAY_S = (0.05, 1.2)  # of a delayed leader's messages
 STALL_DURATIONS_S = (0.3, 1.5, 4.0)
 
 
@@ -37,7 +37,7 @@
         """Inject a random fault into a proxy, mostly the one that sent the last request to a server."""
         machine = self.simulation.last_sender()
         if not machine.is_running or self.random.random() < 0.4:
-            running = [each for each in self.simulation.machines if each.is_running]
+            running = [each for each in self.simulation.proxy_machines if each.is_running]
             if not running:
                 return
             machine = self.random.choice(running)
@@ -72,7 +72,7 @@
 
     def partition(self, machine: KeyedProxyMachine) -> None:
         """Block a proxy's links to some or all machines, in both directions or one."""
-        all_machines = [*self.simulation.machines, *self.cluster.machines.values()]
+        all_machines = [*self.simulation.proxy_machines, *self.cluster.machines.values()]
         others = [each.ip for each in all_machines if each is not machine]
         if self.random.random() < 0.4:
             others = self.random.sample(others, self.random.randrange(1, len(others)))
@@ -95,9 +95,9 @@
         leader = self.cluster.leader()
         if leader is None:
             return
-        proxies_inside = [each.ip for each in self.simulation.machines if self.random.random() < 0.5]
+        proxies_inside = [each.ip for each in self.simulation.proxy_machines if self.random.random() < 0.5]
         inside = [leader.ip, *proxies_inside]
-        all_machines = [*self.simulation.machines, *self.cluster.machines.values()]
+        all_machines = [*self.simulation.proxy_machines, *self.cluster.machines.values()]
         outside = [each.ip for each in all_machines if each.ip not in inside]
         direction = self.random.choice(("both ways", "both ways", "outbound", "inbound"))
         self.cluster.note(f"{leader.name} is partitioned with {proxies_inside}, {direction}")
@@ -113,9 +113,9 @@
         if leader is None:
             return
         delays = self.cluster.network.extra_delay_us
-        all_machines = [*self.simulation.machines, *self.cluster.machines.values()]
+        all_machines = [*self.simulation.proxy_machines, *self.cluster.machines.values()]
         for machine in self.random.sample(all_machines, self.random.randrange(1, len(all_machines))):
-            delays[leader.ip, machine.ip] = round(self.random.uniform(*DELAYS_S) * SECOND)
+            delays[leader.ip, machine.ip] = round(self.random.uniform(*MIN_AND_MAX_DELAY_S) * SECOND)
         self.cluster.note(f"{leader.name}: messages to {len(delays)} machines are delayed")
         self.call_after(self.random.choice(PARTITION_DURATIONS_S), delays.clear)
 
@@ -153,8 +153,8 @@
         wiped_machines = self.random.sample(holders, min(wiped, len(holders)))
         for machine in machines:
             is_late = machine in holders and machine not in wiped_machines
-            self._lose_power(machine, machine in wiped_machines, HOLDER_DELAY_S if is_late else 0.0)
-        for proxy in self.simulation.machines:
+            self._lose_power(machine, machine in wiped_machines, HOLDER_RESTART_DELAY_S if is_late else 0.0)
+        for proxy in self.simulation.proxy_machines:
             proxy.kill()
             self.call_after(0.2 + self.random.random(), proxy.start)
 
@@ -168,8 +168,8 @@
             self.simulation.faults.mark_lost(machine, 1.0)
         machine.disk.slowdown = 1.0
         machine.kill(power=True, wipe=is_wiped)
-        self.call_after(0.2 + 0.3 * self.random.random() + delay_s, self._restart, machine)
+        self.call_after(0.2 + 0.3 * self.random.random() + delay_s, self._start_if_stopped, machine)
 
-    def _restart(self, machine: "Machine") -> None:
+    def _start_if_stopped(self, machine: "Machine") -> None:
         if not machine.is_removed and not machine.is_running:
             machine.start()
--- a/tests/lab/simulation/test_fault_schedules.py
+++ b/tests/lab/simulation/test_fault_schedules.py
@@ -1,4 +1,7 @@
-"""The control plane in simulated time under fault schedules, and injected defects that must be found."""
+"""The control plane in simulated time under fault schedules, and injected defects that must be found.
+
+A schedule that finds none of its injected defects would prove nothing by finding no violation.
+"""
 
 import pytest
 
@@ -7,7 +10,7 @@
 from lapisgrade.lab.simulation.fault_schedules import FAULT_SCHEDULES
 
 SEEDS = 8  # number of seeds per schedule
-DEFECT_SEEDS = 30  # number of seeds that must find an injected defect
+DEFECT_SEEDS = 30  # number of seeds, of which one must find an injected defect
 
 pytestmark = pytest.mark.usefixtures("logging_disabled")
 
@@ -43,7 +46,7 @@
         with subtests.test(schedule=schedule, seed=seed):
             simulation = FAULT_SCHEDULES[schedule](seed)
             assert simulation.violations == [], "\n".join(simulation.transcript())
-            acknowledged += simulation.acknowledged()
+            acknowledged += simulation.count_acknowledged_changes()
     assert acknowledged > 5 * seeds
 
 
