--- a/lapisgrade/interface.py
+++ b/lapisgrade/interface.py
@@ -81,7 +81,7 @@
 class ServerRules:
     """The service's rules on draining and newly started servers."""
 
-    drain_grace_us: int  # how long attempts may still arrive after a server starts draining
+    drain_grace_us: int  # how long attempts may still arrive after the notification that a server drains
     slow_start_us: int  # duration of a server's warm-up
     slow_start_initial_weight: float  # fraction of full capacity that a server has when it starts
     overload_window_us: int  # time over which the load of a warming server is measured
@@ -282,7 +282,7 @@
     """The answer to the client for an operation that no server answered."""
 
     RETRY_LATER = auto()  # not executed, or safe to repeat: the client may try again
-    FAILED = auto()  # may or may not have been executed
+    FAILED = auto()  # may or may not have been executed; the client must assume neither
 
 
 @dataclass(slots=True)
--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -176,7 +176,7 @@
         now_us, units = self.clock.now_us, pending.operation.units
         if pending.is_admitted is None:
             # A call that timed out was probably counted. So the operation is either admitted without
-            # reporting its units again, or rejected and its units are returned.
+            # reporting its units again, or rejected and its units are returned; nothing is counted twice.
             return self.admit_locally(now_us, units, pending.is_counted)
         if not pending.is_admitted:
             return self.bucket.wait_us(now_us, units)
