--- a/lapisgrade/net/connection.py
+++ b/lapisgrade/net/connection.py
@@ -48,8 +48,9 @@
 def is_stale(reader: CountingStreamReader, writer: asyncio.StreamWriter) -> bool:
     """Return whether an idle connection is known locally to be closed or to have received data.
 
-    A request written to a closed connection may have been executed, so that a non-idempotent operation or a
-    counter call could not be retried. Data received while idle would be taken for the next response.
+    A request written to a closed connection may have been executed, so that a non-idempotent operation could
+    not be retried, and a retried counter call could be added to the count twice. Data received while idle
+    would be taken for the next response.
     """
     if writer.is_closing() or reader.at_eof() or reader.unread_bytes:
         return True
--- a/lapisgrade/net/host.py
+++ b/lapisgrade/net/host.py
@@ -142,7 +142,8 @@
         attempt, reason, message = event.attempt, event.reason, event.message
         operation = attempt.operation
         client = operation.handle.client
-        # Client errors are forwarded instead of retried: every other server would reject the request too.
+        # Client errors are forwarded instead of retried, which keeps an invalid request away from the other
+        # servers: each of them would reject it too.
         if client is not None and reason in (CloseReason.ANSWERED, CloseReason.CLIENT_ERROR):
             del self.unanswered[operation.handle]
             self.forward_response(client, message)
