--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -54,7 +54,9 @@
         elif reply.active_version in staged:
             self._activate(staged[reply.active_version])
         elif reply.active_version > self.active_version:
-            staged.clear()  # the next watch request reports the older version, so the leader sends this one
+            # The active version was never staged here. With nothing staged, the next watch request reports
+            # the older version, so the leader sends the active one.
+            staged.clear()
         for version, encoded in reply.staged_versions.items():
             if version > self.active_version and version not in self._router.route_versions.staged:
                 self._router.route_versions.stage(self._read(encoded), version in reply.merged_versions)
--- a/lapisgrade/gateway/routing/request_attempts.py
+++ b/lapisgrade/gateway/routing/request_attempts.py
@@ -174,7 +174,10 @@
         return min(max_until_us, self._latest_start_us())
 
     def _latest_start_us(self) -> int:
-        """Return the time in us from which on a queued request or a retry is not sent, as it is too late."""
+        """Return the time in us from which on a queued request or a retry is not sent.
+
+        Its response would no longer reach the client in time.
+        """
         return self._request.deadline_us - RESPONSE_MARGIN_US
 
     def _next_timer_us(self, now_us: int) -> int:
@@ -288,7 +291,7 @@
         return self._may_have_run or bool(self._in_flight())
 
     def _continues_without_client(self) -> bool:
-        """Return whether the request continues after its client has disconnected."""
+        """Return whether the request continues without its client, for repeats of its operation."""
         return bool(self._request.operation_key and self._in_flight())
 
     def _record_result(self, result: AttemptResult) -> None:
--- a/lapisgrade/gateway/rpc_connection.py
+++ b/lapisgrade/gateway/rpc_connection.py
@@ -26,7 +26,7 @@
 # Limit of the write buffer, which grows if the peer does not read; the connection is closed beyond it.
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
 READ_BYTES = 65_536  # maximum size of one read from a socket
-ACKNOWLEDGEMENT_TIMEOUT_MS = 1500  # TCP_USER_TIMEOUT: maximum time that sent data is unacknowledged
+ACKNOWLEDGEMENT_TIMEOUT_MS = 1500  # TCP_USER_TIMEOUT: data unacknowledged for this long closes the connection
 MAX_UNREADABLE_MESSAGES = 512  # per connection; the next one closes it
 MAX_LOGGED_CHARACTERS = 200  # maximum logged length of a decoding error, which may quote the message
 LENGTH_BYTES = 4
