--- a/lapisgrade/lab/partitions/control.py
+++ b/lapisgrade/lab/partitions/control.py
@@ -25,13 +25,13 @@
 from lapisgrade.net.http import MalformedMessageError
 
 PARTITION_S = 20.0  # duration of a leader's partition
-CHANGES = 500  # while a member is down
-REQUEST_TIMEOUT_S = 1.0  # of an operator's request
+CHANGES = 500  # acknowledged while a member is down
+REQUEST_TIMEOUT_S = 1.0  # maximum time that an operator waits for a response
 STEP_TIMEOUT_S = 30.0  # maximum duration of any step; a case that takes longer has failed
 MAX_KILL_DELAY_S = 0.005  # from an acknowledgement until the controller that sent it is killed
-FINAL_STATUSES = (400, 409, 412, 413, 422)  # the change was rejected
+FINAL_STATUSES = (400, 409, 412, 413, 422)  # the change was rejected; after any other error it is retried
 FIRST_NETWORK, NETWORKS = 160, 40  # cases run in 127.160 to 127.199
-CALM_S = 0.5  # of load before and after the fault
+CALM_S = 0.5  # duration of the load before and after the fault
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
         max_latency_s: Longest time of a change until its final response or until it was given up, among
             operators that reach all machines.
         catch_up_s: Time from the restart of a member that was down until it serves reads.
-        violations: Descriptions of everything that must not happen.
+        violations: Descriptions of everything that happened and must not.
     """
 
     case: str
@@ -61,12 +61,14 @@
 
 
 class Operator:
-    """Sends changes and reads to all controllers in turn, or only to one, and records the responses.
+    """Sends changes and reads to all controllers, or to only one, and records the responses.
+
+    A change that gets no final response is retried at the next controller.
 
     Attributes:
         fleet: Fleet that it operates.
         name: Its name, part of the pools that its changes add.
-        only: The one machine that it reaches, or empty.
+        only_machine: The one machine that it reaches; empty if it reaches all.
         events: Its history, for the linearizability check.
         acknowledged: Versions that were acknowledged.
         pools_by_version: The pool that each of its acknowledged versions adds.
@@ -75,8 +77,9 @@
         refused: Number of rejected changes.
     """
 
-    def __init__(self, fleet: Fleet, name: str, only: str = "") -> None:
-        self.fleet, self.name, self.only = fleet, name, only
+    def __init__(self, fleet: Fleet, name: str, only_machine: str = "") -> None:
+        """Create an operator of `fleet`; `only_machine` is as in the class docstring."""
+        self.fleet, self.name, self.only_machine = fleet, name, only_machine
         self.events: list[Event] = []
         self.acknowledged: set[int] = set()
         self.pools_by_version: dict[int, str] = {}
@@ -89,16 +92,22 @@
             await asyncio.sleep(0.01)
 
     def target(self, turn: int) -> Address:
-        """Return the controller address for this turn."""
+        """Return the address of controller number `turn`, modulo their count, or of `only_machine`."""
         addresses = self.fleet.controller_addresses
         return (
-            Address((self.fleet.ip[self.only], addresses[0][1]))
-            if self.only
+            Address((self.fleet.ip[self.only_machine], addresses[0][1]))
+            if self.only_machine
             else addresses[turn % len(addresses)]
         )
 
     async def call(self, turn: int, call: str, body: bytes) -> tuple[int, bytes]:
-        """Send a request; return the status and body, or status 0 without a response."""
+        """Send a request to controller number `turn`; return its status and body, or 0 and no body.
+
+        Args:
+            turn: Number of the controller, as in `target`.
+            call: Name of the remote procedure.
+            body: Encoded argument of the call.
+        """
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 response = await send_request(self.target(turn), "POST", f"/-/rpc?call={call}", body)
@@ -107,15 +116,23 @@
         return response.head.status_code, b"".join(response.body)
 
     async def change(self) -> bool:
-        """Send a change until it gets a final response; return whether it was accepted."""
-        base, ver = self.newest_version, self.newest_version + 1 + self.fleet.random.randrange(2)
+        """Send a change until it gets a final response; return whether it was accepted.
+
+        Gives up after `STEP_TIMEOUT_S`, or after `REQUEST_TIMEOUT_S` if it reaches only one machine.
+        """
+        base_version, version = self.newest_version, self.newest_version + 1 + self.fleet.random.randrange(2)
         pool = f"mark-{self.name}-{len(self.events)}"
-        body = msgspec.json.encode({"Ver": ver, "Base": base, "Upsert": {"Pools": [{"Name": pool}]}})
+        body = msgspec.json.encode(
+            {"Ver": version, "Base": base_version, "Upsert": {"Pools": [{"Name": pool}]}}
+        )
         started_s, turn, status = time.monotonic(), self.fleet.random.randrange(3), 0
-        called, index = round(started_s * 1e6), len(self.events)
-        self.events.append(Event("change", called, UNANSWERED, ver, base))  # in case of a cancellation
+        called_us, index = round(started_s * 1e6), len(self.events)
+        # Recorded now without a response, in case this task is cancelled before the response.
+        self.events.append(Event("change", called_us, UNANSWERED, version, base_version))
         while status != 200 and status not in FINAL_STATUSES:
-            if time.monotonic() - started_s > (STEP_TIMEOUT_S if not self.only else REQUEST_TIMEOUT_S):
+            if time.monotonic() - started_s > (
+                STEP_TIMEOUT_S if not self.only_machine else REQUEST_TIMEOUT_S
+            ):
                 break
             turn += 1
             status, _ = await self.call(turn, "conf.update", body)
@@ -125,42 +142,51 @@
         ended_s = time.monotonic()
         self.max_latency_s = max(self.max_latency_s, ended_s - started_s)
         is_accepted = status == 200 if is_final else None
-        returned = round(ended_s * 1e6) if is_final else UNANSWERED
-        self.events[index] = Event("change", called, returned, ver, base, is_accepted)
+        returned_us = round(ended_s * 1e6) if is_final else UNANSWERED
+        self.events[index] = Event("change", called_us, returned_us, version, base_version, is_accepted)
         if is_accepted:
-            self.acknowledged.add(ver)
-            self.pools_by_version[ver], self.newest_version = pool, max(self.newest_version, ver)
+            self.acknowledged.add(version)
+            self.pools_by_version[version], self.newest_version = pool, max(self.newest_version, version)
         else:
             self.refused += is_final
             await self.read()
         return bool(is_accepted)
 
     async def read(self, turn: int | None = None) -> int:
-        """Return the newest version by one controller, or 0 without a successful response."""
-        called = round(time.monotonic() * 1e6)
+        """Ask a controller, a random one by default, for its newest version; return 0 if it fails."""
+        called_us = round(time.monotonic() * 1e6)
         turn = self.fleet.random.randrange(3) if turn is None else turn
         status, body = await self.call(turn, "conf.show", b"")
         if status != 200:
             return 0
-        ver = msgspec.json.decode(body)["Ver"]
-        self.events.append(Event("read", called, round(time.monotonic() * 1e6), ver))
-        self.newest_version = max(self.newest_version, ver)
-        return ver
+        version = msgspec.json.decode(body)["Ver"]
+        self.events.append(Event("read", called_us, round(time.monotonic() * 1e6), version))
+        self.newest_version = max(self.newest_version, version)
+        return version
 
 
 class CaseRun:
-    """One run of a case: a fleet and its operators."""
+    """One run of a case: a fleet and its operators.
+
+    Attributes:
+        fleet: The fleet under test.
+        random: Source of all random choices.
+        result: Result, which `check` fills in.
+        operators: All operators, whose histories are checked together.
+        tasks: Running operators.
+    """
 
     def __init__(self, fleet: Fleet, random: Random, result: CaseResult) -> None:
+        """Create a run with two operators that reach all controllers; `start_operators` starts them."""
         self.fleet, self.random, self.result = fleet, random, result
         fleet.random = random
         self.operators = [Operator(fleet, "a"), Operator(fleet, "b")]
         self.tasks: list[asyncio.Task] = []
 
     def start_operators(self, *added: Operator) -> None:
-        """Start these operators, or the first ones if none are given."""
+        """Add these operators and start them; without arguments, start the two that exist from the start."""
         self.operators += added
-        self.tasks += [asyncio.create_task(each.run()) for each in (added or self.operators)]
+        self.tasks += [asyncio.create_task(operator.run()) for operator in (added or self.operators)]
 
     async def stop_operators(self) -> None:
         """Cancel all running operators."""
@@ -169,7 +195,10 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def check(self) -> None:
-        """Check the history and fill in the result.
+        """Check the history of all operators and fill in the result.
+
+        One more change must be accepted first. Violations are an acknowledged change that is missing from the
+        configuration afterwards, and a history that is not linearizable.
 
         Raises:
             TimeoutError: No further change is accepted within `STEP_TIMEOUT_S`.
@@ -182,23 +211,27 @@
         operators.append(last)
         _, configuration = await last.call(0, "conf.show", b"")
         names = {each["Name"] for each in msgspec.json.decode(configuration)["Pools"]}
-        for each in operators:
+        for operator in operators:
             result.violations += [
-                f"version {ver} was acknowledged, but its change is missing from the configuration"
-                for ver in each.pools_by_version
-                if each.pools_by_version[ver] not in names
+                f"version {version} was acknowledged, but its change is missing from the configuration"
+                for version in operator.pools_by_version
+                if operator.pools_by_version[version] not in names
             ]
-        events = [event for each in operators for event in each.events]
+        events = [event for operator in operators for event in operator.events]
         result.acknowledged = sum(bool(each.is_accepted) for each in events)
         result.refused = sum(each.refused for each in operators)
         result.unknown_outcomes = sum(each.kind == "change" and each.is_accepted is None for each in events)
         result.reads = sum(each.kind == "read" for each in events)
-        result.max_latency_s = max(each.max_latency_s for each in operators if not each.only)
+        result.max_latency_s = max(each.max_latency_s for each in operators if not each.only_machine)
         if (at := first_violation(events, 1)) is not None:
             result.violations.append(f"the history up to {at / 1e6:.3f} s is not linearizable")
 
     async def kill_after_acknowledgement(self, wipe: bool) -> None:
-        """Kill the leader right after it acknowledges a change, delete its data if `wipe`, and restart it."""
+        """Kill the leader right after it acknowledges a change, delete its data if `wipe`, and restart it.
+
+        Raises:
+            TimeoutError: No change is accepted within `STEP_TIMEOUT_S`.
+        """
         leader = await self.fleet.leader()
         operator = Operator(self.fleet, "struck", leader)
         operator.newest_version = await operator.read() or 1
@@ -217,9 +250,11 @@
 async def partition_leader(run: CaseRun, duration_s: float, direction: str = "") -> None:
     """Cut the leader's links to all other machines, while operators use both sides.
 
+    With both directions cut, the leader must not acknowledge any change from 2 s after the cut on.
+
     Args:
         run: The run of this case.
-        duration_s: Duration of the partition.
+        duration_s: Duration of the partition, at least 2 s.
         direction: "out" to cut only what the leader sends, "in" to cut only what it receives; empty for both.
     """
     fleet = run.fleet
@@ -242,7 +277,7 @@
 
 
 async def kill_leader(run: CaseRun, wipe: bool) -> None:
-    """Kill the leader right after an acknowledgement, three times."""
+    """Kill the leader right after an acknowledgement, and delete its data if `wipe`, three times."""
     for _ in range(3):
         await asyncio.sleep(CALM_S)
         await run.kill_after_acknowledgement(wipe)
@@ -250,7 +285,13 @@
 
 
 async def stop_member(run: CaseRun, changes: int) -> None:
-    """Stop a member during so many changes, restart it under load, and kill the leader once it caught up."""
+    """Keep a member down during `changes` changes, restart it, and kill the leader once it caught up.
+
+    The load continues during all steps. At the end the restarted member must accept a change.
+
+    Raises:
+        TimeoutError: The changes, the restarted member's first read or its change took too long.
+    """
     fleet = run.fleet
     leader = await fleet.leader()
     member = next(each for each in fleet.controllers if each != leader)
@@ -295,7 +336,7 @@
         net: Second number of the machines' addresses, in 127/8.
         folder: Folder for the fleet's files.
         random: Source of all random choices.
-        scale: Factor for the duration of the long partitions and for the number of changes.
+        scale: Factor for `PARTITION_S` and `CHANGES`.
 
     Raises:
         TimeoutError: The fleet didn't start, or accepted no change at the end.
@@ -316,7 +357,14 @@
 async def print_table(
     names: list[str], seeds: range, echo: Callable[[str], None], scale: float = 1.0
 ) -> bool:
-    """Run each case with each seed and print a Markdown table; return whether there were no violations."""
+    """Run each case with each seed and print a Markdown table; return whether there were no violations.
+
+    Args:
+        names: Names of the cases.
+        seeds: Seeds of the runs of each case.
+        echo: Prints a line.
+        scale: As for `run_case`.
+    """
     echo(
         "| case | seed | acknowledged | refused | unknown | reads | max latency s | catch-up s | violations |"
     )
--- a/lapisgrade/lab/partitions/cuts.py
+++ b/lapisgrade/lab/partitions/cuts.py
@@ -42,6 +42,7 @@
     """
 
     def __init__(self, path: Path, own_address: str) -> None:
+        """Read the cuts from the file `path`; `own_address` is the IP address of this machine."""
         self._path, self._own_address, self._mtime_ns = path, own_address, 0
         self._pairs: set[tuple[str, str]] = set()
         self._changed = asyncio.Event()
@@ -80,9 +81,16 @@
 
 
 class CuttableConnection(asyncio.Protocol):
-    """A dialled connection: a protocol to the event loop, and a transport to the program's protocol."""
+    """A dialled connection: a protocol to the event loop, and a transport to the program's protocol.
+
+    Attributes of a transport that are not defined here are those of the real transport.
+
+    Attributes:
+        protocol: The program's protocol.
+    """
 
     def __init__(self, cuts: LinkCuts, peer: str, protocol: asyncio.Protocol) -> None:
+        """Wrap the program's protocol of a connection to the address `peer`."""
         self._cuts, self._peer, self.protocol = cuts, peer, protocol
         self._transport: asyncio.Transport | None = None
         self._held_inbound: list[Callable[[], None]] = []  # the peer's events, in order of arrival
@@ -96,30 +104,36 @@
     # ---- as a protocol
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Register the connection, and pass itself to the program's protocol as the transport."""
         self._transport = transport
         self._cuts.connections.add(self)
         self.protocol.connection_made(self)
 
     def data_received(self, data: bytes) -> None:
+        """Deliver data from the peer, or hold it back while the inbound direction is cut."""
         self._receive(lambda: self.protocol.data_received(data))
 
     def eof_received(self) -> bool:
+        """Deliver the peer's end of data, or hold it back; the transport stays open until it is delivered."""
         self._receive(self._deliver_eof)
         return True  # keeps the transport open; `_deliver_eof` closes it
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Deliver the loss of the connection, or hold it back while the inbound direction is cut."""
         self._receive(lambda: self._deliver_loss(error))
         if self._is_closed:
             self._cuts.connections.discard(self)
 
     def pause_writing(self) -> None:
+        """Tell the program that the socket's write buffer is full."""
         self.protocol.pause_writing()
 
     def resume_writing(self) -> None:
+        """Tell the program that the socket's write buffer has room again."""
         self.protocol.resume_writing()
 
     def _receive(self, deliver: Callable[[], None]) -> None:
-        """Deliver an event of the peer to the program, or hold it back."""
+        """Deliver an event of the peer to the program, or hold it back after earlier held events."""
         if self._is_closed:
             return
         if self._held_inbound or self._cuts.is_inbound_cut(self._peer):
@@ -134,10 +148,12 @@
     # ---- as a transport
 
     def write(self, data: bytes) -> None:
+        """Send data to the peer, or hold it back while the outbound direction is cut."""
         if not self._is_closed:
             self._send(lambda: self._transport.write(data))
 
     def writelines(self, parts: list[bytes]) -> None:
+        """Send the parts as one `write`."""
         self.write(b"".join(parts))
 
     def close(self) -> None:
@@ -147,16 +163,18 @@
             asyncio.get_running_loop().call_soon(self._deliver_loss, None)
 
     def abort(self) -> None:
+        """As `close`, but drop the data that is held back for the peer."""
         if not self._is_closed:
             self._held_outbound.clear()
             self._send(self._transport.abort)
             asyncio.get_running_loop().call_soon(self._deliver_loss, None)
 
     def is_closing(self) -> bool:
+        """Return whether the connection is closed, or being closed, for the program."""
         return self._is_closed or self._transport.is_closing()
 
     def _send(self, transmit: Callable[[], None]) -> None:
-        """Pass a call of the program on to the socket, or hold it back."""
+        """Pass a call of the program on to the socket, or hold it back for at most `SEND_TIMEOUT_S`."""
         if not self._held_outbound and not self._cuts.is_outbound_cut(self._peer):
             return transmit()
         self._held_outbound.append(transmit)
@@ -164,7 +182,7 @@
             self._send_timer = asyncio.get_running_loop().call_later(SEND_TIMEOUT_S, self._on_send_timeout)
 
     def _on_send_timeout(self) -> None:
-        self._held_outbound = [self._transport.abort]
+        self._held_outbound = [self._transport.abort]  # the peer loses the connection when the cut is removed
         self._deliver_loss(TimeoutError())
 
     def _deliver_loss(self, error: Exception | None) -> None:
@@ -180,12 +198,12 @@
                 self._send_timer.cancel()
                 self._send_timer = None
             released, self._held_outbound = self._held_outbound, []
-            for step in released:
-                step()
+            for transmit in released:
+                transmit()
         if not self._cuts.is_inbound_cut(self._peer):
             released, self._held_inbound = self._held_inbound, []
-            for step in released:
-                self._receive(step)
+            for deliver in released:
+                self._receive(deliver)
         if self._is_closed and not self._held_outbound:
             self._cuts.connections.discard(self)
 
@@ -194,22 +212,29 @@
     """A datagram socket that drops what it would send over a cut link; each sender applies its own cuts."""
 
     def __init__(self, cuts: LinkCuts, transport: asyncio.DatagramTransport) -> None:
+        """Wrap a datagram transport; attributes that are not defined here are the transport's."""
         self._cuts, self._transport = cuts, transport
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._transport, name)
 
     def sendto(self, data: bytes, address: tuple | None = None) -> None:
+        """Send a datagram unless the link to `address` is cut; without an address no cut applies."""
         if address is None or not self._cuts.is_outbound_cut(address[0]):
             self._transport.sendto(data, address)
 
 
 class CuttableEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose dialled connections and datagram sockets obey `cuts`."""
+    """An event loop whose dialled connections and datagram sockets obey `cuts`.
+
+    Attributes:
+        cuts: Cuts of this machine's links; set it before the first connection.
+    """
 
     cuts: LinkCuts
 
     async def create_connection(self, protocol_factory, host=None, port=None, **options):
+        """Connect once no direction of the link is cut; without a `host`, no cut applies."""
         if host is None:
             return await super().create_connection(protocol_factory, host, port, **options)
         await self.cuts.wait_until_connectable(host)
@@ -218,12 +243,13 @@
         return connection, connection.protocol
 
     async def create_datagram_endpoint(self, protocol_factory, **options):
+        """Create a datagram endpoint whose transport obeys the cuts."""
         transport, protocol = await super().create_datagram_endpoint(protocol_factory, **options)
         return CuttableDatagramTransport(self.cuts, transport), protocol
 
 
 def main() -> int:
-    """Run the gateway's command line on a `CuttableEventLoop`."""
+    """Run the gateway's command line on a `CuttableEventLoop`; return its exit code."""
     from lapisgrade.gateway import __main__ as gateway_main
     from lapisgrade.gateway import settings
 
--- a/lapisgrade/lab/partitions/fleet.py
+++ b/lapisgrade/lab/partitions/fleet.py
@@ -21,23 +21,24 @@
 from lapisgrade.net.http import MalformedMessageError
 
 HEARTBEAT_INTERVAL_S = 0.25  # of each stand-in server
-POLL_INTERVAL_S = 0.01  # between checks of an awaited condition, and between a client's requests
+POLL_INTERVAL_S = 0.01  # between checks of an awaited condition; also a client's pause between requests
 
 
 class RunCounter(Counter):
-    """The requests that a server executed, by Try-Id.
+    """Number of executions of each request at a server, by Try-Id.
 
     Attributes:
-        started_s: Time of each request's first execution, monotonic.
+        started_s: Time of each request's first execution, monotonic, by Try-Id.
     """
 
     def __init__(self) -> None:
+        """Create a counter without requests."""
         super().__init__()
         self.started_s: dict[str, float] = {}
 
-    def __setitem__(self, name: str, count: int) -> None:
-        self.started_s.setdefault(name, time.monotonic())
-        super().__setitem__(name, count)
+    def __setitem__(self, try_id: str, count: int) -> None:
+        self.started_s.setdefault(try_id, time.monotonic())
+        super().__setitem__(try_id, count)
 
 
 class Fleet:
@@ -52,8 +53,8 @@
         sample: Configuration that is applied at the start.
         ip: Address of each machine.
         controllers: Machines that run a controller.
-        cuts_path: File of the links that are cut, read by all processes.
-        running: Latest process of each role and machine.
+        cuts_path: File of the cut links, which all processes read; its format is that of `cuts`.
+        running: Latest process by role and machine; it may have ended.
         server: Stand-in server of the sample configuration's service.
         controller_addresses: Control addresses of all controllers.
         tasks: Background tasks, cancelled on exit.
@@ -71,7 +72,7 @@
         """Prepare the fleet; `async with` starts it.
 
         Args:
-            net: Second number of all addresses.
+            net: Second number of all addresses, in 127/8.
             folder: Folder for settings, logs and data.
             machines: Number of machines.
             controllers: Number of machines that also run a controller; 0 for all of them.
@@ -91,7 +92,13 @@
         self._request_count = 0
 
     def write_settings(self, role: str, name: str, peers: list[str] | None = None) -> str:
-        """Write the settings file of a process, with three peers by default, and return its path."""
+        """Write the settings file of a process and return its path.
+
+        Args:
+            role: "controller" or "proxy".
+            name: Machine of the process.
+            peers: Machines whose controllers are its peers; by default the first three machines.
+        """
         ip, path = self.ip[name], os.path.join(self.folder, f"{name}-{role}.json")
         bind = {
             "Http": f"{ip}:{HTTP_PORT}",
@@ -152,10 +159,10 @@
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        for each in self.running.values():
-            if each.returncode is None:
-                each.kill()
-                await each.wait()
+        for process in self.running.values():
+            if process.returncode is None:
+                process.kill()
+                await process.wait()
         self.server.close()
 
     async def apply_sample(self) -> bool:
@@ -168,7 +175,7 @@
         )
 
     async def is_ready(self) -> bool:
-        """Return whether every proxy is ready and serves a request."""
+        """Return whether every proxy reports that it is ready, and serves a request."""
         for ip in self.ip.values():
             try:
                 if (await send_request((ip, READINESS_PORT), "GET", "/-/readyz")).head.status_code != 200:
@@ -178,10 +185,10 @@
         return all([await self.call(name, "a.example", "/stock/1", "key-of-sfax") == 200 for name in self.ip])
 
     async def wait_until(self, condition, timeout_s: float = 30.0) -> None:
-        """Poll a coroutine function until it returns true.
+        """Poll the coroutine function `condition` until it returns true.
 
         Raises:
-            TimeoutError: The condition is still false after `timeout_s`.
+            TimeoutError: It has not returned true within `timeout_s`.
         """
         async with asyncio.timeout(timeout_s):
             while not await condition():
@@ -198,7 +205,14 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def call(self, name: str, host: str, path: str, key: str) -> int:
-        """Send one request to a proxy; return its status, or 0 without a response."""
+        """Send one GET request to a proxy; return its status, or 0 without a response.
+
+        Args:
+            name: Machine of the proxy.
+            host: Host header.
+            path: Path of the request.
+            key: API key.
+        """
         self._request_count += 1
         fields = {
             "Host": host, "Try-Id": f"{self._request_count:016x}", "Deadline-Ms": "900",
@@ -212,7 +226,11 @@
             return 0
 
     async def leader(self) -> str:
-        """Return the leader's machine according to the logs; of several, the one with the highest term."""
+        """Return the leader's machine according to the logs; of several, the one with the highest term.
+
+        Raises:
+            ValueError: No controller's log says that it leads.
+        """
         leaders = []
         for name in self.controllers:
             with open(os.path.join(self.folder, f"{name}-controller.log")) as file:
--- a/lapisgrade/lab/partitions/operation_clients.py
+++ b/lapisgrade/lab/partitions/operation_clients.py
@@ -24,7 +24,7 @@
 MAX_BACKOFF_S = 0.3  # longest pause before a retry after a failure
 MAX_REPEAT_DELAY_S = 1.0  # longest pause before a repeat after a success
 MAX_ATTEMPTS = 4  # sequential attempts of one operation until one succeeds
-REPEAT_AFTER_SUCCESS_SHARE = 0.3  # probability of each further repeat
+REPEAT_AFTER_SUCCESS_SHARE = 0.3  # probability of each further repeat of an operation that succeeded
 CONCURRENT_REPEAT_SHARE = 0.1  # share of operations whose first two attempts are concurrent
 SHARED_KEY_SHARE = 0.1  # share of operations whose key is used by the other tenant too
 PATHS = {True: "/claim/1", False: "/stock/1"}  # by whether the request has an operation key
@@ -38,23 +38,28 @@
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, process_id: int) -> None:
+        """Wrap an open connection, which process `process_id` accepted."""
         self._reader = reader
         self._writer = writer
         self.process_id = process_id
 
     @classmethod
     async def open(cls, address: tuple[str, int], process_id: int) -> "PersistentConnection":
-        """Connect.
+        """Connect to a proxy, at most for `CONNECT_TIMEOUT_S`.
+
+        Args:
+            address: Address of the proxy.
+            process_id: Process that listens there.
 
         Raises:
-            OSError: The connection was refused, or timed out.
+            OSError: The connection was refused, or timed out (TimeoutError).
         """
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*address)
         return cls(reader, writer, process_id)
 
     def is_open(self) -> bool:
-        """Return whether the connection hasn't ended as far as this side can tell."""
+        """Return whether no end of the connection has been observed on this side."""
         return not (self._writer.is_closing() or self._reader.at_eof())
 
     def close(self) -> None:
@@ -88,7 +93,7 @@
 
         Args:
             fleet: Fleet that receives the requests.
-            history: Where attempts are recorded.
+            history: History that attempts are recorded in.
             random: Source of all random choices.
             tenants: API keys by tenant.
         """
@@ -113,7 +118,11 @@
             await asyncio.sleep(self._random.uniform(0, MAX_REQUEST_INTERVAL_S))
 
     async def _run_operation(self, tenant: str, key: str) -> None:
-        """Send an operation until it succeeds, and repeat some operations after their success."""
+        """Send an operation until it succeeds, and repeat some operations after their success.
+
+        Some operations begin with concurrent attempts at different proxies: two of one tenant, one of each
+        tenant with the same key, or two of each.
+        """
         tenants = [tenant]
         if self._random.random() < SHARED_KEY_SHARE:
             tenants = list(self._tenants)
@@ -121,12 +130,13 @@
             tenants = tenants * 2
         proxies = [self._proxy() for _ in tenants]
         if 1 < len(proxies) == len(set(proxies)):  # a connection carries one request at a time
-            attempts = (self._attempt(each, key, proxy) for each, proxy in zip(tenants, proxies, strict=True))
+            attempts = (self._attempt(name, key, proxy) for name, proxy in zip(tenants, proxies, strict=True))
             await asyncio.gather(*attempts)
         if await self._send_until_success(tenant, key):
             await self._repeat_after_success(tenant, key)
 
     async def _send_until_success(self, tenant: str, key: str) -> bool:
+        """Send at most `MAX_ATTEMPTS` attempts, one after another; return whether one succeeded."""
         for _ in range(MAX_ATTEMPTS):
             attempt = await self._attempt(tenant, key, self._proxy())
             if attempt.is_success:
@@ -170,6 +180,7 @@
         return attempt
 
     async def _connection(self, proxy: str) -> PersistentConnection:
+        """Return the connection to the proxy on machine `proxy`, a new one if it was closed."""
         connection = self._connections.get(proxy)
         if connection is None or not connection.is_open():
             process_id = self._fleet.running["proxy", proxy].pid
@@ -178,6 +189,7 @@
         return connection
 
     def _request(self, attempt: Attempt) -> bytes:
+        """Return the encoded request: a POST with the operation key, or a GET without one."""
         operation_key = f"Op-Key: {attempt.key}\r\n" if attempt.key else ""
         body = b"order" if attempt.key else b""
         return (
--- a/lapisgrade/lab/partitions/operation_faults.py
+++ b/lapisgrade/lab/partitions/operation_faults.py
@@ -22,18 +22,19 @@
 from lapisgrade.lab.partitions.operation_history import LEEWAY_S, History
 
 GRACE_PERIOD_S = 6.0  # maximum shutdown time after SIGTERM, as in the operators' deployments
-STARTUP_S = 3.0  # maximum time until a process has loaded its code on a busy machine
-# After the loss of its disk, a machine counts as down for this time, as in the operators' deployments.
+STARTUP_S = 3.0  # maximum time from a process's start until it has loaded its code, on a busy machine
+# For this time after its restart, a machine that lost its disk counts as down, as in the operators'
+# deployments.
 RECOVERY_S = 6.0
 MAX_RESTART_DELAY_S = 0.5  # from the end of a process until its restart
 MAX_FAULT_INTERVAL_S = 0.8  # from one fault to the next
 MASS_KILL_PAUSE_S = 3.0  # after all proxies or all processes are killed at once
 SAMPLE_INTERVAL_S = 0.25  # between checks of all processes
-MAX_SAMPLE_DELAY_S = 1.0  # if a check is later than this, this process was stalled
-CHANGE_RETRY_INTERVAL_S = 0.3  # of a configuration change that is not acknowledged
-MAX_LOG_LINES = 8  # shown of the log of a process that ended by itself
-MAX_RESIDENT_MB = 200  # memory of the operators' machines
-MAX_DESCRIPTORS = 475
+MAX_SAMPLE_DELAY_S = 1.0  # a check that is later than this shows that this process was stalled
+CHANGE_RETRY_INTERVAL_S = 0.3  # between two attempts of a configuration change that is not acknowledged
+MAX_LOG_LINES = 8  # last lines of the log that are shown of a process that ended by itself
+MAX_RESIDENT_MB = 200  # resident memory of a process; the operators' machines have no more
+MAX_DESCRIPTORS = 475  # open descriptors of a process
 
 # Relative frequency of each fault: an action and the role of the process, or a special fault.
 PROXY_FAULTS = {"terminate proxy": 3, "kill proxy": 2, "reload proxy": 2, "terminate and kill proxy": 1}
@@ -45,7 +46,7 @@
 
 @dataclass(slots=True)
 class Usage:
-    """Maximum resource usage of any process."""
+    """Maximum resource usage of any process: resident memory in MiB, and open descriptors."""
 
     resident_mb: float = 0.0
     descriptors: int = 0
@@ -68,16 +69,22 @@
     random: Random
     injected: Counter[str] = field(default_factory=Counter)
     usage: Usage = field(default_factory=Usage)
-    _ended_by_us: set[int] = field(default_factory=set)  # process ids
+    _ended_by_us: set[int] = field(default_factory=set)  # ids of processes whose end is expected or recorded
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _locks: dict[tuple[str, str], asyncio.Lock] = field(default_factory=dict)
-    _recovering_until_s: dict[str, float] = field(default_factory=dict)  # by machine that lost its disk
-    _started_s: dict[int, float] = field(default_factory=dict)  # by process id
+    # Event loop times: until when a machine that lost its disk counts as down, and restarts by process id.
+    _recovering_until_s: dict[str, float] = field(default_factory=dict)
+    _started_s: dict[int, float] = field(default_factory=dict)
     _newest_version: int = 1
     _change_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     async def run(self, weights: dict[str, int], count: int) -> None:
-        """Inject so many random faults, which overlap, and wait until all have ended."""
+        """Inject random faults, which overlap, and wait until all have ended.
+
+        Args:
+            weights: Relative frequency of each fault, by its name.
+            count: Number of faults.
+        """
         for _ in range(count):
             await asyncio.sleep(self.random.uniform(0, MAX_FAULT_INTERVAL_S))
             fault = self.random.choices(list(weights), list(weights.values()))[0]
@@ -101,6 +108,7 @@
     # ---- faults
 
     def _inject(self, fault: str) -> None:
+        """Start a fault; one of a controller is skipped while another controller is down."""
         if fault == "change configuration":
             actions = [self._change_configuration()]
         elif fault == "kill all proxies":
@@ -144,6 +152,7 @@
         return any(each.returncode is not None or each.pid in self._ended_by_us for each in processes)
 
     async def _terminate(self, role: str, name: str) -> None:
+        """Send SIGTERM, check that the process exits with 0 in time, and restart it."""
         process = self.fleet.running[role, name]
         if process.returncode is not None:
             return
@@ -159,7 +168,7 @@
             await self._kill(role, name)
             return
         if self._is_starting(process) and status == -signal.SIGTERM:
-            status = 0  # it had not installed its handler yet
+            status = 0  # it had not installed its SIGTERM handler yet
         if status and process.pid not in self.history.killed_ids:
             self.history.process_violations.append(
                 f"{role} of {name} exited with status {status} after SIGTERM"
@@ -167,6 +176,7 @@
         await self._restart(role, name, process)
 
     async def _kill(self, role: str, name: str) -> None:
+        """Kill a process and restart it."""
         process = self.fleet.running[role, name]
         if process.returncode is not None:
             return
@@ -180,7 +190,7 @@
         """Kill a controller, delete its data and restart it; it counts as down for another `RECOVERY_S`."""
         process = self.fleet.running[role, name]
         if process.returncode is not None or process.pid in self._ended_by_us:
-            return  # it is ending, and may be restarted at any moment
+            return  # it is ending, and may be restarted on its disk at any moment
         self._recovering_until_s[name] = math.inf
         self._ended_by_us.add(process.pid)
         self.history.killed_ids.add(process.pid)
@@ -191,7 +201,7 @@
         self._recovering_until_s[name] = asyncio.get_running_loop().time() + RECOVERY_S
 
     async def _terminate_and_kill(self, role: str, name: str) -> None:
-        """Kill a process while it shuts down."""
+        """Send SIGTERM, and kill the process at a random time of its grace period."""
         terminating = asyncio.get_running_loop().create_task(self._terminate(role, name))
         await asyncio.sleep(self.random.uniform(0, GRACE_PERIOD_S))
         await self._kill(role, name)
@@ -232,6 +242,7 @@
                 await asyncio.sleep(CHANGE_RETRY_INTERVAL_S)
 
     def _change(self, base: int, version: int) -> dict[str, Any]:
+        """Return a change from version `base` with random time-outs of all routes and one added route."""
         rules: list[dict[str, Any]] = [dict(each) for each in self.fleet.sample["Ports"][0]["Policy"]]
         for rule in rules:
             rule["Action"] = {**rule["Action"], "Timeout": f"{self.random.randint(1500, 2500)}ms"}
@@ -246,6 +257,7 @@
     # ---- processes
 
     def _check_process(self, role: str, name: str, process: asyncio.subprocess.Process) -> None:
+        """Record a process's resource usage, or its unexpected end."""
         if process.returncode is not None:
             if process.pid not in self._ended_by_us:
                 self._ended_by_us.add(process.pid)
@@ -268,11 +280,16 @@
         self._start_task(self._restart(role, name, process))
 
     def _log_tail(self, role: str, name: str) -> str:
-        """Return the last lines of its log."""
+        """Return the last `MAX_LOG_LINES` lines of a process's log as one line."""
         log = Path(self.fleet.folder) / f"{name}-{role}.log"
         return " | ".join(log.read_text(errors="replace").splitlines()[-MAX_LOG_LINES:])
 
     def _record_usage(self, process: str, folder: Path) -> None:
+        """Record the usage of the process with the /proc folder `folder`; report the first excess of a limit.
+
+        Raises:
+            OSError: The process has ended.
+        """
         descriptors = len(os.listdir(folder / "fd"))
         status = (folder / "status").read_text()
         lines = [line for line in status.splitlines() if line.startswith("VmRSS:")]
--- a/lapisgrade/lab/partitions/operation_history.py
+++ b/lapisgrade/lab/partitions/operation_history.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # guarantee the client that the attempt has not run and never will
-DEADLINE_S = 0.9  # of each attempt of a client
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # with these the attempt has not run, and never will
+DEADLINE_S = 0.9  # time-out that a client states with each attempt
 MAX_CLOSE_DELAY_S = 0.2  # a proxy that has read a request may close its connection only within this time
 LEEWAY_S = 5.0  # added to every time limit, so that a busy machine causes no false violation
 
@@ -33,8 +33,8 @@
         tenant: Tenant that sent it.
         key: Operation key; empty for an idempotent look-up.
         proxy: Machine that it was sent to.
-        sent_s: Time of sending.
-        ended_s: Time of its end.
+        sent_s: Time of sending in s.
+        ended_s: Time of its end in s.
         process_id: Process that accepted the connection; 0 if none did.
         end: How it ended.
         status: Status of the response; 0 without one.
@@ -69,7 +69,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """One run at a server, with its response, whether or not that was sent."""
+    """One run of an attempt at a server, with its response, whether or not the response was sent.
+
+    Attributes:
+        try_id: Attempt that ran.
+        tenant: Tenant that sent it.
+        key: Operation key; empty for an idempotent look-up.
+        seal: Server-Seal of the response, which identifies the run.
+        body: Body of the response.
+    """
 
     try_id: str
     tenant: str
@@ -88,7 +96,8 @@
         arrived_ids: Ids of attempts that reached a server, run or not.
         killed_ids: Ids of processes that were sent SIGKILL.
         process_violations: Descriptions of forbidden behaviour of processes.
-        stalls: Start and end of each period in which this process itself was stalled and read responses late.
+        stalls: Start and end in s, monotonic, of each period in which this process itself was stalled, so
+            that clients read responses late.
     """
 
     attempts: dict[str, Attempt] = field(default_factory=dict)
@@ -99,12 +108,12 @@
     stalls: list[tuple[float, float]] = field(default_factory=list)
 
     def has_stalled(self, attempt: Attempt) -> bool:
-        """Return whether this process was stalled during an attempt."""
+        """Return whether this process, which runs the clients, was stalled during an attempt."""
         return any(start < attempt.ended_s and attempt.sent_s < end for start, end in self.stalls)
 
 
 def find_violations(history: History, has_keys: bool) -> list[str]:
-    """Return descriptions of everything in a history that must not happen.
+    """Return descriptions of everything in a history that must not happen. Cancelled attempts don't count.
 
     Args:
         history: The history to check.
--- a/lapisgrade/lab/partitions/operation_server.py
+++ b/lapisgrade/lab/partitions/operation_server.py
@@ -14,12 +14,12 @@
 # Relative frequency of each behavior. All but "not run" execute the request.
 BEHAVIOR_WEIGHTS = {
     "answered": 60,
-    "failed": 2,  # 500 with a seal
-    "reset": 1,
-    "silent": 1,
-    "late": 1,
-    "cut short": 1,
-    "not run": 2,
+    "failed": 2,  # responds with 500 and a seal
+    "reset": 1,  # resets the connection instead of responding
+    "silent": 1,  # sends no response until the caller disconnects
+    "late": 1,  # responds after `LATE_WORK_S`
+    "cut short": 1,  # omits the last bytes of the response and closes the connection
+    "not run": 2,  # rejects the request with 503
 }
 
 
@@ -44,7 +44,16 @@
         slots: int,
         has_faults: bool,
     ) -> None:
-        """Create a server that answers all requests properly unless `has_faults`."""
+        """Create a server; `start` makes it listen.
+
+        Args:
+            name: Instance name.
+            address: Address to listen at.
+            history: History that runs and arrivals are recorded in.
+            random: Source of all random choices.
+            slots: Requests that it runs at once.
+            has_faults: Whether it fails some requests, by `BEHAVIOR_WEIGHTS`.
+        """
         super().__init__(name, "garantie", address, slots=slots)
         self._history = history
         self._random = random
@@ -76,6 +85,7 @@
     async def _run(
         self, request: OperationRequest, headers: str, behavior: str, writer: asyncio.StreamWriter
     ) -> bytes:
+        """Record a run, execute it, and return the bytes to send for the behavior."""
         number = len(self._history.runs)
         seal, body = f"{self.name}.{number}", f"run {number} of {request.key}".encode()
         self._history.runs.append(Run(request.try_id, request.tenant, request.key, seal, body))
--- a/lapisgrade/lab/partitions/operations.py
+++ b/lapisgrade/lab/partitions/operations.py
@@ -33,15 +33,15 @@
 log = logging.getLogger("operations")
 
 MODE = "keyed"  # mode of the operations' route
-SERVER_COUNT = 4
-OPERATION_CLIENTS, LOOKUP_CLIENTS = 8, 4
+SERVER_COUNT = 4  # servers of the route's service, besides the fleet's own one, which is drained
+OPERATION_CLIENTS, LOOKUP_CLIENTS = 8, 4  # number of clients of each kind
 FAULT_COUNT = 20  # default for one run of a case
 CALM_LOAD_S = 8.0  # duration of the load in cases without faults
 LOAD_AFTER_FAULTS_S = 2.0  # duration of the load after the last fault has ended
-SLOTS = 16
+SLOTS = 16  # requests that a server runs at once, by default
 MAX_SHOWN = 10  # violations shown of one run
 FIRST_NETWORK, NETWORKS = 120, 100  # cases run in 127.120 to 127.219
-TENANTS = {"sfax": "key-of-sfax", "gabes": "key-of-gabes"}
+TENANTS = {"sfax": "key-of-sfax", "gabes": "key-of-gabes"}  # API keys by tenant
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,9 +49,9 @@
     """Parameters of a case.
 
     Attributes:
-        faults: Relative frequency of each fault.
+        faults: Relative frequency of each fault; empty for a case without faults.
         has_server_faults: Whether servers fail some requests.
-        slots: Requests that a server runs at once.
+        slots: Requests that each server runs at once.
         server_fault: Fault of all servers, as `FakeServer.fault`.
         machines: Number of machines, each with a proxy.
         controllers: Number of machines that also have a controller.
@@ -90,8 +90,8 @@
         runs: Runs at all servers.
         injected: Number of injections of each fault.
         usage: Maximum resource usage of any process.
-        stalls: Number of stalls of this process.
-        violations: Descriptions of everything that must not happen.
+        stalls: Number of stalls of this process, which runs the clients.
+        violations: Descriptions of everything that happened and must not.
     """
 
     case: str
@@ -107,9 +107,9 @@
 def share_served(attempts: list[Attempt]) -> float:
     """Return the fraction of operations, or of requests without a key, with a successful response."""
     outcomes: dict[tuple[str, str], bool] = {}
-    for each in attempts:
-        name = (each.tenant, each.key or each.try_id)
-        outcomes[name] = outcomes.get(name, False) or each.is_success
+    for attempt in attempts:
+        operation = (attempt.tenant, attempt.key or attempt.try_id)
+        outcomes[operation] = outcomes.get(operation, False) or attempt.is_success
     return sum(outcomes.values()) / len(outcomes) if outcomes else 0.0
 
 
@@ -133,10 +133,10 @@
         net: Second number of the machines' addresses, in 127/8.
         folder: Folder for the fleet's files.
         random: Source of all random choices.
-        faults: Number of faults to inject.
+        faults: Number of faults to inject, in a case with faults.
 
     Raises:
-        TimeoutError: The fleet didn't start.
+        TimeoutError: The fleet didn't start, or its proxies didn't use the case's servers in time.
     """
     case, history, result = CASES[case_name], History(), CaseResult(case_name)
     fleet = Fleet(net, folder, case.machines, case.controllers, grace=f"{GRACE_PERIOD_S:g}s")
@@ -179,31 +179,37 @@
         servers.append(server)
     fleet.server.state = "drain"
 
-    async def all_proxies_use_them() -> bool:
+    async def has_every_proxy_used_them() -> bool:
         before = len(history.runs)
         for name in fleet.ip:
             await fleet.call(name, "a.example", "/stock/1", TENANTS["sfax"])
         return len(history.runs) - before == len(fleet.ip)
 
-    await fleet.wait_until(all_proxies_use_them)
+    await fleet.wait_until(has_every_proxy_used_them)
     history.runs.clear()
     return servers
 
 
 async def _stop(tasks: list[asyncio.Task[None]]) -> list[BaseException]:
     """Cancel tasks; return the errors of those that had failed."""
-    for each in tasks:
-        each.cancel()
-    errors = await asyncio.gather(*tasks, return_exceptions=True)
+    for task in tasks:
+        task.cancel()
+    outcomes = await asyncio.gather(*tasks, return_exceptions=True)
     return [
         each
-        for each in errors
+        for each in outcomes
         if isinstance(each, BaseException) and not isinstance(each, asyncio.CancelledError)
     ]
 
 
 async def print_table(cases: list[str], seeds: range, echo: Callable[[str], None]) -> bool:
-    """Run each case with each seed and print a Markdown table; return whether there were no violations."""
+    """Run each case with each seed and print a Markdown table; return whether there were no violations.
+
+    Args:
+        cases: Names of the cases.
+        seeds: Seeds of the runs of each case.
+        echo: Prints a line.
+    """
     echo(f"Mode {MODE}.")
     echo("| case | seed | faults | operations: attempts, served | look-ups, served | runs "
         "| statuses | max memory, descriptors | stalls | violations |")  # fmt: skip
@@ -217,15 +223,16 @@
                 except TimeoutError:
                     result = CaseResult(case, violations=["the fleet or its servers did not start in time"])
             echo(_row(result, seed))
-            for line in result.violations[:MAX_SHOWN]:
-                violations.append(f"{case}, seed {seed}: {line}")
+            for violation in result.violations[:MAX_SHOWN]:
+                violations.append(f"{case}, seed {seed}: {violation}")
                 log.warning(violations[-1])  # at once, as later runs may be interrupted
-    for line in violations:
-        echo(line)
+    for violation in violations:
+        echo(violation)
     return not violations
 
 
 def _row(result: CaseResult, seed: int) -> str:
+    """Return the row of a run in the table."""
     statuses = Counter(each.status or each.end.name for each in result.operations)
     shown = ", ".join(f"{name} {count}" for name, count in statuses.most_common())
     return (
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -27,15 +27,15 @@
 from lapisgrade.lab.partitions.fleet import Fleet, RunCounter
 from lapisgrade.net.http import MalformedMessageError
 
-MACHINES, CONTROLLERS = 6, 3  # counts are owned by proxies on machines without a controller
+MACHINES, CONTROLLERS = 6, 3  # proxies on machines without a controller own the counts
 RATE = BURST = 60  # of both tenants; requests per second, requests
 HOT_LOAD = 7.5  # load of the first tenant as a multiple of its rate, as in the deployments
 CALM_LOAD = 1 / 1.6  # load of the second tenant as a fraction of its rate, as in the deployments on most days
 LOAD_BEFORE_S, LOAD_AFTER_S = 3.0, 6.0  # the load after the fault lasts longer than a window
-FAULT_S = 4.5  # duration of the faults, one and a half leases
-RESTART_DELAY_S = 0.2  # after a kill
+FAULT_S = 4.5  # duration of the faults: one and a half leases of a count
+RESTART_DELAY_S = 0.2  # from the end of a killed proxy until its restart
 FIRST_NETWORK, NETWORKS = 120, 100  # cases run in 127.120 to 127.219
-SLO = Slo()
+SLO = Slo()  # the default limits of the settings
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
         calm_requests: Requests of the calm tenant.
         calm_rejected: Its requests that were answered 429.
         calm_failed: Its requests that ended neither with 200 nor with 429.
-        violations: Descriptions of everything that must not happen.
+        violations: Descriptions of everything that happened and must not.
     """
 
     case: str
@@ -62,18 +62,24 @@
 
 
 def quota_bound(slo: Slo, rate: float, burst: float) -> float:
-    """Return the most runs that QUOTA allows in any window of `quota_win`."""
+    """Return the most runs that QUOTA allows in any window of `quota_win`.
+
+    Args:
+        slo: Settings with the window and the excess that is allowed.
+        rate: Quota in requests per second.
+        burst: Burst of the quota in requests.
+    """
     return (rate * slo.quota_win / SECOND + burst) * (1 + slo.quota_excess) + slo.quota_extra
 
 
 def max_in_window(times: list[float], window: float) -> int:
-    """Return the largest number of these times in any window of that length."""
-    times, found, first = sorted(times), 0, 0
+    """Return the largest number of the times in any window of the length `window`, in the same unit."""
+    times, most, first = sorted(times), 0, 0
     for last, current in enumerate(times):
         while times[first] <= current - window:
             first += 1
-        found = max(found, last - first + 1)
-    return found
+        most = max(most, last - first + 1)
+    return most
 
 
 class CaseRun:
@@ -85,16 +91,22 @@
         calm: Tenant that stays within its quota.
         owners: The proxy that owns both counts, then its successors in order.
         random: Source of all random choices.
-        calm_statuses: Responses of the calm tenant by status; 0 for none.
+        calm_statuses: Number of the calm tenant's requests by status; 0 counts those without a response.
     """
 
     def __init__(self, fleet: Fleet, hot: str, calm: str, owners: list[str], random: Random) -> None:
+        """Create a run without load; the attributes are as in the class docstring."""
         self.fleet, self.hot, self.calm, self.owners, self.random = fleet, hot, calm, owners, random
         self.calm_statuses: Counter[int] = Counter()
         self._tasks: set[asyncio.Task] = set()
 
     async def send_load(self, tenant: str, rate_s: float) -> None:
-        """Send requests to random proxies at random times, without waiting for responses, until cancelled."""
+        """Send a tenant's requests to random proxies until cancelled, without waiting for responses.
+
+        Args:
+            tenant: Tenant, whose API key is its name.
+            rate_s: Mean number of requests per second; the intervals are exponentially distributed.
+        """
         names, due_s, number = list(self.fleet.ip), time.monotonic(), 0
         while True:
             due_s += self.random.expovariate(rate_s)
@@ -105,7 +117,10 @@
             task.add_done_callback(self._tasks.discard)
 
     async def send_one(self, tenant: str, id: str, name: str) -> None:
-        """Send one request to a proxy; count its status if the tenant is the calm one."""
+        """Send one request with the Try-Id `id` to the proxy on machine `name`.
+
+        Its status is counted if the tenant is the calm one.
+        """
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900"}
         fields["Authorization"] = f"Bearer {tenant}"
         status, address = 0, (self.fleet.ip[name], HTTP_PORT)
@@ -116,8 +131,8 @@
 
     async def stop(self) -> None:
         """Cancel all pending requests."""
-        for each in self._tasks:
-            each.cancel()
+        for task in self._tasks:
+            task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def kill_and_restart(self, *names: str) -> None:
@@ -164,21 +179,21 @@
 
 
 async def owner_frozen(run: CaseRun) -> None:
-    """The owner is stopped for one and a half leases, and continues with its old state."""
+    """The owner is paused (SIGSTOP) for one and a half leases, and continues with its old state."""
     run.fleet.send_signal("proxy", run.owners[0], signal.SIGSTOP)
     await asyncio.sleep(FAULT_S)
     run.fleet.send_signal("proxy", run.owners[0], signal.SIGCONT)
 
 
 async def owners_killed(run: CaseRun) -> None:
-    """The owner is killed, and then its successor shortly after it became the owner."""
+    """The owner is killed and restarted, and then its successor, shortly after it became the owner."""
     for name in run.owners[:2]:
         await run.kill_and_restart(name)
         await asyncio.sleep(FAULT_S / 2)
 
 
 async def all_killed(run: CaseRun) -> None:
-    """All proxies are killed at the same moment, twice."""
+    """All proxies are killed at the same moment and restarted, twice."""
     for _ in range(2):
         await run.kill_and_restart(*run.fleet.ip)
         await asyncio.sleep(FAULT_S / 2)
@@ -200,14 +215,20 @@
 
 
 def owner_succession(tenant: str, names: list[str], controllers: list[str]) -> list[str]:
-    """Return the owner of a tenant's count, followed by the successor after each loss of an owner."""
-    remaining, found = dict.fromkeys(names), []
+    """Return the owner of a tenant's count, followed by the successor after each loss of an owner.
+
+    Args:
+        tenant: The tenant.
+        names: All machines, each with a proxy.
+        controllers: Machines that also run a controller.
+    """
+    remaining, owners = dict.fromkeys(names), []
     while eligible := eligible_owners(remaining, controllers):
-        found.append(owner_of(tenant, eligible))
-        del remaining[found[-1]]
+        owners.append(owner_of(tenant, eligible))
+        del remaining[owners[-1]]
         if not remaining:
             break
-    return found
+    return owners
 
 
 async def run_case(case: str, net: int, folder: str, random: Random) -> CaseResult:
@@ -226,6 +247,7 @@
     controllers = names[:CONTROLLERS]
     hot = f"hot{random.randrange(1000)}"
     owners = owner_succession(hot, names, controllers)
+    # Both tenants' counts have the same owner and first successor.
     calm = next(each for each in (f"calm{number}" for number in range(1000))
                 if owner_succession(each, names, controllers)[:2] == owners[:2])  # fmt: skip
     tenants = [{"Name": each, "Apikeys": [each], "RateS": RATE, "Burst": BURST} for each in (hot, calm)]
@@ -241,8 +263,8 @@
             await CASES[case](run)
             await asyncio.sleep(LOAD_AFTER_S)
         finally:
-            for each in loads:
-                each.cancel()
+            for load in loads:
+                load.cancel()
             await run.stop()
         duration_s = time.monotonic() - started_s
         run_times_s = [at_s for id, at_s in fleet.server.run_counts.started_s.items() if id.startswith(hot)]
@@ -258,7 +280,13 @@
 
 
 async def print_table(cases: list[str], seeds: range, echo: Callable[[str], None]) -> bool:
-    """Run each case with each seed and print a Markdown table; return whether there were no violations."""
+    """Run each case with each seed and print a Markdown table; return whether there were no violations.
+
+    Args:
+        cases: Names of the cases.
+        seeds: Seeds of the runs of each case.
+        echo: Prints a line.
+    """
     bound = quota_bound(SLO, RATE, BURST)
     echo(f"Maximum number of runs in a window: {bound:g}.")
     echo("")
@@ -280,6 +308,6 @@
             f"| {sum(each.calm_rejected for each in results)} "
             f"| {sum(each.calm_failed for each in results)} |"
         )
-    for each in violations:
-        echo(each)
+    for violation in violations:
+        echo(violation)
     return not violations
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -29,20 +29,24 @@
 from lapisgrade.lab.partitions.fleet import POLL_INTERVAL_S, Fleet, RunCounter
 from lapisgrade.net.http import MalformedMessageError
 
-CALM_S = 1.5  # of load before the partition, for comparison
+CALM_S = 1.5  # duration of the load before the partition, for comparison
 PARTITION_S = (0.5, 3.0)  # shortest and longest time that the partition lasts once both sides are edited
-LOAD_AFTER_MERGE_S = 1.0
-SECOND_PARTITION_S = 1.5  # of the case in which the partition recurs
+LOAD_AFTER_MERGE_S = 1.0  # duration of the load once the merged version is active
+SECOND_PARTITION_S = 1.5  # duration of the second partition, in the case in which it recurs
 STEP_TIMEOUT_S = 20.0  # maximum duration of any step; a case that takes longer has failed
 FIRST_NETWORK, NETWORKS = 120, 100  # cases run in 127.120 to 127.219
-CLAIM_RULE = SAMPLE["Ports"][0]["Policy"][1]
+CLAIM_RULE = SAMPLE["Ports"][0]["Policy"][1]  # the claims' route
 AUTHORIZATION = f"Bearer {SAMPLE['Tenants'][0]['Apikeys'][0]}"
 NEW_SERVICE = "reparation"  # the service that the claims' route is moved to
 OUTCOME_BY_STATUS = {200: "ran", 503: "not run", 429: "not run"}  # after any other status it is unknown
 
 
 def claim_rule_edit(**fields) -> dict:
-    """Return a change of the claims' rule: of its fields, and of the fields of its Action."""
+    """Return a change of the claims' route, which the configuration states as a rule.
+
+    Args:
+        fields: New values of the rule's fields; those in `Action` are added to its present action.
+    """
     action = {**CLAIM_RULE["Action"], **fields.pop("Action", {})}
     return {
         "Upsert": {"Ports": [{"Vhost": "a.example", "Policy": [{**CLAIM_RULE, **fields, "Action": action}]}]}
@@ -56,9 +60,9 @@
     Attributes:
         claim: Number of the claim; 0 for a look-up.
         proxy: Machine of the proxy that it is sent to.
-        sent_s: Time of sending, monotonic.
+        sent_s: Time of sending in s, monotonic.
         status: Status of the response; 0 without one.
-        latency_s: Time until the response or failure; 0 while it is pending.
+        latency_s: Time in s until the response or failure; 0 while it is pending.
     """
 
     claim: int
@@ -81,26 +85,26 @@
     merged one.
 
     Args:
-        attempts: All attempts of claims, by id.
+        attempts: All completed attempts of claims, by Try-Id.
         old: Runs at the old route's server.
         new: Runs at the merged route's server.
         isolated_proxies: Proxies that may use the old route because the merge can't have reached them.
     """
     found: list[str] = []
     runs: Counter[int] = Counter()
-    first_new_s = min((new.started_s[name] for name in attempts if name in new), default=float("inf"))
-    for name, each in attempts.items():
-        run_count = old[name] + new[name] if name in old or name in new else 0
-        runs[each.claim] += run_count
-        outcome = OUTCOME_BY_STATUS.get(each.status)
+    first_new_s = min((new.started_s[try_id] for try_id in attempts if try_id in new), default=float("inf"))
+    for try_id, attempt in attempts.items():
+        run_count = old[try_id] + new[try_id] if try_id in old or try_id in new else 0
+        runs[attempt.claim] += run_count
+        outcome = OUTCOME_BY_STATUS.get(attempt.status)
         if outcome == "not run" and run_count:
-            found.append(f"{name}: answered {each.status}, but a server ran it")
+            found.append(f"{try_id}: answered {attempt.status}, but a server ran it")
         if outcome == "ran" and not run_count:
-            found.append(f"{name}: answered {each.status}, but no server ran it")
-        if name in old and each.sent_s > first_new_s and each.proxy not in isolated_proxies:
+            found.append(f"{try_id}: answered {attempt.status}, but no server ran it")
+        if try_id in old and attempt.sent_s > first_new_s and attempt.proxy not in isolated_proxies:
             found.append(
-                f"{name}: used the old route at {each.proxy} {each.sent_s - first_new_s:.3f} s after the "
-                "first run on the new one"
+                f"{try_id}: used the old route at {attempt.proxy} {attempt.sent_s - first_new_s:.3f} s after "
+                "the first run on the new one"
             )
     return found + [f"claim {number}: ran {count} times" for number, count in runs.items() if count > 1]
 
@@ -118,12 +122,12 @@
         case: Name of the case.
         merge_s: Time from the last heal until the merged version is active at every proxy.
         claims: Claims sent.
-        rejected: Attempts of claims that were rejected as not run, sent after the last heal.
+        rejected: Attempts of claims that were sent after the last heal and rejected as not run.
         unknown_outcomes: Claims that may have run, as far as their client can tell.
-        calm_p99_s: 99th percentile of the look-ups' latency before the partition.
-        rejoin_p99_s: The same after the last heal.
-        urgent_failed: Look-ups that failed after the last heal.
-        violations: Descriptions of everything that must not happen.
+        calm_p99_s: 99th percentile of the latency of look-ups before the partition, without the first 0.2 s.
+        rejoin_p99_s: The same of look-ups after the last heal.
+        urgent_failed: Look-ups after the last heal that failed.
+        violations: Descriptions of everything that happened and must not.
     """
 
     case: str
@@ -152,6 +156,7 @@
     """
 
     def __init__(self, fleet: Fleet) -> None:
+        """Start the clients; `stop` cancels them."""
         self.fleet = fleet
         self.attempts: dict[str, Attempt] = {}
         self.lookups: list[Attempt] = []
@@ -160,7 +165,7 @@
                        for client in (self._send_claims, self._send_lookups)]  # fmt: skip
 
     async def _send(self, attempt: Attempt, path: str, id: str) -> float:
-        """Send an attempt and record its end; return the Retry-After of the response in seconds, or 0."""
+        """Send an attempt with the Try-Id `id` and record its end; return its Retry-After in s, or 0."""
         fields = {"Host": "a.example", "Try-Id": id, "Deadline-Ms": "900", "Authorization": AUTHORIZATION}
         retry_after_s = 0.0
         try:
@@ -177,20 +182,22 @@
         return retry_after_s
 
     async def _send_claims(self, name: str) -> None:
+        """Send claims to the proxy on machine `name`, one after another, until cancelled."""
         while True:
             self.claims += 1
-            number, is_due = self.claims, True
-            while is_due:
+            number, must_send = self.claims, True
+            while must_send:
                 id = f"c{len(self.attempts):015x}"
                 attempt = self.attempts[id] = Attempt(number, name, time.monotonic())
                 retry_after_s = await self._send(attempt, "/claim/1", id)
-                is_due = OUTCOME_BY_STATUS.get(attempt.status) == "not run"
-                if is_due:
+                must_send = OUTCOME_BY_STATUS.get(attempt.status) == "not run"
+                if must_send:
                     await asyncio.sleep(retry_after_s)
             self.unknown_outcomes += attempt.status not in OUTCOME_BY_STATUS
             await asyncio.sleep(2 * POLL_INTERVAL_S)
 
     async def _send_lookups(self, name: str) -> None:
+        """Send look-ups to the proxy on machine `name`, one after another, until cancelled."""
         while True:
             attempt = Attempt(0, name, time.monotonic())
             await self._send(attempt, "/stock/1", f"u{len(self.lookups):015x}{name}")
@@ -199,8 +206,8 @@
 
     async def stop(self) -> None:
         """Cancel all clients."""
-        for each in self._tasks:
-            each.cancel()
+        for task in self._tasks:
+            task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
@@ -210,11 +217,12 @@
     Attributes:
         fleet: The fleet under test.
         random: Source of all random choices.
-        isolated_proxies: Proxies that the merge couldn't reach at once.
-        healed_s: Time of the last heal, monotonic.
+        isolated_proxies: Proxies that the merge couldn't reach at once, as they were partitioned again.
+        healed_s: Time of the last heal in s, monotonic; 0 before it.
     """
 
     def __init__(self, fleet: Fleet, random: Random) -> None:
+        """Create a run on a fleet that was started."""
         self.fleet, self.random = fleet, random
         self.isolated_proxies: set[str] = set()
         self.healed_s = 0.0
@@ -224,7 +232,7 @@
         await self.fleet.wait_until(condition, STEP_TIMEOUT_S)
 
     def controllers(self, *names: str) -> list:
-        """Return the control addresses of these machines, or of all."""
+        """Return the control addresses of these machines, or of all if none are given."""
         return [
             self.fleet.controller_addresses[list(self.fleet.ip).index(name)]
             for name in names or self.fleet.ip
@@ -240,9 +248,16 @@
 
         await self.wait_until(has_all_members)
 
-    async def apply_change(self, ver: int, base: int, change: dict, *names: str) -> None:
-        """Send a change to these controllers, or to all, until it is accepted."""
-        body = msgspec.json.encode({"Ver": ver, "Base": base, **change})
+    async def apply_change(self, version: int, base_version: int, change: dict, *names: str) -> None:
+        """Send a change of version `base_version` to `version` until a controller accepts it.
+
+        Args:
+            version: New version.
+            base_version: Version that the change is based on.
+            change: The change, as fields of a `conf.update` call.
+            names: Machines of the controllers that it is sent to; all if none are given.
+        """
+        body = msgspec.json.encode({"Ver": version, "Base": base_version, **change})
 
         async def is_accepted() -> bool:
             return await post_to_any(self.controllers(*names), "/-/rpc?call=conf.update", body) == 200
@@ -250,7 +265,7 @@
         await self.wait_until(is_accepted)
 
     async def wait_until_leaderless(self, name: str) -> None:
-        """Wait until this controller reaches no leader."""
+        """Wait until the controller on machine `name` reports that it knows no leader."""
         client = OperatorClient(self.controllers(name), lambda line: None)
 
         async def has_no_leader() -> bool:
@@ -260,7 +275,13 @@
         await self.wait_until(has_no_leader)
 
     async def store_draft(self, name: str, change: dict, disks: int = 1) -> None:
-        """Store a draft at this controller once it has no leader, with copies on so many disks."""
+        """Store a draft at the controller on machine `name` once it knows no leader.
+
+        Args:
+            name: Machine of the controller.
+            change: The change that the draft contains.
+            disks: Number of disks that must have a copy, in all.
+        """
         await self.wait_until_leaderless(name)
         lines: list[str] = []
         client = DraftClient(self.controllers(name), lines.append)
@@ -295,7 +316,11 @@
         await self.wait_until(is_delivered)
 
     async def wait_until_merged(self, timeout: str = "1500ms") -> None:
-        """Wait until a version with both edits is active at every proxy."""
+        """Wait until a version with both sides' edits is active at every proxy.
+
+        Args:
+            timeout: Time-out of the route in the edit of the majority's side.
+        """
         client = OperatorClient(self.controllers(), lambda line: None)
 
         async def is_active_everywhere() -> bool:
@@ -315,7 +340,7 @@
 
 
 async def edit_both_sides(run: CaseRun, minority: set[str] = frozenset({"m3"})) -> None:
-    """Partition a minority and edit the claims' route on both sides."""
+    """Partition the machines `minority` from the others, edit the claims' route on both sides, and wait."""
     majority = set(run.fleet.ip) - minority
     run.fleet.partition(majority, minority)
     name = min(minority)
@@ -397,7 +422,7 @@
         random: Source of all random choices.
 
     Raises:
-        TimeoutError: A step took longer than its time-out.
+        TimeoutError: The fleet didn't start, or a step took longer than `STEP_TIMEOUT_S`.
     """
     tenants = [{**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}]
     async with Fleet(net, folder, MACHINES.get(case, 3), tenants=tenants) as fleet:
@@ -444,7 +469,13 @@
 
 
 async def print_table(cases: list[str], seeds: range, echo: Callable[[str], None]) -> bool:
-    """Run each case with each seed and print a Markdown table; return whether there were no violations."""
+    """Run each case with each seed and print a Markdown table; return whether there were no violations.
+
+    Args:
+        cases: Names of the cases.
+        seeds: Seeds of the runs of each case.
+        echo: Prints a line.
+    """
     echo("| case | runs | time to merge, s: min, median, max | claims | rejected as not run | unknown "
          "| look-ups, p99 before and after, ms | failed | violations |")  # fmt: skip
     echo("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
@@ -476,6 +507,6 @@
             f"| {sum(each.urgent_failed for each in results)} "
             f"| {sum(len(each.violations) for each in results)} |"
         )
-    for each in violations:
-        echo(each)
+    for violation in violations:
+        echo(violation)
     return not violations
--- a/tests/lab/partitions/test_cuts.py
+++ b/tests/lab/partitions/test_cuts.py
@@ -1,4 +1,4 @@
-"""Cut links hold data back, and deliver it late and in order."""
+"""Cut links hold data back until they are restored, and then deliver it in order."""
 
 import asyncio
 import os
@@ -29,7 +29,7 @@
 
 
 class CutLinks:
-    """Two addresses, a file of cuts between them, and an event loop that obeys it."""
+    """Two addresses, `here` and `there`, a file of cuts between them, and an event loop that obeys it."""
 
     def __init__(self, loopback_network: LoopbackNetwork, tmp_path: Path) -> None:
         self.here, self.there = loopback_network.host(1), loopback_network.host(2)
@@ -58,10 +58,12 @@
     def cut(self, *pairs: tuple[str, str]) -> None:
         """Cut these links, one direction each, and restore all others."""
         self.file.write_text(msgspec.json.encode(pairs).decode())
+        # A distinct time of modification even if the file system's clock has not advanced since the last cut.
         os.utime(self.file, ns=(self.cuts._mtime_ns + 1, self.cuts._mtime_ns + 1))
         self.cuts.reload()
 
     async def wait_until(self, condition) -> None:
+        """Run the event loop until `condition()` is true."""
         while not condition():
             await asyncio.sleep(0)
 
@@ -87,7 +89,7 @@
         await links.wait_until(
             lambda: client.received == b"a" and accepted[0].received == b"123" and dialling.done()
         )
-        links.cut((links.there, links.here))  # one way: only data from the server is held back
+        links.cut((links.there, links.here))  # one direction: only data from the server is held back
         transport.write(b"4"), accepted[0].transport.write(b"b")
         await links.wait_until(
             lambda: (
--- a/tests/lab/partitions/test_operations.py
+++ b/tests/lab/partitions/test_operations.py
@@ -26,18 +26,23 @@
 
 
 def answered(try_id: str, number: int, status: int = 200) -> Attempt:
-    """An attempt of operation `k` with the response of that run."""
+    """Return an attempt of operation `k` with the response of run `number`."""
     attempt = Attempt(try_id, "sfax", "k", "m1", end=AttemptEnd.ANSWERED, status=status)
     attempt.seal, attempt.body, attempt.response_try_id = f"seal-{number}", b"%d" % number, try_id
     return attempt
 
 
 def run_of(try_id: str, number: int, tenant: str = "sfax") -> Run:
+    """Return run `number` of operation `k`, by the attempt `try_id`."""
     return Run(try_id, tenant, "k", f"seal-{number}", b"%d" % number)
 
 
 def good_history() -> History:
-    """A run, its response, a repeat with the same response, one answered 409, and another tenant's run."""
+    """Return a history without violations.
+
+    It has a run with its response, a repeat with the same response, a repeat that was answered 409, and a run
+    of another tenant's operation with the same key.
+    """
     attempts = [answered("a", 1), answered("b", 1), answered("c", 1, 409)]
     return History({each.try_id: each for each in attempts}, [run_of("a", 1), run_of("x", 2, "gabes")], {"a"})
 
--- a/tests/lab/partitions/test_quota.py
+++ b/tests/lab/partitions/test_quota.py
@@ -10,9 +10,9 @@
 
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.fleet.process import ROOT
-from lapisgrade.lab.partitions import quota as partitioned
+from lapisgrade.lab.partitions import quota
 
-# The command line; the first argument is the loopback network of the machines.
+# Runs the command line with all machines in one loopback network, 127.N, where N is the first argument.
 CLI_ON_NETWORK = """
 import sys
 from unittest import mock
@@ -40,14 +40,14 @@
     options = ["--plays", "1", "--first", str(seed), "--cases", case]
     done = subprocess.run([*command, *options], cwd=ROOT, stdout=subprocess.PIPE, text=True)
     assert done.returncode == 0, done.stdout
-    row = [each.strip() for each in done.stdout.splitlines()[-1].split("|")]
-    assert float(row[4]) <= 1.0
-    assert float(row[5]) > 0.5, "the tenant got less than half of its rate"
+    cells = [cell.strip() for cell in done.stdout.splitlines()[-1].split("|")]
+    assert float(cells[4]) <= 1.0  # the share of the bound that the window with the most runs used
+    assert float(cells[5]) > 0.5, "the tenant got less than half of its rate"
 
 
 def test_max_in_window_counts_the_window_with_the_most_runs():
-    assert partitioned.max_in_window([0.0, 1.0, 5.0, 5.1, 9.0], 5.0) == 3
-    assert (partitioned.max_in_window([], 5.0), round(partitioned.quota_bound(SLO, 60, 60))) == (0, 416)
+    assert quota.max_in_window([0.0, 1.0, 5.0, 5.1, 9.0], 5.0) == 3
+    assert (quota.max_in_window([], 5.0), round(quota.quota_bound(SLO, 60, 60))) == (0, 416)
 
 
 def test_an_unknown_case_is_refused_with_the_list_of_cases():
--- a/tests/lab/partitions/test_rejoin.py
+++ b/tests/lab/partitions/test_rejoin.py
@@ -26,10 +26,11 @@
              "c": rejoin.Attempt(2, "m2", 2.0, 200), "d": rejoin.Attempt(3, "m3", 3.0, 504)}  # fmt: skip
 
     def ran(**started_s: float) -> RunCounter:
+        """Return a server's runs: one of each attempt named, at the time given in s."""
         runs = RunCounter()
-        for name, at_s in started_s.items():
-            runs[name] += 1
-            runs.started_s[name] = at_s
+        for try_id, at_s in started_s.items():
+            runs[try_id] += 1
+            runs.started_s[try_id] = at_s
         return runs
 
     assert rejoin.find_violations(attempts, ran(a=1.0), ran(c=2.1)) == []
