--- a/lapisgrade/lab/fleet/counts.py
+++ b/lapisgrade/lab/fleet/counts.py
@@ -1,8 +1,8 @@
 """Sums the counters that the limiters of a fleet print to their logs.
 
 A limiter prints `HH:MM:SS NAME: counts: a 1, b 2` when it ends and on SIGUSR1, with its counts since its
-start. A log may contain several incarnations of a limiter: a counter that decreases indicates a restart. The
-logs that the benches keep with `--logs` have the same format.
+start. A log may contain several incarnations of a limiter, that is processes one after another: a counter
+that decreases indicates a restart. The logs that the benches keep with `--logs` have the same format.
 """
 
 import re
@@ -33,9 +33,11 @@
     unrecognized: int = 0
 
     def total(self, name: str) -> int:
+        """Return the sum of a counter over all limiters."""
         return sum(each[name] for each in self.limiters.values())
 
     def names(self) -> list[str]:
+        """Return the names of all counters, sorted."""
         return sorted({name for each in self.limiters.values() for name in each})
 
 
@@ -53,12 +55,13 @@
             if location.is_dir()
             else [location]
         )
-        for each in files:
-            _read_file(each, fleet)
+        for file in files:
+            _read_file(file, fleet)
     return fleet
 
 
 def _read_file(path: Path, fleet: FleetCounts) -> None:
+    """Add the counters and messages of one log to `fleet`."""
     current: dict[str, Counter[str]] = {}  # by limiter: counters of the current incarnation
     with open(path, encoding="utf-8", errors="replace") as file:
         for line in file:
@@ -85,7 +88,7 @@
 
 
 def lines(fleet: FleetCounts, max_messages: int = 12) -> list[str]:
-    """Return a summary as text lines: all counters, and the most frequent messages."""
+    """Return a summary as text lines: all counters, and the `max_messages` most frequent messages."""
     if not fleet.limiters:
         return [f"no counters of a limiter in the logs ({fleet.unrecognized} unrecognized lines)"]
     incarnations = sum(fleet.incarnations.values())
--- a/lapisgrade/lab/fleet/defects.py
+++ b/lapisgrade/lab/fleet/defects.py
@@ -1,7 +1,7 @@
 """A limiter with a deliberate defect, to show that the checker detects violations.
 
-`python -m lapisgrade.lab.fleet.defects KIND` runs the real limiter, changed to break one rule; `DEFECTS` has
-the rule's number. The program itself never imports this module.
+`python -m lapisgrade.lab.fleet.defects KIND` runs the real limiter, changed to break one rule, with KIND from
+`DEFECTS`. The program itself never imports this module.
 """
 
 import sys
@@ -55,6 +55,7 @@
     service.read_plans = plans
 
 
+# By name: the function that changes the limiter, and the number of the rule that is broken.
 DEFECTS = {
     "swallow": (drop_answers, 1),
     "twice": (repeat_non_idempotent, 2),
@@ -64,6 +65,10 @@
 
 
 def main() -> int:
+    """Run the limiter with the defect that the command line names; return its exit code.
+
+    Without a valid name, print the usage and return 2.
+    """
     if len(sys.argv) != 2 or sys.argv[1] not in DEFECTS:
         print(f"usage: defects KIND, one of {', '.join(DEFECTS)}", file=sys.stderr)
         return 2
--- a/lapisgrade/lab/fleet/history.py
+++ b/lapisgrade/lab/fleet/history.py
@@ -22,19 +22,23 @@
 
 
 class Event(msgspec.Struct, tag_field="kind", frozen=True, kw_only=True):
-    """An observation at the time `at` (us)."""
+    """An observation.
+
+    Attributes:
+        at: Time in us of the machine's monotonic clock.
+    """
 
     at: int
 
 
 class RunStarted(Event, tag="begin"):
-    """The run started. `settings` are the limiters' settings, as in their configuration."""
+    """The run started."""
 
-    name: str
+    name: str  # of the scenario
     seed: int
     limiters: int
-    seconds: float
-    settings: dict[str, Any]
+    seconds: float  # duration of the load
+    settings: dict[str, Any]  # of the limiters, as in their configuration
     over_bound: float | None = None  # maximum units over the quota of any customer; None: not stated
     leeway_us: int = 0  # maximum delay that faults on links add to observations
 
@@ -47,7 +51,7 @@
 
     op: str
     origin: str
-    due: int
+    due: int  # time (us) at which the attempt was due
     customer: str
     plan: str
     category: str
@@ -65,7 +69,7 @@
 
     op: str
     how: str
-    advice_ms: int = 0
+    advice_ms: int = 0  # delay that the limiter advised before a retry; 0: none
 
 
 class RequestReceived(Event, tag="came"):
@@ -79,9 +83,9 @@
 class CounterCalled(Event, tag="counted"):
     """The counter was called; `added` is false if it rejected the call and didn't add `amount`."""
 
-    name: str
+    name: str  # of the count
     amount: float
-    total: float
+    total: float  # of the count after the call; 0 if it was rejected
     added: bool = True
 
 
@@ -94,14 +98,14 @@
 class ConnectionOpened(Event, tag="opened"):
     """A connection was opened to a server, the counter or an agent."""
 
-    to: str
+    to: str  # name of the server, `counter` or `discovery`
 
 
 class ServerStateChanged(Event, tag="fact"):
-    """A server's state changed at discovery."""
+    """A server's state changed, which discovery shows at once unless it is stale."""
 
     server: str
-    state: str
+    state: str  # `in_service`, `terminating` or `terminated`
 
 
 class ServerStateNotified(Event, tag="told"):
@@ -115,7 +119,7 @@
 class FaultChanged(Event, tag="fault"):
     """A fault began, or ended (`on` is false)."""
 
-    what: str
+    what: str  # kind of the fault
     target: str
     on: bool
 
@@ -125,7 +129,7 @@
 
     limiter: int
     what: str
-    pid: int = 0
+    pid: int = 0  # process id; 0: the limiter has not been started
 
 
 class RunEnded(Event, tag="end"):
@@ -158,11 +162,16 @@
     """Appends events to a file. Call `close()`, or use it as a context manager."""
 
     def __init__(self, path: Path | str) -> None:
+        """Open the file for appending.
+
+        Raises:
+            OSError: The file can't be opened.
+        """
         self._file = open(path, "ab", buffering=65_536)  # noqa: SIM115 (closed by close())
         self._encoder = msgspec.json.Encoder()
 
     def put(self, event: Event) -> None:
-        """Append an event."""
+        """Append an event; it may stay in the buffer until `close()`."""
         self._file.write(self._encoder.encode(event) + b"\n")
 
     def close(self) -> None:
@@ -180,7 +189,8 @@
     """Read the events of a file. An incomplete last line is skipped, since its writer was killed.
 
     Raises:
-        HistoryError: A line is too long or isn't an event; the message names the line.
+        HistoryError: A line is longer than `MAX_LINE_BYTES` or isn't an event; the message names the line.
+        OSError: The file can't be read.
     """
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
@@ -201,11 +211,15 @@
 
     A process may write events slightly out of order, since it takes an answer's time before it writes the
     event. Each file is therefore sorted within a window of events first.
+
+    Raises:
+        HistoryError: As `read`, while the events are iterated.
     """
     return heapq.merge(*(_ordered(read(path)) for path in paths), key=lambda event: event.at)
 
 
 def _ordered(events: Iterator[Event], window: int = 4096) -> Iterator[Event]:
+    """Sort events of which none is more than `window` places from its place in order of time."""
     window_heap: list[tuple[int, int, Event]] = []
     for number, event in enumerate(events):
         heapq.heappush(window_heap, (event.at, number, event))
--- a/lapisgrade/lab/fleet/limiter.py
+++ b/lapisgrade/lab/fleet/limiter.py
@@ -1,4 +1,4 @@
-"""A limiter of a run: its process, folder and links."""
+"""A limiter of a test bed's run: its process, its files, and the relays on its links."""
 
 import asyncio
 import json
@@ -17,14 +17,24 @@
 from lapisgrade.lab.fleet.recorders import RecordingDiscovery
 from lapisgrade.lab.fleet.relay import TcpRelay, UdpRelay
 
-SERVE = (sys.executable, "-m", "lapisgrade.cli", "serve")  # accepts the operator's file of peers (`--site`)
+# Command of a limiter with peers, which accepts the operator's file of peers (`--site`).
+SERVE = (sys.executable, "-m", "lapisgrade.cli", "serve")
 START_TIMEOUT_S = 20.0  # maximum time until a limiter answers `GET /up`, on a busy machine
 POLL_INTERVAL_S = 0.03  # between checks whether a limiter is up
 SEED_COUNT = 2  # limiters whose addresses all others get as seeds
 
 
 class LimiterEnvironment(Protocol):
-    """The parts of a run that a limiter uses."""
+    """The parts of a run that a limiter uses.
+
+    Attributes:
+        scenario: Scenario that is run.
+        folder: Folder of the run.
+        command: Command that starts a limiter without peers.
+        writer: Writer of the history.
+        supervisor: Starts the processes, and kills them at the end of the run.
+        limiters: All limiters, by index.
+    """
 
     scenario: Scenario
     folder: Path
@@ -35,9 +45,28 @@
 
 
 class Limiter:
-    """A limiter of the run: its process, folder and links."""
+    """A limiter of the run.
+
+    Attributes:
+        environment: The run that it belongs to.
+        index: Number of the limiter, from 0.
+        folder: Folder of its files.
+        state: Folder of its state, its "disk", on which the disk faults act.
+        port: Port at which it serves requests.
+        agent: Its discovery agent.
+        counter_address: Address at which it reaches the counter.
+        links: Relays on its links by kind, each with the number of its server (0 for the counter and the
+            agent; the limiter's own for a link to other limiters).
+        config: Its configuration file.
+        site: Its file of peers, written only if the scenario has peers.
+        peer_port: Port at which it receives from other limiters; 0 without peers.
+        reached_at: Address at which other limiters reach it; empty without peers.
+        process: Its process.
+        is_up: Whether it answers requests, so that its signal handlers are set.
+    """
 
     def __init__(self, environment: LimiterEnvironment, index: int) -> None:
+        """Create the limiter's folders and choose its port; `start` starts its process."""
         self.environment = environment
         self.index = index
         self.folder = environment.folder / f"limiter-{index}"
@@ -48,16 +77,16 @@
         self.counter_address = ""
         self.links: dict[str, list[tuple[TcpRelay | UdpRelay, int]]] = {kind: [] for kind in scenarios.LINKS}
         self.config, self.site = self.folder / "config.json", self.folder / "site.toml"
-        self.peer_port, self.reached_at = 0, ""  # for traffic from other limiters
+        self.peer_port, self.reached_at = 0, ""
         args = list(environment.command)
         if environment.scenario.peers:
             args = [*SERVE, str(self.config), "--site", str(self.site)]
         env = {"ROUTER_CONFIG": str(self.config)}
         self.process = Process(f"limiter {index}", args, self.folder / "log", env, self.folder)
-        self.is_up = False  # it answers requests, so its signal handlers are set
+        self.is_up = False
 
     def record_event(self, what: str) -> None:
-        """Record a change of the limiter's process in the history."""
+        """Record a change of the process in the history; `what` is as in `LimiterProcessChanged`."""
         self.environment.writer.put(
             h.LimiterProcessChanged(at=h.now_us(), limiter=self.index, what=what, pid=self.process.pid)
         )
@@ -87,7 +116,7 @@
         }
 
     def write_config(self) -> None:
-        """Write the limiter's configuration files."""
+        """Write the limiter's configuration file and, if the scenario has peers, its file of peers."""
         self.config.write_text(json.dumps(self._configuration(), indent=1))
         if self.environment.scenario.peers:
             seeds = [each.reached_at for each in self.environment.limiters[:SEED_COUNT]]
@@ -99,8 +128,10 @@
     async def start(self) -> None:
         """Start a new process and wait until it serves requests.
 
+        A configuration that was changed while the process started is reloaded once it serves.
+
         Raises:
-            ProcessFailedError: The process ended, or was not up within START_TIMEOUT_S.
+            ProcessFailedError: The process ended, or did not serve requests within `START_TIMEOUT_S`.
         """
         self.agent.forget_notified()
         self.write_config()
--- a/lapisgrade/lab/fleet/limiter_settings.py
+++ b/lapisgrade/lab/fleet/limiter_settings.py
@@ -5,30 +5,35 @@
 from lapisgrade.interface import DeduplicationScope, RepeatSafety
 from lapisgrade.lab.emulator.scenario import Scenario
 
-REPEATS = {
+# Values of a request class's settings `Idempotency` and `Group` (the servers that recognize a repeat).
+IDEMPOTENCY_VALUES = {
     RepeatSafety.IDEMPOTENT: "repeatable",
     RepeatSafety.DEDUPLICATED: "by_key",
     RepeatSafety.NON_IDEMPOTENT: "once",
 }
-GROUPS = {DeduplicationScope.ALL: "all", DeduplicationScope.ZONE: "zone", DeduplicationScope.CELL: "cell"}
+GROUP_VALUES = {
+    DeduplicationScope.ALL: "all",
+    DeduplicationScope.ZONE: "zone",
+    DeduplicationScope.CELL: "cell",
+}
 
 
 def settings(scenario: Scenario, index: int) -> dict[str, Any]:
-    """Return the settings of limiter `index` in the format of its configuration."""
+    """Return the settings of limiter `index` in the format of its configuration; durations are in ms."""
     return {
         "SelfIndex": index,
         "NInstances": scenario.limiters,
         "Zone": scenario.zone_of(index),
-        "Zones": [f"z{i}" for i in range(scenario.zones)],
+        "Zones": [f"z{number}" for number in range(scenario.zones)],
         "RequestClasses": [
             {
                 "Name": each.name,
-                "Idempotency": REPEATS[each.repeat_safety],
+                "Idempotency": IDEMPOTENCY_VALUES[each.repeat_safety],
                 "Aim": each.latency_target_us / 1000,
                 "Deadline": each.timeout_us / 1000,
                 "Worth": each.value,
                 "LateWorth": each.late_value,
-                "Group": GROUPS[each.deduplication_scope],
+                "Group": GROUP_VALUES[each.deduplication_scope],
                 "KeyTtl": each.deduplication_window_us / 1000,
             }
             for each in scenario.categories
--- a/lapisgrade/lab/fleet/process.py
+++ b/lapisgrade/lab/fleet/process.py
@@ -44,7 +44,17 @@
 
 
 class Process:
-    """A child process. Signals go to this process only, and are ignored once it has ended."""
+    """A child process. Signals go to this process only, and are ignored once it has ended.
+
+    Attributes:
+        name: Name for messages.
+        args: Program and arguments.
+        log: File that standard error is appended to.
+        cwd: Working directory; None for that of this process.
+        env: Environment.
+        child: Handle of the latest process; None before the first start.
+        is_paused: Whether it was paused and not resumed.
+    """
 
     def __init__(
         self,
@@ -55,6 +65,16 @@
         cwd: Path | None = None,
         piped: bool = False,
     ) -> None:
+        """Prepare a process; `start` starts it.
+
+        Args:
+            name: Name for messages.
+            args: Program and arguments.
+            log: File that standard error is appended to.
+            env: Variables that are added to the environment of this process.
+            cwd: Working directory; None for that of this process.
+            piped: Whether standard input and output are pipes; otherwise they are /dev/null.
+        """
         self.name = name
         self.args = args
         self.log = log
@@ -78,7 +98,11 @@
         return self.child is not None and self.child.returncode is None
 
     async def start(self) -> "Process":
-        """Start the process, or restart it after it has ended."""
+        """Start the process, or restart it after it has ended; return this object.
+
+        Raises:
+            OSError: The program can't be executed.
+        """
         pipe = asyncio.subprocess.PIPE if self._has_pipes else asyncio.subprocess.DEVNULL
         self.child = await asyncio.create_subprocess_exec(
             *self.args,
@@ -95,6 +119,7 @@
         return self
 
     async def _copy_log(self, stderr: asyncio.StreamReader) -> None:
+        """Append standard error to the log until it ends, and drop what exceeds `MAX_LOG_BYTES`."""
         with open(self.log, "ab", buffering=0) as log:
             remaining = MAX_LOG_BYTES - log.tell()
             while chunk := await stderr.read(65_536):
@@ -120,7 +145,7 @@
         return self.signal(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """Kill the process immediately, also when it is paused."""
+        """Kill the process immediately, also when it is paused, and wait for its end."""
         self.signal(signal.SIGKILL)
         await self.wait()
 
@@ -141,7 +166,11 @@
         return True
 
     async def wait(self) -> int:
-        """Wait for the exit code, and for the rest of standard error."""
+        """Wait for the exit code, and at most 1 s for the rest of standard error.
+
+        Returns:
+            The exit code, negative if a signal ended the process; 0 if it was never started.
+        """
         if self.child is None:
             return 0
         code = await self.child.wait()
@@ -152,7 +181,10 @@
         return code
 
     def refuse_writes(self, refuse: bool) -> None:
-        """Make the kernel refuse the process's writes to files (RLIMIT_FSIZE), or allow them again."""
+        """Make the kernel refuse the process's writes to files (RLIMIT_FSIZE), or allow them again.
+
+        Standard error is a pipe, so a process that can't write files can still report.
+        """
         if self.is_running:
             hard_limit = resource.prlimit(self.pid, resource.RLIMIT_FSIZE)[1]
             resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (0 if refuse else hard_limit, hard_limit))
@@ -162,12 +194,23 @@
     """A helper process of the test bed that reads commands and writes replies, each a JSON line."""
 
     def __init__(self, name: str, module: str, log: Path) -> None:
+        """Prepare a helper that runs a Python module, which calls `serve_commands`.
+
+        Args:
+            name: Name for messages.
+            module: Full name of the module.
+            log: File that standard error is appended to.
+        """
         super().__init__(name, [sys.executable, "-m", module], log, piped=True)
         self._command_lock = asyncio.Lock()
 
     async def request(self, within_s: float | None = COMMAND_TIMEOUT_S, **command: Any) -> dict[str, Any]:
         """Send a command and return its reply.
 
+        Args:
+            within_s: Maximum time until the reply; None for no limit.
+            command: Fields of the command; `do` is its name.
+
         Raises:
             ProcessFailedError: The reply is an `error`, the helper ended, or `within_s` passed.
         """
@@ -197,10 +240,15 @@
     """Kills all processes that it started when its `async with` block exits, normally or by an exception."""
 
     def __init__(self) -> None:
+        """Create a supervisor without processes."""
         self._processes: list[Process] = []
 
     async def start(self, process: Process) -> Process:
-        """Start a process, which is killed at the exit if it still runs."""
+        """Start a process, which is killed at the exit if it still runs; return it.
+
+        Raises:
+            OSError: The program can't be executed.
+        """
         if process not in self._processes:
             self._processes.append(process)
         return await process.start()
@@ -219,7 +267,7 @@
 def serve_commands(handle: Callable[[Any], Awaitable[dict[str, Any] | None]]) -> None:
     """Run the child side of a `Helper`: handle each command of standard input and print its reply.
 
-    Returns at the end of the input. An exception in `handle` is sent as the reply's `error`.
+    Returns at the end of the input. If `handle` raises an exception, the reply's `error` describes it.
     """
 
     async def run() -> None:
@@ -242,7 +290,7 @@
 
 
 def wipe(folder: Path) -> None:
-    """Delete all files, like a lost disk."""
+    """Delete all files and folders in `folder`, like a lost disk."""
     for path in sorted(folder.rglob("*"), reverse=True):
         path.rmdir() if path.is_dir() else path.unlink()
 
@@ -254,7 +302,7 @@
 
 
 def flip_bit(folder: Path) -> None:
-    """Flip one bit in the middle of the newest file."""
+    """Flip one bit in the middle of the newest file, like a faulty disk."""
     path = _newest(folder)
     if path is None or not (size := path.stat().st_size):
         return
@@ -266,5 +314,6 @@
 
 
 def _newest(folder: Path) -> Path | None:
+    """Return the file that was modified last, or None without files."""
     files = [path for path in folder.rglob("*") if path.is_file()]
     return max(files, key=lambda path: (path.stat().st_mtime_ns, str(path)), default=None)
--- a/lapisgrade/lab/fleet/recorders.py
+++ b/lapisgrade/lab/fleet/recorders.py
@@ -10,7 +10,11 @@
 
 
 class RecordingCounter(Counter):
-    """A fake counter that records each call."""
+    """A fake counter that records each connection and each call that adds units.
+
+    Attributes:
+        writer: Writer of the history; set it before `open`.
+    """
 
     writer: h.Writer
 
@@ -43,6 +47,7 @@
     """
 
     def __init__(self, writer: h.Writer, limiter: int) -> None:
+        """Create the agent of the limiter with the index `limiter`; `open` makes it listen."""
         super().__init__()
         self.writer, self.limiter = writer, limiter
         self._last_notified: dict[str, str] = {}
--- a/lapisgrade/lab/fleet/relay.py
+++ b/lapisgrade/lab/fleet/relay.py
@@ -41,14 +41,23 @@
     reorder_rate: float = 0.0
 
     def heal(self) -> None:
-        fresh = Link()
+        """Restore the link: no cut, delay, limit or loss. `apply_link_change` of the relay must follow."""
+        healthy = Link()
         for name in self.__slots__:
-            setattr(self, name, getattr(fresh, name))
+            setattr(self, name, getattr(healthy, name))
 
 
 @dataclass(slots=True)
 class RelayCounters:
-    """Counts of a relay's traffic."""
+    """Counts of a relay's traffic.
+
+    Attributes:
+        connections: Accepted connections.
+        resets: Connections that were reset because of `Link.reset`.
+        bytes: Forwarded bytes by direction.
+        datagrams: Datagrams received from both sides, without those of blocked sources.
+        lost: Datagrams that were dropped on their arrival.
+    """
 
     connections: int = 0
     resets: int = 0
@@ -61,9 +70,17 @@
     """Forwards TCP connections to one target.
 
     Await `open()`, then connect callers to `address`. Call `apply_link_change()` after each change of `link`.
+
+    Attributes:
+        target: Address that connections are forwarded to.
+        link: Behavior of the link.
+        random: Source of all random choices.
+        counters: Counts of the traffic.
+        port: Port that the relay listens on; 0 before `open`.
     """
 
     def __init__(self, target: tuple[str, int], seed: int, link: Link | None = None) -> None:
+        """Create a relay; without a `link` it forwards everything at once."""
         self.target, self.link, self.random = target, link or Link(), Random(seed)
         self.counters = RelayCounters()
         self.port = 0
@@ -73,16 +90,18 @@
         self._link_changed = asyncio.Event()
 
     async def open(self) -> "TcpRelay":
+        """Listen on a free port; return the relay."""
         self._server = await asyncio.start_server(self._serve_connection, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
     @property
     def address(self) -> str:
+        """The address that callers connect to, `HOST:PORT`."""
         return f"127.0.0.1:{self.port}"
 
     def apply_link_change(self) -> None:
-        """Wake the tasks that wait for the link, and reset open connections if the link says so."""
+        """Resume what waited for the end of a cut, and reset open connections if `link.reset` is set."""
         link_changed, self._link_changed = self._link_changed, asyncio.Event()
         link_changed.set()
         if self.link.reset:
@@ -91,6 +110,7 @@
                 writer.transport.abort()
 
     async def close(self) -> None:
+        """Stop listening, and abort all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -112,16 +132,16 @@
             await self._wait_while_cut(TO_TARGET)
             upstream_reader, upstream = await asyncio.open_connection(*self.target)
             self._writers.add(upstream)
-            async with asyncio.TaskGroup() as both:
-                both.create_task(self._copy(reader, upstream, TO_TARGET))
-                both.create_task(self._copy(upstream_reader, writer, FROM_TARGET))
+            async with asyncio.TaskGroup() as directions:
+                directions.create_task(self._copy(reader, upstream, TO_TARGET))
+                directions.create_task(self._copy(upstream_reader, writer, FROM_TARGET))
         except (OSError, ExceptionGroup, asyncio.CancelledError):
             pass  # the connection or the relay ended; asyncio's streams would log it as an error
         finally:
-            for each in (writer, upstream):
-                if each is not None:
-                    self._writers.discard(each)
-                    each.transport.abort()
+            for end in (writer, upstream):
+                if end is not None:
+                    self._writers.discard(end)
+                    end.transport.abort()
             self._tasks.discard(task)
 
     async def _wait_while_cut(self, direction: str) -> None:
@@ -138,15 +158,15 @@
 
         async def write() -> None:
             nonlocal buffered
-            free_at = 0.0
+            free_at_s = 0.0  # when a link with a rate has transmitted the previous chunks
             while True:
-                due, chunk = await queue.get()
+                due_s, chunk = await queue.get()
                 link = self.link
                 if link.rate > 0:
-                    free_at = max(free_at, loop.time()) + len(chunk) / link.rate
-                    due = max(due, free_at)
-                if (wait := due - loop.time()) > 0:
-                    await asyncio.sleep(wait)
+                    free_at_s = max(free_at_s, loop.time()) + len(chunk) / link.rate
+                    due_s = max(due_s, free_at_s)
+                if (wait_s := due_s - loop.time()) > 0:
+                    await asyncio.sleep(wait_s)
                 await self._wait_while_cut(direction)
                 if not chunk:
                     if writer.can_write_eof():
@@ -166,8 +186,8 @@
                     chunk = await reader.read(READ_BYTES)
                 except OSError:
                     chunk = b""
-                delay = self.link.delay_s + self.random.random() * self.link.jitter_s
-                queue.put_nowait((loop.time() + delay, chunk))
+                delay_s = self.link.delay_s + self.random.random() * self.link.jitter_s
+                queue.put_nowait((loop.time() + delay_s, chunk))
                 buffered += len(chunk)
                 if not chunk:
                     await writing
@@ -185,20 +205,30 @@
     """Forwards datagrams sent to `address` to one target.
 
     Each source address has a socket of its own towards the target; replies to that socket go to its source.
+
+    Attributes:
+        target: Address that datagrams are forwarded to.
+        link: Behavior of the link; a change applies to the next datagram.
+        random: Source of all random choices.
+        counters: Counts of the traffic.
+        blocked_sources: Ports of sources whose datagrams are dropped.
+        port: Port that the relay listens on; 0 before `open`.
     """
 
     def __init__(self, target: tuple[str, int], seed: int, link: Link | None = None) -> None:
+        """Create a relay; without a `link` it forwards everything at once."""
         self.target, self.link, self.random = target, link or Link(), Random(seed)
         self.counters = RelayCounters()
-        self.blocked_sources: set[int] = set()  # ports of sources whose datagrams are dropped
+        self.blocked_sources: set[int] = set()
         self.port = 0
         self._listener: asyncio.DatagramTransport | None = None
         self._upstreams: dict[tuple[str, int], asyncio.DatagramTransport] = {}
         self._in_flight = 0
         self._tasks: set[asyncio.Task] = set()
-        self._reordered: dict[tuple, bytes] = {}  # by direction and source: sent after the next one
+        self._reordered: dict[tuple, bytes] = {}  # by direction and source: datagram sent after the next one
 
     async def open(self) -> "UdpRelay":
+        """Listen on a free port; return the relay."""
         loop = asyncio.get_running_loop()
         self._listener, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=("127.0.0.1", 0))
         self.port = self._listener.get_extra_info("sockname")[1]
@@ -206,17 +236,20 @@
 
     @property
     def address(self) -> str:
+        """The address that sources send to, `HOST:PORT`."""
         return f"127.0.0.1:{self.port}"
 
     def apply_link_change(self) -> None:
-        """Do nothing: a change applies to the next datagram."""
+        """Do nothing: a change of `link` applies to the next datagram."""
 
     async def close(self) -> None:
+        """Close all sockets. Delayed datagrams are dropped."""
         for transport in (self._listener, *self._upstreams.values()):
             if transport is not None:
                 transport.close()
 
     def datagram_received(self, data: bytes, source: tuple[str, int]) -> None:
+        """Forward a datagram towards the target, unless its source is blocked."""
         if source[1] in self.blocked_sources:
             self.counters.lost += 1
             return
@@ -225,6 +258,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _forward(self, data: bytes, source: tuple[str, int]) -> None:
+        """Forward a datagram from the source's socket towards the target, which is opened first if needed."""
         upstream = self._upstreams.get(source)
         if upstream is None:
             relay = self
@@ -232,7 +266,7 @@
             class ReplyProtocol(asyncio.DatagramProtocol):
                 def datagram_received(self, data: bytes, _: tuple[str, int]) -> None:
                     relay.forward_datagram(
-                        FROM_TARGET, source, data, lambda d: relay._listener.sendto(d, source)
+                        FROM_TARGET, source, data, lambda reply: relay._listener.sendto(reply, source)
                     )
 
             loop = asyncio.get_running_loop()
@@ -241,7 +275,14 @@
         self.forward_datagram(TO_TARGET, source, data, upstream.sendto)
 
     def forward_datagram(self, direction: str, source: tuple[str, int], data: bytes, send) -> None:
-        """Send a datagram with the link's delay, or lose, duplicate or reorder it."""
+        """Send a datagram with the link's delay, or lose, duplicate or reorder it.
+
+        Args:
+            direction: TO_TARGET or FROM_TARGET.
+            source: Address of the source that the datagram came from, or that it is a reply to.
+            data: Contents of the datagram.
+            send: Called with the contents to send it.
+        """
         link, random = self.link, self.random
         self.counters.datagrams += 1
         if (
@@ -256,13 +297,13 @@
         if swapped is None and random.random() < link.reorder_rate:
             self._reordered[direction, source] = data
             return
-        for each in (data, swapped):
-            if each is None:
+        for datagram in (data, swapped):
+            if datagram is None:
                 continue
             for _ in range(2 if random.random() < link.duplicate_rate else 1):
                 self._in_flight += 1
-                delay = link.delay_s + random.random() * link.jitter_s
-                asyncio.get_running_loop().call_later(delay, self._send, direction, each, send)
+                delay_s = link.delay_s + random.random() * link.jitter_s
+                asyncio.get_running_loop().call_later(delay_s, self._send, direction, datagram, send)
 
     def _send(self, direction: str, data: bytes, send) -> None:
         self._in_flight -= 1
--- a/lapisgrade/lab/fleet/servers.py
+++ b/lapisgrade/lab/fleet/servers.py
@@ -14,7 +14,11 @@
 
 
 class RecordingServer(servers.Server):
-    """A fake server that records its connections and requests in the history."""
+    """A fake server that records its connections and requests in the history.
+
+    Attributes:
+        writer: Writer of the history; set it before `open`.
+    """
 
     writer: h.Writer
 
@@ -23,22 +27,41 @@
         await super()._accept(reader, writer)
 
     def on_request(self, request: http.Request, arrived_s: float, ran: bool) -> None:
+        """Record a request that arrived at `arrived_s` (monotonic); `ran` is whether it was accepted."""
         at, op = round(arrived_s * h.SECOND), request.headers["x-request-id"]
         self.writer.put(h.RequestReceived(at=at, op=op, server=self.name, ran=ran))
 
 
 class Servers:
-    """All servers of the run, and the commands that control them."""
+    """All servers of the run, and the commands that control them.
+
+    Each method `do_NAME` runs the command NAME with the command's fields, and returns the reply.
+
+    Attributes:
+        all: The servers, by number.
+        default_behavior: Behavior of a server without a fault.
+        writer: Writer of the history; None before the command `open`.
+    """
 
     def __init__(self) -> None:
+        """Create no servers; the command `open` does."""
         self.all: list[RecordingServer] = []
         self.default_behavior: servers.ServerBehavior = servers.ServerBehavior()
         self.writer: h.Writer | None = None
 
     async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Run the command whose name is in the field `do`; return its reply."""
         return await getattr(self, f"do_{command.pop('do')}")(**command)
 
     async def do_open(self, history: str, count: int, seed: int, knobs: dict[str, Any]) -> dict[str, Any]:
+        """Start the servers; reply with their addresses.
+
+        Args:
+            history: File of the history.
+            count: Number of servers.
+            seed: Seed of the servers' random choices.
+            knobs: Behavior of each server, as the fields of `ServerBehavior`.
+        """
         self.writer = h.Writer(history)
         self.default_behavior = servers.ServerBehavior(**knobs)
         for i in range(count):
@@ -48,28 +71,37 @@
         return {"addresses": [each.address for each in self.all]}
 
     async def do_mode(self, which: list[int], mode: str, factor: float = 1.0) -> dict[str, Any]:
-        """Set the mode: `well`, `slow` (by `factor`), `failing` (share `factor`), `fast_errors`, `silent`."""
+        """Set the mode of the servers `which`.
+
+        Args:
+            which: Numbers of the servers.
+            mode: `well` (no fault), `slow` (service times multiplied by `factor`), `failing` (the share
+                `factor` of the operations ends in 500), `fast_errors` (500 at once), `silent` (no response).
+            factor: As the mode says; other modes ignore it.
+        """
         for i in which:
-            knobs, default_behavior = self.all[i].behavior, self.default_behavior
-            knobs.silent = mode == "silent"
-            knobs.median_s = {"slow": default_behavior.median_s * factor, "fast_errors": 0.0}.get(
+            behavior, default_behavior = self.all[i].behavior, self.default_behavior
+            behavior.silent = mode == "silent"
+            behavior.median_s = {"slow": default_behavior.median_s * factor, "fast_errors": 0.0}.get(
                 mode, default_behavior.median_s
             )
-            knobs.error_share = {"failing": factor, "fast_errors": 1.0}.get(mode, 0.0)
+            behavior.error_share = {"failing": factor, "fast_errors": 1.0}.get(mode, 0.0)
         return {}
 
     async def do_kill(self, which: list[int]) -> dict[str, Any]:
+        """Kill servers: stop listening and reset all connections."""
         for i in which:
             await self.all[i].kill()
         return {}
 
     async def do_drain(self, which: list[int]) -> dict[str, Any]:
+        """Make servers reject new requests and finish those that they have."""
         for i in which:
             self.all[i].drain()
         return {}
 
     async def do_restart(self, which: list[int]) -> dict[str, Any]:
-        """Restart servers at the same addresses, in slow start and with empty queues."""
+        """Restart servers in slow start and with empty queues; reply with their addresses, which stay."""
         for i in which:
             if self.all[i].is_running:
                 await self.all[i].kill()
@@ -77,8 +109,9 @@
         return {"addresses": [self.all[i].address for i in which]}
 
     async def do_close(self) -> dict[str, Any]:
-        for each in self.all:
-            await each.kill()
+        """Kill all servers and close the history."""
+        for server in self.all:
+            await server.kill()
         if self.writer is not None:
             self.writer.close()
         return {}
--- a/lapisgrade/lab/fleet/test_bed.py
+++ b/lapisgrade/lab/fleet/test_bed.py
@@ -2,9 +2,10 @@
 
     paths = await run(scenario, text, path, folder)
 
-Afterwards `folder` contains the history's files (`*.jsonl`), and each limiter's configuration, state folder
-(its "disk") and log. The counter and the discovery agents (one per limiter) are the project's fakes and run
-in this process, as do the relays. Only links of the kinds that a fault of the scenario affects have relays.
+Afterwards `folder` contains the history's files (`*.jsonl`), the logs of the servers and clients, and each
+limiter's configuration, state folder (its "disk") and log. The counter and the discovery agents (one per
+limiter) are the project's fakes and run in this process, as do the relays. Only links of the kinds that a
+fault of the scenario affects have relays.
 """
 
 import asyncio
@@ -26,14 +27,25 @@
 from lapisgrade.lab.fleet.recorders import RecordingCounter
 from lapisgrade.lab.fleet.relay import TcpRelay, UdpRelay
 
-LIMITER = (sys.executable, "-m", "lapisgrade")
-SETTLE_S = 0.7  # delay between the last limiter's start and the load
+LIMITER = (sys.executable, "-m", "lapisgrade")  # command of a limiter without peers
+SETTLE_S = 0.7  # delay from the last limiter's start until the load
 
 
 class TestBed(FaultInjector):
-    """All processes of a run, the fakes, the relays between them, and the history's writer."""
+    """All processes of a run, the fakes, the relays between them, and the history's writer.
+
+    `FaultInjector` describes the other attributes.
+
+    Attributes:
+        folder: Folder of the run.
+        command: Command that starts a limiter without peers.
+        files: The history's files: of this process, the servers and the clients.
+        supervisor: Starts the processes, and kills them at the end of the run.
+        clients: Process of the clients.
+    """
 
     def __init__(self, scenario: Scenario, folder: Path, command: tuple[str, ...] = LIMITER) -> None:
+        """Create the run's folder and delete an earlier run's history from it; `run` runs the scenario."""
         self.scenario = scenario
         self.folder = folder
         self.command = command
@@ -46,19 +58,28 @@
         self.random = Random(scenario.seed)
         self.counter = RecordingCounter(max_connections=COUNTER_CONNECTIONS * scenario.limiters)
         self.counter.writer = self.writer
-        self.replaced_counters: list[RecordingCounter] = []
+        self.replacement_counters: list[RecordingCounter] = []
         self.relays: list[TcpRelay | UdpRelay] = []
         self.limiters: list[Limiter] = []
         self.servers = Helper("the servers", "lapisgrade.lab.fleet.servers", folder / "servers.log")
         self.clients = Helper("the clients", "lapisgrade.lab.fleet.load", folder / "clients.log")
         self.addresses: list[str] = []
-        self.pending_changes: list[tuple[str, int]] | None = None  # server states that discovery delays
+        self.pending_changes: list[tuple[str, int]] | None = None
         self._started_s = 0.0
         self._fault_task: asyncio.Task | None = None  # injects the faults
         self._running_faults: list[asyncio.Task] = []
 
     async def run(self, text: str, path: str, changes: dict[str, Any]) -> list[Path]:
-        """Run the scenario `text`, read from `path`, with `changes`; return the history's files."""
+        """Run the scenario; return the history's files.
+
+        Args:
+            text: Text of the scenario's file, which the clients parse themselves.
+            path: Path of that file, for messages.
+            changes: Fields of the scenario that are set to other values; None to keep a field.
+
+        Raises:
+            ProcessFailedError: A process did not start, or ended by itself.
+        """
         async with self.supervisor:
             try:
                 await self._open()
@@ -74,6 +95,7 @@
         return max(each.timeout_us for each in self.scenario.categories)
 
     async def _open_clients(self, text: str, path: str, changes: dict[str, Any]) -> None:
+        """Start the clients' process, and let it create the schedule."""
         await self.supervisor.start(self.clients)
         await self.clients.request(
             do="open",
@@ -85,7 +107,7 @@
         )
 
     async def _run_load_and_faults(self) -> None:
-        """Run the clients' load and inject the faults until the load has ended."""
+        """Run the clients' load and inject the faults; when the load has ended, cancel the rest of them."""
         scenario = self.scenario
         start_us = h.now_us()
         self._started_s = start_us / h.SECOND
@@ -100,6 +122,7 @@
             raise outcome  # a fault could not be injected, so the run is invalid
 
     def _record_start(self, start_us: int) -> None:
+        """Record the start of the run, with what the checker needs of the scenario."""
         scenario = self.scenario
         self.writer.put(
             h.RunStarted(
@@ -122,8 +145,8 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         for relay in self.relays:
             await relay.close()
-        for each in (self.counter, *self.replaced_counters, *(each.agent for each in self.limiters)):
-            await each.close()
+        for fake in (self.counter, *self.replacement_counters, *(each.agent for each in self.limiters)):
+            await fake.close()
         self.writer.close()
 
     async def _open(self) -> None:
@@ -189,6 +212,7 @@
         return relayed
 
     async def _add_relay(self, limiter: Limiter, kind: str, address: str, number: int) -> TcpRelay:
+        """Open a relay on a limiter's link to `address`, and return it; `number` is the server's, or 0."""
         host, _, port = address.rpartition(":")
         relay = await TcpRelay((host, int(port)), self.random.getrandbits(48)).open()
         self.relays.append(relay)
@@ -196,6 +220,7 @@
         return relay
 
     async def _open_peer(self, limiter: Limiter, is_relayed: bool) -> None:
+        """Choose the limiter's port for other limiters, and open a relay before it if `is_relayed`."""
         limiter.peer_port = free_port()
         limiter.reached_at = f"127.0.0.1:{limiter.peer_port}"
         if is_relayed:
@@ -205,10 +230,10 @@
             limiter.reached_at = relay.address
 
     async def _close(self, within_s: float) -> None:
-        """Shut down the limiters gracefully, then the helpers."""
-        for each in self.limiters:
-            if each.process.is_paused:
-                each.process.resume()
+        """Shut down the limiters gracefully within `within_s` each, then the helpers."""
+        for limiter in self.limiters:
+            if limiter.process.is_paused:
+                limiter.process.resume()
         await asyncio.gather(*(each.process.end(within_s) for each in self.limiters))
         await self.servers.request(do="close")
         for helper in (self.clients, self.servers):
@@ -227,6 +252,14 @@
 ) -> list[Path]:
     """Run a scenario; return the history's files.
 
+    Args:
+        scenario: The scenario, already with `changes`.
+        text: Text of the scenario's file.
+        path: Path of that file, for messages.
+        folder: Folder of the run; it is created.
+        changes: Fields of the scenario that were set to other values than in the file.
+        command: Command that starts a limiter without peers.
+
     Raises:
         ProcessFailedError: A process did not start, or ended by itself.
     """
--- a/tests/lab/fleet/test_checker.py
+++ b/tests/lab/fleet/test_checker.py
@@ -7,7 +7,7 @@
 from lapisgrade.lab.fleet import history as h
 from lapisgrade.lab.fleet.limiter_settings import settings
 
-S = 1_000_000
+S = 1_000_000  # microseconds; the events' times are in s in the helpers below
 SETTINGS = settings(
     scenario.parse(
         '[[plan]]\nname="basic"\nrate=10\nburst=20\n[[plan]]\nname="pro"\nrate=10\nburst=20\nceiling_rate=12\n'
@@ -18,10 +18,12 @@
 
 
 def run_started(**run_fields):
+    """Return the start of a run of 10 s at 1 s; `run_fields` are further fields of it."""
     return h.RunStarted(at=S, name="t", seed=1, limiters=2, seconds=10, settings=SETTINGS, **run_fields)
 
 
 def sent(op="a", at=2.0, category="read", units=1, limiter=0, origin=None, plan="basic", customer="c"):
+    """Return the sending of an attempt with a time-out of 1 s; by default it is its operation's first."""
     at = round(at * S)
     return h.AttemptSent(
         at=at,
@@ -54,11 +56,13 @@
 
 
 def check(*events, **run_fields):
+    """Return the findings of a run with these events, in any order."""
     history = [run_started(**run_fields), *events, h.RunEnded(at=11 * S)]
     return checker.check(sorted(history, key=lambda event: event.at))
 
 
 def broken_rules(*events, **run_fields):
+    """Return the rules that the run's violations break, one for each violation."""
     return [each.rule for each in check(*events, **run_fields).breaches]
 
 
@@ -147,9 +151,9 @@
     ],
 )
 def test_each_violation_is_detected(rule, events):
-    detected = broken_rules(*events)
-    assert rule in detected
-    assert set(detected) <= {rule, 1, 2}
+    rules = broken_rules(*events)
+    assert rule in rules
+    assert set(rules) <= {rule, 1, 2}
 
 
 @pytest.mark.parametrize(
@@ -160,7 +164,7 @@
             received(),
             limiter_event("killed", 2.02),
             answered(how="broken"),
-        ],  # a killed limiter is excused
+        ],  # a killed limiter isn't held responsible
         [
             sent(),
             received(),
@@ -232,24 +236,25 @@
     assert broken_rules(*events, over_bound=9.5) == [0]
 
 
-def steady_load(until_s=11.0, is_sent=lambda at: True):
+def steady_load(until_s=11.0, is_sent=lambda at_s: True):
+    """Return ten finished operations per second from 1.05 s on; `is_sent` selects them by their time."""
     events, number = [], 0
-    at = 1.05
-    while at < until_s:
-        if is_sent(at):
+    at_s = 1.05
+    while at_s < until_s:
+        if is_sent(at_s):
             number += 1
             events += [
-                sent(f"{number}", at, customer=f"{number % 7}"),
-                received(f"{number}", at + 0.01),
-                answered(f"{number}", at + 0.02),
+                sent(f"{number}", at_s, customer=f"{number % 7}"),
+                received(f"{number}", at_s + 0.01),
+                answered(f"{number}", at_s + 0.02),
             ]
-        at += 0.1
+        at_s += 0.1
     return events
 
 
 def test_recovery_time_counts_from_the_end_of_the_fault_and_is_none_if_not_reached():
     fault = [h.FaultChanged(at=at * S, what="k", target="all", on=at == 4) for at in (4, 5)]
-    findings = check(*steady_load(is_sent=lambda at: not 4 < at < 6.5), *fault)
+    findings = check(*steady_load(is_sent=lambda at_s: not 4 < at_s < 6.5), *fault)
     assert findings.faults[0].began_s == 3
     assert findings.faults[0].ended_s == 4
     assert findings.faults[0].full_service_s == pytest.approx(1.5, abs=0.15)
@@ -279,22 +284,24 @@
 
 
 def test_histories_are_merged_by_time_and_a_malformed_line_is_reported_with_its_number(tmp_path):
-    one, two = tmp_path / "one.jsonl", tmp_path / "two.jsonl"
-    with h.Writer(one) as writer:
+    first, second = tmp_path / "one.jsonl", tmp_path / "two.jsonl"
+    with h.Writer(first) as writer:
         for event in (run_started(), answered(), sent()):  # written a little out of order
             writer.put(event)
-    with h.Writer(two) as writer:
+    with h.Writer(second) as writer:
         writer.put(received())
-    two.write_bytes(two.read_bytes() + b'{"kind":"came","at":1')  # a line cut short, as by a killed writer
-    assert [type(each) for each in h.merged([one, two])] == [
+    second.write_bytes(
+        second.read_bytes() + b'{"kind":"came","at":1'
+    )  # a line cut short, as by a killed writer
+    assert [type(each) for each in h.merged([first, second])] == [
         h.RunStarted,
         h.AttemptSent,
         h.RequestReceived,
         h.AttemptAnswered,
     ]
-    one.write_bytes(b'{"kind":"came","at":1,"op":"a","server":"s0","ran":true}\n{"kind":"went"}\n')
+    first.write_bytes(b'{"kind":"came","at":1,"op":"a","server":"s0","ran":true}\n{"kind":"went"}\n')
     with pytest.raises(h.HistoryError, match=r"one.jsonl:2: "):
-        list(h.read(one))
+        list(h.read(first))
 
 
 def test_findings_are_saved_loaded_and_reported(tmp_path):
--- a/tests/lab/fleet/test_counter_loss.py
+++ b/tests/lab/fleet/test_counter_loss.py
@@ -48,18 +48,20 @@
 ceiling_slack = 10
 """
 REQUESTED_UNITS_PER_S = 45  # by each customer: more than either plan allows
-MAX_UNITS = 2  # per operation
+MAX_UNITS = 2  # largest cost of an operation; costs are uniform from 1, so their mean is 1.5
 # Maximum interval between a limiter's calls of the counter in these runs, and the time-out of a call.
 MAX_CALL_INTERVAL_S, CALL_TIMEOUT_S = 1.0, 0.05
 
 
 def fault(at_s: float, kind: str, for_s: float = 0.0, target: str = "all") -> str:
+    """Return the text of a fault in a scenario."""
     return f'[[fault]]\nat_s = {at_s}\nkind = "{kind}"\ntarget = "{target}"\nfor_s = {for_s}\n'
 
 
 def text(
     *faults: str, seconds: float, limiters: int, customers: int = 6, spread: int = 0, seed: int = 3
 ) -> str:
+    """Return the text of a scenario with these faults; a customer uses all limiters without a `spread`."""
     scenario_text = BASE.format(
         seconds=seconds,
         limiters=limiters,
@@ -73,22 +75,23 @@
 
 
 def bound(rate: float, burst: float, limiters: int) -> ExcessBound:
+    """Return the bounds of the excess of a plan whose customers use `limiters` limiters."""
     return ExcessBound(rate, burst, limiters, MAX_UNITS, LOCAL_SHARE_FACTOR, PROBE_INTERVAL_US / 1e6)
 
 
 def stated_bounds(case: str, seconds: float, limiters: int, duration_s: float) -> dict[str, float]:
-    """Return the stated bound of each plan for a fault that lasts `duration_s`."""
+    """Return the stated bound of each plan, in units, for a fault that lasts `duration_s`."""
     bounds = {}
     for plan, rate, burst in (("basic", 20, 40), ("pro", 40, 80)):
-        each = bound(rate, burst, limiters)
+        plan_bound = bound(rate, burst, limiters)
         bounds[plan] = (
-            each.healthy(seconds, MAX_CALL_INTERVAL_S, CALL_TIMEOUT_S)
+            plan_bound.healthy(seconds, MAX_CALL_INTERVAL_S, CALL_TIMEOUT_S)
             + {
-                "lost": each.cut_off(limiters, duration_s),
-                "half": each.cut_off(limiters // 2, duration_s),
-                "emptied": each.counter_emptied(2),
-                "split": each.counter_split(2, duration_s),
-                "lies": each.cut_off(limiters, duration_s),
+                "lost": plan_bound.cut_off(limiters, duration_s),
+                "half": plan_bound.cut_off(limiters // 2, duration_s),
+                "emptied": plan_bound.counter_emptied(2),
+                "split": plan_bound.counter_split(2, duration_s),
+                "lies": plan_bound.cut_off(limiters, duration_s),
             }[case]
         )
     return bounds
@@ -114,8 +117,8 @@
     assert findings.ok, findings.breaches[:5]
     assert findings.ends["finished"] > 200
     assert set(findings.quotas) == {"basic", "pro"}
-    for plan, worst in stated_bounds(case, 5.5, 4, DURATIONS_S[case]).items():
-        assert findings.quotas[plan]["over_worst"] <= worst, (plan, worst, findings.quotas[plan])
+    for plan, limit in stated_bounds(case, 5.5, 4, DURATIONS_S[case]).items():
+        assert findings.quotas[plan]["over_worst"] <= limit, (plan, limit, findings.quotas[plan])
 
 
 @pytest.mark.parametrize("case", ["lost", "half", "emptied", "split"])
--- a/tests/lab/fleet/test_counts.py
+++ b/tests/lab/fleet/test_counts.py
@@ -1,17 +1,17 @@
-"""The sums of the counters in the logs of a fleet."""
+"""The sums of the counters that limiters print to their logs."""
 
 from click.testing import CliRunner
 
 from lapisgrade.cli.main import cli
 from lapisgrade.lab.fleet import counts
 
-ONE = """10:00:00 lg-0: discovery: DiscoveryRejectedError('status 503')
+LOG_OF_TWO_INCARNATIONS = """10:00:00 lg-0: discovery: DiscoveryRejectedError('status 503')
 10:00:05 lg-0: counts: attempts 10, attempts_finished_answered 9, requests 12
 10:00:09 lg-0: told to end by SIGTERM
 10:00:09 lg-0: counts: attempts 20, attempts_finished_answered 19, requests 22
 10:00:12 lg-0: counts: attempts 3, requests 4
 """
-TWO = """10:00:01 lg-1: discovery: DiscoveryRejectedError('status 500')
+LOG_WITH_A_TRACEBACK = """10:00:01 lg-1: discovery: DiscoveryRejectedError('status 500')
 Traceback (most recent call last):
 10:00:09 lg-1: counts: attempts 1, attempts_finished_timed_out 1, requests 2
 """
@@ -19,8 +19,8 @@
 
 def test_counters_are_summed_over_all_incarnations_of_a_limiter(tmp_path):
     (tmp_path / "a").mkdir()
-    (tmp_path / "a" / "log").write_text(ONE)
-    (tmp_path / "b.log").write_text(TWO)
+    (tmp_path / "a" / "log").write_text(LOG_OF_TWO_INCARNATIONS)
+    (tmp_path / "b.log").write_text(LOG_WITH_A_TRACEBACK)
     fleet = counts.read([str(tmp_path)])
     assert fleet.incarnations == {"lg-0": 2, "lg-1": 1}
     assert fleet.limiters["lg-0"] == {"attempts": 23, "attempts_finished_answered": 19, "requests": 26}
--- a/tests/lab/fleet/test_peers.py
+++ b/tests/lab/fleet/test_peers.py
@@ -1,4 +1,4 @@
-"""Failure detection between limiters as real processes, which is loaded only with a file of peers."""
+"""Failure detection between limiters as real processes; a limiter loads it only with a file of peers."""
 
 import asyncio
 import subprocess
@@ -46,7 +46,8 @@
 
 
 def logs(folder) -> list[str]:
-    return [(folder / f"limiter-{i}" / "log").read_text() for i in range(4)]
+    """Return the logs of all limiters of the run in `folder`, by index."""
+    return [(folder / f"limiter-{index}" / "log").read_text() for index in range(4)]
 
 
 @pytest.mark.parametrize(
--- a/tests/lab/fleet/test_processes.py
+++ b/tests/lab/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""Scenarios with several real processes and faults between them, judged by rules and not by speed."""
+"""Scenarios with several real processes and faults between them, checked for rules and not for speed."""
 
 import asyncio
 import os
@@ -57,16 +57,19 @@
 
 
 def fault(at_s: float, kind: str, target: str = "all", for_s: float = 0.0, extra: str = "") -> str:
+    """Return the text of a fault in a scenario; `extra` are further lines of its table."""
     return f'[[fault]]\nat_s = {at_s}\nkind = "{kind}"\ntarget = "{target}"\nfor_s = {for_s}\n{extra}\n'
 
 
 def text(*faults: str, seconds: float = 4, limiters: int = 3, rate: float = 60, run: str = "") -> str:
+    """Return the text of a scenario with these faults; `run` are further lines of its table `run`."""
     return BASE.format(seconds=seconds, limiters=limiters, rate=rate, run=run) + "".join(faults)
 
 
 def run_scenario(
     scenario_text: str, folder: Path, command: tuple[str, ...] = test_bed.LIMITER
 ) -> checker.Findings:
+    """Run a scenario and return the findings of its history."""
     parsed = scenario.parse(scenario_text, "test.toml")
     files = asyncio.run(test_bed.run(parsed, scenario_text, "test.toml", folder, command=command))
     return checker.check(history.merged(files))
@@ -83,25 +86,31 @@
     return True
 
 
-PARTITION_PARTY = '[[party]]\nname = "left"\nlimiters = "0"\nservers = "0-1"\n'
+PARTITION_GROUP = '[[party]]\nname = "left"\nlimiters = "0"\nservers = "0-1"\n'
 
 
 @pytest.mark.parametrize(
     ("scenario_text", "has_effect"),
     [
-        (text(fault(1, "limiter_kill", "all", 0.3)), lambda f: f.exempt or f.ends["broken"]),
-        (text(fault(1, "limiter_pause", "0", 2.0)), lambda f: f.exempt),  # longer than all time-outs
+        (
+            text(fault(1, "limiter_kill", "all", 0.3)),
+            lambda findings: findings.exempt or findings.ends["broken"],
+        ),
+        (
+            text(fault(1, "limiter_pause", "0", 2.0)),
+            lambda findings: findings.exempt,
+        ),  # longer than all time-outs
         (
             text(fault(1, "counter_lost", for_s=1.5), fault(3, "counter_restart")),
-            lambda f: f.ends["finished"],
+            lambda findings: findings.ends["finished"],
         ),
         (
             text(fault(1, "link_reset", "0-1", 0.2), fault(2, "link_cut", "2", 1.0, 'link = "server"')),
-            lambda f: f.stampede["connections"] > 1,
+            lambda findings: findings.stampede["connections"] > 1,
         ),
         (
-            text(PARTITION_PARTY, fault(1, "partition", "group:left", 1.5), fault(1.2, "server_drain", "3")),
-            lambda f: f.ends["finished"],
+            text(PARTITION_GROUP, fault(1, "partition", "group:left", 1.5), fault(1.2, "server_drain", "3")),
+            lambda findings: findings.ends["finished"],
         ),
         (
             text(
@@ -110,16 +119,16 @@
                 fault(2, "counter_swap"),
                 run="clock_offset_ms = 50",
             ),
-            lambda f: f.ends["finished"],
+            lambda findings: findings.ends["finished"],
         ),
         # The counter is replaced repeatedly while a limiter starts. A SIGHUP before the limiter has set its
         # signal handlers would end it.
         (
             text(
                 fault(1, "limiter_kill", "1", 0.1),
-                *(fault(1.1 + 0.04 * i, "counter_swap") for i in range(12)),
+                *(fault(1.1 + 0.04 * number, "counter_swap") for number in range(12)),
             ),
-            lambda f: f.ends["finished"],
+            lambda findings: findings.ends["finished"],
         ),
     ],
     ids=["all-killed", "paused", "counter", "links", "partition", "ending", "starting"],
@@ -178,7 +187,7 @@
         stdout=subprocess.DEVNULL,
         stderr=subprocess.PIPE,
         text=True,
-        # A background job of a shell ignores SIGINT, and its children inherit that.
+        # Restores the default: a background job of a shell ignores SIGINT, and its children inherit that.
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
     try:
@@ -186,17 +195,17 @@
         deadline = time.monotonic() + 30
         while len(pids) < 5 and time.monotonic() < deadline:  # three limiters, servers, clients
             time.sleep(0.1)
-            own = Path(f"/proc/{child.pid}/task/{child.pid}/children")
-            pids = [int(each) for each in own.read_text().split()]
+            children = Path(f"/proc/{child.pid}/task/{child.pid}/children")
+            pids = [int(each) for each in children.read_text().split()]
         assert len(pids) == 5
         time.sleep(1.0)
         child.send_signal(signal_number)
-        _, scenario_text = child.communicate(timeout=30)
+        _, error_output = child.communicate(timeout=30)
     finally:
         child.kill()
     if signal_number is signal.SIGINT:
         assert child.returncode == 130
-        assert "Traceback" not in scenario_text
+        assert "Traceback" not in error_output
     deadline = time.monotonic() + 10
     while not have_ended(pids) and time.monotonic() < deadline:
         time.sleep(0.05)
@@ -240,8 +249,8 @@
     assert list(state.iterdir()) == []
 
     async def exit_code_when_writes_fail() -> int:
-        writes = "import os, time\ntime.sleep(0.5)\nos.write(os.open('f', os.O_WRONLY | os.O_CREAT), b'x')\n"
-        child = process.Process("writer", [sys.executable, "-c", writes], tmp_path / "log", cwd=state)
+        program = "import os, time\ntime.sleep(0.5)\nos.write(os.open('f', os.O_WRONLY | os.O_CREAT), b'x')\n"
+        child = process.Process("writer", [sys.executable, "-c", program], tmp_path / "log", cwd=state)
         async with process.Supervisor() as supervisor:
             await supervisor.start(child)
             child.refuse_writes(True)
--- a/tests/lab/fleet/test_relay.py
+++ b/tests/lab/fleet/test_relay.py
@@ -8,6 +8,8 @@
 
 
 async def start_echo_server():
+    """Start a server that returns what it receives; return it and its address."""
+
     async def serve(reader, writer):
         while chunk := await reader.read(1000):
             writer.write(chunk)
@@ -23,6 +25,7 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
 
     async def exchange(data: bytes, timeout_s: float = 5.0) -> bytes:
+        """Send data, and return as much data from the server."""
         writer.write(data)
         return await asyncio.wait_for(reader.readexactly(len(data)), timeout_s)
 
@@ -73,6 +76,7 @@
             self.transport.sendto(data, source)
 
     async def send_through(link: Link, seed: int):
+        """Send 100 numbered datagrams; return the numbers that the target, and then the sender, received."""
         loop = asyncio.get_running_loop()
         transport, target_protocol = await loop.create_datagram_endpoint(
             EchoProtocol, local_addr=("127.0.0.1", 0)
@@ -82,8 +86,8 @@
             EchoProtocol, remote_addr=("127.0.0.1", relay.port)
         )
         reply_protocol.transport = type("NoReplies", (), {"sendto": staticmethod(lambda *_: None)})
-        for i in range(100):
-            sender.sendto(b"%d" % i)
+        for number in range(100):
+            sender.sendto(b"%d" % number)
             await asyncio.sleep(0.001)
         await asyncio.sleep(0.1)
         sender.close()
