--- a/lapisgrade/lab/fleet/counts.py
+++ b/lapisgrade/lab/fleet/counts.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class FleetCounts:
-    """Counters and messages found in the logs.
+    """Counters and messages in the logs.
 
     Attributes:
         limiters: Counters by limiter, summed over its incarnations.
--- a/lapisgrade/lab/fleet/servers.py
+++ b/lapisgrade/lab/fleet/servers.py
@@ -64,8 +64,8 @@
         """
         self.writer = h.Writer(history)
         self.default_behavior = servers.ServerBehavior(**knobs)
-        for i in range(count):
-            server = RecordingServer(f"s{i}", servers.ServerBehavior(**knobs), seed * 1_000_003 + i)
+        for number in range(count):
+            server = RecordingServer(f"s{number}", servers.ServerBehavior(**knobs), seed * 1_000_003 + number)
             server.writer = self.writer
             self.all.append(await server.open())
         return {"addresses": [each.address for each in self.all]}
--- a/lapisgrade/lab/partitions/control.py
+++ b/lapisgrade/lab/partitions/control.py
@@ -63,7 +63,7 @@
 class Operator:
     """Sends changes and reads to all controllers, or to only one, and records the responses.
 
-    A change that gets no final response is retried at the next controller.
+    A change that gets no final response is retried at the next controller that the operator reaches.
 
     Attributes:
         fleet: Fleet that it operates.
--- a/lapisgrade/lab/partitions/operation_history.py
+++ b/lapisgrade/lab/partitions/operation_history.py
@@ -121,13 +121,13 @@
             own operation.
     """
     attempts = [each for each in history.attempts.values() if each.end is not AttemptEnd.CANCELLED]
-    found = list(history.process_violations)
-    found += _find_repeated_runs(history, has_keys)
-    found += _find_runs_despite_response(history, attempts)
-    found += _find_wrong_responses(history, attempts, has_keys)
+    violations = list(history.process_violations)
+    violations += _find_repeated_runs(history, has_keys)
+    violations += _find_runs_despite_response(history, attempts)
+    violations += _find_wrong_responses(history, attempts, has_keys)
     for attempt in attempts:
-        found += _find_wrong_end(history, attempt)
-    return found
+        violations += _find_wrong_end(history, attempt)
+    return violations
 
 
 def _find_repeated_runs(history: History, has_keys: bool) -> list[str]:
@@ -154,16 +154,18 @@
     first_runs: dict[tuple[str, str], Run] = {}
     for run in history.runs:
         first_runs.setdefault((run.tenant, run.key if has_keys and run.key else run.try_id), run)
-    found = []
-    for each in attempts:
-        if not each.is_success:
+    violations = []
+    for attempt in attempts:
+        if not attempt.is_success:
             continue
-        run = first_runs.get((each.tenant, each.key if has_keys and each.key else each.try_id))
-        if each.response_try_id != each.try_id:
-            found.append(f"{each.try_id} got a response with Try-Id {each.response_try_id!r}")
-        if each.key and (run is None or (run.seal, run.body) != (each.seal, each.body)):
-            found.append(f"{each.try_id} got the seal {each.seal!r}, the first run has {run and run.seal!r}")
-    return found
+        run = first_runs.get((attempt.tenant, attempt.key if has_keys and attempt.key else attempt.try_id))
+        if attempt.response_try_id != attempt.try_id:
+            violations.append(f"{attempt.try_id} got a response with Try-Id {attempt.response_try_id!r}")
+        if attempt.key and (run is None or (run.seal, run.body) != (attempt.seal, attempt.body)):
+            violations.append(
+                f"{attempt.try_id} got the seal {attempt.seal!r}, the first run has {run and run.seal!r}"
+            )
+    return violations
 
 
 def _find_wrong_end(history: History, attempt: Attempt) -> list[str]:
--- a/lapisgrade/lab/partitions/quota.py
+++ b/lapisgrade/lab/partitions/quota.py
@@ -100,16 +100,16 @@
         self.calm_statuses: Counter[int] = Counter()
         self._tasks: set[asyncio.Task] = set()
 
-    async def send_load(self, tenant: str, rate_s: float) -> None:
+    async def send_load(self, tenant: str, rate_per_s: float) -> None:
         """Send a tenant's requests to random proxies until cancelled, without waiting for responses.
 
         Args:
             tenant: Tenant, whose API key is its name.
-            rate_s: Mean number of requests per second; the intervals are exponentially distributed.
+            rate_per_s: Mean number of requests per second; the intervals are exponentially distributed.
         """
         names, due_s, number = list(self.fleet.ip), time.monotonic(), 0
         while True:
-            due_s += self.random.expovariate(rate_s)
+            due_s += self.random.expovariate(rate_per_s)
             await asyncio.sleep(max(0.0, due_s - time.monotonic()))
             number += 1
             task = asyncio.create_task(self.send_one(tenant, f"{tenant} {number}", self.random.choice(names)))
--- a/lapisgrade/lab/partitions/rejoin.py
+++ b/lapisgrade/lab/partitions/rejoin.py
@@ -90,7 +90,7 @@
         new: Runs at the merged route's server.
         isolated_proxies: Proxies that may use the old route because the merge can't have reached them.
     """
-    found: list[str] = []
+    violations: list[str] = []
     runs: Counter[int] = Counter()
     first_new_s = min((new.started_s[try_id] for try_id in attempts if try_id in new), default=float("inf"))
     for try_id, attempt in attempts.items():
@@ -98,15 +98,15 @@
         runs[attempt.claim] += run_count
         outcome = OUTCOME_BY_STATUS.get(attempt.status)
         if outcome == "not run" and run_count:
-            found.append(f"{try_id}: answered {attempt.status}, but a server ran it")
+            violations.append(f"{try_id}: answered {attempt.status}, but a server ran it")
         if outcome == "ran" and not run_count:
-            found.append(f"{try_id}: answered {attempt.status}, but no server ran it")
+            violations.append(f"{try_id}: answered {attempt.status}, but no server ran it")
         if try_id in old and attempt.sent_s > first_new_s and attempt.proxy not in isolated_proxies:
-            found.append(
+            violations.append(
                 f"{try_id}: used the old route at {attempt.proxy} {attempt.sent_s - first_new_s:.3f} s after "
                 "the first run on the new one"
             )
-    return found + [f"claim {number}: ran {count} times" for number, count in runs.items() if count > 1]
+    return violations + [f"claim {number}: ran {count} times" for number, count in runs.items() if count > 1]
 
 
 def p99(values: list[float]) -> float:
