--- a/lapisgrade/lab/partitions/operation_history.py
+++ b/lapisgrade/lab/partitions/operation_history.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # guarantee the client that the attempt has not run and never will
-DEADLINE_S = 0.9  # of each attempt of a client
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # with these the attempt has not run, and never will
+DEADLINE_S = 0.9  # time-out that a client states with each attempt
 MAX_CLOSE_DELAY_S = 0.2  # a proxy that has read a request may close its connection only within this time
 LEEWAY_S = 5.0  # added to every time limit, so that a busy machine causes no false violation
 
@@ -33,8 +33,8 @@
         tenant: Tenant that sent it.
         key: Operation key; empty for an idempotent look-up.
         proxy: Machine that it was sent to.
-        sent_s: Time of sending.
-        ended_s: Time of its end.
+        sent_s: Time of sending in s.
+        ended_s: Time of its end in s.
         process_id: Process that accepted the connection; 0 if none did.
         end: How it ended.
         status: Status of the response; 0 without one.
@@ -69,7 +69,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Run:
-    """One run at a server, with its response, whether or not that was sent."""
+    """One run of an attempt at a server, with its response, whether or not the response was sent.
+
+    Attributes:
+        try_id: Attempt that ran.
+        tenant: Tenant that sent it.
+        key: Operation key; empty for an idempotent look-up.
+        seal: Server-Seal of the response, which identifies the run.
+        body: Body of the response.
+    """
 
     try_id: str
     tenant: str
@@ -88,7 +96,8 @@
         arrived_ids: Ids of attempts that reached a server, run or not.
         killed_ids: Ids of processes that were sent SIGKILL.
         process_violations: Descriptions of forbidden behaviour of processes.
-        stalls: Start and end of each period in which this process itself was stalled and read responses late.
+        stalls: Start and end in s, monotonic, of each period in which this process itself was stalled, so
+            that clients read responses late.
     """
 
     attempts: dict[str, Attempt] = field(default_factory=dict)
@@ -99,12 +108,12 @@
     stalls: list[tuple[float, float]] = field(default_factory=list)
 
     def has_stalled(self, attempt: Attempt) -> bool:
-        """Return whether this process was stalled during an attempt."""
+        """Return whether this process, which runs the clients, was stalled during an attempt."""
         return any(start < attempt.ended_s and attempt.sent_s < end for start, end in self.stalls)
 
 
 def find_violations(history: History, has_keys: bool) -> list[str]:
-    """Return descriptions of everything in a history that must not happen.
+    """Return descriptions of everything in a history that must not happen. Cancelled attempts don't count.
 
     Args:
         history: The history to check.
@@ -112,13 +121,13 @@
             own operation.
     """
     attempts = [each for each in history.attempts.values() if each.end is not AttemptEnd.CANCELLED]
-    found = list(history.process_violations)
-    found += _find_repeated_runs(history, has_keys)
-    found += _find_runs_despite_response(history, attempts)
-    found += _find_wrong_responses(history, attempts, has_keys)
+    violations = list(history.process_violations)
+    violations += _find_repeated_runs(history, has_keys)
+    violations += _find_runs_despite_response(history, attempts)
+    violations += _find_wrong_responses(history, attempts, has_keys)
     for attempt in attempts:
-        found += _find_wrong_end(history, attempt)
-    return found
+        violations += _find_wrong_end(history, attempt)
+    return violations
 
 
 def _find_repeated_runs(history: History, has_keys: bool) -> list[str]:
@@ -145,16 +154,18 @@
     first_runs: dict[tuple[str, str], Run] = {}
     for run in history.runs:
         first_runs.setdefault((run.tenant, run.key if has_keys and run.key else run.try_id), run)
-    found = []
-    for each in attempts:
-        if not each.is_success:
+    violations = []
+    for attempt in attempts:
+        if not attempt.is_success:
             continue
-        run = first_runs.get((each.tenant, each.key if has_keys and each.key else each.try_id))
-        if each.response_try_id != each.try_id:
-            found.append(f"{each.try_id} got a response with Try-Id {each.response_try_id!r}")
-        if each.key and (run is None or (run.seal, run.body) != (each.seal, each.body)):
-            found.append(f"{each.try_id} got the seal {each.seal!r}, the first run has {run and run.seal!r}")
-    return found
+        run = first_runs.get((attempt.tenant, attempt.key if has_keys and attempt.key else attempt.try_id))
+        if attempt.response_try_id != attempt.try_id:
+            violations.append(f"{attempt.try_id} got a response with Try-Id {attempt.response_try_id!r}")
+        if attempt.key and (run is None or (run.seal, run.body) != (attempt.seal, attempt.body)):
+            violations.append(
+                f"{attempt.try_id} got the seal {attempt.seal!r}, the first run has {run and run.seal!r}"
+            )
+    return violations
 
 
 def _find_wrong_end(history: History, attempt: Attempt) -> list[str]:
