--- a/tests/gateway/cli/test_onboarding.py
+++ b/tests/gateway/cli/test_onboarding.py
@@ -27,14 +27,14 @@
 
 
 def ticket_text(**fields) -> bytes:
-    """The ticket as JSON, with some fields replaced or added."""
+    """Return the ticket as JSON, with some fields replaced or added."""
     return msgspec.json.encode({**TICKET, **fields})
 
 
 def ports_with_route(
     prefix: str, host: str = "a.example", name: str = "r-new", svc: str = "garantie"
 ) -> list:
-    """The `Ports` of a ticket with a single route."""
+    """Return the `Ports` of a ticket with a single route."""
     rule = {"Name": name, "Match": {"Pfx": prefix}, "Action": {"Svc": svc, "Timeout": "2s"}}
     return [{"Vhost": host, "Policy": [rule]}]
 
--- a/tests/gateway/consensus/test_election.py
+++ b/tests/gateway/consensus/test_election.py
@@ -131,7 +131,12 @@
 
 
 def test_leaders_and_candidates_never_report_that_no_lease_is_held() -> None:
+    """If every voter reports that, the votes that follow are granted in spite of a lease.
+
+    A leader may regain contact with its followers, and a candidate may become leader of its own term.
+    """
     node = elected_leader()
+    # Only its role keeps it from granting: contact is lost, and the candidate has a later term and log.
     node.state.now_us += ELECTION_TIMEOUT_US * 2
     node.receive(node.state.now_us, request_vote(term=3, pre_vote=True, last_log_index=9, last_log_term=9))
     assert not sync_disk(node)[-1][1].granted
--- a/tests/gateway/controller/test_activation.py
+++ b/tests/gateway/controller/test_activation.py
@@ -36,7 +36,8 @@
     assert watch.activation(4 * MS, state_machine.state) is None  # the proposal is pending
     state_machine.apply(3, encode_command(Activate(1)))
     assert state_machine.state.active_version == 1
-    # Proxy b sends no request after the next version, which is activated once b must be in doubt.
+    # Proxy b sends no request after the next version is staged. The version is activated once b must be
+    # in doubt: b then responds with 503 to every request that its active version rejects.
     state_machine.apply(4, encode_command(ConfigurationChange(True, encode_configuration(2, 1, 2))))
     assert watch.activation(SECOND, state_machine.state) is None
     send_watch_request(SECOND, "a", 2)
@@ -97,9 +98,11 @@
 
 
 def test_a_merged_version_is_activated_only_after_its_delay() -> None:
-    """Guards requests that may run only once, at a proxy that timed out during a partition.
+    """Guards against a request that takes the old route after another one took the merged route, at a proxy
+    that timed out during a partition; it applies to requests that may run at most once.
 
-    Such a proxy is not among the live proxies until its first watch request after the heal.
+    Such a proxy is not among the live proxies until its first watch request after the heal, with which it
+    learns of the merged version.
     """
     state = StateMachine().state
     state.staged_versions, state.merged_versions = {5: b"{}"}, [5]
--- a/tests/gateway/controller/test_activation_processes.py
+++ b/tests/gateway/controller/test_activation_processes.py
@@ -76,7 +76,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def all_accept(self) -> bool:
-        """Whether every proxy has accepted a request of the new tenant."""
+        """Return whether every proxy has accepted a request of the new tenant."""
         return len(self.accepted_at) == len(self.fleet.ip)
 
 
--- a/tests/gateway/controller/test_consensus_driver.py
+++ b/tests/gateway/controller/test_consensus_driver.py
@@ -1,4 +1,4 @@
-"""The consensus driver at a committed entry that this release can't decode."""
+"""How the consensus driver handles a committed entry that this release can't decode."""
 
 import asyncio
 from pathlib import Path
--- a/tests/gateway/controller/test_drafts.py
+++ b/tests/gateway/controller/test_drafts.py
@@ -23,7 +23,7 @@
 
 
 def edit(**fields) -> bytes:
-    """An edit of the rule r-claim, as JSON."""
+    """Return an edit of the rule r-claim, as JSON."""
     return msgspec.json.encode(claim_rule_edit(**fields))
 
 
@@ -52,7 +52,7 @@
 
 
 def claim_rule(site: LocalCluster, name: str):
-    """The rule r-claim in the active configuration of one machine's proxy."""
+    """Return the rule r-claim in the active configuration of one machine's proxy."""
     table = site.proxies[name].router.route_versions.active
     return next(rule for rule in table.configuration.ports[0].policy if rule.name == "r-claim")
 
--- a/tests/gateway/controller/test_operation_claims.py
+++ b/tests/gateway/controller/test_operation_claims.py
@@ -56,13 +56,13 @@
             CURRENT_PROCESS.reset(token)
 
     def replies(self, *claims: Claim) -> list[ClaimReply]:
-        """The leader's replies to claims that arrive at the same time."""
+        """Return the leader's replies to claims that arrive at the same time."""
         tasks = self.send(self.leader, *claims)
         self.loop.run_for(REPLY_S)
         return [task.result() for task in tasks]
 
     def holder(self, claim: Claim) -> str:
-        """The attempt that holds the claim's key, by the leader's reply."""
+        """Return the attempt that holds the claim's key, by the leader's reply."""
         return self.replies(claim)[0].attempt
 
 
--- a/tests/gateway/controller/test_partitions.py
+++ b/tests/gateway/controller/test_partitions.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def run_case(loopback_network: LoopbackNetwork, tmp_path: Path) -> RunCase:
-    """A function that runs one case, and checks the results that all cases must have."""
+    """Return a function that runs one case, and checks the results that all cases must have."""
 
     async def run(case: str) -> control.CaseResult:
         result = await control.run_case(case, loopback_network.number, str(tmp_path), Random(7), SCALE)
--- a/tests/gateway/controller/test_proxy_list_feed.py
+++ b/tests/gateway/controller/test_proxy_list_feed.py
@@ -14,7 +14,7 @@
 
 
 def members(names, incarnation: str = "1") -> rpc_messages.ProxiesByName:
-    """A list of live proxies with those names, all in one zone."""
+    """Return a list of live proxies with those names, all in one zone."""
     return {name: (f"10.0.0.1:{name}", incarnation, "z") for name in map(str, names)}
 
 
@@ -26,7 +26,7 @@
         self.watch.become_leader(0, 1, self.state_machine.state)
 
     def reply_to(self, base: int) -> rpc_messages.WatchReply | None:
-        """The reply to a proxy that has the list with the fencing token `base`, as decoded by the proxy."""
+        """Return the reply, decoded, to a proxy that has the list with the fencing token `base`."""
         request = rpc_messages.WatchRequest("", "", "1", "z", 0, "1", 0, base)
         reply = self.watch.reply_if_changed(0, request, self.state_machine.state, [])
         return msgspec.msgpack.decode(msgspec.msgpack.encode(reply), type=type(reply)) if reply else None
--- a/tests/gateway/controller/test_refused_changes.py
+++ b/tests/gateway/controller/test_refused_changes.py
@@ -21,7 +21,7 @@
 
 
 async def printed_status(site: LocalCluster) -> list[str]:
-    """The lines that the command `status` prints."""
+    """Return the lines that the command `status` prints."""
     lines: list[str] = []
     await OperatorClient([Address((site.ip["m1"], CONTROL_PORT))], lines.append).print_status()
     return lines
--- a/tests/gateway/merge/test_three_way.py
+++ b/tests/gateway/merge/test_three_way.py
@@ -53,7 +53,7 @@
 
 
 def acknowledged(change: dict) -> dict:
-    """The configuration on the majority's side after it has acknowledged the change."""
+    """Return the configuration on the majority's side after it has acknowledged the change."""
     return apply_change(BASE, {"Ver": 5, **change})
 
 
--- a/tests/gateway/proxy/test_keyed_operations.py
+++ b/tests/gateway/proxy/test_keyed_operations.py
@@ -24,7 +24,7 @@
 
 @contextlib.asynccontextmanager
 async def keyed_cluster(work_s: float = 0.01) -> AsyncIterator[LocalCluster]:
-    """A cluster with a keyed route /claim/ and one server that takes `work_s` seconds per request."""
+    """Run a cluster with a keyed route /claim/ and one server that takes `work_s` seconds per request."""
     async with serving_cluster(KEYED, work_s=work_s) as site:
         yield site
 
--- a/tests/gateway/routing/test_idle_connections.py
+++ b/tests/gateway/routing/test_idle_connections.py
@@ -9,7 +9,7 @@
 
 
 class ReusedConnections:
-    """Idle limits of services, as resets of reused connections set them."""
+    """Limits on the idle time of connections to services, set by resets of reused connections."""
 
     def __init__(self) -> None:
         self.idle_connections = IdleConnections()
--- a/tests/gateway/test_known_keys.py
+++ b/tests/gateway/test_known_keys.py
@@ -113,7 +113,7 @@
 
 
 def with_unknown_keys(original: dict, place: tuple) -> dict:
-    """A copy with keys of a later release at the given place."""
+    """Return a copy with keys of a later release at the given place."""
     changed = copy.deepcopy(original)
     item = changed
     for step in place:
--- a/tests/gateway/test_local_cluster.py
+++ b/tests/gateway/test_local_cluster.py
@@ -28,7 +28,7 @@
 async def cluster_with_servers(
     servers: int = 2, conf: dict = SAMPLE, **server_options
 ) -> AsyncIterator[LocalCluster]:
-    """A cluster with the given number of servers and configuration, both known to every proxy."""
+    """Run a cluster with that number of servers and configuration, both known to every proxy."""
     async with local_cluster() as site:
         for _ in range(servers):
             await site.start_server("garantie", **server_options)
--- a/tests/net/test_poll_backoff.py
+++ b/tests/net/test_poll_backoff.py
@@ -7,7 +7,7 @@
 
 
 def test_all_callers_of_an_overloaded_discovery_get_through():
-    """Of 40 limiters that retried at the same time, most never got a server list again."""
+    """Guards against 40 limiters that retry at the same time, most of which never get a server list again."""
     now_s, idle_from_s, due_calls, answered_at_s = 0.0, 0.0, [], {}
     backoffs = {limiter: PollBackoff(Random(limiter), 40) for limiter in range(40)}
     for limiter in backoffs:
@@ -18,8 +18,8 @@
         assert now_s < 40, f"{40 - len(answered_at_s)} of 40 limiters got no answer within 40 s"
         call_count += 1
         wait_s = max(0.0, idle_from_s - now_s)
-        # Discovery serves 8 calls/s, and also spends time on calls whose callers have just timed out after 2
-        # s.
+        # Discovery serves 8 calls/s, and its callers time out after 2 s. It also spends time on calls that
+        # timed out less than 0.2 s ago.
         idle_from_s = max(now_s, idle_from_s) + (1 / 8 if wait_s < 2.2 else 0)
         if wait_s < 2:
             answered_at_s[limiter] = now_s + wait_s
--- a/tests/net/test_rate_limited_log.py
+++ b/tests/net/test_rate_limited_log.py
@@ -12,5 +12,5 @@
     now_s[0] = 6.0
     log.write("after")
     lines = capfd.readouterr().err.splitlines()
-    assert len(lines) == MAX_LINES_PER_SECOND + 2
+    assert len(lines) == MAX_LINES_PER_SECOND + 2  # and the line on the omitted lines, and "after"
     assert "7 log lines omitted by the rate limit" in lines[-2]
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -75,7 +75,8 @@
 
 
 def test_units_of_timed_out_calls_that_were_counted_are_returned():
-    """An overloaded counter counted operations that were then never sent, which reduced quotas."""
+    """Guards against a fault of an incident: an overloaded counter counted operations that were then never
+    sent, which reduced customers' quotas."""
     simulation = LimiterSimulation(10, limiters=1, outcome_weights=ALWAYS_OK)
     simulation.counter_loss = 0.5
     for _ in range(400):
@@ -86,7 +87,8 @@
 
 
 def test_a_small_share_still_admits_one_operation():
-    """With many limiters, the local share of a small burst was always below one operation."""
+    """Guards against a fault of an incident: with many limiters, the local share of a small burst never
+    reached one operation."""
     simulation = LimiterSimulation(11, limiters=12, outcome_weights=ALWAYS_OK)
     simulation.is_counter_silent = True
     simulation.submit(0, units=4)
@@ -114,7 +116,7 @@
 
 
 def test_a_limiter_that_rarely_calls_the_counter_sees_recent_use():
-    """A limiter that rarely reads the total could not tell when the quota was used up."""
+    """Guards against a limiter that rarely reads the total and cannot tell when the quota was used up."""
     simulation = LimiterSimulation(15, limiters=12, outcome_weights=ALWAYS_OK)
     simulation.run(simulation.now + 20 * SECOND)
     for _ in range(2):
@@ -127,7 +129,7 @@
 
 
 def test_the_share_of_a_rate_limit_fills_from_the_limiters_start():
-    """Each limiter of many rejected the first operations of a customer with a rate limit."""
+    """Guards against limiters that each reject the first operations of a customer with a rate limit."""
     simulation = LimiterSimulation(17, limiters=1, outcome_weights=ALWAYS_OK)
     simulation.run(simulation.now + 2 * SECOND)
     simulation.submit(0, plan=1, units=4)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -14,7 +14,7 @@
 
 
 def count_rejections(simulation):
-    """The number of operations whose client was advised to retry later."""
+    """Return the number of operations whose client was advised to retry later."""
     return sum(
         1
         for _, answer, _ in simulation.replies
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -28,7 +28,7 @@
 
 
 def test_servers_that_are_all_in_slow_start_get_attempts():
-    """As no server had completed any work, the slow-start budgets stayed at zero forever."""
+    """Guards against slow-start budgets that stay at zero because no server has completed any work yet."""
     simulation = LimiterSimulation(9, limiters=2, servers=2, outcome_weights=ALWAYS_OK)
     for state in (REMOVED, READY):
         simulation.set_states(s0=state, s1=state)
@@ -39,7 +39,8 @@
 
 
 def test_servers_that_are_all_slow_are_not_starved():
-    """When all servers were slow, the concurrency limit fell to one attempt and servers were idle."""
+    """Guards against a fault of an incident: as all servers were slow, the concurrency limit fell to one
+    attempt, and servers were idle."""
     simulation = LimiterSimulation(12, limiters=2, servers=8, outcome_weights=ALWAYS_OK)
     simulation.draw_outcome = lambda: (AttemptOutcome.OK, 600_000)
     for step in range(1200):
@@ -49,7 +50,8 @@
 
 
 def test_the_concurrency_limit_falls_when_servers_are_removed():
-    """When half of the servers were removed, the load of all of them overloaded the other half."""
+    """Guards against a fault of two incidents: half of the servers were removed, and the attempts that had
+    been allowed for all servers overloaded the other half."""
     simulation = LimiterSimulation(13, limiters=1, servers=6)
     pool = simulation.limiters[0].limiter.server_pool
     limit_before = pool.concurrency.value
@@ -60,7 +62,8 @@
 
 
 def test_many_limiters_divide_the_servers_evenly():
-    """With every limiter at every server, connections ran out and no limiter observed any server well."""
+    """Guards against a fault of an incident: with every limiter at every server, connections ran out, and no
+    limiter had enough responses of any server to judge it."""
     simulation = LimiterSimulation(16, limiters=60, servers=36)
     subsets = [host.limiter.server_pool.subset for host in simulation.limiters]
     limiters_per_server = [
@@ -78,7 +81,8 @@
 
 
 def test_a_server_that_rejects_one_plan_still_serves_the_others():
-    """Servers that rejected only one plan as overloaded were considered unhealthy and slow for all plans."""
+    """Guards against servers that are considered unhealthy and slow for all plans because they reject one
+    plan as overloaded."""
     simulation = LimiterSimulation(18, limiters=1, servers=2)
     simulation.set_states(s1=REMOVED)
     simulation.draw_outcome = lambda: (AttemptOutcome.OVERLOADED, 200_000)
@@ -113,8 +117,8 @@
 
 
 def test_many_limiters_use_servers_in_slow_start_to_their_capacity():
-    """With many limiters, one limiter's budget for a warming server is less than one attempt. Warming servers
-    got almost no traffic, while warm servers were full and operations were rejected."""
+    """With many limiters, one limiter's budget for a warming server is less than one attempt. Guards against
+    warming servers that get almost no traffic, while warm servers are full and operations are rejected."""
     simulation = LimiterSimulation(19, limiters=40, servers=24, outcome_weights=ALWAYS_OK)
     restarted = {f"s{i}" for i in range(12)}
     for step in range(900):
@@ -129,7 +133,8 @@
 
 
 def test_a_small_concurrency_limit_queues_operations_that_can_be_served_in_time():
-    """With a limit of three attempts, one operation was queued at a time and all others were rejected."""
+    """Guards against a limit of three attempts at which only one operation is queued at a time and all others
+    are rejected."""
     simulation = LimiterSimulation(20, limiters=12)
     simulation.draw_outcome = lambda: (AttemptOutcome.OK, 120_000)
     for step in range(30):  # one attempt at a time, for 0.12 s; each operation waits at most 0.5 s
@@ -145,7 +150,8 @@
 
 
 def test_the_slow_start_budget_follows_the_load_of_warm_servers():
-    """With half of the subset warming, a mean over all servers halved the budget of the warming ones."""
+    """Guards against a budget that is computed from the mean over all servers, not over the warm ones: with
+    half of the subset warming, it is half as large."""
     simulation = LimiterSimulation(21, limiters=1, servers=6)
     pool = simulation.limiters[0].limiter.server_pool
     restarted = ["s0", "s1", "s2"]
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several tests share: fakes, reservations and runners."""
+"""Fakes, simulations, network reservations and other helpers that several tests share."""
--- a/tests/support/fake_peers.py
+++ b/tests/support/fake_peers.py
@@ -16,7 +16,7 @@
 
 
 class Behavior(enum.Enum):
-    """Behaviour of a fake; each fake supports some of these."""
+    """Behavior of a fake; each fake supports some of these."""
 
     NORMAL = enum.auto()
     SILENT = enum.auto()  # reads the message and never replies
@@ -35,7 +35,7 @@
     MALFORMED = enum.auto()  # not HTTP
 
 
-# A behaviour, the delay of a normal reply in seconds, or (counter only) the bytes of the reply.
+# A behavior, the delay of a normal reply in seconds, or (counter only) the bytes of the reply.
 AnyBehavior = Behavior | float | bytes
 
 
@@ -50,7 +50,7 @@
 class FakePeer:
     """A listener that handles the messages of each connection sequentially.
 
-    `behavior` is a behaviour for all messages, or a function that returns the behaviour for each message.
+    `behavior` is a behavior for all messages, or a function that returns the behavior for each message.
     """
 
     def __init__(self, behavior: AnyBehavior | Callable[[], AnyBehavior] = Behavior.NORMAL) -> None:
@@ -78,7 +78,7 @@
         self.server.close()
 
     def next_behavior(self) -> AnyBehavior:
-        """Return the behaviour for the current message."""
+        """Return the behavior for the current message."""
         return self.behavior() if callable(self.behavior) else self.behavior
 
     def block_if_requested(self) -> None:
@@ -123,7 +123,7 @@
 
 
 class FakeServer(FakePeer):
-    """A server; `received` has the request line, headers, body, time and behaviour of each request."""
+    """A server; `received` has the request line, headers, body, time and behavior of each request."""
 
     async def serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Answer one request."""
--- a/tests/support/limiter_host.py
+++ b/tests/support/limiter_host.py
@@ -2,7 +2,8 @@
 
 The numbers are those of `lapisgrade.lab.emulator.rules`; rule 4, on cold servers, isn't checked here.
 
-1. An operation gets exactly one final answer before its deadline, and no attempt after that answer.
+1. An operation gets exactly one final answer, at most ANSWER_LEEWAY_US after its deadline. No attempt is sent
+   after that answer or the deadline.
 2. Retries respect the repeat safety of the category.
 3. A draining server gets no attempt after its drain grace.
 5. A customer's rate limit is exceeded by at most its slack.
@@ -34,8 +35,8 @@
 if TYPE_CHECKING:
     from support.limiter_simulation import LimiterSimulation
 
-COUNTER_TIMEOUT_US = 30_000
-CANCELLATION_US = 2_000
+COUNTER_TIMEOUT_US = 30_000  # time-out of a counter call
+CANCELLATION_US = 2_000  # time from the cancellation of an attempt to its end
 
 
 class SimulatedAttempt:
@@ -75,6 +76,7 @@
             CounterSettings(True, COUNTER_TIMEOUT_US),
             CATEGORIES,
             SERVER_RULES,
+            # In order: attempts per operation, cancellation, hedging, probing, longest Retry-After in us.
             Permissions(4, True, simulation.allow_hedging, False, 500_000),
         )
         self.limiter.update_servers(list(simulation.endpoints.values()), True)
--- a/tests/support/limiter_settings.py
+++ b/tests/support/limiter_settings.py
@@ -8,7 +8,9 @@
     ServerRules,
 )
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # us
+# In order: drain grace in us, slow start in us, initial share of the capacity, overload window in us, and the
+# load relative to the capacity above which a warming server fails.
 SERVER_RULES = ServerRules(250_000, 15 * SECOND, 0.2, SECOND, 3.0)
 CATEGORIES = [
     Category("idempotent", RepeatSafety.IDEMPOTENT, SECOND, 2 * SECOND, 1.0),
--- a/tests/support/local_clusters.py
+++ b/tests/support/local_clusters.py
@@ -9,7 +9,7 @@
 
 @contextlib.asynccontextmanager
 async def local_cluster() -> AsyncIterator[LocalCluster]:
-    """Three machines with a controller and a proxy each, without servers and without a configuration."""
+    """Run three machines, each with a controller and a proxy, without servers and configuration."""
     with reserve_loopback_network() as network:
         async with LocalCluster(net=network.number) as cluster:
             yield cluster
@@ -17,6 +17,6 @@
 
 @contextlib.asynccontextmanager
 async def serving_cluster(configuration: dict | None = None, **server_options) -> AsyncIterator[LocalCluster]:
-    """A cluster with one server and a configuration (default: the sample), both known to every proxy."""
+    """Run a cluster with one server and a configuration (default: the sample); every proxy knows both."""
     async with local_cluster() as cluster:
         yield await cluster.start_serving(configuration, **server_options)
