--- a/lapisgrade/fakes/counter/server.py
+++ b/lapisgrade/fakes/counter/server.py
@@ -5,7 +5,7 @@
 reset connections, a restart with empty state, a split into two halves that both accept writes, and the heal
 of that split. To replace the counter, start a second `Counter` at another address.
 
-RESP2 is parsed by hiredis, the established parser of the protocol, and not by own code.
+RESP2 is parsed by hiredis, the established parser of the protocol, not by code of this project.
 """
 
 import asyncio
--- a/lapisgrade/fakes/servers.py
+++ b/lapisgrade/fakes/servers.py
@@ -197,7 +197,7 @@
                 await server.kill()
 
     def totals(self) -> ServerCounts:
-        """Return the counters summed over all servers; `max_in_flight` is the maximum of any one."""
+        """Return the sums of all servers' counters; `max_in_flight` is the maximum of any single server."""
         total = ServerCounts()
         for server in self.servers:
             for name in ("requests", "completed", "errors", "rejected", "without_id", "health_checks"):
--- a/lapisgrade/lab/answers.py
+++ b/lapisgrade/lab/answers.py
@@ -1,4 +1,6 @@
-"""Runs requests through a small cluster on sockets whose servers misbehave and whose clients disconnect.
+"""Runs requests through a small cluster whose servers misbehave and whose clients disconnect.
+
+The cluster runs in this process, and its parts communicate over sockets on loopback.
 
 The servers close connections, respond late, twice, with the response of another request first, without a
 length, or not at all. Four properties are checked: a response ends its own request or none; a non-idempotent
@@ -52,9 +54,8 @@
         super().__init__(*args, **options)
         self.random = random
         self.arrived: Counter[str] = Counter()
-        self._recent_ids: deque[str] = deque(
-            maxlen=8
-        )  # Try-Ids of recent requests, for misdirected responses
+        # Try-Ids of recent requests, for misdirected responses.
+        self._recent_ids: deque[str] = deque(maxlen=8)
 
     async def _answer_request(self, message: Message, writer: asyncio.StreamWriter) -> bool:
         """Answer one request with a random behavior; return whether the connection stays open."""
@@ -190,6 +191,7 @@
             fields=fields,
         )
         try:
+            # 3 ms is less than SERVICE_TIME_S, so the client disconnects before the response.
             async with asyncio.timeout(0.003 if random.random() < DISCONNECT_SHARE else 3.0):
                 response = await pending_response
         except (OSError, TimeoutError, MalformedMessageError):
@@ -209,7 +211,7 @@
         servers: Number of servers.
     """
     random, findings = Random(seed), Findings()
-    unmetered = {**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}
+    unmetered = {**SAMPLE["Tenants"][0], "RateS": 0, "Burst": 0}  # RateS 0: no quota
     async with LocalCluster(1, 1, net) as cluster:
         misbehaving_servers = [
             MisbehavingServer(
--- a/lapisgrade/lab/capacity.py
+++ b/lapisgrade/lab/capacity.py
@@ -149,7 +149,7 @@
 
 
 def table_without_cache(text: bytes) -> RouteTable:
-    """Build the route table with an empty converter cache, so that what is cached counts too."""
+    """Build the route table with an empty converter cache, so that the cached items count too."""
     configuration.converter.cache_clear()
     return route_table(text)
 
--- a/lapisgrade/lab/emulator/model.py
+++ b/lapisgrade/lab/emulator/model.py
@@ -68,7 +68,7 @@
         factor: Parameter of the mode, see `Mode`.
         running: Number of operations in execution.
         queued: Attempts that wait for execution.
-        counts: Number of attempts by what became of them.
+        counts: Numbers of attempts accepted and rejected, and of connections and operations that failed.
         peak_load: Largest load so far.
     """
 
--- a/lapisgrade/lab/emulator/rules.py
+++ b/lapisgrade/lab/emulator/rules.py
@@ -31,7 +31,8 @@
 )
 
 SECOND = 1_000_000  # us
-ANSWER_GRACE_US = 500_000  # an answer is late up to this long after the deadline, then lost
+# Set by the protocol: an answer is late up to this long after the deadline, then lost.
+ANSWER_GRACE_US = 500_000
 MAX_RECORDED_BREACHES = 100  # further breaches are counted, not recorded
 
 
@@ -41,7 +42,7 @@
 
     Attributes:
         rule: Number of the rule, 1 to 5.
-        what: Description for people.
+        what: Human-readable description.
         operation: The operation's number, customer, category and arrival time; `-` for rule 4.
         step: Number of events up to the breach.
         at_us: Simulated time.
--- a/lapisgrade/lab/emulator/sim.py
+++ b/lapisgrade/lab/emulator/sim.py
@@ -9,7 +9,7 @@
 
 
 class Sim:
-    """The event queue: `at` and `after` schedule calls, and `run` makes them in order of time.
+    """The event queue: `at` and `after` schedule calls, and `run` makes them in the order of their times.
 
     `len()` is the number of scheduled events.
 
@@ -35,7 +35,7 @@
         heapq.heappush(self._queue, (max(int(when_us), self.now), self._order, call, args))
 
     def after(self, delay_us: float, call: Callable[..., Any], *args: Any) -> None:
-        """Schedule `call(*args)` in `delay_us`, rounded to whole us; a negative delay means now."""
+        """Schedule `call(*args)` after `delay_us`, rounded to whole us; a negative delay means now."""
         self.at(self.now + max(0, round(delay_us)), call, *args)
 
     def run(self, until_us: int) -> None:
--- a/lapisgrade/lab/emulator/world.py
+++ b/lapisgrade/lab/emulator/world.py
@@ -124,7 +124,7 @@
     # ---- the run
 
     def run(self) -> Result:
-        """Run the scenario, then on until the last operation's answer is overdue; return the result."""
+        """Run the scenario, and continue until the last operation's answer is overdue; return the result."""
         scenario, sim = self.scenario, self.sim
         started_s = time.perf_counter()
         end_us = SECOND + scenario.seconds_us
@@ -153,7 +153,7 @@
             self.accepts_arrivals = False
 
     def send_operation(self, customer, category, is_client_retry: bool) -> None:
-        """Send an operation of random cost to a random limiter that is alive in the customer's set."""
+        """Send an operation of random cost to a random one of the live limiters in the customer's set."""
         scenario, now_us = self.scenario, self.sim.now
         first_index = customer.first
         spread = min(scenario.spread, scenario.limiters)
@@ -194,7 +194,7 @@
         self.records.pop(id(record.op), None)
 
     def on_second(self) -> None:
-        """Close a second of the metrics; repeats until the last operation's answer is overdue."""
+        """End a second of the metrics, every second until the last operation's answer is overdue."""
         self.metrics.end_second(self)
         self.counter.delete_expired(self.sim.now)
         if self.accepts_arrivals or self.records:
--- a/lapisgrade/lab/quota_comparison.py
+++ b/lapisgrade/lab/quota_comparison.py
@@ -43,7 +43,7 @@
 
 
 class EvenShareLimiter(quota_exploration.Limiter):
-    """Each limiter enforces an even share of rate and burst, and at least a burst of one; without calls."""
+    """Each limiter enforces an even share of rate and burst (at least a burst of one), without any calls."""
 
     def start(self) -> None:
         """Start a new incarnation with a full bucket."""
@@ -142,7 +142,7 @@
         self.sim.after(LONG_POLL_US, self.reply_unchanged, call)
 
     def reply_unchanged(self, call: WatchCall) -> None:
-        """Reply that nothing changed, unless the call has its reply."""
+        """Reply that nothing changed, unless the call has already been answered."""
         if call.proxy.is_pending(call):
             reply = self.watch.unchanged_reply(call.request, self.state_machine.state, [])
             self.deliver(call.proxy, call.proxy.on_watch_reply, reply, call)
@@ -161,7 +161,7 @@
             self.rejected_count += 1
 
     def on_counter_call(self, request: rpc_messages.QuotaRequest) -> None:
-        """Count a call to the owner with its reply, which is taken to be accepted."""
+        """Count a call to the owner, and the bytes of it and of a reply that accepts the request."""
         self.counter_call_count += 1
         reply = rpc_messages.QuotaReply(True, 1.0, 1, request.fencing_token)
         self.sent_bytes += sum(
--- a/lapisgrade/members/sim.py
+++ b/lapisgrade/members/sim.py
@@ -78,6 +78,7 @@
         node.is_paused = False
         node.buffered = []
         random = Random(self.random.getrandbits(64))
+        # The incarnation is the start time in ms, as in `Host.open`.
         core = Members(name, name, self.now_us // 1000, self.now_us, random, self.timing)
         node.core = core
         self.deliver(node, core.join([each for each in seeds if each != name]))
@@ -198,7 +199,7 @@
         )
 
     def considered_dead_by(self, name: str) -> list[str]:
-        """Return the names of the live members that consider this member dead."""
+        """Return the names of the live members that consider the member `name` dead."""
         return [
             each.name
             for each in self.live()
