--- a/tests/gateway/routing/test_keyed_request.py
+++ b/tests/gateway/routing/test_keyed_request.py
@@ -214,7 +214,7 @@
     latency = proxies.routers[0].cluster("a").latency("r", 600_000)
     for _ in range(100):
         latency.add(proxies.clock.now_us, 2_500_000, 1.0)
-    assert wait_ms(proxies.attempt("d")) == 150  # the minimum wait, as runs take almost all of the time
+    assert wait_ms(proxies.attempt("d")) == 150  # the minimum wait: a run takes almost the whole time-out
 
 
 def test_a_claim_granted_too_late_does_not_run(proxies: Proxies) -> None:
--- a/tests/net/test_client_listener.py
+++ b/tests/net/test_client_listener.py
@@ -187,7 +187,7 @@
 
 @on_limiter_loop
 async def test_idle_connections_leave_capacity_for_active_ones():
-    """In an incident, clients that sent one request and stayed connected used all connections."""
+    """Guards against a fault of an incident: clients that stayed after one request used all connections."""
     async with LimiterSite(sockets=64) as site:  # 32 connections for clients, of which 8 may be idle
         kept = [await site.connect() for _ in range(24)]
         for connection in kept:
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -79,6 +79,7 @@
         assert process.returncode == 2
         assert expected_error in errors
         assert errors.count("\n") == 1
+    # Discovery and the counter are unreachable: no process listens on port 1.
     site = LimiterSite()
     site.discovery = SimpleNamespace(
         port=1, endpoint_list=lambda: {"generation": 1, "reset": True, "instances": []}
