--- a/lapisgrade/fakes/site.py
+++ b/lapisgrade/fakes/site.py
@@ -41,10 +41,11 @@
 
 
 def free_port(host: str = "127.0.0.1") -> int:
-    """Return a port that is free for TCP and UDP. Repeated calls cycle through the range.
+    """Return a port that is free for TCP and UDP.
 
-    The port lies below the ephemeral range. Otherwise the system could assign it to a socket of another
-    process between the kill and the restart of the process that listens on it.
+    Repeated calls cycle through the range, so that a process does not get the same port twice in a row. The
+    port lies below the ephemeral range. Otherwise the system could assign it to a socket of another process
+    between the kill and the restart of the process that listens on it.
 
     Raises:
         OSError: All ports of the range are in use.
--- a/lapisgrade/lab/emulator/rules.py
+++ b/lapisgrade/lab/emulator/rules.py
@@ -1,4 +1,4 @@
-"""Checks the five rules during an emulated run, over all limiters together.
+"""Checks the five rules of the project brief during an emulated run, over all limiters together.
 
 1. Each accepted operation gets exactly one final answer, by its deadline plus a grace period. No attempt is
    sent after the answer or the deadline.
--- a/lapisgrade/lab/load/client.py
+++ b/lapisgrade/lab/load/client.py
@@ -165,6 +165,7 @@
         # Each by limiter: idle connections, number of open ones, and operations that wait for one.
         self._idle: list[deque[Connection]] = [deque() for _ in targets]
         self._open_count = [0] * len(targets)
+        # By limiter: futures of the operations that wait for a connection.
         self._waiting: list[deque[asyncio.Future]] = [deque() for _ in targets]
         self._number = 0
         self._stopped = False
--- a/lapisgrade/lab/report/plots.py
+++ b/lapisgrade/lab/report/plots.py
@@ -1,7 +1,8 @@
 """Plots and an HTML page for one or more runs of the emulator, from their JSON results.
 
 The picture has a plot per run of its operations per second by outcome, and for several runs a bar chart that
-compares them. The page has a table of the runs' figures and embeds the picture, so that it is a single file.
+compares them. The page has a table of the runs' figures and embeds the picture, so that it is a single file,
+which can be mailed or opened anywhere.
 """
 
 import base64
