--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -75,7 +75,7 @@
 
 
 def test_units_of_timed_out_calls_that_were_counted_are_returned():
-    """An overloaded counter counted operations that were then never sent, which reduced quotas."""
+    """In an incident, an overloaded counter counted operations that were never sent; quotas shrank."""
     simulation = LimiterSimulation(10, limiters=1, outcome_weights=ALWAYS_OK)
     simulation.counter_loss = 0.5
     for _ in range(400):
@@ -86,7 +86,7 @@
 
 
 def test_a_small_share_still_admits_one_operation():
-    """With many limiters, the local share of a small burst was always below one operation."""
+    """In an incident with many limiters, the local share of a small burst was below one operation."""
     simulation = LimiterSimulation(11, limiters=12, outcome_weights=ALWAYS_OK)
     simulation.is_counter_silent = True
     simulation.submit(0, units=4)
--- a/tests/policy/test_servers.py
+++ b/tests/policy/test_servers.py
@@ -39,7 +39,7 @@
 
 
 def test_servers_that_are_all_slow_are_not_starved():
-    """When all servers were slow, the concurrency limit fell to one attempt and servers were idle."""
+    """In an incident with slow servers only, the concurrency limit fell to one attempt and servers idled."""
     simulation = LimiterSimulation(12, limiters=2, servers=8, outcome_weights=ALWAYS_OK)
     simulation.draw_outcome = lambda: (AttemptOutcome.OK, 600_000)
     for step in range(1200):
@@ -49,7 +49,7 @@
 
 
 def test_the_concurrency_limit_falls_when_servers_are_removed():
-    """When half of the servers were removed, the load of all of them overloaded the other half."""
+    """In two incidents, half of the servers were removed, and their load overloaded the other half."""
     simulation = LimiterSimulation(13, limiters=1, servers=6)
     pool = simulation.limiters[0].limiter.server_pool
     limit_before = pool.concurrency.value
@@ -60,7 +60,10 @@
 
 
 def test_many_limiters_divide_the_servers_evenly():
-    """With every limiter at every server, connections ran out and no limiter observed any server well."""
+    """Guards against every limiter using every server.
+
+    In an incident, connections ran out that way, and no limiter observed any server well.
+    """
     simulation = LimiterSimulation(16, limiters=60, servers=36)
     subsets = [host.limiter.server_pool.subset for host in simulation.limiters]
     limiters_per_server = [
