--- a/lapisgrade/lab/emulator/metrics.py
+++ b/lapisgrade/lab/emulator/metrics.py
@@ -201,7 +201,7 @@
 
         The quota over the run is burst + rate x time. Customers with a quota and a finished operation count.
         """
-        # 5 s more than the clients send: the last operations may finish until their deadlines.
+        # 5 s more than the clients send: the last operations finish within the longest deadline.
         seconds = world.scenario.seconds_us / SECOND + 5
         shares = []
         for customer in world.customers.all:
--- a/tests/fakes/test_counter.py
+++ b/tests/fakes/test_counter.py
@@ -77,7 +77,7 @@
 async def test_a_silent_counter_notices_closed_connections_and_recovers():
     fake = await counter.Counter(max_connections=4).open()
     fake.mode = counter.CounterMode.SILENT
-    # Clients whose calls time out close their connections and open new ones: 12, as many as ten limiters do.
+    # As with ten limiters whose calls time out: each client closes its connection and opens a new one.
     for _ in range(3):
         connections = [await asyncio.open_connection("127.0.0.1", fake.port) for _ in range(4)]
         for _, writer in connections:
