--- a/lapisgrade/gateway/proxy/version_rollout.py
+++ b/lapisgrade/gateway/proxy/version_rollout.py
@@ -32,9 +32,8 @@
         self._client_front = client_front
         self.active_version = 0
         self.requests_full_version = False
-        self._texts: dict[
-            int, bytes
-        ] = {}  # by version: texts of the active and staged ones, the bases of deltas
+        # Encoded active and staged versions, by version; deltas are based on them.
+        self._texts: dict[int, bytes] = {}
 
     @property
     def staged_version(self) -> int:
