--- a/lapisgrade/lab/balancing/choosers.py
+++ b/lapisgrade/lab/balancing/choosers.py
@@ -153,8 +153,9 @@
             {spec.name(each): ("", "", spec.zone(each)) for each in range(spec.limiters)}
         )
         self.cluster = UpstreamCluster(random, spec.zone(number), self.subsets)
-        self.latency = self.cluster.latency("r", spec.latency_target_us)
+        self.latency = self.cluster.latency("r", spec.latency_target_us)  # all requests have one route
         self.number_by_name = {each.name: each.number for each in servers}
+        # All servers are registered from the start, under one address that is never connected to.
         for each in servers:
             self.cluster.update(
                 0, registry.Server(each.name, "s", "10.0.0.1:1", each.zone, spec.slots, "up", 1)
--- a/lapisgrade/lab/balancing/simulation.py
+++ b/lapisgrade/lab/balancing/simulation.py
@@ -12,8 +12,8 @@
 
 SECOND = 1_000_000
 REPORT_DELAY_US = 6_000  # collects changes of the requests in flight into one report, as a proxy does
-REPORT_HEADER_BYTES = 60  # of one load report, with frame and TCP headers
-REPORT_ITEM_BYTES = 14  # of one server in a load report
+REPORT_HEADER_BYTES = 60  # size of a load report without its items, with frame and TCP headers
+REPORT_ITEM_BYTES = 14  # size of the item of one server in a load report
 
 
 @dataclass(slots=True)
@@ -114,6 +114,7 @@
         arrival_us = float(SECOND)
         while (arrival_us := arrival_us + self.arrival_random.expovariate(spec.rate) * SECOND) < end_us:
             limiter = self.arrival_random.choices(range(spec.limiters), self.weights)[0]
+            # The mean of the log-normal factor is 1, so the mean work is `work_us`.
             work = spec.work_us * self.work_random.lognormvariate(-(spec.sigma**2) / 2, spec.sigma)
             self.sim.at(int(arrival_us), self.arrive, Request(int(arrival_us), limiter, work))
         self.sim.run(end_us + spec.timeout_us + SECOND)
--- a/lapisgrade/lab/explore/activation.py
+++ b/lapisgrade/lab/explore/activation.py
@@ -42,9 +42,9 @@
     """Return a configuration as JSON.
 
     Args:
-        version: its version.
-        base: the version that it replaces.
-        tenants: the numbers of its tenants, or how many tenants it has.
+        version: Its version.
+        base: The version that it replaces.
+        tenants: The numbers of its tenants, or how many tenants it has.
     """
     names = [f"t{number}" for number in (range(tenants) if isinstance(tenants, int) else tenants)]
     return msgspec.json.encode(
@@ -198,6 +198,7 @@
                     self._check_call(proxy, tenant, proxy.call(tenant))
 
     def _check_call(self, proxy: Proxy, tenant: int, status: int) -> None:
+        """Check a response; 503 is neither an acceptance nor a refusal, as a retry may be accepted."""
         if status == 200:
             self._check_accepted(proxy, tenant)
         elif status == 503:
--- a/lapisgrade/lab/explore/quota_limiter.py
+++ b/lapisgrade/lab/explore/quota_limiter.py
@@ -144,6 +144,15 @@
         incarnation: int,
         on_reply: Callable[[rpc_messages.QuotaReply], None],
     ) -> None:
+        """Handle this limiter's add at the count's owner, and send the reply back.
+
+        Args:
+            owner: The owner of the count, at which the request has arrived.
+            request: The request.
+            incarnation: This limiter's incarnation when it sent the request; another one gets no reply.
+            on_reply: Called with the reply.
+        """
+
         def add_and_reply() -> None:
             reply = owner.add(request)
             self.world.deliver_between(owner, self, self.when_awake, incarnation, on_reply, reply)
@@ -159,9 +168,8 @@
         if predecessor is None or predecessor is self:
             then()
             return
-        calls: list[
-            bool
-        ] = []  # not empty once the reply or the time-out, whichever is first, has called `then`
+        # Not empty once `then` was called, by the reply or the time-out, whichever was first.
+        calls: list[bool] = []
 
         def call_once() -> None:
             if not calls:
--- a/lapisgrade/lab/explore/rejoin.py
+++ b/lapisgrade/lab/explore/rejoin.py
@@ -101,8 +101,8 @@
         """Keep each draft on two disks, one of which may be wiped at any time.
 
         Args:
-            drafts: the drafts.
-            random: selects the holders of each draft.
+            drafts: The drafts.
+            random: Selects the holders of each draft.
         """
         self.by_draft = {draft.id: set(random.sample(NAMES, 2)) for draft in drafts}
 
--- a/lapisgrade/lab/simulation/data_plane.py
+++ b/lapisgrade/lab/simulation/data_plane.py
@@ -130,7 +130,10 @@
         return not server.has_ended
 
     def on_request_rejected(self, proxy: SimulatedProxy, status: int) -> None:
-        """Check a request that the proxy rejects."""
+        """Check that a proxy with an active version rejects a request only with 503, which allows a retry.
+
+        All versions in the log allow the tenant's requests.
+        """
         self.rejections[status] = self.rejections.get(status, 0) + 1
         if status != 503 and proxy.active_version:
             self.invariants.report_violation(
--- a/lapisgrade/lab/simulation/disk.py
+++ b/lapisgrade/lab/simulation/disk.py
@@ -1,7 +1,8 @@
 """A simulated disk that stores one log.
 
 A kill of the process keeps records that were written but not synced; after a loss of power, the last of them
-may be missing. The disk may be slow, stall, reject every write as a full disk does, or be wiped.
+may be missing. Torn records are not simulated: recovery ends the log before a torn record (`log_format`), as
+if it were missing. The disk may be slow, stall, reject every write as a full disk does, or be wiped.
 """
 
 import asyncio
--- a/lapisgrade/lab/simulation/faults.py
+++ b/lapisgrade/lab/simulation/faults.py
@@ -156,7 +156,7 @@
         machine = self.choose_victim()
         if machine is None:
             return
-        self.mark_lost(machine, 60.0)
+        self.mark_lost(machine, 60.0)  # ends earlier: a removed machine does not count as lost
         successor = self.cluster.add()
         delay_s = self.random.choice(REPLACEMENT_DELAYS_S)
         if planned:
@@ -167,6 +167,10 @@
             self.call_after(delay_s, successor.start)
 
     def _remove(self, machine: Machine, successor: Machine, graceful: bool) -> None:
+        """Remove a machine, after a shutdown if `graceful`; its successor counts as lost while it joins.
+
+        Without `graceful` the successor has not started yet; it starts within `REPLACEMENT_DELAYS_S`.
+        """
         self.mark_lost(successor, 1.0 if graceful else 3.0)
         if graceful:
             machine.stop()
--- a/lapisgrade/lab/simulation/invariants.py
+++ b/lapisgrade/lab/simulation/invariants.py
@@ -60,8 +60,8 @@
         self.established_term = 0
         self.elections = 0
         self._elected: set[tuple[int, str]] = set()  # term and leader of each checked election
-        self._commit_indexes: dict[str, int] = {}  # of leaders, by machine
-        self._checked_voter_changes: set[int] = set()  # indexes of entries
+        self._commit_indexes: dict[str, int] = {}  # of each leader at its last check, by machine
+        self._checked_voter_changes: set[int] = set()  # indexes of their entries
 
     def report_violation(self, violation: str) -> None:
         """Record a violation, and add it to the transcript."""
--- a/lapisgrade/lab/simulation/operations/faults.py
+++ b/lapisgrade/lab/simulation/operations/faults.py
@@ -18,12 +18,12 @@
 MAX_PACE_DEVIATION = 0.01  # maximum drift of a steady clock, a hundred times that of real clocks
 LAGGING_DISK_SLOWDOWN = 50.0  # factor on the duration of a slow disk's calls
 HOLDER_RESTART_DELAY_S = 1.5  # additional delay of the restart of controllers that have the newest entry
-MIN_AND_MAX_DELAY_S = (0.05, 1.2)  # of a delayed leader's messages
+MIN_AND_MAX_DELAY_S = (0.05, 1.2)  # additional delay of a delayed leader's messages
 STALL_DURATIONS_S = (0.3, 1.5, 4.0)
 
 
 class KeyedFaults:
-    """Injects faults into proxies, and into all machines at once."""
+    """Injects faults into proxies, the leader, the disks of several controllers, and all machines at once."""
 
     def __init__(self, simulation: "KeyedSimulation", random: Random) -> None:
         self.simulation = simulation
--- a/lapisgrade/lab/simulation/schedule_steps.py
+++ b/lapisgrade/lab/simulation/schedule_steps.py
@@ -72,9 +72,9 @@
 
 
 def lagging_voter(simulation: ControlPlaneSimulation) -> None:
-    """A follower's disk stalls while the other voters continue; then some of them are isolated.
+    """A follower's disk stalls while the others continue; then a majority of the other followers is isolated.
 
-    A majority of the other followers is isolated; the leader is not. After that a machine joins.
+    The leader is not isolated. A machine joins during the stall and the partition.
     """
     _, (lagging, *rest) = leader_and_others(simulation)
     lagging.disk.stalled_until_us = simulation.loop.now_us + 6 * SECOND
@@ -101,7 +101,11 @@
 
 
 def replaced_with_leader_loss(simulation: ControlPlaneSimulation) -> None:
-    """A machine is replaced as planned, and the leader loses power during the replacement."""
+    """A machine is replaced as planned, and the leader loses power during the replacement.
+
+    The step waits before that for a random time of up to 2.5 s, the longest of `faults.REPLACEMENT_DELAYS_S`,
+    and until there is a leader.
+    """
     simulation.faults.replace(planned=True)
     simulation.loop.run_for(2.5 * simulation.random.random())
     leader, _ = leader_and_others(simulation)
