--- a/lapisgrade/lab/explore/quota.py
+++ b/lapisgrade/lab/explore/quota.py
@@ -49,7 +49,10 @@
 
 
 class World(activation.World):
-    """The leader of `activation.World`, limiters, and one tenant with a rate limit."""
+    """The leader of `activation.World`, and limiters that apply the rate limit of one tenant.
+
+    This load replaces the calls of many tenants through the proxies' routes.
+    """
 
     PROXY = Limiter
     proxies: list[Limiter]  # type: ignore[assignment]
--- a/lapisgrade/lab/explore/watch_proxy.py
+++ b/lapisgrade/lab/explore/watch_proxy.py
@@ -98,26 +98,29 @@
         return (call.incarnation, call.number) == (self.incarnation, self.request_number)
 
     def on_watch_reply(self, reply: rpc_messages.WatchReply, call: WatchCall) -> None:
-        """Apply a reply once the proxy isn't frozen; the reply to an older request is ignored."""
+        """Apply a reply once the proxy isn't frozen; the reply to an older request is ignored.
+
+        It confirms that the proxy has missed no version only if the proxy is in the list of live proxies.
+        """
         if self.world.sim.now < self.frozen_until_us:
             self.world.sim.at(self.frozen_until_us, self.on_watch_reply, reply, call)
             return
         if not self.is_pending(call):
             return
-        tables = self.router.route_versions
+        route_versions = self.router.route_versions
         members = reply.updated_proxies(self.fencing_token, self.live_proxies)
         if members is not None:
             self.live_proxies = members
         if self.name in self.live_proxies:
-            tables.confirmed_us = max(tables.confirmed_us, call.sent_us)
+            route_versions.confirmed_us = max(route_versions.confirmed_us, call.sent_us)
         if reply.active_configuration is not None and reply.active_version > self.active_version:
             self._activate(self._decode(reply.active_configuration))
-        elif reply.active_version in tables.staged:
-            self._activate(tables.staged[reply.active_version])
+        elif reply.active_version in route_versions.staged:
+            self._activate(route_versions.staged[reply.active_version])
         elif reply.active_version > self.active_version:
-            tables.staged.clear()
+            route_versions.staged.clear()
         for encoded_version in reply.staged_versions.values():
-            tables.stage(self._decode(encoded_version))
+            route_versions.stage(self._decode(encoded_version))
         self.fencing_token = reply.fencing_token
         self.send_watch_request()
 
