--- a/lapisgrade/lab/simulation/linearizability.py
+++ b/lapisgrade/lab/simulation/linearizability.py
@@ -24,7 +24,7 @@
     returned_us: int  # UNANSWERED without a final reply
     version: int
     base: int = 0
-    is_accepted: bool | None = None  # of a change; None without a final reply
+    is_accepted: bool | None = None  # whether a change was accepted; None without a final reply
 
 
 class HistoryTooLargeError(Exception):
--- a/lapisgrade/lab/simulation/operations/servers.py
+++ b/lapisgrade/lab/simulation/operations/servers.py
@@ -113,7 +113,7 @@
         self._in_flight: set[Any] = set()
 
     def update_addresses(self, addresses: dict) -> None:
-        """Do nothing."""
+        """Do nothing; `RecordingServers` receives all attempts, without a network address."""
 
     def send(self, attempt: Any) -> None:
         """Send an attempt to its server."""
--- a/lapisgrade/lab/simulation/proxies.py
+++ b/lapisgrade/lab/simulation/proxies.py
@@ -91,7 +91,7 @@
         self._proxy = proxy
 
     def update_addresses(self, addresses: dict) -> None:
-        """Do nothing."""
+        """Do nothing; attempts reach a server by its id, without a network address."""
 
     def send(self, attempt: Attempt) -> None:
         """Process the attempt at a simulated server."""
