--- a/lapisgrade/lab/fleet/relay.py
+++ b/lapisgrade/lab/fleet/relay.py
@@ -5,7 +5,8 @@
 connections:
 
 - `cut`: nothing passes in the directions named, and no error is reported, as in a network that drops packets.
-  The relay accepts new connections and leaves them without traffic until they time out.
+  The relay accepts new connections and leaves them without traffic until they time out, as if the
+  target's host were gone.
 - `reset`: open connections are reset immediately, new ones when they are accepted.
 - `delay_s`, `jitter_s`: the fixed delay, and the maximum of a uniformly random delay added to it. TCP keeps
   the order.
--- a/lapisgrade/lab/fleet/report.py
+++ b/lapisgrade/lab/fleet/report.py
@@ -58,6 +58,7 @@
     """Return the figures by which runs are compared, by their names in COLUMNS.
 
     `over, worst` is of any customer; `over, mean` and `short, share` are of the plan with the highest value.
+    Plans with a rate limit count too, although that limit, and not only the quota, holds them back.
     `back in s` is the longest time to full service after a fault, infinite if a run never reached it.
     """
     plans = [each for each in findings.quotas.values()]
