--- a/tests/lab/fleet/test_checker.py
+++ b/tests/lab/fleet/test_checker.py
@@ -237,7 +237,10 @@
 
 
 def steady_load(until_s=11.0, is_sent=lambda at_s: True):
-    """Return ten finished operations per second from 1.05 s on; `is_sent` selects them by their time."""
+    """Return ten finished operations per second from 1.05 s on; `is_sent` selects them by their time.
+
+    The run starts at 1 s, so that each operation lies well within one of the checker's bins of 100 ms.
+    """
     events, number = [], 0
     at_s = 1.05
     while at_s < until_s:
--- a/tests/lab/partitions/test_cuts.py
+++ b/tests/lab/partitions/test_cuts.py
@@ -1,4 +1,7 @@
-"""Cut links hold data back until they are restored, and then deliver it in order."""
+"""Cut links hold data back until they are restored, and then deliver it in order.
+
+The fault scenarios with processes rely on this.
+"""
 
 import asyncio
 import os
