--- a/lapisgrade/policy/account.py
+++ b/lapisgrade/policy/account.py
@@ -33,12 +33,10 @@
 MAX_LEASE_OPERATIONS = 50  # maximum number of operations per lease; given by the design
 LEASE_DURATION_US = SECOND  # how long a lease's units may be used; given by the design
 LOCAL_SHARE_FACTOR = 1.5  # local share, as a multiple of an even share of the quota (docs/design.md)
-# Attempts kept free below a plan's cap on attempts in flight: those at other limiters are only estimated,
-# from their mean use, and waiting costs little.
+# Attempts kept free below a plan's cap: those at other limiters are estimates, and waiting costs little.
 IN_FLIGHT_MARGIN = 0.8
 EXPIRED_USE_RATIO = 0.01  # fraction of the burst below which an idle account's use may be discarded
-# A total that is below this fraction of this limiter's own use by more than RESET_COUNT_UNITS units means
-# that the counter was reset.
+# A total lower than this fraction of the own use by over RESET_COUNT_UNITS means that the counter was reset.
 RESET_COUNT_RATIO = 0.99
 RESET_COUNT_UNITS = 0.1
 
@@ -84,8 +82,7 @@
         share = LOCAL_SHARE_FACTOR / self.sharing_limiter_count
         local_burst = plan.burst * share
         self.local_bucket = TokenBucket(clock.now_us, plan.rate * share, local_burst, local_burst)
-        # The rate limit is divided evenly among the limiters. Its bucket is empty when the limiter starts, so
-        # that a restart grants no second burst.
+        # An even share of the rate limit; its bucket starts empty, so that a restart grants no second burst.
         rate = plan.rate_limit_per_s / self.sharing_limiter_count
         if rate > 0:
             burst = plan.rate_limit_burst / self.sharing_limiter_count
@@ -93,8 +90,7 @@
 
     def _reset(self, now_us: int, plan: Plan) -> None:
         """Set the state of an account without any known use, attempts or rate limit."""
-        # What is left of the shared quota, according to the last total.
-        self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)
+        self.bucket = TokenBucket(now_us, plan.rate, plan.burst, plan.burst)  # quota left at the last total
         self.counter_epoch = CounterEpoch(self.customer, self.decay_us)
         self.is_level_known = False  # whether a counter call was made; until then the bucket is assumed full
         self.last_read_us = 0  # arrival time of the last total; 0: none yet
@@ -162,7 +158,6 @@
         return self._admit_by_reply(pending)
 
     def _take_from_lease(self, now_us: int, units: float) -> bool:
-        """Deduct units from the lease; returns whether it held enough."""
         if self.lease_expires_us <= now_us and self.leased_units:
             self.unreported.add(now_us, -self.leased_units)  # the next call returns the unused units
             self.leased_units = 0.0
@@ -267,11 +262,7 @@
         return min(MAX_LEASE_OPERATIONS, operations) * units
 
     def _resolve_without_counter(self, correction: float, outcome: CounterOutcome) -> CommandGenerator[None]:
-        """Resolve pending operations without a total: each is then admitted or rejected by the local share.
-
-        A call that timed out was probably counted. Its first operation is marked as counted; `correction`,
-        zero or minus the units counted beyond it, is reported with the next call.
-        """
+        """Resolve pending operations by the local share; `correction` is unreported use after a time-out."""
         is_timeout = outcome is CounterOutcome.TIMED_OUT
         if is_timeout:
             self.unreported.add(self.clock.now_us, correction)
@@ -291,8 +282,7 @@
             granted -= pending.operation.units
             yield self._resolve(pending, is_admitted=True)
         if missing:
-            # Reject operations by the level that the bucket has once the missing units are returned.
-            self.bucket.level += missing
+            self.bucket.level += missing  # the level once the missing units are returned
             while self.pending and self.pending[0].operation.units > self.bucket.read(now_us):
                 yield self._resolve(self.pending.pop(0), is_admitted=False)
             self.bucket.level -= missing
@@ -308,11 +298,7 @@
         return Resume(pending.operation)
 
     def add_to_counter(self, units: float) -> CommandGenerator[CounterOutcome]:
-        """Add units and all unreported use to the count, and update the bucket from the new total.
-
-        Returns:
-            The outcome of the call.
-        """
+        """Add units and unreported use to the count, update the bucket from the total; return the outcome."""
         sent_us = self.clock.now_us
         self.is_level_known = True
         epoch = self.counter_epoch
@@ -364,11 +350,10 @@
         if use < RESET_COUNT_RATIO * self.own_use.read(now_us) - RESET_COUNT_UNITS:
             count_started_us = now_us  # the count was reset and holds only this call
             self.to_restore.add(now_us, self.own_use.read(now_us) - restored)
-        # Part of the other limiters' use since the last total has already decayed. If their rate was
-        # constant, they used `decay_factor` times the difference between the totals; ignoring this would let
-        # them exceed the quota, more so with more limiters. A total that was reset or is not yet restored is
-        # too low, so the others are assumed to continue at their previous rate. The bucket holds at least
-        # what the total leaves of the burst.
+        # Part of the others' use since the last total has decayed: at a constant rate it was the totals'
+        # difference times `decay_factor`; ignoring this would leak quota, more so with more limiters. A total
+        # that was reset or is not yet restored is too low, so the others are assumed to continue at their
+        # previous rate. The bucket holds at least what the total leaves of the burst.
         decays = (now_us - self.last_read_us) / self.decay_us if self.last_read_us else 0.0
         decay_factor = decays / -math.expm1(-decays) if decays > 0 else 1.0
         others_use = (use - known_use) * decay_factor
--- a/lapisgrade/policy/admission_queue.py
+++ b/lapisgrade/policy/admission_queue.py
@@ -62,10 +62,7 @@
         return LOAD_SHEDDING_THRESHOLD + (1 - LOAD_SHEDDING_THRESHOLD) * relative_value
 
     def _wait_until(self, operation: Operation, has_capacity: Callable[[], bool]) -> CommandGenerator[bool]:
-        """Wait until there is capacity; returns whether there is any.
-
-        Gives up when the maximum wait is over, or immediately if the queue is full.
-        """
+        """Wait for capacity; return False after too long a wait, or at once if the queue is full."""
         max_wait_us = int(MAX_QUEUE_RATIO * operation.category.latency_target_us)
         latest_us = min(self._clock.now_us + max_wait_us, operation.deadline_us - RESPONSE_MARGIN_US)
         mean_us = self._server_pool.mean_latency_us(operation.category)
--- a/lapisgrade/policy/concurrency_limit.py
+++ b/lapisgrade/policy/concurrency_limit.py
@@ -8,13 +8,9 @@
 from lapisgrade.rate import SECOND, DecayingSum
 
 LOAD_SHEDDING_THRESHOLD = 0.7  # utilization from which the least valuable operations are rejected
-# Attempts that a server is assumed to process without queueing, from all limiters together; sets the initial
-# and the minimum limit.
-MIN_IN_FLIGHT_PER_SERVER = 2.0
+MIN_IN_FLIGHT_PER_SERVER = 2.0  # of all limiters, processed without queueing; initial and minimum limit
 LIMIT_STEP = 0.1  # maximum change of the limit per finished attempt, in attempts; about 10 % per round trip
-# Mean latency of an attempt, service and queueing time together, that the limit aims for, as a fraction of
-# the latency target.
-TARGET_LATENCY_RATIO = 0.25
+TARGET_LATENCY_RATIO = 0.25  # desired mean service plus queueing time, as a fraction of the latency target
 MAX_LATENCY_RATIO = 2.0  # upper bound on one attempt's latency, in latency targets
 LIMIT_DECAY_US = 2 * SECOND  # how long a latency affects the limit; a few round trips
 
@@ -47,8 +43,7 @@
         self._ready_count = ready_count
         if not self.value:
             self.value = max(1.0, MIN_IN_FLIGHT_PER_SERVER * endpoint_count / self._limiter_count)
-        # Lower the limit when servers leave or restart, before any finished attempt shows that the capacity
-        # is smaller, to protect the remaining servers.
+        # Protect the remaining servers when others leave or restart, before finished attempts show the loss.
         previous_weight, self._warm_weight = self._warm_weight, warm_weight
         if warm_weight < previous_weight:
             self.value = max(1.0, self.value * warm_weight / previous_weight)
--- a/lapisgrade/policy/counter_breaker.py
+++ b/lapisgrade/policy/counter_breaker.py
@@ -17,8 +17,7 @@
 
     The breaker opens when the counter does not reply, and then admits periodic probes. The call rate backs
     off from an overloaded counter, which would otherwise reply in time to no call at all (additive increase,
-    multiplicative decrease). This also covers a counter whose replies are lost. A call that was rejected
-    counts as a call that timed out.
+    multiplicative decrease). This also covers a counter whose replies are lost, and one that rejects calls.
     """
 
     probe_interval_us = PROBE_INTERVAL_US
--- a/lapisgrade/policy/counter_epoch.py
+++ b/lapisgrade/policy/counter_epoch.py
@@ -11,8 +11,7 @@
 from lapisgrade.rate import SECOND
 
 MAX_EPOCH_US = 30 * SECOND  # maximum epoch length: below the counter's maximum TTL, and epochs change rarely
-# Maximum epoch length in `decay_us`: amounts grow e-fold in each, and the counter accepts at most 1e9.
-MAX_EPOCH_DECAYS = 15
+MAX_EPOCH_DECAYS = 15  # the same in `decay_us`: amounts grow e-fold in each, the counter is limited to 1e9
 
 
 class CounterEpoch:
--- a/lapisgrade/policy/latency.py
+++ b/lapisgrade/policy/latency.py
@@ -40,10 +40,8 @@
         """The standard deviation in us, at least half of the mean."""
         mean = self.mean(now_us)
         prior = LATENCY_PRIOR_WEIGHT * PRIOR_MEAN_SQUARE_RATIO * mean * mean
-        mean_square = (self._squares.read(now_us) + prior) / (
-            self._attempts.read(now_us) + LATENCY_PRIOR_WEIGHT
-        )
-        return math.sqrt(max(mean_square - mean * mean, mean * mean / MIN_VARIANCE_DIVISOR))
+        square = (self._squares.read(now_us) + prior) / (self._attempts.read(now_us) + LATENCY_PRIOR_WEIGHT)
+        return math.sqrt(max(square - mean * mean, mean * mean / MIN_VARIANCE_DIVISOR))
 
     def expected(self, now_us: int, units: float) -> float:
         """The expected latency in us of an attempt with `units`."""
--- a/lapisgrade/policy/limiter.py
+++ b/lapisgrade/policy/limiter.py
@@ -22,9 +22,7 @@
 from lapisgrade.policy.operation_attempts import OperationAttempts, reject_for_retry
 from lapisgrade.policy.server_pool import ServerPool
 
-# Utilization up to which servers count as having capacity for use beyond a quota: half of that from which
-# load is shed.
-MAX_OVERAGE_UTILIZATION = LOAD_SHEDDING_THRESHOLD / 2
+MAX_OVERAGE_UTILIZATION = LOAD_SHEDDING_THRESHOLD / 2  # utilization up to which overage is admitted
 
 
 class Limiter:
@@ -98,8 +96,7 @@
         if wait_us is not None and not self._admit_overage(operation, account):
             yield from reject_for_retry(operation, self.permissions, wait_us)
             return
-        # The counter's reply may have raised the estimate of other limiters' attempts: check the plan's cap
-        # again.
+        # The counter's reply may have raised the estimate of other limiters' attempts: check the cap again.
         if not (yield from self.queue.wait_for_account(operation, account)):
             account.unreported.add(self.clock.now_us, -operation.units)
             yield from self._reject_overloaded(operation)
--- a/lapisgrade/policy/operation_attempts.py
+++ b/lapisgrade/policy/operation_attempts.py
@@ -153,10 +153,7 @@
         return self._server_pool.choose(self._operation, tried, self._may_repeat_at)
 
     def _may_repeat_at(self, server: ObservedServer) -> bool:
-        """Whether the operation may be sent to a server, given where it may have run.
-
-        Rule 2 of the protocol: no effect happens twice.
-        """
+        """Whether a server may get the operation, given where it may have run: no second effect (rule 2)."""
         category = self._operation.category
         if not self._may_have_run or category.repeat_safety is RepeatSafety.IDEMPOTENT:
             return True
--- a/lapisgrade/policy/server_pool.py
+++ b/lapisgrade/policy/server_pool.py
@@ -76,7 +76,6 @@
         self.concurrency.on_servers_changed(len(endpoints), len(ready), warm_weight)
 
     def _update_server(self, endpoint: ServerEndpoint, now_us: int) -> None:
-        """Store an endpoint; a server that has just started or restarted loses its earlier failures."""
         server = self.servers.setdefault(endpoint.address, ObservedServer(endpoint.address))
         previous, server.endpoint = server.endpoint, endpoint
         if endpoint.started_us and (previous is None or previous.started_us != endpoint.started_us):
--- a/lapisgrade/policy/slow_start.py
+++ b/lapisgrade/policy/slow_start.py
@@ -5,8 +5,7 @@
 from lapisgrade.policy.observed_server import ObservedServer
 from lapisgrade.rate import SECOND, DecayingSum
 
-# Fraction of a warming server's allowed load that limiters use; the rest covers variance and unknown factors.
-SLOW_START_SHARE = 0.4
+SLOW_START_SHARE = 0.4  # used share of a warming server's allowed load; the rest covers variance and unknowns
 
 
 class SlowStart:
